--- a/internal/fleet/belief/belief.go
+++ b/internal/fleet/belief/belief.go
@@ -1,7 +1,6 @@
-// Package belief holds observations of members that travel between gateways: who
-// saw what of which member, when, by what evidence. What comes of them is advice
-// to look, never an exclusion. It does no I/O, starts no goroutine and reads no
-// clock.
+// Package belief exchanges observations of members between gateways: which gateway saw what of which member,
+// when, and by what evidence. Reports of other gateways yield only advice to probe a member; they never
+// exclude one. The package does no I/O, starts no goroutine and reads no clock.
 package belief
 
 import (
@@ -15,23 +14,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// Kind is what was seen.
+// Kind is what a gateway observed of a member.
 type Kind uint8
 
-// The kinds, on the wire too.
+// The kinds. Their numbers are part of the wire format.
 const (
-	Silent  Kind = 1 // it did not answer what it was sent
+	Silent  Kind = 1 // it did not answer requests
 	Refused Kind = 2 // a connection to it was refused or broke
 	Answers Kind = 3
-	Primary Kind = 4 // an answer of its own said that it is its group's primary
+	Primary Kind = 4 // an answer of the member said that it is its group's primary
 )
 
 var kindNames = map[Kind]string{Silent: "silent", Refused: "refused", Answers: "answers", Primary: "primary"}
 
-// String is the kind's name in tables and JSON.
+// String returns the kind's name for tables and JSON.
 func (k Kind) String() string {
 	if n, ok := kindNames[k]; ok {
 		return n
@@ -40,44 +39,45 @@
 }
 
 const (
-	halfLife   = 3 * time.Second // an observation so old counts half
+	halfLife   = 3 * time.Second // age at which an observation counts half
 	keep       = 20 * time.Second
-	passOn     = 3.0 // times log2 of the group's size: how often one is passed on
+	passOn     = 3.0 // times log2 of the group size: how often an observation is passed on
 	hopsMost   = 12
 	membersMax = 1024
-	eachMax    = 64  // witnesses kept for one member
-	batchMost  = 24  // observations in a message
-	lookScore  = 0.3 // weight of the independent witnesses from which a look is worth it
+	eachMax    = 64  // witnesses kept per member
+	batchMost  = 24  // observations per message
+	lookScore  = 0.3 // weight of independent witnesses that is worth a probe
 	lookGap    = time.Second
-	looksMost  = 10.0 // looks a second in all, in bursts as large
+	looksMost  = 10.0 // probes per second caused by reports, over all members; also the largest burst
 	trustLeast = 0.05
-	trustBack  = 0.02 // part of the lost trust that a look which bears a witness out gives back, times ten
+	trustBack  = 0.02 // a tenth of the fraction of lost trust that a confirming probe gives back
 )
 
-// Observation is what one gateway saw of one member.
+// Observation is what one gateway observed of one member.
 type Observation struct {
 	_        struct{} `cbor:",toarray"`
 	Witness  string
 	Epoch    uint64
 	Zone     string
-	Number   uint64 // of the witness, growing
+	Number   uint64 // sequence number of the witness, growing
 	Member   string
 	Kind     Kind
-	Age      uint32 // milliseconds since it was seen, as the sender knows
-	Position int64  // Unix milliseconds, 0 = not told
+	Age      uint32 // milliseconds since the observation, as far as the sender knows
+	Position int64  // log position in Unix milliseconds, 0 if not reported
 	Hops     uint8
 }
 
-// Encode is a batch's bytes.
+// Encode returns the wire form of a batch.
 func Encode(batch []Observation) []byte {
 	b, err := cbor.Marshal(batch)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
 	return b
 }
 
-// Decode reads a batch; what is out of bounds is an error or left out.
+// Decode parses a batch. Malformed input is an error; observations with fields beyond their limits are left
+// out.
 func Decode(b []byte) ([]Observation, error) {
 	var batch []Observation
 	if err := cbor.Unmarshal(b, &batch); err != nil {
@@ -88,51 +88,51 @@
 	}), nil
 }
 
-// Advice is what comes of claims.
+// Advice is what reports about a member suggest.
 type Advice struct {
 	Member string
-	// Look: see for yourself whether the member answers. Try: it is out of use here, and others have had answers.
-	// Guess: a write that looks for its primary may begin there, as a replica turns it away untouched.
+	// Look: probe whether the member answers. Try: it is out of use here, but others had answers. Guess: a
+	// write that searches for its primary may begin at this member, as a replica rejects it without effect.
 	Look, Try, Guess bool
-	Witnesses        int // independent ones
+	Witnesses        int // number of independent witnesses
 }
 
-// seen is an observation as kept.
+// seen is a stored observation.
 type seen struct {
 	Observation
 	at   Time // when it was made, on this gateway's clock
-	left int  // how often it is still passed on
+	left int  // remaining transmissions
 }
 
-// Book is one gateway's. It is its owner's alone.
+// Book holds one gateway's observations and those reported by others. It is not safe for concurrent use.
 type Book struct {
 	name, zone string
 	epoch      uint64
 	rng        *rand.Rand
 	now        Time
 	number     uint64
-	members    map[string]map[string]*seen // by member, by witness
-	own        map[string]Time             // when this gateway itself last had an answer of a member
+	members    map[string]map[string]*seen // by member, then by witness
+	own        map[string]Time             // when this gateway itself last had an answer of each member
 	looked     map[string]Time
 	looks      float64
 	looksAt    Time
-	trust      map[string]float64 // of witnesses whose claims were not borne out, below 1
+	trust      map[string]float64 // trust in witnesses whose reports proved wrong, from trustLeast to below 1
 	spread     []*seen
 	Dropped    Drops
-	Looks      int // asked for in all
-	Wrong      int // of these, after which the member answered
+	Looks      int // probes advised in total
+	Wrong      int // those of them that the member answered
 }
 
-// Drops counts what was not taken.
+// Drops counts observations and probes that were dropped, by reason.
 type Drops struct{ Full, Old, Rate, Oneself int }
 
-// New returns an empty book.
+// New returns an empty store for the gateway with this name, zone and epoch.
 func New(name, zone string, epoch, seed uint64) *Book {
 	return &Book{name: name, zone: zone, epoch: epoch, rng: rand.New(rand.NewPCG(seed, 0x62656c)), members: map[string]map[string]*seen{},
 		own: map[string]Time{}, looked: map[string]Time{}, looks: looksMost, trust: map[string]float64{}}
 }
 
-// Saw takes what this gateway itself saw, to tell the others. peers is how many there are.
+// Saw records an observation of this gateway itself, to be passed on to others. peers is the number of peers.
 func (b *Book) Saw(now Time, member string, k Kind, position int64, peers int) {
 	b.now = now
 	if k == Answers || k == Primary {
@@ -147,7 +147,7 @@
 	b.put(o, peers)
 }
 
-// Answered notes an answer of a member without telling anyone: it answers as usual.
+// Answered records a regular answer of a member without passing it on.
 func (b *Book) Answered(now Time, member string) {
 	if len(b.members[member]) > 0 || b.looked[member] != 0 {
 		b.now, b.own[member] = now, now
@@ -155,8 +155,8 @@
 	}
 }
 
-// judge compares what was claimed of a member with the answer that just came: who claimed that it was silent, at a
-// time before which it was looked for, is trusted less.
+// judge compares reports about a member with the answer that just came: witnesses that reported it silent, no
+// later than the advised probe, are trusted less.
 func (b *Book) judge(member string) {
 	at, ok := b.looked[member]
 	if !ok {
@@ -175,7 +175,7 @@
 	}
 }
 
-// Confirmed takes that a look was not answered: those who said so are trusted more again.
+// Confirmed records that an advised probe was not answered: witnesses that reported so regain trust.
 func (b *Book) Confirmed(member string) {
 	if _, ok := b.looked[member]; !ok {
 		return
@@ -199,7 +199,7 @@
 	return 1
 }
 
-// put keeps an observation if it is the newest of its witness.
+// put stores an observation if it is the newest of its witness, and returns whether it did.
 func (b *Book) put(o *seen, peers int) bool {
 	of := b.members[o.Member]
 	if of == nil {
@@ -218,7 +218,7 @@
 		b.Dropped.Full++
 		return false
 	}
-	if was != nil { // it is not passed on any more
+	if was != nil { // the older one is no longer passed on
 		was.left = 0
 	}
 	of[o.Witness] = o
@@ -227,7 +227,7 @@
 	return true
 }
 
-// Told takes a batch that a peer passed on, and returns advice.
+// Told merges a batch that a peer passed on and returns the resulting advice.
 func (b *Book) Told(now Time, batch []Observation, peers int) []Advice {
 	b.now = now
 	touched := map[string]bool{}
@@ -254,15 +254,16 @@
 	return advice
 }
 
-// Weight is what is claimed of a member: how many independent witnesses, each fading with age, say that it is out, and
-// how many that it answers. The gateways of one zone are one witness, as one broken link may stand before all of them.
+// Weight sums up the reports about a member: how many independent witnesses, each fading with age, report that
+// it is out, and how many that it answers. The gateways of one zone count as one witness, as one broken link
+// may affect all of them.
 type Weight struct {
 	Out, Up   float64
 	Witnesses int
-	Primary   Time // newest word on its being primary, 0 = none
+	Primary   Time // time of the newest report that it is primary, 0 if none
 }
 
-// Weigh weighs what is claimed of a member by others, at the time of the book's last event.
+// Weigh sums up the reports of others about a member, at the time of the last call that set the clock.
 func (b *Book) Weigh(member string) Weight {
 	var w Weight
 	out, up := map[string]float64{}, map[string]float64{}
@@ -297,7 +298,7 @@
 	return w
 }
 
-// advise says what to do about a member that something new is claimed of.
+// advise returns the advice for a member that has a new report.
 func (b *Book) advise(member string) (Advice, bool) {
 	w := b.Weigh(member)
 	a := Advice{Member: member, Witnesses: w.Witnesses}
@@ -318,7 +319,7 @@
 	return a, a.Look || a.Try || a.Guess
 }
 
-// mayLook bounds the looks that claims can cause, however many there are.
+// mayLook limits the rate of probes that reports can cause, however many there are.
 func (b *Book) mayLook() bool {
 	b.looks = min(looksMost, b.looks+looksMost*(b.now-b.looksAt).Seconds())
 	b.looksAt = b.now
@@ -329,7 +330,8 @@
 	return true
 }
 
-// Batch is what to pass on now, nil if nothing; those passed on least come first.
+// Batch returns the observations to pass on now, those passed on the fewest times first; nil if there are
+// none.
 func (b *Book) Batch(now Time) []Observation {
 	b.now = now
 	b.spread = slices.DeleteFunc(b.spread, func(o *seen) bool { return o.left <= 0 || now-o.at > keep })
@@ -347,7 +349,7 @@
 	return batch
 }
 
-// Forget drops what is too old to count. It is to be called each second or so.
+// Forget drops entries that are too old to count. It must be called about once a second.
 func (b *Book) Forget(now Time) {
 	b.now = now
 	for m, of := range b.members {
@@ -372,7 +374,7 @@
 	}
 }
 
-// Line is what is claimed of a member, for tables and JSON.
+// Line sums up the reports about a member for tables and JSON.
 type Line struct {
 	Member    string  `json:"member"`
 	Out       float64 `json:"out"`
@@ -381,7 +383,7 @@
 	Claims    []Claim `json:"claims"`
 }
 
-// Claim is one observation, for tables and JSON.
+// Claim is one observation for tables and JSON.
 type Claim struct {
 	Witness string  `json:"witness"`
 	Zone    string  `json:"zone"`
@@ -390,7 +392,7 @@
 	Trust   float64 `json:"trust"`
 }
 
-// Lines are all claims that are held, in the order of members and witnesses.
+// Lines returns all stored observations, ordered by member and witness.
 func (b *Book) Lines(now Time) []Line {
 	b.now = now
 	lines := []Line{}
@@ -406,8 +408,8 @@
 	return lines
 }
 
-// Rename takes over a new epoch of this gateway.
+// Rename sets a new epoch of this gateway.
 func (b *Book) Rename(epoch uint64) { b.epoch = epoch }
 
-// Members are the members that something is claimed of.
+// Members returns the members that have stored observations, in no particular order.
 func (b *Book) Members() []string { return slices.Collect(maps.Keys(b.members)) }
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -1,7 +1,7 @@
-// Package swim finds out who is there: failure detection and dissemination after
-// SWIM and Lifeguard. It does no I/O, starts no goroutine and reads no clock:
-// messages and the time go in, messages and changes come out. A process whose own
-// clock shows that it was stopped blames nobody for what it missed.
+// Package swim maintains gateway group membership: failure detection and dissemination after SWIM and
+// Lifeguard. It does no I/O, starts no goroutine and reads no clock: messages and the current time go in,
+// messages and membership changes come out. A process that finds from its own clock that it was paused does
+// not blame peers for the answers that it missed meanwhile.
 package swim
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
 const (
@@ -23,51 +23,51 @@
 	forever Time = 1 << 62
 )
 
-// Tuned values, each with its reason.
+// Protocol parameters.
 const (
-	period      = time.Second            // one peer is pinged in each
-	gossipEvery = 200 * time.Millisecond // news goes to gossipTo peers
+	period      = time.Second            // one peer is pinged per period
+	gossipEvery = 200 * time.Millisecond // updates go to gossipTo random peers
 	gossipTo    = 3
-	askTo       = 3                      // peers asked to ping for us
-	ackFirst    = 400 * time.Millisecond // patience before a round trip is known
+	askTo       = 3                      // peers asked for an indirect ping
+	ackFirst    = 400 * time.Millisecond // answer timeout while no round-trip time is known
 	ackLeast    = 100 * time.Millisecond
-	ackMost     = 2 * time.Second // links of 800 ms each way are still links
-	askTimes    = 3               // an answer by way of others has so many times the patience
-
-	suspectTimes = 4.0 // periods, times log10 of the group's size: what a suspect has to deny it at the least
-	suspectMost  = 3.0 // times that, with no other witness
-	witnesses    = 3   // zones, or peers where there is one zone, that bring it down to the least
-	retransmit   = 1.3 // times log2 of the group's size: how often a piece of news is passed on
-	doubtMost    = 3   // self-doubt: a process that misses answers of all waits up to so many times longer
+	ackMost     = 2 * time.Second // so that links with 800 ms one-way delay stay usable
+	askTimes    = 3               // an indirect answer may take this multiple of the direct timeout
+
+	suspectTimes = 4.0 // minimum suspicion time in periods, times log10 of the group size
+	suspectMost  = 3.0 // maximum suspicion time as a multiple of the minimum: with no second witness
+	witnesses    = 3   // witnesses (zones, or peers without a zone) that shorten the suspicion to its minimum
+	retransmit   = 1.3 // times log2 of the group size: how often an update is passed on
+	doubtMost    = 3   // limit of the self-doubt: timeouts grow up to 1+doubtMost times while answers are missed
 	pauseLeast   = 1500 * time.Millisecond
-	reconnect    = 2 * time.Second // one failed peer or seed is tried in each
-	syncGap      = 2 * time.Second // between syncs by digest, as news is under way too
-	syncQuiet    = time.Second     // no sync by digest while news came so lately
-	helloEvery   = time.Second     // while alone
-	incMost      = 1 << 20         // a higher incarnation is a lie, which its peer could hardly deny; half way there a new epoch begins
+	reconnect    = 2 * time.Second // one failed peer or seed is tried per interval
+	syncGap      = 2 * time.Second // between digest-triggered syncs, as gossip may already carry the difference
+	syncQuiet    = time.Second     // no digest-triggered sync this soon after an update
+	helloEvery   = time.Second     // interval of join attempts while no peer is live
+	incMost      = 1 << 20         // higher incarnations are refused: the peer could hardly refute them; at half of it the node begins a new epoch
 	leftKeep     = 10 * time.Minute
-	probesMost   = 1024 // under way, for others too
+	probesMost   = 1024 // outstanding, those for other peers included
 	greetedMost  = 256
 	rttBlend     = 0.125
 	varBlend     = 0.25
 )
 
-// Guard is one of the checks that keep the group true. A checker switches them off one at a time.
+// Guard is a bit set of protocol checks. Test tools disable them one at a time to show that each is needed.
 type Guard uint32
 
-// The guards.
+// The guards, each with what it enforces.
 const (
-	GuardPause   Guard = 1 << iota // own pauses are not held against others
-	GuardRefute                    // who is alive denies what is said of it
-	GuardEpoch                     // what belongs to an older start of a peer is dropped
-	GuardAsk                       // others are asked before a peer is suspected
-	GuardJump                      // incarnations out of reach are refused
-	GuardRetry                     // failed peers are tried again
-	GuardYield                     // a process yields its name to a later start that is alive
-	GuardAddress                   // what is addressed to another start of this process is dropped
+	GuardPause   Guard = 1 << iota // after an own pause, timeouts of peers are extended
+	GuardRefute                    // a live node refutes claims that it is suspect, failed or gone
+	GuardEpoch                     // messages of an earlier start of a peer are dropped
+	GuardAsk                       // indirect pings precede a suspicion
+	GuardJump                      // implausibly high incarnations are refused
+	GuardRetry                     // failed peers and seeds are retried
+	GuardYield                     // a node yields its name to a later start that is alive
+	GuardAddress                   // messages addressed to another start of this node are dropped
 )
 
-// Guards are all of them, with what each keeps.
+// Guards lists all guards with their names as printed by test tools.
 var Guards = []struct {
 	Guard Guard
 	Name  string
@@ -79,75 +79,76 @@
 	{GuardAddress, "what is addressed to another start is dropped"},
 }
 
-// Config is what a node is told.
+// Config is a node's configuration.
 type Config struct {
 	Name, Addr, Zone string
-	Epoch            uint64 // of this start
+	Epoch            uint64 // start number of this process, greater than those of its earlier starts
 	Meta             []byte
 	Seeds            []string
 	Seed             uint64
-	Keep             Time  // failed peers are remembered for so long
-	Off              Guard // for checkers only
+	Keep             Time  // how long failed peers are remembered; 0 means 24 hours
+	Off              Guard // guards that are switched off; for tests only
 }
 
-// Peer is what is known of a peer.
+// Peer is the local record of a peer.
 type Peer struct {
 	Claim
-	Since Time // in its state
-	Heard Time // last message from it, never = none
-	RTT   Time // 0 = not known
+	Since Time // when the current state began
+	Heard Time // when its last message arrived; distantPast if none
+	RTT   Time // smoothed round-trip time, 0 if unknown
 	Via   string
-	Gone  bool // its host refused a connection since: the process is gone, not the link
+	Gone  bool // its host refused a connection since: the process ended, the link works
 
 	variance  Time
-	wits      map[string]bool // zones that suspect it
-	until     Time            // Suspect: failed then
+	wits      map[string]bool // zones, or peers without a zone, that suspect it
+	until     Time            // Suspect: time at which it is declared failed
 	suspected Time
-	left      int // transmissions of the news left
+	left      int // remaining transmissions of its latest claim
 }
 
-// Event is what happened. Exactly one field group counts.
+// Event is an input to Step. Of Message (with Stream), Refused and Leave only the first that is set is used;
+// Meta and Seeds apply in addition.
 type Event struct {
 	Message *Message
-	Stream  uint64 // Message came by this stream and may be answered on it; 0 = by datagram
-	Refused string // an address at which a connection was refused
-	Meta    []byte // this node's from now on, unless nil
+	Stream  uint64 // stream that Message came by and may be answered on; 0 for a datagram
+	Refused string // address that refused a connection
+	Meta    []byte // this node's new metadata, nil if unchanged
 	Seeds   []string
 	Leave   bool
 }
 
-// Action is what must be done.
+// Action is an output of Step that the caller has to carry out.
 type Action struct {
 	To      string // address
-	Name    string // of the peer there, for who reaches it by another address; empty: not known
+	Name    string // peer at the address, for callers that reach it by another address; empty if unknown
 	Message *Message
-	Stream  uint64 // answer on this stream
-	Dial    bool   // by a stream of its own, whose answer comes as an event
+	Stream  uint64 // stream to answer on, 0 if none
+	Dial    bool   // send by a new stream; its answer comes as an event
 	Change  *Change
 }
 
-// Change is a change of what is known.
+// Change reports a change in membership, or one of this node itself.
 type Change struct {
 	Peer Peer
-	From State // 0 = not known before
-	// For this node itself:
-	Displaced bool   // a later start has its name and is alive: this one is no peer
-	Epoch     uint64 // its epoch from now on, 0 = unchanged
-	Paused    Time   // it was stopped for so long
+	From State // previous state, 0 if the peer is new
+	// The fields below concern this node itself.
+	Displaced bool   // a later start with the same name is alive; this node no longer takes part
+	Epoch     uint64 // its new epoch, 0 if unchanged
+	Paused    Time   // duration of a pause of this process that was just detected
 }
 
 type probe struct {
 	target   ID
 	addr     string
 	at       Time
-	ask, end Time // when others are asked, and when it has failed
+	ask, end Time // when indirect pings are sent, and when the probe has failed
 	asked    bool
-	forID    ID // asked for by this one, who gets the Ack
+	forID    ID // peer that requested this probe and is sent the Ack
 	forAddr  string
 	forSeq   uint32
 }
 
-// Node is one gateway's part. It is its owner's alone.
+// Node is one gateway's membership state. It is not safe for concurrent use.
 type Node struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -157,29 +158,29 @@
 	meta    []byte
 	seeds   []string
 	peers   map[string]*Peer
-	order   []string         // names, shuffled anew each round
-	fresh   []*Peer          // whose news is still passed on
-	ended   map[string]*Peer // suspect, failed or left
+	order   []string         // ping order, reshuffled each round
+	fresh   []*Peer          // peers whose latest claim is still passed on
+	ended   map[string]*Peer // peers that are suspect, failed or left
 	at      int
 	probes  map[uint32]*probe
-	greeted map[uint32]string // hellos that may still be answered, by number: where they went
-	owners  map[string]string // who answered at a seed's address
+	greeted map[uint32]string // outstanding Hellos by sequence number: the address sent to
+	owners  map[string]string // name of the peer that answered at each seed address
 	seq     uint32
 	doubt   int
 
 	stepped, pingAt, gossipAt, retryAt, newsAt, syncAt, helloAt Time
 	displaced, left                                             bool
-	self                                                        int // transmissions left of the news of itself
+	self                                                        int // remaining transmissions of this node's own claim
 	digest                                                      uint64
 	Dropped                                                     Drops
 }
 
-// Drops counts what was not taken.
+// Drops counts messages, claims and requests that were dropped, by reason.
 type Drops struct {
 	Epoch, Address, Jump, Full, Kind int
 }
 
-// New returns a node that knows of no peer.
+// New returns a node that knows no peers.
 func New(c Config) *Node {
 	if c.Keep == 0 {
 		c.Keep = 24 * time.Hour
@@ -192,7 +193,7 @@
 
 func (n *Node) on(g Guard) bool { return n.cfg.Off&g == 0 }
 
-// Peers are all peers known, this node not among them, in the order of their names.
+// Peers returns copies of all known peers, without this node, sorted by name.
 func (n *Node) Peers() []Peer {
 	all := make([]Peer, 0, len(n.peers))
 	for _, p := range n.peers {
@@ -207,7 +208,7 @@
 	return all
 }
 
-// Peer is what is known of a peer.
+// Peer returns a copy of the record of the peer with this name.
 func (n *Node) Peer(name string) (Peer, bool) {
 	if p := n.peers[name]; p != nil {
 		return *p, true
@@ -215,17 +216,17 @@
 	return Peer{}, false
 }
 
-// Each calls f for each peer known, in no order. It must not change them.
+// Each calls f for each known peer, in no particular order. f must not change them.
 func (n *Node) Each(f func(*Peer)) {
 	for _, p := range n.peers {
 		f(p)
 	}
 }
 
-// Len is how many peers are known.
+// Len returns the number of known peers.
 func (n *Node) Len() int { return len(n.peers) }
 
-// Draw draws up to k live peers at random.
+// Draw returns up to k live peers chosen at random, none once this node is displaced.
 func (n *Node) Draw(k int) (drawn []Peer) {
 	if !n.displaced {
 		for _, p := range n.some(k, nil) {
@@ -235,7 +236,7 @@
 	return drawn
 }
 
-// Self is what this node claims of itself.
+// Self returns this node's claim about itself.
 func (n *Node) Self() Claim {
 	s := Alive
 	if n.left {
@@ -244,19 +245,20 @@
 	return Claim{Name: n.cfg.Name, Epoch: n.cfg.Epoch, Inc: n.inc, State: s, Addr: n.cfg.Addr, Meta: n.meta}
 }
 
-// Displaced tells that a later start has this node's name.
+// Displaced reports whether a later start with this node's name is alive.
 func (n *Node) Displaced() bool { return n.displaced }
 
-// Doubt is how much this node doubts its own hearing, from 0.
+// Doubt returns the self-doubt level, from 0 to doubtMost (Lifeguard's local health): it grows while this node
+// seems to miss messages itself, and lengthens its timeouts.
 func (n *Node) Doubt() int { return n.doubt }
 
-// Digest sums up what this node takes for true; equal digests mean equal views.
+// Digest returns a hash of the membership table, this node included. Equal digests mean equal tables.
 func (n *Node) Digest() uint64 {
 	return n.digest ^ digestOf(n.cfg.Name, n.cfg.Epoch, n.inc, n.Self().State)
 }
 
 func digestOf(name string, epoch uint64, inc uint32, s State) uint64 {
-	if s == Suspect { // soon decided
+	if s == Suspect { // a suspicion is decided soon, so it does not change the digest
 		s = Alive
 	}
 	b := append([]byte(name), 0, byte(s))
@@ -264,13 +266,14 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint32(b, inc))
 }
 
-// Step takes what happened by now and appends what must be done. It is to be called each 100 ms at the least.
+// Step applies events at time now and appends the resulting actions to out. It must be called at least every
+// 100 ms.
 func (n *Node) Step(now Time, events []Event, out []Action) []Action {
 	n.out = out
 	if n.stepped != never && now-n.stepped > pauseLeast && n.on(GuardPause) {
 		n.paused(now - n.stepped)
 	}
-	if n.stepped == never { // members of a restarted group begin at different times
+	if n.stepped == never { // spreads the first pings of a group that was restarted as a whole
 		n.pingAt = now + Time(n.rng.Float64()*float64(period))
 	}
 	n.now, n.stepped = now, now
@@ -284,7 +287,7 @@
 	return n.out
 }
 
-// paused moves all that waits for others: what they sent meanwhile was not lost by them.
+// paused extends all timeouts that wait for peers by span: their messages of that time were not lost by them.
 func (n *Node) paused(span Time) {
 	for _, p := range n.probes {
 		p.at, p.ask, p.end = p.at+span, p.ask+span, p.end+span
@@ -292,7 +295,7 @@
 	for _, p := range n.peers {
 		if p.State == Suspect {
 			p.until += span
-			p.suspected += span // a further witness counts from there
+			p.suspected += span // further witnesses shorten the timeout from this point
 		}
 	}
 	n.doubt = min(n.doubt+1, doubtMost)
@@ -332,7 +335,7 @@
 
 func (n *Node) id() ID { return ID{Name: n.cfg.Name, Epoch: n.cfg.Epoch} }
 
-// send sends by datagram.
+// send queues a message to be sent by datagram.
 func (n *Node) send(addr string, m *Message) { n.act(Action{To: addr, Message: m}) }
 
 func (n *Node) act(a Action) {
@@ -346,17 +349,17 @@
 	n.out = append(n.out, a)
 }
 
-// spread is how often a piece of news is passed on.
+// spread returns how often an update is passed on.
 func (n *Node) spread() int {
 	return int(math.Ceil(retransmit * math.Log2(float64(len(n.peers)+2))))
 }
 
-// some draws up to k live peers at random, leaving out those that not says.
+// some returns up to k live peers chosen at random, without those that not selects.
 func (n *Node) some(k int, not func(*Peer) bool) (drawn []*Peer) {
 	fits := func(p *Peer) bool {
 		return p.State <= Suspect && (not == nil || !not(p)) && !slices.Contains(drawn, p)
 	}
-	for range 4 * k { // most are live
+	for range 4 * k { // most peers are live, so a few draws normally suffice
 		if len(n.order) < 8*k || len(drawn) == k {
 			break
 		}
@@ -377,7 +380,7 @@
 	return append(drawn, rest[:min(k-len(drawn), len(rest))]...)
 }
 
-// tell has news of p passed on.
+// tell schedules p's latest claim to be passed on.
 func (n *Node) tell(p *Peer) {
 	if p.left == 0 {
 		n.fresh = append(n.fresh, p)
@@ -385,7 +388,7 @@
 	p.left = n.spread()
 }
 
-// news fills a message with claims to pass on, those passed on least first.
+// news adds claims to m until the datagram is full, those passed on the fewest times first.
 func (n *Node) news(m *Message, to *Peer) *Message {
 	room := PacketMost - 200
 	add := func(c Claim) bool {
@@ -398,7 +401,7 @@
 	if n.displaced {
 		return m
 	}
-	if to != nil && to.State != Alive { // it is to know what is said of it
+	if to != nil && to.State != Alive { // the peer must learn what is claimed of it, so that it can refute it
 		add(n.claim(to))
 	}
 	if n.self > 0 && add(n.Self()) {
@@ -426,7 +429,7 @@
 	return c
 }
 
-// all is the whole table.
+// all adds the whole membership table to m.
 func (n *Node) all(m *Message) *Message {
 	m.Claims = append(m.Claims, n.Self())
 	for _, name := range n.order {
@@ -440,18 +443,18 @@
 // Messages.
 
 func (n *Node) message(m *Message, stream uint64) {
-	if n.left || m.From == n.id() { // its own, come back
+	if n.left || m.From == n.id() { // this node's own message, reflected
 		return
 	}
 	if m.To.Name != "" && m.To != n.id() && n.on(GuardAddress) {
-		n.Dropped.Address++ // meant for an earlier start of this process, or recorded and played again
+		n.Dropped.Address++ // meant for an earlier start of this process, or replayed
 		return
 	}
 	if m.Kind == Hello {
 		n.hello(m, stream)
 		return
 	}
-	if m.From.Name == n.cfg.Name { // of another start under this name
+	if m.From.Name == n.cfg.Name { // from another start with this name
 		if m.Kind == Welcome || m.Kind == SyncReply {
 			n.claimed(Claim{Name: m.From.Name, Epoch: m.From.Epoch, State: Alive, Addr: m.Addr})
 		}
@@ -460,18 +463,18 @@
 	p := n.peers[m.From.Name]
 	if p != nil && m.From.Epoch < p.Epoch && n.on(GuardEpoch) {
 		n.Dropped.Epoch++
-		if m.Kind != Ack && m.Kind != Gossip { // let it know who has its name
+		if m.Kind != Ack && m.Kind != Gossip { // tell it which start has its name now
 			n.send(m.Addr, &Message{Kind: Gossip, To: m.From, Claims: []Claim{n.claim(p)}})
 		}
 		return
 	}
-	if p == nil || m.From.Epoch > p.Epoch { // its own word on being there
+	if p == nil || m.From.Epoch > p.Epoch { // the message itself shows that its sender is alive
 		n.claimed(Claim{Name: m.From.Name, Epoch: m.From.Epoch, State: Alive, Addr: m.Addr})
 		p = n.peers[m.From.Name]
 	}
 	if p != nil {
 		p.Heard, p.Gone = n.now, false
-		if p.Addr != m.Addr && m.Addr != "" && p.State == Alive { // it has moved; its next claim says so too
+		if p.Addr != m.Addr && m.Addr != "" && p.State == Alive { // the peer moved; its next claim carries the new address too
 			p.Addr = m.Addr
 		}
 	}
@@ -495,7 +498,7 @@
 	case Sync:
 		n.act(Action{To: m.Addr, Stream: stream, Message: n.all(&Message{Kind: SyncReply, Seq: m.Seq, To: m.From})})
 	case Gossip, SyncReply:
-	case Welcome: // a seed, or one that was failed, is there: take its table
+	case Welcome: // a seed or a failed peer answered: fetch its table
 		if at, ok := n.greeted[m.Seq]; ok {
 			delete(n.greeted, m.Seq)
 			n.owners[at] = m.From.Name
@@ -520,7 +523,8 @@
 	n.act(Action{To: m.Addr, Message: ack, Stream: stream})
 }
 
-// hello answers whoever knows the key, and believes nothing of it. To one whose name a later start has it tells so.
+// hello answers any sender that knows the group key and takes nothing that it says for true. A sender whose
+// name belongs to a later start is told so. It stays silent towards a later start with this node's own name.
 func (n *Node) hello(m *Message, stream uint64) {
 	if m.From.Name == n.cfg.Name && m.From.Epoch < n.cfg.Epoch || m.From.Name != n.cfg.Name {
 		w := &Message{Kind: Welcome, Seq: m.Seq, To: m.From}
@@ -537,13 +541,13 @@
 	n.act(Action{To: addr, Dial: true, Message: n.all(&Message{Kind: Sync, Seq: n.seq, To: to})})
 }
 
-// acked takes the answer to a ping.
+// acked handles the answer to a ping.
 func (n *Node) acked(m *Message) {
 	q := n.probes[m.Seq]
 	if q == nil {
 		return
 	}
-	if q.forAddr != "" { // pinged for another
+	if q.forAddr != "" { // pinged on behalf of another peer
 		if q.target == m.From {
 			delete(n.probes, m.Seq)
 			n.send(q.forAddr, &Message{Kind: Ack, Seq: q.forSeq, To: q.forID, Target: q.target})
@@ -551,7 +555,7 @@
 		return
 	}
 	by := m.Target
-	if by.Name != "" && by == q.target { // another reached it
+	if by.Name != "" && by == q.target { // a helper reached it
 		if p := n.peers[by.Name]; p != nil && p.Epoch == by.Epoch {
 			p.Via, p.Gone = m.From.Name, false
 		}
@@ -572,7 +576,7 @@
 
 // Claims.
 
-// claimed takes what is said of a peer, by itself or by others.
+// claimed handles a claim about a peer, made by the peer itself or by others.
 func (n *Node) claimed(c Claim) {
 	if c.State < Alive || c.State > Left || len(c.Meta) > MetaMost {
 		n.Dropped.Kind++
@@ -598,7 +602,7 @@
 		if newer {
 			n.become(p, c)
 		} else if same && p.State == Alive && len(p.Meta) == 0 && len(c.Meta) > 0 {
-			n.become(p, c) // first met by a message that told nothing of it
+			n.become(p, c) // first met by a message that carried none of its metadata
 		}
 	case Suspect:
 		switch {
@@ -609,7 +613,7 @@
 		case same && p.State == Suspect && !p.wits[c.By] && len(p.wits) < witnesses:
 			p.wits[c.By] = true
 			p.By = c.By
-			n.tell(p) // another witness is news
+			n.tell(p) // a further witness is passed on too
 			n.term(p)
 		}
 	case Failed, Left:
@@ -620,11 +624,11 @@
 	}
 }
 
-// said takes what is said of this node itself.
+// said handles a claim about this node itself.
 func (n *Node) said(c *Claim) {
 	switch {
 	case c.Epoch > n.cfg.Epoch && (c.State == Failed || c.State == Left || !n.on(GuardYield)):
-		// That start has ended, yet it was later than this one: an old copy of the folder, or a clock that went back.
+		// That start has ended but was later than this one: the folder is an old copy, or the clock went back.
 		n.renew(c.Epoch + 1)
 	case c.Epoch > n.cfg.Epoch:
 		if !n.displaced {
@@ -643,7 +647,7 @@
 		}
 		n.inc = c.Inc + 1
 		n.self = n.spread()
-		n.doubt = min(n.doubt+1, doubtMost) // they missed its answers: it may be slow itself
+		n.doubt = min(n.doubt+1, doubtMost) // others missed this node's answers: it may be slow itself
 	}
 }
 
@@ -654,7 +658,7 @@
 	n.out = append(n.out, Action{Change: &Change{Epoch: epoch}})
 }
 
-// meet adds a peer.
+// meet adds a peer that was not known.
 func (n *Node) meet(c *Claim) {
 	if c.State == Failed && Time(c.Age)*time.Second > n.cfg.Keep || c.State == Left && Time(c.Age)*time.Second > leftKeep {
 		return
@@ -683,7 +687,8 @@
 	}
 }
 
-// evict makes room by the peer that has been gone longest: first of those that left, then of the failed.
+// evict frees a table entry: the peer that left longest ago, or if none left, the one that failed longest ago.
+// It returns false if there is none.
 func (n *Node) evict() bool {
 	var worst *Peer
 	for _, p := range n.peers {
@@ -706,13 +711,13 @@
 	n.at = min(n.at, len(n.order))
 }
 
-// become takes a claim over and tells of it.
+// become applies a claim to a peer, schedules it to be passed on and reports the change.
 func (n *Node) become(p *Peer, c Claim) {
 	was := p.State
 	if was != 0 {
 		n.digest ^= digestOf(p.Name, p.Epoch, p.Inc, p.State)
 	}
-	if c.State != Alive { // who says so may know less of where it is
+	if c.State != Alive { // the witness may know less about the peer's address and metadata
 		if c.Addr == "" {
 			c.Addr = p.Addr
 		}
@@ -740,7 +745,8 @@
 	n.out = append(n.out, Action{Change: &Change{Peer: *p, From: was}})
 }
 
-// term sets by when a suspect must have denied it: the more independent witnesses, the sooner.
+// term sets the time by which a suspect must have refuted the suspicion: the more independent witnesses, the
+// sooner.
 func (n *Node) term(p *Peer) {
 	if p.suspected == 0 || p.State != Suspect || len(p.wits) <= 1 {
 		p.suspected = n.now
@@ -760,7 +766,7 @@
 	for _, seq := range slices.Sorted(maps.Keys(n.probes)) {
 		n.overdue(seq, n.probes[seq])
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.ended)) { // in one order, so that a seed gives one history
+	for _, name := range slices.Sorted(maps.Keys(n.ended)) { // fixed order, so that runs with the same seed are identical
 		p := n.ended[name]
 		switch {
 		case p.State == Suspect && n.now >= p.until:
@@ -802,7 +808,8 @@
 	}
 }
 
-// retry says hello to failed peers, and to seeds that no live peer has the address of, drawn at random.
+// retry sends a Hello to up to k addresses chosen at random from failed peers and from seeds that belong to no
+// live peer.
 func (n *Node) retry(k int) {
 	var addrs []string
 	names := map[string]string{}
@@ -856,8 +863,8 @@
 	}
 }
 
-// patience is how long a direct answer of p may take: as long as is usual there, and longer the less this node
-// trusts its own hearing.
+// patience returns the timeout for a direct answer of p: based on its round-trip times, and longer the more
+// this node doubts itself.
 func (n *Node) patience(p *Peer) Time {
 	wait := ackFirst
 	if p.RTT > 0 {
@@ -866,7 +873,8 @@
 	return min(wait, ackMost) * Time(1+n.doubt)
 }
 
-// overdue asks others where a direct answer does not come, and suspects where none does.
+// overdue sends indirect pings for a probe whose direct answer is late, and suspects the peer if they bring no
+// answer either.
 func (n *Node) overdue(seq uint32, q *probe) {
 	p := n.peers[q.target.Name]
 	if q.forAddr != "" || p == nil || p.Epoch != q.target.Epoch || p.State == Failed || p.State == Left {
@@ -875,7 +883,7 @@
 		}
 		return
 	}
-	if p.Heard > q.at { // whatever it sent, it is there; its answer to this may be lost
+	if p.Heard > q.at { // any message shows that it is alive; its answer to this ping may be lost
 		delete(n.probes, seq)
 		return
 	}
@@ -884,7 +892,7 @@
 		q.end = max(q.end, n.now+askTimes*n.patience(p))
 		if n.on(GuardAsk) {
 			helpers := n.some(askTo, func(o *Peer) bool { return o == p || o.State != Alive || o.Name == p.Via })
-			if v := n.peers[p.Via]; v != nil && v.State == Alive { // who reached it last time
+			if v := n.peers[p.Via]; v != nil && v.State == Alive { // the helper that reached it last time
 				helpers = append(helpers[:min(len(helpers), askTo-1)], v)
 			}
 			for _, h := range helpers {
--- a/internal/fleet/swim/wire.go
+++ b/internal/fleet/swim/wire.go
@@ -10,32 +10,32 @@
 // Kind is the kind of a message.
 type Kind uint8
 
-// The kinds. Numbers are on the wire: they are never used anew.
+// The message kinds. Their numbers are part of the wire format and are never reused.
 const (
-	Ping      Kind = 1 // asks for an Ack
+	Ping      Kind = 1 // requests an Ack
 	Ack       Kind = 2
-	Ask       Kind = 3 // asks to ping Target and to pass on its Ack
-	Gossip    Kind = 4 // claims only
-	Sync      Kind = 5 // all claims, wants all claims; by stream
+	Ask       Kind = 3 // requests an indirect ping of Target, whose Ack is passed on
+	Gossip    Kind = 4 // carries claims only
+	Sync      Kind = 5 // carries all claims and requests all claims; sent by stream
 	SyncReply Kind = 6
-	Hello     Kind = 7 // to an address whose owner is not known, or from one that may not be a peer: carries no claims
+	Hello     Kind = 7 // join attempt to an address whose owner is unknown, or from a node that may not be a peer: carries no claims
 	Welcome   Kind = 8 // answers a Hello
 )
 
-// State is what is claimed of a peer.
+// State is the claimed state of a peer.
 type State uint8
 
-// The states, in the order in which they override each other within an epoch and incarnation.
+// The states, in the order in which they override each other within one epoch and incarnation.
 const (
 	Alive   State = 1
 	Suspect State = 2
 	Failed  State = 3
-	Left    State = 4 // it said so itself
+	Left    State = 4 // announced by the peer itself
 )
 
 var stateNames = map[State]string{Alive: "alive", Suspect: "suspect", Failed: "failed", Left: "left"}
 
-// String is the state's name in tables and JSON.
+// String returns the state's name for tables and JSON.
 func (s State) String() string {
 	if n, ok := stateNames[s]; ok {
 		return n
@@ -43,14 +43,14 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// ID is one start of one peer.
+// ID identifies one start of one peer.
 type ID struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
 	Epoch uint64
 }
 
-// Claim is what one says of a peer. Only the peer itself raises Inc.
+// Claim is a statement about a peer's state. Only the peer itself raises its incarnation.
 type Claim struct {
 	Name  string `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
@@ -58,34 +58,34 @@
 	State State  `cbor:"4,keyasint"`
 	Addr  string `cbor:"5,keyasint,omitempty"`
 	Meta  []byte `cbor:"6,keyasint,omitempty"`
-	Age   uint32 `cbor:"7,keyasint,omitempty"` // seconds since the sender holds it so, for Failed and Left
-	By    string `cbor:"8,keyasint,omitempty"` // Suspect: the zone of who suspects
+	Age   uint32 `cbor:"7,keyasint,omitempty"` // Failed and Left: seconds since the sender recorded this state
+	By    string `cbor:"8,keyasint,omitempty"` // Suspect: zone of the suspecting peer, or its name if it has no zone
 }
 
-// Message is what peers send each other. Fields that a receiver does not know are passed over, kinds it does not
-// know are dropped.
+// Message is a membership message. Receivers skip fields that they do not know and drop messages of unknown
+// kinds.
 type Message struct {
 	Kind   Kind    `cbor:"1,keyasint"`
 	Seq    uint32  `cbor:"2,keyasint,omitempty"`
 	From   ID      `cbor:"3,keyasint"`
-	Addr   string  `cbor:"4,keyasint,omitempty"` // where From is reached
-	To     ID      `cbor:"5,keyasint"`           // empty: whoever is there
+	Addr   string  `cbor:"4,keyasint,omitempty"` // address at which From is reached
+	To     ID      `cbor:"5,keyasint"`           // empty: whoever is reached at the address
 	Target ID      `cbor:"6,keyasint,omitzero"`
 	TAddr  string  `cbor:"7,keyasint,omitempty"`
-	Digest uint64  `cbor:"8,keyasint,omitempty"` // of all that From takes for true, 0 = not told
+	Digest uint64  `cbor:"8,keyasint,omitempty"` // digest of From's membership table, 0 if not sent
 	Claims []Claim `cbor:"9,keyasint,omitempty"`
 }
 
-// Bounds of what is taken from the wire.
+// Limits for messages that are received.
 const (
 	NameMost = 64
 	AddrMost = 80
 	MetaMost = 256
-	// PacketMost is the longest datagram's message, before it is sealed.
+	// PacketMost is the maximum length of a message sent by datagram, in bytes before sealing.
 	PacketMost = 1200
-	// StreamMost is the longest message by stream: a table of TableMost peers.
+	// StreamMost is the maximum length of a message sent by stream, in bytes: a table of TableMost peers.
 	StreamMost = 1 << 20
-	// TableMost is how many peers are kept.
+	// TableMost is the maximum number of peers in the table.
 	TableMost = 4096
 )
 
@@ -93,21 +93,21 @@
 	m, err := cbor.DecOptions{MaxArrayElements: 2 * TableMost, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
-		panic(err) // constants
+		panic(err) // the options are constants
 	}
 	return m
 }()
 
-// Encode is the message's bytes.
+// Encode returns the wire form of a message.
 func Encode(m *Message) []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
 	return b
 }
 
-// Decode reads a message. What is out of its bounds is an error.
+// Decode parses a message. Malformed messages and fields beyond their limits are errors.
 func Decode(b []byte) (*Message, error) {
 	m := new(Message)
 	if err := decoder.Unmarshal(b, m); err != nil {
@@ -135,5 +135,5 @@
 	return nil
 }
 
-// size is about what a claim takes on the wire.
+// size estimates the encoded length of a claim in bytes.
 func (c *Claim) size() int { return 24 + len(c.Name) + len(c.Addr) + len(c.Meta) + len(c.By) }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,5 +1,5 @@
-// Package view is what one gateway takes for true of its peers and of itself, and
-// how sure it is. It tells apart that peers failed and that this gateway is cut
+// Package view derives a gateway's verdict on its own connectivity from the peers that it reaches, and its
+// confidence in what it records about them. It tells the failure of peers apart from this gateway being cut
 // off. It does no I/O, starts no goroutine and reads no clock.
 package view
 
@@ -13,58 +13,58 @@
 	"reachwind/internal/fleet/swim"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// Verdict is what a gateway thinks of its own place in the group.
+// Verdict is a gateway's judgement of its own connectivity to the group.
 type Verdict uint8
 
-// The verdicts, on the wire too.
+// The verdicts. Their numbers are part of the wire format.
 const (
 	Alone    Verdict = 1 // no peer is reached
-	Minority Verdict = 2 // not more than half of those that may be there
-	Whole    Verdict = 3 // more than half
+	Minority Verdict = 2 // at most half of the gateways that may be running are reached
+	Whole    Verdict = 3 // more than half are reached; printed as "whole"
 )
 
 var verdictNames = [...]string{"unknown", "alone", "minority", "whole"}
 
-// String is the verdict's name in tables and JSON.
+// String returns the verdict's name for tables and JSON.
 func (v Verdict) String() string {
 	return verdictNames[min(int(v), len(verdictNames)-1)%len(verdictNames)]
 }
 
 const (
-	worseAfter = time.Second      // a change for the worse must have lasted so long
-	betterMin  = 2 * time.Second  // one for the better so long, doubling with each change
-	betterMax  = 60 * time.Second // in quick succession up to this,
-	calmAfter  = 60 * time.Second // halving for each so long without any
-	goneAfter  = 5 * time.Second  // a process that is known to be gone for so long is no other side
-	heardLate  = 30 * time.Second // a peer unheard of for longer is taken on others' word
-	evidence   = 5 * time.Second  // answers of members and of discovery count for so long
-	pauseWords = 10 * time.Second // an own pause is given as a reason for so long
+	worseAfter = time.Second      // a worse verdict applies once it has lasted this long
+	betterMin  = 2 * time.Second  // a better verdict applies after at least this delay, which doubles with each further improvement
+	betterMax  = 60 * time.Second // maximum of that delay
+	calmAfter  = 60 * time.Second // the delay halves after each such time without a change
+	goneAfter  = 5 * time.Second  // a peer whose process is known to have ended for this long no longer counts
+	heardLate  = 30 * time.Second // a peer not heard directly for longer is known only from others' claims
+	evidence   = 5 * time.Second  // answers of members and of discovery count for this long
+	pauseWords = 10 * time.Second // an own pause is given as a reason for this long
 )
 
-// Meta is what a peer tells of itself. Fields are added, never changed.
+// Meta is the metadata that a peer publishes about itself. Fields are added, never changed.
 type Meta struct {
 	Zone    string   `cbor:"1,keyasint,omitempty"`
 	Region  string   `cbor:"2,keyasint,omitempty"`
 	Version string   `cbor:"3,keyasint,omitempty"`
-	Load    uint8    `cbor:"4,keyasint,omitempty"` // eighths of what it can carry
+	Load    uint8    `cbor:"4,keyasint,omitempty"` // load in eighths of its capacity
 	Drain   bool     `cbor:"5,keyasint,omitempty"`
 	Verdict Verdict  `cbor:"6,keyasint,omitempty"`
-	Speaks  [2]uint8 `cbor:"8,keyasint"` // least and newest form of what it sends
+	Speaks  [2]uint8 `cbor:"8,keyasint"` // oldest and newest frame version that it supports
 }
 
-// Encode is the meta as it travels.
+// Encode returns the wire form.
 func (m *Meta) Encode() []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
 	return b
 }
 
-// ReadMeta reads what a peer told; what can't be read is empty.
+// ReadMeta parses a peer's metadata; if it can't be parsed the result is empty.
 func ReadMeta(b []byte) Meta {
 	var m Meta
 	if len(b) == 0 || cbor.Unmarshal(b, &m) != nil {
@@ -73,15 +73,15 @@
 	return m
 }
 
-// Evidence is what this gateway saw of the world beside its peers, as times on its clock.
+// Evidence is what this gateway observed besides its peers. Times are on its clock.
 type Evidence struct {
-	Member    Time // last answer of a member of the cluster, never = none
+	Member    Time // last answer of a member, DistantPast if none
 	Discovery Time
-	Paused    Time // end of its last own pause
-	Doubt     int  // of its own hearing
+	Paused    Time // end of the last pause of this process
+	Doubt     int  // self-doubt level of the membership protocol
 }
 
-// Never is before every time.
+// Never is before all other times; it stands for "not yet".
 const Never Time = -1 << 60
 
 // Status is a verdict with its reasons.
@@ -92,51 +92,52 @@
 	Reasons []string
 }
 
-// View is one gateway's. It is its owner's alone.
+// View is one gateway's verdict and its hysteresis. It is not safe for concurrent use.
 type View struct {
 	name, zone string
 	status     Status
-	want       Verdict // what it would be without waiting
+	want       Verdict // verdict by the latest counts, without hysteresis
 	wantSince  Time
-	better     Time // how long better must last now
+	better     Time // how long a better verdict must last at present
 	changed    Time
-	expects    bool // seeds are configured: to know of nobody is to be alone
+	expects    bool // seeds are configured: knowing no peer means being alone
 }
 
-// New returns the view of a gateway that knows nobody. Where it expects peers it is alone, else the whole group.
+// New returns the view of a gateway that knows no peers. If it expects peers its verdict is Alone, else Whole.
 func New(name, zone string, expects bool) *View {
 	v := &View{name: name, zone: zone, expects: expects, better: betterMin, changed: Never}
-	v.status = Status{Verdict: Alone, Number: 1, Reasons: []string{"no peer has been met yet"}}
+	v.status = Status{Verdict: Alone, Number: 1, Reasons: []string{"no peer has been heard from yet"}}
 	v.want, v.wantSince = Alone, 0
 	if !expects {
 		v.status.Verdict, v.want = Whole, Whole
-		v.status.Reasons = []string{"no peers are expected"}
+		v.status.Reasons = []string{"no seeds are configured, so no peers are expected"}
 	}
 	return v
 }
 
-// Status is the verdict now.
+// Status returns the current verdict.
 func (v *View) Status() Status { return v.status }
 
-// count is who is there of whom.
+// count is the number of gateways reached, of all that may be running.
 type count struct{ here, all int }
 
 func (c count) String() string { return fmt.Sprintf("%d of %d", c.here, c.all) }
 
-// Tally is who is there of whom, this gateway among them.
+// Tally counts gateways reached and expected, by own zone and other zones, this gateway included.
 type Tally struct {
 	own, other count
 	gone       int
 }
 
-// NewTally counts this gateway alone.
+// NewTally returns a tally of this gateway alone.
 func NewTally() Tally { return Tally{own: count{1, 1}} }
 
 func (t *Tally) total() count {
 	return count{t.own.here + t.other.here, t.own.all + t.other.all}
 }
 
-// Count counts a peer of zone as of now. Who left is no part of the group; who is known to be gone is no other side.
+// Count adds a peer of the zone to the tally, as of now. Peers that left are no part of the group, and those
+// whose process is known to have ended can't be on the other side of a partition.
 func (v *View) Count(t *Tally, now Time, p *swim.Peer, zone string) {
 	if p.State == swim.Left {
 		return
@@ -150,13 +151,13 @@
 		in = &t.own
 	}
 	in.all++
-	if p.State == swim.Alive { // a suspect may be there, but is not reached
+	if p.State == swim.Alive { // a suspect may be running, but is not reached
 		in.here++
 	}
 }
 
-// Judge looks at the peers anew and tells whether the verdict changed. It is to be called once or more a second.
-// Each calls its argument for each peer with what it last told of itself.
+// Judge updates the verdict from a tally and reports whether it changed. It must be called at least once a
+// second. displaced tells that a later start has this gateway's name.
 func (v *View) Judge(now Time, t Tally, displaced bool, e Evidence) bool {
 	total, own, other, gone := t.total(), t.own, t.other, t.gone
 	want := Minority
@@ -192,11 +193,11 @@
 
 func reasons(now Time, total, own, other count, gone int, displaced bool, want Verdict, e Evidence) []string {
 	if displaced {
-		return []string{"a later start has this gateway's name and is alive"}
+		return []string{"a later start with this gateway's name is alive"}
 	}
-	why := []string{fmt.Sprintf("%v gateways are reached, %v of the own zone, %v of others", total, own, other)}
+	why := []string{fmt.Sprintf("%v gateways are reached: %v in the own zone, %v in other zones", total, own, other)}
 	if gone > 0 {
-		why = append(why, fmt.Sprintf("%d more refused connections: their processes are gone", gone))
+		why = append(why, fmt.Sprintf("%d more refused connections: their processes have ended", gone))
 	}
 	if want == Whole {
 		return why
@@ -204,21 +205,21 @@
 	members, discovery := now-e.Member < evidence, now-e.Discovery < evidence
 	switch {
 	case now-e.Paused < pauseWords:
-		why = append(why, "this gateway was stopped a while: it blames nobody yet")
+		why = append(why, "this gateway was paused recently: it does not blame peers yet")
 	case members && discovery:
-		why = append(why, "members and discovery answer: the links between gateways are cut, or the others failed")
+		why = append(why, "members and discovery answer: the links between gateways are down, or the other gateways failed")
 	case members:
-		why = append(why, "members answer, discovery does not: a part of the network is cut")
+		why = append(why, "members answer, discovery does not: part of the network is unreachable")
 	case discovery:
-		why = append(why, "discovery answers, members do not or were not asked: a part of the network is cut")
+		why = append(why, "discovery answers, members do not or were not asked: part of the network is unreachable")
 	default:
-		why = append(why, "neither members nor discovery answer: this gateway is cut off")
+		why = append(why, "neither members nor discovery answer: this gateway is cut off from the network")
 	}
 	return why
 }
 
-// Sure is how sure this gateway is of a peer's state, from 0 to 1: less on others' word, much less where it may be
-// itself that does not hear.
+// Sure returns the confidence in a peer's recorded state, from 0 to 1: lower if it rests on others' claims,
+// and much lower while this gateway itself may be missing messages.
 func (v *View) Sure(now Time, p *swim.Peer, e Evidence) float64 {
 	sure := 0.5
 	switch p.State {
@@ -242,12 +243,12 @@
 	return sure
 }
 
-// Acts that depend on the verdicts.
+// Operations that depend on the verdicts.
 
-// Act is what a gateway may do or not.
+// Act is an operation that a verdict may forbid.
 type Act uint8
 
-// The acts.
+// The operations.
 const (
 	ServeReads Act = iota
 	ServeWrites
@@ -257,10 +258,10 @@
 	StartDrain
 )
 
-// Acts are all acts, with their names in tables.
+// Acts lists the names of all operations as printed in tables, by Act.
 var Acts = []string{"serve reads", "serve writes", "use told beliefs", "take larger budgets", "probe for others", "start a drain"}
 
-// Rule is one cell of the table.
+// Rule is one cell of the table of rules.
 type Rule struct {
 	Act     string `json:"act"`
 	Mine    string `json:"mine"`
@@ -269,37 +270,38 @@
 	Why     string `json:"why"`
 }
 
-// Allowed tells whether a gateway of verdict mine may do an act towards, or on the word of, a peer whose own verdict
-// is theirs; and why. It is the code that decides, and what `reachwind fleet rules` prints.
+// Allowed reports whether a gateway with verdict mine may perform an operation towards, or on the word of, a
+// peer with verdict theirs, and why. It is the code that decides at run time as well as what `reachwind fleet
+// rules` prints.
 func Allowed(a Act, mine, theirs Verdict) (bool, string) {
 	switch a {
 	case ServeReads, ServeWrites:
-		return true, "every gateway serves by what it sees itself"
+		return true, "every gateway serves by its own observations"
 	case UseBeliefs:
 		if mine == Alone {
-			return false, "alone, what was told is of before the cut"
+			return false, "while alone, reports of peers date from before the partition"
 		}
-		return true, "a claim leads to a look only, whoever makes it"
+		return true, "a claim only triggers a probe, whoever makes it"
 	case Borrow:
 		if mine == Whole && theirs == Whole {
-			return true, "both ends can be reached when the term ends"
+			return true, "both gateways can be reached when the term of the loan ends"
 		}
-		return false, "today's split needs no talk"
+		return false, "the even split of budgets needs no communication"
 	case ProbeForOthers:
 		if mine == Alone {
-			return false, "alone, nobody can be told"
+			return false, "while alone, the result can't be reported to anyone"
 		}
-		return true, "who is between two halves is the only way to tell a cut from a crash"
+		return true, "only a gateway that reaches both sides can tell a partition from a crash"
 	case StartDrain:
 		if mine == Whole && theirs != Alone {
-			return true, "those who stay can carry it, and know"
+			return true, "the remaining gateways know of the drain and can carry the load"
 		}
-		return false, "what is out on the other side of a cut is not known"
+		return false, "which gateways are out on the other side of a partition is not known"
 	}
-	return false, "no such act"
+	return false, "unknown operation"
 }
 
-// Rules is the whole table, in the order of acts and verdicts.
+// Rules returns the whole table, ordered by operation, then own verdict, then peer verdict.
 func Rules() (all []Rule) {
 	verdicts := []Verdict{Whole, Minority, Alone}
 	for a, name := range Acts {
