--- a/internal/fleet/drain/drain.go
+++ b/internal/fleet/drain/drain.go
@@ -1,105 +1,104 @@
-// Package drain decides how a gateway goes out of service and comes back: with the
-// council's permit, told to its peers first, what it took answered, and back by
-// steps. It does no I/O, starts no goroutine and reads no clock: events with a time
-// go in, acts come out.
+// Package drain decides how a gateway goes out of service and returns: with a permit of the council, announced
+// to its peers first, with accepted requests answered, and back in steps. It does no I/O, starts no goroutine
+// and reads no clock: events with a time go in, actions come out.
 package drain
 
 import (
 	"time"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// State is where a gateway stands.
+// State is a gateway's service state.
 type State uint8
 
 // The states.
 const (
 	Serving   State = iota
-	Asking          // for a permit; it serves
-	Leaving         // peers and the council know; it serves and takes connections still
-	Draining        // it takes no connections, and answers what it took
-	Out             // nothing is in work
-	Returning       // it takes connections by steps
+	Asking          // waits for a permit; it serves
+	Leaving         // announced to peers and the council; it still serves and accepts connections
+	Draining        // it accepts no connections and answers accepted requests
+	Out             // nothing is in progress
+	Returning       // it accepts connections in growing steps
 )
 
 var names = [...]string{"serving", "asking", "leaving", "draining", "out", "returning"}
 
-// String is the state's name in tables and JSON.
+// String returns the state's name for tables and JSON.
 func (s State) String() string { return names[s] }
 
-// Spans.
+// Durations and fractions.
 const (
 	TermUsual   = 5 * time.Minute
 	TermLeast   = 2 * time.Second
-	Notice      = 500 * time.Millisecond // between the word and the closed door, so that who sends work here hears of it
+	Notice      = 500 * time.Millisecond // between the announcement and refusing connections, so that peers that send work here learn of it
 	returnFor   = 10 * time.Second       // from the first connections to all
-	returnLeast = 0.1                    // of the connections, at first
-	SignalWait  = 400 * time.Millisecond // a stop by signal waits no longer for a permit, unless configured
+	returnLeast = 0.1                    // fraction of the connections at first
+	SignalWait  = 400 * time.Millisecond // default limit of the wait for a permit after a stop signal
 )
 
-// Config is what a machine is told.
+// Config is the configuration of a Machine.
 type Config struct {
-	Longest    Time // the longest that a request may take: what was taken is answered by then
-	SignalWait Time // that a stop by signal waits for a permit at most
+	Longest    Time // the longest that a request may take: accepted requests are answered by then
+	SignalWait Time // limit of the wait for a permit after a stop signal
 }
 
-// Want is a wish that the gateway goes out.
+// Want is a request to take the gateway out of service.
 type Want struct {
 	Reason string
 	Term   Time // of the permit
 	Wait   Time // for the permit
-	Signal bool // the process ends: it goes out whatever is answered
+	Signal bool // the process ends: the gateway goes out whatever the answer
 }
 
-// Event is what happened. Several fields may be set.
+// Event is an input to Step. Several fields may be set.
 type Event struct {
 	Want    *Want
-	Back    bool   // it is to come back
+	Back    bool   // the gateway is asked to return to service
 	Granted bool   // a permit was granted or renewed
-	Asked   Time   // when the ask that this answers was first sent: the term counts from there
+	Asked   Time   // when the request that this answers was first sent: the term counts from there
 	Fence   uint64 // of the permit
-	Refused string // the council refused: why
+	Refused string // the council refused: the reason
 	Fenced  bool   // the council knows another fence, or none
-	Recall  bool   // the council has it come back, as too many are out
+	Recall  bool   // the council recalls it, as too many are out
 }
 
-// Act is what must be done.
+// Act holds the actions that the caller has to carry out.
 type Act struct {
-	Acquire  Time // ask for a permit of this term; 0 = nothing
-	Renew    Time // ask for the permit's renewal by this term; 0 = nothing
+	Acquire  Time // request a permit of this term; 0 = no action
+	Renew    Time // renew the permit for this term; 0 = no action
 	GiveBack bool
-	Stop     bool    // give up what is asked for
-	Tell     bool    // peers and the council are to hear the state anew
-	Part     float64 // of all connections that may be open; below 0: the door is as it was
+	Stop     bool    // cancel the request in progress
+	Tell     bool    // report the state to peers and the council now
+	Part     float64 // fraction of the permitted connections that may be open; below 0: unchanged
 	Changed  bool    // the state changed
-	Failed   string  // the wish was not granted: why
+	Failed   string  // the request was not granted: the reason
 }
 
-// Status is what is told of a machine.
+// Status describes a machine to operators.
 type Status struct {
 	State   string `json:"state"`
 	Fence   uint64 `json:"fence,omitempty"`
 	LeftMs  int64  `json:"left_ms,omitempty"` // of the permit
 	Reason  string `json:"reason,omitempty"`
-	Why     string `json:"why,omitempty"` // it is not out: the last refusal
+	Why     string `json:"why,omitempty"` // the last refusal, if the gateway did not go out
 	Unasked int    `json:"unasked"`       // stops by signal without a permit
 	Recalls int    `json:"recalls"`
 	Ended   int    `json:"ended"` // permits that ended while it was out
 }
 
-// Machine is one gateway's. It is its owner's alone.
+// Machine is one gateway's drain state. It is not safe for concurrent use.
 type Machine struct {
 	cfg                     Config
 	state                   State
 	since                   Time
 	want                    Want
-	until                   Time // of the permit, by this clock; 0 = none
+	until                   Time // end of the permit by this clock; 0 = none
 	fence                   uint64
-	give                    Time // the wish is given up then
+	give                    Time // when the request is abandoned
 	part                    float64
-	asked                   bool // a renewal is under way
+	asked                   bool // a renewal is in progress
 	why                     string
 	Unasked, Recalls, Ended int
 }
@@ -107,19 +106,19 @@
 // New returns the machine of a gateway that serves.
 func New(c Config) *Machine { return &Machine{cfg: c, part: 1} }
 
-// State is where the gateway stands.
+// State returns the gateway's state.
 func (m *Machine) State() State { return m.state }
 
-// Fence is that of the permit it holds, 0 = none.
+// Fence returns the fence of the permit held, 0 if none.
 func (m *Machine) Fence() uint64 { return m.fence }
 
-// Signalled tells that the process is about to end.
+// Signalled reports whether the process is about to end.
 func (m *Machine) Signalled() bool { return m.want.Signal }
 
-// Away tells peers whether to send work elsewhere.
+// Away reports whether peers should send work elsewhere.
 func (m *Machine) Away() bool { return m.state == Leaving || m.state == Draining || m.state == Out }
 
-// Status tells of the machine.
+// Status returns the machine's status.
 func (m *Machine) Status(now Time) Status {
 	s := Status{State: m.state.String(), Fence: m.fence, Reason: m.want.Reason, Why: m.why, Unasked: m.Unasked, Recalls: m.Recalls, Ended: m.Ended}
 	if m.fence != 0 {
@@ -135,8 +134,8 @@
 	}
 }
 
-// Step takes what happened by now, with how much is in work: connections that are open and requests. It is to be called
-// each 100 ms at the least.
+// Step applies an event at time now and returns the resulting actions. busy is the number of open connections
+// and requests in progress. It must be called at least every 100 ms.
 func (m *Machine) Step(now Time, e Event, busy int) Act {
 	a := Act{Part: -1}
 	if w := e.Want; w != nil {
@@ -156,7 +155,7 @@
 			m.want.Signal = true
 			m.enter(now, Leaving, &a)
 		default:
-			a.Failed = "it is " + m.state.String() + " already"
+			a.Failed = "the gateway is " + m.state.String() + " already"
 		}
 	}
 	if e.Granted && (m.state == Asking || m.fence != 0) {
@@ -166,13 +165,13 @@
 		if m.state == Asking {
 			m.enter(now, Leaving, &a)
 		}
-	} else if e.Granted { // it came too late: the wish was given up
+	} else if e.Granted { // too late: the request was abandoned
 		m.fence = e.Fence
 		a.GiveBack = true
 	}
 	if e.Refused != "" && m.state == Asking {
 		m.why = e.Refused
-		a.Acquire = m.want.Term // again, until the wait is over
+		a.Acquire = m.want.Term // retry until the wait is over
 	}
 	if e.Refused != "" && m.asked {
 		m.asked = false
@@ -180,7 +179,7 @@
 	if m.state == Asking && now >= m.give {
 		a.Acquire, a.Stop = 0, true
 		if m.why == "" {
-			m.why = "the council did not answer"
+			m.why = "the council did not answer in time"
 		}
 		if m.want.Signal {
 			m.Unasked++
@@ -195,7 +194,7 @@
 		case e.Recall:
 			m.Recalls++
 			m.back(now, &a)
-		case e.Fenced || m.fence != 0 && now >= m.until: // nobody knows that it is out: it had better not be
+		case e.Fenced || m.fence != 0 && now >= m.until: // the council no longer counts it as out, so it must return
 			m.Ended++
 			m.fence = 0
 			m.back(now, &a)
@@ -207,7 +206,7 @@
 		}
 	}
 	if e.Back && m.state == Asking {
-		a.Stop, a.Acquire, a.Failed = true, 0, "it was called back"
+		a.Stop, a.Acquire, a.Failed = true, 0, "the gateway was called back while it waited for a permit"
 		m.enter(now, Serving, &a)
 	}
 	switch m.state {
@@ -242,5 +241,5 @@
 	m.part = 0
 }
 
-// Given notes that the permit was given back, or that the council knows none.
+// Given records that the permit was returned, or that the council knows none.
 func (m *Machine) Given() { m.fence = 0 }
--- a/internal/fleet/draw/draw.go
+++ b/internal/fleet/draw/draw.go
@@ -1,13 +1,14 @@
-// Package draw gives the numbers by which many gateways choose alike without talking: the same words give the same
-// number everywhere, in every build. It has no state.
+// Package draw provides deterministic hashes by which many gateways make the same choice without
+// communication: the same words give the same number in every process and build. It has no state.
 package draw
 
 import "github.com/cespare/xxhash/v2"
 
-// Of is a number drawn from what was drawn before, 0 at first, and one more word.
+// Of returns the hash of a chain of words: before is the hash of the words before, 0 at first.
 func Of(before uint64, word string) uint64 { return Mix(before ^ xxhash.Sum64String(word)) }
 
-// Mix spreads a number, so that numbers that differ in a bit have nothing in common.
+// Mix scrambles a number (the finalizer of SplitMix64), so that numbers that differ in one bit give unrelated
+// results.
 func Mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -1,8 +1,7 @@
-// Package group is one gateway's part in the group, whole: who is there, what this
-// gateway takes for true of itself, what others saw of members, and shared budgets.
-// Like the parts that it is made of it does no I/O, starts no goroutine and reads
-// no clock: frames and the time go in, frames and changes come out. Sockets, the
-// simulated net and the checker drive the same code.
+// Package group combines the state of one gateway in the group: membership, its verdict on its own
+// connectivity, observations of members, and shared budgets. Like the packages that it combines it does no
+// I/O, starts no goroutine and reads no clock: frames and the current time go in, frames and changes come out.
+// Real sockets, the simulated network and the tests drive the same code.
 package group
 
 import (
@@ -18,13 +17,13 @@
 	"reachwind/internal/fleet/view"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// Speaks are the least and the newest form of frames that this program knows.
+// Speaks are the oldest and newest frame versions that this program supports.
 var Speaks = [2]uint8{1, 1}
 
-// frame kinds; a receiver drops those it does not know.
+// Frame kinds, part of the wire format. Receivers drop kinds that they do not know.
 const (
 	frameSwim    = 1
 	frameBeliefs = 2
@@ -35,31 +34,32 @@
 	judgeEvery  = 500 * time.Millisecond
 	tellEvery   = 200 * time.Millisecond
 	tellTo      = 3
-	metaEvery   = 20 * time.Second // so often at most news of itself, but for verdicts and drains
+	metaEvery   = 20 * time.Second // minimum interval between metadata updates, except for verdicts and drains
 	shareEvery  = time.Second
 	forgetEvery = time.Second
 	askTo       = 3
 	tallyFor    = 2 * time.Second
-	loadStep    = 2       // eighths by which the load must change to be told
-	epochs      = 1 << 10 // drawn within a millisecond of start
+	loadStep    = 2       // eighths by which the load must change to be published
+	epochs      = 1 << 10 // distinct epochs within one millisecond of start time
 )
 
-// EpochOf is the epoch of a start at a wall time in Unix milliseconds: later than any before it on a clock that goes
-// forward, and than last, the one that a folder kept. luck tells two starts within a millisecond apart.
+// EpochOf returns the epoch of a start at a wall time in Unix milliseconds. It is later than all earlier ones
+// as long as the clock goes forward, and later than last, the epoch that a folder kept. luck is random and
+// separates two starts within one millisecond.
 func EpochOf(ms int64, luck uint16, last uint64) uint64 {
 	return max(uint64(max(ms, 0))*epochs+uint64(luck)%epochs, last+1)
 }
 
-// Config is what a group's part is told.
+// Config is the configuration of a Group.
 type Config struct {
 	Swim    swim.Config
 	Region  string
 	Version string
-	Started Time // now, on the owner's clock
+	Started Time // present time on the owner's clock
 	Lend    share.Guard
 }
 
-// envelope carries what is not swim's.
+// envelope carries messages of all frame kinds but swim's.
 type envelope struct {
 	_    struct{} `cbor:",toarray"`
 	From swim.ID
@@ -67,10 +67,10 @@
 	Body []byte
 }
 
-// Event is what happened; its first field that is set counts.
+// Event is an input to Step; only its first field that is set is used.
 type Event struct {
-	Frame   []byte // opened and authentic
-	Stream  uint64 // that Frame came by and may be answered on, 0 = none
+	Frame   []byte // decrypted and authenticated
+	Stream  uint64 // stream that Frame came by and may be answered on, 0 if none
 	Refused string // address that refused a connection
 	Saw     *Saw
 	Seeds   []string
@@ -78,29 +78,30 @@
 	Leave   bool
 }
 
-// Saw is what this gateway saw of a member.
+// Saw is an observation of a member by this gateway.
 type Saw struct {
 	Member   string
 	Kind     belief.Kind
 	Position int64
-	Quiet    bool // it answers as usual: not told to others
-	Looked   bool // this ends a look that claims led to
+	Quiet    bool // it answers as usual: not reported to others
+	Looked   bool // this is the result of a probe that reports led to
 }
 
-// Action is what must be done; its first field that is set counts.
+// Action is an output of Step that the caller has to carry out; only its first field that is set counts. To,
+// Name, Stream, Dial and Spare belong to Frame.
 type Action struct {
-	Frame   []byte // to be sealed and sent to To, or on Stream
+	Frame   []byte // to be sealed and sent to To, or as the answer on Stream
 	To      string
-	Name    string // of the peer there, empty: not known
+	Name    string // peer at To, empty if unknown
 	Stream  uint64
-	Dial    bool // by a stream of its own
-	Spare   bool // may be dropped first where the bytes a second are used up
+	Dial    bool // send by a new stream
+	Spare   bool // may be dropped first when the bandwidth budget runs short
 	Change  *swim.Change
 	Verdict bool // the verdict changed
 	Advice  *belief.Advice
 }
 
-// Group is one gateway's part. It is its owner's alone.
+// Group is one gateway's state in the group. It is not safe for concurrent use.
 type Group struct {
 	cfg    Config
 	Swim   *swim.Node
@@ -116,14 +117,14 @@
 	tallied                                    view.Tally
 	talliedAt                                  Time
 	stale                                      bool
-	metas                                      map[string]*view.Meta // of peers
+	metas                                      map[string]*view.Meta // metadata of peers by name
 	judgeAt, tellAt, metaAt, shareAt, forgetAt Time
 	out                                        []Action
 	acts                                       []swim.Action
-	Unknown, Garbled                           int // frames dropped: of kinds not known, and not read
+	Unknown, Garbled                           int // frames dropped: of unknown kinds, and not decodable
 }
 
-// New returns the part of a gateway that knows nobody.
+// New returns the state of a gateway that knows no peers.
 func New(c Config) *Group {
 	s := c.Swim
 	g := &Group{cfg: c, View: view.New(s.Name, s.Zone, len(s.Seeds) > 0), Book: belief.New(s.Name, s.Zone, s.Epoch, s.Seed),
@@ -134,7 +135,7 @@
 	return g
 }
 
-// tells is what this gateway tells of itself now.
+// tells returns the metadata that this gateway publishes about itself now.
 func (g *Group) tells() view.Meta {
 	load := g.meta.Load
 	if g.load > load+loadStep-1 || g.load+loadStep-1 < load {
@@ -145,25 +146,25 @@
 	return m
 }
 
-// Evidence is what this gateway saw of the world lately.
+// Evidence returns what this gateway observed besides its peers.
 func (g *Group) Evidence() view.Evidence {
 	return view.Evidence{Member: g.member, Discovery: g.discovery, Paused: g.pausedAt, Doubt: g.Swim.Doubt()}
 }
 
-// Load tells how busy this gateway is, from 0 to 1.
+// Load sets this gateway's load, from 0 to 1.
 func (g *Group) Load(part float64) { g.load = uint8(8 * max(0, min(1, part))) }
 
-// Discovered notes an answer of discovery.
+// Discovered records an answer of discovery.
 func (g *Group) Discovered(now Time) { g.discovery = now }
 
-// Answered notes that a member answered as usual.
+// Answered records that a member answered as usual.
 func (g *Group) Answered(now Time, member string) {
 	g.member = now
 	g.Book.Answered(now, member)
 }
 
-// Step takes what happened by now and returns what must be done; the slice holds until the next Step. It is to be
-// called each 100 ms at the least.
+// Step applies events at time now and returns the resulting actions; the slice is valid until the next Step.
+// It must be called at least every 100 ms.
 func (g *Group) Step(now Time, events ...Event) []Action {
 	g.now, g.out = now, g.out[:0]
 	if len(events) == 0 {
@@ -176,7 +177,7 @@
 	return g.out
 }
 
-// swim has the lower layer take an event and passes its actions on.
+// swim passes events to the membership protocol and converts its actions.
 func (g *Group) swim(events ...swim.Event) {
 	g.acts = g.Swim.Step(g.now, events, g.acts[:0])
 	for i := range g.acts {
@@ -192,7 +193,7 @@
 			if p := &a.Change.Peer; p.Name != "" && !a.Change.Displaced {
 				m := view.ReadMeta(p.Meta)
 				g.metas[p.Name] = &m
-				if len(g.metas) > 2*swim.TableMost { // those forgotten are read anew
+				if len(g.metas) > 2*swim.TableMost { // peers still known are decoded again when needed
 					clear(g.metas)
 				}
 			}
@@ -238,7 +239,7 @@
 
 var errFrame = errors.New("group: empty frame")
 
-// frame takes a frame from a peer.
+// frame handles a frame from a peer.
 func (g *Group) frame(b []byte, stream uint64) error {
 	if len(b) < 2 {
 		return errFrame
@@ -263,7 +264,7 @@
 	self := g.Swim.Self()
 	p, ok := g.Swim.Peer(e.From.Name)
 	if e.To.Name != self.Name || e.To.Epoch != self.Epoch || !ok || p.Epoch != e.From.Epoch || g.Swim.Displaced() {
-		g.Swim.Dropped.Address++ // not for this start, or not from a peer's present one
+		g.Swim.Dropped.Address++ // not for this start, or not from the peer's present start
 		return nil
 	}
 	theirs, mine := g.Meta(&p).Verdict, g.View.Status().Verdict
@@ -290,12 +291,12 @@
 	return nil
 }
 
-// send sends what is not swim's to a peer.
+// send queues a frame of any kind but swim's for a peer.
 func (g *Group) send(p *swim.Peer, kind byte, body []byte, spare bool) {
 	self := g.Swim.Self()
 	b, err := cbor.Marshal(&envelope{From: swim.ID{Name: self.Name, Epoch: self.Epoch}, To: swim.ID{Name: p.Name, Epoch: p.Epoch}, Body: body})
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
 	g.out = append(g.out, Action{Frame: append([]byte{kind}, b...), To: p.Addr, Name: p.Name, Spare: spare})
 }
@@ -336,8 +337,8 @@
 	}
 }
 
-// lenders are some peers that this gateway may borrow from now. What each can spare is not told around: it changes
-// too often; they are asked.
+// lenders returns some peers that this gateway may borrow from now. How much each can spare changes too often
+// to be published, so they are asked.
 func (g *Group) lenders(int) (all []share.Lender) {
 	mine := g.View.Status().Verdict
 	for _, p := range g.Swim.Draw(askTo) {
@@ -348,7 +349,7 @@
 	return all
 }
 
-// Meta is what a peer last told of itself.
+// Meta returns what a peer last published about itself.
 func (g *Group) Meta(p *swim.Peer) *view.Meta {
 	m := g.metas[p.Name]
 	if m == nil {
@@ -359,7 +360,8 @@
 	return m
 }
 
-// tally counts the peers. It is kept while nothing changed, but not for long, as who is gone counts by time.
+// tally counts the peers. The result is cached while nothing changed, but only for a short time, as the state
+// of failed peers also depends on time.
 func (g *Group) tally() view.Tally {
 	if !g.stale && g.now < g.talliedAt+tallyFor {
 		return g.tallied
@@ -369,7 +371,7 @@
 	return g.tallied
 }
 
-// Heard takes when members and discovery last answered, on the owner's clock.
+// Heard sets when members and discovery last answered, on the owner's clock.
 func (g *Group) Heard(member, discovery Time) {
 	g.member, g.discovery = max(g.member, member), max(g.discovery, discovery)
 }
--- a/internal/fleet/peers/keys.go
+++ b/internal/fleet/peers/keys.go
@@ -15,7 +15,7 @@
 	"strings"
 )
 
-// Keys are the group's keys: the first is used, all are accepted.
+// Keys are the group's keys: the first is the preferred one to seal with, all are accepted.
 type Keys struct{ list []key }
 
 type key struct {
@@ -25,7 +25,8 @@
 
 const keysMost = 16
 
-// ReadKeys reads a file with a base64 key of 32 bytes a line; empty lines and lines that begin with # are passed over.
+// ReadKeys reads a file with one base64 key of 32 bytes per line. Empty lines and lines that begin with # are
+// skipped.
 func ReadKeys(path string) (*Keys, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -53,19 +54,19 @@
 	return k, nil
 }
 
-// Sealed messages are
+// A sealed message is
 //
-//	form (1) | key's id (4) | instance (16) | counter (8) | AES-256-GCM of (length of address (1) | address | frame)
+//	form (1) | key id (4) | instance (16) | counter (8) | AES-256-GCM of (length of address (1) | address | frame)
 //
-// under a key made of the group's key and the instance, which is random with each start of a process, so that no two
-// processes ever use one nonce under one key. The counter is the nonce. All that stands before the cipher text is
-// authenticated with it.
+// encrypted under a key derived from the group's key and the instance, which is random for each start of a
+// process, so that no two processes ever use one nonce under one key. The counter is the nonce. All that
+// precedes the ciphertext is authenticated with it.
 const (
 	form       = 1
 	headLen    = 1 + 4 + 16 + 8
 	tagLen     = 16
-	windowLen  = 1024 // counters that may come out of order
-	windowsMax = 4096 // instances followed; those heard of least lately go first
+	windowLen  = 1024 // counters that may arrive out of order
+	windowsMax = 4096 // instances tracked; the one not heard from for longest is dropped first
 )
 
 type instance [16]byte
@@ -76,7 +77,7 @@
 	h.Write(of[:])
 	block, err := aes.NewCipher(h.Sum(nil))
 	if err != nil {
-		panic(err) // 32 bytes
+		panic(err) // the key has 32 bytes
 	}
 	g, err := cipher.NewGCM(block)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return g
 }
 
-// sealer seals for one process. It is not safe for concurrent use.
+// sealer encrypts the messages of one process. It is not safe for concurrent use.
 type sealer struct {
 	own     instance
 	counter uint64
@@ -126,7 +127,7 @@
 	return a.Seal(head, nonce(s.counter), s.buf, head)
 }
 
-// opener opens what others sealed, each message once. It is not safe for concurrent use.
+// opener decrypts messages of other processes, each once. It is not safe for concurrent use.
 type opener struct {
 	own     instance
 	windows map[instance]*window
@@ -141,14 +142,14 @@
 }
 
 var (
-	errShort    = errors.New("too short, or of another form")
-	errKey      = errors.New("sealed under a key that is not in the file")
-	errSeal     = errors.New("not authentic")
-	errRepeated = errors.New("repeated")
-	errOwn      = errors.New("its own, come back")
+	errShort    = errors.New("message too short, or of an unknown format version")
+	errKey      = errors.New("sealed under a key that is not in the key file")
+	errSeal     = errors.New("authentication failed")
+	errRepeated = errors.New("message received before, or too old to tell")
+	errOwn      = errors.New("own message reflected")
 )
 
-// opened is an authentic message. Addr is where its sender says that it is reached.
+// opened is an authentic message. addr is the address that its sender publishes.
 type opened struct {
 	addr  string
 	frame []byte
@@ -190,7 +191,7 @@
 	if err != nil {
 		return m, errSeal
 	}
-	if w == nil { // only who knows a key makes a window
+	if w == nil { // only a sender that knows a key causes a window
 		w = o.add(of)
 	}
 	o.turn++
@@ -221,7 +222,7 @@
 	return w
 }
 
-// had tells whether a counter came before, or is too old to tell.
+// had reports whether a counter was received before, or is too old to tell.
 func (w *window) had(c uint64) bool {
 	if c > w.top {
 		return false
@@ -246,7 +247,7 @@
 	w.seen[c/64%uint64(len(w.seen))] |= 1 << (c % 64)
 }
 
-// same tells whether two sets of keys are the same in the same order.
+// same reports whether two sets have the same keys in the same order.
 func (k *Keys) same(o *Keys) bool {
 	if len(k.list) != len(o.list) {
 		return false
--- a/internal/fleet/peers/keys_test.go
+++ b/internal/fleet/peers/keys_test.go
@@ -28,8 +28,9 @@
 	return k
 }
 
-// TestSeals: what is sealed opens once, in any order within the window, under any key of the file; a change of any
-// byte, another key, a repeat, or its own message is refused, whatever came before.
+// TestSeals checks that a sealed message opens once, in any order within the window, under any key of the
+// file, and that a message with any changed byte, under another key, repeated, or of this process itself is
+// refused.
 func TestSeals(t *testing.T) {
 	both, old := keyFile(t, 'n', 'o'), keyFile(t, 'o')
 	rapid.Check(t, func(t *rapid.T) {
@@ -82,7 +83,7 @@
 	if len(o.windows) > 0 {
 		t.Error("what was not authentic left a trace")
 	}
-	for i := range windowsMax + 10 { // instances are bounded, the newest are kept
+	for i := range windowsMax + 10 { // the number of instances is bounded
 		one := newSealer()
 		if _, err := o.open(both, one.seal(&both.list[0], "a", []byte("x"))); err != nil {
 			t.Fatal(i, err)
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,7 +1,6 @@
-// Package peers is the group's sockets: one UDP and one TCP address, messages that
-// are sealed under the group's keys, and bounds on what is sent and taken. Peers are
-// known by what they say under a key, never by where a datagram comes from, so
-// relays and changes of address do no harm.
+// Package peers provides the transport between gateways: one UDP and one TCP address, messages sealed under
+// the group's keys, and limits on what is sent and received. Peers are identified by what they send under a
+// key, never by the source address of a datagram, so relays and address changes do no harm.
 package peers
 
 import (
@@ -20,43 +19,45 @@
 	"reachwind/internal/often"
 )
 
-// Config is what the sockets are told.
+// Config is the configuration of Sockets.
 type Config struct {
 	Listen    string
 	Advertise string
 	Keys      *Keys
-	Bytes     int               // a second, sent in all
-	Routes    map[string]string // peers that are reached by another address than the one they tell
+	Bytes     int               // bytes per second sent in total
+	Routes    map[string]string // peers by name that are reached at another address than the one they publish
 }
 
 const (
 	datagramMost = 1472
 	streamMost   = 1<<20 + 4096
-	streamWait   = 3 * time.Second // for all of an exchange
-	streamsIn    = 16              // taken at once
+	streamWait   = 3 * time.Second // for a whole request and answer
+	streamsIn    = 16              // concurrent inbound streams
 	streamsOut   = 8
-	queueMost    = 1024 // messages that wait for the owner; more are dropped
-	junkMost     = 2000 // datagrams that are not authentic taken a second, then the reader rests: the socket's buffer drops
-	burst        = 2    // seconds' worth of bytes
-	firstEach    = 16   // of so many messages one is sealed under the first key, whatever the peer was heard to use
-	reserve      = 0.25 // of it that only pings and their answers may use
+	queueMost    = 1024 // messages waiting for the owner; further ones are dropped
+	junkMost     = 2000 // datagrams per second that fail authentication before the reader slows down and lets the socket's buffer drop them
+	burst        = 2    // send burst, in seconds of the byte rate
+	firstEach    = 16   // one in this many messages is sealed under the first key, whatever key the peer uses
+	reserve      = 0.25 // fraction of the burst reserved for frames that are not spare, such as pings and their answers
 )
 
-// Incoming is an authentic frame, or an address that refused a connection.
+// Incoming is an authenticated frame, or an address that refused a connection.
 type Incoming struct {
 	Frame   []byte
 	Stream  uint64
 	Refused string
 }
 
-// Counts are what went and came, and what was dropped for which reason. They may be read at any time.
+// Counts counts messages and bytes sent and received, and those dropped by reason. They may be read at any
+// time.
 type Counts struct {
 	Sent, SentBytes, Taken, TakenBytes                               atomic.Int64
 	Unauthentic, Repeated, UnknownKey, Oversize, Overflow, Throttled atomic.Int64
 	StreamsRefused                                                   atomic.Int64
 }
 
-// Sockets carry frames. Send and Answer are the owner's; the rest is safe for concurrent use.
+// Sockets send and receive frames. Send and Answer must be called by one owner; the other methods are safe for
+// concurrent use.
 type Sockets struct {
 	Counts Counts
 	conf   Config
@@ -67,15 +68,15 @@
 	ctx    context.Context
 	cancel func()
 	done   sync.WaitGroup
-	out    chan struct{} // a place for each stream being dialled
+	out    chan struct{} // a slot for each stream being dialled
 
-	mu      sync.Mutex // held for what follows
+	mu      sync.Mutex // guards the fields below
 	keys    *Keys
 	routes  map[string]string
 	sealer  *sealer
 	opener  *opener
-	heard   map[string][4]byte // key last heard of from an address as its owner tells it
-	tried   map[string]int     // messages to addresses never heard from: keys are tried in turn
+	heard   map[string][4]byte // last key received from the peer that publishes the address
+	tried   map[string]int     // messages sent to an address since one was received from it; keys are tried in turn
 	addrs   map[string]*net.UDPAddr
 	streams map[uint64]*inbound
 	sends   uint64
@@ -86,7 +87,7 @@
 	badKey, junk, failing often.Line
 }
 
-// Listen opens the sockets. Both have one port; port 0 is any.
+// Listen opens the sockets. Both use the same port; port 0 selects a free one.
 func Listen(conf Config, log *slog.Logger) (*Sockets, error) {
 	tcp, err := net.Listen("tcp", conf.Listen)
 	if err != nil {
@@ -115,16 +116,16 @@
 // inbound is a stream that waits for its answer.
 type inbound struct {
 	c    net.Conn
-	over chan struct{} // closed when it has had it
+	over chan struct{} // closed when the answer was sent
 }
 
-// Addr is what peers are told.
+// Addr returns the address that peers are told.
 func (s *Sockets) Addr() string { return s.conf.Advertise }
 
-// In is what came.
+// In returns the channel of received frames and refused addresses.
 func (s *Sockets) In() <-chan Incoming { return s.in }
 
-// SetKeys takes over other keys and routes.
+// SetKeys replaces keys and routes.
 func (s *Sockets) SetKeys(k *Keys, routes map[string]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,14 +147,14 @@
 	s.done.Wait()
 }
 
-// key is the key to seal with for an address: the one that its owner was heard to use, so that a change of keys that
-// is half done divides nobody; in turn while it was not heard of.
+// key returns the key to seal with for an address: the last one that its owner used, so that a key rotation in
+// progress divides nobody. Until the owner was heard the keys are tried in turn.
 func (s *Sockets) key(addr string) *key {
 	s.sends++
 	if id, ok := s.heard[addr]; ok && s.sends%firstEach != 0 {
 		for i := range s.keys.list {
 			if s.keys.list[i].id == id {
-				if n := s.tried[addr]; n < 3 { // it answers: no need to try others
+				if n := s.tried[addr]; n < 3 { // it answers: no need to try other keys
 					s.tried[addr]++
 					return &s.keys.list[i]
 				}
@@ -164,13 +165,14 @@
 		clear(s.tried)
 	}
 	s.tried[addr]++
-	if _, ok := s.heard[addr]; ok && s.tried[addr] < 3 { // once in a while the first, so that the old one goes out of use
+	if _, ok := s.heard[addr]; ok && s.tried[addr] < 3 { // occasionally the first key, so that the old one goes out of use
 		return &s.keys.list[0]
 	}
 	return &s.keys.list[(s.tried[addr]-1)%len(s.keys.list)]
 }
 
-// spend takes n bytes of what may be sent, or counts that they may not.
+// spend takes n bytes from the send budget, or counts the message as throttled and returns false. Spare frames
+// may not use the reserve.
 func (s *Sockets) spend(n int, spare bool) bool {
 	now := time.Now()
 	s.room = min(s.room+now.Sub(s.roomAt).Seconds()*float64(s.conf.Bytes), burst*float64(s.conf.Bytes))
@@ -186,7 +188,7 @@
 	return true
 }
 
-// sealed is a frame as it goes out, nil if it may not.
+// sealed returns the sealed frame, or nil if the send budget is exhausted.
 func (s *Sockets) sealed(addr string, frame []byte, spare bool) []byte {
 	if !s.spend(headLen+1+len(s.conf.Advertise)+len(frame)+tagLen+28, spare) {
 		return nil
@@ -194,8 +196,8 @@
 	return s.sealer.seal(s.key(addr), s.conf.Advertise, frame)
 }
 
-// Send sends a frame to a peer: by datagram, or by a stream of its own whose answer comes in. Name may be empty. It
-// does not block; what can't be sent now is dropped, as on any bad day of the net.
+// Send sends a frame to a peer: by datagram, or by a new stream whose answer is received as a frame. Name may
+// be empty. It does not block; what can't be sent now is dropped, as if lost by the network.
 func (s *Sockets) Send(name, addr string, frame []byte, stream, spare bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,11 +225,11 @@
 		s.addrs[to] = at
 	}
 	if b := s.sealed(addr, frame, spare); b != nil {
-		_, _ = s.udp.WriteToUDP(b, at) // as good as lost on the way
+		_, _ = s.udp.WriteToUDP(b, at) // an error counts as loss on the way
 	}
 }
 
-// Answer sends a frame on a stream that a message came by.
+// Answer sends a frame on the stream that a message came by.
 func (s *Sockets) Answer(stream uint64, addr string, frame []byte, spare bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -248,7 +250,7 @@
 	}()
 }
 
-// dial sends by a stream of its own. The caller holds the lock.
+// dial sends a message by a new stream. The caller holds the lock.
 func (s *Sockets) dial(addr, to string, b []byte) {
 	select {
 	case s.out <- struct{}{}:
@@ -296,7 +298,7 @@
 	if n > streamMost {
 		return nil, errShort
 	}
-	// What is announced is not taken at once: memory grows with what comes.
+	// The buffer is not allocated from the announced length: memory grows with what arrives.
 	b, err := io.ReadAll(io.LimitReader(c, int64(n)))
 	if err == nil && len(b) < int(n) {
 		err = io.ErrUnexpectedEOF
@@ -304,7 +306,7 @@
 	return b, err
 }
 
-// datagrams reads them, and rests where too many are junk.
+// datagrams reads datagrams, and slows down while too many fail authentication.
 func (s *Sockets) datagrams() {
 	defer s.done.Done()
 	buf := make([]byte, 64<<10)
@@ -315,7 +317,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an earlier datagram of ours was refused
+			continue // an ICMP error for a datagram sent earlier
 		}
 		if s.take(buf[:n], 0) {
 			continue
@@ -329,7 +331,7 @@
 	}
 }
 
-// take opens a message and queues its frame, and tells whether it was authentic.
+// take decrypts a message and queues its frame. It returns whether the message was authentic.
 func (s *Sockets) take(b []byte, stream uint64) bool {
 	s.mu.Lock()
 	m, err := s.opener.open(s.keys, b)
@@ -370,7 +372,7 @@
 	}
 }
 
-// accept takes streams: one message each, answered on the stream within streamWait or not at all.
+// accept accepts streams: one message each, answered on the stream within streamWait or not at all.
 func (s *Sockets) accept() {
 	defer s.done.Done()
 	room := make(chan struct{}, streamsIn)
@@ -431,7 +433,7 @@
 	s.drop(id)
 }
 
-// drop ends a stream that has had no answer.
+// drop closes a stream that was not answered.
 func (s *Sockets) drop(id uint64) {
 	s.mu.Lock()
 	in := s.streams[id]
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -1,20 +1,19 @@
-// Package share divides budgets between gateways that know each other. Each has a
-// part of its own that needs no talk; what it does not use of it, it lends to one
-// that asks, for a term. It does no I/O, starts no goroutine and reads no clock.
+// Package share divides budgets between gateways that know each other. Each gateway has a base share of its
+// own that needs no communication, and lends what it does not use of it to others for a limited term. The
+// package does no I/O, starts no goroutine and reads no clock.
 //
-// The sum of what all may use never passes the sum of the own parts, whatever is
-// lost, late, repeated or stopped, and whoever is cut off or starts anew:
+// The sum of what all gateways may use never exceeds the sum of their base shares, whatever messages are lost,
+// late or repeated, and whichever gateways are paused, cut off or restarted:
 //
-//  1. What a gateway lent it does not use until Term and a margin for clocks that
-//     run apart have passed since it decided to lend.
-//  2. A borrower uses a loan until Term has passed since it sent the request that the loan
-//     answers, on its own clock. It sent it before the lender decided, so its use ends
-//     before the lender's begins again.
-//  3. A loan is taken once: its number is the request's, which is used once.
-//  4. A gateway that has just started may have lent before: for Term and the margin it
-//     does not use what it could have lent.
+//  1. A lender does not use what it lent until Term, and a margin for clock rate differences, have passed
+//     since it decided to lend.
+//  2. A borrower uses a loan until Term has passed since it sent the request that the loan answers, on its own
+//     clock. It sent the request before the lender decided, so its use ends before the lender's begins again.
+//  3. A loan is accepted once: its number is the request's, which is used once.
+//  4. A gateway that has just started may have lent before: for Term and the margin it does not use what it
+//     could have lent.
 //
-// So no clock is compared with another, only how far each has run.
+// So clocks are never compared with each other; only their rates matter.
 package share
 
 import (
@@ -26,49 +25,50 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// The shared budgets. Their numbers are on the wire: they are never used anew.
+// The shared budgets. Their numbers are part of the wire format and are never reused.
 const (
-	Cold      = 0 // chances at cold members
-	Probes    = 1 // of members
-	Asks      = 2 // calls of discovery
-	Customers = 3 // requests within their shares
+	Cold      = 0 // requests to members in slow start
+	Probes    = 1 // probes of members
+	Asks      = 2 // calls to discovery
+	Customers = 3 // requests of tenants within their shares
 	Budgets   = 4
 )
 
-// Names are the budgets' names in tables and JSON.
+// Names lists the budgets' names for tables and JSON.
 var Names = [Budgets]string{"cold", "probes", "asks", "customers"}
 
 const (
 	// Term is how long a loan lasts.
 	Term = 10 * time.Second
-	// Margin is what a lender waits beyond that: clocks run apart by less than one in a hundred.
+	// Margin is how much longer a lender waits: clock rates differ by less than one in a hundred.
 	Margin = Term / 100
-	// Lendable is the part of a gateway's own part that it may lend: the rest is its own at any time.
+	// Lendable is the fraction of its base share that a gateway may lend. The rest is its own at any time.
 	Lendable   = 0.5
 	askEvery   = time.Second
-	answerMost = 2 * time.Second // a loan that answers an older request is left: too little of its term may be left
-	loansMost  = 64              // out or in, of one budget
+	answerMost = 2 * time.Second // a loan for an older request is refused: too little of its term may be left
+	loansMost  = 64              // given or taken, per budget
 	useBlend   = 0.2
-	needTimes  = 1.25 // what is held ready above what was used lately
-	leastLoan  = 0.02 // of an own part
+	needTimes  = 1.25 // quota wanted, as a multiple of recent use
+	leastLoan  = 0.02 // in base shares
 )
 
-// Guard is one of the checks that keep the sum. A checker switches them off one at a time.
+// Guard is a bit set of checks that bound the sum. Test tools disable them one at a time to show that each is
+// needed.
 type Guard uint8
 
-// The guards.
+// The guards, by the rule of the package comment that they enforce.
 const (
-	GuardStart  Guard = 1 << iota // claim 4
-	GuardTerm                     // claim 2: a loan ends, counted from the request
-	GuardOnce                     // claim 3
-	GuardMargin                   // claim 1: the margin
-	GuardLend                     // claim 1: what is lent is not used
+	GuardStart  Guard = 1 << iota // rule 4
+	GuardTerm                     // rule 2: a loan ends, counted from its request
+	GuardOnce                     // rule 3
+	GuardMargin                   // rule 1: the margin
+	GuardLend                     // rule 1: what is lent is not used
 )
 
-// Guards are all of them, with what each keeps.
+// Guards lists all guards with their names as printed by test tools.
 var Guards = []struct {
 	Guard Guard
 	Name  string
@@ -77,26 +77,26 @@
 	{GuardOnce, "a loan is taken once"}, {GuardMargin, "a lender waits for clocks that run apart"}, {GuardLend, "what is lent is not used"},
 }
 
-// Message asks for a part of a budget, or lends one.
+// Message requests a loan of a budget, or grants one.
 type Message struct {
 	_      struct{} `cbor:",toarray"`
 	Budget uint8
 	Loan   bool
-	Number uint64 // of the request; its loan has the same
+	Number uint64 // of the request; its loan has the same number
 	Epoch  uint64 // of the borrower's start
 	Part   float64
 }
 
-// Encode is the message's bytes.
+// Encode returns the wire form of the message.
 func (m *Message) Encode() []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
 	return b
 }
 
-// Decode reads a message.
+// Decode parses a message.
 func Decode(b []byte) (*Message, error) {
 	m := new(Message)
 	if err := cbor.Unmarshal(b, m); err != nil {
@@ -120,13 +120,14 @@
 }
 
 type budget struct {
-	use     float64 // used lately, in own parts
+	use     float64 // recent use, in base shares
 	out, in []loan
 	asked   []request
 	askAt   Time
 }
 
-// Ledger is one gateway's. It is its owner's alone. All parts are in units of a gateway's own part: 1 is today's split.
+// Ledger holds one gateway's loans. It is not safe for concurrent use. All amounts are in base shares: 1 is an
+// even split of the budget.
 type Ledger struct {
 	epoch   uint64
 	start   Time
@@ -134,22 +135,23 @@
 	number  uint64
 	budgets [Budgets]budget
 	off     Guard
-	Lent    int // loans made
+	Lent    int // loans given
 	Taken   int
-	Refused int // loans that came late, twice or unasked
+	Refused int // loans that came late, twice or unrequested, and malformed messages
 }
 
-// New returns the ledger of a gateway that starts now.
+// New returns the ledger of a gateway that starts now. off are the guards that are switched off, for tests
+// only.
 func New(now Time, epoch uint64, off Guard) *Ledger {
 	return &Ledger{epoch: epoch, start: now, now: now, off: off}
 }
 
 func (l *Ledger) on(g Guard) bool { return l.off&g == 0 }
 
-// Rename takes over a new epoch: requests under the old one get no loans any more.
+// Rename sets a new epoch: loans for requests of the old one are refused from now on.
 func (l *Ledger) Rename(epoch uint64) { l.epoch = epoch }
 
-// lent is what is out of a budget, or may be.
+// lent returns how much of a budget is lent, or may be lent by an earlier start.
 func (l *Ledger) lent(b *budget) float64 {
 	b.out = slices.DeleteFunc(b.out, func(o loan) bool { return l.now >= o.until })
 	sum := 0.0
@@ -162,7 +164,7 @@
 	return sum
 }
 
-// Part is what this gateway may use of a budget now, in own parts: 1 is today's split.
+// Part returns how much this gateway may use of a budget now, in base shares.
 func (l *Ledger) Part(now Time, i int) float64 {
 	l.now = max(l.now, now)
 	b := &l.budgets[i]
@@ -177,16 +179,17 @@
 	return part
 }
 
-// Used tells how much of a budget was used lately, in own parts a time in which one part comes in.
+// Used records how much of a budget was used recently, in base shares: 1 is as much as one base share allows
+// in that time.
 func (l *Ledger) Used(i int, parts float64) {
 	b := &l.budgets[i]
 	b.use += useBlend * (min(parts, 1e3) - b.use)
 }
 
-// need is what this gateway wants of a budget.
+// need returns how much this gateway wants of a budget.
 func (b *budget) need() float64 { return needTimes * b.use }
 
-// Spare is what it could lend now.
+// Spare returns how much this gateway could lend now.
 func (l *Ledger) Spare(now Time, i int) float64 {
 	part := l.Part(now, i)
 	b := &l.budgets[i]
@@ -197,7 +200,7 @@
 	return max(0, min(room, part-max(b.need(), 1-Lendable)))
 }
 
-// Lender is a peer that may be asked, and what it said it could spare.
+// Lender is a peer that may be asked for a loan, and how much it may spare.
 type Lender struct {
 	Name  string
 	Spare float64
@@ -209,7 +212,8 @@
 	Message Message
 }
 
-// Ask asks peers for what this gateway lacks. lenders are those that it may borrow from now.
+// Ask returns loan requests for what this gateway lacks. lenders returns the peers that it may borrow from
+// now.
 func (l *Ledger) Ask(now Time, lenders func(i int) []Lender) (out []Send) {
 	l.now = max(l.now, now)
 	for i := range l.budgets {
@@ -234,8 +238,8 @@
 	return out
 }
 
-// Take takes a message of a peer, and returns the loan that answers it, if any. mayLend tells whether the peer may
-// have one now.
+// Take handles a message of a peer and returns the loan that answers it, or nil. mayLend tells whether the
+// peer may be given a loan now.
 func (l *Ledger) Take(now Time, from string, m *Message, mayLend bool) *Message {
 	if m.Budget >= Budgets || math.IsNaN(m.Part) || m.Part <= 0 {
 		l.Refused++
@@ -260,7 +264,7 @@
 	return &Message{Budget: m.Budget, Loan: true, Number: m.Number, Epoch: m.Epoch, Part: part}
 }
 
-// borrow takes a loan, if it was asked for by this start, and lately, and not taken yet.
+// borrow accepts a loan if this start requested it recently and has not accepted it yet.
 func (l *Ledger) borrow(b *budget, from string, m *Message) {
 	i := slices.IndexFunc(b.asked, func(r request) bool { return r.number == m.Number && r.peer == from })
 	if i < 0 || m.Epoch != l.epoch || len(b.in) >= loansMost {
--- a/internal/fleet/signal/signal.go
+++ b/internal/fleet/signal/signal.go
@@ -1,15 +1,15 @@
-// Package signal lets one gateway's estimate of a member know what all have outstanding
-// there and what they measured: each tells its own in bounded digests. What comes of them
-// is a weight in the choice among members that may answer; never a position, and never a
-// reason to take a member out. It does no I/O, starts no goroutine and reads no clock.
+// Package signal shares load estimates of members between gateways: each gateway publishes its outstanding
+// requests and measured latencies per member in bounded digests. The result is a weight for the choice among
+// members that may answer. It never affects log positions and never takes a member out of use. The package
+// does no I/O, starts no goroutine and reads no clock.
 //
-//  1. A weight is from Least to Most, whatever is told.
-//  2. Of what one gateway says it has outstanding at a member no more counts than Share
-//     times the median of all that tell of that member; of latencies the median counts. So
-//     one that lies moves the estimate of a member that n tell of by at most Share / n.
-//  3. What was told fades, and is gone after Age. With nothing told, all weights go back to 1.
-//  4. A weight moves by at most Step of the way to its aim in a Tick, so that many which
-//     hear the same at once do not all go to the same member.
+//  1. A weight is between Least and Most, whatever is reported.
+//  2. Of the outstanding requests that one gateway reports for a member, at most Share times the median of all
+//     reports of that member counts; of latencies the median counts. So a gateway that lies moves the estimate
+//     of a member that n gateways report by at most Share / n.
+//  3. Reports lose weight with age and are dropped after Age. Without reports all weights return to 1.
+//  4. A weight moves by at most the fraction Step of the way to its target per Tick, so that many gateways
+//     that receive the same reports at once do not all choose the same member.
 package signal
 
 import (
@@ -19,47 +19,47 @@
 	"time"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// Bounds and tuned values, each with its reason.
+// Limits and parameters.
 const (
-	MostLines    = 64                     // of a digest: those with most outstanding are told
-	MostGateways = 1024                   // whose digests are held; the one told longest ago goes first
-	MostName     = 255                    // bytes of a name; what is longer is left out
-	MostOut      = 1 << 16                // outstanding that a line can tell
-	MostLatency  = 30 * time.Second       // that a line can tell
-	Age          = 5 * time.Second        // some rounds of digests
-	Tick         = 100 * time.Millisecond // between moves of weights
-	Step         = 0.05                   // half of the way in 1.4 s, longer than digests take to get round
-	Least, Most  = 0.5, 2.0               // a member is never left, and none gets more than four times another's
-	Share        = 3.0                    // gateways of a part differ about so much
+	MostLines    = 64                     // lines per digest; those with the most outstanding requests are sent
+	MostGateways = 1024                   // gateways whose digests are held; the one heard longest ago is dropped first
+	MostName     = 255                    // bytes of a name; lines and digests with longer names are refused
+	MostOut      = 1 << 16                // highest number of outstanding requests in a line
+	MostLatency  = 30 * time.Second       // highest latency in a line
+	Age          = 5 * time.Second        // several intervals between digests
+	Tick         = 100 * time.Millisecond // between adjustments of the weights
+	Step         = 0.05                   // half of the way takes 1.4 s, longer than digests take to spread
+	Least, Most  = 0.5, 2.0               // so no member is left without requests, and none gets more than four times another's
+	Share        = 3.0                    // honest gateways with a common subset of members differ by about this factor
 )
 
-// Line is what a gateway knows of one member by itself.
+// Line is what a gateway itself knows of one member.
 type Line struct {
 	Member  string
-	Out     uint32 // of its own requests that are outstanding there
-	Latency Time   // as it measured lately, 0 = not
+	Out     uint32 // its own requests outstanding at the member
+	Latency Time   // as measured recently, 0 if not measured
 }
 
-// Digest is what one gateway tells of itself. Gateway is who the transport says it is from.
+// Digest is what one gateway publishes. Gateway is the sender as established by the transport.
 type Digest struct {
 	Gateway       string
 	Epoch, Number uint64 // later ones replace earlier ones
 	Lines         []Line
 }
 
-// Member is one to be weighed.
+// Member is a member to be weighted.
 type Member struct {
 	Name     string
-	Capacity float64 // in any unit that all share; 0 or less = 1
+	Capacity float64 // in any unit common to all members; 0 or less counts as 1
 }
 
-// Drops counts what was not taken.
+// Drops counts digests, gateways and lines that were dropped, by reason.
 type Drops struct{ Full, Old, Lines int }
 
-// Book is what one gateway heard. It is its owner's alone.
+// Book holds the digests that one gateway received and its weights. It is not safe for concurrent use.
 type Book struct {
 	Dropped Drops
 	own     Digest
@@ -75,15 +75,15 @@
 	at Time
 }
 
-// New returns the book of a gateway that heard nothing.
+// New returns the book of a gateway that has received nothing.
 func New(name string, epoch uint64) *Book {
 	return &Book{own: Digest{Gateway: name, Epoch: epoch}, told: map[string]told{}, weights: map[string]float64{}, step: Step, share: Share}
 }
 
-// Note takes what this gateway itself has outstanding and measured, in place of what it noted before.
+// Note sets this gateway's own lines, replacing the earlier ones.
 func (b *Book) Note(lines []Line) { b.own.Lines = append(b.own.Lines[:0], lines...) }
 
-// Digest is what to tell the others now.
+// Digest returns the digest to send to the other gateways now.
 func (b *Book) Digest() Digest {
 	b.own.Number++
 	d := b.own
@@ -93,7 +93,7 @@
 	return d
 }
 
-// Told takes a digest, and tells whether it was news.
+// Told handles a digest and returns whether it was newer than the one held.
 func (b *Book) Told(now Time, d Digest) bool {
 	was, known := b.told[d.Gateway]
 	if d.Gateway == b.own.Gateway || len(d.Gateway) > MostName || known && cmp.Or(cmp.Compare(d.Epoch, was.Epoch), cmp.Compare(d.Number, was.Number)) <= 0 {
@@ -124,15 +124,15 @@
 	return true
 }
 
-// Weigh moves the weights of members; those that are not among them are forgotten. It is to be
-// called each Tick: called sooner it does nothing, called late it moves by one Tick only.
+// Weigh adjusts the weights of members; members that are not listed are dropped. It must be called every Tick:
+// an earlier call does nothing, a late one adjusts by one Tick only.
 func (b *Book) Weigh(now Time, members []Member) {
 	if now < b.moved+Tick {
 		return
 	}
 	b.moved = now
 	type seen struct {
-		out     []float64 // as told, faded
+		out     []float64 // as reported, reduced by age
 		latency []float64
 	}
 	at := map[string]*seen{}
@@ -168,7 +168,8 @@
 			sum += min(o, most)
 		}
 		slices.Sort(s.latency)
-		// Outstanding holds the latency once already: what is measured counts by its root.
+		// The number of outstanding requests already grows with latency, so measured latency counts by its
+		// square root.
 		busy[m.Name] = sum / capacity * math.Sqrt(max(median(s.latency), 0.001))
 	}
 	for _, m := range members {
@@ -182,8 +183,7 @@
 	b.weights = next
 }
 
-// Weight is how willingly to choose a member now, beside others that may answer too; 1 is
-// as usual. It is what the choice's own weight is multiplied by.
+// Weight returns the factor for a member in the choice among members that may answer; 1 is neutral.
 func (b *Book) Weight(member string) float64 {
 	if w, known := b.weights[member]; known {
 		return w
@@ -191,7 +191,7 @@
 	return 1
 }
 
-// median is the lower one of a list in order, 0 of none.
+// median returns the lower median of a sorted list, 0 if it is empty.
 func median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/internal/fleet/signal/signal_test.go
+++ b/internal/fleet/signal/signal_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// play has 12 gateways that choose among 12 members by weight, one of them at half its speed from
-// the fifth second on, and tell each other by digests that take half a second. It returns how
-// far one member's intake swings about its mean, and what the slow member has waiting, both after 15 s.
+// simulate runs 12 gateways that choose among 12 members by weight, one member at half its speed from the
+// fifth second on. Digests take half a second to arrive. It returns how far one member's intake varies about
+// its mean, and the requests that wait at the slow member, both after 15 s.
 func play(seed uint64, prepare func(*Book)) (swing, slow float64) {
 	const gateways, members, ticks, late = 12, 12, 300, 5
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestSteps tells a book anything, and holds claims 1 to 4 and the bounds.
+// TestSteps feeds a book random digests and checks rules 1 to 4 of the package comment and the limits.
 func TestSteps(t *testing.T) {
 	for seed := range uint64(2) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -148,7 +148,8 @@
 	}
 }
 
-// TestLiar has one of 20 tell anything of member a, and measures what that moves, with the guard and without.
+// TestLiar measures how far one of 20 gateways with false reports moves the weight of a member, with the limit
+// on each report and without.
 func TestLiar(t *testing.T) {
 	weight := func(lie uint32, share float64) float64 {
 		b, ms := New("me", 1), []Member{{"a", 1}, {"b", 1}, {"c", 1}, {"d", 1}}
--- a/internal/fleet/turn/turn.go
+++ b/internal/fleet/turn/turn.go
@@ -1,20 +1,20 @@
-// Package turn tells who does for all gateways what one of them should do: a look at a
-// member, the trial of a suspect, a call to discovery. Whose turn it is follows from the
-// view and the time alone. It does no I/O, starts no goroutine and reads no clock.
+// Package turn selects the gateway that does a task for all of them: a probe of a member, a half-open probe of
+// a suspect, a call to discovery. The selection follows from the group's membership and the time alone. The
+// package does no I/O, starts no goroutine and reads no clock.
 //
-// Time is cut into slots of Every, and a slot into windows of Pass. In each window one
-// gateway of the view may act, in an order drawn anew for each slot; who hears that it was
-// done lets the later windows go by. So:
+// Time is divided into slots of Every, and a slot into windows of Pass. In each window one gateway may act, in
+// an order that is shuffled for each slot; gateways that hear that the task was done skip the later windows.
+// So:
 //
-//  1. Under one view at most one holds a turn at any instant, as long as clocks are within
-//     Guard of true time. Under n views at most n do.
-//  2. A turn whose holder does nothing passes on within Pass; where f in a row do nothing,
-//     within f x Pass, in the next slot at the latest by its own order.
-//  3. Each holds about its even part of first windows.
+//  1. With one common view at most one gateway is selected at any instant, as long as clocks are within Guard
+//     of true time. With n different views at most n are.
+//  2. If the selected gateway does nothing, the next follows within Pass; if f in a row do nothing, within f x
+//     Pass, or at the latest in the next slot with its new order.
+//  3. First windows are spread evenly over the gateways.
 //
-// A turn is no lock: two views, a clock that is further off, or a process that was stopped
-// between its look at the clock and its act, have two that act. It is for what two may do
-// without harm. What exactly one may do takes a permit of the council.
+// A selection is no lock: with two views, a clock that is further off, or a process paused between reading the
+// clock and acting, two gateways may act. It is for tasks that two may do without harm. What only one gateway
+// may do needs a permit of the council.
 package turn
 
 import (
@@ -26,25 +26,26 @@
 	"reachwind/internal/fleet/draw"
 )
 
-// Time is wall time since the Unix epoch, or a span on it.
+// Time is wall time since the Unix epoch, or a duration.
 type Time = time.Duration
 
-// Task is something that one gateway should do in each slot.
+// Task is a task that one gateway should do in each slot.
 type Task struct {
 	Name  string
 	Every Time // length of a slot
-	Pass  Time // of a window; a slot has Every / Pass of them, at least one
-	Guard Time // how far a gateway's clock may be from true time; less than half of Pass
+	Pass  Time // length of a window; a slot has Every / Pass windows, at least one
+	Guard Time // allowed deviation of a gateway's clock from true time; less than half of Pass
 }
 
-// Unfit tells that a task's spans don't fit each other.
+// Unfit is the error for a task whose durations are inconsistent.
 type Unfit struct{ Task Task }
 
 func (e *Unfit) Error() string {
 	return fmt.Sprintf("turn: task %q has every %v, pass %v, guard %v: wanted 0 <= 2 x guard < pass <= every", e.Task.Name, e.Task.Every, e.Task.Pass, e.Task.Guard)
 }
 
-// Check returns an *Unfit for a task that the other calls can't be used with.
+// Check returns an *Unfit if the task's durations are inconsistent. The other methods need a task that passes
+// it.
 func (t Task) Check() error {
 	if t.Guard < 0 || 2*t.Guard >= t.Pass || t.Pass > t.Every {
 		return &Unfit{t}
@@ -52,19 +53,19 @@
 	return nil
 }
 
-// Hold is whether a gateway may act, and until when.
+// Hold tells whether a gateway may act, and until when.
 type Hold struct {
 	Mine  bool
 	Slot  int64
-	Rank  int  // of the window in its slot
-	Until Time // Mine: the act has to be over by then
-	Next  Time // not Mine: ask again then
+	Rank  int  // index of the window in its slot
+	Until Time // if Mine: the task must be done by then
+	Next  Time // if not Mine: when to ask again
 }
 
-// At tells whether the task is me's to do. names are those of the view, me among them, in
-// any order and each once; missing is how many more there should be that the view does not
-// have: their turns go by unused, so that many gateways which each are alone do not all act
-// in each slot. done is the last slot of which this gateway did, or heard, that it was done.
+// At tells whether gateway me may do the task now. names are the gateways of the view, me among them, in any
+// order and each once. missing is how many more gateways there should be that the view lacks: their windows
+// stay unused, so that many gateways that are each cut off do not all act in each slot. done is the last slot
+// for which this gateway did the task or heard that it was done.
 func (t Task) At(now Time, names []string, missing int, me string, done int64) Hold {
 	slot := int64(now / t.Every)
 	start := Time(slot) * t.Every
@@ -89,7 +90,7 @@
 	return h
 }
 
-// place is me's place in the order of a slot, and how many there are in it.
+// place returns me's position in the order of a slot, and the number of gateways in it.
 func (t Task) place(slot int64, names []string, missing int, me string) (place, n int) {
 	seed := draw.Mix(draw.Of(0, t.Name) ^ draw.Mix(uint64(slot)))
 	own := draw.Mix(seed ^ draw.Of(0, me))
@@ -111,8 +112,8 @@
 	return place, n + 1
 }
 
-// Order is the order in which names come, one after another, in a round of a task: that of
-// healed offices or regions that come back. All that know the names and the round know it.
+// Order returns names in the order of a round of a task, for example in which recovered offices or regions
+// return. It is the same for all that know the names and the round.
 func Order(task string, round int64, names []string) []string {
 	seed := draw.Mix(draw.Of(0, task) ^ draw.Mix(uint64(round)))
 	all := slices.Clone(names)
