--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -1,6 +1,6 @@
-// Package subscribe is what gateways and the council tell each other: gateways that
-// they are there, voters what is agreed. Gateways serve whether or not anything comes
-// back. It does no I/O, starts no goroutine and reads no clock.
+// Package subscribe defines the messages between gateways and the council: gateways report that they are
+// running and how they serve, voters send what is agreed. Gateways serve whether or not answers arrive. The
+// package does no I/O, starts no goroutine and reads no clock.
 package subscribe
 
 import (
@@ -16,37 +16,37 @@
 	"reachwind/internal/fleet/zoneplan"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// Frames between gateways and voters. Numbers are on the wire: they are never used anew.
+// Frames between gateways and voters. Their numbers are part of the wire format and are never reused.
 const (
 	FrameReport = 21
 	FrameTold   = 22
 )
 
 const (
-	// Every is how often a gateway reports, and the leader looks through the reports.
+	// Every is the interval at which gateways report and the leader evaluates the reports.
 	Every = time.Second
-	// SilentFor is after which a gateway that does not report counts as out by itself.
+	// SilentFor is the time after which a gateway that does not report counts as out of service.
 	SilentFor = 10 * time.Second
-	// ServingFor is within which one must have reported to be seen serving.
+	// ServingFor is the time within which a gateway must have reported to count as serving.
 	ServingFor   = 3 * time.Second
 	forgetAfter  = 24 * time.Hour
-	leftCounts   = 10 * time.Minute // one that was told to stop is out, whoever told it; later it is taken for gone for good
+	leftCounts   = 10 * time.Minute // a gateway that announced its stop counts as out for this long; later it is forgotten as gone for good
 	GatewaysMost = 4096
 	membersMost  = 4096
-	seenFor      = 20 * time.Second // a gateway's word on a member counts for so long
-	caughtUp     = 2 * time.Second  // a replica that lacks no more of its group's log is caught up
+	seenFor      = 20 * time.Second // a gateway's report on a member counts for this long
+	caughtUp     = 2 * time.Second  // a replica within this distance of its group's newest log position is caught up
 	textMost     = 80
 )
 
-// Report is a gateway's word that it is there. Fields are added, never changed.
+// Report is a gateway's periodic report to the voters. Fields are added, never changed.
 type Report struct {
 	Name    string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint,omitempty"`
 	Epoch   uint64 `cbor:"3,keyasint"`
-	Number  uint64 `cbor:"4,keyasint"` // of this epoch, growing
+	Number  uint64 `cbor:"4,keyasint"` // grows within an epoch
 	Addr    string `cbor:"5,keyasint"`
 	Version string `cbor:"6,keyasint,omitempty"`
 	Drain   bool   `cbor:"7,keyasint,omitempty"`
@@ -57,36 +57,36 @@
 	Tried  []Tried `cbor:"11,keyasint,omitempty"`
 }
 
-// Told is a voter's answer.
+// Told is what a voter sends a gateway: the answer to a report, or a change.
 type Told struct {
-	Number uint64 `cbor:"1,keyasint"` // of the report
+	Number uint64 `cbor:"1,keyasint"` // number of the report that it answers, 0 if none
 	Leader string `cbor:"2,keyasint,omitempty"`
 	Term   uint64 `cbor:"3,keyasint"`
 	Index  uint64 `cbor:"4,keyasint"`
-	Fence  uint64 `cbor:"5,keyasint,omitempty"` // of the permit to be out that this gateway is under, 0 = none
-	LeftMs int64  `cbor:"6,keyasint,omitempty"` // of its term
+	Fence  uint64 `cbor:"5,keyasint,omitempty"` // fence of this gateway's permit to be out of service, 0 if none
+	LeftMs int64  `cbor:"6,keyasint,omitempty"` // remaining term of the permit
 
-	Name   string  `cbor:"9,keyasint,omitempty"` // of the gateway that is told
-	Recall bool    `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: it had better come back
+	Name   string  `cbor:"9,keyasint,omitempty"` // name of the gateway addressed
+	Recall bool    `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: the gateway should return
 	Drains []Drain `cbor:"8,keyasint,omitempty"` // members that are permitted to go out
 
-	Plan       uint64     `cbor:"10,keyasint,omitempty"` // number of the plan of zones, 0 = none
-	PlanLeftMs int64      `cbor:"11,keyasint,omitempty"` // of its term
-	Zones      []ZoneAway `cbor:"12,keyasint,omitempty"` // those from which load goes away
+	Plan       uint64     `cbor:"10,keyasint,omitempty"` // number of the zone plan, 0 if none
+	PlanLeftMs int64      `cbor:"11,keyasint,omitempty"` // remaining term of the plan
+	Zones      []ZoneAway `cbor:"12,keyasint,omitempty"` // zones whose load goes elsewhere, in part or whole
 }
 
-// Encode is the answer's bytes.
+// Encode returns the wire form of the message.
 func (t *Told) Encode() []byte { return encode(t) }
 
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
 	return b
 }
 
-// Subscription is what a gateway knows of the council. It is its owner's alone.
+// Subscription is what a gateway knows of the council. It is not safe for concurrent use.
 type Subscription struct {
 	number uint64
 	last   Told
@@ -96,10 +96,10 @@
 	tookAt Time
 }
 
-// New returns a subscription that has heard nothing.
+// New returns a subscription that has received nothing.
 func New() *Subscription { return &Subscription{sent: map[uint64]Time{}} }
 
-// Report numbers a report.
+// Report numbers a report and returns its wire form.
 func (s *Subscription) Report(now Time, r Report) []byte {
 	s.number++
 	r.Number = s.number
@@ -110,8 +110,9 @@
 	return encode(&r)
 }
 
-// Take takes a voter's word: the one of the highest index counts, dated from when the report that it answers was sent.
-// One that answers no report is what changed just now; it is dated as the last one was. It tells whether it counts.
+// Take handles a voter's message and returns whether it became the current one. The message of the highest
+// index counts, dated from when the report that it answers was sent. One that answers no report announces a
+// change that was just made; it is dated as the one before.
 func (s *Subscription) Take(now Time, b []byte) bool {
 	var t Told
 	if cbor.Unmarshal(b, &t) != nil {
@@ -128,18 +129,18 @@
 	return true
 }
 
-// Last is what was heard last and when it came; ok is false if nothing ever was.
+// Last returns the current message and when it arrived; ok is false if none ever did.
 func (s *Subscription) Last() (t Told, at Time, ok bool) { return s.last, s.tookAt, s.heard }
 
-// State is what is known of the council, for tables and JSON.
+// State describes what is known of the council, for tables and JSON.
 type State struct {
 	Leader string `json:"leader"`
 	Index  uint64 `json:"index"`
-	AgeMs  int64  `json:"age_ms"` // -1 = never heard
+	AgeMs  int64  `json:"age_ms"` // -1 if nothing was ever received
 	Fence  uint64 `json:"fence"`
 }
 
-// State tells what was heard last, and how old it is.
+// State returns the current message's content and its age.
 func (s *Subscription) State(now Time) State {
 	if !s.heard {
 		return State{AgeMs: -1}
@@ -147,13 +148,13 @@
 	return State{s.last.Leader, s.last.Index, (now - s.at).Milliseconds(), s.last.Fence}
 }
 
-// Book is a voter's: who reported when. It is its owner's alone.
+// Book is a voter's record of the gateways' reports. It is not safe for concurrent use.
 type Book struct {
 	seen  map[string]*heard
-	since Time // this voter has led, or heard reports without a gap, since then
+	since Time // this voter has led, or received reports without a gap, since then
 	leads bool
 
-	members  map[string]map[string]word // by member, by zone of the witness
+	members  map[string]map[string]word // by member, then by zone of the witness
 	versions map[string]*agreed.VersionHealth
 	zones    map[[2]string]*zoneplan.Seen // by witness zone and zone
 	zonesAt  Time
@@ -162,21 +163,21 @@
 type heard struct {
 	Report
 	at    Time
-	again bool // the start before it drained or left
+	again bool // the start before the present one drained or left
 }
 
-// word is the last word on a member of the gateways of a zone.
+// word is the latest report on a member by the gateways of a zone.
 type word struct {
 	Seen
 	at Time
 }
 
-// NewBook returns an empty book.
+// NewBook returns an empty record.
 func NewBook() *Book {
 	return &Book{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
 }
 
-// Take takes a report. One of an older start or number is dropped.
+// Take handles a report. Malformed reports and those of an older start or number are dropped.
 func (b *Book) Take(now Time, raw []byte) (r Report, ok bool) {
 	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > textMost || len(r.Zone) > textMost || len(r.Addr) > textMost {
 		return r, false
@@ -203,7 +204,7 @@
 	return r, true
 }
 
-// count adds what a gateway counted since its last report to its version.
+// count adds what a gateway counted since its last report to the totals of its version.
 func (b *Book) count(h *heard, r *Report) {
 	v := b.versions[r.Version]
 	if v == nil {
@@ -214,9 +215,9 @@
 		b.versions[r.Version] = v
 	}
 	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaves {
-		v.Restarts++ // it did not say that it leaves
+		v.Restarts++ // the earlier start did not announce its stop
 	}
-	if r.Counts == nil || h.Epoch == 0 { // of who is new to this voter, all before is not of this while
+	if r.Counts == nil || h.Epoch == 0 { // the counts of a gateway that is new to this voter precede this period
 		return
 	}
 	was := &Counts{}
@@ -233,7 +234,7 @@
 	}
 }
 
-// zone is what the gateways of one zone saw of another since the last look.
+// zone returns the record of what the gateways of one zone observed of another since the last evaluation.
 func (b *Book) zone(witness, of string) *zoneplan.Seen {
 	z := b.zones[[2]string{witness, of}]
 	if z == nil {
@@ -245,7 +246,7 @@
 	return z
 }
 
-// tried adds what a gateway tried since its last report, and what its clients asked.
+// tried adds a gateway's attempts since its last report, and its clients' requests.
 func (b *Book) tried(h *heard, r *Report) {
 	if h.Epoch == 0 || len(r.Tried) > agreed.ZonesMost {
 		return
@@ -277,7 +278,8 @@
 	}
 }
 
-// Zones is what was seen of zones since the last call: work a second, attempts in all.
+// Zones returns and resets what was observed of zones since the last call: offered and completed work per
+// second, attempts as totals.
 func (b *Book) Zones(now Time) (all []zoneplan.Seen) {
 	span := max(now-b.zonesAt, time.Millisecond).Seconds()
 	b.zonesAt = now
@@ -289,7 +291,8 @@
 	return all
 }
 
-// Health is what was counted since the last call, by version; those that nothing came of are left out.
+// Health returns and resets what was counted since the last call, by version, without versions that served no
+// request and had no restart.
 func (b *Book) Health() (all []agreed.VersionHealth) {
 	for _, name := range slices.Sorted(maps.Keys(b.versions)) {
 		v := b.versions[name]
@@ -322,8 +325,8 @@
 	}
 }
 
-// dbs are the members as gateways tell of them: out if most zones that tell of it lately say so, primary if most say so.
-// A replica's position is the highest told, as positions only grow.
+// dbs returns the members as gateways report them: out if most zones that reported recently say so, primary if
+// most say so. A replica's position is the highest reported, as positions only grow.
 func (b *Book) dbs(now Time) (all []agreed.Target) {
 	type one struct {
 		t        agreed.Target
@@ -374,7 +377,7 @@
 	return all
 }
 
-// Lead notes whether this voter leads.
+// Lead records whether this voter leads.
 func (b *Book) Lead(now Time, leads bool) {
 	if leads && !b.leads {
 		b.since = now
@@ -382,18 +385,18 @@
 	b.leads = leads
 }
 
-// Targets is who is there and who is out by itself, and whether that is another set than the one known. A leader that has
-// led for less than SilentFor takes nobody for out whom the council did not: it may just not have heard of it yet.
-// With full it tells of versions, starts and members too.
+// Targets returns all gateways and members, whether each is out, and whether that differs from the known set.
+// A leader that has led for less than SilentFor counts nobody as out that the council did not: it may not have
+// received the reports yet. With full it includes versions, starts and members.
 func (b *Book) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
 	was := map[string]agreed.Target{}
 	for _, t := range known {
 		if name, ok := strings.CutPrefix(t.Name, "gateway/"); ok {
 			was[name] = t
-			if b.seen[name] == nil && len(b.seen) < GatewaysMost { // agreed before this voter heard of it
+			if b.seen[name] == nil && len(b.seen) < GatewaysMost { // agreed before this voter received a report of it
 				b.seen[name] = &heard{Report: Report{Name: name, Zone: t.Zone}, at: b.since}
 			}
-		} else if !full || now-b.since < seenFor { // a new leader hears of all members first
+		} else if !full || now-b.since < seenFor { // a new leader first waits for reports on all members
 			all = append(all, t)
 		}
 	}
@@ -409,7 +412,7 @@
 		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaves || silent > SilentFor || was[name].Out && now-h.at > ServingFor}
 		if full {
 			t.Version, t.Epoch = h.Version, h.Epoch
-			if h.Epoch == 0 { // not heard of since this voter began
+			if h.Epoch == 0 { // not heard since this voter began
 				t.Version, t.Epoch = was[name].Version, was[name].Epoch
 			}
 		}
@@ -420,14 +423,14 @@
 	return all, !slices.Equal(all, slices.SortedFunc(slices.Values(known), byName))
 }
 
-// Serving tells whether a gateway reported lately that it serves.
+// Serving reports whether a gateway recently reported that it serves.
 func (b *Book) Serving(now Time, target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
 	h := b.seen[name]
 	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaves && now-h.at < ServingFor
 }
 
-// Returned tells that a gateway whose last start drained or left has begun another one.
+// Returned reports whether a gateway whose last start drained or left has started again.
 func (b *Book) Returned(target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
 	h := b.seen[name]
--- a/internal/fleet/subscribe/subscribe_test.go
+++ b/internal/fleet/subscribe/subscribe_test.go
@@ -7,8 +7,9 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// TestBook: health is counted from report to report of one start, by version; restarts that nobody announced count; a
-// gateway that left under a permit and is back is told; members are judged by zones, not by how many gateways speak.
+// TestBook checks that health is counted from report to report of one start, by version; that unannounced
+// restarts count; that a gateway which left under a permit and is back is reported as returned; and that
+// members are judged by zones, not by the number of gateways that report.
 func TestBook(t *testing.T) {
 	b := NewBook()
 	b.Lead(0, true)
@@ -37,13 +38,13 @@
 			}
 		}
 	}
-	say("g1", "a", "1", 1, 1000, 0, nil) // whatever it served before this voter heard of it is of no while
+	say("g1", "a", "1", 1, 1000, 0, nil) // requests served before this voter's first report do not count
 	health()
 	say("g1", "a", "1", 1, 1010, 2, nil)
 	say("g2", "b", "2", 1, 5, 0, nil)
 	say("g2", "b", "2", 1, 25, 5, nil)
 	health(agreed.Served{Requests: 10, Refused: 2}, agreed.Served{Requests: 20, Refused: 5})
-	say("g2", "b", "2", 2, 7, 1, nil) // a start that nobody announced
+	say("g2", "b", "2", 2, 7, 1, nil) // an unannounced restart
 	if all := b.Health(); len(all) != 1 || all[0].Restarts != 1 || all[0].Classes[0].Requests != 7 {
 		t.Errorf("after a restart: %+v", all)
 	}
@@ -69,7 +70,7 @@
 			r.Seen = []Seen{{Member: "m1", Group: 1, Out: out, Primary: primary, Position: position}, {Member: "m2", Group: 1, Position: 9_000}, {Member: "m3", Group: 1, Position: 100}}
 		}
 	}
-	for i := range 5 { // five gateways behind one broken link are one witness
+	for i := range 5 { // five gateways behind one broken link count as one witness
 		say("a"+string(rune('0'+i)), "a", "1", 1, 0, 0, seen(true, true, 10_000))
 	}
 	say("b0", "b", "1", 1, 0, 0, seen(false, true, 10_000))
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestAsker: one ask at a time, sent again until it is answered; answers to others are dropped; terms count from the first
-// time that it was sent.
+// TestAsker checks that one request at a time is resent until it is answered, that other answers are dropped,
+// and that the time returned is that of the first transmission.
 func TestAsker(t *testing.T) {
 	var k Asker
 	k.Begin(time.Second, Ask{Name: "g", Op: "acquire"})
