--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -12,38 +12,38 @@
 	"reachwind/internal/fleet/swim"
 )
 
-// Config is the fleet block, read and checked.
+// Config is the parsed and validated fleet block of the configuration.
 type Config struct {
-	Name      string // the gateway's
+	Name      string // name of the gateway
 	Version   string
 	Listen    string
 	Advertise string
-	Admin     string // empty: none
+	Admin     string // address of the admin API; none if empty
 	Seeds     []string
 	SeedFile  string
-	Council   []string // addresses of its voters; empty: none
+	Council   []string // addresses of the council's voters; no council if empty
 	Zone      string
 	Region    string
 	KeyFile   string
 	Keys      *peers.Keys
-	Folder    string // empty: none
-	Events    string // file; empty: none
+	Folder    string // folder that keeps the epoch; none if empty
+	Events    string // path of the events file; none if empty
 	Bytes     int
 	Routes    map[string]string
 	Keep      time.Duration
 
-	SignalWait time.Duration // that a stop by signal waits for a permit at most
+	SignalWait time.Duration // limit of the wait for a permit after a stop signal
 }
 
 const (
 	bytesUsual, bytesLeast, bytesMost = 32 << 10, 4 << 10, 16 << 20
 	seedsMost                         = 64
-	tableBytes                        = 1 << 10 // of memory for each peer, its claims and metas
-	peersUsual                        = 1024    // that memory is set aside for
+	tableBytes                        = 1 << 10 // bytes of memory per peer, with its claims and metadata
+	peersUsual                        = 1024    // number of peers that the memory footprint allows for
 	files                             = 2 + 16 + 8 + 8
 )
 
-// Read reads a fleet block. Faults are the block's.
+// Read parses a fleet block. Faults are recorded in the block.
 func Read(b *edgeconf.Block) Config {
 	c := Config{
 		Listen:    b.Text("listen", ""),
@@ -116,7 +116,8 @@
 	return c
 }
 
-// readSeeds reads a file with an address a line.
+// readSeeds reads a file with one address per line. Comment lines and lines without a valid address are
+// skipped.
 func readSeeds(path string) (seeds []string, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -131,7 +132,7 @@
 	return seeds, nil
 }
 
-// Footprint is what the part holds at most: bytes and descriptors.
+// Footprint returns the most that the fleet component uses: bytes of memory and file descriptors.
 func (c *Config) Footprint() (memory int64, descriptors int) {
 	return peersUsual*tableBytes + int64(2*c.Bytes), files
 }
--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -13,7 +13,7 @@
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// readEpoch is the last epoch that the folder kept, 0 if none.
+// readEpoch returns the last epoch that was stored in the folder, 0 if none.
 func readEpoch(dir string) (uint64, error) {
 	text, err := os.ReadFile(filepath.Join(dir, epochFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -32,7 +32,8 @@
 
 func epochSum(epoch uint64) uint32 { return crc32.Checksum(fmt.Append(nil, epoch), table) }
 
-// writeEpoch keeps an epoch: the file is the old one or the new one, whenever the power goes.
+// writeEpoch stores an epoch atomically: after a power failure the file holds either the old epoch or the new
+// one.
 func writeEpoch(dir string, epoch uint64) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Event is an act of this process, as the events file has it: one JSON object a line.
+// Event is an entry of the events file, one JSON object per line.
 type Event struct {
 	Name    string   `json:"name"`
 	Epoch   uint64   `json:"epoch"`
-	Number  uint64   `json:"n"`       // of this start, from 1
-	Mono    int64    `json:"mono_ns"` // since this start
-	Wall    int64    `json:"wall_ns"` // Unix time, by this process's clock
+	Number  uint64   `json:"n"`       // sequence number within this start, from 1
+	Mono    int64    `json:"mono_ns"` // monotonic time since this start
+	Wall    int64    `json:"wall_ns"` // Unix time by this process's clock
 	Kind    string   `json:"kind"`    // start, peer, verdict, paused, displaced, epoch, look, member, leave
 	Peer    string   `json:"peer,omitempty"`
 	PeerOf  uint64   `json:"peer_epoch,omitempty"`
@@ -25,11 +25,11 @@
 }
 
 const (
-	eventsMost  = 8 << 20 // bytes of the file; then it becomes FILE.old and a new one begins
+	eventsMost  = 8 << 20 // maximum size in bytes; then the file becomes FILE.old and a new one begins
 	eventsQueue = 1024
 )
 
-// eventLog writes events from a goroutine of its own. A nil one does nothing.
+// eventLog writes events from its own goroutine. A nil eventLog does nothing.
 type eventLog struct {
 	path    string
 	queue   chan Event
@@ -78,7 +78,7 @@
 	_ = f.Close()
 }
 
-// put never blocks.
+// put queues an event, or drops and counts it if the queue is full. It never blocks.
 func (l *eventLog) put(e Event) {
 	if l == nil {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// close writes what is left, for a moment.
+// close writes the queued events, but waits for at most one second.
 func (l *eventLog) close() {
 	if l == nil {
 		return
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet has a gateway know its peers: it runs the group's part on one
-// goroutine, behind sockets, and joins it to the gateway. No request waits for it
-// or fails by it; without it, or without any peer, the gateway serves as ever.
+// Package fleet connects a gateway to its peers: it runs the group state on one goroutine, behind sockets, and
+// connects it to the gateway. No request waits for it or fails because of it; without it, or without any peer,
+// the gateway serves as usual.
 package fleet
 
 import (
@@ -31,54 +31,56 @@
 
 const (
 	tick       = 100 * time.Millisecond
-	asksMost   = 64 // callers that wait for the owner
+	asksMost   = 64 // functions queued for the owner goroutine
 	adminWait  = 2 * time.Second
-	sawMost    = 256 // observations that wait for the owner; more are dropped and counted
+	sawMost    = 256 // observations queued for the owner goroutine; further ones are dropped and counted
 	seedsEvery = 5 * time.Second
 	shareEvery = time.Second
-	shareStep  = 0.05 // by which a part must change to be told to the gateway
+	shareStep  = 0.05 // increase of a quota that is passed on to the gateway
 )
 
-// Gateway is what the fleet needs of the gateway. Its methods must not block.
+// Gateway is what the fleet component needs of the gateway. Its methods must not block.
 type Gateway interface {
-	// Told takes advice on a member.
+	// Told applies advice on a member: look asks for a probe, try tells that others had answers from it, guess
+	// that it may be its group's primary.
 	Told(member string, look, try, guess bool)
-	// Parts takes what this gateway may use of each shared budget, 1 being its own part, and returns how much of its
-	// own part it asked for lately, by done, which may be called later.
+	// Parts sets what this gateway may use of each shared budget, 1 being its base share, and returns by done,
+	// which may be called later, how much it used recently, in base shares.
 	Parts(parts [share.Budgets]float64, done func(used [share.Budgets]float64))
-	// Counts gives, by done, which may be called later, the final answers since the start and what is known of some
-	// members, of all in turn.
+	// Counts returns by done, which may be called later, the final answers since the start and what is known
+	// of some members, covering all members in rotation.
 	Counts(done func(subscribe.Counts, []subscribe.Seen, []subscribe.Tried))
-	// Zones takes which parts of the zones' load go elsewhere; zones that are not named keep theirs.
+	// Zones sets the fraction of each zone's load that goes elsewhere; zones that are not named keep theirs.
 	Zones(away map[string]float64)
-	// Look tries some members of zones that load goes away from. It is called each second.
+	// Look probes some members of zones that load is moved away from. It is called every second.
 	Look()
-	// Drains takes all members that the council permits to go out now.
+	// Drains sets the members that the council permits to go out now.
 	Drains(members []string)
-	// Door opens the clients' side for a part of the connections it may have, 0 = it is shut and connections end.
+	// Door sets the fraction of the permitted client connections that may be open. At 0 no connections are
+	// accepted and open ones end.
 	Door(part float64)
-	// Busy is how many client connections are open.
+	// Busy returns the number of open client connections.
 	Busy() int
 }
 
-// Deps are what a fleet part is made of.
+// Deps are the dependencies of a Fleet.
 type Deps struct {
 	Log     *slog.Logger
-	Gateway Gateway                            // nil: none, for processes that are peers only
-	Wall    func() time.Time                   // the process's own wall clock
-	Zone    string                             // the gateway's, if the block names none
-	Load    func() float64                     // how busy the gateway is; may be nil
+	Gateway Gateway                            // nil for processes that are only peers
+	Wall    func() time.Time                   // the process's wall clock
+	Zone    string                             // the gateway's zone, used if the block names none
+	Load    func() float64                     // load of the gateway from 0 to 1; may be nil
 	Longest time.Duration                      // the longest that a request may take
-	Listen  func(string) (net.Listener, error) // for the admin address
+	Listen  func(string) (net.Listener, error) // opens the admin API's listener
 }
 
-// Fleet is the part at work.
+// Fleet is a running fleet component.
 type Fleet struct {
 	conf       Config
 	deps       Deps
 	log        *slog.Logger
 	net        *peers.Sockets
-	group      *group.Group // the owner's
+	group      *group.Group // owned by the run goroutine
 	begin      time.Time
 	epoch      uint64
 	number     uint64
@@ -93,17 +95,17 @@
 	subscribed *subscribe.Subscription
 	drain      *drain.Machine
 	asker      subscribe.Asker
-	waits      []func(drain.Status, string) // for the end of a drain that was asked for
-	part       float64                      // of the door
+	waits      []func(drain.Status, string) // called when a requested drain ends or changes state
+	part       float64                      // fraction of the connections that may be open
 	counts     subscribe.Counts
 	seen       []subscribe.Seen
 	tried      []subscribe.Tried
 	zones      zones
 	drains     map[string]time.Duration // members permitted to go out, and until when by this clock
 	leaves     bool
-	grantedAt  uint64 // index below which nothing told knows of the newest grant
+	grantedAt  uint64 // log index below which updates may not reflect the latest grant
 
-	member, discovery atomic.Int64 // last answers, on the fleet's clock
+	member, discovery atomic.Int64 // times of the last answers, on the fleet's clock
 	hot               atomic.Pointer[map[string]bool]
 	dropped           atomic.Int64
 	once              sync.Once
@@ -111,7 +113,7 @@
 	suspects, looks often.Line
 }
 
-// Start opens the sockets and begins.
+// Start opens the sockets and starts the component.
 func Start(c Config, d Deps) (*Fleet, error) {
 	if c.Zone == "" {
 		c.Zone = d.Zone
@@ -186,7 +188,7 @@
 
 func (f *Fleet) now() time.Duration { return time.Since(f.begin) }
 
-// run owns the group.
+// run is the goroutine that owns the group and all fields that are not safe for concurrent use.
 func (f *Fleet) run() {
 	defer close(f.ended)
 	t := time.NewTicker(tick)
@@ -246,11 +248,11 @@
 	}
 }
 
-// share tells the gateway its parts, and learns what it used.
+// share passes the quotas to the gateway and records what it used.
 func (f *Fleet) share(now time.Duration) {
 	for i := range f.parts {
 		if p := f.group.Ledger.Part(now, i); p < f.parts[i] || p > f.parts[i]+shareStep {
-			f.parts[i] = p // less at once, more by steps
+			f.parts[i] = p // decreases apply at once, increases in steps
 		}
 	}
 	f.deps.Gateway.Parts(f.parts, func(used [share.Budgets]float64) {
@@ -265,7 +267,7 @@
 	})
 }
 
-// warm notes which members something is claimed of: answers of others need no look.
+// warm updates the set of members that have reports: answers of other members need not be recorded.
 func (f *Fleet) warm() {
 	hot := map[string]bool{}
 	for _, m := range f.group.Book.Members() {
@@ -276,7 +278,7 @@
 	}
 }
 
-// carry carries out what the group wants.
+// carry carries out the group's actions.
 func (f *Fleet) carry(acts []group.Action) {
 	for i := range acts {
 		a := &acts[i]
@@ -346,14 +348,14 @@
 	f.events.put(e)
 }
 
-// What the gateway saw. These may be called from any goroutine and never block.
+// Observations of the gateway. These methods may be called from any goroutine and never block.
 
-// Saw takes what the gateway came to believe of a member by its own experience.
+// Saw records what the gateway itself concluded about a member.
 func (f *Fleet) Saw(member string, k belief.Kind, position int64) {
 	f.look(group.Saw{Member: member, Kind: k, Position: position})
 }
 
-// Probed takes how a probe of a member ended.
+// Probed records the result of a probe of a member.
 func (f *Fleet) Probed(member string, answered bool) {
 	if (*f.hot.Load())[member] {
 		k := belief.Silent
@@ -364,8 +366,8 @@
 	}
 }
 
-// Answered takes that a member answered a request. It is on each request's way: a store, and no more for members
-// that nothing is claimed of.
+// Answered records that a member answered a request. It is called for every request: one atomic store, and no
+// more for members without reports.
 func (f *Fleet) Answered(member string) {
 	f.member.Store(int64(f.now()))
 	if hot := *f.hot.Load(); len(hot) > 0 && hot[member] {
@@ -373,7 +375,7 @@
 	}
 }
 
-// Discovered takes that discovery answered.
+// Discovered records an answer of discovery.
 func (f *Fleet) Discovered() { f.discovery.Store(int64(f.now())) }
 
 func (f *Fleet) look(s group.Saw) {
@@ -384,12 +386,12 @@
 	}
 }
 
-// Reload, and the end.
+// Reload and shutdown.
 
-// ErrRestart is returned for a change that a reload can't make.
+// ErrRestart is returned for changes that need a restart.
 var ErrRestart = errors.New("listen, advertise, admin, council, zone, region, folder, events and bytes_per_second take a restart")
 
-// Prepare checks a new configuration and returns what takes it over: keys, routes and seeds.
+// Prepare checks a new configuration and returns the function that applies it: keys, routes and seeds.
 func (f *Fleet) Prepare(c Config) (func(), error) {
 	o := &f.conf
 	if c.Zone == "" {
@@ -405,7 +407,7 @@
 	}, nil
 }
 
-// Close tells the peers that this gateway leaves, and ends.
+// Close announces to the peers that this gateway leaves, and stops the component.
 func (f *Fleet) Close(ctx context.Context) {
 	f.once.Do(func() {
 		close(f.stop)
@@ -418,7 +420,7 @@
 	})
 }
 
-// ask has the owner run a function and waits for it.
+// ask runs a function on the owner goroutine and waits for it.
 func (f *Fleet) ask(do func()) error {
 	done := make(chan struct{})
 	t := time.NewTimer(adminWait)
@@ -440,9 +442,9 @@
 	return nil
 }
 
-// Admin.
+// Admin API.
 
-// Member is a line of `reachwind fleet members`.
+// Member is a row of `reachwind fleet members`.
 type Member struct {
 	Name    string  `json:"name"`
 	Zone    string  `json:"zone"`
@@ -460,7 +462,7 @@
 	Self    bool    `json:"self"`
 }
 
-// View is what `reachwind fleet view` shows.
+// View is the output of `reachwind fleet view`.
 type View struct {
 	Name    string             `json:"name"`
 	Epoch   uint64             `json:"epoch"`
@@ -472,11 +474,11 @@
 	Doubt   int                `json:"doubt"`
 	Parts   map[string]float64 `json:"parts"`
 	Counts  map[string]int64   `json:"counts"`
-	Council *subscribe.State   `json:"council,omitempty"` // what was last heard of it, and how old that is
+	Council *subscribe.State   `json:"council,omitempty"` // what was last received from it, and how old that is
 	Drain   drain.Status       `json:"drain"`
-	Drains  []string           `json:"members_draining,omitempty"` // as the council permits them to go out
+	Drains  []string           `json:"members_draining,omitempty"` // members that the council permits to go out
 	Plan    uint64             `json:"zone_plan,omitempty"`
-	Away    map[string]float64 `json:"zones_away,omitempty"` // parts of zones' load that go elsewhere
+	Away    map[string]float64 `json:"zones_away,omitempty"` // fractions of zones' load that go elsewhere
 }
 
 func (f *Fleet) members() []Member {
@@ -531,7 +533,7 @@
 	return v
 }
 
-// listenAdmin serves what `reachwind fleet` asks for.
+// listenAdmin starts the admin API that `reachwind fleet` uses.
 func (f *Fleet) listenAdmin() error {
 	if f.conf.Admin == "" {
 		return nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"reachwind/internal/edgeconf"
 )
 
-// TestBlock: the block as fixed is read, faults are told with their lines.
+// TestBlock checks that a valid block is read, and that faults are reported with their lines.
 func TestBlock(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestEpochFile: an epoch is kept whole or not at all; what is torn, flipped or missing is told from it.
+// TestEpochFile checks that an epoch is read back as written or not at all: truncated and altered files are
+// detected.
 func TestEpochFile(t *testing.T) {
 	dir := t.TempDir()
 	if e, err := readEpoch(dir); e != 0 || err != nil {
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -15,8 +15,7 @@
 	"reachwind/internal/fleet/view"
 )
 
-// report tells the council that this gateway is there and how it serves, and hears what was agreed. Nothing waits for
-// the answer.
+// report reports to the council that this gateway is running and how it serves. Nothing waits for the answer.
 func (f *Fleet) report(now time.Duration) {
 	if len(f.conf.Council) == 0 {
 		return
@@ -33,7 +32,7 @@
 		f.deps.Gateway.Counts(func(c subscribe.Counts, seen []subscribe.Seen, tried []subscribe.Tried) {
 			select {
 			case f.asks <- func() { f.counts, f.seen, f.tried = c, seen, tried }:
-			default: // the next time
+			default: // dropped; the next report asks again
 			}
 		})
 	}
@@ -45,8 +44,8 @@
 	}
 }
 
-// told takes what a voter says is agreed. What it says of this gateway's own permit counts by fence; what it says of
-// members holds for the terms it names.
+// told handles a voter's message. What it says about this gateway's own permit counts by its fence; what it
+// says about members holds for the terms it states.
 func (f *Fleet) told(b []byte) {
 	now := f.now()
 	if !f.subscribed.Take(now, b) {
@@ -64,7 +63,7 @@
 	f.drained(now, e)
 }
 
-// drainMembers has members listed as draining while their permits last.
+// drainMembers lists members as draining while their permits last.
 func (f *Fleet) drainMembers(until map[string]time.Duration) {
 	was, is := slices.Sorted(maps.Keys(f.drains)), slices.Sorted(maps.Keys(until))
 	f.drains = until
@@ -76,7 +75,7 @@
 	f.deps.Gateway.Drains(is)
 }
 
-// got takes what the council decided about a wish of this gateway.
+// got handles the council's answer to a request of this gateway.
 func (f *Fleet) got(b []byte) {
 	a, g, at, ok := f.asker.Take(b)
 	if !ok {
@@ -89,12 +88,12 @@
 	e := drain.Event{Refused: g.Refused}
 	if g.OK {
 		e = drain.Event{Granted: true, Asked: at, Fence: g.Fence}
-		f.grantedAt = g.Index // what was told up to here may not know of it
+		f.grantedAt = g.Index // updates up to this index may not reflect the grant
 	}
 	f.drained(f.now(), e)
 }
 
-// drained has the drain take what happened, and carries out what it wants. It is called each tick too.
+// drained passes an event to the drain machine and carries out its actions. It is also called on each tick.
 func (f *Fleet) drained(now time.Duration, e drain.Event) {
 	busy := 0
 	if g := f.deps.Gateway; g != nil {
@@ -127,7 +126,7 @@
 	if a.Part >= 0 {
 		f.part = a.Part
 	}
-	if f.deps.Gateway != nil && (a.Part >= 0 || f.part < 1 && !f.leaves) { // by steps the door depends on how many there are
+	if f.deps.Gateway != nil && (a.Part >= 0 || f.part < 1 && !f.leaves) { // while connections return in steps, the limit depends on how many are open
 		f.deps.Gateway.Door(f.part)
 	}
 	if a.Changed {
@@ -151,7 +150,7 @@
 		}
 	}
 	for m, until := range f.drains {
-		if now >= until { // nobody says any more that it may be out
+		if now >= until { // no update confirmed the permit in time
 			left := maps.Clone(f.drains)
 			delete(left, m)
 			f.drainMembers(left)
@@ -160,7 +159,7 @@
 	}
 }
 
-// GoesAway tells the peers that this gateway takes nothing new.
+// GoesAway announces to the peers that this gateway accepts no new work.
 func (f *Fleet) GoesAway() {
 	_ = f.ask(func() {
 		yes := true
@@ -168,8 +167,8 @@
 	})
 }
 
-// Leave asks the council for a permit to end, and waits for it as long as configured at the most. It returns how long
-// it waited. Peers know by then that this gateway goes.
+// Leave requests a permit of the council to stop, and waits for it at most as long as configured. It returns
+// how long it waited. By then the peers know that this gateway is leaving.
 func (f *Fleet) Leave(ctx context.Context) time.Duration {
 	begin := time.Now()
 	if len(f.conf.Council) == 0 {
@@ -201,13 +200,13 @@
 	return time.Since(begin)
 }
 
-// signalTerm is the term of a permit of a gateway that ends: it must be back by then.
+// signalTerm is the term of the permit of a gateway that stops after a signal: it must be back by then.
 const signalTerm = 2 * time.Minute
 
-// drainAskMost is how long a caller may wait for a drain to be granted and over.
+// drainAskMost is the longest that a caller may wait until a drain is granted and done.
 const drainAskMost = 2 * time.Minute
 
-// DrainAsk is what `reachwind fleet drain` and `undrain` ask a gateway for.
+// DrainAsk is the request of `reachwind fleet drain` and `undrain` to a gateway.
 type DrainAsk struct {
 	Back   bool   `json:"back,omitempty"`
 	TermMs int64  `json:"term_ms,omitempty"`
@@ -215,13 +214,14 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// DrainAnswer is what came of it.
+// DrainAnswer is the answer to it.
 type DrainAnswer struct {
 	drain.Status
 	Refused string `json:"refused,omitempty"`
 }
 
-// askDrain serves an operator's wish that this gateway goes out or comes back. It answers once it is out, or serves.
+// askDrain serves an operator's request that this gateway goes out of service or returns. It answers once the
+// gateway is out, or serves.
 func (f *Fleet) askDrain(w http.ResponseWriter, r *http.Request) {
 	var q DrainAsk
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&q)
@@ -256,7 +256,7 @@
 		}
 		var wake func(drain.Status, string)
 		wake = func(s drain.Status, why string) {
-			if s.State == drain.Leaving.String() || q.Back && s.State == drain.Out.String() { // on its way
+			if s.State == drain.Leaving.String() || q.Back && s.State == drain.Out.String() { // still in transition
 				f.waits = append(f.waits, wake)
 				return
 			}
--- a/internal/fleet/subset/part.go
+++ b/internal/fleet/subset/part.go
@@ -3,7 +3,7 @@
 // State is how one gateway sees a member, for one read.
 type State uint8
 
-// The states. All but Fit are causes to leave the part.
+// The states. All but Fit are reasons to read from another member.
 const (
 	Fit State = iota
 	TooStale
@@ -15,36 +15,36 @@
 	States int = iota
 )
 
-// String is the state's name in tables and JSON.
+// String returns the state's name for tables and JSON.
 func (s State) String() string {
 	return [...]string{"fit", "too_stale", "cold", "draining", "banned", "suspect", "full"}[s]
 }
 
-// Counts are picks that did not go where the plan has them, by the state of the member
-// that the plan had.
+// Counts counts picks that did not go to the planned member, by the state of that member.
 type Counts struct {
-	Within  [States]uint64 // to another member of the part
-	Outside [States]uint64 // to a stand-in
+	Within  [States]uint64 // to another member of the subset
+	Outside [States]uint64 // to a substitute outside the subset
 	Nobody  uint64         // no member of the group was fit
 }
 
-// Part is one gateway's part of a group, with who stands in. It is its owner's alone.
+// Part is one gateway's subset of a group, with the members that substitute. It is not safe for concurrent
+// use.
 type Part struct {
 	Counts  Counts
 	shares  []Share
-	outside []string // all other members, in the order in which they stand in for this gateway
+	outside []string // all other members, in the order in which they substitute for this gateway's members
 }
 
-// Shares are the part's members and their weights, whose sum is 1.
+// Shares returns the subset's members and their weights, whose sum is 1.
 func (p *Part) Shares() []Share { return p.shares }
 
-// Pick chooses a member for one read by a number from 0 up to 1, drawn evenly, and by how
-// each member is seen now. It allocates nothing. It tells false only where no member of the
-// group is fit: what then happens is the caller's to decide.
+// Pick chooses a member for one read from a uniform random number in [0, 1) and from how each member is seen
+// now. It allocates nothing. It returns false only if no member of the group is fit; the caller decides what
+// happens then.
 //
-// A read whose member is not fit goes to the fit ones of the part as long as they have half
-// of its weight. Where they have less, none of them gets more than twice its share, and what
-// is left goes to the first four fit ones outside.
+// If the planned member is not fit, the read goes to the fit members of the subset as long as they have half
+// of its weight. If they have less, none of them gets more than twice its share, and the rest goes to the
+// first four fit members outside the subset.
 func (p *Part) Pick(draw float64, state func(member string) State) (member string, ok bool) {
 	var fit float64
 	meant, cause, rest := -1, Fit, draw
@@ -57,7 +57,7 @@
 			if st == Fit {
 				return s.Member, true
 			}
-			// What is left of the draw within this member's share is drawn evenly again.
+			// The remainder of the random number within this member's share is uniform again.
 			meant, cause, rest = i, st, min(rest/max(s.Weight, 1e-12), 1-1e-9)
 		} else if meant < 0 {
 			rest -= s.Weight
--- a/internal/fleet/subset/plan.go
+++ b/internal/fleet/subset/plan.go
@@ -18,7 +18,7 @@
 	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.at, b.at))
 }
 
-// willing is how willingly a gateway picks a member.
+// willing returns a gateway's preference for a member.
 func (p *Plan) willing(g, m int) float64 {
 	if w := p.members[m].Capacity; p.gateways[g].Zone != p.members[m].Zone {
 		return w
@@ -26,10 +26,10 @@
 	return p.members[m].Capacity * near
 }
 
-// pick draws the pairs. What a gateway picks depends on the members alone, and what a member
-// picks on the gateways alone. So where one entry goes, only those that had picked it pick
-// another, one each; where one comes, it takes one place at the most of each that picks it.
-// Members pick without regard to zones: a zone's loss leaves its gateways with members.
+// pick selects the pairs. What a gateway picks depends on the members alone, and what a member picks on the
+// gateways alone. So if an entry goes, only those that had picked it pick another, one each; if one comes, it
+// replaces at most one pick of each that picks it. Members pick without regard to zones, so that the loss of a
+// zone leaves its gateways with members.
 func (p *Plan) pick(picks, asks int) {
 	gs, ms := len(p.gateways), len(p.members)
 	seed := draw.Of(0, p.group)
@@ -37,7 +37,7 @@
 	for m := range names {
 		names[m] = draw.Of(0, p.members[m].Name)
 	}
-	byMember := make([][]scored, ms) // the least scores of each
+	byMember := make([][]scored, ms) // the lowest scores of each member
 	for m := range byMember {
 		byMember[m] = make([]scored, 0, asks+2)
 	}
@@ -78,8 +78,9 @@
 	}
 }
 
-// taper gives the first n of a list in order their weights: the less the nearer one is to being
-// left for the next, so that one which comes or goes at the end does so with next to nothing.
+// taper yields the first n entries of a sorted list with their weights: the closer an entry is to being
+// replaced by the next one, the lower its weight, so that entries that come or go at the end do so with almost
+// no weight.
 func taper(list []scored, n int) iter.Seq2[int, float64] {
 	return func(yield func(int, float64) bool) {
 		for k := range min(n, len(list)) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// offer is least of one's score, without its logarithm where it can't be among them.
+// offer inserts an entry's score like least, but skips the logarithm if the score can't be among the lowest.
 func offer(list []scored, n, at int, h uint64, weight float64) []scored {
 	if len(list) == n && 1-chance(h) > list[n-1].score*weight { // -log(x) is never below 1 - x
 		return list
@@ -102,7 +103,7 @@
 	return least(list, n, scored{at, score(h, weight)})
 }
 
-// least puts s among the n least of a list in order.
+// least inserts s into a sorted list of the n lowest scores.
 func least(list []scored, n int, s scored) []scored {
 	if len(list) == n && list[n-1].compare(s) < 0 {
 		return list
@@ -115,11 +116,11 @@
 	return list[:min(len(list), n)]
 }
 
-// scale gives the pairs their weights: each gateway's sum is 1, each member's load is near its
-// capacity's part, and within that they are as near as can be to what the picks have. Rows and
-// columns are scaled in turn until nothing changes, columns a little less than would fit: that
-// has one outcome, whatever the start, and it changes little where the view does. Where the
-// pairs allow no even load, gateways' sums hold and members are as near as the rounds brought them.
+// scale computes the weights of the pairs: each gateway's sum is 1, each member's load is near its fraction of
+// the capacity, and within that the weights are as close as possible to those of the picks. Rows and columns
+// are scaled in turn until nothing changes, columns a little less than would fit: that has a single result,
+// whatever the start, and it changes little if the view does. If the pairs allow no even load, gateways' sums
+// hold and members are as near as the rounds allow.
 func (p *Plan) scale() {
 	if len(p.pairs) == 0 {
 		return
@@ -171,11 +172,11 @@
 	}
 }
 
-// score is the rendezvous of one that is picked with the weight given: of a list, the chance
-// to have the least is as the weights are.
+// score is the rendezvous score of an entry with the given weight: the probability to have the lowest score of
+// a list is proportional to the weight.
 func score(h uint64, weight float64) float64 {
 	return -math.Log(chance(h)) / weight
 }
 
-// chance is a number above 0 and up to 1.
+// chance maps a hash to a number above 0 and at most 1.
 func chance(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,13 +1,13 @@
-// Package subset decides which part of a group's replicas one gateway sends its ordinary
-// reads to, so that the choices of many gateways add up: the load of members is even, each
-// gateway keeps few connections, and little moves when one comes or goes. Every gateway
-// computes the whole plan from its view and takes its own part of it; none asks another.
-// It does no I/O, starts no goroutine and reads no clock.
+// Package subset decides which of a group's replicas one gateway sends its ordinary reads to, so that the
+// choices of many gateways add up: members are evenly loaded, each gateway keeps few connections, and little
+// changes when a gateway or member comes or goes. Every gateway computes the whole plan from its view and
+// takes its own subset from it, without communication. The package does no I/O, starts no goroutine and reads
+// no clock.
 //
-// Each gateway picks members and each member picks gateways, by weighted rendezvous; the
-// pairs picked on either side are the plan's. What a gateway sends to each of its members
-// follows by scaling the pairs' weights until each gateway's sum is what it carries and
-// each member's sum is about its capacity's part of all.
+// Each gateway picks members and each member picks gateways, by weighted rendezvous hashing; the plan consists
+// of the pairs picked by either side. What a gateway sends to each of its members follows from scaling the
+// weights of the pairs until each gateway's sum is its demand and each member's sum is about its fraction of
+// the capacity.
 package subset
 
 import (
@@ -20,55 +20,55 @@
 	"reachwind/internal/fleet/view"
 )
 
-// Bounds and tuned values, each with its reason.
+// Limits and parameters.
 const (
-	MostGateways = 2048 // of a view: the work grows with gateways x members, see BenchmarkNew
-	MostMembers  = 2048 // of a group
-	most         = 16   // times the median is the most that a gateway's word of what it carries counts
-
-	near     = 2    // times as willingly does a gateway pick, and load, a member of its own zone: more moves more when one goes
-	firm     = 0.9  // how firmly members' loads are held to their capacity: 1 is even and moves most, 0 would not hold them
-	still    = 1e-7 // part by which no scale changes any more: the plan is done
-	rounds   = 300  // of scaling at the most; 120 are usual
-	keep     = 0.5  // of a part's weight: where less is fit, stand-ins from outside help out
-	standIns = 4    // at once, each its even part
+	MostGateways = 2048 // gateways in a view: the work grows with gateways x members, see BenchmarkNew
+	MostMembers  = 2048 // members in a group
+	most         = 16   // a gateway's reported demand counts up to this multiple of the median, and down to the median divided by it
+
+	near     = 2    // preference of a gateway for members of its own zone, in picks and load; a higher value moves more load when a member goes
+	firm     = 0.9  // how firmly members' loads are held to their capacity: at 1 they are even and move most, at 0 they would not be held
+	still    = 1e-7 // scaling ends when no factor changes by more than this fraction
+	rounds   = 300  // limit of scaling rounds; about 120 are usual
+	keep     = 0.5  // fraction of a subset's weight: if less is usable, substitutes from outside the subset are added
+	standIns = 4    // substitutes at once, each with an equal fraction
 )
 
-// Gateway is one that lives, as the view has it.
+// Gateway is a live gateway in a view.
 type Gateway struct {
 	Name, Zone string
-	Carries    float64 // what it is asked for, in any unit that all share; 0 or less = as the median
+	Carries    float64 // its demand, in any unit common to all; 0 or less counts as the median
 }
 
 // Member is one replica of the group.
 type Member struct {
 	Name, Zone string
-	Capacity   float64 // in any unit that all share; 0 or less = 1
-	Out        bool    // by common word, as draining or banned: it is in no part
+	Capacity   float64 // in any unit common to all; 0 or less counts as 1
+	Out        bool    // known to all as out, for example draining or banned: it is in no subset
 }
 
-// View is what one gateway takes for true. The order of its lists means nothing.
+// View is the input of a plan, as one gateway sees it. The order of its lists does not matter.
 type View struct {
 	Group    string
 	Gateways []Gateway
 	Members  []Member
 	Verdict  view.Verdict
-	// Expected is how many gateways there should be. Where the verdict is not Whole, those that are not
-	// seen are taken to be somewhere and to carry as much as the median: a gateway that is cut off from
-	// the others keeps a part of the size that it would have among them.
+	// Expected is how many gateways there should be. If the verdict is not Whole, those that are not seen are
+	// assumed to run elsewhere with the median demand: a gateway that is cut off from the others keeps a
+	// subset of the size that it would have among them.
 	Expected int
 }
 
-// Config is how many pairs are picked: at most Picks x gateways + Asks x members in all.
+// Config sets how many pairs are picked: at most Picks x gateways + Asks x members in all.
 type Config struct {
 	Picks int // members that each gateway picks
 	Asks  int // gateways that each member picks
 }
 
-// Usual are the picks that the figures in docs/design/subsets.md are of.
+// Usual is the configuration that the figures in docs/design/subsets.md are measured with.
 var Usual = Config{Picks: 4, Asks: 24}
 
-// TooMany tells that a view is larger than a plan may be.
+// TooMany is the error for a view that is larger than a plan may be.
 type TooMany struct {
 	What      string
 	Got, Most int
@@ -78,21 +78,21 @@
 	return fmt.Sprintf("subset: %d %s in the view, at most %d can be planned for: split the fleet or the group, or use no parts", e.Got, e.What, e.Most)
 }
 
-// Share is a member of a part and what of the gateway's reads it gets, from 0 to 1.
+// Share is a member of a subset and the fraction of the gateway's reads that it gets, from 0 to 1.
 type Share struct {
 	Member string
 	Weight float64
 }
 
-// Plan is all gateways' parts under one view. It doesn't change once made.
+// Plan holds the subsets of all gateways of one view. It does not change once made.
 type Plan struct {
 	group    string
 	gateways []Gateway
 	members  []Member
-	pairs    []pair  // in the order of gateways, then members
-	first    []int   // of each gateway's pairs, and the end
-	Rounds   int     // of scaling that were done
-	Off      float64 // by how much of its capacity's part the worst member has more than that
+	pairs    []pair  // ordered by gateway, then member
+	first    []int   // index of each gateway's first pair, and the number of pairs
+	Rounds   int     // scaling rounds done
+	Off      float64 // relative excess of the most overloaded member over its fraction of the capacity
 }
 
 type pair struct {
@@ -100,8 +100,8 @@
 	weight float64
 }
 
-// New makes the plan of a view. Views with the same entries make the same plan, whatever
-// their order; of entries with one name the first counts. Its error is a *TooMany.
+// New makes the plan of a view. Views with the same entries give the same plan, whatever their order; of
+// entries with the same name the first counts. Its error is a *TooMany.
 func New(c Config, v View) (*Plan, error) {
 	if n := max(len(v.Gateways), v.Expected); n > MostGateways {
 		return nil, &TooMany{"gateways", n, MostGateways}
@@ -131,7 +131,8 @@
 		median = told[len(told)/2]
 	}
 	for i := range all {
-		// A word that is far from the others' moves a bounded part of the plan, whoever gave it.
+		// A reported demand far from the others' moves only a bounded part of the plan, whichever gateway
+		// reports it.
 		if w := all[i].Carries; w > 0 {
 			all[i].Carries = min(max(w, median/most), median*most)
 		} else {
@@ -139,8 +140,8 @@
 		}
 	}
 	if v.Verdict != view.Whole {
-		// Each that is cut off takes others to be there, else all would lean to the members that these leave.
-		// Their names come after all others.
+		// Each gateway that is cut off assumes that others run elsewhere; otherwise all would prefer the
+		// members that those leave. The assumed names sort after all others.
 		of := ""
 		if len(all) > 0 {
 			of = all[0].Name
@@ -165,10 +166,10 @@
 	return slices.CompactFunc(all, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// Size is the number of pairs of all gateways: what the fleet keeps connections for.
+// Size returns the number of pairs of all gateways: the connections that the fleet keeps.
 func (p *Plan) Size() int { return len(p.pairs) }
 
-// Part is a gateway's part, made for its use; nil where the view has no such gateway.
+// Part returns a gateway's subset, or nil if the view has no such gateway.
 func (p *Plan) Part(gateway string) *Part {
 	g, known := slices.BinarySearchFunc(p.gateways, gateway, func(g Gateway, name string) int { return cmp.Compare(g.Name, name) })
 	if !known {
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -12,7 +12,8 @@
 	"reachwind/internal/fleet/view"
 )
 
-// TestSteps takes random steps, each a change of one entry, and holds claims 1, 2, 4 (pairs), 5 and 7 after each.
+// TestSteps applies random changes of one entry each and checks claims 1, 2, 4 (pairs), 5 and 7 of
+// docs/design/subsets.md after each.
 func TestSteps(t *testing.T) {
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -69,7 +70,8 @@
 	}
 }
 
-// TestTwoViews holds claim 5, and prints the worst that gateways of two views do to one member at once.
+// TestTwoViews checks claim 5 and prints the highest load that gateways with two different views put on one
+// member.
 func TestTwoViews(t *testing.T) {
 	for _, uneven := range []bool{false, true} {
 		v := fleet(rand.New(rand.NewPCG(1, 2)), 300, 120, uneven)
@@ -81,7 +83,7 @@
 		for what, other := range map[string]View{"one gateway": without(v, 7, -1), "one member": without(v, -1, 7),
 			"a zone's gateways": third, "half the members": half} {
 			b := planned(other)
-			// Each member by itself: all gateways have the view that sends it more.
+			// Worst case per member: every gateway uses the view that sends it more.
 			sums, both := map[string]float64{}, map[string]float64{}
 			var carried, capacity, worst float64
 			for _, g := range v.Gateways {
@@ -108,7 +110,8 @@
 	}
 }
 
-// TestCutOff holds claim 8, and prints what 100 gateways do that are each alone, with the guard and without.
+// TestCutOff checks claim 8 and prints the load from 100 gateways that are each cut off, with the expected
+// number of gateways known and without.
 func TestCutOff(t *testing.T) {
 	v := fleet(rand.New(rand.NewPCG(1, 2)), 100, 40, false)
 	whole := planned(v)
@@ -127,7 +130,7 @@
 	}
 }
 
-// TestPick holds claim 6 against random states.
+// TestPick checks claim 6 with random states.
 func TestPick(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	p, err := New(Usual, fleet(rng, 40, 120, true))
@@ -137,7 +140,7 @@
 	for range 60 {
 		part := p.Part("gw-0007")
 		sick, states := rng.Float64(), map[string]State{}
-		fit := map[bool]float64{} // weight of the fit, in the part or number outside
+		fit := map[bool]float64{} // true: weight of the fit members in the subset; false: number of fit members outside
 		for _, m := range p.members {
 			if rng.Float64() < sick*1.2 {
 				states[m.Name] = State(1 + rng.IntN(States-1))
@@ -214,8 +217,8 @@
 	}
 }
 
-// TestRough holds claim 3 where gateways tell what they carry in eighths of the most, as view.Meta does,
-// and prints what moves when half of the gateways or members go at once.
+// TestRough checks claim 3 if gateways report their demand in eighths of the maximum, as view.Meta does, and
+// prints what moves if half of the gateways or members go at once.
 func TestRough(t *testing.T) {
 	v := fleet(rand.New(rand.NewPCG(1, 2)), 300, 120, true)
 	told := without(v, -1, -1)
--- a/internal/fleet/subset/ways_test.go
+++ b/internal/fleet/subset/ways_test.go
@@ -14,7 +14,7 @@
 
 var all = flag.Bool("all", false, "all sizes of the table in docs/design/subsets.md")
 
-// parts are what each gateway sends each member, by names.
+// parts is the fraction of its reads that each gateway sends to each member, by names.
 type parts map[string]map[string]float64
 
 func names(kind string, n int) (all []string) {
@@ -24,7 +24,8 @@
 	return all
 }
 
-// fleet draws a view: uneven has gateways carry from 1 to 10, a tenth of them 10, and members differ fourfold.
+// fleet returns a random view. If uneven, gateways' demands range from 1 to 10, a tenth of them 10, and
+// members' capacities differ up to fourfold.
 func fleet(rng *rand.Rand, gs, ms int, uneven bool) View {
 	v := View{Group: "g", Verdict: view.Whole}
 	for i, n := range names("gw", gs) {
@@ -60,7 +61,7 @@
 	return out
 }
 
-// chosen is the part of each gateway by a choice of size members each, weighted by capacity.
+// chosen returns the subsets that result if choose selects the members of each gateway, weighted by capacity.
 func chosen(v View, choose func(at int, g Gateway) []Member) parts {
 	out := parts{}
 	for at, g := range v.Gateways {
@@ -77,7 +78,7 @@
 	return out
 }
 
-// The ways weighed, each with parts of size members.
+// The algorithms compared, each with subsets of size members.
 var ways = []struct {
 	name string
 	make func(v View, size int) parts
@@ -85,7 +86,7 @@
 	{"two-sided rendezvous, scaled", func(v View, _ int) parts { return planned(v) }},
 	{"random parts", func(v View, size int) parts {
 		return chosen(v, func(_ int, g Gateway) []Member {
-			// By the gateway's own seed over the list as it is, as a client without talk would.
+			// By the gateway's own seed over the unsorted list, as a client without coordination would.
 			ms := slices.Clone(v.Members)
 			rand.New(rand.NewPCG(draw.Of(0, g.Name), 1)).Shuffle(len(ms), func(a, b int) { ms[a], ms[b] = ms[b], ms[a] })
 			return ms[:min(size, len(ms))]
@@ -114,8 +115,8 @@
 		})
 	}},
 	{"ring, fractional overlap", func(v View, size int) parts {
-		// Gateways' arcs are as what they carry, widened evenly so that they overlap size members on average;
-		// members' arcs are as their capacity. Both stand in the order of their hashes.
+		// Gateways' arcs are proportional to their demand, widened evenly so that they overlap size members on
+		// average; members' arcs are proportional to their capacity. Both are ordered by their hashes.
 		var carried, capacity float64
 		gs, ms := slices.Clone(v.Gateways), slices.Clone(v.Members)
 		slices.SortFunc(gs, func(a, b Gateway) int { return int(draw.Of(0, a.Name)>>33) - int(draw.Of(0, b.Name)>>33) })
@@ -147,7 +148,8 @@
 	}},
 }
 
-// load is the most that a member has over its capacity's part, and the pairs in use.
+// load returns the highest load of a member relative to its fraction of the capacity, and the number of pairs
+// in use.
 func load(v View, p parts) (most float64, pairs int) {
 	sums := map[string]float64{}
 	var carried, capacity float64
@@ -167,7 +169,8 @@
 	return most, pairs
 }
 
-// moved is how much of the gateways' load in both goes elsewhere, and the pairs that are new.
+// moved returns the fraction of the load of gateways present in both that goes to another member, and the
+// number of new pairs.
 func moved(v View, a, b parts) (sum float64, opened int) {
 	var carried float64
 	for _, g := range v.Gateways {
@@ -197,8 +200,8 @@
 	return v
 }
 
-// bound is what no assignment over the pairs given can have its worst member below, by flow:
-// the least load for which all that gateways carry finds its way.
+// bound returns a lower limit for the highest relative load of any assignment over the given pairs, by maximum
+// flow: the lowest limit at which the demand of all gateways can be placed.
 func bound(v View, p parts) float64 {
 	var carried, capacity float64
 	at := map[string]int{}
@@ -219,7 +222,8 @@
 		for g, gw := range v.Gateways {
 			flow[g] = map[int]float64{}
 			for left := gw.Carries / carried; left > 1e-9; {
-				// A shortest way from g to a member with room, back over what others could send elsewhere.
+				// A shortest augmenting path from g to a member with spare capacity, through flows that other
+				// gateways could redirect.
 				from, seen := map[int]int{}, map[int]bool{g: true}
 				end, queue := -1, []int{g}
 				via := map[int]int{}
@@ -276,7 +280,8 @@
 	return low
 }
 
-// TestWays holds claims 2 to 4 for the way taken, and prints the same figures for those that were left.
+// TestWays checks claims 2 to 4 for the algorithm in use, and with -all prints the same figures for the
+// alternatives.
 func TestWays(t *testing.T) {
 	sizes := [][2]int{{2, 3}, {4, 12}, {40, 120}, {120, 12}}
 	if *all {
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -8,7 +8,7 @@
 	"reachwind/internal/fleet/subscribe"
 )
 
-// zones is the agreed plan as this gateway holds it.
+// zones is the agreed zone plan as this gateway applies it.
 type zones struct {
 	number uint64
 	until  time.Duration
@@ -16,13 +16,15 @@
 	stepAt time.Duration
 }
 
-// A plan that is not renewed is left by steps: what a gateway sees itself then counts again, not all at a stroke.
+// A plan that is not renewed is undone in steps, so that the gateway's own observations take effect again
+// gradually.
 const (
 	zoneStep  = 0.25
 	zoneEvery = 3 * time.Second
 )
 
-// zonesTold takes the plan that a voter tells. One with a lower number than the one that is held is of the past.
+// zonesTold handles the plan in a voter's message. A plan with a lower number than the present one is
+// outdated.
 func (f *Fleet) zonesTold(now time.Duration, t *subscribe.Told) {
 	z := &f.zones
 	if t.Plan == 0 || t.Plan < z.number || len(t.Zones) > 64 {
@@ -37,7 +39,7 @@
 	f.zonesAct(away)
 }
 
-// zonesEnd leaves a plan whose term has ended, by steps.
+// zonesEnd undoes a plan whose term has ended, in steps.
 func (f *Fleet) zonesEnd(now time.Duration) {
 	z := &f.zones
 	if len(z.away) == 0 || now < z.until || now < z.stepAt {
