--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -125,7 +125,7 @@
 	if c.Folder != "" {
 		var err error
 		if last, err = readEpoch(c.Folder); err != nil {
-			d.Log.Warn("fleet epoch not read, the clock gives a new one", "err", err)
+			d.Log.Warn("fleet epoch file not readable, a new epoch is derived from the clock", "err", err)
 		}
 	}
 	f := &Fleet{conf: c, deps: d, log: d.Log, begin: time.Now(), saw: make(chan group.Saw, sawMost), asks: make(chan func(), asksMost),
@@ -389,7 +389,7 @@
 // Reload and shutdown.
 
 // ErrRestart is returned for changes that need a restart.
-var ErrRestart = errors.New("listen, advertise, admin, council, zone, region, folder, events and bytes_per_second take a restart")
+var ErrRestart = errors.New("changes of listen, advertise, admin, council, zone, region, folder, events or bytes_per_second need a restart")
 
 // Prepare checks a new configuration and returns the function that applies it: keys, routes and seeds.
 func (f *Fleet) Prepare(c Config) (func(), error) {
@@ -428,16 +428,16 @@
 	select {
 	case f.asks <- func() { do(); close(done) }:
 	case <-t.C:
-		return errors.New("the fleet part is too busy")
+		return errors.New("the fleet component is overloaded: no answer within 2 s")
 	case <-f.ended:
-		return errors.New("the fleet part has ended")
+		return errors.New("the fleet component has stopped")
 	}
 	select {
 	case <-done:
 	case <-t.C:
-		return errors.New("the fleet part is too busy")
+		return errors.New("the fleet component is overloaded: no answer within 2 s")
 	case <-f.ended:
-		return errors.New("the fleet part has ended")
+		return errors.New("the fleet component has stopped")
 	}
 	return nil
 }
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -230,7 +230,7 @@
 	}
 	term, wait := time.Duration(q.TermMs)*time.Millisecond, time.Duration(q.WaitMs)*time.Millisecond
 	if err != nil || term < drain.TermLeast || term > 24*time.Hour || wait < 0 || wait > drainAskMost/2 || len(q.Reason) > 200 {
-		http.Error(w, fmt.Sprintf("no drain: %v, term %v, want from %v, wait %v, want up to %v", err, term, drain.TermLeast, wait, drainAskMost/2), http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("invalid drain request: error %v; term is %v, want at least %v; wait is %v, want at most %v", err, term, drain.TermLeast, wait, drainAskMost/2), http.StatusBadRequest)
 		return
 	}
 	type end struct {
@@ -241,12 +241,12 @@
 	err = f.ask(func() {
 		now := f.now()
 		if !q.Back && len(f.conf.Council) == 0 {
-			over <- end{f.drain.Status(now), "this gateway has no council, and asks nobody for a permit"}
+			over <- end{f.drain.Status(now), "this gateway has no council configured that could grant a permit"}
 			return
 		}
 		if mine := f.group.View.Status().Verdict; !q.Back {
 			if ok, why := view.Allowed(view.StartDrain, mine, view.Whole); !ok {
-				over <- end{f.drain.Status(now), "its verdict is " + mine.String() + ": " + why}
+				over <- end{f.drain.Status(now), "this gateway's verdict is " + mine.String() + ": " + why}
 				return
 			}
 		}
@@ -279,6 +279,6 @@
 		_ = json.NewEncoder(w).Encode(DrainAnswer{e.s, e.why})
 	case <-r.Context().Done():
 	case <-time.After(drainAskMost):
-		http.Error(w, "not over in time: see `reachwind fleet view`", http.StatusServiceUnavailable)
+		http.Error(w, "the drain did not finish in time: see its state in `reachwind fleet view`", http.StatusServiceUnavailable)
 	}
 }
