--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -157,7 +157,7 @@
 var (
 	results = map[string]decide.Result{"pass": decide.Served, "fault": decide.Errored, "no_room": decide.Full,
 		"too_slow": decide.TimedOut, "no_route": decide.Unreachable, "cut": decide.Reset,
-		"undone": decide.Cancelled, "stale_send": decide.NotSent, "none_here": decide.NotHere}
+		"undone": decide.Cancelled, "stale_send": decide.NotSent, "none_here": decide.Misdirected}
 	lists = map[string]decide.EventKind{"Partial": decide.ListChange, "Complete": decide.ListFull,
 		"Persisted": decide.ListSaved, "Error": decide.ListError}
 )
@@ -256,7 +256,7 @@
 		e.Role = decide.Replica
 	}
 	if ms := v >> 2; ms > 0 {
-		e.Stamped, e.Position = true, in.zero+time.Duration(ms)*time.Millisecond
+		e.HasPosition, e.Position = true, in.zero+time.Duration(ms)*time.Millisecond
 	}
 }
 
@@ -283,12 +283,12 @@
 var verbs = map[decide.ActionKind]string{
 	decide.Send: "DELIVER", decide.Cancel: "CANCEL", decide.Refuse: "TURN_AWAY", decide.Fail: "ERROR",
 	decide.Probe: "SAMPLE", decide.Wake: "TIMER", decide.Watch: "FOLLOW",
-	decide.Fetch: "LIST_ALL", decide.Note: "EMIT",
+	decide.Fetch: "LIST_ALL", decide.Notify: "EMIT",
 }
 
 // write puts one action on the wire; write errors show at the flush.
 func (in *instance) write(w *bufio.Writer, a *decide.Action) {
-	if a.Kind == decide.Note && a.Text == "" {
+	if a.Kind == decide.Notify && a.Text == "" {
 		return
 	}
 	_, _ = fmt.Fprintf(w, "%s FrontId=%s", verbs[a.Kind], in.name)
@@ -302,8 +302,8 @@
 		_, _ = fmt.Fprintf(w, " Job=%d Hop=%d", a.Request, a.Attempt)
 	case decide.Refuse:
 		_, _ = fmt.Fprintf(w, " Job=%d", a.Request)
-		if a.After > 0 {
-			_, _ = fmt.Fprintf(w, " HoldOffUs=%d", a.After.Microseconds())
+		if a.RetryAfter > 0 {
+			_, _ = fmt.Fprintf(w, " HoldOffUs=%d", a.RetryAfter.Microseconds())
 		}
 	case decide.Fail:
 		_, _ = fmt.Fprintf(w, " Job=%d", a.Request)
@@ -313,7 +313,7 @@
 		_, _ = fmt.Fprintf(w, " TimeUs=%d Handle=sweep", a.At.Microseconds())
 	case decide.Watch:
 		_, _ = w.WriteString(" Want=1")
-	case decide.Note:
+	case decide.Notify:
 		_, _ = fmt.Fprintf(w, " ReasonText=%s", a.Text)
 	}
 	_ = w.WriteByte('\n')
--- a/decide/api.go
+++ b/decide/api.go
@@ -60,14 +60,14 @@
 	Write                      // a write: only the primary takes it
 )
 
-// Checks tells what a member does with a read that it is too far behind for.
-type Checks int
+// StaleReadPolicy tells what a member does with a read that it is too far behind for.
+type StaleReadPolicy int
 
 // The ways of checking.
 const (
-	ChecksOff    Checks = iota // it answers from what it has
-	ChecksRefuse               // it answers NotHere
-	ChecksWait                 // it waits a while, then answers NotHere
+	StaleReadAnswer StaleReadPolicy = iota // it answers from what it has
+	StaleReadRefuse                        // it answers NotHere
+	StaleReadWait                          // it waits a while, then answers NotHere
 )
 
 // Role is a member's part in its group.
@@ -82,16 +82,16 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name        string
-	Effect      Effect
-	KeyScope    Scope
-	KeyWindow   Time // how long a keyed repeat is dropped, from the first send
-	Aim         Time // an answer by then has its full worth
-	Deadline    Time // what a client waits in all
-	Worth       float64
-	LateWorth   float64 // part of the worth left after Aim
-	Consistency Consistency
-	Bound       Time // for Bounded
+	Name          string
+	Effect        Effect
+	KeyScope      Scope
+	KeyWindow     Time // how long a keyed repeat is dropped, from the first send
+	LatencyTarget Time // an answer by then has its full worth
+	Deadline      Time // what a client waits in all
+	Value         float64
+	LateValue     float64 // part of the worth left after Aim
+	Consistency   Consistency
+	Bound         Time // for Bounded
 }
 
 // Writes tells whether the class's requests write.
@@ -109,31 +109,31 @@
 
 // Config holds the settings a router is given at start.
 type Config struct {
-	Self, Fronts int    // this front's number from 0, and how many there are
-	Zone         string // this front's zone
-	Resolution   Time   // the shortest time between two Steps
-	Classes      []Class
-	Tenants      []Tenant
-	OverShare    float64 // part of the worth left to traffic beyond a share
-
-	MaxAttempts   int  // attempts of one request; 0 = no limit
-	MaxRetryAfter Time // longest wait a client follows; 0 = none can be told
-	MayCancel     bool
-	MayDuplicate  bool // two attempts of a request may be out at once
-	MayProbe      bool
-	MarksRetry    bool // clients flag their repeats
-	AskList       bool // the list of members comes only when asked for
-
-	Checks            Checks
-	RemembersSessions bool // session reads carry no token; commits seen here count
-	AnswersStamped    bool // every answer tells its member's log position
-	KnownAfter        Time // a write counts as known so long after its member answered, though that never came; 0 = once it comes
-
-	ColdShare      float64 // part of its capacity that a member starts with
-	ColdTime       Time    // it is warm by then
-	FallMultiple   float64 // sent more than so many times its capacity
-	FallTime       Time    // for so long, a cold member falls over
-	OnlyDrainBinds bool    // a member that just leaves the list may still be used
+	Self, Fronts    int    // this front's number from 0, and how many there are
+	Zone            string // this front's zone
+	Resolution      Time   // the shortest time between two Steps
+	Classes         []Class
+	Tenants         []Tenant
+	OverShareFactor float64 // part of the worth left to traffic beyond a share
+
+	MaxAttempts        int  // attempts of one request; 0 = no limit
+	MaxRetryAfter      Time // longest wait a client follows; 0 = none can be told
+	MayCancel          bool
+	MayDuplicate       bool // two attempts of a request may be out at once
+	MayProbe           bool
+	ClientsMarkRetries bool // clients flag their repeats
+	ListOnRequest      bool // the list of members comes only when asked for
+
+	StaleReads           StaleReadPolicy
+	RemembersSessions    bool // session reads carry no token; commits seen here count
+	AnswersHavePosition  bool // every answer tells its member's log position
+	AssumeCommittedAfter Time // a write counts as known so long after its member answered, though that never came; 0 = once it comes
+
+	SlowStartFraction float64 // part of its capacity that a member starts with
+	SlowStartTime     Time    // it is warm by then
+	OverloadMultiple  float64 // sent more than so many times its capacity
+	OverloadTime      Time    // for so long, a cold member falls over
+	UseUnlisted       bool    // a member that just leaves the list may still be used
 }
 
 // Validate reports the first fault of the settings.
@@ -145,12 +145,12 @@
 		return fmt.Errorf("decide: config: %d fronts", c.Fronts)
 	case c.Self < 0 || c.Self >= c.Fronts:
 		return fmt.Errorf("decide: config: front %d of %d", c.Self, c.Fronts)
-	case c.Resolution < 0 || c.MaxRetryAfter < 0 || c.ColdTime < 0 || c.FallTime < 0:
+	case c.Resolution < 0 || c.MaxRetryAfter < 0 || c.SlowStartTime < 0 || c.OverloadTime < 0:
 		return errors.New("decide: config: negative time")
-	case c.ColdShare < 0 || c.FallMultiple < 0 || c.OverShare < 0 || c.MaxAttempts < 0:
+	case c.SlowStartFraction < 0 || c.OverloadMultiple < 0 || c.OverShareFactor < 0 || c.MaxAttempts < 0:
 		return errors.New("decide: config: negative share or limit")
-	case c.Checks < ChecksOff || c.Checks > ChecksWait:
-		return fmt.Errorf("decide: config: unknown checks %d", c.Checks)
+	case c.StaleReads < StaleReadAnswer || c.StaleReads > StaleReadWait:
+		return fmt.Errorf("decide: config: unknown checks %d", c.StaleReads)
 	}
 	for i := range c.Classes {
 		k := &c.Classes[i]
@@ -161,9 +161,9 @@
 			return fmt.Errorf("decide: config: class %q: unknown key scope %d", k.Name, k.KeyScope)
 		case k.Consistency < AnyData || k.Consistency > Write:
 			return fmt.Errorf("decide: config: class %q: unknown consistency %d", k.Name, k.Consistency)
-		case k.Aim <= 0 || k.Deadline <= 0 || k.Bound < 0 || k.KeyWindow < 0:
+		case k.LatencyTarget <= 0 || k.Deadline <= 0 || k.Bound < 0 || k.KeyWindow < 0:
 			return fmt.Errorf("decide: config: class %q: aim and deadline must be above 0, no time below", k.Name)
-		case k.Worth < 0 || k.LateWorth < 0:
+		case k.Value < 0 || k.LateValue < 0:
 			return fmt.Errorf("decide: config: class %q: negative worth", k.Name)
 		}
 	}
@@ -175,12 +175,12 @@
 	return nil
 }
 
-// Retune takes new settings from now on, or reports their first fault and changes nothing. What was learned stays:
+// Reconfigure takes new settings from now on, or reports their first fault and changes nothing. What was learned stays:
 // costs of classes by name, members, sessions, and the credit of tenants by place. Tenants keep their places: those
 // of before come first, under their names. Arrive events that name their class in As are read by that, whether these
 // settings hold it, hold another under its name or hold none; a request under way keeps its class and the attempts
 // that were allowed when it arrived. Like Step it is the owner's to call.
-func (r *Router) Retune(cfg Config) error {
+func (r *Router) Reconfigure(cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// MembersMost is how many members a Router keeps; what a longer list names beyond them is not used.
-const MembersMost = 8192
+// MaxMembers is how many members a Router keeps; what a longer list names beyond them is not used.
+const MaxMembers = 8192
 
 // MemberState is what the list says of a member.
 type MemberState int
@@ -223,19 +223,19 @@
 
 // The events.
 const (
-	ListFull        EventKind = iota // Members is the whole list
-	ListSaved                        // Members is the whole list as last held, perhaps old
-	ListChange                       // Members are the entries that changed
-	ListError                        // a Watch or Fetch failed or the watch broke
-	Arrive                           // a request came in
-	FirstByte                        // a streamed answer began; it is the client's now
-	Outcome                          // an attempt ended
-	ClientGone                       // the client left or its time is up; no answer is owed
-	Probed                           // a probe ended
-	Timer                            // a Wake came due
-	Told                             // other gateways say of Member that it is silent; Result Served: that it answers; Role Primary: that it said so
-	Parts                            // what may be used of the shared budgets changed
-	ListUnreachable                  // discovery can't be reached now; a call that is out goes on trying
+	ListFull             EventKind = iota // Members is the whole list
+	ListSaved                             // Members is the whole list as last held, perhaps old
+	ListChange                            // Members are the entries that changed
+	ListError                             // a Watch or Fetch failed or the watch broke
+	Arrive                                // a request came in
+	FirstByte                             // a streamed answer began; it is the client's now
+	Outcome                               // an attempt ended
+	ClientGone                            // the client left or its time is up; no answer is owed
+	Probed                                // a probe ended
+	Timer                                 // a Wake came due
+	PeerReport                            // other gateways say of Member that it is silent; Result Served: that it answers; Role Primary: that it said so
+	BudgetShares                          // what may be used of the shared budgets changed
+	DiscoveryUnreachable                  // discovery can't be reached now; a call that is out goes on trying
 )
 
 // HasList tells that an event of this kind carries members.
@@ -243,10 +243,10 @@
 
 // The budgets that fronts which know each other share, as places in Parts.
 const (
-	ColdPart = iota
-	ProbePart
-	AskPart
-	CustomerPart
+	ColdBudget = iota
+	ProbeBudget
+	DiscoveryBudget
+	TenantBudget
 )
 
 // Result tells how an attempt or a probe ended.
@@ -262,14 +262,14 @@
 	Reset              // the connection broke; may have run
 	Cancelled          // called off; may have run
 	NotSent            // never sent; never ran
-	NotHere            // turned away untouched: not primary, or too far behind
+	Misdirected        // turned away untouched: not primary, or too far behind
 	Rejected           // turned away for what it is: never ran, and no member would take it
 	Stale              // answered from data older than the request must see: has run, and another member may do
 )
 
 // Answered tells that the member answered, whatever it said.
 func (r Result) Answered() bool {
-	return r == Served || r == Errored || r == Full || r == NotHere || r == Rejected || r == Stale
+	return r == Served || r == Errored || r == Full || r == Misdirected || r == Rejected || r == Stale
 }
 
 // MayHaveRun tells that the attempt may have had its effect.
@@ -282,18 +282,18 @@
 	Kind    EventKind
 	Members []Member // lists
 
-	Request   uint64 // Arrive, FirstByte, Outcome, ClientGone
-	Class     int    // Arrive: index in Config.Classes, where As is nil
-	As        *Class // Arrive: the class as it was when the request was taken, for fronts whose settings change; see Router.Retune
-	Tenant    int    // Arrive: index in Config.Tenants, -1 = none
-	Group     int64  // Arrive
-	Session   string // Arrive: the session, if any
-	HasToken  bool   // Arrive: the session has a last write
-	TokenAge  Time   // Arrive: how long ago that was committed
-	AtLeast   Time   // Arrive: a read must also see what was committed by then; 0 = no more than its class says
-	IsRetry   bool   // Arrive: a client's repeat
-	Remaining Time   // Arrive: how long the client waits
-	Waited    Time   // Arrive: how long it has waited already, behind others on its connection
+	Request     uint64 // Arrive, FirstByte, Outcome, ClientGone
+	Class       int    // Arrive: index in Config.Classes, where As is nil
+	ClassDef    *Class // Arrive: the class as it was when the request was taken, for fronts whose settings change; see Router.Retune
+	Tenant      int    // Arrive: index in Config.Tenants, -1 = none
+	Group       int64  // Arrive
+	Session     string // Arrive: the session, if any
+	HasToken    bool   // Arrive: the session has a last write
+	TokenAge    Time   // Arrive: how long ago that was committed
+	MinPosition Time   // Arrive: a read must also see what was committed by then; 0 = no more than its class says
+	IsRetry     bool   // Arrive: a client's repeat
+	Remaining   Time   // Arrive: how long the client waits
+	Waited      Time   // Arrive: how long it has waited already, behind others on its connection
 
 	Member  string // FirstByte, Outcome, Probed
 	Attempt int    // FirstByte, Outcome: its number, from 0 in order of Sends
@@ -302,14 +302,14 @@
 	Ended   bool   // Outcome: the request has its final answer
 	Reused  bool   // Outcome: Reset, of a connection that had been used before
 
-	Role     Role // Outcome: the member's role now, if told
-	Stamped  bool // Outcome: Position was told
-	InDoubt  bool // Outcome of a write that was not Served: it may have committed until Position
-	Position Time // Outcome: log position, or the commit time of a served write
+	Role        Role // Outcome: the member's role now, if told
+	HasPosition bool // Outcome: Position was told
+	InDoubt     bool // Outcome of a write that was not Served: it may have committed until Position
+	Position    Time // Outcome: log position, or the commit time of a served write
 
 	Report Report // Outcome, Probed
 
-	Parts [4]float64 // Parts: of each budget, 1 = this front's own part; above 0
+	BudgetShares [4]float64 // Parts: of each budget, 1 = this front's own part; above 0
 }
 
 // Report is what a member last said of itself; it may be some time old.
@@ -336,23 +336,23 @@
 	Wake              // give one Timer event at At
 	Watch             // ask for list changes from now on
 	Fetch             // ask for the whole list once
-	Note              // Change is newly believed of Member, or of Group's primary
+	Notify            // Change is newly believed of Member, or of Group's primary
 )
 
 // Action is one thing the front must do. Kind tells which fields count.
 type Action struct {
-	Kind    ActionKind
-	Request uint64
-	Member  string
-	Attempt int
-	Timeout Time
-	Before  Time // Send: written whole by then, else not at all; 0 = any time
-	AtLeast Time // Send: a replica's answer that tells an older position is Stale; the member has been demoted unheard
-	After   Time
-	At      Time
-	Change  Change // Note
-	Group   int64  // Note
-	Text    string // Note: the same in words, for a log; once a second at most, else empty
+	Kind        ActionKind
+	Request     uint64
+	Member      string
+	Attempt     int
+	Timeout     Time
+	WriteBy     Time // Send: written whole by then, else not at all; 0 = any time
+	MinPosition Time // Send: a replica's answer that tells an older position is Stale; the member has been demoted unheard
+	RetryAfter  Time
+	At          Time
+	Change      Change // Note
+	Group       int64  // Note
+	Text        string // Note: the same in words, for a log; once a second at most, else empty
 }
 
 // Change is what a Note tells of.
@@ -360,10 +360,10 @@
 
 // The changes.
 const (
-	Suspected    Change = iota // Member is silent or unreachable: it gets trials only
-	Trusted                    // Member answers again
-	PrimaryFound               // Member is its Group's primary, which was lost
-	PrimaryLost                // Group's primary is unknown
+	Suspected      Change = iota // Member is silent or unreachable: it gets trials only
+	Recovered                    // Member answers again
+	PrimaryFound                 // Member is its Group's primary, which was lost
+	PrimaryUnknown               // Group's primary is unknown
 )
 
 // words tells a Note for people.
@@ -371,7 +371,7 @@
 	switch a.Change {
 	case Suspected:
 		return a.Member + " is suspect"
-	case Trusted:
+	case Recovered:
 		return a.Member + " answers again"
 	case PrimaryFound:
 		return fmt.Sprintf("primary of group %d is %s", a.Group, a.Member)
--- a/decide/callpace.go
+++ b/decide/callpace.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// CallPace tells when a front calls discovery, one service for all fronts. Discovery works for one call after another and
+// DiscoveryPacer tells when a front calls discovery, one service for all fronts. Discovery works for one call after another and
 // refuses what has queued for too long, though it does that work all the same: a fleet that calls faster than it is served
 // is never served, and one that calls too slowly hears of changes too late. Fronts and Random have to be set. It is not
 // safe for concurrent use.
-type CallPace struct {
+type DiscoveryPacer struct {
 	Fronts int            // that call the same discovery
 	Random func() float64 // uniform in [0, 1)
 
@@ -45,19 +45,19 @@
 	sizeGrow = 2
 )
 
-// First draws the pause before the first call of a process.
-func (p *CallPace) First() Time {
+// InitialPause draws the pause before the first call of a process.
+func (p *DiscoveryPacer) InitialPause() Time {
 	pause := Time(p.Random() * float64(p.spread()))
 	p.first = max(pause, 20*sweepEvery) // an idle front looks seldom: what comes sooner comes together
 	return pause
 }
 
-func (p *CallPace) spread() Time { return min(spreadEach*Time(p.Fronts), spreadMost) }
+func (p *DiscoveryPacer) spread() Time { return min(spreadEach*Time(p.Fronts), spreadMost) }
 
 // Answered takes that a call that need not wait was answered after so long. All calls of the fleet, one after another,
 // take no more than as many times as long. In a restart of the whole fleet the queue grows evenly over the spread, and
 // how far that had come when this call was made tells what it will grow to.
-func (p *CallPace) Answered(took Time) {
+func (p *DiscoveryPacer) Answered(took Time) {
 	work := took * Time(p.Fronts)
 	if p.first > 0 {
 		work = min(work, p.spread()+Time(float64(took)*float64(p.spread())/float64(p.first)))
@@ -65,15 +65,15 @@
 	if work = max(work, 1); p.work == 0 || work < p.work {
 		p.work = work
 	}
-	p.Watching()
+	p.WatchActive()
 }
 
-// Watching takes that a watch is on: no call has to be made.
-func (p *CallPace) Watching() { p.first, p.refused, p.gap = 0, 0, 0 }
+// WatchActive takes that a watch is on: no call has to be made.
+func (p *DiscoveryPacer) WatchActive() { p.first, p.refused, p.gap = 0, 0, 0 }
 
-// Refused draws the pause after a call that queued for too long. part is the front's part of what the fleet may call, in
+// PauseAfterRefusal draws the pause after a call that queued for too long. part is the front's part of what the fleet may call, in
 // parts of an even share.
-func (p *CallPace) Refused(part float64) Time {
+func (p *DiscoveryPacer) PauseAfterRefusal(part float64) Time {
 	bySize := Time(float64(workEach*Time(p.Fronts)) / part)
 	work, most := bySize, toldAfter
 	if p.work > 0 {
@@ -91,7 +91,7 @@
 }
 
 // backoff draws a pause around a mean that doubles from first up to most.
-func (p *CallPace) backoff(first, most Time) Time {
+func (p *DiscoveryPacer) backoff(first, most Time) Time {
 	mean := cmp.Or(p.gap, first)
 	p.gap = min(2*mean, most)
 	return Time((0.5 + p.Random()) * float64(mean))
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -126,8 +126,8 @@
 
 func newColdSim(d coldDay) *coldSim {
 	cfg := testConfig()
-	cfg.Fronts, cfg.ColdShare, cfg.ColdTime, cfg.FallMultiple, cfg.FallTime = d.routers, 0.24, 12*time.Second, 2.5, time.Second
-	cfg.MarksRetry, cfg.MayDuplicate = d.marked, false
+	cfg.Fronts, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = d.routers, 0.24, 12*time.Second, 2.5, time.Second
+	cfg.ClientsMarkRetries, cfg.MayDuplicate = d.marked, false
 	s := &coldSim{coldDay: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, uint64(d.routers))), now: time.Hour, burst: 1, worst: math.Inf(-1),
 		byID: map[string]*coldMember{}}
 	for range 1000 {
@@ -287,7 +287,7 @@
 		soon(0, Event{Kind: Outcome, Request: a.Request, Attempt: a.Attempt, Member: c.sent[a.Attempt].id, Result: Cancelled})
 	case Refuse:
 		s.refused++
-		s.again(f, c, min(a.After, 300*ms))
+		s.again(f, c, min(a.RetryAfter, 300*ms))
 	case Fail:
 		if s.rng.IntN(2) == 0 {
 			s.again(f, c, 50*ms)
@@ -323,10 +323,10 @@
 
 // part is what m can do now of what it can do warm.
 func (s *coldSim) part(m *coldMember) float64 {
-	if m.started == 0 || s.now >= m.started+s.cfg.ColdTime {
+	if m.started == 0 || s.now >= m.started+s.cfg.SlowStartTime {
 		return 1
 	}
-	return s.cfg.ColdShare + (1-s.cfg.ColdShare)*float64(s.now-m.started)/float64(s.cfg.ColdTime)
+	return s.cfg.SlowStartFraction + (1-s.cfg.SlowStartFraction)*float64(s.now-m.started)/float64(s.cfg.SlowStartTime)
 }
 
 // send plays an attempt at m and returns when it ends.
@@ -338,7 +338,7 @@
 	work := float64(coldCosts[c.class])
 	s.count(f, m, work)
 	if s.cfg.Classes[c.class].Writes() && !m.primary {
-		e.Result, e.Role = NotHere, Replica
+		e.Result, e.Role = Misdirected, Replica
 		return ms
 	}
 	m.free = max(m.free, s.now)
@@ -347,7 +347,7 @@
 		return ms
 	}
 	m.free += Time(work / (m.capacity * s.part(m)) * float64(time.Second))
-	e.Result, e.Ended, e.Role, e.Stamped, e.Position = Served, true, m.role(), true, s.position(m)
+	e.Result, e.Ended, e.Role, e.HasPosition, e.Position = Served, true, m.role(), true, s.position(m)
 	return max(m.free-s.now, Time(work*(0.9+0.2*s.rng.Float64())))
 }
 
@@ -360,10 +360,10 @@
 	}
 	told := f.started[m.id] == m.started
 	m.window = append(m.window, coldWork{s.now, work / s.mean, told})
-	for len(m.window) > 0 && m.window[0].at <= s.now-s.cfg.FallTime {
+	for len(m.window) > 0 && m.window[0].at <= s.now-s.cfg.OverloadTime {
 		m.window = m.window[1:]
 	}
-	n := s.cfg.FallMultiple * m.capacity * part * s.cfg.FallTime.Seconds() / s.mean
+	n := s.cfg.OverloadMultiple * m.capacity * part * s.cfg.OverloadTime.Seconds() / s.mean
 	sum := 0.0
 	for _, w := range m.window {
 		if w.told {
@@ -430,7 +430,7 @@
 		if part := s.part(m); part < 1 && m.up {
 			for _, f := range s.fronts {
 				if f.started[m.id] == m.started && part < coldUsed {
-					s.could += s.cfg.FallMultiple * m.capacity * part * tick.Seconds() / s.mean * f.rate / s.rate / float64(s.routers)
+					s.could += s.cfg.OverloadMultiple * m.capacity * part * tick.Seconds() / s.mean * f.rate / s.rate / float64(s.routers)
 				}
 			}
 			s.account(m)
@@ -590,7 +590,7 @@
 				}
 			}
 			cfg := &p.g.r.cfg // at the end, so the most that was allowed
-			n := usual * cfg.FallMultiple * cfg.FallTime.Seconds() * (cfg.ColdShare + (1-cfg.ColdShare)*(2+c.lull.Seconds())/cfg.ColdTime.Seconds())
+			n := usual * cfg.OverloadMultiple * cfg.OverloadTime.Seconds() * (cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*(2+c.lull.Seconds())/cfg.SlowStartTime.Seconds())
 			all := 0
 			for _, id := range c.cold {
 				t.Logf("%s: %d sent, %.1f allowed", id, p.sent[id], n)
@@ -641,7 +641,7 @@
 // boot puts a new router in the place of the one before.
 func (p *coldPlay) boot() {
 	cfg := testConfig()
-	cfg.Fronts, cfg.MarksRetry = 1, p.marked
+	cfg.Fronts, cfg.ClientsMarkRetries = 1, p.marked
 	r, err := New(cfg, 9)
 	if err != nil {
 		p.g.t.Fatal(err)
@@ -694,13 +694,13 @@
 		case Send:
 			p.sent[a.Member]++
 			m := p.members[a.Member]
-			e := Event{Kind: Outcome, Request: a.Request, Member: m.ID, Role: Replica, Stamped: true, Position: p.g.now, Ended: true}
+			e := Event{Kind: Outcome, Request: a.Request, Member: m.ID, Role: Replica, HasPosition: true, Position: p.g.now, Ended: true}
 			e.Attempt = len(p.g.r.requests[a.Request].attempts) - 1
 			if m.Primary {
 				e.Role = Primary
 			}
 			if p.writes[a.Request] && !m.Primary {
-				e.Result, e.Ended = NotHere, false
+				e.Result, e.Ended = Misdirected, false
 			} else if p.full && m.Started != 0 {
 				e.Result, e.Ended = Full, false
 			}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -97,7 +97,7 @@
 		members: map[string]*member{}, groups: map[int64]*group{}, parts: [4]float64{1, 1, 1, 1},
 		requests: map[uint64]*request{}, retries: retryMost,
 		wakeAt: never, logAt: never, sweptAt: never, sweptAllAt: never, savedUntil: forever, askedAt: never}
-	r.calls = CallPace{Fronts: cfg.Fronts, Random: r.rng.Float64}
+	r.calls = DiscoveryPacer{Fronts: cfg.Fronts, Random: r.rng.Float64}
 	r.tune(cfg)
 	return r, nil
 }
@@ -132,7 +132,7 @@
 
 // note tells of a change, once a second also in words.
 func (r *Router) note(c Change, g *group, member string) {
-	a := Action{Kind: Note, Change: c, Group: g.id, Member: member}
+	a := Action{Kind: Notify, Change: c, Group: g.id, Member: member}
 	if r.now >= r.logAt {
 		r.logAt, a.Text = r.now+logEvery, a.words()
 	}
@@ -142,7 +142,7 @@
 func (r *Router) take(e *Event) {
 	q := r.requests[e.Request]
 	switch e.Kind {
-	case ListFull, ListSaved, ListChange, ListError, ListUnreachable:
+	case ListFull, ListSaved, ListChange, ListError, DiscoveryUnreachable:
 		r.takeList(e)
 	case Arrive:
 		r.arrive(e)
@@ -159,10 +159,10 @@
 		}
 	case Probed:
 		r.probed(e)
-	case Told:
+	case PeerReport:
 		r.told(e)
-	case Parts:
-		r.parts = e.Parts
+	case BudgetShares:
+		r.parts = e.BudgetShares
 	}
 }
 
@@ -248,19 +248,19 @@
 
 func (r *Router) arrive(e *Event) {
 	var k *class
-	if e.As != nil {
-		k = r.classOf(e.As)
+	if e.ClassDef != nil {
+		k = r.classOf(e.ClassDef)
 	} else {
 		k = r.classes[e.Class]
 	}
 	q := &request{id: e.Request, class: k, group: r.groups[e.Group], session: e.Session, arrived: r.now,
-		most: r.cfg.MaxAttempts, aim: r.now + k.Aim - e.Waited, deadline: r.now + e.Remaining, token: never,
+		most: r.cfg.MaxAttempts, aim: r.now + k.LatencyTarget - e.Waited, deadline: r.now + e.Remaining, token: never,
 		floor: never, luck: r.rng.Float64()}
 	r.requests[q.id] = q
 	r.open = append(r.open, q)
 	r.retries = min(retryMost, r.retries+retryEarn)
 	r.asked(k, !e.IsRetry)
-	worth := k.Worth * r.share(e.Tenant)
+	worth := k.Value * r.share(e.Tenant)
 	if !e.IsRetry {
 		k.longest = max(k.longest, e.Remaining+e.Waited)
 	} else if e.Remaining+e.Waited < k.longest-clockSlack { // what the deadline leaves tells when it began
@@ -272,8 +272,8 @@
 		return
 	}
 	q.group.activeAt = r.now
-	if e.AtLeast > 0 {
-		q.floor = e.AtLeast
+	if e.MinPosition > 0 {
+		q.floor = e.MinPosition
 	}
 	if c, ok := q.group.sessions[q.session]; ok {
 		q.token = c
@@ -290,10 +290,10 @@
 		return 1
 	}
 	for i := range r.credit {
-		r.credit[i] = min(retryMost, r.credit[i]+r.cfg.Tenants[i].Share*r.parts[CustomerPart])
+		r.credit[i] = min(retryMost, r.credit[i]+r.cfg.Tenants[i].Share*r.parts[TenantBudget])
 	}
-	if !r.spend(CustomerPart, r.credit[tenant] >= 1) {
-		return max(r.cfg.OverShare, 0.01)
+	if !r.spend(TenantBudget, r.credit[tenant] >= 1) {
+		return max(r.cfg.OverShareFactor, 0.01)
 	}
 	r.credit[tenant]--
 	return 1
@@ -301,7 +301,7 @@
 
 // usefulUntil is when an answer stops being worth anything.
 func (q *request) usefulUntil() Time {
-	if q.class.LateWorth > 0 {
+	if q.class.LateValue > 0 {
 		return q.deadline
 	}
 	return min(q.aim, q.deadline)
@@ -316,7 +316,7 @@
 func (r *Router) giveUp(q *request, after Time) {
 	a := Action{Kind: Fail, Request: q.id}
 	if q.mayRefuse() {
-		a.Kind, a.After = Refuse, min(after, r.cfg.MaxRetryAfter)
+		a.Kind, a.RetryAfter = Refuse, min(after, r.cfg.MaxRetryAfter)
 	}
 	r.do(a)
 	r.callOff(q)
@@ -404,7 +404,7 @@
 
 // unheard is until when a write of q's session that is out may have committed, its answer lost on the way.
 func (r *Router) unheard(q *request) Time {
-	known := r.now - r.cfg.KnownAfter
+	known := r.now - r.cfg.AssumeCommittedAfter
 	for _, m := range q.group.members {
 		for _, a := range m.open {
 			if a.q.class.Writes() && a.q.session == q.session && a.sent < known && known < r.now {
@@ -432,7 +432,7 @@
 			continue
 		}
 		if m.pos < need {
-			if r.cfg.Checks != ChecksOff && r.room(m, q, 1) && (ahead == nil || m.pos > ahead.pos) {
+			if r.cfg.StaleReads != StaleReadAnswer && r.room(m, q, 1) && (ahead == nil || m.pos > ahead.pos) {
 				ahead = m
 			}
 			continue
@@ -538,14 +538,14 @@
 	}
 	if m.suspect { // a trial needs the time to be answered
 		left := float64(q.usefulUntil() - r.now)
-		return r.now >= m.trialAt && len(m.open) == 0 && left > freshTry*float64(q.class.Aim)
+		return r.now >= m.trialAt && len(m.open) == 0 && left > freshTry*float64(q.class.LatencyTarget)
 	}
 	return true
 }
 
 // tooLate tells that m would most likely answer too late. What is not held is always worth a try.
 func (r *Router) tooLate(q *request, m *member) bool {
-	takes := min(lateTimes*q.class.cost*m.slowness(r.now), freshTry*float64(q.class.Aim))
+	takes := min(lateTimes*q.class.cost*m.slowness(r.now), freshTry*float64(q.class.LatencyTarget))
 	return float64(q.usefulUntil()-r.now) < takes
 }
 
@@ -573,11 +573,11 @@
 		m.trialGap = min(2*m.trialGap, trialMost)
 	}
 	act := Action{Kind: Send, Request: q.id, Member: m.ID, Timeout: max(q.usefulUntil()-r.now, clockSlack),
-		AtLeast: r.need(q)}
-	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() && r.cfg.Checks == ChecksOff {
-		act.Before = m.pos + k.Bound // what is known of m does no longer
+		MinPosition: r.need(q)}
+	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() && r.cfg.StaleReads == StaleReadAnswer {
+		act.WriteBy = m.pos + k.Bound // what is known of m does no longer
 	} else if k.Effect == Keyed && q.riskSet {
-		act.Before = q.riskAt + k.KeyWindow // it may wait for a connection
+		act.WriteBy = q.riskAt + k.KeyWindow // it may wait for a connection
 	}
 	r.do(act)
 }
@@ -634,13 +634,13 @@
 // learnAnswer takes what an answer says of positions, roles and commits.
 func (r *Router) learnAnswer(m *member, q *request, e *Event) {
 	write := q.class.Writes() && (e.Result == Served || e.InDoubt)
-	if s := q.group.sessions; write && e.Stamped && r.cfg.RemembersSessions && q.session != "" {
+	if s := q.group.sessions; write && e.HasPosition && r.cfg.RemembersSessions && q.session != "" {
 		s[q.session] = max(s[q.session], e.Position)
 	}
-	if e.Stamped && !write && e.Role == Replica {
+	if e.HasPosition && !write && e.Role == Replica {
 		r.learnPosition(m, e.Position)
 	}
-	if e.Result == NotHere && q.class.Consistency == Write { // whatever it says, it is no primary now
+	if e.Result == Misdirected && q.class.Consistency == Write { // whatever it says, it is no primary now
 		r.learnRole(m, Replica, r.now)
 	} else {
 		r.learnRole(m, e.Role, r.now)
@@ -672,7 +672,7 @@
 			}
 		}
 		fallthrough
-	case Errored, NotHere, Full, Rejected, Stale:
+	case Errored, Misdirected, Full, Rejected, Stale:
 		if e.Result == Errored {
 			r.erred(m)
 		}
@@ -682,7 +682,7 @@
 		}
 		if m.suspect {
 			m.suspect, m.trialGap = false, trialFirst
-			r.note(Trusted, m.group, m.ID)
+			r.note(Recovered, m.group, m.ID)
 		}
 		if e.Result == Full {
 			r.cutLimit(m)
@@ -729,10 +729,10 @@
 	k := a.q.class
 	w := min(blendMost, max(blend, float64(r.now-m.learnt)/float64(blendTime)))
 	m.stretch += w * (min(took/k.cost, stretchMax) - m.stretch)
-	m.strain += w * (min(took/float64(k.Aim), 2) - m.strain)
+	m.strain += w * (min(took/float64(k.LatencyTarget), 2) - m.strain)
 	of := r.alike(m)
 	w = min(blendMost, max(blend, float64(r.now-of.learnt)/float64(blendTime)))
-	of.strain += w * (min(took/float64(k.Aim), 2) - of.strain)
+	of.strain += w * (min(took/float64(k.LatencyTarget), 2) - of.strain)
 	m.learnt, of.learnt = r.now, r.now
 	if m.strain > strainAim {
 		r.cutLimit(m)
@@ -789,7 +789,7 @@
 // Cold start.
 
 func (r *Router) cold(m *member) bool {
-	return m.Started != 0 && r.cfg.FallMultiple > 0 && r.now < m.Started+r.cfg.ColdTime
+	return m.Started != 0 && r.cfg.OverloadMultiple > 0 && r.now < m.Started+r.cfg.SlowStartTime
 }
 
 // coldRoom keeps to a cold member's budget: each front asks of one the cold part of what is usual, and what
@@ -802,12 +802,12 @@
 	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // hopeless asks too
 		return false
 	}
-	part := r.cfg.ColdShare + (1-r.cfg.ColdShare)*float64(r.now-m.Started)/float64(max(r.cfg.ColdTime, 1))
-	rate := r.usual() * part * r.cfg.FallMultiple * coldShare * r.parts[ColdPart]
-	m.ramp.add(r.now, rate, float64(r.cfg.FallTime))
+	part := r.cfg.SlowStartFraction + (1-r.cfg.SlowStartFraction)*float64(r.now-m.Started)/float64(max(r.cfg.SlowStartTime, 1))
+	rate := r.usual() * part * r.cfg.OverloadMultiple * coldShare * r.parts[ColdBudget]
+	m.ramp.add(r.now, rate, float64(r.cfg.OverloadTime))
 	yes := m.ramp.turn(q.class.cost, !q.hasTurn())
 	q.took(m, turn{sent, yes})
-	return r.spend(ColdPart, yes)
+	return r.spend(ColdBudget, yes)
 }
 
 // The sweep: deadlines, silence, rescue, probing and asking.
@@ -882,7 +882,7 @@
 // rescue sends elsewhere what a member sits on: as a second copy if that is allowed, else called off first.
 func (r *Router) rescue(q *request) {
 	a := q.attempts[slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.done })]
-	late := r.waits == 0 && r.now-a.sent > Time(rescueAt*float64(q.class.Aim))
+	late := r.waits == 0 && r.now-a.sent > Time(rescueAt*float64(q.class.LatencyTarget))
 	// a trial of a suspect must be left the time to be answered
 	stuck := a.m.suspect && (a.sent <= a.m.suspectAt || r.now-a.sent > r.patience(a.m, a.cost))
 	lost := r.lost(a)
@@ -908,7 +908,7 @@
 	p := g.primary()
 	if p == nil && !g.lost {
 		g.lost = true
-		r.note(PrimaryLost, g, "")
+		r.note(PrimaryUnknown, g, "")
 	}
 	if !r.cfg.MayProbe || !g.leaderless(p) || r.now-g.wanted > 2*sweepEvery {
 		return
@@ -948,7 +948,7 @@
 
 // probe asks m for its report, unless all fronts together might ask too often.
 func (r *Router) probe(m *member) bool {
-	if r.barred(m) || !r.spend(ProbePart, r.now-m.probedAt >= r.each(probeEach, ProbePart)) {
+	if r.barred(m) || !r.spend(ProbeBudget, r.now-m.probedAt >= r.each(probeEach, ProbeBudget)) {
 		return false
 	}
 	m.probedAt, m.probing = r.now, true
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,15 +13,15 @@
 func testConfig() Config {
 	return Config{
 		Fronts: 2, Zone: "a", Resolution: ms, MaxAttempts: 5, MayCancel: true, MayProbe: true, RemembersSessions: true,
-		AnswersStamped: true, ColdShare: 0.3, ColdTime: 10 * time.Second, FallMultiple: 2, FallTime: 2 * time.Second,
+		AnswersHavePosition: true, SlowStartFraction: 0.3, SlowStartTime: 10 * time.Second, OverloadMultiple: 2, OverloadTime: 2 * time.Second,
 		MaxRetryAfter: 500 * ms,
 		Classes: []Class{
-			{Name: "any", Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-			{Name: "bounded", Aim: 200 * ms, Deadline: time.Second, Worth: 1, Consistency: Bounded, Bound: 100 * ms},
-			{Name: "session", Aim: 200 * ms, Deadline: time.Second, Worth: 1, Consistency: Session},
-			{Name: "fresh", Aim: 200 * ms, Deadline: time.Second, Worth: 1, Consistency: Fresh},
-			{Name: "once", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 3, LateWorth: 0.5, Consistency: Write, Effect: Once},
-			{Name: "keyed", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 3, LateWorth: 0.5, Consistency: Write,
+			{Name: "any", LatencyTarget: 200 * ms, Deadline: time.Second, Value: 1},
+			{Name: "bounded", LatencyTarget: 200 * ms, Deadline: time.Second, Value: 1, Consistency: Bounded, Bound: 100 * ms},
+			{Name: "session", LatencyTarget: 200 * ms, Deadline: time.Second, Value: 1, Consistency: Session},
+			{Name: "fresh", LatencyTarget: 200 * ms, Deadline: time.Second, Value: 1, Consistency: Fresh},
+			{Name: "once", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 3, LateValue: 0.5, Consistency: Write, Effect: Once},
+			{Name: "keyed", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 3, LateValue: 0.5, Consistency: Write,
 				Effect: Keyed, KeyScope: ScopeGroup, KeyWindow: time.Second},
 		},
 	}
@@ -84,7 +84,7 @@
 func (g *rig) answer(id uint64, attempt int, m string, res Result, role Role, pos Time) []Action {
 	e := Event{Kind: Outcome, Request: id, Attempt: attempt, Member: m, Result: res, Role: role, Ended: res == Served}
 	if pos != 0 {
-		e.Stamped, e.Position = true, pos
+		e.HasPosition, e.Position = true, pos
 	}
 	return g.step(e)
 }
@@ -214,14 +214,14 @@
 
 // Stores that check: the most advanced replica first, the primary when that one turns the read away.
 func TestCheckedReads(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.Checks = ChecksRefuse }, members())
+	g := newRig(t, func(c *Config) { c.StaleReads = StaleReadRefuse }, members())
 	g.tell("q", g.now-300*ms)
 	g.tell("s", g.now-500*ms)
 	if got := g.sentTo(g.arrive(1, bounded, time.Second, ""), 1); got != "q" {
 		t.Fatalf("sent to %s, want the most advanced, q", got)
 	}
 	g.now += 2 * ms
-	if got := g.sentTo(g.answer(1, 0, "q", NotHere, Replica, g.now-290*ms), 1); got == "q" {
+	if got := g.sentTo(g.answer(1, 0, "q", Misdirected, Replica, g.now-290*ms), 1); got == "q" {
 		t.Error("sent again at once to the member that turned it away")
 	}
 }
@@ -231,14 +231,14 @@
 	g.arrive(1, once, 2*time.Second, "u")
 	g.now += 2 * ms
 	for no, last := 0, "p"; no < 2; no++ { // the write itself looks for the new primary, member by member
-		m := g.sentTo(g.answer(1, no, last, NotHere, Replica, 0), 1)
+		m := g.sentTo(g.answer(1, no, last, Misdirected, Replica, 0), 1)
 		if m == last || m == "p" {
 			t.Fatalf("tried %s after %s", m, last)
 		}
 		last = m
 	}
 	g.now += 2 * ms
-	if as := g.answer(1, 2, g.r.requests[1].attempts[2].m.ID, NotHere, Replica, 0); len(pick(as, Send, 1)) != 0 {
+	if as := g.answer(1, 2, g.r.requests[1].attempts[2].m.ID, Misdirected, Replica, 0); len(pick(as, Send, 1)) != 0 {
 		t.Fatal("sent again with all known as replicas a moment ago")
 	}
 	g.run(60 * ms)
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	g := newRig(t, func(c *Config) { c.OnlyDrainBinds = true }, []Member{{ID: "p", Primary: true}, {ID: "q"}})
+	g := newRig(t, func(c *Config) { c.UseUnlisted = true }, []Member{{ID: "p", Primary: true}, {ID: "q"}})
 	g.step(Event{Kind: ListFull, Members: []Member{{ID: "p", Primary: true}}})
 	if got := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1); got != "q" {
 		t.Errorf("where only a drain binds, a member that left the list stays in use: sent to %s", got)
@@ -322,7 +322,7 @@
 				}
 			}
 			cfg := testConfig()
-			cfg.Self, cfg.Fronts, cfg.ColdShare, cfg.ColdTime, cfg.FallMultiple = i, fronts, 0.24, 1000*time.Hour, 2.5
+			cfg.Self, cfg.Fronts, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple = i, fronts, 0.24, 1000*time.Hour, 2.5
 			r, err := New(cfg, uint64(i+1))
 			if err != nil {
 				t.Fatal(err)
@@ -383,8 +383,8 @@
 			as := g.arrive(id, anyRead, time.Second, "")
 			sent += len(pick(as, Send, id))
 			for _, a := range pick(as, Refuse, id) {
-				if refused++; a.After <= 0 || a.After > 100*ms {
-					t.Errorf("told to come back after %v, too late to be of use", a.After)
+				if refused++; a.RetryAfter <= 0 || a.RetryAfter > 100*ms {
+					t.Errorf("told to come back after %v, too late to be of use", a.RetryAfter)
 				}
 			}
 		}
@@ -446,7 +446,7 @@
 func TestUselessSavedList(t *testing.T) {
 	for name, saved := range map[string][]Member{"empty": nil, "gone": {{ID: "x"}, {ID: "y"}}} {
 		cfg := testConfig()
-		cfg.AskList, cfg.Fronts = true, 80
+		cfg.ListOnRequest, cfg.Fronts = true, 80
 		r, err := New(cfg, 3)
 		if err != nil {
 			t.Fatal(err)
@@ -708,7 +708,7 @@
 }
 
 func TestDiscoveryIsAskedAgain(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.AskList = true }, members())
+	g := newRig(t, func(c *Config) { c.ListOnRequest = true }, members())
 	asks := 0
 	for i := 0; i < 5; i++ {
 		for _, a := range g.run(6 * time.Second) {
@@ -732,7 +732,7 @@
 		var sum, most Time
 		for seed := range uint64(20) {
 			cfg := testConfig()
-			cfg.AskList, cfg.Fronts = true, fronts
+			cfg.ListOnRequest, cfg.Fronts = true, fronts
 			r, err := New(cfg, seed)
 			if err != nil {
 				t.Fatal(err)
@@ -761,11 +761,11 @@
 func TestConfigFaults(t *testing.T) {
 	tests := map[string]func(*Config){
 		"no classes":          func(c *Config) { c.Classes = nil },
-		"negative time":       func(c *Config) { c.ColdTime = -1 },
+		"negative time":       func(c *Config) { c.SlowStartTime = -1 },
 		"unknown effect":      func(c *Config) { c.Classes[0].Effect = 9 },
 		"unknown consistency": func(c *Config) { c.Classes[0].Consistency = 9 },
 		"front out of range":  func(c *Config) { c.Self = 2 },
-		"no aim":              func(c *Config) { c.Classes[0].Aim = 0 },
+		"no aim":              func(c *Config) { c.Classes[0].LatencyTarget = 0 },
 	}
 	for name, change := range tests {
 		cfg := testConfig()
@@ -839,10 +839,10 @@
 	if m := g.sentTo(append(g.arrive(1e6, session, time.Second, "s1"), g.run(100*ms)...), 1e6); m != "p" {
 		t.Errorf("read of a forgotten session sent to %s, which lags", m)
 	}
-	for i := range 2 * MembersMost {
+	for i := range 2 * MaxMembers {
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: fmt.Sprint("n", i)}}})
 	}
-	if n := len(g.r.members); n != MembersMost {
+	if n := len(g.r.members); n != MaxMembers {
 		t.Errorf("%d members kept", n)
 	}
 }
@@ -850,7 +850,7 @@
 // Long any reads go to the replica furthest behind, so that the others keep applying (incident icd29a7).
 func TestLongReadsGather(t *testing.T) {
 	g := newRig(t, func(c *Config) {
-		c.Classes = append(c.Classes, Class{Name: "long", Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 5})
+		c.Classes = append(c.Classes, Class{Name: "long", LatencyTarget: 4 * time.Second, Deadline: 8 * time.Second, Value: 5})
 	}, append(members(), Member{ID: "x", Zone: "a"}))
 	g.tell("q", g.now-10*ms)
 	g.tell("x", g.now-10*ms)
@@ -1013,7 +1013,7 @@
 	}
 	for id := uint64(1); id < 4; id++ { // q answers at its aim
 		q := &request{class: g.r.classes[anyRead]}
-		g.r.observe(g.r.members["q"], &attempt{q: q, m: g.r.members["q"]}, float64(q.class.Aim))
+		g.r.observe(g.r.members["q"], &attempt{q: q, m: g.r.members["q"]}, float64(q.class.LatencyTarget))
 		g.now += time.Second
 		g.run(5 * ms)
 	}
@@ -1025,7 +1025,7 @@
 // A write whose answer was lost on the way may have committed: its session's reads must see it, while it is out and
 // after it has ended in doubt.
 func TestWriteInDoubtBindsItsSession(t *testing.T) {
-	known := func(c *Config) { c.KnownAfter = 80 * ms }
+	known := func(c *Config) { c.AssumeCommittedAfter = 80 * ms }
 	fresh := func(g *rig) { g.tell("q", g.now-10*ms); g.tell("s", g.now-10*ms) }
 	t.Run("out", func(t *testing.T) {
 		g := newRig(t, known, members())
@@ -1052,7 +1052,7 @@
 			g := newRig(t, func(c *Config) { known(c); c.MaxAttempts = 1 }, members())
 			g.arrive(1, once, time.Second, "u")
 			g.now += 50 * ms
-			g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: end, InDoubt: true, Stamped: true, Position: g.now})
+			g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: end, InDoubt: true, HasPosition: true, Position: g.now})
 			fresh(g)
 			g.now += 5 * ms
 			for _, a := range pick(append(g.arrive(2, session, time.Second, "u"), g.run(60*ms)...), Send, 2) { // none, where p is suspect now
@@ -1075,7 +1075,7 @@
 		if got := pick(append(g.arrive(2, session, time.Second, "u"), g.run(20*ms)...), Send, 2); len(got) > 0 {
 			t.Fatalf("sent %v while the write is out", got)
 		}
-		got := g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: Reset, InDoubt: true, Stamped: true, Position: g.now})
+		got := g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: Reset, InDoubt: true, HasPosition: true, Position: g.now})
 		if got = pick(append(got, g.run(20*ms)...), Send, 2); len(got) > 0 {
 			t.Errorf("sent %v, which may lack the write", got)
 		}
@@ -1098,17 +1098,17 @@
 // names what its answer must hold.
 func TestSendNamesItsBounds(t *testing.T) {
 	g := newRig(t, nil, members())
-	if read := pick(g.arrive(2, fresh, time.Second, ""), Send, 2); len(read) != 1 || read[0].AtLeast != g.now {
+	if read := pick(g.arrive(2, fresh, time.Second, ""), Send, 2); len(read) != 1 || read[0].MinPosition != g.now {
 		t.Errorf("read %+v, want at least what was committed at %v", read, g.now)
 	}
 	first := pick(g.arrive(1, keyed, 3*time.Second, "u"), Send, 1)
 	at := g.now
-	if len(first) != 1 || first[0].Before != 0 {
+	if len(first) != 1 || first[0].WriteBy != 0 {
 		t.Fatalf("the first attempt has no window: %+v", first)
 	}
 	g.now += 200 * ms
 	again := pick(append(g.answer(1, 0, "p", Reset, RoleUnknown, 0), g.run(100*ms)...), Send, 1)
-	if len(again) != 1 || again[0].Before != at+time.Second {
+	if len(again) != 1 || again[0].WriteBy != at+time.Second {
 		t.Errorf("repeat %+v, want it written before %v", again, at+time.Second)
 	}
 }
@@ -1135,7 +1135,7 @@
 					served++
 					break
 				}
-				as = g.answer(id, n, s[0].Member, NotHere, Replica, 0)
+				as = g.answer(id, n, s[0].Member, Misdirected, Replica, 0)
 			}
 			g.now += 20 * ms
 		}
@@ -1151,7 +1151,7 @@
 	for i := range list {
 		list[i].Started = time.Hour - time.Second
 	}
-	g := newRig(t, func(c *Config) { c.ColdTime, c.FallMultiple = time.Minute, 0 }, list)
+	g := newRig(t, func(c *Config) { c.SlowStartTime, c.OverloadMultiple = time.Minute, 0 }, list)
 	for id := uint64(1); id <= 40; id++ {
 		g.sentTo(g.arrive(id, anyRead, time.Second, ""), id)
 	}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,10 +10,10 @@
 // A read follows a write of its session; then the group's primary changes.
 func Example() {
 	cfg := decide.Config{
-		Fronts: 1, RemembersSessions: true, AnswersStamped: true, MayProbe: true,
+		Fronts: 1, RemembersSessions: true, AnswersHavePosition: true, MayProbe: true,
 		Classes: []decide.Class{
-			{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1, Consistency: decide.Session},
-			{Name: "write", Aim: time.Second, Deadline: 3 * time.Second, Worth: 3, LateWorth: 0.5,
+			{Name: "read", LatencyTarget: 200 * time.Millisecond, Deadline: time.Second, Value: 1, Consistency: decide.Session},
+			{Name: "write", LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 3, LateValue: 0.5,
 				Consistency: decide.Write, Effect: decide.Once},
 		},
 	}
@@ -37,12 +37,12 @@
 	step(decide.Event{Kind: decide.ListSaved, Members: []decide.Member{{ID: "old", Primary: true}, {ID: "new"}}})
 	step(arrive(1, 1))
 	step(decide.Event{Kind: decide.Outcome, Request: 1, Member: "old", Result: decide.Served, Ended: true,
-		Role: decide.Primary, Stamped: true, Position: now})
+		Role: decide.Primary, HasPosition: true, Position: now})
 	step(arrive(2, 0)) // no replica is known to have the write, and a probe does not show one
 	step(decide.Event{Kind: decide.Probed, Member: "new", Result: decide.TimedOut})
 	step(decide.Event{Kind: decide.Outcome, Request: 2, Member: "old", Result: decide.Served, Ended: true, Role: decide.Primary})
 	step(arrive(3, 1))
-	step(decide.Event{Kind: decide.Outcome, Request: 3, Member: "old", Result: decide.NotHere, Role: decide.Replica})
+	step(decide.Event{Kind: decide.Outcome, Request: 3, Member: "old", Result: decide.Misdirected, Role: decide.Replica})
 	step(decide.Event{Kind: decide.Probed, Member: "new", Result: decide.Served,
 		Report: decide.Report{HasPosition: true, Position: now, HasRole: true, Role: decide.Primary}})
 	// Output:
--- a/decide/memberlist.go
+++ b/decide/memberlist.go
@@ -10,7 +10,7 @@
 
 // askList asks discovery for changes from now on, where that is due.
 func (r *Router) askList() {
-	if r.cfg.AskList && r.now >= r.askAt {
+	if r.cfg.ListOnRequest && r.now >= r.askAt {
 		r.askAt, r.askedAt = r.now+askLost, r.now
 		r.do(Action{Kind: Watch})
 	}
@@ -20,14 +20,14 @@
 func (r *Router) pace(e *Event) {
 	switch e.Kind {
 	case ListSaved:
-		r.askAt = r.now + r.calls.First()
+		r.askAt = r.now + r.calls.InitialPause()
 		r.trustSaved(e.Members)
-	case ListUnreachable: // the old list holds
+	case DiscoveryUnreachable: // the old list holds
 		r.savedUntil = forever
 	case ListError: // the same
 		r.savedUntil = forever
-		r.askAt, r.askedAt = r.now+r.calls.Refused(r.parts[AskPart]), never
-		r.spend(AskPart, false)
+		r.askAt, r.askedAt = r.now+r.calls.PauseAfterRefusal(r.parts[DiscoveryBudget]), never
+		r.spend(DiscoveryBudget, false)
 	default:
 		if r.askedAt != never {
 			r.calls.Answered(r.now - r.askedAt)
@@ -37,7 +37,7 @@
 }
 
 func (r *Router) takeList(e *Event) {
-	if r.cfg.AskList {
+	if r.cfg.ListOnRequest {
 		r.pace(e)
 	}
 	named := make(map[string]bool, len(e.Members))
@@ -51,7 +51,7 @@
 	for _, g := range r.order {
 		for _, m := range g.members {
 			if !named[m.ID] {
-				m.gone, m.State = !r.cfg.OnlyDrainBinds, Removed
+				m.gone, m.State = !r.cfg.UseUnlisted, Removed
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 		if !m.gone && (m.State != Removed || !m.suspect) || len(m.open) > 0 {
 			m.left = r.now
 		}
-		drop := r.now-m.left > goneKeep || r.now > m.left && len(r.members) > MembersMost/2
+		drop := r.now-m.left > goneKeep || r.now > m.left && len(r.members) > MaxMembers/2
 		if drop {
 			delete(r.members, m.ID)
 		}
@@ -80,7 +80,7 @@
 func (r *Router) listed(l Member) {
 	m := r.members[l.ID]
 	if m == nil {
-		if l.State == Removed || len(r.members) >= MembersMost {
+		if l.State == Removed || len(r.members) >= MaxMembers {
 			return
 		}
 		g := r.groups[l.Group]
@@ -103,7 +103,7 @@
 	}
 	m.Member = l
 	m.ramp.open(l.Started, r.now, r.rng)
-	m.gone = l.State == Removed && !r.cfg.OnlyDrainBinds
+	m.gone = l.State == Removed && !r.cfg.UseUnlisted
 	if l.Primary && l.State == Up {
 		at := r.now - listLag
 		if p := m.group.primary(); m.roleAt <= at && (p == nil || p == m || p.roleAt <= at) {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -53,7 +53,7 @@
 func playRandom(t *testing.T, seed uint64) (all []Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := testConfig()
-	cfg.MayDuplicate, cfg.AskList = seed%2 == 0, seed%3 == 0
+	cfg.MayDuplicate, cfg.ListOnRequest = seed%2 == 0, seed%3 == 0
 	r, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -77,11 +77,11 @@
 		if retunes && rng.IntN(40) == 0 {
 			before = cfg.Classes
 			cfg = retuned(rng, cfg)
-			if err := r.Retune(cfg); err != nil {
+			if err := r.Reconfigure(cfg); err != nil {
 				t.Fatal(err)
 			}
 			bad := cfg
-			if bad.MaxAttempts = -1; r.Retune(bad) == nil {
+			if bad.MaxAttempts = -1; r.Reconfigure(bad) == nil {
 				t.Fatal("took a config that is not valid")
 			}
 		}
@@ -92,8 +92,8 @@
 			class := cfg.Classes[c]
 			if retunes { // some were taken before the settings changed
 				all := [][]Class{cfg.Classes, before}[rng.IntN(2)]
-				e.As, e.Class = &all[rng.IntN(len(all))], -1
-				class = *e.As
+				e.ClassDef, e.Class = &all[rng.IntN(len(all))], -1
+				class = *e.ClassDef
 			}
 			w.reqs[id] = &track{class: class, most: cfg.MaxAttempts, arrived: w.now, deadline: w.now + wait}
 			events = append(events, e)
@@ -152,7 +152,7 @@
 	switch res {
 	case Served:
 		q.over, e.Ended = true, true
-	case Full, Unreachable, NotSent, NotHere, Rejected:
+	case Full, Unreachable, NotSent, Misdirected, Rejected:
 	default:
 		if !q.risk || s.at < q.riskAt {
 			q.risk, q.riskAt = true, s.at
@@ -160,7 +160,7 @@
 	}
 	e.Ended = e.Ended || q.over
 	if res == Served && s.m != "a" && q.class.Consistency != Write {
-		e.Stamped, e.Position = true, w.now-Time(rng.IntN(200))*ms
+		e.HasPosition, e.Position = true, w.now-Time(rng.IntN(200))*ms
 		w.pos[s.m] = max(w.pos[s.m], e.Position)
 	}
 	return e
@@ -241,7 +241,7 @@
 			t.Errorf("effect %d: sent %d times", tc.effect, len(pick(all, Send, 1)))
 		}
 		if tc.again {
-			all = append(all, g.answer(1, 1, "q", NotHere, Replica, 0)...)
+			all = append(all, g.answer(1, 1, "q", Misdirected, Replica, 0)...)
 		}
 		all = append(all, g.run(time.Second)...)
 		if len(pick(all, tc.last, 1)) != 1 {
@@ -269,7 +269,7 @@
 
 // TestSavedListIsNotTrustedForLong guards against sends to members that drain since before a restart, while discovery is too busy to say so.
 func TestSavedListIsNotTrustedForLong(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.AskList, c.MayProbe = true, false }, members())
+	g := newRig(t, func(c *Config) { c.ListOnRequest, c.MayProbe = true, false }, members())
 	id := uint64(0)
 	ask := func() string {
 		id++
@@ -299,7 +299,7 @@
 	if got := ask(); got != "" {
 		t.Errorf("sent to %q, which took its last request %v ago", got, provenFor)
 	}
-	for _, kind := range []EventKind{ListUnreachable, ListError, ListChange} {
+	for _, kind := range []EventKind{DiscoveryUnreachable, ListError, ListChange} {
 		g.step(Event{Kind: ListSaved, Members: members()})
 		g.run(savedMost + provenFor)
 		if got := ask(); got != "" {
@@ -331,7 +331,7 @@
 	} {
 		list := members()
 		tc.change(&list[2])
-		g := newRig(t, func(c *Config) { c.AskList = true }, list)
+		g := newRig(t, func(c *Config) { c.ListOnRequest = true }, list)
 		for id, after := uint64(1), tc.want-100*ms; id <= 2; id, after = id+1, 200*ms {
 			g.run(after)
 			all := g.step(Event{Kind: Arrive, Request: id, Class: anyRead, Tenant: -1, Remaining: time.Second})
--- a/decide/state.go
+++ b/decide/state.go
@@ -34,7 +34,7 @@
 	seekGap             Time              // between looks at a member that may be primary
 	reportAge           Time              // usual age of the positions that probes bring
 
-	calls                                              CallPace // to discovery
+	calls                                              DiscoveryPacer // to discovery
 	wakeAt, sweptAt, sweptAllAt, logAt, askAt, askedAt Time
 	savedUntil                                         Time // the list of before a restart is used as it is; forever: discovery has answered since, or said that it can't
 }
@@ -183,7 +183,7 @@
 	k := r.known[c.Name]
 	switch {
 	case k == nil:
-		return &class{Class: *c, cost: costGuess * float64(c.Aim)}
+		return &class{Class: *c, cost: costGuess * float64(c.LatencyTarget)}
 	case k.Class == *c:
 		return k
 	}
@@ -215,7 +215,7 @@
 
 // unserved takes back a request that ends without an answer, where it may come again as another first try.
 func (r *Router) unserved(q *request) {
-	if !q.ended && !r.cfg.MarksRetry {
+	if !q.ended && !r.cfg.ClientsMarkRetries {
 		q.class.firsts = max(0, q.class.firsts-comesAgain)
 	}
 }
@@ -336,9 +336,9 @@
 	return Time(float64(span*Time(r.cfg.Fronts)) / r.parts[part])
 }
 
-// Wanted tells, for each shared budget, how much was asked of it since the last call, in what this front's own part
+// BudgetDemand tells, for each shared budget, how much was asked of it since the last call, in what this front's own part
 // grants: 1 is as much as it has. It is the owner's to call.
-func (r *Router) Wanted() (w [4]float64) {
+func (r *Router) BudgetDemand() (w [4]float64) {
 	for i := range w {
 		if all := r.granted[i] + r.denied[i]; all > 0 {
 			w[i] = r.parts[i] * min(all/max(r.granted[i], 0.5), 4)
@@ -353,11 +353,11 @@
 
 // Sizes are the lengths of a Router's tables.
 type Sizes struct {
-	Members, Groups int
-	Requests        int // open, or with an attempt out
-	Sessions        int // whose commits are kept, the most of any group
-	Ghosts          int // work called off that may still run, the most at any member
-	Attempts        int // out, at all members
+	Members, Groups  int
+	Requests         int // open, or with an attempt out
+	Sessions         int // whose commits are kept, the most of any group
+	OrphanedAttempts int // work called off that may still run, the most at any member
+	Attempts         int // out, at all members
 }
 
 // Sizes tells how long the tables are, for those who watch that nothing grows. Like Step it is the owner's to call.
@@ -366,27 +366,27 @@
 	for _, g := range r.order {
 		s.Sessions = max(s.Sessions, len(g.sessions))
 		for _, m := range g.members {
-			s.Ghosts, s.Attempts = max(s.Ghosts, len(m.ghosts)), s.Attempts+len(m.open)
+			s.OrphanedAttempts, s.Attempts = max(s.OrphanedAttempts, len(m.ghosts)), s.Attempts+len(m.open)
 		}
 	}
 	return s
 }
 
-// Known is what a Router knows of a member by its answers, for those who report it.
-type Known struct {
-	Member   string
-	Group    int64
-	Zone     string
-	Role     Role
-	Position Time // last known log position, 0 = none
-	Out      bool // suspect, or listed as draining or gone
+// MemberStatus is what a Router knows of a member by its answers, for those who report it.
+type MemberStatus struct {
+	Member      string
+	Group       int64
+	Zone        string
+	Role        Role
+	Position    Time // last known log position, 0 = none
+	Unavailable bool // suspect, or listed as draining or gone
 }
 
-// Known lists members in the order of their groups. Like Step it is the owner's to call.
-func (r *Router) Known() (all []Known) {
+// Members lists members in the order of their groups. Like Step it is the owner's to call.
+func (r *Router) Members() (all []MemberStatus) {
 	for _, g := range r.order {
 		for _, m := range g.members {
-			all = append(all, Known{Member: m.ID, Group: g.id, Zone: m.Zone, Role: m.role, Position: max(m.pos, 0), Out: m.suspect || m.gone || m.State != Up})
+			all = append(all, MemberStatus{Member: m.ID, Group: g.id, Zone: m.Zone, Role: m.role, Position: max(m.pos, 0), Unavailable: m.suspect || m.gone || m.State != Up})
 		}
 	}
 	return all
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -49,25 +49,25 @@
 	Release()
 }
 
-// Claims are the ids of the requests in work, of all fronts: under one id two requests would look to members like
+// ActiveIDs are the ids of the requests in work, of all fronts: under one id two requests would look to members like
 // copies of one. It is safe for concurrent use; its size is bounded by the requests in work.
-type Claims struct {
+type ActiveIDs struct {
 	mu   sync.Mutex
 	open map[string]bool
 }
 
-// NewClaims returns claims of nothing.
-func NewClaims() *Claims { return &Claims{open: map[string]bool{}} }
+// NewActiveIDs returns claims of nothing.
+func NewActiveIDs() *ActiveIDs { return &ActiveIDs{open: map[string]bool{}} }
 
 // Len is how many ids are in work.
-func (c *Claims) Len() int {
+func (c *ActiveIDs) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
 // Claim notes that an id is in work, and tells whether it was free.
-func (c *Claims) Claim(id string) bool {
+func (c *ActiveIDs) Claim(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open[id] {
@@ -77,8 +77,8 @@
 	return true
 }
 
-// Disclaim frees an id.
-func (c *Claims) Disclaim(id string) {
+// Release frees an id.
+func (c *ActiveIDs) Release(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.open, id)
@@ -88,8 +88,8 @@
 // anyway, and one above a minute is cut to it here.
 const MaxWait = time.Minute
 
-// LimitMost is the most items of a page.
-const LimitMost = 500
+// MaxPageItems is the most items of a page.
+const MaxPageItems = 500
 
 // Item is one item of a page.
 type Item struct {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -59,7 +59,7 @@
 // Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	After      Time
+	RetryAfter Time
 	Body       Payload // Served: what the member answered
 	Position   Time    // Served: the log position that the member told, a write's commit; 0 = none
 	MayHaveRun bool    // Failed: some attempt may have had its effect
@@ -69,18 +69,18 @@
 // Request is one client request. The front fills in the first fields, and
 // leaves them alone once it has handed the request over; the core may shorten Until.
 type Request struct {
-	Class         *decide.Class // as it was when the request was taken; the settings may change
-	Place, Tenant int           // places of the names of its class and customer; Tenant -1 = none
-	Group         int64
-	Front         string // which front it came by, in one word
-	Session       string
-	Written       Time // the session's last write where clients carry it, 0 = none
-	AtLeast       Time // a read must see what was committed by then, 0 = what its class says
-	Retry         bool
-	Until         Time // how long the client waits
-	Came          Time // when it came, perhaps long before its turn on its connection; 0 = now
-	Call          Payload
-	Client        Client
+	Class              *decide.Class // as it was when the request was taken; the settings may change
+	ClassIndex, Tenant int           // places of the names of its class and customer; Tenant -1 = none
+	Group              int64
+	Front              string // which front it came by, in one word
+	Session            string
+	LastWrite          Time // the session's last write where clients carry it, 0 = none
+	MinPosition        Time // a read must see what was committed by then, 0 = what its class says
+	Retry              bool
+	Deadline           Time // how long the client waits
+	ReceivedAt         Time // when it came, perhaps long before its turn on its connection; 0 = now
+	Call               Payload
+	Client             Client
 
 	id       uint64
 	arrived  Time
@@ -94,21 +94,21 @@
 	over atomic.Bool // no attempt may begin any more; set where that is first seen, on any goroutine
 }
 
-// Over tells that no attempt of the request may begin any more: its client has left or cancelled it, or it has its
+// Closed tells that no attempt of the request may begin any more: its client has left or cancelled it, or it has its
 // answer. It may be called from any goroutine; whoever writes an attempt asks right before its first byte.
-func (q *Request) Over() bool { return q.over.Load() }
+func (q *Request) Closed() bool { return q.over.Load() }
 
 // Attempt is one try of a request at a member.
 type Attempt struct {
-	Request *Request
-	Member  string
-	Until   Time // timed out then
-	Before  Time // to be written whole by then, else not at all; 0 = any time
-	atLeast Time // a replica's answer that tells an older position is too old
-	no      int
-	sent    Time
-	done    bool
-	stopped bool // given up, unless its answer had begun
+	Request  *Request
+	Member   string
+	Deadline Time // timed out then
+	WriteBy  Time // to be written whole by then, else not at all; 0 = any time
+	atLeast  Time // a replica's answer that tells an older position is too old
+	no       int
+	sent     Time
+	done     bool
+	stopped  bool // given up, unless its answer had begun
 
 	// For records: how it ended, and what its member told.
 	result   decide.Result
@@ -120,17 +120,17 @@
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	Result   decide.Result
-	Reused   bool // Reset: the connection had been used before
-	Role     decide.Role
-	Stamped  bool
-	Position Time
-	Report   decide.Report
-	Body     Payload // Served: the answer
+	Result      decide.Result
+	Reused      bool // Reset: the connection had been used before
+	Role        decide.Role
+	HasPosition bool
+	Position    Time
+	Report      decide.Report
+	Body        Payload // Served: the answer
 }
 
-// Listed is an entry of the list of members.
-type Listed struct {
+// ListedMember is an entry of the list of members.
+type ListedMember struct {
 	decide.Member
 	Addr string
 }
@@ -146,37 +146,37 @@
 	// Probe asks a member for its report; one Core.Probed must follow.
 	Probe(member string)
 	// List takes a list, or a change of it.
-	List(kind decide.EventKind, members []Listed)
+	List(kind decide.EventKind, members []ListedMember)
 }
 
-// Directory asks discovery. Its methods must not block.
-type Directory interface {
+// Discovery asks discovery. Its methods must not block.
+type Discovery interface {
 	Watch()
 	Fetch()
 }
 
-// KnownAfter is how long after a member wrote an answer to a write its session's reads must see it, though the answer may have been lost:
+// AssumeCommittedAfter is how long after a member wrote an answer to a write its session's reads must see it, though the answer may have been lost:
 // 100 ms by the protocol's page, less a fifth for the way and the clocks.
-const KnownAfter = 80 * time.Millisecond
+const AssumeCommittedAfter = 80 * time.Millisecond
 
 const deadlineSlack = 5 * time.Millisecond // the module answers before the deadline, the core itself so much after it
 
-// Witness is told what the gateway sees of members and of discovery. Its methods are called on the owner's goroutine,
+// Observer is told what the gateway sees of members and of discovery. Its methods are called on the owner's goroutine,
 // some for each answer, and must not block.
-type Witness interface {
-	Noted(change decide.Change, member string) // the module came to believe it
-	Answered(member string)                    // an answer of any kind to a request
+type Observer interface {
+	MemberChanged(change decide.Change, member string) // the module came to believe it
+	Answered(member string)                            // an answer of any kind to a request
 	Probed(member string, answered bool)
-	Listed() // discovery answered
-	// Tried tells how an attempt or a probe at a member ended.
-	Tried(member string, r decide.Result)
-	// Ended tells of a final answer, and how long after the request's arrival it came.
-	Ended(q *Request, v Verdict, took Time)
+	DiscoveryAnswered() // discovery answered
+	// AttemptEnded tells how an attempt or a probe at a member ended.
+	AttemptEnded(member string, r decide.Result)
+	// RequestEnded tells of a final answer, and how long after the request's arrival it came.
+	RequestEnded(q *Request, v Verdict, took Time)
 }
 
-// Ledger shares sessions' commits with another process of the same gateway. Its methods are called on the owner's
+// SharedCommits shares sessions' commits with another process of the same gateway. Its methods are called on the owner's
 // goroutine and must not block.
-type Ledger interface {
+type SharedCommits interface {
 	// Commit notes a session's write, before it is answered.
 	Commit(group int64, session string, p Time)
 	// Committed is a time up to which the session's reads must see, 0 = any.
@@ -189,15 +189,15 @@
 	log       *slog.Logger
 	router    Decider
 	members   Members
-	directory Directory
+	directory Discovery
 
 	mu    sync.Mutex
 	queue []func()
 	wake  chan struct{}
 
-	ledger   Ledger  // nil: this process is alone
-	witness  Witness // nil: nobody wants to know
-	watch    *watch  // nil: nobody wants records
+	ledger   SharedCommits // nil: this process is alone
+	witness  Observer      // nil: nobody wants to know
+	watch    *watch        // nil: nobody wants records
 	sink     atomic.Pointer[record.Sink]
 	requests map[uint64]*Request
 	lastID   uint64
@@ -218,16 +218,16 @@
 }
 
 // Connect names the members' side and discovery.
-func (c *Core) Connect(m Members, d Directory) { c.members, c.directory = m, d }
+func (c *Core) Connect(m Members, d Discovery) { c.members, c.directory = m, d }
 
-// Tell names a witness, nil for none. It must be called before Run.
-func (c *Core) Tell(w Witness) { c.witness = w }
+// SetObserver names a witness, nil for none. It must be called before Run.
+func (c *Core) SetObserver(w Observer) { c.witness = w }
 
-// Share names a ledger, nil for none. It must be called before Run.
-func (c *Core) Share(l Ledger) { c.ledger = l }
+// SetSharedCommits names a ledger, nil for none. It must be called before Run.
+func (c *Core) SetSharedCommits(l SharedCommits) { c.ledger = l }
 
-// Event hands the module an event of another part of the gateway.
-func (c *Core) Event(e decide.Event) { c.Post(func() { c.events = append(c.events, e) }) }
+// PostEvent hands the module an event of another part of the gateway.
+func (c *Core) PostEvent(e decide.Event) { c.Post(func() { c.events = append(c.events, e) }) }
 
 // Post queues f to be run by the owner, in order. It never blocks.
 func (c *Core) Post(f func()) {
@@ -252,7 +252,7 @@
 			return
 		}
 		c.endBy = t
-		c.After(t, c.endAll)
+		c.RunAt(t, c.endAll)
 	})
 }
 
@@ -317,14 +317,14 @@
 	}
 }
 
-// Begun tells that the answer of an attempt has begun and will be passed on as it comes. The client gets body as its
+// AnswerStarted tells that the answer of an attempt has begun and will be passed on as it comes. The client gets body as its
 // answer, and the attempt is the client's now: its time-out and the client's deadline no longer run. Done follows
 // as ever. Body is released instead if the attempt was given up or the client has left.
 //
 // For the module the attempt has ended, served: the member has done its work, and how fast the rest comes is the
 // client's doing. Were it told at the end, slow clients would make their members look slow and full. A write is told of
 // when it has ended all the same: what it committed comes last, and its session's reads must see that.
-func (c *Core) Begun(a *Attempt, body Payload) {
+func (c *Core) AnswerStarted(a *Attempt, body Payload) {
 	c.Post(func() {
 		q := a.Request
 		if a.done || a.stopped || q.ended {
@@ -352,14 +352,14 @@
 		}
 		if c.witness != nil {
 			c.witness.Probed(member, result == decide.Served)
-			c.witness.Tried(member, result)
+			c.witness.AttemptEnded(member, result)
 		}
 		c.events = append(c.events, decide.Event{Kind: decide.Probed, Member: member, Result: result, Report: r})
 	})
 }
 
 // List takes what discovery says, kind being one of the list events.
-func (c *Core) List(kind decide.EventKind, members []Listed) {
+func (c *Core) List(kind decide.EventKind, members []ListedMember) {
 	c.Post(func() {
 		e := decide.Event{Kind: kind}
 		for i := range members {
@@ -367,7 +367,7 @@
 		}
 		if kind.HasList() {
 			if c.witness != nil && kind != decide.ListSaved {
-				c.witness.Listed()
+				c.witness.DiscoveryAnswered()
 			}
 			c.members.List(kind, members)
 			c.watch.listed(c.Now(), kind, e.Members)
@@ -392,8 +392,8 @@
 	return s
 }
 
-// After runs f on the owner's goroutine, which must be the caller's, at t.
-func (c *Core) After(t Time, f func()) { heap.Push(&c.timers, timer{t, f}) }
+// RunAt runs f on the owner's goroutine, which must be the caller's, at t.
+func (c *Core) RunAt(t Time, f func()) { heap.Push(&c.timers, timer{t, f}) }
 
 // Run owns the module until ctx ends.
 func (c *Core) Run(ctx context.Context) {
@@ -446,25 +446,25 @@
 	now := c.Now()
 	q.arrived = now
 	if c.endBy > 0 {
-		q.Until = min(q.Until, c.endBy)
+		q.Deadline = min(q.Deadline, c.endBy)
 	}
 	if c.ledger != nil && q.Session != "" && !q.writes() {
-		q.AtLeast = max(q.AtLeast, c.ledger.Committed(q.Group, q.Session))
+		q.MinPosition = max(q.MinPosition, c.ledger.Committed(q.Group, q.Session))
 	}
-	e := decide.Event{Kind: decide.Arrive, Request: q.id, As: q.Class, Tenant: q.Tenant, Group: q.Group,
-		Session: q.Session, AtLeast: q.AtLeast, IsRetry: q.Retry, Remaining: q.Until - now}
-	if q.Came > 0 {
-		e.Waited = max(now-q.Came, 0)
+	e := decide.Event{Kind: decide.Arrive, Request: q.id, ClassDef: q.Class, Tenant: q.Tenant, Group: q.Group,
+		Session: q.Session, MinPosition: q.MinPosition, IsRetry: q.Retry, Remaining: q.Deadline - now}
+	if q.ReceivedAt > 0 {
+		e.Waited = max(now-q.ReceivedAt, 0)
 	}
-	if q.Written > 0 {
-		e.HasToken, e.TokenAge = true, max(now-q.Written, 0)
+	if q.LastWrite > 0 {
+		e.HasToken, e.TokenAge = true, max(now-q.LastWrite, 0)
 	}
 	c.events = append(c.events, e)
 	if q.cancelled {
 		c.cancel(q)
 		return
 	}
-	c.After(max(q.Until, now)+deadlineSlack, func() { // also one that comes too late gets the module's answer
+	c.RunAt(max(q.Deadline, now)+deadlineSlack, func() { // also one that comes too late gets the module's answer
 		if !q.ended && !q.begun { // guards the rule that each taken request gets an answer in time
 			c.log.Warn("deadline passed unanswered", "request", q.id)
 			c.events = append(c.events, decide.Event{Kind: decide.ClientGone, Request: q.id})
@@ -485,7 +485,7 @@
 		q.Client.Answer(a)
 	}
 	if c.witness != nil {
-		c.witness.Ended(q, a.Verdict, c.Now()-q.arrived)
+		c.witness.RequestEnded(q, a.Verdict, c.Now()-q.arrived)
 	}
 	if c.watch != nil {
 		c.watch.answered(c.Now(), q, &a, why)
@@ -496,10 +496,10 @@
 // stale tells that an answer to a read does not hold what its request must see. Whoever tells the role of a primary stands at the present,
 // unless what must be seen was committed at another process or gateway.
 func (o *Outcome) stale(a *Attempt) bool {
-	if a.Request.writes() || !o.Stamped {
+	if a.Request.writes() || !o.HasPosition {
 		return false
 	}
-	return o.Position < a.Request.AtLeast || o.Position < a.atLeast && o.Role == decide.Replica
+	return o.Position < a.Request.MinPosition || o.Position < a.atLeast && o.Role == decide.Replica
 }
 
 // writes tells whether it is a write, whose commit its session's reads must see.
@@ -554,30 +554,30 @@
 		}
 	}
 	a.done, a.result, a.role = true, o.Result, o.Role
-	if o.Stamped {
+	if o.HasPosition {
 		a.position = o.Position
 	}
 	q.out--
 	if c.witness != nil {
-		c.witness.Tried(a.Member, o.Result)
+		c.witness.AttemptEnded(a.Member, o.Result)
 	}
 	if c.witness != nil && o.Result.Answered() {
 		c.witness.Answered(a.Member)
 	}
 	e := decide.Event{Kind: decide.Outcome, Request: q.id, Member: a.Member, Attempt: a.no, Result: o.Result,
 		Elapsed: c.Now() - a.sent, Ended: q.ended || o.Result == decide.Served, Reused: o.Reused,
-		Role: o.Role, Stamped: o.Stamped, Position: o.Position, Report: o.Report}
+		Role: o.Role, HasPosition: o.HasPosition, Position: o.Position, Report: o.Report}
 	if q.writes() && o.Result != decide.Served && o.Result.MayHaveRun() { // its answer may be lost: its session's reads count it as committed
-		e.InDoubt, e.Stamped, e.Position = true, true, c.Now()
+		e.InDoubt, e.HasPosition, e.Position = true, true, c.Now()
 	}
 	if !q.begun || q.writes() {
 		e.Ended = e.Ended || q.begun
 		c.events = append(c.events, e)
 	}
-	if o.Stamped {
+	if o.HasPosition {
 		c.watch.learn(a.Member, o.Position)
 	}
-	if c.ledger != nil && e.Stamped && (o.Result == decide.Served || e.InDoubt) && q.writes() && q.Session != "" {
+	if c.ledger != nil && e.HasPosition && (o.Result == decide.Served || e.InDoubt) && q.writes() && q.Session != "" {
 		c.ledger.Commit(q.Group, q.Session, e.Position)
 	}
 	switch {
@@ -601,7 +601,7 @@
 		}
 	case decide.Refuse:
 		if q != nil {
-			c.finish(q, Answer{Verdict: Refused, After: a.After}, record.NoCause)
+			c.finish(q, Answer{Verdict: Refused, RetryAfter: a.RetryAfter}, record.NoCause)
 		}
 	case decide.Fail:
 		if q != nil {
@@ -610,17 +610,17 @@
 	case decide.Probe:
 		c.members.Probe(a.Member)
 	case decide.Wake:
-		c.After(a.At, func() { c.events = append(c.events, decide.Event{Kind: decide.Timer}) })
+		c.RunAt(a.At, func() { c.events = append(c.events, decide.Event{Kind: decide.Timer}) })
 	case decide.Watch:
 		c.directory.Watch()
 	case decide.Fetch:
 		c.directory.Fetch()
-	case decide.Note:
+	case decide.Notify:
 		if a.Text != "" {
 			c.log.Info("decide: " + a.Text)
 		}
 		if c.witness != nil {
-			c.witness.Noted(a.Change, a.Member)
+			c.witness.MemberChanged(a.Change, a.Member)
 		}
 		c.noted(a)
 	}
@@ -636,9 +636,9 @@
 		return
 	}
 	now := c.Now()
-	at := &Attempt{Request: q, Member: a.Member, Until: q.Until, Before: a.Before, atLeast: a.AtLeast, no: len(q.attempts), sent: now}
+	at := &Attempt{Request: q, Member: a.Member, Deadline: q.Deadline, WriteBy: a.WriteBy, atLeast: a.MinPosition, no: len(q.attempts), sent: now}
 	if a.Timeout != 0 {
-		at.Until = min(at.Until, now+a.Timeout)
+		at.Deadline = min(at.Deadline, now+a.Timeout)
 	}
 	c.watch.sends(at)
 	q.attempts = append(q.attempts, at)
@@ -650,7 +650,7 @@
 	}
 	c.members.Send(at)
 	c.share(at)
-	c.After(at.Until, func() {
+	c.RunAt(at.Deadline, func() {
 		if !at.done && !q.begun {
 			c.stop(at, decide.TimedOut)
 		}
@@ -660,7 +660,7 @@
 // share has the other process of this gateway count what a write that is out may have committed, as the module does here.
 func (c *Core) share(a *Attempt) {
 	if q := a.Request; c.ledger != nil && q.writes() && q.Session != "" {
-		c.After(c.Now()+KnownAfter, func() {
+		c.RunAt(c.Now()+AssumeCommittedAfter, func() {
 			if !a.done {
 				c.ledger.Commit(q.Group, q.Session, c.Now())
 				c.share(a)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -27,10 +27,10 @@
 	}
 	return out
 }
-func (s *script) Send(a *Attempt)                    { s.sent = append(s.sent, a) }
-func (s *script) Stop(_ *Attempt, why decide.Result) { s.stops = append(s.stops, why) }
-func (s *script) Probe(string)                       {}
-func (s *script) List(decide.EventKind, []Listed)    {}
+func (s *script) Send(a *Attempt)                       { s.sent = append(s.sent, a) }
+func (s *script) Stop(_ *Attempt, why decide.Result)    { s.stops = append(s.stops, why) }
+func (s *script) Probe(string)                          {}
+func (s *script) List(decide.EventKind, []ListedMember) {}
 
 type payload struct{ released int }
 
@@ -50,7 +50,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		cl, call := new(client), new(payload)
-		q := &Request{Until: c.Now() + 300*time.Millisecond, Call: call, Client: cl}
+		q := &Request{Deadline: c.Now() + 300*time.Millisecond, Call: call, Client: cl}
 		c.Arrive(q)
 		synctest.Wait()
 		f(c, s, cl, call, q)
@@ -91,7 +91,7 @@
 		c.Post(func() { clear(s.on) })
 		now := c.Now()
 		for _, came := range []Time{0, now - 70*time.Millisecond, now + time.Second} {
-			c.Arrive(&Request{Came: came, Until: now + 30*time.Millisecond, Call: new(payload), Client: new(client)})
+			c.Arrive(&Request{ReceivedAt: came, Deadline: now + 30*time.Millisecond, Call: new(payload), Client: new(client)})
 			synctest.Wait()
 			want := time.Duration(0)
 			if came > 0 {
@@ -164,9 +164,9 @@
 		o    Outcome
 		want decide.Result
 	}{
-		{"demoted and behind", Outcome{Role: decide.Replica, Stamped: true, Position: 9}, decide.Stale},
-		{"a replica that holds it", Outcome{Role: decide.Replica, Stamped: true, Position: 10}, decide.Served},
-		{"a primary, its position rounded", Outcome{Role: decide.Primary, Stamped: true, Position: 9}, decide.Served},
+		{"demoted and behind", Outcome{Role: decide.Replica, HasPosition: true, Position: 9}, decide.Stale},
+		{"a replica that holds it", Outcome{Role: decide.Replica, HasPosition: true, Position: 10}, decide.Served},
+		{"a primary, its position rounded", Outcome{Role: decide.Primary, HasPosition: true, Position: 9}, decide.Served},
 		{"no position told", Outcome{Role: decide.Replica}, decide.Served},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -199,21 +199,21 @@
 	for _, end := range []decide.Result{decide.Reset, decide.TimedOut, decide.Cancelled, decide.Errored, decide.NotSent, decide.Unreachable} {
 		run(t, func(c *Core, s *script, cl *client, call *payload, _ *Request) {
 			l := new(ledger)
-			c.Share(l)
-			q := &Request{Class: &decide.Class{Consistency: decide.Write}, Session: "u", Until: c.Now() + time.Second, Call: call, Client: cl}
+			c.SetSharedCommits(l)
+			q := &Request{Class: &decide.Class{Consistency: decide.Write}, Session: "u", Deadline: c.Now() + time.Second, Call: call, Client: cl}
 			s.on[decide.Arrive] = []decide.Action{{Kind: decide.Send, Request: 2, Member: "m"}}
 			c.Arrive(q)
 			synctest.Wait()
 			sent := c.Now()
-			time.Sleep(KnownAfter + time.Millisecond)
+			time.Sleep(AssumeCommittedAfter + time.Millisecond)
 			synctest.Wait()
-			if len(l.commits) != 1 || l.commits[0] < sent+KnownAfter {
+			if len(l.commits) != 1 || l.commits[0] < sent+AssumeCommittedAfter {
 				t.Errorf("shared %v while the write is out", l.commits)
 			}
 			c.Done(s.sent[1], Outcome{Result: end})
 			synctest.Wait()
 			e, now := s.events[len(s.events)-1], c.Now()
-			if doubt := end.MayHaveRun(); e.InDoubt != doubt || doubt && (!e.Stamped || e.Position != now || l.commits[len(l.commits)-1] != now) ||
+			if doubt := end.MayHaveRun(); e.InDoubt != doubt || doubt && (!e.HasPosition || e.Position != now || l.commits[len(l.commits)-1] != now) ||
 				!doubt && len(l.commits) != 1 {
 				t.Errorf("outcome %d: event %+v, shared %v", end, e, l.commits)
 			}
@@ -233,7 +233,7 @@
 		t.Run(name, func(t *testing.T) {
 			run(t, func(c *Core, s *script, cl *client, _ *payload, q *Request) {
 				c.Post(func() { q.Class = tc.class })
-				q.Until += time.Minute
+				q.Deadline += time.Minute
 				by := c.Now() + 50*time.Millisecond
 				c.EndBy(by)
 				c.EndBy(by + time.Minute)
@@ -243,7 +243,7 @@
 					synctest.Wait()
 				}
 				look(func() { clear(s.on) })
-				c.Arrive(&Request{Class: tc.class, Until: by + time.Minute, Call: new(payload), Client: held})
+				c.Arrive(&Request{Class: tc.class, Deadline: by + time.Minute, Call: new(payload), Client: held})
 				time.Sleep(49 * time.Millisecond)
 				look(func() {
 					if n := len(cl.answers) + len(held.answers); n > 0 {
@@ -260,7 +260,7 @@
 					}
 					s.on[decide.Arrive] = []decide.Action{{Kind: decide.Refuse, Request: 3}}
 				})
-				c.Arrive(&Request{Until: by + time.Minute, Call: new(payload), Client: next})
+				c.Arrive(&Request{Deadline: by + time.Minute, Call: new(payload), Client: next})
 				synctest.Wait()
 				look(func() {
 					if e := s.events[len(s.events)-1]; len(next.answers) != 1 || next.answers[0].Verdict != Refused || e.Kind != decide.Arrive || e.Remaining > 0 {
--- a/internal/core/leave_test.go
+++ b/internal/core/leave_test.go
@@ -26,11 +26,11 @@
 func TestCancel(t *testing.T) {
 	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
 		r := &records{}
-		c.Observe(r, 0)
+		c.SetRecordSink(r, 0)
 		late := new(payload)
 		c.Cancel(q)
 		c.Cancel(q)
-		if !q.Over() {
+		if !q.Closed() {
 			t.Error("not marked at once")
 		}
 		synctest.Wait()
@@ -61,8 +61,8 @@
 	})
 	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) { // its answer is passing through
 		r := &records{}
-		c.Observe(r, 0)
-		c.Begun(s.sent[0], new(payload))
+		c.SetRecordSink(r, 0)
+		c.AnswerStarted(s.sent[0], new(payload))
 		c.Cancel(q)
 		synctest.Wait()
 		if n := len(s.stops); len(cl.answers) != 1 || n == 0 || s.stops[n-1] != decide.Cancelled {
@@ -80,7 +80,7 @@
 func TestCancelCrossesArrive(t *testing.T) {
 	run(t, func(c *Core, s *script, _ *client, _ *payload, _ *Request) {
 		cl, call := new(client), new(payload)
-		q := &Request{Until: c.Now() + time.Second, Call: call, Client: cl}
+		q := &Request{Deadline: c.Now() + time.Second, Call: call, Client: cl}
 		c.Cancel(q)
 		synctest.Wait()
 		c.Arrive(q)
@@ -95,18 +95,18 @@
 // answer on, so that whoever holds an attempt of it sees that before the owner has run.
 func TestMarkedAtOnce(t *testing.T) {
 	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
-		if q.Over() {
+		if q.Closed() {
 			t.Error("over while it is open")
 		}
 		c.Gone(q)
-		if !q.Over() {
+		if !q.Closed() {
 			t.Error("not marked at once")
 		}
 	})
 	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: new(payload)})
 		synctest.Wait()
-		if !q.Over() {
+		if !q.Closed() {
 			t.Error("not over with its answer")
 		}
 	})
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -16,9 +16,9 @@
 	rec    record.Record
 }
 
-// Observe has records go to s from now on, nil for none. cold is how long members are cold after their start.
+// SetRecordSink has records go to s from now on, nil for none. cold is how long members are cold after their start.
 // It may be called from any goroutine.
-func (c *Core) Observe(s record.Sink, cold time.Duration) {
+func (c *Core) SetRecordSink(s record.Sink, cold time.Duration) {
 	if s == nil {
 		c.sink.Store(nil)
 	} else {
@@ -33,9 +33,9 @@
 	})
 }
 
-// Turned tells of a request that a front answered by itself, before the core had it. It may be called from any
+// RecordFrontOutcome tells of a request that a front answered by itself, before the core had it. It may be called from any
 // goroutine, and does nothing while nobody listens.
-func (c *Core) Turned(front string, o record.Outcome, why record.Cause) {
+func (c *Core) RecordFrontOutcome(front string, o record.Outcome, why record.Cause) {
 	s := c.sink.Load()
 	if s == nil {
 		return
@@ -50,7 +50,7 @@
 	if w == nil {
 		return
 	}
-	if was, known := w.told[member]; (known || len(w.told) < decide.MembersMost) && p > was {
+	if was, known := w.told[member]; (known || len(w.told) < decide.MaxMembers) && p > was {
 		w.told[member] = p
 	}
 }
@@ -95,7 +95,7 @@
 	switch a.Change {
 	case decide.Suspected:
 		change = record.Suspect
-	case decide.Trusted:
+	case decide.Recovered:
 		change = record.Trusted
 	case decide.PrimaryFound:
 		change = record.PrimaryFound
@@ -106,8 +106,8 @@
 // answered makes the record of a final answer.
 func (w *watch) answered(now Time, q *Request, a *Answer, why record.Cause) {
 	r := &w.rec
-	*r = record.Record{Kind: record.Request, At: now, Class: q.Place, Tenant: q.Tenant, Front: q.Front, Outcome: record.Served,
-		Cause: why, After: a.After, Attempts: len(q.attempts), Waiting: now - q.arrived, Total: now - q.arrived,
+	*r = record.Record{Kind: record.Request, At: now, Class: q.ClassIndex, Tenant: q.Tenant, Front: q.Front, Outcome: record.Served,
+		Cause: why, After: a.RetryAfter, Attempts: len(q.attempts), Waiting: now - q.arrived, Total: now - q.arrived,
 		Session: q.Session, Group: q.Group}
 	switch a.Verdict {
 	case Refused:
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -30,11 +30,11 @@
 	}{
 		{"served", func(c *Core, s *script) {
 			time.Sleep(20 * time.Millisecond)
-			c.Done(s.sent[0], Outcome{Result: decide.Served, Role: decide.Replica, Stamped: true, Position: 5 * time.Second})
+			c.Done(s.sent[0], Outcome{Result: decide.Served, Role: decide.Replica, HasPosition: true, Position: 5 * time.Second})
 		}, record.Record{Outcome: record.Served, Severity: record.Info, Attempts: 1, Member: "m", Role: decide.Replica, Position: 5 * time.Second,
 			Taken: 20 * time.Millisecond, Total: 20 * time.Millisecond}},
 		{"refused", func(c *Core, s *script) {
-			s.on[decide.Outcome] = []decide.Action{{Kind: decide.Refuse, Request: 1, After: time.Second}}
+			s.on[decide.Outcome] = []decide.Action{{Kind: decide.Refuse, Request: 1, RetryAfter: time.Second}}
 			c.Done(s.sent[0], Outcome{Result: decide.Full})
 		}, record.Record{Outcome: record.Refused, Severity: record.Notice, Cause: record.Full, After: time.Second, Attempts: 1, Member: "m"}},
 		{"failed", func(c *Core, s *script) {
@@ -47,7 +47,7 @@
 	} {
 		run(t, func(c *Core, s *script, _ *client, _ *payload, q *Request) {
 			k := new(sink)
-			c.Observe(k, time.Minute)
+			c.SetRecordSink(k, time.Minute)
 			synctest.Wait()
 			tc.play(c, s)
 			synctest.Wait()
@@ -64,12 +64,12 @@
 	}
 	run(t, func(c *Core, s *script, _ *client, _ *payload, _ *Request) {
 		k := new(sink)
-		c.Observe(k, time.Minute)
-		s.on[decide.Probed] = []decide.Action{{Kind: decide.Note, Change: decide.Suspected, Group: 3, Member: "m"}, {Kind: decide.Note, Change: decide.PrimaryLost, Group: 3}}
+		c.SetRecordSink(k, time.Minute)
+		s.on[decide.Probed] = []decide.Action{{Kind: decide.Notify, Change: decide.Suspected, Group: 3, Member: "m"}, {Kind: decide.Notify, Change: decide.PrimaryUnknown, Group: 3}}
 		list := func(kind decide.EventKind, m ...decide.Member) {
-			var l []Listed
+			var l []ListedMember
 			for _, one := range m {
-				l = append(l, Listed{Member: one})
+				l = append(l, ListedMember{Member: one})
 			}
 			c.List(kind, l)
 		}
--- a/internal/cursor/cursor.go
+++ b/internal/cursor/cursor.go
@@ -42,23 +42,23 @@
 
 // The bounds of a cursor.
 const (
-	IDMost      = 256
+	MaxIDBytes  = 256
 	version     = 1
 	headSize    = 1 + 4 + 12
 	fixedSize   = 8 + 8 + 8 + 8 + 4 + 4
 	tagSize     = 16
-	encodedMost = (headSize+fixedSize+IDMost+tagSize)*4/3 + 4
+	encodedMost = (headSize+fixedSize+MaxIDBytes+tagSize)*4/3 + 4
 )
 
 // Each way that a cursor can be wrong has its own error, as clients are told apart by it.
 var (
-	ErrFormat  = errors.New("cursor: not one that a gateway made")
-	ErrVersion = errors.New("cursor: made by a newer version")
-	ErrKey     = errors.New("cursor: sealed with a key that is not accepted here, or not any more")
-	ErrForged  = errors.New("cursor: altered, or not sealed by a holder of the key")
-	ErrExpired = errors.New("cursor: expired")
-	ErrFuture  = errors.New("cursor: issued later than now")
-	ErrQuery   = errors.New("cursor: of another listing")
+	ErrFormat         = errors.New("cursor: not one that a gateway made")
+	ErrVersion        = errors.New("cursor: made by a newer version")
+	ErrUnknownKey     = errors.New("cursor: sealed with a key that is not accepted here, or not any more")
+	ErrForged         = errors.New("cursor: altered, or not sealed by a holder of the key")
+	ErrExpired        = errors.New("cursor: expired")
+	ErrIssuedInFuture = errors.New("cursor: issued later than now")
+	ErrQueryMismatch  = errors.New("cursor: of another listing")
 )
 
 // Fingerprint stands for what a listing asks for: a cursor goes on only with the same.
@@ -78,37 +78,37 @@
 
 // Key is one key of a ring. It is accepted from Accept until End, and issued from Issue on, until a later one is.
 type Key struct {
-	ID                 uint32
-	Secret             [32]byte
-	Accept, Issue, End Time
+	ID                                 uint32
+	Secret                             [32]byte
+	AcceptFrom, IssueFrom, AcceptUntil Time
 }
 
-// Ring is the keys that a gateway holds.
-type Ring struct {
+// KeyRing is the keys that a gateway holds.
+type KeyRing struct {
 	keys  []Key
 	aeads []cipher.AEAD
 	life  Time
 	skew  Time
 }
 
-// NewRing returns a ring whose cursors live for life. skew is by how much the clocks of gateways that share keys may
+// NewKeyRing returns a ring whose cursors live for life. skew is by how much the clocks of gateways that share keys may
 // differ. It reports the first fault of the keys.
-func NewRing(keys []Key, life, skew Time) (*Ring, error) {
+func NewKeyRing(keys []Key, life, skew Time) (*KeyRing, error) {
 	if len(keys) == 0 {
 		return nil, errors.New("cursor: no key, want at least one")
 	}
 	if life <= 0 || skew < 0 {
 		return nil, fmt.Errorf("cursor: life is %v and skew %v, want a life above 0 and no skew below", life, skew)
 	}
-	r := &Ring{keys: slices.Clone(keys), life: life, skew: skew}
+	r := &KeyRing{keys: slices.Clone(keys), life: life, skew: skew}
 	for i, k := range r.keys {
 		switch {
 		case slices.ContainsFunc(r.keys[:i], func(o Key) bool { return o.ID == k.ID }):
 			return nil, fmt.Errorf("cursor: key %d comes twice", k.ID)
-		case k.Issue < k.Accept+skew:
-			return nil, fmt.Errorf("cursor: key %d is issued from %v on and accepted from %v, want it accepted everywhere first: %v earlier", k.ID, k.Issue, k.Accept, skew)
-		case k.End <= k.Issue:
-			return nil, fmt.Errorf("cursor: key %d ends at %v, before it is issued at %v", k.ID, k.End, k.Issue)
+		case k.IssueFrom < k.AcceptFrom+skew:
+			return nil, fmt.Errorf("cursor: key %d is issued from %v on and accepted from %v, want it accepted everywhere first: %v earlier", k.ID, k.IssueFrom, k.AcceptFrom, skew)
+		case k.AcceptUntil <= k.IssueFrom:
+			return nil, fmt.Errorf("cursor: key %d ends at %v, before it is issued at %v", k.ID, k.AcceptUntil, k.IssueFrom)
 		}
 		block, err := aes.NewCipher(k.Secret[:])
 		if err != nil {
@@ -124,11 +124,11 @@
 }
 
 // issuing is the key that seals now: of those that may, the one issued last; -1 if there is none.
-func (r *Ring) issuing(now Time) int {
+func (r *KeyRing) issuing(now Time) int {
 	best := -1
 	for i, k := range r.keys {
 		// its end leaves a cursor sealed now its whole life
-		if now >= k.Issue && now+r.life <= k.End && (best < 0 || k.Issue > r.keys[best].Issue) {
+		if now >= k.IssueFrom && now+r.life <= k.AcceptUntil && (best < 0 || k.IssueFrom > r.keys[best].IssueFrom) {
 			best = i
 		}
 	}
@@ -137,13 +137,13 @@
 
 // Seal returns c as text, issued now. random gives the nonce. An error means that no key is to be issued now, or
 // that c is beyond its bounds; listings are then given without a next page.
-func (r *Ring) Seal(c Cursor, now Time, random io.Reader) (string, error) {
+func (r *KeyRing) Seal(c Cursor, now Time, random io.Reader) (string, error) {
 	i := r.issuing(now)
 	if i < 0 {
-		return "", ErrKey
+		return "", ErrUnknownKey
 	}
-	if len(c.After) > IDMost {
-		return "", fmt.Errorf("cursor: an id of %d bytes, want at most %d", len(c.After), IDMost)
+	if len(c.After) > MaxIDBytes {
+		return "", fmt.Errorf("cursor: an id of %d bytes, want at most %d", len(c.After), MaxIDBytes)
 	}
 	b := make([]byte, headSize, headSize+fixedSize+len(c.After)+tagSize)
 	b[0] = version
@@ -163,7 +163,7 @@
 }
 
 // Open reads a cursor for a query. The error is one of the package's.
-func (r *Ring) Open(text string, query uint64, now Time) (c Cursor, err error) {
+func (r *KeyRing) Open(text string, query uint64, now Time) (c Cursor, err error) {
 	if len(text) > encodedMost {
 		return c, ErrFormat
 	}
@@ -179,11 +179,11 @@
 	}
 	id := binary.LittleEndian.Uint32(b[1:])
 	i := slices.IndexFunc(r.keys, func(k Key) bool { return k.ID == id })
-	if i < 0 || now < r.keys[i].Accept-r.skew || now > r.keys[i].End+r.skew {
-		return c, ErrKey
+	if i < 0 || now < r.keys[i].AcceptFrom-r.skew || now > r.keys[i].AcceptUntil+r.skew {
+		return c, ErrUnknownKey
 	}
 	plain, err := r.aeads[i].Open(nil, b[5:headSize], b[headSize:], b[:5])
-	if err != nil || len(plain) > fixedSize+IDMost {
+	if err != nil || len(plain) > fixedSize+MaxIDBytes {
 		return c, ErrForged
 	}
 	u64 := func(at int) uint64 { return binary.LittleEndian.Uint64(plain[at:]) }
@@ -191,11 +191,11 @@
 		Page: binary.LittleEndian.Uint32(plain[32:]), Cost: binary.LittleEndian.Uint32(plain[36:]), After: string(plain[fixedSize:])}
 	switch {
 	case c.Issued > now+r.skew:
-		return Cursor{}, ErrFuture
+		return Cursor{}, ErrIssuedInFuture
 	case now-c.Issued > r.life+r.skew:
 		return Cursor{}, ErrExpired
 	case c.Query != query:
-		return Cursor{}, ErrQuery
+		return Cursor{}, ErrQueryMismatch
 	}
 	return c, nil
 }
--- a/internal/cursor/cursor_test.go
+++ b/internal/cursor/cursor_test.go
@@ -14,15 +14,15 @@
 const now = Time(1767225600) * time.Second
 
 func key(id uint32, accept, issue, end Time) Key {
-	k := Key{ID: id, Accept: accept, Issue: issue, End: end}
+	k := Key{ID: id, AcceptFrom: accept, IssueFrom: issue, AcceptUntil: end}
 	for i := range k.Secret {
 		k.Secret[i] = byte(id) + byte(i)
 	}
 	return k
 }
 
-func ring(t interface{ Fatal(...any) }, keys ...Key) *Ring {
-	r, err := NewRing(keys, time.Hour, time.Second)
+func ring(t interface{ Fatal(...any) }, keys ...Key) *KeyRing {
+	r, err := NewKeyRing(keys, time.Hour, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	keys := []Key{key(1, 0, time.Second, 1<<62), key(2, now, now+time.Hour, 1<<62)}
 	rapid.Check(t, func(t *rapid.T) {
 		c := Cursor{Cluster: rapid.Int64().Draw(t, "cluster"), Query: rapid.Uint64().Draw(t, "query"), Position: Time(rapid.Int64().Draw(t, "position")),
-			Page: rapid.Uint32().Draw(t, "page"), Cost: rapid.Uint32().Draw(t, "cost"), After: string(rapid.SliceOfN(rapid.Byte(), 0, IDMost).Draw(t, "after"))}
+			Page: rapid.Uint32().Draw(t, "page"), Cost: rapid.Uint32().Draw(t, "cost"), After: string(rapid.SliceOfN(rapid.Byte(), 0, MaxIDBytes).Draw(t, "after"))}
 		text, err := ring(t, keys...).Seal(c, now, rand.Reader)
 		if err != nil {
 			t.Fatal(err)
@@ -45,7 +45,7 @@
 		if got, err := other.Open(text, c.Query, now+time.Minute); err != nil || got != c {
 			t.Fatalf("%+v came back as %+v, %v", c, got, err)
 		}
-		if _, err := other.Open(text, c.Query+1, now); !errors.Is(err, ErrQuery) {
+		if _, err := other.Open(text, c.Query+1, now); !errors.Is(err, ErrQueryMismatch) {
 			t.Fatalf("another query: %v", err)
 		}
 		b := []byte(text)
@@ -63,7 +63,7 @@
 }
 
 func known(err error) bool {
-	for _, e := range []error{ErrFormat, ErrVersion, ErrKey, ErrForged, ErrExpired, ErrFuture, ErrQuery} {
+	for _, e := range []error{ErrFormat, ErrVersion, ErrUnknownKey, ErrForged, ErrExpired, ErrIssuedInFuture, ErrQueryMismatch} {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -79,12 +79,12 @@
 		t.Fatal(err)
 	}
 	for _, tc := range []struct {
-		r    *Ring
+		r    *KeyRing
 		at   Time
 		want error
-	}{{r, now, nil}, {r, now - time.Second, nil}, {r, now - 2*time.Second, ErrFuture}, {r, now + time.Hour + time.Second, nil}, {r, now + time.Hour + 2*time.Second, ErrExpired},
-		{ring(t, key(2, 0, time.Second, 1<<62)), now, ErrKey}, {ring(t, Key{ID: 1, Issue: time.Second, End: 1 << 62}), now, ErrForged},
-		{ring(t, key(1, 0, time.Second, now-time.Hour)), now, ErrKey}, {ring(t, key(1, now+time.Hour, now+2*time.Hour, 1<<62)), now, ErrKey}} {
+	}{{r, now, nil}, {r, now - time.Second, nil}, {r, now - 2*time.Second, ErrIssuedInFuture}, {r, now + time.Hour + time.Second, nil}, {r, now + time.Hour + 2*time.Second, ErrExpired},
+		{ring(t, key(2, 0, time.Second, 1<<62)), now, ErrUnknownKey}, {ring(t, Key{ID: 1, IssueFrom: time.Second, AcceptUntil: 1 << 62}), now, ErrForged},
+		{ring(t, key(1, 0, time.Second, now-time.Hour)), now, ErrUnknownKey}, {ring(t, key(1, now+time.Hour, now+2*time.Hour, 1<<62)), now, ErrUnknownKey}} {
 		if _, err := tc.r.Open(text, 1, tc.at); !errors.Is(err, tc.want) {
 			t.Errorf("opened at %v: %v, want %v", tc.at-now, err, tc.want)
 		}
@@ -94,7 +94,7 @@
 			t.Errorf("%.20q: %v", text, err)
 		}
 	}
-	if _, err := r.Seal(Cursor{After: strings.Repeat("x", IDMost+1)}, now, rand.Reader); err == nil {
+	if _, err := r.Seal(Cursor{After: strings.Repeat("x", MaxIDBytes+1)}, now, rand.Reader); err == nil {
 		t.Error("an id beyond its bound was sealed")
 	}
 }
@@ -130,7 +130,7 @@
 func TestKeyFile(t *testing.T) {
 	secret := strings.Repeat("ab", 32)
 	keys, err := ParseKeys([]byte("# keys\n\n1 " + secret + " - 2026-01-01T00:00:00Z 2026-02-01T00:00:00Z\n2 " + secret + " 2026-01-31T00:00:00Z 2026-01-31T12:00:00+13:00 -\n"))
-	if err != nil || len(keys) != 2 || keys[0].Issue != now || keys[1].End != 1<<62 {
+	if err != nil || len(keys) != 2 || keys[0].IssueFrom != now || keys[1].AcceptUntil != 1<<62 {
 		t.Errorf("%+v, %v", keys, err)
 	}
 	for text, want := range map[string]string{"1 " + secret + " - -": "line 1: 4 fields", "x " + secret + " - - -": "line 1: the id", "\n1 " + secret[:60] + " - - -": "line 2: the secret",
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, keys := range [][]Key{nil, {key(1, 0, time.Second, 1<<62), key(1, 0, time.Second, 1<<62)}, {key(1, 10, 0, 100)}, {key(1, 0, time.Second, time.Second)}} {
-		if _, err := NewRing(keys, time.Hour, time.Second); err == nil {
+		if _, err := NewKeyRing(keys, time.Hour, time.Second); err == nil {
 			t.Errorf("%+v: no error", keys)
 		}
 	}
--- a/internal/cursor/keys.go
+++ b/internal/cursor/keys.go
@@ -32,13 +32,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("line %d: the id is %.20q, want a whole number", n, f[0])
 		}
-		k := Key{ID: uint32(id), End: 1 << 62}
+		k := Key{ID: uint32(id), AcceptUntil: 1 << 62}
 		if raw, err := hex.DecodeString(f[1]); err != nil || len(raw) != len(k.Secret) {
 			return nil, fmt.Errorf("line %d: the secret of key %d has %d characters, want %d hexadecimal digits", n, id, len(f[1]), 2*len(k.Secret))
 		} else {
 			copy(k.Secret[:], raw)
 		}
-		for i, to := range []*Time{&k.Accept, &k.Issue, &k.End} {
+		for i, to := range []*Time{&k.AcceptFrom, &k.IssueFrom, &k.AcceptUntil} {
 			if f[2+i] == "-" {
 				continue
 			}
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -28,7 +28,7 @@
 	also  func(kind decide.EventKind) // called too, before
 }
 
-func (s *told) sink(kind decide.EventKind, list []core.Listed) {
+func (s *told) sink(kind decide.EventKind, list []core.ListedMember) {
 	if s.also != nil {
 		s.also(kind)
 	}
@@ -338,7 +338,7 @@
 		}
 	}()
 	got := make(chan string, 9)
-	c := New(Config{Addr: l.Addr().String(), Version: 7, Gateways: 1}, func(kind decide.EventKind, list []core.Listed) {
+	c := New(Config{Addr: l.Addr().String(), Version: 7, Gateways: 1}, func(kind decide.EventKind, list []core.ListedMember) {
 		for _, m := range list {
 			got <- m.ID
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,7 +42,7 @@
 	"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}
 
 // EntryOf gives a member in discovery's form.
-func EntryOf(m core.Listed) Entry {
+func EntryOf(m core.ListedMember) Entry {
 	e := Entry{InstanceID: m.ID, HostPort: m.Addr, Zone: m.Zone, MachineType: m.Kind, Cell: m.Group, Lifecycle: "ready", Weight: m.Weight,
 		StartedAtMs: m.Started.Milliseconds()}
 	for name, state := range states {
@@ -54,14 +54,14 @@
 }
 
 // Members translates the entries.
-func (l *List) Members() ([]core.Listed, error) {
-	list := make([]core.Listed, 0, len(l.Instances))
+func (l *List) Members() ([]core.ListedMember, error) {
+	list := make([]core.ListedMember, 0, len(l.Instances))
 	for _, e := range l.Instances {
 		state, ok := states[e.Lifecycle]
 		if !ok || e.InstanceID == "" {
 			return nil, fmt.Errorf("list: instance %q: unknown lifecycle %q", e.InstanceID, e.Lifecycle)
 		}
-		list = append(list, core.Listed{Addr: e.HostPort, Member: decide.Member{ID: e.InstanceID, Group: e.Cell,
+		list = append(list, core.ListedMember{Addr: e.HostPort, Member: decide.Member{ID: e.InstanceID, Group: e.Cell,
 			Zone: e.Zone, Kind: e.MachineType, Weight: e.Weight, State: state,
 			Started: core.Time(e.StartedAtMs) * time.Millisecond}})
 	}
@@ -150,7 +150,7 @@
 func (e *refusal) Unwrap() error { return e.err }
 
 // Sink takes what discovery says.
-type Sink func(kind decide.EventKind, members []core.Listed)
+type Sink func(kind decide.EventKind, members []core.ListedMember)
 
 // Client asks discovery. Watch, Fetch and Move only leave word for Run.
 type Client struct {
@@ -162,7 +162,7 @@
 	most    time.Duration // between the beginnings of two calls, while discovery is down
 	beyond  time.Duration // what the fleet's calls take, all made at once, past the longest queue
 	rng     *rand.Rand
-	pace    decide.CallPace // after a crowd, where lists are pushed
+	pace    decide.DiscoveryPacer // after a crowd, where lists are pushed
 	sink    Sink
 	log     *slog.Logger
 	dial    func(ctx context.Context, addr string) (net.Conn, error)
@@ -203,7 +203,7 @@
 	if c.pushed {
 		c.wide, c.most = c.near, min(max(backPushed, c.beyond), backMost)
 	}
-	c.pace = decide.CallPace{Fronts: conf.Gateways, Random: c.rng.Float64}
+	c.pace = decide.DiscoveryPacer{Fronts: conf.Gateways, Random: c.rng.Float64}
 	c.version.Store(conf.Version)
 	return c
 }
@@ -255,7 +255,7 @@
 			select {
 			case <-ctx.Done():
 			case <-c.move:
-			case <-time.After(c.pace.Refused(1)):
+			case <-time.After(c.pace.PauseAfterRefusal(1)):
 			}
 		}
 		return
@@ -334,7 +334,7 @@
 		}
 		began := time.Now()
 		list, err := c.get(ctx, target, wait)
-		var members []core.Listed
+		var members []core.ListedMember
 		if err == nil {
 			if members, err = list.Members(); err == nil && target == path && !list.Reset {
 				if list.Reset = len(members) > 0; !list.Reset { // not so marked, an empty one is no answer to this call
@@ -375,7 +375,7 @@
 			return false
 		}
 		if unreachable(err, wait) {
-			c.sink(decide.ListUnreachable, nil)
+			c.sink(decide.DiscoveryUnreachable, nil)
 		}
 		c.broke.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
 		wait = 0 // what was missed is told at once
@@ -411,7 +411,7 @@
 }
 
 // pass takes over an answer's list.
-func (c *Client) pass(list *List, members []core.Listed) {
+func (c *Client) pass(list *List, members []core.ListedMember) {
 	c.moved, c.idle = false, len(members) == 0 && !list.Reset
 	c.version.Store(list.Generation)
 	kind := decide.ListChange
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -78,7 +78,7 @@
 			}
 		}
 		var told []string
-		c = New(Config{Addr: "h:0", Version: 7, Gateways: 1}, func(kind decide.EventKind, list []core.Listed) {
+		c = New(Config{Addr: "h:0", Version: 7, Gateways: 1}, func(kind decide.EventKind, list []core.ListedMember) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			word := fmt.Sprint(kind)
@@ -194,7 +194,7 @@
 					}
 				}
 				failed := false
-				c := New(Config{Addr: "h:0", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.Listed) {
+				c := New(Config{Addr: "h:0", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.ListedMember) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					failed = failed || kind == decide.ListError
@@ -251,7 +251,7 @@
 			return a, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		c := New(Config{Addr: "old", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.Listed) { note(&told, fmt.Sprint(kind)) }, dial,
+		c := New(Config{Addr: "old", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.ListedMember) { note(&told, fmt.Sprint(kind)) }, dial,
 			slog.New(slog.DiscardHandler))
 		go c.Run(ctx)
 		c.Watch()
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -108,8 +108,8 @@
 				}
 				write(conn, `{"generation":3,"instances":[]}`)
 			}
-			router, err := decide.New(decide.Config{Self: i, Fronts: max(f.size, f.n), AskList: !f.pushed, Classes: []decide.Class{
-				{Name: "any", Aim: time.Second, Deadline: time.Second}}}, f.seed+uint64(i))
+			router, err := decide.New(decide.Config{Self: i, Fronts: max(f.size, f.n), ListOnRequest: !f.pushed, Classes: []decide.Class{
+				{Name: "any", LatencyTarget: time.Second, Deadline: time.Second}}}, f.seed+uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -124,7 +124,7 @@
 				}
 				return s.dial(ctx, addr)
 			}
-			client := New(Config{Addr: "h:1", Version: 3, Gateways: max(f.size, f.n), Seed: f.seed + uint64(i), Pushed: f.pushed}, func(kind decide.EventKind, _ []core.Listed) {
+			client := New(Config{Addr: "h:1", Version: 3, Gateways: max(f.size, f.n), Seed: f.seed + uint64(i), Pushed: f.pushed}, func(kind decide.EventKind, _ []core.ListedMember) {
 				if kind == decide.ListChange && !known && time.Since(begin) >= f.back {
 					mu.Lock()
 					known, f.last, f.told = true, time.Since(begin), f.told+1
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -17,7 +17,7 @@
 	maxLine    = 8 << 10
 	maxHeaders = 64
 	maxInterim = 4
-	maxBody    = decide.MembersMost * 640 // an indented entry takes up to some 530 bytes
+	maxBody    = decide.MaxMembers * 640 // an indented entry takes up to some 530 bytes
 )
 
 var errHTTP = errors.New("malformed HTTP answer")
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -131,7 +131,7 @@
 				return s.dial(ctx, addr)
 			}
 			var c *Client
-			c = New(Config{Addr: "h:0", Gateways: gateways, Seed: seed}, func(kind decide.EventKind, _ []core.Listed) {
+			c = New(Config{Addr: "h:0", Gateways: gateways, Seed: seed}, func(kind decide.EventKind, _ []core.ListedMember) {
 				if kind == decide.ListError {
 					again <- struct{}{}
 					return
@@ -199,7 +199,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		c := New(Config{Addr: "h:0", Version: 7, Gateways: 9, Pushed: true}, func(decide.EventKind, []core.Listed) {}, dial, slog.New(slog.DiscardHandler))
+		c := New(Config{Addr: "h:0", Version: 7, Gateways: 9, Pushed: true}, func(decide.EventKind, []core.ListedMember) {}, dial, slog.New(slog.DiscardHandler))
 		go c.Run(ctx)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -24,7 +24,7 @@
 type Config struct {
 	Name, Listen, Discovery string
 	Admin                   string // where operators call; empty: nowhere
-	Known                   []core.Listed
+	Known                   []core.ListedMember
 	Decide                  *decide.Config
 
 	seed    uint64
@@ -157,7 +157,7 @@
 	if c.Decide, err = c.facts.Config(); err != nil {
 		return nil, err
 	}
-	c.Decide.KnownAfter = core.KnownAfter
+	c.Decide.AssumeCommittedAfter = core.AssumeCommittedAfter
 	if err := c.Decide.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/door_test.go
@@ -149,7 +149,7 @@
 // never the last usable one of its group.
 func TestOverlay(t *testing.T) {
 	state := map[string]decide.MemberState{}
-	o := newOverlay("g", func(kind decide.EventKind, members []core.Listed) {
+	o := newOverlay("g", func(kind decide.EventKind, members []core.ListedMember) {
 		if kind != decide.ListChange {
 			clear(state)
 		}
@@ -157,10 +157,10 @@
 			state[m.ID] = m.State
 		}
 	})
-	member := func(id string, group int64, s decide.MemberState) core.Listed {
-		return core.Listed{Member: decide.Member{ID: id, Group: group, State: s}}
+	member := func(id string, group int64, s decide.MemberState) core.ListedMember {
+		return core.ListedMember{Member: decide.Member{ID: id, Group: group, State: s}}
 	}
-	all := []core.Listed{member("a", 1, decide.Up), member("b", 1, decide.Up), member("c", 2, decide.Up)}
+	all := []core.ListedMember{member("a", 1, decide.Up), member("b", 1, decide.Up), member("c", 2, decide.Up)}
 	want := func(what, id string, s decide.MemberState) {
 		t.Helper()
 		if state[id] != s {
@@ -176,10 +176,10 @@
 	}
 	o.List(decide.ListSaved, all)
 	want("listed anew", "a", decide.Draining)
-	o.List(decide.ListChange, []core.Listed{member("b", 1, decide.Draining)})
+	o.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Draining)})
 	o.Drain([]string{"a"}) // b drains by discovery: a is the last
 	want("the other one drains", "a", decide.Up)
-	o.List(decide.ListChange, []core.Listed{member("b", 1, decide.Up)})
+	o.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Up)})
 	o.Drain([]string{"a"})
 	want("again", "a", decide.Draining)
 	o.Drain(nil)
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -115,7 +115,7 @@
 var errRestart = errors.New("a block that comes or goes, and what a front listens on, take a restart")
 
 // startREST starts the REST front.
-func startREST(conf *restfront.Config, owner *core.Core, claims *call.Claims, log *slog.Logger) (part, error) {
+func startREST(conf *restfront.Config, owner *core.Core, claims *call.ActiveIDs, log *slog.Logger) (part, error) {
 	s, err := restfront.New(owner, *conf, claims, log)
 	if err != nil {
 		return part{}, err
@@ -154,7 +154,7 @@
 	if err != nil {
 		return part{}, err
 	}
-	owner.Observe(s, cold)
+	owner.SetRecordSink(s, cold)
 	if o.Records != nil {
 		o.Records.SetSink(s)
 	}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -29,32 +29,32 @@
 // Told implements fleet.Gateway.
 func (g *told) Told(member string, look, try, guess bool) {
 	if guess {
-		g.owner.Event(decide.Event{Kind: decide.Told, Member: member, Role: decide.Primary})
+		g.owner.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Role: decide.Primary})
 	}
 	if try {
-		g.owner.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.Served})
+		g.owner.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.Served})
 	}
 	if look {
-		g.owner.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.TimedOut})
+		g.owner.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.TimedOut})
 	}
 }
 
 // Parts implements fleet.Gateway.
 func (g *told) Parts(parts [share.Budgets]float64, done func([share.Budgets]float64)) {
-	g.owner.Event(decide.Event{Kind: decide.Parts, Parts: parts})
-	g.owner.Post(func() { done(g.router.Wanted()) })
+	g.owner.PostEvent(decide.Event{Kind: decide.BudgetShares, BudgetShares: parts})
+	g.owner.Post(func() { done(g.router.BudgetDemand()) })
 }
 
 // Counts implements fleet.Gateway.
 func (g *told) Counts(done func(subscribe.Counts, []subscribe.Seen, []subscribe.Tried)) {
 	g.owner.Post(func() {
-		all := g.router.Known()
+		all := g.router.Members()
 		var some []subscribe.Seen
 		for range min(len(all), subscribe.SeenMost) {
 			g.at = (g.at + 1) % len(all)
 			k := &all[g.at]
 			some = append(some, subscribe.Seen{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
-				Position: k.Position.Milliseconds(), Out: k.Out})
+				Position: k.Position.Milliseconds(), Out: k.Unavailable})
 		}
 		var tried []subscribe.Tried
 		for _, z := range slices.Sorted(maps.Keys(g.tried)) {
@@ -148,8 +148,8 @@
 	g      *told
 }
 
-// Tried implements core.Witness.
-func (s sees) Tried(member string, r decide.Result) {
+// AttemptEnded implements core.Witness.
+func (s sees) AttemptEnded(member string, r decide.Result) {
 	if s.g.over != nil {
 		if zone := s.g.over.zone(member); zone != "" {
 			s.g.try(zone, r)
@@ -157,26 +157,26 @@
 	}
 }
 
-// Ended implements core.Witness.
-func (s sees) Ended(q *core.Request, v core.Verdict, took core.Time) {
-	c := &s.counts.Classes[min(q.Place, agreed.ClassesMost-1)]
+// RequestEnded implements core.Witness.
+func (s sees) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
+	c := &s.counts.Classes[min(q.ClassIndex, agreed.ClassesMost-1)]
 	c.Requests++
 	if v != core.Served {
 		c.Refused++
 		return
 	}
-	if took > q.Class.Aim {
+	if took > q.Class.LatencyTarget {
 		c.Late++
 	}
 	s.counts.Latency[agreed.Bucket(took.Microseconds())]++
 }
 
-// Noted implements core.Witness.
-func (s sees) Noted(c decide.Change, member string) {
+// MemberChanged implements core.Witness.
+func (s sees) MemberChanged(c decide.Change, member string) {
 	switch c {
 	case decide.Suspected:
 		s.f.Saw(member, belief.Silent, 0)
-	case decide.Trusted:
+	case decide.Recovered:
 		s.f.Saw(member, belief.Answers, 0)
 	case decide.PrimaryFound:
 		if s.g.over != nil {
@@ -192,8 +192,8 @@
 // Probed implements core.Witness.
 func (s sees) Probed(member string, answered bool) { s.f.Probed(member, answered) }
 
-// Listed implements core.Witness.
-func (s sees) Listed() { s.f.Discovered() }
+// DiscoveryAnswered implements core.Witness.
+func (s sees) DiscoveryAnswered() { s.f.Discovered() }
 
 // startFleet has the gateway know its peers.
 func startFleet(conf *fleet.Config, g *running, buffers int) (part, error) {
@@ -211,7 +211,7 @@
 	if err != nil {
 		return part{}, err
 	}
-	g.owner.Tell(sees{f, counts, way})
+	g.owner.SetObserver(sees{f, counts, way})
 	g.fleet = f
 	return part{
 		name: "fleet",
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 	bufs   *pgwire.Pool
 	dir    *discovery.Client
 	front  *pgfront.Server
-	claims *call.Claims
+	claims *call.ActiveIDs
 	parts  []part
 	over   *overlay   // nil: nobody agrees on drains
 	ops    *operators // nil: operators have no door
@@ -248,22 +248,22 @@
 		list = over.List
 	}
 	if line != nil {
-		owner.Share(line)
+		owner.SetSharedCommits(line)
 		next := list
-		list = func(kind decide.EventKind, members []core.Listed) {
+		list = func(kind decide.EventKind, members []core.ListedMember) {
 			line.List(kind, members)
 			next(kind, members)
 		}
 	}
 	dir := discovery.New(discovery.Config{Addr: c.Discovery, Version: c.version, Gateways: c.Decide.Fronts, Seed: c.seed,
-		Pushed: !c.Decide.AskList}, list, dial, log)
+		Pushed: !c.Decide.ListOnRequest}, list, dial, log)
 	if line != nil {
 		line.version = dir.Version
 	}
 	owner.Connect(pool, dir)
-	g := &running{o: o, c: c, router: router, owner: owner, pool: pool, bufs: bufs, dir: dir, claims: call.NewClaims(), over: over, line: line, ops: ops, most: share.Clients}
+	g := &running{o: o, c: c, router: router, owner: owner, pool: pool, bufs: bufs, dir: dir, claims: call.NewActiveIDs(), over: over, line: line, ops: ops, most: share.Clients}
 	if edge.Syslog != nil {
-		p, err := startSyslog(edge.Syslog, owner, c.Decide.ColdTime, o)
+		p, err := startSyslog(edge.Syslog, owner, c.Decide.SlowStartTime, o)
 		if err != nil {
 			return nil, fmt.Errorf("syslog: %w", err)
 		}
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -106,7 +106,7 @@
 	adopt   func(net.Conn, bool) // takes over a connection; nil: not serving yet
 	end     func()               // of taking connections over; nil: not begun, or over
 	leaving bool                 // it takes over none any more
-	listed  map[string]core.Listed
+	listed  map[string]core.ListedMember
 	version func() int64 // of the list
 	pending bool         // a save is on, or will be
 	again   bool         // and once more after it
@@ -125,7 +125,7 @@
 		}
 	}
 	s := &succession{board: b, log: log, now: now, addr: c.Discovery, memory: c.memory, done: make(chan struct{}),
-		heard: make(chan struct{}), listed: map[string]core.Listed{}}
+		heard: make(chan struct{}), listed: map[string]core.ListedMember{}}
 	s.look()
 	return s
 }
@@ -164,7 +164,7 @@
 }
 
 // List notes what discovery says, for a process that follows.
-func (s *succession) List(kind decide.EventKind, members []core.Listed) {
+func (s *succession) List(kind decide.EventKind, members []core.ListedMember) {
 	if s == nil || !kind.HasList() {
 		return
 	}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -81,7 +81,7 @@
 }
 
 // List takes what discovery says and passes it on.
-func (o *operators) List(kind decide.EventKind, members []core.Listed) {
+func (o *operators) List(kind decide.EventKind, members []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.owner.List(kind, o.set.List(kind, members))
@@ -125,7 +125,7 @@
 
 // say has the owner do what an operator says of a member, and waits until it is in force. By the end of ctx what the
 // owner did not begin is taken back.
-func (o *operators) say(ctx context.Context, id, line string, do func(*suspend.Set, string, core.Time) ([]core.Listed, error)) error {
+func (o *operators) say(ctx context.Context, id, line string, do func(*suspend.Set, string, core.Time) ([]core.ListedMember, error)) error {
 	var begun atomic.Bool // set by whoever comes first: the owner, or the caller who leaves
 	start := time.Now()
 	done := make(chan error, 1)
--- a/internal/gateway/overlay.go
+++ b/internal/gateway/overlay.go
@@ -19,24 +19,24 @@
 	sink discovery.Sink
 
 	mu     sync.Mutex
-	listed map[string]core.Listed // as discovery has them
-	drains map[string]bool        // as the council has them
-	zones  map[string]float64     // parts of their load that go elsewhere, by the agreed plan
-	first  map[int64]string       // the primary of each group, as this gateway believes
-	name   string                 // of this gateway
-	held   map[string]bool        // that the core was told to be draining for it
-	Kept   int                    // members left in use as they are the last of their group
+	listed map[string]core.ListedMember // as discovery has them
+	drains map[string]bool              // as the council has them
+	zones  map[string]float64           // parts of their load that go elsewhere, by the agreed plan
+	first  map[int64]string             // the primary of each group, as this gateway believes
+	name   string                       // of this gateway
+	held   map[string]bool              // that the core was told to be draining for it
+	Kept   int                          // members left in use as they are the last of their group
 }
 
 // listedMost bounds what is kept of the list; discovery's own bounds are lower.
 const listedMost = 1 << 14
 
 func newOverlay(name string, sink discovery.Sink) *overlay {
-	return &overlay{name: name, zones: map[string]float64{}, first: map[int64]string{}, sink: sink, listed: map[string]core.Listed{}, drains: map[string]bool{}, held: map[string]bool{}}
+	return &overlay{name: name, zones: map[string]float64{}, first: map[int64]string{}, sink: sink, listed: map[string]core.ListedMember{}, drains: map[string]bool{}, held: map[string]bool{}}
 }
 
 // List takes what discovery says and passes it on.
-func (o *overlay) List(kind decide.EventKind, members []core.Listed) {
+func (o *overlay) List(kind decide.EventKind, members []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !kind.HasList() {
@@ -58,7 +58,7 @@
 	out := members
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) { // who is no longer heeded, as it became the last of its group, or is anew
 		m := o.listed[id]
-		if o.held[id] != was[id] && m.State == decide.Up && !slices.ContainsFunc(members, func(x core.Listed) bool { return x.ID == id }) {
+		if o.held[id] != was[id] && m.State == decide.Up && !slices.ContainsFunc(members, func(x core.ListedMember) bool { return x.ID == id }) {
 			out = append(slices.Clone(out), m)
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // Left are the members of zones that load goes away from, which are looked at now and then, with their addresses.
-func (o *overlay) Left() (all []core.Listed) {
+func (o *overlay) Left() (all []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
@@ -171,7 +171,7 @@
 func (o *overlay) again() {
 	was := maps.Clone(o.held)
 	o.choose()
-	var change []core.Listed
+	var change []core.ListedMember
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		if m := o.listed[id]; o.held[id] != was[id] && m.State == decide.Up {
 			if o.held[id] {
--- a/internal/gateway/retune.go
+++ b/internal/gateway/retune.go
@@ -66,7 +66,7 @@
 	g.line.keep(r.text)
 	was := g.c.terms.Now()
 	g.owner.Post(func() {
-		if err := g.router.Retune(*r.conf.Decide); err != nil { // reread has checked it
+		if err := g.router.Reconfigure(*r.conf.Decide); err != nil { // reread has checked it
 			g.o.Log.Error("retuning refused", "err", err)
 			return
 		}
--- a/internal/gateway/soak_test.go
+++ b/internal/gateway/soak_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		sink := new(counting)
-		g.owner.Observe(sink, conf.Decide.ColdTime)
+		g.owner.SetRecordSink(sink, conf.Decide.SlowStartTime)
 		listener, err := pipes.Listen("gateway:0")
 		if err != nil {
 			t.Fatal(err)
@@ -138,7 +138,7 @@
 			most.Decide.Groups = max(most.Decide.Groups, last.Decide.Groups)
 			most.Decide.Requests = max(most.Decide.Requests, last.Decide.Requests)
 			most.Decide.Sessions = max(most.Decide.Sessions, last.Decide.Sessions)
-			most.Decide.Ghosts = max(most.Decide.Ghosts, last.Decide.Ghosts)
+			most.Decide.OrphanedAttempts = max(most.Decide.OrphanedAttempts, last.Decide.OrphanedAttempts)
 			most.Core.Requests = max(most.Core.Requests, last.Core.Requests)
 			most.Core.Timers = max(most.Core.Timers, last.Core.Timers)
 			most.Core.Members = max(most.Core.Members, last.Core.Members)
@@ -159,7 +159,7 @@
 		// At most 14 members are listed at a time; gone ones are kept for a minute, in which at most twenty come.
 		for what, v := range map[string][2]int{
 			"members known to the module": {most.Decide.Members, 34}, "groups": {most.Decide.Groups, 24},
-			"requests of the module": {most.Decide.Requests, 4}, "sessions kept": {most.Decide.Sessions, 4096 + 1}, "work called off": {most.Decide.Ghosts, 64},
+			"requests of the module": {most.Decide.Requests, 4}, "sessions kept": {most.Decide.Sessions, 4096 + 1}, "work called off": {most.Decide.OrphanedAttempts, 64},
 			"requests of the core": {most.Core.Requests, 4}, "timers": {most.Core.Timers, 64}, "members in records": {most.Core.Members, 16},
 			"members of the pool": {most.Pool.Members, 34}, "member connections": {most.Pool.Connections, 64}, "jobs": {most.Pool.Jobs, 8}, "ids in work": {most.Claims, 4},
 		} {
--- a/internal/pgfront/arrivals_test.go
+++ b/internal/pgfront/arrivals_test.go
@@ -47,8 +47,8 @@
 			if i >= 0 {
 				want = sent[i]
 			}
-			if got := q.Until - 400*time.Millisecond; got > want || got < want-arrivalsEach || q.Came != got {
-				t.Fatalf("command %d counts from %v after it came, said to be %v", i, got-want, q.Came-want)
+			if got := q.Deadline - 400*time.Millisecond; got > want || got < want-arrivalsEach || q.ReceivedAt != got {
+				t.Fatalf("command %d counts from %v after it came, said to be %v", i, got-want, q.ReceivedAt-want)
 			}
 			time.Sleep(3 * time.Millisecond)
 			q.Call.Release()
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -398,7 +398,7 @@
 		if errors.Is(err, errInUse) {
 			code, why = pgwire.DuplicateObject, record.InUse
 		}
-		c.s.core.Turned(front, record.Failed, why)
+		c.s.core.RecordFrontOutcome(front, record.Failed, why)
 		c.out = pgwire.AppendError(c.out[:0], "ERROR", code, err.Error(), "")
 		c.out = pgwire.AppendReady(c.out)
 		return c.write(c.out)
@@ -487,7 +487,7 @@
 	if err := c.skip(n); err != nil {
 		return err
 	}
-	c.s.core.Turned(front, record.Refused, record.Buffers)
+	c.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
 	c.s.full.Warn(c.s.log, "request refused: out of buffers")
 	c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.TooManyConnections, "too many requests", c.comeBack())
 	return c.write(pgwire.AppendReady(c.out))
@@ -524,10 +524,10 @@
 	case !c.s.conf.Claims.Claim(st.ID): // under one id two requests would look to members like copies of one
 		return nil, errInUse
 	}
-	st.Done = func() { c.s.conf.Claims.Disclaim(st.ID) }
-	q := &core.Request{Class: k.Class, Place: k.Place, Tenant: t.Tenant(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, Came: came,
-		Written: core.Time(st.After) * time.Millisecond, Call: st,
-		Until: came + min(core.Time(min(st.Wait, maxWait))*time.Millisecond, k.Deadline)}
+	st.Done = func() { c.s.conf.Claims.Release(st.ID) }
+	q := &core.Request{Class: k.Class, ClassIndex: k.Place, Tenant: t.Tenant(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: came,
+		LastWrite: core.Time(st.After) * time.Millisecond, Call: st,
+		Deadline: came + min(core.Time(min(st.Wait, maxWait))*time.Millisecond, k.Deadline)}
 	if k.HasSession() {
 		q.Session = st.Key
 	}
@@ -546,8 +546,8 @@
 		return c.write(body.B)
 	case core.Refused:
 		detail := ""
-		if a.After > 0 {
-			detail = strconv.FormatInt(a.After.Milliseconds(), 10)
+		if a.RetryAfter > 0 {
+			detail = strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)
 		}
 		c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.TooManyConnections, "refused, try again later", detail)
 	case core.Failed:
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -41,7 +41,7 @@
 	f.open = append(f.open, q)
 	f.arrived++
 }
-func (f *fakeCore) Turned(string, record.Outcome, record.Cause) {}
+func (f *fakeCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
 func (f *fakeCore) Gone(q *core.Request) {
 	f.mu.Lock()
@@ -526,7 +526,7 @@
 		case b >= 240 && i > 0:
 			left = true
 		case b >= 150 && open >= 0 && len(f.open) > 0:
-			answer := core.Answer{Verdict: core.Verdict(b % 3), After: 70 * time.Millisecond}
+			answer := core.Answer{Verdict: core.Verdict(b % 3), RetryAfter: 70 * time.Millisecond}
 			if answer.Verdict == core.Served {
 				body := bufs.Get(pgwire.BufSize, 0)
 				body.B = pgwire.Append(body.B, 'D', "\x00\x01\x00\x00\x00\x01v")
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -25,16 +25,16 @@
 // Config holds what the front is told.
 type Config struct {
 	Terms      *terms.Book
-	Max        int           // client connections; for more, idle ones are ended
-	Spare      int           // connections above Max, half for those being ended, half for those being refused; those that linger have what is left
-	Keep       int           // buffers left to the members when statements take the rest
-	StartWait  time.Duration // the startup and the first command must begin by then; no message may pause for longer
-	WriteWait  time.Duration // an answer must have been taken by then
-	RefuseWait time.Duration // how long a connection may linger once its last word is written, or wait to be refused
-	IdleMost   time.Duration // a connection idle for longer is ended,
-	IdleKeep   int           // and the longest idle where so many are
-	Pass       Pass          // nil: no other process takes connections over
-	Claims     *call.Claims  // ids in work, shared with other fronts; nil: none are
+	Max        int             // client connections; for more, idle ones are ended
+	Spare      int             // connections above Max, half for those being ended, half for those being refused; those that linger have what is left
+	Keep       int             // buffers left to the members when statements take the rest
+	StartWait  time.Duration   // the startup and the first command must begin by then; no message may pause for longer
+	WriteWait  time.Duration   // an answer must have been taken by then
+	RefuseWait time.Duration   // how long a connection may linger once its last word is written, or wait to be refused
+	IdleMost   time.Duration   // a connection idle for longer is ended,
+	IdleKeep   int             // and the longest idle where so many are
+	Pass       Pass            // nil: no other process takes connections over
+	Claims     *call.ActiveIDs // ids in work, shared with other fronts; nil: none are
 }
 
 // Pass gives a client's connection to another process that goes on with it, and tells whether it has. The connection
@@ -47,7 +47,7 @@
 	Arrive(*core.Request)
 	Gone(*core.Request)
 	Cancel(*core.Request)
-	Turned(front string, o record.Outcome, why record.Cause)
+	RecordFrontOutcome(front string, o record.Outcome, why record.Cause)
 }
 
 const front = "pg" // as records have it
@@ -91,7 +91,7 @@
 	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, most: conf.Max}
 	s.ended.L = &s.mu
 	if s.conf.Claims == nil {
-		s.conf.Claims = call.NewClaims()
+		s.conf.Claims = call.NewActiveIDs()
 	}
 	return s
 }
--- a/internal/pgmember/conn.go
+++ b/internal/pgmember/conn.go
@@ -142,8 +142,8 @@
 func (c *conn) begin(j *job, until core.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := j.attempt; a != nil && a.Before != 0 {
-		until = min(until, a.Before-boundMargin)
+	if a := j.attempt; a != nil && a.WriteBy != 0 {
+		until = min(until, a.WriteBy-boundMargin)
 	}
 	if c.sendBy != 0 {
 		until = min(until, c.sendBy)
@@ -271,7 +271,7 @@
 func (c *conn) write(j *job, a *answer) (core.Outcome, bool) {
 	query, until := net.Buffers{pgwire.Append(nil, 'Q', "SHOW health\x00")}, c.p.core.Now()+c.p.conf.Load().Connect
 	if j.attempt != nil {
-		until = j.attempt.Until
+		until = j.attempt.Deadline
 		wait := max((until - c.p.core.Now()).Milliseconds(), 1)
 		switch c := j.attempt.Request.Call.(type) {
 		case *pgwire.Statement: // as it came
@@ -359,7 +359,7 @@
 		o.Reused = why == decide.Reset && c.used && !a.begun
 	}
 	c.used = true
-	o.Role, o.Stamped, o.Position, o.Report = a.role, a.stamped, a.position, a.report
+	o.Role, o.HasPosition, o.Position, o.Report = a.role, a.stamped, a.position, a.report
 	if j.attempt == nil && o.Result == decide.Served {
 		c.report(&o.Report, a.row)
 	}
@@ -433,7 +433,7 @@
 	case "":
 		return decide.Served
 	case pgwire.ReadOnly, pgwire.TooFarBehind:
-		return decide.NotHere
+		return decide.Misdirected
 	case pgwire.TooManyConnections, pgwire.CannotConnectNow:
 		return decide.Full
 	}
@@ -582,7 +582,7 @@
 		return err
 	}
 	s := pgwire.NewStream()
-	c.p.core.Begun(a.job.attempt, s)
+	c.p.core.AnswerStarted(a.job.attempt, s)
 	w, done := s.Taken()
 	if w == nil {
 		if err := woken(); err != nil {
--- a/internal/pgmember/evict_test.go
+++ b/internal/pgmember/evict_test.go
@@ -52,9 +52,9 @@
 			}
 			return nc, err
 		}
-		var list []core.Listed
+		var list []core.ListedMember
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-			list = append(list, core.Listed{Addr: id + ":1", Member: decide.Member{ID: id, State: decide.Up}})
+			list = append(list, core.ListedMember{Addr: id + ":1", Member: decide.Member{ID: id, State: decide.Up}})
 		}
 		r.core.List(decide.ListChange, list)
 		synctest.Wait()
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -134,7 +134,7 @@
 	w.pool = New(w.core, Config{User: "app", Database: "shop", Max: 4, Idle: time.Hour, Connect: 20 * time.Second,
 		Grace: 50 * time.Millisecond}, w.bufs, dial, log)
 	w.core.Connect(w.pool, nil)
-	w.core.List(decide.ListChange, []core.Listed{{Addr: l.Addr().String(), Member: decide.Member{ID: "m"}}})
+	w.core.List(decide.ListChange, []core.ListedMember{{Addr: l.Addr().String(), Member: decide.Member{ID: "m"}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := make(chan struct{})
 	go func() {
@@ -168,7 +168,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	q := &core.Request{Class: k, Until: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
+	q := &core.Request{Class: k, Deadline: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
 	w.core.Arrive(q)
 	w.send()
 	return q, q.Client.(*sink)
@@ -179,7 +179,7 @@
 	w.owner(func() {
 		a := decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"}
 		if w.before > 0 {
-			a.Before = w.core.Now() + w.before
+			a.WriteBy = w.core.Now() + w.before
 		}
 		w.script.actions = append(w.script.actions, a)
 	})
@@ -276,7 +276,7 @@
 					w.pool.beforeWrite = func(j *job) {
 						at <- struct{}{}
 						<-on
-						if j.attempt.Request.Over() && j.c.begin(j, w.core.Now()+time.Minute) {
+						if j.attempt.Request.Closed() && j.c.begin(j, w.core.Now()+time.Minute) {
 							t.Error("it could still have been written")
 						}
 						at <- struct{}{}
@@ -294,7 +294,7 @@
 					on <- struct{}{}
 					<-at
 				}()
-				if !q.Over() {
+				if !q.Closed() {
 					t.Error("not marked at once")
 				}
 				close(blocked)
@@ -331,7 +331,7 @@
 				buf := w.bufs.Get(200, 0)
 				buf.B = append(buf.B, "/* id=9,c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k'"...)
 				st, _ := pgwire.Parse(buf)
-				q := &core.Request{Class: k, Until: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
+				q := &core.Request{Class: k, Deadline: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
 				w.core.Arrive(q)
 				w.owner(func() { // it leaves while the module decides to send it
 					w.script.actions = append(w.script.actions, decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"})
@@ -392,7 +392,7 @@
 		"whole":                   {"", string(pgwire.AppendReady(append(append([]byte{}, served...), told...))), decide.Served, true},
 		"begun before":            {string(served[:9]), string(pgwire.AppendReady(append(append([]byte{}, served[9:]...), told...))), decide.Served, true},
 		"long":                    {"", string(pgwire.AppendReady(append(append([]byte{}, long...), told...))), decide.Served, true},
-		"turned away":             {"", string(pgwire.AppendReady(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), told...))), decide.NotHere, true},
+		"turned away":             {"", string(pgwire.AppendReady(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), told...))), decide.Misdirected, true},
 		"told, and no more":       {"", string(told) + string(served[:7]), decide.TimedOut, true},
 		"half a line":             {"", string(served[:7]), decide.TimedOut, false},
 		"nothing":                 {"", "", decide.TimedOut, false},
@@ -432,10 +432,10 @@
 			}
 			let()
 			e := w.outcome()
-			if e.Result != tc.result || e.Stamped && e.Position != 1767225600123*time.Millisecond {
+			if e.Result != tc.result || e.HasPosition && e.Position != 1767225600123*time.Millisecond {
 				t.Errorf("outcome %+v", e)
 			}
-			if roleTold := e.Role == decide.Primary; name != "half of what it told" && (e.Stamped != tc.told || roleTold != tc.told) {
+			if roleTold := e.Role == decide.Primary; name != "half of what it told" && (e.HasPosition != tc.told || roleTold != tc.told) {
 				t.Errorf("outcome %+v", e)
 			}
 			if _, err := bufio.NewReader(c).ReadByte(); err == nil { // else a part of it might be the next one's answer
@@ -462,7 +462,7 @@
 			})
 		}, decide.NotSent},
 		"drains": {func(w *wires, q *core.Request) {
-			w.core.List(decide.ListChange, []core.Listed{{Member: decide.Member{ID: "m", State: decide.Draining}}})
+			w.core.List(decide.ListChange, []core.ListedMember{{Member: decide.Member{ID: "m", State: decide.Draining}}})
 		}, decide.NotSent},
 		"too old":     {func(w *wires, q *core.Request) {}, decide.NotSent},
 		"member goes": {func(w *wires, q *core.Request) {}, decide.Unreachable},
@@ -502,7 +502,7 @@
 	w.core.Gone(q)
 	w.owner(func() {})
 	_, _ = c.Write(pgwire.AppendReady(append(append([]byte{}, served...), told...)))
-	if e := w.outcome(); e.Result != decide.Served || !e.Stamped || !e.Ended || len(s.answers) != 0 {
+	if e := w.outcome(); e.Result != decide.Served || !e.HasPosition || !e.Ended || len(s.answers) != 0 {
 		t.Errorf("outcome %+v, %d answers", e, len(s.answers))
 	}
 }
@@ -524,7 +524,7 @@
 		statement(t, c)
 		_, _ = c.Write(served)
 		_ = c.Close()
-		if e := w.outcome(); e.Result != decide.Served || e.Stamped != stamps || stamps && e.Position < before {
+		if e := w.outcome(); e.Result != decide.Served || e.HasPosition != stamps || stamps && e.Position < before {
 			t.Errorf("outcome %+v, sent at %v", e, before)
 		}
 	}
--- a/internal/pgmember/pass_test.go
+++ b/internal/pgmember/pass_test.go
@@ -23,19 +23,19 @@
 
 // twice stands in for the module: it sends each request to m, and once more unless its answer has begun.
 type twice struct {
-	core.Witness
+	core.Observer
 	sent, ended int
 	last        decide.Result   // that it was told
 	tried       []decide.Result // how attempts ended in the end
 	verdicts    []core.Verdict
 }
 
-func (d *twice) Tried(_ string, r decide.Result) { d.tried = append(d.tried, r) }
-func (d *twice) Ended(_ *core.Request, v core.Verdict, _ core.Time) {
+func (d *twice) AttemptEnded(_ string, r decide.Result) { d.tried = append(d.tried, r) }
+func (d *twice) RequestEnded(_ *core.Request, v core.Verdict, _ core.Time) {
 	d.verdicts = append(d.verdicts, v)
 }
-func (d *twice) Answered(string) {}
-func (d *twice) Listed()         {}
+func (d *twice) Answered(string)    {}
+func (d *twice) DiscoveryAnswered() {}
 
 func (d *twice) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
 	for _, e := range events {
@@ -150,8 +150,8 @@
 	pool := New(owner, Config{User: "app", Database: "shop", Max: 4, Idle: 200 * time.Second, Connect: 250 * time.Millisecond,
 		Grace: 250 * time.Millisecond}, bufs, dial, log)
 	owner.Connect(pool, nil)
-	owner.Tell(d)
-	owner.List(decide.ListFull, []core.Listed{{Addr: "a:1", Member: decide.Member{ID: "m", State: decide.Up}}})
+	owner.SetObserver(d)
+	owner.List(decide.ListFull, []core.ListedMember{{Addr: "a:1", Member: decide.Member{ID: "m", State: decide.Up}}})
 	ctx, cancel := context.WithCancel(t.Context())
 	go owner.Run(ctx)
 	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: 400 * time.Millisecond}}})
--- a/internal/pgmember/pool.go
+++ b/internal/pgmember/pool.go
@@ -32,8 +32,8 @@
 	idlePart    = 0.8 // of Idle after which the pool closes a connection, so that no request crosses the member's close
 	gracePart   = 0.6 // of Grace after which nothing more is written
 	sweepEvery  = time.Second
-	membersMost = 2 * decide.MembersMost // kept in all, those that left the list and still have connections among them
-	boundMargin = 2 * time.Millisecond   // data ages until the last byte is out
+	membersMost = 2 * decide.MaxMembers // kept in all, those that left the list and still have connections among them
+	boundMargin = 2 * time.Millisecond  // data ages until the last byte is out
 )
 
 // Pool keeps the connections to all members.
@@ -76,7 +76,7 @@
 }
 
 // over tells that no byte of the job may be written any more. It may be called from any goroutine.
-func (j *job) over() bool { return j.off.Load() || j.attempt != nil && j.attempt.Request.Over() }
+func (j *job) over() bool { return j.off.Load() || j.attempt != nil && j.attempt.Request.Closed() }
 
 // New returns a pool that reports to c.
 func New(c *core.Core, conf Config, bufs *pgwire.Pool, dial Dialer, log *slog.Logger) *Pool {
@@ -106,7 +106,7 @@
 }
 
 // List takes addresses and who is wanted.
-func (p *Pool) List(kind decide.EventKind, list []core.Listed) {
+func (p *Pool) List(kind decide.EventKind, list []core.ListedMember) {
 	named := map[string]bool{}
 	for _, l := range list {
 		named[l.ID] = true
@@ -115,7 +115,7 @@
 			if l.State == decide.Removed {
 				continue
 			}
-			if len(p.members) >= decide.MembersMost {
+			if len(p.members) >= decide.MaxMembers {
 				p.cutList.Warn(p.log, "list of members is too long, the rest is not used", "kept", len(p.members), "member", l.ID)
 			}
 			if len(p.members) >= membersMost {
@@ -188,7 +188,7 @@
 		return
 	}
 	j := &job{m: m}
-	p.core.After(p.core.Now()+p.conf.Load().Connect, func() { p.stop(j, decide.TimedOut) })
+	p.core.RunAt(p.core.Now()+p.conf.Load().Connect, func() { p.stop(j, decide.TimedOut) })
 	p.start(j)
 }
 
@@ -281,7 +281,7 @@
 		}
 		p.closeIdle(m, p.core.Now()-core.Time(idlePart*float64(p.conf.Load().Idle))+sweepEvery)
 	}
-	p.core.After(p.core.Now()+sweepEvery, p.sweep)
+	p.core.RunAt(p.core.Now()+sweepEvery, p.sweep)
 }
 
 // closeIdle closes the idle connections of m that were last used before t, all for 0.
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -55,7 +55,7 @@
 	name   string
 	result decide.Result
 }{
-	{"row", decide.Served}, {"25006", decide.NotHere}, {"72000", decide.NotHere}, {"XX000", decide.Errored},
+	{"row", decide.Served}, {"25006", decide.Misdirected}, {"72000", decide.Misdirected}, {"XX000", decide.Errored},
 	{"53300", decide.Full}, {"break", decide.Reset}, {"half", decide.Reset}, {"silent", decide.TimedOut},
 	{"row", decide.Served}, {"norow", decide.Errored}, {"badlen", decide.Errored}, {"fatal 53300", decide.Full},
 	{"42601", decide.Rejected}, {"08P01", decide.Rejected}, {"noise", decide.Errored}, {"stall", decide.Errored}, {"two rows", decide.Errored}, {"short row", decide.Errored},
@@ -100,7 +100,7 @@
 }
 
 func (r *rig) list(state decide.MemberState) {
-	r.core.List(decide.ListChange, []core.Listed{{Addr: "a:1", Member: decide.Member{ID: "m", State: state}}})
+	r.core.List(decide.ListChange, []core.ListedMember{{Addr: "a:1", Member: decide.Member{ID: "m", State: state}}})
 	synctest.Wait()
 }
 
@@ -294,7 +294,7 @@
 		r.t.Fatal(err)
 	}
 	s := &sink{r: r}
-	r.core.Arrive(&core.Request{Until: r.core.Now() + wait, Call: st, Client: s})
+	r.core.Arrive(&core.Request{Deadline: r.core.Now() + wait, Call: st, Client: s})
 	synctest.Wait()
 	return s
 }
@@ -336,7 +336,7 @@
 			if len(s.answers) != 1 {
 				t.Errorf("%s: %d answers", w.name, len(s.answers))
 			}
-			if e := r.script.outcomes[1][0]; w.result == decide.Errored && w.name != "XX000" && e.Stamped {
+			if e := r.script.outcomes[1][0]; w.result == decide.Errored && w.name != "XX000" && e.HasPosition {
 				t.Errorf("%s: the note of a spoilt answer was believed: %+v", w.name, e)
 			}
 			if w.name != "row" && len(w.name) != len("25006") || w.name == "noise" || w.name == "extra" {
@@ -346,7 +346,7 @@
 					}
 				})
 			}
-			if e := r.script.outcomes[1][0]; w.name == "row" && (e.Role != decide.Replica || !e.Stamped ||
+			if e := r.script.outcomes[1][0]; w.name == "row" && (e.Role != decide.Replica || !e.HasPosition ||
 				e.Position != 1767225600123*time.Millisecond || !e.Ended) {
 				t.Errorf("note %+v", e)
 			}
@@ -400,7 +400,7 @@
 		r := newRig(t, 4)
 		r.delay = 100 * time.Millisecond
 		r.arrive(400 * time.Millisecond)
-		r.act(decide.Action{Kind: decide.Send, Request: 1, Member: "m", Before: r.core.Now() + 50*time.Millisecond})
+		r.act(decide.Action{Kind: decide.Send, Request: 1, Member: "m", WriteBy: r.core.Now() + 50*time.Millisecond})
 		r.sleep(time.Second)
 		only(t, "aged", r.results(1), decide.NotSent)
 	})
@@ -487,7 +487,7 @@
 		r.arrive(400 * time.Millisecond)
 		r.send(1)
 		r.sleep(100 * time.Millisecond)
-		list := make([]core.Listed, 2*membersMost)
+		list := make([]core.ListedMember, 2*membersMost)
 		for i := range list {
 			list[i].ID = strconv.Itoa(i)
 		}
@@ -606,9 +606,9 @@
 func TestLargeListIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 4)
-		list := make([]core.Listed, 3200)
+		list := make([]core.ListedMember, 3200)
 		for i := range list {
-			list[i] = core.Listed{Addr: "a:1", Member: decide.Member{ID: strconv.Itoa(i)}}
+			list[i] = core.ListedMember{Addr: "a:1", Member: decide.Member{ID: strconv.Itoa(i)}}
 		}
 		r.core.List(decide.ListFull, list)
 		synctest.Wait()
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -37,7 +37,7 @@
 	for _, e := range events {
 		switch {
 		case e.Kind == decide.Arrive, e.Kind == decide.Outcome && !e.Ended && d.sent[e.Request] > 0:
-			if e.Kind == decide.Arrive && e.As.Writes() {
+			if e.Kind == decide.Arrive && e.ClassDef.Writes() {
 				d.runs[e.Request] = true
 			}
 			d.sent[e.Request]++
@@ -91,7 +91,7 @@
 	pool := New(owner, Config{User: "app", Database: "shop", Max: 100, Idle: time.Hour, Connect: 20 * time.Second,
 		Grace: time.Second}, g.bufs, Dial, log)
 	owner.Connect(pool, nil)
-	owner.List(decide.ListFull, []core.Listed{{Addr: member.Addr().String(), Member: decide.Member{ID: "m"}}})
+	owner.List(decide.ListFull, []core.ListedMember{{Addr: member.Addr().String(), Member: decide.Member{ID: "m"}}})
 	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute},
 		{Name: "w", Deadline: time.Minute, Consistency: decide.Write}}})
 	if err != nil {
--- a/internal/pgwire/call.go
+++ b/internal/pgwire/call.go
@@ -59,7 +59,7 @@
 	limit, err := strconv.Atoi(f[1])
 	a, err2 := hex.DecodeString(f[2])
 	p, err3 := hex.DecodeString(f[3])
-	if err != nil || err2 != nil || err3 != nil || limit < 1 || limit > call.LimitMost {
+	if err != nil || err2 != nil || err3 != nil || limit < 1 || limit > call.MaxPageItems {
 		return "", "", 0, false
 	}
 	return string(p), string(a), limit, true
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -90,7 +90,7 @@
 		return Cancelled
 	case decide.NotSent:
 		return NotSent
-	case decide.NotHere:
+	case decide.Misdirected:
 		return NotHere
 	case decide.Rejected:
 		return Rejected
--- a/internal/record/roster.go
+++ b/internal/record/roster.go
@@ -7,7 +7,7 @@
 )
 
 // rosterMost bounds the members that are followed, as many as the module keeps; changes of others are not told.
-const rosterMost = decide.MembersMost
+const rosterMost = decide.MaxMembers
 
 // Roster follows what lists say of members and tells what changed: draining,
 // gone, cold, ready. Its zero value is not ready; use NewRoster. It reads no
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -25,10 +25,10 @@
 // noCore is a core that nothing may come to.
 type noCore struct{ t *testing.T }
 
-func (n noCore) Now() core.Time                              { return core.Time(time.Now().UnixNano()) }
-func (n noCore) Arrive(*core.Request)                        { n.t.Error("a request came to the core") }
-func (n noCore) Gone(*core.Request)                          {}
-func (n noCore) Turned(string, record.Outcome, record.Cause) {}
+func (n noCore) Now() core.Time                                          { return core.Time(time.Now().UnixNano()) }
+func (n noCore) Arrive(*core.Request)                                    { n.t.Error("a request came to the core") }
+func (n noCore) Gone(*core.Request)                                      {}
+func (n noCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
 // crossed is the server's end of a connection. When that is about to be ended, its client sends something first, which
 // has come by the time the call is carried out.
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	conf.Terms, conf.Header, conf.Read, conf.Write, conf.Life = book, 100*time.Millisecond, time.Second, time.Second, time.Hour
-	s, err := New(noCore{t}, conf, call.NewClaims(), slog.New(slog.DiscardHandler))
+	s, err := New(noCore{t}, conf, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -30,7 +30,7 @@
 	defer f.mu.Unlock()
 	f.open++
 }
-func (f *fakeCore) Turned(string, record.Outcome, record.Cause) {}
+func (f *fakeCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 func (f *fakeCore) Gone(q *core.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +65,7 @@
 			}
 			f := &fakeCore{}
 			s, err := New(f, Config{Listen: "127.0.0.1:0", Max: 4, Body: 1 << 10, Header: time.Minute, Read: time.Minute, Write: time.Minute,
-				Idle: time.Minute, Terms: book, Life: time.Minute}, call.NewClaims(), slog.New(slog.DiscardHandler))
+				Idle: time.Minute, Terms: book, Life: time.Minute}, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/restfront/list.go
+++ b/internal/restfront/list.go
@@ -32,13 +32,13 @@
 }
 
 // ring reads the keys of cursors.
-func (c *Config) ring() (*cursor.Ring, error) {
+func (c *Config) ring() (*cursor.KeyRing, error) {
 	if c.Keys == "" {
-		k := cursor.Key{ID: 1, Issue: skew, End: 1 << 62}
+		k := cursor.Key{ID: 1, IssueFrom: skew, AcceptUntil: 1 << 62}
 		if _, err := rand.Read(k.Secret[:]); err != nil {
 			return nil, err
 		}
-		return cursor.NewRing([]cursor.Key{k}, c.Life, skew)
+		return cursor.NewKeyRing([]cursor.Key{k}, c.Life, skew)
 	}
 	text, err := os.ReadFile(c.Keys)
 	if err != nil {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Keys, err)
 	}
-	ring, err := cursor.NewRing(keys, c.Life, skew)
+	ring, err := cursor.NewKeyRing(keys, c.Life, skew)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Keys, err)
 	}
@@ -60,8 +60,8 @@
 	err    error
 	kind   string
 	status int
-}{{cursor.ErrFormat, "cursor-format", 400}, {cursor.ErrVersion, "cursor-version", 400}, {cursor.ErrKey, "cursor-key", 410}, {cursor.ErrForged, "cursor-forged", 400},
-	{cursor.ErrExpired, "cursor-expired", 410}, {cursor.ErrFuture, "cursor-future", 400}, {cursor.ErrQuery, "cursor-query", 400}}
+}{{cursor.ErrFormat, "cursor-format", 400}, {cursor.ErrVersion, "cursor-version", 400}, {cursor.ErrUnknownKey, "cursor-key", 410}, {cursor.ErrForged, "cursor-forged", 400},
+	{cursor.ErrExpired, "cursor-expired", 410}, {cursor.ErrIssuedInFuture, "cursor-future", 400}, {cursor.ErrQueryMismatch, "cursor-query", 400}}
 
 // listing reads what a page is asked for by, and fills it in.
 func (s *Server) listing(r *http.Request, c *call.Request, now core.Time) (*listing, *problem) {
@@ -78,12 +78,12 @@
 		}
 	}
 	l := &listing{class: c.Class, limit: limitUsual, text: f.Get("prefix")}
-	if len(l.text) > cursor.IDMost || !utf8.ValidString(l.text) {
-		return bad("prefix", 400, "the prefix has %d bytes, want at most %d of UTF-8", len(l.text), cursor.IDMost)
+	if len(l.text) > cursor.MaxIDBytes || !utf8.ValidString(l.text) {
+		return bad("prefix", 400, "the prefix has %d bytes, want at most %d of UTF-8", len(l.text), cursor.MaxIDBytes)
 	}
 	if f.Has("limit") {
-		if l.limit, err = strconv.Atoi(f.Get("limit")); err != nil || l.limit < 1 || l.limit > call.LimitMost {
-			return bad("limit", 400, "the limit is %.40q, want 1 to %d", f.Get("limit"), call.LimitMost)
+		if l.limit, err = strconv.Atoi(f.Get("limit")); err != nil || l.limit < 1 || l.limit > call.MaxPageItems {
+			return bad("limit", 400, "the limit is %.40q, want 1 to %d", f.Get("limit"), call.MaxPageItems)
 		}
 	}
 	// the limit is not of the query: a client may take smaller pages as it goes
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -60,7 +60,7 @@
 	Now() core.Time
 	Arrive(*core.Request)
 	Gone(*core.Request)
-	Turned(front string, o record.Outcome, why record.Cause)
+	RecordFrontOutcome(front string, o record.Outcome, why record.Cause)
 }
 
 // Server accepts clients.
@@ -68,8 +68,8 @@
 	core   Core
 	conf   Config
 	log    *slog.Logger
-	claims *call.Claims
-	ring   atomic.Pointer[cursor.Ring]
+	claims *call.ActiveIDs
+	ring   atomic.Pointer[cursor.KeyRing]
 	prefix string // of ids that it gives
 	last   atomic.Uint64
 	http   http.Server
@@ -85,7 +85,7 @@
 }
 
 // New returns a server that hands its requests to c. Ids in work are shared with the other fronts by claims.
-func New(c Core, conf Config, claims *call.Claims, log *slog.Logger) (*Server, error) {
+func New(c Core, conf Config, claims *call.ActiveIDs, log *slog.Logger) (*Server, error) {
 	s := &Server{core: c, conf: conf, log: log, claims: claims}
 	s.ended.L = &s.mu
 	ring, err := conf.ring()
@@ -203,7 +203,7 @@
 		if l.s.admit() {
 			return &tracked{Conn: c, s: l.s}, nil
 		}
-		l.s.core.Turned(front, record.Refused, record.Buffers)
+		l.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
 		l.s.refuse(c)
 	}
 }
@@ -292,7 +292,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if p != nil {
-		s.core.Turned(front, p.outcome, p.cause)
+		s.core.RecordFrontOutcome(front, p.outcome, p.cause)
 		p.write(w)
 		return
 	}
@@ -407,8 +407,8 @@
 	if !s.claims.Claim(c.ID) {
 		return nil, nil, &problem{kind: "request-id-in-use", status: http.StatusConflict, detail: "a request with this id is in work", outcome: record.Failed, cause: record.InUse}
 	}
-	c.Done = func() { s.claims.Disclaim(c.ID) }
-	q := &core.Request{Class: k.Class, Place: k.Place, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, AtLeast: atLeast, Until: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
+	c.Done = func() { s.claims.Release(c.ID) }
+	q := &core.Request{Class: k.Class, ClassIndex: k.Place, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
 	if k.HasSession() {
 		if q.Session = h.Get("Reachwind-Session"); q.Session == "" {
 			q.Session = c.Item // as in PostgreSQL, where the quoted key names it
@@ -422,7 +422,7 @@
 	h := w.Header()
 	switch a.Verdict {
 	case core.Refused:
-		refused(a.After).write(w)
+		refused(a.RetryAfter).write(w)
 		return
 	case core.Failed:
 		failed(a.MayHaveRun).write(w)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,8 +74,8 @@
 		"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeGroup}
 	needs = map[string]decide.Consistency{"any": decide.AnyData, "bounded": decide.Bounded,
 		"session": decide.Session, "fresh": decide.Fresh, "write": decide.Write}
-	checks = map[string]decide.Checks{"": decide.ChecksOff,
-		"off": decide.ChecksOff, "refuse": decide.ChecksRefuse, "wait": decide.ChecksWait}
+	checks = map[string]decide.StaleReadPolicy{"": decide.StaleReadAnswer,
+		"off": decide.StaleReadAnswer, "refuse": decide.StaleReadRefuse, "wait": decide.StaleReadWait}
 )
 
 func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
@@ -85,25 +85,25 @@
 	a, fi := &f.Allowed, &f.FamilyInfo
 	c := &decide.Config{
 		// Where the number of gateways is missing, or less than this one's own says, there are at least so many.
-		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: us(f.ResolutionUs), OverShare: f.OverShareWorth,
+		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: us(f.ResolutionUs), OverShareFactor: f.OverShareWorth,
 		MaxAttempts: a.TryLimit, MayCancel: a.MayCancel, MayDuplicate: a.MayDuplicate,
-		MayProbe: a.Probes, MarksRetry: f.ClientHabits.MarksRetry,
-		AskList: f.Discovery == "ask", RemembersSessions: fi.SessionMarks == "remembered",
-		AnswersStamped: fi.AnswersStamped, ColdShare: f.Rules.ColdShare, ColdTime: us(f.Rules.ColdUs),
-		FallMultiple: f.Rules.FallMultiple, FallTime: us(f.Rules.OverloadForUs),
-		OnlyDrainBinds: f.Rules.DrainBindsAlone,
+		MayProbe: a.Probes, ClientsMarkRetries: f.ClientHabits.MarksRetry,
+		ListOnRequest: f.Discovery == "ask", RemembersSessions: fi.SessionMarks == "remembered",
+		AnswersHavePosition: fi.AnswersStamped, SlowStartFraction: f.Rules.ColdShare, SlowStartTime: us(f.Rules.ColdUs),
+		OverloadMultiple: f.Rules.FallMultiple, OverloadTime: us(f.Rules.OverloadForUs),
+		UseUnlisted: f.Rules.DrainBindsAlone,
 	}
 	if a.RetryAfter {
 		c.MaxRetryAfter = us(a.MaxRetryAfterUs)
 	}
 	var ok bool
-	if c.Checks, ok = checks[fi.ServerChecks]; !ok {
+	if c.StaleReads, ok = checks[fi.ServerChecks]; !ok {
 		return nil, fmt.Errorf("settings: unknown ServerChecks %q", fi.ServerChecks)
 	}
 	for i := range f.Grades {
 		g := &f.Grades[i]
-		k := decide.Class{Name: g.Name, KeyWindow: us(g.WindowUs), Aim: us(g.AimUs), Deadline: us(g.DeadlineUs),
-			Worth: g.Value, LateWorth: g.LateValue, Bound: us(fi.ClassBoundUs[i])}
+		k := decide.Class{Name: g.Name, KeyWindow: us(g.WindowUs), LatencyTarget: us(g.AimUs), Deadline: us(g.DeadlineUs),
+			Value: g.Value, LateValue: g.LateValue, Bound: us(fi.ClassBoundUs[i])}
 		if k.Effect, ok = effects[g.Effect]; !ok {
 			return nil, fmt.Errorf("settings: class %q: unknown Effect %q", g.Name, g.Effect)
 		}
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -121,7 +121,7 @@
 			t.Fatal(err)
 		}
 		if f, err := Parse(whole.Settings); err == nil { // a fault here is refused by the caller
-			if c, err := f.Config(); err != nil || c.MaxAttempts < 1 || c.Classes[0].Aim < 1 || c.Classes[1].Deadline < 1 {
+			if c, err := f.Config(); err != nil || c.MaxAttempts < 1 || c.Classes[0].LatencyTarget < 1 || c.Classes[1].Deadline < 1 {
 				t.Fatal(fmt.Sprint("seed ", seed), err, string(text))
 			}
 		}
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -49,21 +49,21 @@
 
 // Set is what operators said, beside the list as discovery has it. It is for one goroutine at a time.
 type Set struct {
-	listed map[string]core.Listed // as discovery has them
-	left   map[string]core.Listed // as they were listed last
-	gone   []string               // the ids in left, those that left first in front
+	listed map[string]core.ListedMember // as discovery has them
+	left   map[string]core.ListedMember // as they were listed last
+	gone   []string                     // the ids in left, those that left first in front
 	said   map[string]Entry
 	out    int // entries of said that are Out
 }
 
 // New returns a set in which nobody is listed or suspended.
 func New() *Set {
-	return &Set{listed: map[string]core.Listed{}, left: map[string]core.Listed{}, said: map[string]Entry{}}
+	return &Set{listed: map[string]core.ListedMember{}, left: map[string]core.ListedMember{}, said: map[string]Entry{}}
 }
 
 // List takes what discovery says and returns what is to be passed on for it: the same, but with each suspended member
 // draining. It does not change members.
-func (s *Set) List(kind decide.EventKind, members []core.Listed) []core.Listed {
+func (s *Set) List(kind decide.EventKind, members []core.ListedMember) []core.ListedMember {
 	if !kind.HasList() {
 		return members
 	}
@@ -93,7 +93,7 @@
 	if len(s.said) == 0 {
 		return members
 	}
-	out := make([]core.Listed, 0, len(members)+s.out)
+	out := make([]core.ListedMember, 0, len(members)+s.out)
 	named := make(map[string]bool, len(members))
 	for i := range members {
 		named[members[i].ID] = true
@@ -137,7 +137,7 @@
 
 // as is an entry as it is passed on. A member that was suspended was most likely restarted meanwhile: until discovery
 // tells when, it counts as started when it was resumed, so that it gets a cold member's share only.
-func (s *Set) as(m core.Listed) core.Listed {
+func (s *Set) as(m core.ListedMember) core.ListedMember {
 	e, ok := s.said[m.ID]
 	switch {
 	case !ok:
@@ -156,7 +156,7 @@
 
 // Suspend takes a member out from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
 // list. A second call for the same one changes nothing and is no error.
-func (s *Set) Suspend(id string, now core.Time) ([]core.Listed, error) {
+func (s *Set) Suspend(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.said[id]
 	switch {
 	case e.Out:
@@ -172,7 +172,7 @@
 
 // Resume calls a member back, as Suspend took it out. One call is enough for any number of those. For a member that
 // is known and not suspended it changes nothing and is no error.
-func (s *Set) Resume(id string, now core.Time) ([]core.Listed, error) {
+func (s *Set) Resume(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.said[id]
 	switch {
 	case e.Out:
@@ -191,7 +191,7 @@
 }
 
 // say notes e and returns the change that it makes to the list.
-func (s *Set) say(e Entry) []core.Listed {
+func (s *Set) say(e Entry) []core.ListedMember {
 	m, ok := s.listed[e.ID]
 	if !ok {
 		m, ok = s.left[e.ID]
@@ -216,7 +216,7 @@
 	if m = s.as(m); !ok || m == before {
 		return nil
 	}
-	return []core.Listed{m}
+	return []core.ListedMember{m}
 }
 
 // Export is all that was said, by id.
@@ -227,7 +227,7 @@
 // Import merges what another process of this gateway was told: of each member the later entry holds, in whatever order
 // and however often they come. It returns what to pass on as a change of the list. Members that are not known here are
 // taken as well; entries without an id, and suspends beyond the bound, are left out and counted.
-func (s *Set) Import(all []Entry) (change []core.Listed, dropped int) {
+func (s *Set) Import(all []Entry) (change []core.ListedMember, dropped int) {
 	for _, e := range all {
 		switch was, ok := s.said[e.ID]; {
 		case e.ID == "" || e.Out && !was.Out && s.out >= Most:
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -13,9 +13,9 @@
 )
 
 // view is what the core has of the list.
-type view map[string]core.Listed
+type view map[string]core.ListedMember
 
-func (v view) take(kind decide.EventKind, members []core.Listed) {
+func (v view) take(kind decide.EventKind, members []core.ListedMember) {
 	if kind == decide.ListError {
 		return
 	}
@@ -46,8 +46,8 @@
 		for i := range ids {
 			ids[i] = fmt.Sprint("m", i)
 		}
-		entry := func(now core.Time) core.Listed {
-			return core.Listed{Addr: fmt.Sprint(rng.IntN(3)), Member: decide.Member{ID: ids[rng.IntN(len(ids))], Group: 1,
+		entry := func(now core.Time) core.ListedMember {
+			return core.ListedMember{Addr: fmt.Sprint(rng.IntN(3)), Member: decide.Member{ID: ids[rng.IntN(len(ids))], Group: 1,
 				State: decide.MemberState(rng.IntN(3)), Started: now - core.Time(rng.IntN(40))}}
 		}
 		ever := []map[string]bool{{}, {}}
@@ -85,10 +85,10 @@
 			switch k := rng.IntN(10); k {
 			case 0, 1, 2, 3:
 				kind := []decide.EventKind{decide.ListFull, decide.ListSaved, decide.ListChange, decide.ListError}[k]
-				var members []core.Listed
+				var members []core.ListedMember
 				for range rng.IntN(7) {
 					m := entry(now)
-					if kind != decide.ListChange && m.State == decide.Removed || slices.ContainsFunc(members, func(o core.Listed) bool { return o.ID == m.ID }) {
+					if kind != decide.ListChange && m.State == decide.Removed || slices.ContainsFunc(members, func(o core.ListedMember) bool { return o.ID == m.ID }) {
 						continue
 					}
 					members = append(members, m)
@@ -151,9 +151,9 @@
 	}
 	now := core.Time(1)
 	for round := range 5 {
-		var list []core.Listed
+		var list []core.ListedMember
 		for i := range 4000 {
-			list = append(list, core.Listed{Member: decide.Member{ID: fmt.Sprint(round, "-", i)}})
+			list = append(list, core.ListedMember{Member: decide.Member{ID: fmt.Sprint(round, "-", i)}})
 		}
 		s.List(decide.ListFull, list)
 		full := 0
