--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -262,7 +262,7 @@
 
 // report translates a load report and skips values it does not know.
 func (in *instance) report(e *decide.Event, r *wire.Reader) {
-	r.Load("Load", func(key string, v float64) { settings.Report(&e.Report, in.zero, key, v) })
+	r.Load("Load", func(key string, v float64) { settings.SetReportFigure(&e.Report, in.zero, key, v) })
 }
 
 // reply runs the routers that had events and writes their actions.
--- a/internal/terms/terms.go
+++ b/internal/activesettings/terms.go
@@ -1,7 +1,7 @@
-// Package terms is what fronts take requests by: the classes and customers that the settings name. Settings may
+// Package activesettings is what fronts take requests by: the classes and customers that the settings name. Settings may
 // change while requests are on their way, so each request carries its class as it was when it was taken, and all
 // fronts of a gateway share one [Book], whose terms change in one moment.
-package terms
+package activesettings
 
 import (
 	"fmt"
@@ -12,80 +12,80 @@
 )
 
 const (
-	// Linger is how long a class that the settings no longer hold is served on, as it was: requests that name it
+	// RemovedClassGrace is how long a class that the settings no longer hold is served on, as it was: requests that name it
 	// may be on their way from clients that know no better. The operators' page on reloads promises it.
-	Linger = 1200 * time.Millisecond
-	// NamesMost bounds the names that a process gives places to, of classes and of customers each.
-	NamesMost = 1024
+	RemovedClassGrace = 1200 * time.Millisecond
+	// MaxNames bounds the names that a process gives places to, of classes and of customers each.
+	MaxNames = 1024
 )
 
 // Class is a class that requests may name.
 type Class struct {
 	*decide.Class               // never changes
-	Place         int           // of its name among Names.Classes; another class of its name has the same
+	Index         int           // of its name among Names.Classes; another class of its name has the same
 	until         time.Duration // it left the settings and is served until then; 0 = it is in them
 }
 
 // Names are the names of classes and customers by their places. A name keeps its place for the process's life.
-type Names struct{ Classes, Customers []string }
-
-// Terms are what is served at a time. They never change.
-type Terms struct {
-	Names    Names
-	Longest  time.Duration // the longest deadline that a request taken when they came to hold, or later, may have
-	ComeBack time.Duration // told to those refused for want of room, 0 = nothing
-	classes  map[string]Class
-	tenants  map[string]int
-	longest  time.Duration // deadline of any class served, those that linger among them
-	before   former
+type Names struct{ Classes, Tenants []string }
+
+// Snapshot are what is served at a time. They never change.
+type Snapshot struct {
+	Names       Names
+	MaxDeadline time.Duration // the longest deadline that a request taken when they came to hold, or later, may have
+	RetryAfter  time.Duration // told to those refused for want of room, 0 = nothing
+	classes     map[string]Class
+	tenants     map[string]int
+	longest     time.Duration // deadline of any class served, those that linger among them
+	before      former
 }
 
 // former is what requests that were taken under earlier terms may still need.
 type former struct{ longest, until time.Duration }
 
-// Book holds the terms in force. It is safe for concurrent use.
-type Book struct{ now atomic.Pointer[Terms] }
+// Holder holds the terms in force. It is safe for concurrent use.
+type Holder struct{ now atomic.Pointer[Snapshot] }
 
-// NewBook returns a book that opens with cfg's terms.
-func NewBook(cfg *decide.Config) (*Book, error) {
-	b := new(Book)
-	b.now.Store(new(Terms))
-	t, _, err := b.Next(cfg, 0)
+// NewHolder returns a book that opens with cfg's terms.
+func NewHolder(cfg *decide.Config) (*Holder, error) {
+	b := new(Holder)
+	b.now.Store(new(Snapshot))
+	t, _, err := b.Prepare(cfg, 0)
 	if err != nil {
 		return nil, err
 	}
-	b.Turn(t)
+	b.Activate(t)
 	return b, nil
 }
 
-// Now are the terms in force.
-func (b *Book) Now() *Terms { return b.now.Load() }
+// Current are the terms in force.
+func (b *Holder) Current() *Snapshot { return b.now.Load() }
 
-// Turn has new terms hold from now on.
-func (b *Book) Turn(t *Terms) { b.now.Store(t) }
+// Activate has new terms hold from now on.
+func (b *Holder) Activate(t *Snapshot) { b.now.Store(t) }
 
 // Class finds the class of a name at a time.
-func (t *Terms) Class(name string, now time.Duration) (Class, bool) {
+func (t *Snapshot) Class(name string, now time.Duration) (Class, bool) {
 	k, ok := t.classes[name]
 	return k, ok && (k.until == 0 || now < k.until)
 }
 
-// Tenant is the place of a customer, -1 for one that the settings don't hold.
-func (t *Terms) Tenant(name string) int {
+// TenantIndex is the place of a customer, -1 for one that the settings don't hold.
+func (t *Snapshot) TenantIndex(name string) int {
 	if place, ok := t.tenants[name]; ok {
 		return place
 	}
 	return -1
 }
 
-// Next makes the terms that follow those in force when the settings become cfg at a time, and cfg as the module must
+// Prepare makes the terms that follow those in force when the settings become cfg at a time, and cfg as the module must
 // have it: with customers at the places that they have, those that left without a share. It changes nothing.
-func (b *Book) Next(cfg *decide.Config, now time.Duration) (*Terms, *decide.Config, error) {
-	was := b.Now()
-	t := &Terms{ComeBack: cfg.MaxRetryAfter, classes: map[string]Class{}, tenants: map[string]int{}}
+func (b *Holder) Prepare(cfg *decide.Config, now time.Duration) (*Snapshot, *decide.Config, error) {
+	was := b.Current()
+	t := &Snapshot{RetryAfter: cfg.MaxRetryAfter, classes: map[string]Class{}, tenants: map[string]int{}}
 	for name, k := range was.classes {
 		if k.until == 0 {
-			k.until = now + Linger
+			k.until = now + RemovedClassGrace
 		}
 		if now < k.until {
 			t.classes[name] = k
@@ -106,7 +106,7 @@
 			places[k.Name] = place
 			t.Names.Classes = append(t.Names.Classes, k.Name)
 		}
-		t.classes[k.Name] = Class{Class: k, Place: place}
+		t.classes[k.Name] = Class{Class: k, Index: place}
 	}
 	for _, k := range t.classes {
 		t.longest = max(t.longest, k.Deadline)
@@ -116,10 +116,10 @@
 	if t.before = (former{was.longest, now + was.longest}); now < was.before.until {
 		t.before = former{max(t.before.longest, was.before.longest), max(t.before.until, was.before.until)}
 	}
-	t.Longest = max(t.longest, t.before.longest)
+	t.MaxDeadline = max(t.longest, t.before.longest)
 	own.Tenants = nil
 	at := map[string]int{}
-	for i, name := range was.Names.Customers {
+	for i, name := range was.Names.Tenants {
 		at[name] = i
 		own.Tenants = append(own.Tenants, decide.Tenant{Name: name})
 	}
@@ -134,29 +134,29 @@
 		t.tenants[c.Name] = place
 	}
 	for _, c := range own.Tenants {
-		t.Names.Customers = append(t.Names.Customers, c.Name)
+		t.Names.Tenants = append(t.Names.Tenants, c.Name)
 	}
-	for what, n := range map[string]int{"classes": len(t.Names.Classes), "customers": len(t.Names.Customers)} {
-		if n > NamesMost {
-			return nil, nil, &NamesError{What: what, Found: n}
+	for what, n := range map[string]int{"classes": len(t.Names.Classes), "customers": len(t.Names.Tenants)} {
+		if n > MaxNames {
+			return nil, nil, &TooManyNamesError{What: what, Found: n}
 		}
 	}
 	return t, &own, nil
 }
 
-// NamesError tells of settings that bring more names than a process may have seen.
-type NamesError struct {
+// TooManyNamesError tells of settings that bring more names than a process may have seen.
+type TooManyNamesError struct {
 	What  string // classes or customers
 	Found int
 }
 
-func (e *NamesError) Error() string {
+func (e *TooManyNamesError) Error() string {
 	return fmt.Sprintf("settings bring this process to %d names of %s since its start, want %d at most: start a new process, which counts anew",
-		e.Found, e.What, NamesMost)
+		e.Found, e.What, MaxNames)
 }
 
-// Against tells which classes came, changed and left since the terms before.
-func (t *Terms) Against(was *Terms) (came, changed, left []string) {
+// ClassChanges tells which classes came, changed and left since the terms before.
+func (t *Snapshot) ClassChanges(was *Snapshot) (came, changed, left []string) {
 	for _, name := range t.Names.Classes {
 		k, now := t.classes[name]
 		o, before := was.classes[name]
--- a/internal/terms/terms_test.go
+++ b/internal/activesettings/terms_test.go
@@ -1,4 +1,4 @@
-package terms
+package activesettings
 
 import (
 	"errors"
@@ -26,19 +26,19 @@
 		}
 		return c
 	}
-	b, err := NewBook(draw())
+	b, err := NewHolder(draw())
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, left, places := time.Duration(0), map[string]time.Duration{}, map[string]int{}
 	for range 2000 {
 		now += time.Duration(r.IntN(1000)) * time.Millisecond
-		conf, was := draw(), b.Now()
-		next, own, err := b.Next(conf, now)
-		if err != nil || b.Now() != was {
+		conf, was := draw(), b.Current()
+		next, own, err := b.Prepare(conf, now)
+		if err != nil || b.Current() != was {
 			t.Fatal("refused, or turned too soon", err)
 		}
-		b.Turn(next)
+		b.Activate(next)
 		in := map[string]decide.Class{}
 		for _, k := range conf.Classes {
 			in[k.Name] = k
@@ -46,7 +46,7 @@
 		}
 		for name, k := range was.classes {
 			if _, ok := in[name]; !ok && k.until == 0 {
-				left[name] = now + Linger
+				left[name] = now + RemovedClassGrace
 			}
 		}
 		for i := range 5 {
@@ -56,29 +56,29 @@
 			if ok != (held || now < left[name]) || held && *k.Class != want || ok && !held && *k.Class != *was.classes[name].Class {
 				t.Fatalf("%s at %v: %+v, %v; in %v, left until %v", name, now, k, ok, held, left[name])
 			}
-			if _, late := next.Class(name, now+Linger); late != held {
+			if _, late := next.Class(name, now+RemovedClassGrace); late != held {
 				t.Fatalf("%s is served after it left", name)
 			}
-			if at, known := places[name]; ok && known && at != k.Place || ok && next.Names.Classes[k.Place] != name {
-				t.Fatalf("%s changed its place to %d", name, k.Place)
+			if at, known := places[name]; ok && known && at != k.Index || ok && next.Names.Classes[k.Index] != name {
+				t.Fatalf("%s changed its place to %d", name, k.Index)
 			}
 			if ok {
-				places[name] = k.Place
+				places[name] = k.Index
 			}
 		}
 		for _, c := range conf.Tenants {
-			if at := next.Tenant(c.Name); at < 0 || own.Tenants[at] != c || next.Names.Customers[at] != c.Name {
+			if at := next.TenantIndex(c.Name); at < 0 || own.Tenants[at] != c || next.Names.Tenants[at] != c.Name {
 				t.Fatalf("customer %s is at %d", c.Name, at)
 			}
 		}
 	}
 	many := new(decide.Config)
-	for i := range NamesMost {
+	for i := range MaxNames {
 		many.Classes = append(many.Classes, decide.Class{Name: fmt.Sprint("m", i)})
 	}
-	var names *NamesError
-	if _, _, err := b.Next(many, now); !errors.As(err, &names) {
-		t.Errorf("%d names more: %v", NamesMost, err)
+	var names *TooManyNamesError
+	if _, _, err := b.Prepare(many, now); !errors.As(err, &names) {
+		t.Errorf("%d names more: %v", MaxNames, err)
 	}
 }
 
@@ -101,23 +101,23 @@
 		"longer":            {{0, of(short, "a"), short}, {1, of(long, "a"), long}},
 		"shorter":           {{0, of(long, "a"), long}, {1, of(short, "a"), long}, {long, of(short, "a"), long}, {long + short + 1, of(short, "a"), short}},
 		"shorter, twice":    {{0, of(long, "a"), long}, {1, of(short, "a"), long}, {2, of(short/2, "a"), long}, {long + 1, of(short/2, "a"), short / 2}},
-		"left":              {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {Linger, of(short, "b"), long}},
-		"left long ago":     {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {Linger + 1, of(short, "b"), long}, {Linger + long + 1, of(short, "b"), short}},
+		"left":              {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {RemovedClassGrace, of(short, "b"), long}},
+		"left long ago":     {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {RemovedClassGrace + 1, of(short, "b"), long}, {RemovedClassGrace + long + 1, of(short, "b"), short}},
 		"the shortest left": {{0, of(long, "a", "b"), long}, {1, of(long, "a"), long}},
 	} {
-		b, err := NewBook(steps[0].conf)
+		b, err := NewHolder(steps[0].conf)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, s := range steps {
 			if i > 0 {
-				next, _, err := b.Next(s.conf, s.at)
+				next, _, err := b.Prepare(s.conf, s.at)
 				if err != nil {
 					t.Fatal(err)
 				}
-				b.Turn(next)
+				b.Activate(next)
 			}
-			if got := b.Now().Longest; got != s.want {
+			if got := b.Current().MaxDeadline; got != s.want {
 				t.Errorf("%s, step %d: the longest is %v, want %v", name, i, got, s.want)
 			}
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,7 +16,7 @@
 
 	"reachwind/decide"
 	"reachwind/internal/core"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 )
 
 // List is a list of members, or a change of one, in discovery's form.
@@ -118,15 +118,15 @@
 	idleLeast = 50 * time.Millisecond
 )
 
-// Broken is a call that discovery may hold for answered, or never heard of: nothing came of the answer, or not all.
-type Broken struct {
+// AnswerError is a call that discovery may hold for answered, or never heard of: nothing came of the answer, or not all.
+type AnswerError struct {
 	Addr  string
 	Begun bool // a part of the answer came
 	Err   error
 }
 
 // Error implements error.
-func (e *Broken) Error() string {
+func (e *AnswerError) Error() string {
 	found, do := "silent", "see whether it runs and is reached from here"
 	if e.Begun {
 		found, do = "half an answer, or one that is no list", "see what it writes there"
@@ -135,7 +135,7 @@
 }
 
 // Unwrap returns the cause.
-func (e *Broken) Unwrap() error { return e.Err }
+func (e *AnswerError) Unwrap() error { return e.Err }
 
 // refusal is a call that reached discovery and ended without a byte of a list.
 type refusal struct {
@@ -179,7 +179,7 @@
 	idle  bool   // the last answer brought nothing
 	conn  *conn  // kept for the next call
 
-	failed, broke, back often.Line
+	failed, broke, back logthrottle.Line
 }
 
 // Config is what a Client starts from.
@@ -217,9 +217,9 @@
 // Fetch asks for the whole list once. A watch that is on brings all changes by itself.
 func (c *Client) Fetch() { leave(c.fetch) }
 
-// Move leaves the old address at once and asks at addr from now on: first for
+// SetAddr leaves the old address at once and asks at addr from now on: first for
 // the whole list, as the versions of two services need not agree, then for changes.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr == c.next {
@@ -342,7 +342,7 @@
 				}
 			}
 			if err != nil {
-				err = &Broken{c.addr, true, err}
+				err = &AnswerError{c.addr, true, err}
 			}
 		}
 		took := time.Since(began)
@@ -388,7 +388,7 @@
 // unreachable tells that a call failed because discovery is down or its machine says that it can't be reached: not that
 // it fell silent, which says nothing, nor that the call queued there.
 func unreachable(err error, wait time.Duration) bool {
-	var broken *Broken
+	var broken *AnswerError
 	if errors.As(err, &broken) {
 		return false
 	}
@@ -399,7 +399,7 @@
 // pause is how long to wait after a call that failed with err and took so long, and so many before it.
 func (c *Client) pause(err error, again int, took time.Duration) time.Duration {
 	spread := c.wide
-	var broken *Broken
+	var broken *AnswerError
 	if errors.As(err, &broken) || c.moved { // what a new address has counts 4 s after it was given (the standing page)
 		spread = c.near
 	}
@@ -433,7 +433,7 @@
 		nc, err := c.dial(ctx, c.addr)
 		if err != nil {
 			if timedOut(err) {
-				err = &Broken{c.addr, false, err}
+				err = &AnswerError{c.addr, false, err}
 			}
 			return nil, err
 		}
@@ -446,7 +446,7 @@
 	resp, err := conn.ask(appendGet(nil, c.addr, target), max(wait+slack, patience))
 	switch {
 	case err != nil && (conn.begun || timedOut(err)):
-		return nil, &Broken{c.addr, conn.begun, err}
+		return nil, &AnswerError{c.addr, conn.begun, err}
 	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < idleLeast: // it was closed before the call, which nobody has read
 		c.hangUp()
 		return c.get(ctx, target, wait)
@@ -457,7 +457,7 @@
 	}
 	list := new(List)
 	if err := json.Unmarshal(resp.body, list); err != nil {
-		return nil, &Broken{c.addr, true, fmt.Errorf("list: %w", err)}
+		return nil, &AnswerError{c.addr, true, fmt.Errorf("list: %w", err)}
 	}
 	if !resp.keep || conn.r.Buffered() > 0 { // what nobody asked for would be taken for the next answer
 		c.hangUp()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -256,8 +256,8 @@
 		go c.Run(ctx)
 		c.Watch()
 		synctest.Wait()
-		c.Move("old") // no change
-		c.Move("new")
+		c.SetAddr("old") // no change
+		c.SetAddr("new")
 		synctest.Wait()
 		mu.Lock()
 		got := strings.Join(calls, " ") + "|" + strings.Join(told, " ") + "|" + strings.Join(closed, " ")
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -158,7 +158,7 @@
 				published++
 				mu.Unlock()
 				if chance(0.02) {
-					c.Move(fmt.Sprint("h:", published))
+					c.SetAddr(fmt.Sprint("h:", published))
 				}
 			}
 			cancel()
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -19,7 +19,7 @@
 	"reachwind/internal/fleet/peers"
 	"reachwind/internal/fleet/subscribe"
 	"reachwind/internal/fleet/zoneplan"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 )
 
 const (
@@ -108,7 +108,7 @@
 	told     map[string]string // address by gateway, to tell at once what changes
 	drains   string            // the members that are permitted to go out, as gateways were told last
 
-	foreign, stale often.Line
+	foreign, stale logthrottle.Line
 }
 
 // Run runs a voter until ctx ends. An error means that it must not go on: its disk fails, its folder is an old copy, or
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,7 +26,7 @@
 	"reachwind/internal/fleet/subscribe"
 	"reachwind/internal/fleet/swim"
 	"reachwind/internal/fleet/view"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 )
 
 const (
@@ -108,7 +108,7 @@
 	dropped           atomic.Int64
 	once              sync.Once
 
-	suspects, looks often.Line
+	suspects, looks logthrottle.Line
 }
 
 // Start opens the sockets and begins.
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 )
 
 // Config is what the sockets are told.
@@ -83,7 +83,7 @@
 	room    float64
 	roomAt  time.Time
 
-	badKey, junk, failing often.Line
+	badKey, junk, failing logthrottle.Line
 }
 
 // Listen opens the sockets. Both have one port; port 0 is any.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/core"
 	"reachwind/internal/discovery"
 	"reachwind/internal/handover"
 	"reachwind/internal/settings"
-	"reachwind/internal/terms"
 )
 
 // Config is a gateway's configuration, read and checked.
@@ -31,11 +31,11 @@
 	memory  int64 // bytes, 0 = no limit
 	sockets int
 	version int64
-	facts   *settings.Facts
-	text    []byte          // that it was read from, until it is kept for the next process
-	hup     chan os.Signal  // SIGHUP, from before the file was read; nil: Serve begins to take it
-	terms   *terms.Book     // in force, once it runs
-	shape   *settings.Shape // what a file read at SIGHUP must hold again
+	facts   *settings.Settings
+	text    []byte                 // that it was read from, until it is kept for the next process
+	hup     chan os.Signal         // SIGHUP, from before the file was read; nil: Serve begins to take it
+	terms   *activesettings.Holder // in force, once it runs
+	shape   *settings.Schema       // what a file read at SIGHUP must hold again
 }
 
 const defaultSockets = 1024
@@ -161,9 +161,9 @@
 	if err := c.Decide.Validate(); err != nil {
 		return nil, err
 	}
-	if c.shape, err = settings.ShapeOf(text); err != nil {
+	if c.shape, err = settings.SchemaOf(text); err != nil {
 		return nil, err
 	}
-	c.terms, err = terms.NewBook(c.Decide)
+	c.terms, err = activesettings.NewHolder(c.Decide)
 	return c, err
 }
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/edgeconf"
@@ -17,7 +18,6 @@
 	"reachwind/internal/logship"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/restfront"
-	"reachwind/internal/terms"
 )
 
 // Edge is the product configuration, read and checked. A part that is nil is off.
@@ -29,10 +29,12 @@
 
 // LoadEdge reads the product configuration at path for a gateway. An error may hold many faults, see
 // edgeconf.Faults.
-func LoadEdge(path string, c *Config) (*Edge, error) { return loadEdge(path, c, c.terms.Now().Names) }
+func LoadEdge(path string, c *Config) (*Edge, error) {
+	return loadEdge(path, c, c.terms.Current().Names)
+}
 
 // loadEdge is LoadEdge with the names that records may hold.
-func loadEdge(path string, c *Config, names terms.Names) (*Edge, error) {
+func loadEdge(path string, c *Config, names activesettings.Names) (*Edge, error) {
 	e := new(Edge)
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("syslog", false, func(b *edgeconf.Block) {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -206,7 +206,7 @@
 	counts := new(subscribe.Counts)
 	way := &told{running: g, counts: counts, tried: map[string]subscribe.Tried{}}
 	f, err := fleet.Start(own, fleet.Deps{Log: g.o.Log, Zone: g.c.Decide.Zone, Wall: wall, Gateway: way,
-		Longest: lastCall(g.c.terms.Now().Longest),
+		Longest: lastCall(g.c.terms.Current().MaxDeadline),
 		Load:    func() float64 { return float64(g.claims.Len()) / float64(max(1, buffers)) }})
 	if err != nil {
 		return part{}, err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -191,7 +191,7 @@
 	}
 	g.retune(next)
 	g.o.Log.Info("reloaded", "discovery", next.conf.Discovery)
-	g.dir.Move(next.conf.Discovery)
+	g.dir.SetAddr(next.conf.Discovery)
 }
 
 // Run serves listener until term ends.
@@ -338,7 +338,7 @@
 		return fmt.Errorf("accept: %w", err)
 	case <-term.Done():
 	}
-	plan := planOf(g.came(), c.terms.Now().Longest)
+	plan := planOf(g.came(), c.terms.Current().MaxDeadline)
 	g.owner.EndBy(g.owner.Now() + time.Until(plan.answer))
 	g.ops.leave()
 	if g.line.succeeded() { // who comes from now on waits for the other on the socket that both hold
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -21,7 +21,7 @@
 	"reachwind/internal/core"
 	"reachwind/internal/discovery"
 	"reachwind/internal/handover"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/pgfront"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/suspend"
@@ -91,7 +91,7 @@
 	addr    string // of discovery
 	memory  int64
 	done    chan struct{}
-	failing often.Line
+	failing logthrottle.Line
 	passed  atomic.Int64
 	kept    atomic.Int64
 
@@ -489,7 +489,7 @@
 	return func(part float64, sockets int) {
 		bufs.Limit(int(part*float64(share.Buffers)), int(part*float64(share.Small)))
 		g.front.Limit(int(clientPart * float64(sockets)))
-		g.owner.Post(func() { g.pool.Limit(int(memberPart * float64(sockets))) })
+		g.owner.Post(func() { g.pool.SetMaxConns(int(memberPart * float64(sockets))) })
 		if g.c.memory > 0 {
 			debug.SetMemoryLimit(int64(part * softPart * float64(g.c.memory)))
 		}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -84,8 +84,8 @@
 func (o *operators) List(kind decide.EventKind, members []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.owner.List(kind, o.set.List(kind, members))
-	if o.set.Listed() > 0 && !o.taken.Load() {
+	o.owner.List(kind, o.set.ApplyList(kind, members))
+	if o.set.ListedCount() > 0 && !o.taken.Load() {
 		o.owner.Post(func() { o.taken.Store(true) })
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.set.Out(id)
+	return o.set.IsSuspended(id)
 }
 
 // Ready implements opsdoor.Operator.
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -211,7 +211,7 @@
 func TestStalledOwner(t *testing.T) {
 	owner := core.New(core.NewClock(), nil, slog.New(slog.DiscardHandler))
 	o := newOperators(opsdoor.Config{}, owner, slog.New(slog.DiscardHandler))
-	o.set.List(decide.ListFull, []core.ListedMember{{Member: decide.Member{ID: "m"}}})
+	o.set.ApplyList(decide.ListFull, []core.ListedMember{{Member: decide.Member{ID: "m"}}})
 	short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := o.Suspend(short, "m"); !errors.As(err, new(opsdoor.NotDone)) {
--- a/internal/gateway/retune.go
+++ b/internal/gateway/retune.go
@@ -9,15 +9,15 @@
 	"syscall"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/pgmember"
 	"reachwind/internal/settings"
-	"reachwind/internal/terms"
 )
 
 // retuning is a file that was read and checked, with all that will be needed to take it over.
 type retuning struct {
 	conf  *Config // its Decide is as the module must have it
-	terms *terms.Terms
+	terms *activesettings.Snapshot
 	text  []byte
 }
 
@@ -40,7 +40,7 @@
 		return nil, fmt.Errorf("%s: %w", g.o.Path, err)
 	}
 	r := &retuning{conf: c, text: text}
-	r.terms, c.Decide, err = g.c.terms.Next(c.Decide, g.owner.Now())
+	r.terms, c.Decide, err = g.c.terms.Prepare(c.Decide, g.owner.Now())
 	return r, err
 }
 
@@ -64,27 +64,27 @@
 // new terms comes.
 func (g *running) retune(r *retuning) {
 	g.line.keep(r.text)
-	was := g.c.terms.Now()
+	was := g.c.terms.Current()
 	g.owner.Post(func() {
 		if err := g.router.Reconfigure(*r.conf.Decide); err != nil { // reread has checked it
 			g.o.Log.Error("retuning refused", "err", err)
 			return
 		}
-		g.pool.Retune(members(r.conf.facts, 0, 0))
+		g.pool.Reconfigure(members(r.conf.facts, 0, 0))
 	})
-	g.c.terms.Turn(r.terms)
-	came, changed, left := r.terms.Against(was)
+	g.c.terms.Activate(r.terms)
+	came, changed, left := r.terms.ClassChanges(was)
 	g.o.Log.Info("retuned", "classes", len(r.conf.Decide.Classes), "came", came, "changed", changed, "left", left,
 		"attempts", r.conf.Decide.MaxAttempts)
 }
 
 // members is what the settings say of connections to members, of which there may be most.
-func members(f *settings.Facts, most, keep int) pgmember.Config {
-	return pgmember.Config{User: user, Database: database, Max: most, Keep: keep,
-		Idle:    span(f.Allowed.IdleCloseUs, idleUsual),
-		Connect: span(f.Allowed.ConnectTimeoutUs, connectUsual),
-		Grace:   span(f.Rules.StopSendingWithinUs, graceUsual), DrainOnly: f.Rules.DrainBindsAlone,
-		Names: f.Feedback.Names}
+func members(f *settings.Settings, most, keep int) pgmember.Config {
+	return pgmember.Config{User: user, Database: database, MaxConns: most, ReservedBuffers: keep,
+		MemberIdleTimeout: span(f.Allowed.IdleCloseUs, idleUsual),
+		ConnectTimeout:    span(f.Allowed.ConnectTimeoutUs, connectUsual),
+		DrainGrace:        span(f.Rules.StopSendingWithinUs, graceUsual), KeepDelisted: f.Rules.DrainBindsAlone,
+		ReportFigures: f.Feedback.Names}
 }
 
 func span(us int64, usual time.Duration) time.Duration {
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -15,11 +15,11 @@
 	"testing/synctest"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/standin/cluster"
 	"reachwind/internal/standin/pgclient"
 	"reachwind/internal/standin/pipenet"
-	"reachwind/internal/terms"
 )
 
 // tuned is what the test knows of the settings: since when a class has its effect, or is out.
@@ -116,10 +116,10 @@
 					unknown++
 				}
 				needsKey := q.Key == "" && is.last == "by_key" && was != is // it became so meanwhile
-				if a.Code == pgwire.SyntaxError && !needsKey && (was.effect != "" || is.effect != "" || out < terms.Linger-time.Millisecond && !was.since.IsZero()) {
+				if a.Code == pgwire.SyntaxError && !needsKey && (was.effect != "" || is.effect != "" || out < activesettings.RemovedClassGrace-time.Millisecond && !was.since.IsZero()) {
 					t.Errorf("request %s of class %s is unknown: %+v, now %+v", id, q.Class, was, is)
 				}
-				if a.Code != pgwire.SyntaxError && was == is && was.effect == "" && out > terms.Linger+time.Millisecond {
+				if a.Code != pgwire.SyntaxError && was == is && was.effect == "" && out > activesettings.RemovedClassGrace+time.Millisecond {
 					t.Errorf("request %s of class %s, out for %v, got %+v", id, q.Class, out, a)
 				}
 				mu.Unlock()
@@ -158,10 +158,10 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := g.c.terms.Now()
+		before := g.c.terms.Current()
 		mu.Lock() // no request may see the settings change in between
 		g.reload()
-		if took := g.c.terms.Now() != before; took == broken {
+		if took := g.c.terms.Current() != before; took == broken {
 			t.Errorf("taken over: %v, broken: %v", took, broken)
 		}
 		if !broken {
--- a/internal/wake/wake.go
+++ b/internal/interruptible/wake.go
@@ -1,9 +1,9 @@
-// Package wake lets a connection's goroutine sit in a read and still be told
+// Package interruptible lets a connection's goroutine sit in a read and still be told
 // things. Others leave it a message and wake it by a read deadline in the
 // past; only the goroutine itself resets the deadline, and it looks into its
 // mailbox afterwards, so no message is missed. Meanwhile the read also sees
 // the peer leave.
-package wake
+package interruptible
 
 import (
 	"bufio"
@@ -16,18 +16,18 @@
 	"time"
 )
 
-// ErrWoken is returned by a read that was woken: look into the mailbox and read on.
-var ErrWoken = errors.New("woken")
+// ErrInterrupted is returned by a read that was woken: look into the mailbox and read on.
+var ErrInterrupted = errors.New("woken")
 
 var past = time.Unix(1, 0)
 
 // Conn is a connection with a mailbox of messages M.
 type Conn[M any] struct {
 	net.Conn
-	R *bufio.Reader
+	Reader *bufio.Reader
 
-	Came  func(n int) // called when n bytes were read, on the goroutine; nil: nobody wants to know
-	heard time.Time   // when bytes were last read; the goroutine's
+	OnRead func(n int) // called when n bytes were read, on the goroutine; nil: nobody wants to know
+	heard  time.Time   // when bytes were last read; the goroutine's
 
 	mu     sync.Mutex
 	mail   sync.Cond // signalled with each message
@@ -39,7 +39,7 @@
 func New[M any](c net.Conn, size int) *Conn[M] {
 	w := &Conn[M]{Conn: c}
 	w.mail.L = &w.mu
-	w.R = bufio.NewReaderSize(w, size)
+	w.Reader = bufio.NewReaderSize(w, size)
 	return w
 }
 
@@ -48,8 +48,8 @@
 	n, err := w.Conn.Read(p)
 	if n > 0 {
 		w.heard = time.Now()
-		if w.Came != nil {
-			w.Came(n)
+		if w.OnRead != nil {
+			w.OnRead(n)
 		}
 	}
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -57,14 +57,14 @@
 		if err := w.Conn.SetReadDeadline(time.Time{}); err != nil {
 			return n, err
 		}
-		return n, ErrWoken
+		return n, ErrInterrupted
 	}
 	return n, err
 }
 
-// Leave puts m in the mailbox and wakes the goroutine. It never blocks. It
+// Post puts m in the mailbox and wakes the goroutine. It never blocks. It
 // reports false, and keeps nothing, if the mailbox is closed.
-func (w *Conn[M]) Leave(m M) bool {
+func (w *Conn[M]) Post(m M) bool {
 	w.mu.Lock()
 	if w.closed {
 		w.mu.Unlock()
@@ -77,13 +77,13 @@
 	return true
 }
 
-// Quiet tells that nothing has come that was not read, neither bytes nor the
+// NoPendingInput tells that nothing has come that was not read, neither bytes nor the
 // peer's end. It looks past a read deadline, which hides both. A connection that
 // is no socket counts as quiet once R holds nothing.
-func (w *Conn[M]) Quiet() bool { return w.R.Buffered() == 0 && w.dry() }
+func (w *Conn[M]) NoPendingInput() bool { return w.Reader.Buffered() == 0 && w.dry() }
 
-// Silent returns for how long the peer has sent nothing, 0 if bytes or its end wait to be read.
-func (w *Conn[M]) Silent() time.Duration {
+// SilentFor returns for how long the peer has sent nothing, 0 if bytes or its end wait to be read.
+func (w *Conn[M]) SilentFor() time.Duration {
 	if !w.dry() {
 		return 0
 	}
@@ -107,8 +107,8 @@
 	return err == nil && got == syscall.EAGAIN
 }
 
-// Wait returns when the mailbox holds a message, without reading.
-func (w *Conn[M]) Wait() {
+// WaitForMessage returns when the mailbox holds a message, without reading.
+func (w *Conn[M]) WaitForMessage() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for len(w.box) == 0 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// Take empties the mailbox.
-func (w *Conn[M]) Take() []M {
+// TakeMessages empties the mailbox.
+func (w *Conn[M]) TakeMessages() []M {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	box := w.box
@@ -125,8 +125,8 @@
 	return box
 }
 
-// Shut closes the mailbox and returns what was left in it. The connection stays open.
-func (w *Conn[M]) Shut() []M {
+// CloseMailbox closes the mailbox and returns what was left in it. The connection stays open.
+func (w *Conn[M]) CloseMailbox() []M {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
@@ -135,18 +135,18 @@
 	return box
 }
 
-// End closes the connection and the mailbox and returns what was left in it.
-func (w *Conn[M]) End() []M {
-	box := w.Shut()
+// CloseAll closes the connection and the mailbox and returns what was left in it.
+func (w *Conn[M]) CloseAll() []M {
+	box := w.CloseMailbox()
 	_ = w.Conn.Close()
 	return box
 }
 
-// Linger is a lingering close. What was written goes out, and the peer is told that no more comes (half-close); what it
+// LingeringClose is a lingering close. What was written goes out, and the peer is told that no more comes (half-close); what it
 // sends from then on is read and thrown away, as a close over unread bytes would reset the connection, which takes with
 // it what the peer has not yet read. The connection is closed once the peer has closed its side, after so many bytes
 // and at until in any case. Closing it from elsewhere ends the wait.
-func Linger(c net.Conn, until time.Time, most int) {
+func LingeringClose(c net.Conn, until time.Time, most int) {
 	defer func() { _ = c.Close() }()
 	half, ok := c.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -165,15 +165,15 @@
 
 const scrapSize = 2 << 10 // bytes read at a time of what is thrown away
 
-// Fill reads len(p) bytes. When woken it calls woken, and ends with its error if it has one.
-func (w *Conn[M]) Fill(p []byte, woken func() error) error {
+// ReadFull reads len(p) bytes. When woken it calls woken, and ends with its error if it has one.
+func (w *Conn[M]) ReadFull(p []byte, woken func() error) error {
 	for len(p) > 0 {
-		n, err := io.ReadFull(w.R, p)
+		n, err := io.ReadFull(w.Reader, p)
 		p = p[n:]
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, ErrWoken) {
+		if !errors.Is(err, ErrInterrupted) {
 			return err
 		}
 		if err := woken(); err != nil {
@@ -186,8 +186,8 @@
 // Peek is R.Peek that calls woken when woken.
 func (w *Conn[M]) Peek(n int, woken func() error) ([]byte, error) {
 	for {
-		b, err := w.R.Peek(n)
-		if !errors.Is(err, ErrWoken) {
+		b, err := w.Reader.Peek(n)
+		if !errors.Is(err, ErrInterrupted) {
 			return b, err
 		}
 		if err := woken(); err != nil {
--- a/internal/wake/wake_test.go
+++ b/internal/interruptible/wake_test.go
@@ -1,4 +1,4 @@
-package wake
+package interruptible
 
 import (
 	"errors"
@@ -21,7 +21,7 @@
 		go func() {
 			for got < most {
 				if _, err := w.Peek(1, func() error {
-					for _, m := range w.Take() {
+					for _, m := range w.TakeMessages() {
 						if m != got {
 							return errors.New("out of order")
 						}
@@ -38,7 +38,7 @@
 			}
 		}()
 		for i := range most {
-			if !w.Leave(i) {
+			if !w.Post(i) {
 				t.Fatal("mailbox closed")
 			}
 			if i%3 == 0 {
@@ -48,8 +48,8 @@
 		if err := <-done; err != io.EOF || got != most {
 			t.Errorf("%d of %d messages, %v", got, most, err)
 		}
-		w.Leave(most)
-		if left := w.End(); len(left) != 1 || w.Leave(0) {
+		w.Post(most)
+		if left := w.CloseAll(); len(left) != 1 || w.Post(0) {
 			t.Errorf("%d messages left at the end, or the mailbox is open", len(left))
 		}
 		_ = b.Close()
@@ -64,11 +64,11 @@
 		body := make([]byte, 64)
 		woken := 0
 		done := make(chan error, 1)
-		go func() { done <- w.Fill(body, func() error { woken++; return nil }) }()
+		go func() { done <- w.ReadFull(body, func() error { woken++; return nil }) }()
 		for i := range 64 {
 			_, _ = b.Write([]byte{byte(i)})
 			if i%7 == 0 {
-				w.Leave(i)
+				w.Post(i)
 				synctest.Wait()
 			}
 		}
@@ -80,7 +80,7 @@
 				t.Fatalf("byte %d is %d", i, c)
 			}
 		}
-		_, _ = w.End(), b.Close()
+		_, _ = w.CloseAll(), b.Close()
 	})
 }
 
@@ -101,15 +101,15 @@
 			t.Fatal(err)
 		}
 		w := New[int](a, 64)
-		if !w.Quiet() {
+		if !w.NoPendingInput() {
 			t.Error("not quiet, though nothing came")
 		}
-		w.Leave(1)
+		w.Post(1)
 		_, _ = b.Write([]byte(text)) // a close counts as well
 		_ = b.Close()
-		for w.Quiet() { // the loopback takes a moment; the test's own limit ends a wait for nothing
+		for w.NoPendingInput() { // the loopback takes a moment; the test's own limit ends a wait for nothing
 			runtime.Gosched()
 		}
-		_ = w.End()
+		_ = w.CloseAll()
 	}
 }
--- a/internal/logship/collector.go
+++ b/internal/logship/collector.go
@@ -7,7 +7,7 @@
 
 	"reachwind/internal/logqueue"
 	"reachwind/internal/logroute"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/spool"
 	"reachwind/internal/tlskeys"
 )
@@ -29,7 +29,7 @@
 	ended   chan struct{} // closed when its connection's goroutine has ended
 
 	warned time.Time // of the certificate's end
-	fails  often.Line
+	fails  logthrottle.Line
 }
 
 func (s *Shipper) newCollector(k *Collector, keys *tlskeys.Store, conf *Config) *collector {
--- a/internal/logship/disk.go
+++ b/internal/logship/disk.go
@@ -6,7 +6,7 @@
 
 	"reachwind/internal/logqueue"
 	"reachwind/internal/logroute"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/spool"
 )
 
@@ -23,7 +23,7 @@
 	backoff time.Duration // grows while it fails
 	empty   int           // reads in a row that found nothing of what should be there
 	last    error
-	slow    often.Line
+	slow    logthrottle.Line
 	records []spool.Record
 	never   bool // it can't be used as long as this process lives
 }
--- a/internal/logship/edge.go
+++ b/internal/logship/edge.go
@@ -12,7 +12,7 @@
 )
 
 // Names are what routes may name, by their places in records.
-type Names struct{ Classes, Customers []string }
+type Names struct{ Classes, Tenants []string }
 
 const (
 	sizeMost  = 1 << 40
@@ -31,7 +31,7 @@
 			Facility:   16 + int(b.Int("facility_local", 0, 0, 7)),
 			Synced:     b.Bool("clock_synced", false),
 			Classes:    names.Classes,
-			Tenants:    names.Customers,
+			Tenants:    names.Tenants,
 		},
 		Linger:     b.Span("linger", 0, time.Millisecond, time.Second),
 		WarnExpiry: b.Span("warn_expiry", 0, time.Hour, spanMost),
@@ -73,7 +73,7 @@
 			}
 		}
 	})
-	customers := append([]string{""}, names.Customers...)
+	customers := append([]string{""}, names.Tenants...)
 	b.Blocks("route", true, func(r *edgeconf.Block) {
 		route := Route{Collectors: r.Texts("to")}
 		route.Name = r.Label
--- a/internal/logship/ship_test.go
+++ b/internal/logship/ship_test.go
@@ -27,7 +27,7 @@
 	"reachwind/internal/tlskeys"
 )
 
-var names = Names{Classes: []string{"map-tiles", "my-notes"}, Customers: []string{"kea-basin", "tussock-peak", "red-saddle"}}
+var names = Names{Classes: []string{"map-tiles", "my-notes"}, Tenants: []string{"kea-basin", "tussock-peak", "red-saddle"}}
 
 // request is one of a few kinds of records.
 func request(r *rand.Rand, now time.Duration) *record.Record {
@@ -87,7 +87,7 @@
 	clock := core.NewClock()
 	conf := Config{
 		Syslog: syslog.Config{Hostname: "gw", AppName: "reachwind", ProcID: "1", MaxBytes: 480 << (seed % 3), Classes: names.Classes,
-			Tenants: names.Customers, Start: clock.Now()},
+			Tenants: names.Tenants, Start: clock.Now()},
 		Memory: 1 << 20, Resend: 128 << 10, CatchUp: 20000, Seed: seed,
 		Collectors: []Collector{{Name: "a", Address: a.Addr, Write: 300 * time.Millisecond}, {Name: "b", Address: b.Addr, Framing: LF, Write: 300 * time.Millisecond}},
 		Routes: []Route{{Route: logroute.Route{Name: "trouble", Outcomes: []record.Outcome{record.Refused, record.Failed},
@@ -193,7 +193,7 @@
 func ship(t testing.TB, conf Config, mode logroute.Mode, collectors ...Collector) (*Shipper, *lines, Config) {
 	t.Helper()
 	clock := core.NewClock()
-	conf.Syslog = syslog.Config{Hostname: "gw", AppName: "reachwind", ProcID: "1", Classes: names.Classes, Tenants: names.Customers, Start: clock.Now()}
+	conf.Syslog = syslog.Config{Hostname: "gw", AppName: "reachwind", ProcID: "1", Classes: names.Classes, Tenants: names.Tenants, Start: clock.Now()}
 	conf.Collectors = collectors
 	route := Route{Route: logroute.Route{Name: "all", Mode: mode}}
 	for _, c := range collectors {
--- a/internal/often/often.go
+++ b/internal/logthrottle/often.go
@@ -1,6 +1,6 @@
-// Package often logs what a peer can cause at any rate, so that it costs little
+// Package logthrottle logs what a peer can cause at any rate, so that it costs little
 // and does not drown the rest.
-package often
+package logthrottle
 
 import (
 	"context"
--- a/internal/often/often_test.go
+++ b/internal/logthrottle/often_test.go
@@ -1,4 +1,4 @@
-package often
+package logthrottle
 
 import (
 	"log/slog"
--- a/internal/opsdoor/opsdoor.go
+++ b/internal/opsdoor/opsdoor.go
@@ -23,7 +23,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/suspend"
 )
 
@@ -131,7 +131,7 @@
 		return http.StatusOK
 	case errors.As(err, &bad):
 		return bad.status
-	case errors.As(err, new(suspend.UnknownMachine)):
+	case errors.As(err, new(suspend.UnknownMemberError)):
 		return http.StatusNotFound
 	}
 	return http.StatusServiceUnavailable
@@ -151,7 +151,7 @@
 	done   sync.WaitGroup
 	freed  chan struct{} // a connection ended
 
-	failing, room, refused often.Line
+	failing, room, refused logthrottle.Line
 }
 
 // conn is one connection. Its stage is changed under the door's lock.
--- a/internal/opsdoor/opsdoor_test.go
+++ b/internal/opsdoor/opsdoor_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if id != "m 1" {
-		return suspend.UnknownMachine{ID: id}
+		return suspend.UnknownMemberError{ID: id}
 	}
 	return nil
 }
--- a/internal/hangup/hangup.go
+++ b/internal/peerclose/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup tells whether a peer has ended its side of a connection behind bytes that nobody has read yet, where a
+// Package peerclose tells whether a peer has ended its side of a connection behind bytes that nobody has read yet, where a
 // read can't tell.
-package hangup
+package peerclose
 
 import (
 	"syscall"
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Every is how often to look: the standing page wants no attempt to begin 0.1 s after a client left, half of that.
-const Every = 50 * time.Millisecond
+// CheckInterval is how often to look: the standing page wants no attempt to begin 0.1 s after a client left, half of that.
+const CheckInterval = 50 * time.Millisecond
 
-// Seen tells whether the peer of a socket has ended its sending side or reset the connection, whatever lies before that
+// Detected tells whether the peer of a socket has ended its sending side or reset the connection, whatever lies before that
 // unread. It does not wait. Of what is no socket it knows nothing and says no.
-func Seen(nc any) (seen bool) {
+func Detected(nc any) (seen bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/hangup/hangup_test.go
+++ b/internal/peerclose/hangup_test.go
@@ -1,4 +1,4 @@
-package hangup
+package peerclose
 
 import (
 	"net"
@@ -33,11 +33,11 @@
 			if _, err := nc.Read(make([]byte, 1)); err != nil {
 				t.Fatal(err)
 			}
-			if Seen(nc) {
+			if Detected(nc) {
 				t.Error("seen while there are only bytes")
 			}
 			end(c.(*net.TCPConn))
-			for n := 0; !Seen(nc); n++ {
+			for n := 0; !Detected(nc); n++ {
 				if n > 20_000 {
 					t.Fatal("never seen")
 				}
@@ -47,7 +47,7 @@
 	}
 	a, b := net.Pipe()
 	_ = b.Close()
-	if Seen(a) || Seen(nil) {
+	if Detected(a) || Detected(nil) {
 		t.Error("seen of what is no socket")
 	}
 }
--- a/internal/pgfront/cancel.go
+++ b/internal/pgfront/cancel.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"reachwind/internal/core"
-	"reachwind/internal/hangup"
-	"reachwind/internal/often"
+	"reachwind/internal/interruptible"
+	"reachwind/internal/logthrottle"
+	"reachwind/internal/peerclose"
 	"reachwind/internal/pgwire"
-	"reachwind/internal/wake"
 )
 
 // How clients end a request before it has its answer: by a cancel request on a connection of its own, with the key that
@@ -27,7 +27,7 @@
 type cancels struct {
 	lastPID uint32 // under the server's lock
 
-	taken, unknown, ahead often.Line
+	taken, unknown, ahead logthrottle.Line
 }
 
 // newKey gives a connection its key and returns it as BackendKeyData has it. A connection that another process passed on
@@ -102,15 +102,15 @@
 				return m, nil
 			}
 		}
-		n := c.R.Buffered()
-		if n == c.R.Size() && !c.widen() {
-			if hangup.Seen(c.Conn.Conn) {
+		n := c.Reader.Buffered()
+		if n == c.Reader.Size() && !c.widen() {
+			if peerclose.Detected(c.Conn.Conn) {
 				return message{}, errGone
 			}
-			look := time.AfterFunc(hangup.Every, func() { c.Leave(message{expire: never}) })
-			c.Wait()
+			look := time.AfterFunc(peerclose.CheckInterval, func() { c.Post(message{expire: never}) })
+			c.WaitForMessage()
 			look.Stop()
-		} else if _, err := c.R.Peek(n + 1); err != nil && !errors.Is(err, wake.ErrWoken) {
+		} else if _, err := c.Reader.Peek(n + 1); err != nil && !errors.Is(err, interruptible.ErrInterrupted) {
 			return message{}, errGone
 		}
 		if err := c.woken(); err != nil {
@@ -126,7 +126,7 @@
 
 // widen has the reader hold twice as much, and tells whether it may.
 func (c *conn) widen() bool {
-	more := c.R.Size()
+	more := c.Reader.Size()
 	if 2*more > aheadEach {
 		return false
 	}
@@ -142,10 +142,10 @@
 // narrow gives back what widen took, as far as what is in the reader allows it.
 func (c *conn) narrow() {
 	size := readSize
-	for size < c.R.Buffered() {
+	for size < c.Reader.Buffered() {
 		size *= 2
 	}
-	if less := c.R.Size() - size; less > 0 {
+	if less := c.Reader.Size() - size; less > 0 {
 		c.resize(size)
 		c.s.ahead.Add(-int64(less))
 	}
@@ -153,10 +153,10 @@
 
 // resize gives the connection another reader with what the old one holds.
 func (c *conn) resize(size int) {
-	have, _ := c.R.Peek(c.R.Buffered())
+	have, _ := c.Reader.Peek(c.Reader.Buffered())
 	r := bufio.NewReaderSize(&rest{have: bytes.Clone(have), next: c.Conn}, size)
 	_, _ = r.Peek(len(have)) // all that was held is held again: Buffered must tell
-	c.R = r
+	c.Reader = r
 }
 
 // rest reads what another reader held, and goes on from there.
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/pgwire"
-	"reachwind/internal/wake"
 )
 
 // crossed is the gateway's end of a connection. When that is about to be ended, by whatever call, its client sends
@@ -104,12 +104,12 @@
 			s.conf.StartWait, s.conf.RefuseWait = 200*time.Millisecond, time.Hour
 			s.conf.Spare = max(s.conf.Spare, 4)
 			near, far := pair(t)
-			looks := wake.New[int](far, 16)
+			looks := interruptible.New[int](far, 16)
 			nc := &crossed{TCPConn: far, cross: func() {
 				if _, err := near.Write(query(read)); err != nil {
 					t.Error(err)
 				}
-				for looks.Quiet() { // the test's own limit ends a wait for nothing
+				for looks.NoPendingInput() { // the test's own limit ends a wait for nothing
 					runtime.Gosched()
 				}
 			}}
@@ -266,14 +266,14 @@
 			if _, err := near.Write(tc.text); err != nil {
 				t.Fatal(err)
 			}
-			looks := wake.New[int](far, 16)
+			looks := interruptible.New[int](far, 16)
 			busy := func() bool { // all of it has been read, and what was to be done with it has begun
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				for c := range s.conns {
-					return looks.Quiet() && c.spoke && (tc.want == "" || f.arrived > 0)
+					return looks.NoPendingInput() && c.spoke && (tc.want == "" || f.arrived > 0)
 				}
 				return false
 			}
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -14,9 +14,9 @@
 
 	"reachwind/decide"
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/wake"
 )
 
 const readSize = 4 << 10
@@ -34,7 +34,7 @@
 
 // conn is one client connection.
 type conn struct {
-	*wake.Conn[message]
+	*interruptible.Conn[message]
 	s        *Server
 	refuse   bool // too many connections: say so and close
 	reads    int  // counts reads with a time limit; odd while one is on
@@ -72,8 +72,8 @@
 
 func newConn(s *Server, nc net.Conn) *conn {
 	now := time.Now()
-	c := &conn{Conn: wake.New[message](nc, readSize), s: s, idleSince: now, due: now.Add(s.conf.StartWait)}
-	c.Came = func(n int) { c.arrivals.came(n, s.core.Now()) }
+	c := &conn{Conn: interruptible.New[message](nc, readSize), s: s, idleSince: now, due: now.Add(s.conf.StartWait)}
+	c.OnRead = func(n int) { c.arrivals.came(n, s.core.Now()) }
 	return c
 }
 
@@ -85,7 +85,7 @@
 
 // Answer leaves the answer for the connection's goroutine.
 func (k client) Answer(a core.Answer) {
-	if !k.c.Leave(message{request: k.request, answer: a}) && a.Body != nil {
+	if !k.c.Post(message{request: k.request, answer: a}) && a.Body != nil {
 		a.Body.Release()
 	}
 }
@@ -95,7 +95,7 @@
 
 // serveFrom goes on after the startup, which ended with err.
 func (c *conn) serveFrom(err error) {
-	defer func() { c.s.ahead.Add(-int64(c.R.Size() - readSize)) }()
+	defer func() { c.s.ahead.Add(-int64(c.Reader.Size() - readSize)) }()
 	for err == nil {
 		err = c.next()
 	}
@@ -103,7 +103,7 @@
 		c.s.broken.Info(c.s.log, "client broke the protocol", "err", err)
 		_ = c.fatal(pgwire.ProtocolViolation, err.Error(), "")
 	}
-	for _, m := range append(c.answered, c.Shut()...) {
+	for _, m := range append(c.answered, c.CloseMailbox()...) {
 		if m.answer.Body != nil {
 			m.answer.Body.Release()
 		}
@@ -127,7 +127,7 @@
 
 // woken looks into the mailbox.
 func (c *conn) woken() error {
-	for _, m := range c.Take() {
+	for _, m := range c.TakeMessages() {
 		switch {
 		case m.request != nil:
 			c.answered = append(c.answered, m)
@@ -138,7 +138,7 @@
 				c.hurry()
 			}
 		case m.expire == c.reads:
-			left := min(c.wait-c.Silent(), time.Until(c.until))
+			left := min(c.wait-c.SilentFor(), time.Until(c.until))
 			switch {
 			case left > 0:
 				c.look(left)
@@ -170,7 +170,7 @@
 // look has the goroutine look after so long whether its read is over its limit.
 func (c *conn) look(after time.Duration) {
 	read := c.reads
-	c.timer = time.AfterFunc(after, func() { c.Leave(message{expire: read}) })
+	c.timer = time.AfterFunc(after, func() { c.Post(message{expire: read}) })
 }
 
 // limitMessage limits the read of a message that has begun: its client may pause for the time to start, four times that in all.
@@ -211,9 +211,9 @@
 	switch {
 	case !c.stopping:
 		return nil
-	case c.R.Buffered() == 0 && c.s.pass(c.Conn.Conn, began):
+	case c.Reader.Buffered() == 0 && c.s.pass(c.Conn.Conn, began):
 		return errPassed
-	case c.Quiet():
+	case c.NoPendingInput():
 		return errSevered
 	}
 	return nil
@@ -254,8 +254,8 @@
 			return err
 		}
 		body := make([]byte, n)
-		_, _ = c.R.Discard(4)
-		if err := c.Fill(body, woken); err != nil {
+		_, _ = c.Reader.Discard(4)
+		if err := c.ReadFull(body, woken); err != nil {
 			return err
 		}
 		switch version := binary.BigEndian.Uint32(body); {
@@ -295,7 +295,7 @@
 		return err
 	}
 	c.s.idle(c)
-	c.arrivals.forget(c.R.Buffered())
+	c.arrivals.forget(c.Reader.Buffered())
 	stop := func() {}
 	if !c.due.IsZero() { // guards against clients that connect and never ask
 		left := time.Until(c.due)
@@ -307,7 +307,7 @@
 		return err
 	}
 	c.s.busy(c)
-	if c.R.Buffered() < 5 {
+	if c.Reader.Buffered() < 5 {
 		stop = c.limitMessage()
 	}
 	head, err := c.Peek(5, c.woken)
@@ -319,7 +319,7 @@
 	if err != nil {
 		return err
 	}
-	_, _ = c.R.Discard(5)
+	_, _ = c.Reader.Discard(5)
 	if typ == 'Q' {
 		return c.query(n)
 	}
@@ -355,7 +355,7 @@
 		if _, err := c.Peek(1, c.woken); err != nil {
 			return err
 		}
-		m, _ := c.R.Discard(min(n, c.R.Buffered()))
+		m, _ := c.Reader.Discard(min(n, c.Reader.Buffered()))
 		n -= m
 	}
 	c.due = time.Time{}
@@ -368,7 +368,7 @@
 		return fmt.Errorf("%w: query without end", errProtocol)
 	}
 	stop := func() {}
-	if c.R.Buffered() < n {
+	if c.Reader.Buffered() < n {
 		stop = c.limitMessage()
 	}
 	buf, err := c.text(n)
@@ -380,7 +380,7 @@
 		return c.full(n)
 	}
 	c.due = time.Time{}
-	came := c.arrivals.last(c.R.Buffered(), c.s.core.Now()) // its time counts from its last byte
+	came := c.arrivals.last(c.Reader.Buffered(), c.s.core.Now()) // its time counts from its last byte
 	if buf.B[n-1] != 0 {
 		buf.Release()
 		return fmt.Errorf("%w: query without end", errProtocol)
@@ -424,7 +424,7 @@
 // goes on, and sees the client leave.
 func (c *conn) pass(q *core.Request, s *pgwire.Stream) error {
 	s.Start(&lent{c: c, end: time.Now().Add(passMost)}, func(tail []byte) {
-		c.Leave(message{request: q, passed: true, tail: tail})
+		c.Post(message{request: q, passed: true, tail: tail})
 	})
 	m, err := c.await(q)
 	switch {
@@ -465,7 +465,7 @@
 
 // text reads the n bytes of a query into a buffer; there may be none left for it.
 func (c *conn) text(n int) (*pgwire.Buf, error) {
-	if n <= c.R.Size() { // guards against clients that send half a statement and so keep a buffer
+	if n <= c.Reader.Size() { // guards against clients that send half a statement and so keep a buffer
 		if _, err := c.Peek(n, c.woken); err != nil {
 			return nil, err
 		}
@@ -475,7 +475,7 @@
 		return nil, nil
 	}
 	buf.B = buf.B[:n]
-	if err := c.Fill(buf.B, c.woken); err != nil {
+	if err := c.ReadFull(buf.B, c.woken); err != nil {
 		buf.Release()
 		return nil, err
 	}
@@ -511,7 +511,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := c.s.conf.Terms.Now()
+	t := c.s.conf.Terms.Current()
 	k, ok := t.Class(st.Class, came)
 	if !ok {
 		return nil, fmt.Errorf("unknown class %.40q", st.Class)
@@ -525,7 +525,7 @@
 		return nil, errInUse
 	}
 	st.Done = func() { c.s.conf.Claims.Release(st.ID) }
-	q := &core.Request{Class: k.Class, ClassIndex: k.Place, Tenant: t.Tenant(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: came,
+	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: t.TenantIndex(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: came,
 		LastWrite: core.Time(st.After) * time.Millisecond, Call: st,
 		Deadline: came + min(core.Time(min(st.Wait, maxWait))*time.Millisecond, k.Deadline)}
 	if k.HasSession() {
@@ -558,7 +558,7 @@
 }
 
 func (c *conn) comeBack() string {
-	after := c.s.conf.Terms.Now().ComeBack
+	after := c.s.conf.Terms.Current().RetryAfter
 	if after <= 0 {
 		return ""
 	}
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/core"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
 )
 
 const buffers = 6
@@ -95,7 +95,7 @@
 
 func newServer(f *fakeCore, most int) (*Server, *pgwire.Pool) {
 	bufs := pgwire.NewPool(buffers, 0)
-	book, err := terms.NewBook(&decide.Config{MaxRetryAfter: 500 * time.Millisecond,
+	book, err := activesettings.NewHolder(&decide.Config{MaxRetryAfter: 500 * time.Millisecond,
 		Classes: []decide.Class{{Name: "r", Deadline: time.Second},
 			{Name: "w", Consistency: decide.Write, Effect: decide.Keyed, Deadline: time.Second}},
 		Tenants: []decide.Tenant{{Name: "t"}}})
@@ -275,10 +275,10 @@
 		if _, err := a.Write(query("")); err != nil {
 			t.Fatal(err)
 		}
-		for c.Quiet() {
+		for c.NoPendingInput() {
 			runtime.Gosched()
 		}
-		c.Leave(message{stop: true})
+		c.Post(message{stop: true})
 		go c.serveFrom(nil)
 		got, _ := io.ReadAll(a)
 		if len(got) < 5 || got[0] != 'I' {
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -13,18 +13,18 @@
 	"sync/atomic"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
-	"reachwind/internal/often"
+	"reachwind/internal/interruptible"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // Config holds what the front is told.
 type Config struct {
-	Terms      *terms.Book
+	Terms      *activesettings.Holder
 	Max        int             // client connections; for more, idle ones are ended
 	Spare      int             // connections above Max, half for those being ended, half for those being refused; those that linger have what is left
 	Keep       int             // buffers left to the members when statements take the rest
@@ -74,7 +74,7 @@
 	cancels cancels
 	ahead   atomic.Int64 // bytes that readers hold beyond their usual size
 
-	refused, closed, broken, full, short, failing often.Line
+	refused, closed, broken, full, short, failing logthrottle.Line
 }
 
 // silentLeast is how long a connection that has sent nothing is left alone: clients send their startup at once.
@@ -202,7 +202,7 @@
 	s.lingers++
 	s.ended.Broadcast()
 	s.mu.Unlock()
-	wake.Linger(c.Conn.Conn, time.Now().Add(s.conf.RefuseWait), lingerMost)
+	interruptible.LingeringClose(c.Conn.Conn, time.Now().Add(s.conf.RefuseWait), lingerMost)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lingers--
@@ -263,7 +263,7 @@
 		s.conns[c] = true
 	}
 	if s.closing {
-		c.Leave(message{stop: true, last: s.last})
+		c.Post(message{stop: true, last: s.last})
 	}
 	s.start(func() {
 		if began {
@@ -305,7 +305,7 @@
 		return false
 	}
 	oldest.leaving = true
-	oldest.Leave(message{stop: true})
+	oldest.Post(message{stop: true})
 	return true
 }
 
@@ -327,7 +327,7 @@
 			break
 		}
 		c.leaving = true
-		c.Leave(message{stop: true})
+		c.Post(message{stop: true})
 	}
 }
 
@@ -419,6 +419,6 @@
 // tell leaves all connections a message. The caller holds the lock.
 func (s *Server) tell(m message) {
 	for c := range s.conns {
-		c.Leave(m)
+		c.Post(m)
 	}
 }
--- a/internal/pgmember/conn.go
+++ b/internal/pgmember/conn.go
@@ -15,9 +15,9 @@
 	"reachwind/decide"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/settings"
-	"reachwind/internal/wake"
 )
 
 // Dialer opens a connection.
@@ -47,7 +47,7 @@
 
 // conn is one connection. Its goroutine runs serve; the pool's fields are m and since.
 type conn struct {
-	*wake.Conn[order]
+	*interruptible.Conn[order]
 	p     *Pool
 	m     *member
 	addr  string
@@ -80,18 +80,18 @@
 // start connects in the background.
 func (c *conn) start() {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), c.p.conf.Load().Connect)
+		ctx, cancel := context.WithTimeout(context.Background(), c.p.conf.Load().ConnectTimeout)
 		result, err := c.connect(ctx)
 		if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) { // may be chance: if the member is down, the next is refused
 			if c.Conn != nil {
-				c.End()
+				c.CloseAll()
 			}
 			result, err = c.connect(ctx)
 		}
 		cancel()
 		if err != nil {
 			if c.Conn != nil {
-				c.End()
+				c.CloseAll()
 			}
 			c.p.core.Post(func() { c.p.failed(c, result, err) })
 			return
@@ -106,7 +106,7 @@
 }
 
 // close asks the goroutine to end.
-func (c *conn) close() { c.Leave(order{}) }
+func (c *conn) close() { c.Post(order{}) }
 
 // forsake has the close that follows drop what the member's side has not yet taken in. Else the system would still
 // deliver a statement to a member that is cut off or hangs, seconds after its attempt was given up and perhaps made anew.
@@ -172,7 +172,7 @@
 	case err != nil:
 		return decide.Unreachable, err
 	}
-	c.Conn = wake.New[order](nc, readSize)
+	c.Conn = interruptible.New[order](nc, readSize)
 	until, _ := ctx.Deadline()
 	_ = nc.SetDeadline(until)
 	if _, err := nc.Write(pgwire.AppendStartup(nil, c.p.conf.Load().User, c.p.conf.Load().Database)); err != nil {
@@ -185,7 +185,7 @@
 	if a.code != "" {
 		return outcomeOf(&a), errors.New("turned away: " + a.code)
 	}
-	if c.R.Buffered() > 0 {
+	if c.Reader.Buffered() > 0 {
 		return decide.Unreachable, errSpoilt
 	}
 	return 0, nc.SetDeadline(time.Time{})
@@ -196,14 +196,14 @@
 	var job *job
 	for {
 		// At a message boundary. The read also sees the member close.
-		orders := c.Take()
+		orders := c.TakeMessages()
 		for i, o := range orders {
 			switch {
 			case o.job == nil:
 				if job != nil {
 					orders = append(orders, order{job: job})
 				}
-				return append(c.End(), orders[i:]...)
+				return append(c.CloseAll(), orders[i:]...)
 			case o.stall: // of an answer that has ended since
 			case !o.stop:
 				job = o.job
@@ -213,20 +213,20 @@
 			}
 		}
 		if job != nil {
-			if !c.Quiet() {
+			if !c.NoPendingInput() {
 				// What has come belongs to no request, and would be taken for this one's answer; or the member
 				// has closed. The job begins anew on another connection.
-				return append(c.End(), order{job: job})
+				return append(c.CloseAll(), order{job: job})
 			}
 			j := job
 			job = nil
 			if !c.run(j) {
-				return c.End()
+				return c.CloseAll()
 			}
 			continue
 		}
-		if _, err := c.R.Peek(1); !errors.Is(err, wake.ErrWoken) {
-			return c.End() // closed, or a word out of turn, which no member means well
+		if _, err := c.Reader.Peek(1); !errors.Is(err, interruptible.ErrInterrupted) {
+			return c.CloseAll() // closed, or a word out of turn, which no member means well
 		}
 	}
 }
@@ -253,7 +253,7 @@
 	default:
 		a.buf.Release()
 	}
-	if a.ready && !a.drained && c.R.Buffered() == 0 { // else more came than belongs to the answer
+	if a.ready && !a.drained && c.Reader.Buffered() == 0 { // else more came than belongs to the answer
 		c.done(j, o)
 		return true
 	}
@@ -269,7 +269,7 @@
 
 // write writes a job's statement whole. If it could not, it returns false and the outcome: the member never ran it.
 func (c *conn) write(j *job, a *answer) (core.Outcome, bool) {
-	query, until := net.Buffers{pgwire.Append(nil, 'Q', "SHOW health\x00")}, c.p.core.Now()+c.p.conf.Load().Connect
+	query, until := net.Buffers{pgwire.Append(nil, 'Q', "SHOW health\x00")}, c.p.core.Now()+c.p.conf.Load().ConnectTimeout
 	if j.attempt != nil {
 		until = j.attempt.Deadline
 		wait := max((until - c.p.core.Now()).Milliseconds(), 1)
@@ -310,7 +310,7 @@
 	}
 	why := decide.Reset
 	err := c.read(a, func() error {
-		for _, o := range c.Take() {
+		for _, o := range c.TakeMessages() {
 			switch {
 			case o.job == nil:
 				return errClosed
@@ -320,7 +320,7 @@
 				return c.drain(a)
 			case o.stall:
 				a.watched = false
-				left := a.patience() - min(c.Silent(), time.Since(a.last))
+				left := a.patience() - min(c.SilentFor(), time.Since(a.last))
 				if left <= 0 {
 					return errStalled
 				}
@@ -372,10 +372,10 @@
 	if a.done != nil { // it is passing through, and its client has gone
 		return errStopped
 	}
-	have, _ := c.R.Peek(c.R.Buffered())
+	have, _ := c.Reader.Peek(c.Reader.Buffered())
 	rest := append(bytes.Clone(have), waiting(c.Conn.Conn, pgwire.BufSize)...)
 	a.drained = true
-	c.R.Reset(io.MultiReader(bytes.NewReader(rest), stopped{}))
+	c.Reader.Reset(io.MultiReader(bytes.NewReader(rest), stopped{}))
 	return nil
 }
 
@@ -416,9 +416,9 @@
 // report reads the figures that the settings name.
 func (c *conn) report(r *decide.Report, text []byte) {
 	pgwire.Pairs(text, func(name string, v float64) {
-		for _, n := range c.p.conf.Load().Names {
+		for _, n := range c.p.conf.Load().ReportFigures {
 			if n == name {
-				settings.Report(r, 0, name, v)
+				settings.SetReportFigure(r, 0, name, v)
 			}
 		}
 	})
@@ -508,9 +508,9 @@
 		default:
 			body = body[:n]
 		}
-		_, _ = c.R.Discard(5)
+		_, _ = c.Reader.Discard(5)
 		c.watch(a, n)
-		if err := c.Fill(body, woken); err != nil {
+		if err := c.ReadFull(body, woken); err != nil {
 			return err
 		}
 		if err := c.take(a, typ, body); err != nil || a.ready {
@@ -595,7 +595,7 @@
 	}
 	a.done, a.row = done, head[:0]
 	a.buf.B = append(a.buf.B, head...)
-	_, _ = c.R.Discard(len(head))
+	_, _ = c.Reader.Discard(len(head))
 	if _, err := w.Write(a.buf.B); err != nil {
 		return errClient
 	}
@@ -608,7 +608,7 @@
 	a.last = time.Now()
 	for left > 0 {
 		c.watch(a, 1)
-		n, err := c.R.Read(chunk[:min(left, len(chunk))])
+		n, err := c.Reader.Read(chunk[:min(left, len(chunk))])
 		if n > 0 {
 			left -= n
 			a.passed += n
@@ -617,7 +617,7 @@
 			}
 			a.last = time.Now()
 		}
-		if errors.Is(err, wake.ErrWoken) {
+		if errors.Is(err, interruptible.ErrInterrupted) {
 			err = woken()
 		}
 		if err != nil {
@@ -631,7 +631,7 @@
 
 // watch has a member noticed that stalls before the next n bytes of an answer it has begun.
 func (c *conn) watch(a *answer, n int) {
-	if a.job == nil || a.watched || c.R.Buffered() >= n {
+	if a.job == nil || a.watched || c.Reader.Buffered() >= n {
 		return
 	}
 	c.look(a, a.patience())
@@ -641,7 +641,7 @@
 func (c *conn) look(a *answer, after time.Duration) {
 	a.watched = true
 	j := a.job
-	time.AfterFunc(after, func() { c.Leave(order{job: j, stall: true}) })
+	time.AfterFunc(after, func() { c.Post(order{job: j, stall: true}) })
 }
 
 // take takes one message of an answer: RowDescription, DataRow and
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -131,8 +131,8 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	w.core = core.New(core.NewClock(), w.script, log)
-	w.pool = New(w.core, Config{User: "app", Database: "shop", Max: 4, Idle: time.Hour, Connect: 20 * time.Second,
-		Grace: 50 * time.Millisecond}, w.bufs, dial, log)
+	w.pool = New(w.core, Config{User: "app", Database: "shop", MaxConns: 4, MemberIdleTimeout: time.Hour, ConnectTimeout: 20 * time.Second,
+		DrainGrace: 50 * time.Millisecond}, w.bufs, dial, log)
 	w.core.Connect(w.pool, nil)
 	w.core.List(decide.ListChange, []core.ListedMember{{Addr: l.Addr().String(), Member: decide.Member{ID: "m"}}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -365,7 +365,7 @@
 		_, _ = c.Write([]byte{'N'}) // half a line, out of turn
 		unread(t, l, 1)
 		let()
-		until(t, func() bool { return !conn.Leave(order{stall: true}) })
+		until(t, func() bool { return !conn.Post(order{stall: true}) })
 		for a := range w.pool.jobs {
 			w.pool.Stop(a, decide.Cancelled)
 		}
--- a/internal/pgmember/pass_test.go
+++ b/internal/pgmember/pass_test.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/core"
 	"reachwind/internal/pgfront"
 	"reachwind/internal/pgwire"
-	"reachwind/internal/terms"
 )
 
 // twice stands in for the module: it sends each request to m, and once more unless its answer has begun.
@@ -147,14 +147,14 @@
 		}()
 		return a, nil
 	}
-	pool := New(owner, Config{User: "app", Database: "shop", Max: 4, Idle: 200 * time.Second, Connect: 250 * time.Millisecond,
-		Grace: 250 * time.Millisecond}, bufs, dial, log)
+	pool := New(owner, Config{User: "app", Database: "shop", MaxConns: 4, MemberIdleTimeout: 200 * time.Second, ConnectTimeout: 250 * time.Millisecond,
+		DrainGrace: 250 * time.Millisecond}, bufs, dial, log)
 	owner.Connect(pool, nil)
 	owner.SetObserver(d)
 	owner.List(decide.ListFull, []core.ListedMember{{Addr: "a:1", Member: decide.Member{ID: "m", State: decide.Up}}})
 	ctx, cancel := context.WithCancel(t.Context())
 	go owner.Run(ctx)
-	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: 400 * time.Millisecond}}})
+	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: 400 * time.Millisecond}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pgmember/pool.go
+++ b/internal/pgmember/pool.go
@@ -12,20 +12,20 @@
 
 	"reachwind/decide"
 	"reachwind/internal/core"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/pgwire"
 )
 
 // Config holds what the pool is told.
 type Config struct {
-	User, Database string
-	Max            int           // connections to all members together
-	Idle           time.Duration // members close connections idle for so long
-	Connect        time.Duration // a connection not up by then has failed
-	Grace          time.Duration // sends to a draining member must end within it
-	DrainOnly      bool          // a member that leaves the list without draining may still be used
-	Keep           int           // buffers left to others when answers that pass through take the rest
-	Names          []string      // what a load report holds, as the settings name it
+	User, Database    string
+	MaxConns          int           // connections to all members together
+	MemberIdleTimeout time.Duration // members close connections idle for so long
+	ConnectTimeout    time.Duration // a connection not up by then has failed
+	DrainGrace        time.Duration // sends to a draining member must end within it
+	KeepDelisted      bool          // a member that leaves the list without draining may still be used
+	ReservedBuffers   int           // buffers left to others when answers that pass through take the rest
+	ReportFigures     []string      // what a load report holds, as the settings name it
 }
 
 const (
@@ -50,7 +50,7 @@
 	jobs    map[*core.Attempt]*job
 	stamps  atomic.Bool // some member has told a log position
 
-	spoilt, cut, failing, short, cutList often.Line
+	spoilt, cut, failing, short, cutList logthrottle.Line
 
 	beforeWrite func(*job) // a seam for tests: called where a job is about to be written
 }
@@ -80,16 +80,16 @@
 
 // New returns a pool that reports to c.
 func New(c *core.Core, conf Config, bufs *pgwire.Pool, dial Dialer, log *slog.Logger) *Pool {
-	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, most: conf.Max, keep: conf.Keep,
+	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, most: conf.MaxConns, keep: conf.ReservedBuffers,
 		members: map[string]*member{}, jobs: map[*core.Attempt]*job{}}
 	p.conf.Store(&conf)
 	c.Post(p.sweep)
 	return p
 }
 
-// Retune takes another configuration from now on, but for its Max, see Limit, and Keep. It is the owner's to call. Connections
+// Reconfigure takes another configuration from now on, but for its Max, see Limit, and Keep. It is the owner's to call. Connections
 // and jobs that are open keep the waits that they began with.
-func (p *Pool) Retune(conf Config) { p.conf.Store(&conf) }
+func (p *Pool) Reconfigure(conf Config) { p.conf.Store(&conf) }
 
 // Sizes are the lengths of the pool's tables.
 type Sizes struct{ Members, Connections, Jobs int }
@@ -97,9 +97,9 @@
 // Sizes tells how long the tables are. It is the owner's to call.
 func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.open, len(p.jobs)} }
 
-// Limit has the pool hold so many connections at most from now on; idle ones above that are closed. It is the owner's
+// SetMaxConns has the pool hold so many connections at most from now on; idle ones above that are closed. It is the owner's
 // to call.
-func (p *Pool) Limit(most int) {
+func (p *Pool) SetMaxConns(most int) {
 	p.most = most
 	for n := p.open - most; n > 0 && p.evict(nil); n-- {
 	}
@@ -129,9 +129,9 @@
 			p.closeIdle(m, 0)
 		}
 		m.left = l.State == decide.Removed
-		p.want(m, l.State == decide.Up || m.left && p.conf.Load().DrainOnly)
+		p.want(m, l.State == decide.Up || m.left && p.conf.Load().KeepDelisted)
 	}
-	if kind == decide.ListChange || p.conf.Load().DrainOnly {
+	if kind == decide.ListChange || p.conf.Load().KeepDelisted {
 		return
 	}
 	for id, m := range p.members {
@@ -165,7 +165,7 @@
 	if m.unwanted == 0 {
 		return 0
 	}
-	return m.unwanted + core.Time(gracePart*float64(p.conf.Load().Grace))
+	return m.unwanted + core.Time(gracePart*float64(p.conf.Load().DrainGrace))
 }
 
 // Send starts an attempt.
@@ -188,7 +188,7 @@
 		return
 	}
 	j := &job{m: m}
-	p.core.RunAt(p.core.Now()+p.conf.Load().Connect, func() { p.stop(j, decide.TimedOut) })
+	p.core.RunAt(p.core.Now()+p.conf.Load().ConnectTimeout, func() { p.stop(j, decide.TimedOut) })
 	p.start(j)
 }
 
@@ -206,7 +206,7 @@
 	case j.c != nil:
 		j.c.withdraw(j)
 		if why != decide.NotSent {
-			j.c.Leave(order{job: j, stop: true, why: why})
+			j.c.Post(order{job: j, stop: true, why: why})
 		}
 	case slices.Contains(j.m.waiting, j): // no byte of it was written
 		p.finish(j, core.Outcome{Result: decide.NotSent})
@@ -226,7 +226,7 @@
 		m.busy = append(m.busy, c)
 		j.c = c
 		c.limit(0)
-		if c.Leave(order{job: j}) {
+		if c.Post(order{job: j}) {
 			return
 		}
 		j.c = nil // it has just ended; what became of it follows in the queue
@@ -279,7 +279,7 @@
 			delete(p.members, id)
 			continue
 		}
-		p.closeIdle(m, p.core.Now()-core.Time(idlePart*float64(p.conf.Load().Idle))+sweepEvery)
+		p.closeIdle(m, p.core.Now()-core.Time(idlePart*float64(p.conf.Load().MemberIdleTimeout))+sweepEvery)
 	}
 	p.core.RunAt(p.core.Now()+sweepEvery, p.sweep)
 }
@@ -327,7 +327,7 @@
 	m.busy = append(m.busy, c)
 	j.c = c
 	c.limit(0)
-	if !c.Leave(order{job: j}) {
+	if !c.Post(order{job: j}) {
 		j.c = nil
 		m.waiting = append(m.waiting, j)
 	}
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -86,8 +86,8 @@
 	r := &rig{t: t, script: &script{outcomes: map[uint64][]decide.Event{}}, bufs: pgwire.NewPool(40, 20), out: map[string]int{}}
 	log := slog.New(slog.DiscardHandler)
 	r.core = core.New(core.NewClock(), r.script, log)
-	r.pool = New(r.core, Config{User: "app", Database: "shop", Max: most, Idle: 15 * time.Second,
-		Connect: 250 * time.Millisecond, Grace: 250 * time.Millisecond, Names: []string{"x0", "x1"}}, r.bufs, r.dial, log)
+	r.pool = New(r.core, Config{User: "app", Database: "shop", MaxConns: most, MemberIdleTimeout: 15 * time.Second,
+		ConnectTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond, ReportFigures: []string{"x0", "x1"}}, r.bufs, r.dial, log)
 	r.core.Connect(r.pool, nil)
 	r.list(decide.Up)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/core"
 	"reachwind/internal/pgfront"
 	"reachwind/internal/pgwire"
-	"reachwind/internal/terms"
 )
 
 // eager stands in for the module: it sends each request to m, again after each outcome that does not end it, and calls
@@ -88,11 +88,11 @@
 	}()
 	log := slog.New(slog.DiscardHandler)
 	owner := core.New(core.NewClock(), g.mod, log)
-	pool := New(owner, Config{User: "app", Database: "shop", Max: 100, Idle: time.Hour, Connect: 20 * time.Second,
-		Grace: time.Second}, g.bufs, Dial, log)
+	pool := New(owner, Config{User: "app", Database: "shop", MaxConns: 100, MemberIdleTimeout: time.Hour, ConnectTimeout: 20 * time.Second,
+		DrainGrace: time.Second}, g.bufs, Dial, log)
 	owner.Connect(pool, nil)
 	owner.List(decide.ListFull, []core.ListedMember{{Addr: member.Addr().String(), Member: decide.Member{ID: "m"}}})
-	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute},
+	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute},
 		{Name: "w", Deadline: time.Minute, Consistency: decide.Write}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // noCore is a core that nothing may come to.
@@ -72,7 +72,7 @@
 // crossedFront runs a server of connections that are crossed by a client's bytes as they end.
 func crossedFront(t *testing.T, conf Config, cross func(*crossed)) *Server {
 	t.Helper()
-	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
+	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 				was := far.read.Load()
 				_, _ = near.Write([]byte(get + "\r\n"))
 				// A read of net/http that was on may have them; the test's own limit ends a wait for nothing.
-				for looks := wake.New[int](far.TCPConn, 16); looks.Quiet() && far.read.Load() == was; {
+				for looks := interruptible.New[int](far.TCPConn, 16); looks.NoPendingInput() && far.read.Load() == was; {
 					runtime.Gosched()
 				}
 			})
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
 )
 
 // fakeCore holds requests and notes whose clients have gone.
@@ -59,7 +59,7 @@
 		"half-close behind many": {strings.Repeat("GET / HTTP/1.1\r\nHost: x\r\n\r\n", 1000), false},
 		"reset behind bytes":     {"GET /v1/clu", true}} {
 		t.Run(name, func(t *testing.T) {
-			book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute}}})
+			book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute}}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -25,14 +25,14 @@
 	"github.com/cespare/xxhash/v2"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/cursor"
-	"reachwind/internal/hangup"
+	"reachwind/internal/interruptible"
+	"reachwind/internal/peerclose"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // Config holds what the front is told.
@@ -44,7 +44,7 @@
 	Read   time.Duration // and all of it by then
 	Write  time.Duration // an answer must have been taken by then, on top of what the client waits
 	Idle   time.Duration // a connection idle for longer ends
-	Terms  *terms.Book
+	Terms  *activesettings.Holder
 	Keys   string        // file with the keys of cursors; empty: a key of this process alone
 	Life   time.Duration // of a cursor
 }
@@ -235,7 +235,7 @@
 		return
 	}
 	s.refusing++
-	s.start(func() { wake.Linger(c, time.Now().Add(lingerWait), lingerMost) }, func() { s.refusing-- })
+	s.start(func() { interruptible.LingeringClose(c, time.Now().Add(lingerWait), lingerMost) }, func() { s.refusing-- })
 }
 
 // linger closes a connection that was admitted, in the background.
@@ -245,7 +245,7 @@
 	s.lingered = append(s.lingered, c)
 	s.start(func() {
 		late := time.AfterFunc(lingerWait, func() { _ = c.Close() }) // net/http may have unset the deadline
-		wake.Linger(c, time.Now().Add(lingerWait), lingerMost)
+		interruptible.LingeringClose(c, time.Now().Add(lingerWait), lingerMost)
 		late.Stop()
 	}, func() {
 		if i := slices.Index(s.lingered, c); i >= 0 { // else it gave way
@@ -317,7 +317,7 @@
 // await waits for the answer to a request, and tells whether it came before the client left. Behind bytes of a next
 // request net/http does not see that, so the socket is asked from time to time.
 func await(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
-	look := time.NewTicker(hangup.Every)
+	look := time.NewTicker(peerclose.CheckInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -326,7 +326,7 @@
 		case <-r.Context().Done():
 			return core.Answer{}, false
 		case <-look.C:
-			if hangup.Seen(r.Context().Value(connection{})) {
+			if peerclose.Detected(r.Context().Value(connection{})) {
 				return core.Answer{}, false
 			}
 		}
@@ -356,7 +356,7 @@
 	if item == "" || len(item) > 256 || !utf8.ValidString(item) || strings.ContainsRune(item, 0) {
 		return bad("id", "the id has %d bytes, want 1 to 256 of UTF-8 without zeros", len(item))
 	}
-	t := s.conf.Terms.Now()
+	t := s.conf.Terms.Current()
 	k, ok := t.Class(h.Get("Reachwind-Class"), came)
 	if !ok {
 		return bad("class", "the class is %.40q, want one of the settings in Reachwind-Class", h.Get("Reachwind-Class"))
@@ -364,7 +364,7 @@
 	if k.Writes() != (op == call.Write) {
 		return bad("class", "class %q takes no %s", k.Name, r.Method)
 	}
-	tenant := t.Tenant(h.Get("Reachwind-Tenant"))
+	tenant := t.TenantIndex(h.Get("Reachwind-Tenant"))
 	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.Plain(name) {
 		return bad("tenant", "the tenant is %.40q, want a plain name", name)
 	}
@@ -408,7 +408,7 @@
 		return nil, nil, &problem{kind: "request-id-in-use", status: http.StatusConflict, detail: "a request with this id is in work", outcome: record.Failed, cause: record.InUse}
 	}
 	c.Done = func() { s.claims.Release(c.ID) }
-	q := &core.Request{Class: k.Class, ClassIndex: k.Place, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
+	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
 	if k.HasSession() {
 		if q.Session = h.Get("Reachwind-Session"); q.Session == "" {
 			q.Session = c.Item // as in PostgreSQL, where the quoted key names it
--- a/internal/settings/foreign_test.go
+++ b/internal/settings/foreign_test.go
@@ -122,7 +122,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read := func(v any) (*Facts, *decide.Config, error) {
+		read := func(v any) (*Settings, *decide.Config, error) {
 			text, err := json.Marshal(v)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,8 +12,8 @@
 	"reachwind/decide"
 )
 
-// Facts are the settings as they come. Keys that are not named here are skipped.
-type Facts struct {
+// Settings are the settings as they come. Keys that are not named here are skipped.
+type Settings struct {
 	Allowed struct {
 		MaxRetryAfterUs, IdleCloseUs, ConnectTimeoutUs     int64
 		MayCancel, MayDuplicate, Peers, Probes, RetryAfter bool
@@ -55,8 +55,8 @@
 }
 
 // Parse reads the settings.
-func Parse(text []byte) (*Facts, error) {
-	f := new(Facts)
+func Parse(text []byte) (*Settings, error) {
+	f := new(Settings)
 	if err := json.Unmarshal(text, f); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -81,7 +81,7 @@
 func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Config translates the settings for the decision module.
-func (f *Facts) Config() (*decide.Config, error) {
+func (f *Settings) Config() (*decide.Config, error) {
 	a, fi := &f.Allowed, &f.FamilyInfo
 	c := &decide.Config{
 		// Where the number of gateways is missing, or less than this one's own says, there are at least so many.
@@ -121,9 +121,9 @@
 	return c, nil
 }
 
-// Report translates named load figures; those it does not know are skipped.
+// SetReportFigure translates named load figures; those it does not know are skipped.
 // Positions are counted from zero, in seconds.
-func Report(r *decide.Report, zero time.Duration, key string, v float64) {
+func SetReportFigure(r *decide.Report, zero time.Duration, key string, v float64) {
 	switch key {
 	case "x0":
 		r.HasPosition, r.Position = true, zero+time.Duration(math.Floor(v*1e6))*time.Microsecond
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,7 +18,7 @@
 // number that fits.
 func TestFleetSize(t *testing.T) {
 	for _, c := range []struct{ instances, me, want int }{{80, 3, 80}, {1, 0, 1}, {0, 0, 1}, {-5, 0, 1}, {0, 7, 8}, {3, 3, 4}, {3, -1, 3}} {
-		f := &Facts{Instances: c.instances, Me: c.me}
+		f := &Settings{Instances: c.instances, Me: c.me}
 		f.Grades = append(f.Grades, struct {
 			Name, Effect, KeyScope      string
 			AimUs, DeadlineUs, WindowUs int64
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -17,12 +17,12 @@
 
 // The kinds.
 const (
-	Empty    FaultKind = iota // there is nothing in it
-	TooLong                   // it is longer than FileMost
-	NotJSON                   // it is cut off, half overwritten, or followed by something
-	Missing                   // a key that the start held, or without which the rules can't be kept
-	Twice                     // a key or a name that should stand once
-	BadValue                  // a value of another kind or beyond its bounds
+	Empty     FaultKind = iota // there is nothing in it
+	TooLong                    // it is longer than FileMost
+	NotJSON                    // it is cut off, half overwritten, or followed by something
+	Missing                    // a key that the start held, or without which the rules can't be kept
+	Duplicate                  // a key or a name that should stand once
+	BadValue                   // a value of another kind or beyond its bounds
 )
 
 // Fault is why a file was refused as a whole. Every fault has a key, empty for the file itself.
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("%s: found %s, want %s; nothing was taken from the file: %s, and send SIGHUP again", key, f.Found, f.Want, do)
 }
 
-// FileMost bounds the length of a file, in bytes.
-const FileMost = 4 << 20
+// MaxFileBytes bounds the length of a file, in bytes.
+const MaxFileBytes = 4 << 20
 
 // Bounds beyond which a figure is taken for a slip of the pen, far above those of any deployment.
 const (
@@ -53,12 +53,12 @@
 	countMost = 1 << 20
 )
 
-// Shape is which keys an object held, with the kinds of their values. It is made of a file that was found good and
+// Schema is which keys an object held, with the kinds of their values. It is made of a file that was found good and
 // told of later ones, see Check.
-type Shape struct {
-	kind byte              // '{', '[', 's', 'n', 'b', or 0: any
-	keys map[string]*Shape // of an object
-	each *Shape            // what every entry of a list has; nil for an empty list
+type Schema struct {
+	kind byte               // '{', '[', 's', 'n', 'b', or 0: any
+	keys map[string]*Schema // of an object
+	each *Schema            // what every entry of a list has; nil for an empty list
 }
 
 var kinds = map[byte]string{'{': "an object", '[': "a list", 's': "a text", 'n': "a number", 'b': "true or false", '0': "null"}
@@ -79,9 +79,9 @@
 	return '0'
 }
 
-// ShapeOf is the shape of a text that was read without a fault. Of the members known only the kind counts, as they
+// SchemaOf is the shape of a text that was read without a fault. Of the members known only the kind counts, as they
 // come and go.
-func ShapeOf(text []byte) (*Shape, error) {
+func SchemaOf(text []byte) (*Schema, error) {
 	var v any
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -90,16 +90,16 @@
 	}
 	s := shapeOf(v)
 	if k := s.keys["known"]; k != nil {
-		s.keys["known"] = &Shape{kind: k.kind}
+		s.keys["known"] = &Schema{kind: k.kind}
 	}
 	return s, nil
 }
 
-func shapeOf(v any) *Shape {
-	s := &Shape{kind: kindOf(v)}
+func shapeOf(v any) *Schema {
+	s := &Schema{kind: kindOf(v)}
 	switch v := v.(type) {
 	case map[string]any:
-		s.keys = map[string]*Shape{}
+		s.keys = map[string]*Schema{}
 		for name, one := range v {
 			s.keys[name] = shapeOf(one)
 		}
@@ -119,13 +119,13 @@
 }
 
 // common is what two shapes have in common.
-func common(a, b *Shape) *Shape {
+func common(a, b *Schema) *Schema {
 	if a == nil || b == nil || a.kind != b.kind {
-		return &Shape{}
+		return &Schema{}
 	}
-	s := &Shape{kind: a.kind}
+	s := &Schema{kind: a.kind}
 	if a.kind == '{' {
-		s.keys = map[string]*Shape{}
+		s.keys = map[string]*Schema{}
 		for name := range a.keys {
 			if b.keys[name] != nil {
 				s.keys[name] = common(a.keys[name], b.keys[name])
@@ -139,7 +139,7 @@
 
 // Check reports the first fault of a text that is to follow the one that s was made of: whatever the text of the
 // start held, and what the rules can't do without, must be held again; more may come. A fault is a *[Fault].
-func (s *Shape) Check(text []byte) error {
+func (s *Schema) Check(text []byte) error {
 	v, err := tree(text)
 	if err != nil {
 		return err
@@ -150,7 +150,7 @@
 	return values(v)
 }
 
-func (s *Shape) check(key string, v any) error {
+func (s *Schema) check(key string, v any) error {
 	if s.kind != 0 && kindOf(v) != s.kind {
 		return &Fault{BadValue, key, show(v), kinds[s.kind]}
 	}
@@ -211,7 +211,7 @@
 		case name == "":
 			w.fault(&Fault{BadValue, key + ".Name", "an empty text", "a name"})
 		case names[name]:
-			w.fault(&Fault{Twice, key + ".Name", strconv.Quote(name) + " a second time", "a name of its own"})
+			w.fault(&Fault{Duplicate, key + ".Name", strconv.Quote(name) + " a second time", "a name of its own"})
 		}
 		names[name] = true
 		word(&w, w.get(k, key+".Effect"), key+".Effect", effects)
@@ -351,8 +351,8 @@
 // tree reads a text into maps, lists and plain values. Unlike encoding/json it takes no key twice, not even in another
 // case, as the later one would count and the earlier would go unseen.
 func tree(text []byte) (any, error) {
-	if len(text) > FileMost {
-		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", FileMost), fmt.Sprintf("%d at most", FileMost)}
+	if len(text) > MaxFileBytes {
+		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", MaxFileBytes), fmt.Sprintf("%d at most", MaxFileBytes)}
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, &Fault{Empty, "", "nothing in it", "an object in JSON"}
@@ -391,7 +391,7 @@
 			}
 			name, _ := t.(string)
 			if low := strings.ToLower(name); seen[low] {
-				return nil, &Fault{Twice, join(key, name), "it a second time", "each key once"}
+				return nil, &Fault{Duplicate, join(key, name), "it a second time", "each key once"}
 			} else {
 				seen[low] = true
 			}
@@ -423,8 +423,8 @@
 
 // Read reads a text of settings whole, of FileMost bytes at most.
 func Read(r io.Reader) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(r, FileMost+1))
-	if err == nil && len(text) > FileMost {
+	text, err := io.ReadAll(io.LimitReader(r, MaxFileBytes+1))
+	if err == nil && len(text) > MaxFileBytes {
 		_, err = tree(text)
 	}
 	return text, err
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -18,7 +18,7 @@
 
 // TestCheck: what an operator may change passes, and each broken form is refused with the key that is at fault.
 func TestCheck(t *testing.T) {
-	s, err := ShapeOf([]byte(whole))
+	s, err := SchemaOf([]byte(whole))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		{BadValue, "settings.Grades[1].AimUs", swap(`900000`, `1e400`)}, {BadValue, "settings.Grades[1].AimUs", swap(`900000`, `9223372036854775807`)},
 		{NotJSON, "", swap(`900000`, `NaN`)}, {BadValue, "settings.Grades[1].AimUs", swap(`900000`, `[]`)}, {BadValue, "settings.Grades", swap(`"Grades":[`, `"Grades":[],"Old":[`)},
 		{BadValue, "settings.FamilyInfo.Consistency", swap(`"write"]`, `"write","any"]`)}, {BadValue, "settings.FamilyInfo.ClassBoundUs", swap(`[3000000,0]`, `[0]`)},
-		{Twice, "settings.Grades[1].Name", swap(`"edits"`, `"tiles"`)}, {Twice, "settings.Grades", swap(`"Me":1`, `"Me":1,"grades":[]`)},
+		{Duplicate, "settings.Grades[1].Name", swap(`"edits"`, `"tiles"`)}, {Duplicate, "settings.Grades", swap(`"Me":1`, `"Me":1,"grades":[]`)},
 		{BadValue, "settings.Grades[0].Effect", swap(`"repeatable"`, `"maybe"`)}, {BadValue, "settings.Grades[1].KeyScope", swap(`"cell"`, `"row"`)},
 		{BadValue, "settings.FamilyInfo.Consistency[0]", swap(`"bounded"`, `"old"`)}, {BadValue, "settings.Tenants[0].Fraction", swap(`"Fraction":1`, `"Fraction":-1`)},
 		{BadValue, "settings.Rules.ColdUs", swap(`18000000`, `-5`)}, {BadValue, "limits", swap(`{"cores":1,"sockets":64}`, `7`)}, {BadValue, "settings.Instances", swap(`"Instances":3`, `"Instances":0`)},
@@ -70,7 +70,7 @@
 
 // TestMutations: whatever is cut, left out or replaced in a good file, nothing panics, and what passes can be used.
 func TestMutations(t *testing.T) {
-	s, _ := ShapeOf([]byte(whole))
+	s, _ := SchemaOf([]byte(whole))
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		var file any
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -15,36 +15,36 @@
 // Bounds of what is kept. Beyond them an entry of the list is not known here and passes as it is, a further
 // suspend is a no, and the members that left, or were resumed, longest ago are forgotten first.
 const (
-	Most       = 1024    // members that are suspended at one time
-	listedMost = 1 << 14 // entries of the list; discovery's own bounds are lower
-	leftMost   = 1024    // members that have left the list
-	backMost   = 1024    // members that were resumed
+	MaxSuspended = 1024    // members that are suspended at one time
+	listedMost   = 1 << 14 // entries of the list; discovery's own bounds are lower
+	leftMost     = 1024    // members that have left the list
+	backMost     = 1024    // members that were resumed
 )
 
 // Entry is the last that operators said of a member. Of two, the later one by At holds.
 type Entry struct {
-	ID    string    `json:"id"`
-	Out   bool      `json:"out"`
-	At    core.Time `json:"at"`    // when it was said, in nanoseconds of Unix time
-	Since core.Time `json:"since"` // when it was suspended, the first of several times
+	ID          string    `json:"id"`
+	Suspended   bool      `json:"out"`
+	ChangedAt   core.Time `json:"at"`    // when it was said, in nanoseconds of Unix time
+	SuspendedAt core.Time `json:"since"` // when it was suspended, the first of several times
 }
 
-// UnknownMachine is the error for an id that nobody has.
-type UnknownMachine struct {
+// UnknownMemberError is the error for an id that nobody has.
+type UnknownMemberError struct {
 	ID     string
 	Listed int // members that are listed now
 }
 
-func (e UnknownMachine) Error() string {
+func (e UnknownMemberError) Error() string {
 	return fmt.Sprintf("db machine %q is not known: want an id that discovery lists (%d now), listed lately, or that is suspended; "+
 		"look the id up in discovery's list, nothing was changed", e.ID, e.Listed)
 }
 
-// Full is the error for a suspend beyond the bound.
-type Full struct{ ID string }
+// TooManySuspendedError is the error for a suspend beyond the bound.
+type TooManySuspendedError struct{ ID string }
 
-func (e Full) Error() string {
-	return fmt.Sprintf("db machine %q can't be suspended: %d are, and no more than that may be at a time; resume some first, nothing was changed", e.ID, Most)
+func (e TooManySuspendedError) Error() string {
+	return fmt.Sprintf("db machine %q can't be suspended: %d are, and no more than that may be at a time; resume some first, nothing was changed", e.ID, MaxSuspended)
 }
 
 // Set is what operators said, beside the list as discovery has it. It is for one goroutine at a time.
@@ -61,9 +61,9 @@
 	return &Set{listed: map[string]core.ListedMember{}, left: map[string]core.ListedMember{}, said: map[string]Entry{}}
 }
 
-// List takes what discovery says and returns what is to be passed on for it: the same, but with each suspended member
+// ApplyList takes what discovery says and returns what is to be passed on for it: the same, but with each suspended member
 // draining. It does not change members.
-func (s *Set) List(kind decide.EventKind, members []core.ListedMember) []core.ListedMember {
+func (s *Set) ApplyList(kind decide.EventKind, members []core.ListedMember) []core.ListedMember {
 	if !kind.HasList() {
 		return members
 	}
@@ -103,7 +103,7 @@
 		return out
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.said)) { // to be left out of a list may not bind
-		if m, ok := s.left[id]; ok && s.said[id].Out && !named[id] {
+		if m, ok := s.left[id]; ok && s.said[id].Suspended && !named[id] {
 			out = append(out, s.as(m))
 		}
 	}
@@ -126,7 +126,7 @@
 	s.left[id] = m
 	s.gone = append(s.gone, id)
 	for i := 0; len(s.left) > leftMost && i < len(s.gone); { // those that are suspended stay: they must go on as draining
-		if s.said[s.gone[i]].Out && len(s.left) <= leftMost+Most {
+		if s.said[s.gone[i]].Suspended && len(s.left) <= leftMost+MaxSuspended {
 			i++
 			continue
 		}
@@ -141,15 +141,15 @@
 	e, ok := s.said[m.ID]
 	switch {
 	case !ok:
-	case e.Out:
+	case e.Suspended:
 		if m.State == decide.Removed { // as it was listed last, where that is known
 			if l, ok := s.left[m.ID]; ok {
 				m = l
 			}
 		}
 		m.State = decide.Draining
-	case m.State == decide.Up && m.Started < e.Since:
-		m.Started = e.At
+	case m.State == decide.Up && m.Started < e.SuspendedAt:
+		m.Started = e.ChangedAt
 	}
 	return m
 }
@@ -159,15 +159,15 @@
 func (s *Set) Suspend(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.said[id]
 	switch {
-	case e.Out:
+	case e.Suspended:
 		return nil, nil
 	case !s.known(id):
-		return nil, UnknownMachine{id, len(s.listed)}
-	case s.out >= Most:
-		return nil, Full{id}
+		return nil, UnknownMemberError{id, len(s.listed)}
+	case s.out >= MaxSuspended:
+		return nil, TooManySuspendedError{id}
 	}
-	now = max(now, e.At+1)
-	return s.say(Entry{ID: id, Out: true, At: now, Since: now}), nil
+	now = max(now, e.ChangedAt+1)
+	return s.say(Entry{ID: id, Suspended: true, ChangedAt: now, SuspendedAt: now}), nil
 }
 
 // Resume calls a member back, as Suspend took it out. One call is enough for any number of those. For a member that
@@ -175,10 +175,10 @@
 func (s *Set) Resume(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.said[id]
 	switch {
-	case e.Out:
-		return s.say(Entry{ID: id, At: max(now, e.At+1), Since: e.Since}), nil
+	case e.Suspended:
+		return s.say(Entry{ID: id, ChangedAt: max(now, e.ChangedAt+1), SuspendedAt: e.SuspendedAt}), nil
 	case !s.known(id):
-		return nil, UnknownMachine{id, len(s.listed)}
+		return nil, UnknownMemberError{id, len(s.listed)}
 	}
 	return nil, nil
 }
@@ -196,9 +196,9 @@
 	if !ok {
 		m, ok = s.left[e.ID]
 	}
-	before, was := s.as(m), s.said[e.ID].Out
+	before, was := s.as(m), s.said[e.ID].Suspended
 	s.said[e.ID] = e
-	if e.Out != was {
+	if e.Suspended != was {
 		s.out++
 		if was {
 			s.out -= 2
@@ -207,7 +207,7 @@
 	if len(s.said)-s.out > backMost {
 		oldest := e
 		for _, o := range s.said {
-			if !o.Out && (o.At < oldest.At || o.At == oldest.At && o.ID < oldest.ID) {
+			if !o.Suspended && (o.ChangedAt < oldest.ChangedAt || o.ChangedAt == oldest.ChangedAt && o.ID < oldest.ID) {
 				oldest = o
 			}
 		}
@@ -230,33 +230,33 @@
 func (s *Set) Import(all []Entry) (change []core.ListedMember, dropped int) {
 	for _, e := range all {
 		switch was, ok := s.said[e.ID]; {
-		case e.ID == "" || e.Out && !was.Out && s.out >= Most:
+		case e.ID == "" || e.Suspended && !was.Suspended && s.out >= MaxSuspended:
 			dropped++
-		case !ok || e.At > was.At:
+		case !ok || e.ChangedAt > was.ChangedAt:
 			change = append(change, s.say(e)...)
 		}
 	}
 	return change, dropped
 }
 
-// Out tells whether a member is suspended.
-func (s *Set) Out(id string) bool { return s.said[id].Out }
+// IsSuspended tells whether a member is suspended.
+func (s *Set) IsSuspended(id string) bool { return s.said[id].Suspended }
 
 // Suspended are the ids of the members that are suspended, sorted.
 func (s *Set) Suspended() (ids []string) {
 	for _, e := range s.Export() {
-		if e.Out {
+		if e.Suspended {
 			ids = append(ids, e.ID)
 		}
 	}
 	return ids
 }
 
-// Listed tells how many members discovery lists.
-func (s *Set) Listed() int { return len(s.listed) }
+// ListedCount tells how many members discovery lists.
+func (s *Set) ListedCount() int { return len(s.listed) }
 
 // Sizes are the lengths of the tables.
-type Sizes struct{ Listed, Left, Said int }
+type Sizes struct{ Listed, Delisted, Entries int }
 
 // Sizes tells how long the tables are.
 func (s *Set) Sizes() Sizes { return Sizes{len(s.listed), max(len(s.left), len(s.gone)), len(s.said)} }
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -59,18 +59,18 @@
 				if !yes {
 					continue
 				}
-				if e.Out {
+				if e.Suspended {
 					if got.State != decide.Draining || got.ID != id {
 						t.Fatalf("seed %d at %d: %s is suspended, and passed on as %+v", seed, now, id, got)
 					}
 					continue
 				}
 				want := p.told[id]
-				if p.set.Listed() != len(p.told) {
-					t.Fatalf("seed %d at %d: %d listed, want %v", seed, now, p.set.Listed(), p.told)
+				if p.set.ListedCount() != len(p.told) {
+					t.Fatalf("seed %d at %d: %d listed, want %v", seed, now, p.set.ListedCount(), p.told)
 				}
-				if want.ID == id && want.State == decide.Up && want.Started < e.Since {
-					want.Started = e.At
+				if want.ID == id && want.State == decide.Up && want.Started < e.SuspendedAt {
+					want.Started = e.ChangedAt
 				}
 				if got != want {
 					t.Fatalf("seed %d at %d: %s passed on as %+v, want %+v", seed, now, id, got, want)
@@ -81,7 +81,7 @@
 			i := rng.IntN(2)
 			p := ps[i]
 			id := ids[rng.IntN(len(ids))]
-			was := p.set.said[id].Out
+			was := p.set.said[id].Suspended
 			switch k := rng.IntN(10); k {
 			case 0, 1, 2, 3:
 				kind := []decide.EventKind{decide.ListFull, decide.ListSaved, decide.ListChange, decide.ListError}[k]
@@ -96,20 +96,20 @@
 				}
 				same := slices.Clone(members)
 				p.told.take(kind, members)
-				p.core.take(kind, p.set.List(kind, members))
+				p.core.take(kind, p.set.ApplyList(kind, members))
 				if !slices.Equal(same, members) {
 					t.Fatal("the caller's list was changed")
 				}
 			case 4, 5, 6:
 				change, err := p.set.Suspend(id, now)
 				p.core.take(decide.ListChange, change)
-				if e := p.set.said[id]; (err == nil) != e.Out || was && (err != nil || len(change) > 0) || err == nil && !was && e.Since != e.At {
+				if e := p.set.said[id]; (err == nil) != e.Suspended || was && (err != nil || len(change) > 0) || err == nil && !was && e.SuspendedAt != e.ChangedAt {
 					t.Fatalf("seed %d at %d: suspend %s: %v %v", seed, now, id, change, err)
 				}
 			case 7, 8:
 				change, err := p.set.Resume(id, now)
 				p.core.take(decide.ListChange, change)
-				if p.set.said[id].Out || was && err != nil || !was && len(change) > 0 {
+				if p.set.said[id].Suspended || was && err != nil || !was && len(change) > 0 {
 					t.Fatalf("seed %d at %d: resume %s: %v %v", seed, now, id, change, err)
 				}
 			case 9:
@@ -123,7 +123,7 @@
 					}
 				}
 				for _, e := range from {
-					if p.set.said[e.ID].At < e.At {
+					if p.set.said[e.ID].ChangedAt < e.ChangedAt {
 						t.Fatalf("seed %d: %+v was not taken over", seed, e)
 					}
 				}
@@ -143,10 +143,10 @@
 // suspended is never what is forgotten.
 func TestBounds(t *testing.T) {
 	s := New()
-	if _, err := s.Suspend("m", 1); !errors.As(err, new(UnknownMachine)) {
+	if _, err := s.Suspend("m", 1); !errors.As(err, new(UnknownMemberError)) {
 		t.Error(err)
 	}
-	if _, err := s.Resume("m", 1); !errors.As(err, new(UnknownMachine)) {
+	if _, err := s.Resume("m", 1); !errors.As(err, new(UnknownMemberError)) {
 		t.Error(err)
 	}
 	now := core.Time(1)
@@ -155,21 +155,21 @@
 		for i := range 4000 {
 			list = append(list, core.ListedMember{Member: decide.Member{ID: fmt.Sprint(round, "-", i)}})
 		}
-		s.List(decide.ListFull, list)
+		s.ApplyList(decide.ListFull, list)
 		full := 0
 		for i := range 1500 {
 			now++
-			if _, err := s.Suspend(list[i].ID, now); errors.As(err, new(Full)) {
+			if _, err := s.Suspend(list[i].ID, now); errors.As(err, new(TooManySuspendedError)) {
 				full++
 			} else if err != nil {
 				t.Fatal(err)
 			}
 		}
-		if full != 1500-Most && round == 0 || len(s.Suspended()) != Most {
+		if full != 1500-MaxSuspended && round == 0 || len(s.Suspended()) != MaxSuspended {
 			t.Fatalf("round %d: %d too many, %d suspended", round, full, len(s.Suspended()))
 		}
 		out := view{}
-		out.take(decide.ListFull, s.List(decide.ListFull, nil)) // all are gone
+		out.take(decide.ListFull, s.ApplyList(decide.ListFull, nil)) // all are gone
 		ids := slices.Sorted(maps.Keys(out))
 		if !slices.Equal(ids, s.Suspended()) {
 			t.Fatalf("round %d: %d are passed on of those suspended", round, len(ids))
@@ -182,15 +182,15 @@
 				}
 			}
 		}
-		if z := s.Sizes(); z.Left > leftMost+Most || z.Said > Most+backMost || z.Listed > listedMost {
+		if z := s.Sizes(); z.Delisted > leftMost+MaxSuspended || z.Entries > MaxSuspended+backMost || z.Listed > listedMost {
 			t.Fatalf("round %d: %+v", round, z)
 		}
 	}
 	many := make([]Entry, 3000)
 	for i := range many {
-		many[i] = Entry{ID: fmt.Sprint("n", i), Out: true, At: now + core.Time(i)}
+		many[i] = Entry{ID: fmt.Sprint("n", i), Suspended: true, ChangedAt: now + core.Time(i)}
 	}
-	if _, dropped := s.Import(append(many, Entry{})); dropped < 2000 || len(s.Suspended()) != Most {
+	if _, dropped := s.Import(append(many, Entry{})); dropped < 2000 || len(s.Suspended()) != MaxSuspended {
 		t.Errorf("%d dropped, %d suspended", dropped, len(s.Suspended()))
 	}
 }
