--- a/internal/opsdoor/linger_test.go
+++ b/internal/adminapi/linger_test.go
@@ -1,4 +1,4 @@
-package opsdoor
+package adminapi
 
 import (
 	"io"
@@ -44,7 +44,7 @@
 }
 
 // stages waits until so many connections are at a stage.
-func stages(t *testing.T, d *Door, want stage, many int) {
+func stages(t *testing.T, d *Server, want stage, many int) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		n := 0
@@ -109,7 +109,7 @@
 }
 
 // gone waits until the door holds no connection.
-func gone(t *testing.T, d *Door) {
+func gone(t *testing.T, d *Server) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		d.mu.Lock()
@@ -128,7 +128,7 @@
 // such the door holds a bounded number; and those that wait are answered.
 func TestRefusals(t *testing.T) {
 	op := &operator{stall: make(chan struct{})}
-	d := New(Config{Addr: "127.0.0.1:0", Most: 2}, op, slog.New(slog.DiscardHandler))
+	d := New(Config{Addr: "127.0.0.1:0", MaxConnections: 2}, op, slog.New(slog.DiscardHandler))
 	for range 3 { // by hand, so that none is served: they hold all the room there is
 		d.conns = append(d.conns, &conn{Conn: new(script), stage: working})
 	}
--- a/internal/opsdoor/opsdoor.go
+++ b/internal/adminapi/opsdoor.go
@@ -1,7 +1,7 @@
-// Package opsdoor is where operators call the gateway: HTTP/1.1 on an address of its own, one call to a connection.
+// Package adminapi is where operators call the gateway: HTTP/1.1 on an address of its own, one call to a connection.
 // It has its own goroutines and its own bound on connections, so that neither clients nor callers that hold
 // connections keep an operator from an answer.
-package opsdoor
+package adminapi
 
 import (
 	"bufio"
@@ -50,12 +50,12 @@
 
 // Config holds what the door is told.
 type Config struct {
-	Addr string // to listen on
-	Most int    // connections at a time, half as many that are about to end, and some being refused; 0: DefaultMost
+	Addr           string // to listen on
+	MaxConnections int    // connections at a time, half as many that are about to end, and some being refused; 0: DefaultMost
 }
 
-// DefaultMost are the connections at a time where nothing else is said.
-const DefaultMost = 64
+// DefaultMaxConnections are the connections at a time where nothing else is said.
+const DefaultMaxConnections = 64
 
 // Footprint is the most that the door holds: bytes, and descriptors with its listener.
 func (c Config) Footprint() (memory int64, files int) {
@@ -68,14 +68,14 @@
 func (c Config) refusals() int { return max(1, c.most()/refusePart) }
 
 func (c Config) most() int {
-	if c.Most <= 0 {
-		return DefaultMost
+	if c.MaxConnections <= 0 {
+		return DefaultMaxConnections
 	}
-	return c.Most
+	return c.MaxConnections
 }
 
-// Operator does what is asked for. Its methods return by the end of their context, where they have one, or at once.
-type Operator interface {
+// Backend does what is asked for. Its methods return by the end of their context, where they have one, or at once.
+type Backend interface {
 	// Ready tells whether this process can serve: nil is yes.
 	Ready() error
 	// Suspend takes a db machine out: nil means that it is in force.
@@ -84,30 +84,30 @@
 	Resume(ctx context.Context, id string) error
 }
 
-// NotReady is the error for a process that can't serve.
-type NotReady struct {
-	Found string
-	Do    string
+// NotReadyError is the error for a process that can't serve.
+type NotReadyError struct {
+	Found  string
+	Remedy string
 }
 
-func (e NotReady) Error() string {
-	return fmt.Sprintf("not ready: %s; want a process that accepts clients and has a list of db machines; %s", e.Found, e.Do)
+func (e NotReadyError) Error() string {
+	return fmt.Sprintf("not ready: %s; want a process that accepts clients and has a list of db machines; %s", e.Found, e.Remedy)
 }
 
-// NotDone is the error for a call that was not done in time, and will not be.
-type NotDone struct {
+// NotDoneError is the error for a call that was not done in time, and will not be.
+type NotDoneError struct {
 	ID     string
 	Waited time.Duration
 }
 
-func (e NotDone) Error() string {
+func (e NotDoneError) Error() string {
 	return fmt.Sprintf("db machine %q: the gateway did not come to it within %v, want an answer in that time; nothing was changed, call again", e.ID, e.Waited)
 }
 
-// Unconfirmed is the error for a call that was begun and not seen to be in force in time.
-type Unconfirmed struct{ NotDone }
+// UnconfirmedError is the error for a call that was begun and not seen to be in force in time.
+type UnconfirmedError struct{ NotDoneError }
 
-func (e Unconfirmed) Error() string {
+func (e UnconfirmedError) Error() string {
 	return fmt.Sprintf("db machine %q: the gateway began with it, and it was not in force within %v, want it to be in that time; it will be soon, "+
 		"call again until the answer is yes", e.ID, e.Waited)
 }
@@ -120,8 +120,8 @@
 
 func (e badCall) Error() string { return fmt.Sprintf("%s; want %s; %s", e.found, e.want, e.fix) }
 
-// Calls are the calls there are, as errors name them.
-const Calls = "GET /v1/readyz, POST /v1/db-machines/ID/suspend or POST /v1/db-machines/ID/resume"
+// Endpoints are the calls there are, as errors name them.
+const Endpoints = "GET /v1/readyz, POST /v1/db-machines/ID/suspend or POST /v1/db-machines/ID/resume"
 
 // status is the HTTP status that an answer comes with.
 func status(err error) int {
@@ -137,10 +137,10 @@
 	return http.StatusServiceUnavailable
 }
 
-// Door is the listener with its connections.
-type Door struct {
+// Server is the listener with its connections.
+type Server struct {
 	conf Config
-	op   Operator
+	op   Backend
 	log  *slog.Logger
 	l    net.Listener
 
@@ -184,12 +184,12 @@
 )
 
 // New returns a door that asks op. It does nothing before Start.
-func New(conf Config, op Operator, log *slog.Logger) *Door {
-	return &Door{conf: conf, op: op, log: log, freed: make(chan struct{}, 1)}
+func New(conf Config, op Backend, log *slog.Logger) *Server {
+	return &Server{conf: conf, op: op, log: log, freed: make(chan struct{}, 1)}
 }
 
 // Start listens and begins to answer.
-func (d *Door) Start() error {
+func (d *Server) Start() error {
 	l, err := net.Listen("tcp", d.conf.Addr)
 	if err != nil {
 		return fmt.Errorf("admin_addr: can't listen on %q: %w; want a free address of this machine; name another one or end who has it", d.conf.Addr, err)
@@ -201,11 +201,11 @@
 }
 
 // Addr is where the door listens, once started.
-func (d *Door) Addr() net.Addr { return d.l.Addr() }
+func (d *Server) Addr() net.Addr { return d.l.Addr() }
 
 // Close ends the door: who has connected is let in, whole calls are answered, callers take their answers, and what is
 // open after closeWait is cut.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.mu.Lock()
 	d.closed = true
 	if l, ok := d.l.(interface{ SetDeadline(time.Time) error }); ok {
@@ -232,7 +232,7 @@
 	_ = d.l.Close()
 }
 
-func (d *Door) accept() {
+func (d *Server) accept() {
 	defer d.done.Done()
 	for {
 		nc, err := d.l.Accept()
@@ -254,7 +254,7 @@
 // admit takes a connection in and serves it. At the bound the one that has been longest without a whole call is told to
 // make room; its goroutine ends it, unless it finds a whole call in what it has read by then. Where too many are about
 // to end, or all are being answered, the new one waits for a moment, and is then told to come again.
-func (d *Door) admit(nc net.Conn) {
+func (d *Server) admit(nc net.Conn) {
 	c := &conn{Conn: nc}
 	most := d.conf.most()
 	for late := time.Now().Add(roomWait); ; {
@@ -294,7 +294,7 @@
 
 // refuse tells a caller that there is no room. One that comes while too many are told so is closed with no word. The
 // caller holds the lock.
-func (d *Door) refuse(c *conn) {
+func (d *Server) refuse(c *conn) {
 	n := len(d.conns)
 	d.room.Warn(d.log, "operators' call refused: too many at a time", "open", n)
 	if len(d.turned) >= d.conf.refusals() {
@@ -318,7 +318,7 @@
 // makeRoom has so many connections about to end: those that have their answer, and then the one that has been longest
 // without a whole call. One with bytes that nobody has read yet is told last: they may make its call whole. The
 // caller holds the lock.
-func (d *Door) makeRoom(want int) {
+func (d *Server) makeRoom(want int) {
 	var late *conn
 	for _, c := range d.conns {
 		switch {
@@ -358,7 +358,7 @@
 }
 
 // move notes how far a connection has come, and returns how far it had.
-func (d *Door) move(c *conn, s stage) stage {
+func (d *Server) move(c *conn, s stage) stage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	was := c.stage
@@ -367,7 +367,7 @@
 }
 
 // serve reads one call and answers it.
-func (d *Door) serve(c *conn) {
+func (d *Server) serve(c *conn) {
 	defer d.done.Done()
 	defer func() {
 		_ = c.Close()
@@ -403,7 +403,7 @@
 // answer writes an answer and ends the connection by a lingering close: the sending side is closed, and what the caller
 // still sends is read, as a close over unread bytes would reset the connection and take the answer with it. Silence, time
 // and bytes bound it, and makeRoom ends it sooner.
-func (d *Door) answer(c *conn, err error, head bool) {
+func (d *Server) answer(c *conn, err error, head bool) {
 	_ = c.SetWriteDeadline(time.Now().Add(writeWait))
 	if _, err := c.Write(answer(err, head)); err != nil {
 		return
@@ -425,7 +425,7 @@
 }
 
 // await bounds the next read of a lingering connection, unless it is to end.
-func (d *Door) await(c *conn, end time.Time) {
+func (d *Server) await(c *conn, end time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if until := time.Now().Add(lingerWait); c.stage == answered && until.Before(end) {
@@ -436,7 +436,7 @@
 }
 
 // do has the operator do what a call asks for.
-func (d *Door) do(call *http.Request) error {
+func (d *Server) do(call *http.Request) error {
 	verb, id, err := route(call.Method, call.URL)
 	if err != nil {
 		return err
@@ -462,7 +462,7 @@
 		rest, ok := strings.CutPrefix(path, "/v1/db-machines/")
 		id, verb, _ = strings.Cut(rest, "/")
 		if !ok || verb != "suspend" && verb != "resume" {
-			return "", "", badCall{http.StatusNotFound, fmt.Sprintf("there is no %.100q", path), Calls, "mend the path"}
+			return "", "", badCall{http.StatusNotFound, fmt.Sprintf("there is no %.100q", path), Endpoints, "mend the path"}
 		}
 		plain, err := url.PathUnescape(id)
 		if err != nil || plain == "" || len(plain) > idMost {
@@ -501,7 +501,7 @@
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &late):
 		return nil, err
 	}
-	return nil, badCall{http.StatusBadRequest, fmt.Sprintf("this is no HTTP/1.1 call (%.100s)", err), Calls, "mend the caller"}
+	return nil, badCall{http.StatusBadRequest, fmt.Sprintf("this is no HTTP/1.1 call (%.100s)", err), Endpoints, "mend the caller"}
 }
 
 // answer is a whole answer, a yes for nil.
--- a/internal/opsdoor/opsdoor_test.go
+++ b/internal/adminapi/opsdoor_test.go
@@ -1,4 +1,4 @@
-package opsdoor
+package adminapi
 
 import (
 	"bufio"
@@ -32,7 +32,7 @@
 	if o.stall != nil {
 		select {
 		case <-ctx.Done():
-			return NotDone{id, answerWait}
+			return NotDoneError{id, answerWait}
 		case <-o.stall:
 		}
 	}
@@ -44,9 +44,9 @@
 
 func (o *operator) Resume(ctx context.Context, id string) error { return o.Suspend(ctx, id) }
 
-func open(t *testing.T, most int, op Operator) (*Door, string) {
+func open(t *testing.T, most int, op Backend) (*Server, string) {
 	t.Helper()
-	d := New(Config{Addr: "127.0.0.1:0", Most: most}, op, slog.New(slog.DiscardHandler))
+	d := New(Config{Addr: "127.0.0.1:0", MaxConnections: most}, op, slog.New(slog.DiscardHandler))
 	if err := d.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -177,10 +177,10 @@
 // SharedCommits shares sessions' commits with another process of the same gateway. Its methods are called on the owner's
 // goroutine and must not block.
 type SharedCommits interface {
-	// Commit notes a session's write, before it is answered.
-	Commit(group int64, session string, p Time)
-	// Committed is a time up to which the session's reads must see, 0 = any.
-	Committed(group int64, session string) Time
+	// RecordCommit notes a session's write, before it is answered.
+	RecordCommit(group int64, session string, p Time)
+	// LastCommit is a time up to which the session's reads must see, 0 = any.
+	LastCommit(group int64, session string) Time
 }
 
 // Core owns the module. See Run.
@@ -449,7 +449,7 @@
 		q.Deadline = min(q.Deadline, c.endBy)
 	}
 	if c.ledger != nil && q.Session != "" && !q.writes() {
-		q.MinPosition = max(q.MinPosition, c.ledger.Committed(q.Group, q.Session))
+		q.MinPosition = max(q.MinPosition, c.ledger.LastCommit(q.Group, q.Session))
 	}
 	e := decide.Event{Kind: decide.Arrive, Request: q.id, ClassDef: q.Class, Tenant: q.Tenant, Group: q.Group,
 		Session: q.Session, MinPosition: q.MinPosition, IsRetry: q.Retry, Remaining: q.Deadline - now}
@@ -578,7 +578,7 @@
 		c.watch.learn(a.Member, o.Position)
 	}
 	if c.ledger != nil && e.HasPosition && (o.Result == decide.Served || e.InDoubt) && q.writes() && q.Session != "" {
-		c.ledger.Commit(q.Group, q.Session, e.Position)
+		c.ledger.RecordCommit(q.Group, q.Session, e.Position)
 	}
 	switch {
 	case o.Result == decide.Served:
@@ -662,7 +662,7 @@
 	if q := a.Request; c.ledger != nil && q.writes() && q.Session != "" {
 		c.RunAt(c.Now()+AssumeCommittedAfter, func() {
 			if !a.done {
-				c.ledger.Commit(q.Group, q.Session, c.Now())
+				c.ledger.RecordCommit(q.Group, q.Session, c.Now())
 				c.share(a)
 			}
 		})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -190,8 +190,8 @@
 // ledger notes what is shared with another process.
 type ledger struct{ commits []Time }
 
-func (l *ledger) Commit(_ int64, _ string, p Time)     { l.commits = append(l.commits, p) }
-func (l *ledger) Committed(_ int64, _ string) (p Time) { return 0 }
+func (l *ledger) RecordCommit(_ int64, _ string, p Time) { l.commits = append(l.commits, p) }
+func (l *ledger) LastCommit(_ int64, _ string) (p Time)  { return 0 }
 
 // TestWriteInDoubt: a write that may have run counts as committed by its end, here and at another process; and at the
 // other one also while it is out, as its answer may be lost.
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -44,7 +44,7 @@
 	}
 	const limit = 200
 	n := descriptors(t.TempDir()+"/none", limit)
-	if may := handover.Split(limit, []handover.Other{{Used: n, Older: true}}, false); n != limit || may > limit/4 {
+	if may := handover.AllowedShare(limit, []handover.Peer{{Descriptors: n, Older: true}}, false); n != limit || may > limit/4 {
 		t.Errorf("%d told, the other may use %d", n, may)
 	}
 }
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -29,7 +29,7 @@
 		row = binary.BigEndian.AppendUint64(row, uint64(i))
 	}
 	out := pgwire.Append(nil, 'T', "\x00\x01doc\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
-	return pgwire.AppendReady(pgwire.Append(pgwire.Append(out, 'D', string(row)), 'C', "SELECT 1\x00"))
+	return pgwire.AppendReadyForQuery(pgwire.Append(pgwire.Append(out, 'D', string(row)), 'C', "SELECT 1\x00"))
 }
 
 // bulkMember answers on nc: statements with the answer, in pieces, probes with a report of a primary.
@@ -39,7 +39,7 @@
 	if _, err := nc.Read(buf); err != nil {
 		return
 	}
-	ready := pgwire.AppendReady(pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "off"), "lsn_ms", fmt.Sprint(time.Now().UnixMilli())))
+	ready := pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "off"), "lsn_ms", fmt.Sprint(time.Now().UnixMilli())))
 	_, _ = nc.Write(append(pgwire.Append(nil, 'R', "\x00\x00\x00\x00"), ready...))
 	for {
 		n, err := nc.Read(buf)
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	free, small := g.bufs.Free(), g.bufs.FreeSmall()
+	free, small := g.bufs.FreeLarge(), g.bufs.FreeSmall()
 	done := make(chan error, 1)
 	go func() { done <- g.run(term, nil, tightListener{front}) }()
 
@@ -158,21 +158,21 @@
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	if left := g.bufs.Free(); left < int(passReserve*float64(free)) {
+	if left := g.bufs.FreeLarge(); left < int(passReserve*float64(free)) {
 		t.Errorf("%d of %d full buffers in use", free-left, free)
 	}
 	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // clients and members are in it too
 		t.Errorf("%d MB in use with %d values of 4 MiB under way, want at most %d", (m.HeapInuse+m.StackInuse)>>20, under, most>>20)
 	}
-	t.Logf("%d MB heap, %d MB stacks with %d values under way, %d small and %d full buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.bufs.FreeSmall(), free-g.bufs.Free())
+	t.Logf("%d MB heap, %d MB stacks with %d values under way, %d small and %d full buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.bufs.FreeSmall(), free-g.bufs.FreeLarge())
 	close(goOn)
 	all.Wait()
 	stop()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if g.bufs.Free() != free || g.bufs.FreeSmall() != small {
-		t.Errorf("%d of %d buffers came back, %d of %d small ones", g.bufs.Free(), free, g.bufs.FreeSmall(), small)
+	if g.bufs.FreeLarge() != free || g.bufs.FreeSmall() != small {
+		t.Errorf("%d of %d buffers came back, %d of %d small ones", g.bufs.FreeLarge(), free, g.bufs.FreeSmall(), small)
 	}
 }
 
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -47,8 +47,8 @@
 			e.Syslog = &s
 		})
 		b.Blocks("rest", false, func(b *edgeconf.Block) {
-			r := restfront.Read(b)
-			r.Terms = c.terms
+			r := restfront.ReadConfig(b)
+			r.Settings = c.terms
 			e.REST = &r
 		})
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
@@ -108,9 +108,9 @@
 	b.Sockets = max(leastShared, min(left, int(float64(left-ownFiles)/(clientPart+sparePart+memberPart))))
 	b.Clients, b.Members = int(clientPart*float64(b.Sockets)), int(memberPart*float64(b.Sockets))
 	room := bufferPart * float64(max(0, memory-b.Parts))
-	b.Small = int(smallPart*room) / pgwire.SmallSize
-	b.Buffers = max(buffersLeast, int((1-smallPart)*room)/pgwire.BufSize)
-	b.Memory = int64(b.Buffers)*pgwire.BufSize + int64(b.Small)*pgwire.SmallSize
+	b.Small = int(smallPart*room) / pgwire.SmallBufSize
+	b.Buffers = max(buffersLeast, int((1-smallPart)*room)/pgwire.LargeBufSize)
+	b.Memory = int64(b.Buffers)*pgwire.LargeBufSize + int64(b.Small)*pgwire.SmallBufSize
 	return b
 }
 
@@ -128,7 +128,7 @@
 	return part{
 		name: "rest",
 		prepare: func(e *Edge) (func(), error) {
-			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.Max != conf.Max {
+			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.MaxConnections != conf.MaxConnections {
 				return nil, errRestart
 			}
 			return s.Prepare(*e.REST)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -131,7 +131,7 @@
 		return
 	}
 	g.front.Quiesce(part == 0)
-	if part == 0 || part < 1 && float64(g.front.Open()) >= part*float64(g.most) {
+	if part == 0 || part < 1 && float64(g.front.OpenConnections()) >= part*float64(g.most) {
 		d.Shut()
 	} else if err := d.Open(); err != nil {
 		g.o.Log.Error("the clients' address can't be opened again", "listen", d.addr, "err", err)
@@ -139,7 +139,7 @@
 }
 
 // Busy implements fleet.Gateway.
-func (g *told) Busy() int { return g.front.Open() }
+func (g *told) Busy() int { return g.front.OpenConnections() }
 
 // sees is the way back: what the gateway sees, for the fleet.
 type sees struct {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -286,10 +286,10 @@
 		g.parts = append(g.parts, p)
 	}
 	list(decide.ListSaved, c.Known)
-	g.front = pgfront.New(owner, pgfront.Config{Terms: c.terms,
-		Max: share.Clients, Spare: int(sparePart * float64(share.Sockets)),
-		Keep:      int(bufferReserve * float64(share.Buffers)),
-		StartWait: startWait, WriteWait: writeWait, RefuseWait: refuseWait, IdleMost: idleMost, IdleKeep: int(idlePart * float64(share.Sockets)), Pass: line.passes(), Claims: g.claims}, bufs, log)
+	g.front = pgfront.New(owner, pgfront.Config{Settings: c.terms,
+		MaxConnections: share.Clients, SpareConnections: int(sparePart * float64(share.Sockets)),
+		ReservedBuffers: int(bufferReserve * float64(share.Buffers)),
+		StartupTimeout:  startWait, WriteTimeout: writeWait, LingerTimeout: refuseWait, IdleTimeout: idleMost, MaxIdleConnections: int(idlePart * float64(share.Sockets)), Transfer: line.passes(), Claims: g.claims}, bufs, log)
 	if line != nil {
 		line.apply = g.limit(bufs, share)
 		go line.run(share.Sockets)
@@ -412,7 +412,7 @@
 	log.Info("stopping", "accept_for", time.Until(p.accept).Round(time.Millisecond))
 	late := time.NewTimer(time.Until(p.last))
 	defer late.Stop()
-	word := time.AfterFunc(time.Until(p.word), front.LastCall)
+	word := time.AfterFunc(time.Until(p.word), front.AbandonPartialMessages)
 	defer word.Stop()
 	time.Sleep(time.Until(p.accept))
 	if p.accept.After(p.came) { // else who waits there is the successor's
@@ -429,7 +429,7 @@
 	case <-done:
 		log.Info("stopped")
 	case <-late.C:
-		log.Warn("stopped with connections open", "open", front.Open())
+		log.Warn("stopped with connections open", "open", front.OpenConnections())
 	}
 }
 
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -85,7 +85,7 @@
 // succession is this process's part in the replacement of one process by another: it shares what binds both. See
 // docs/design/handover.md. A nil succession shares nothing and costs nothing.
 type succession struct {
-	board   *handover.Board
+	board   *handover.SharedState
 	log     *slog.Logger
 	now     func() core.Time
 	addr    string // of discovery
@@ -226,14 +226,14 @@
 	}
 }
 
-// Commit implements core.Ledger.
-func (s *succession) Commit(group int64, session string, p core.Time) {
-	s.board.Commit(group, session, p)
+// RecordCommit implements core.Ledger.
+func (s *succession) RecordCommit(group int64, session string, p core.Time) {
+	s.board.RecordCommit(group, session, p)
 }
 
-// Committed implements core.Ledger.
-func (s *succession) Committed(group int64, session string) core.Time {
-	at := s.board.Committed(group, session)
+// LastCommit implements core.Ledger.
+func (s *succession) LastCommit(group int64, session string) core.Time {
+	at := s.board.LastCommit(group, session)
 	if f := core.Time(s.floor.Load()); f > at {
 		at = min(f, s.now())
 	}
@@ -243,22 +243,22 @@
 const forever = 1<<63 - 1 // floor while another process lives that does not share
 
 // look sees who else lives, and takes the consequences.
-func (s *succession) look() []handover.Other {
-	others := s.board.Others()
+func (s *succession) look() []handover.Peer {
+	others := s.board.Peers()
 	n := int32(len(others))
 	if was := s.others.Swap(n); was != n {
 		s.log.Info("handover: processes of this gateway", "others", n)
 	}
-	if n == 0 && !s.board.Shared() {
-		if err := s.board.Share(); err != nil {
+	if n == 0 && !s.board.Joined() {
+		if err := s.board.Join(); err != nil {
 			s.failing.Warn(s.log, "handover: still nothing can be shared", "err", err)
 		} else {
 			s.receive()
 		}
 	}
-	shared := s.board.Shared()
+	shared := s.board.Joined()
 	for _, o := range others {
-		shared = shared && o.Shares
+		shared = shared && o.Joined
 	}
 	switch f := s.floor.Load(); {
 	case !shared && n > 0:
@@ -274,7 +274,7 @@
 	last, ticks, seen := sockets, 0, uint64(0)
 	for {
 		others := s.look()
-		if n := s.board.Changes(); s.changed != nil && (n != seen || s.floor.Load() == forever && ticks%readEach == 0) {
+		if n := s.board.ChangeCount(); s.changed != nil && (n != seen || s.floor.Load() == forever && ticks%readEach == 0) {
 			s.changed(n)
 			seen = n
 		}
@@ -282,12 +282,12 @@
 		if len(others) > 0 {
 			wait = lookTogether
 			if ticks%countEach == 0 {
-				s.board.Used(descriptors(ownFolder, sockets))
+				s.board.SetDescriptors(descriptors(ownFolder, sockets))
 			}
 			ticks++
 		}
 		older := len(others) > 0 && !others[0].Older
-		if may := handover.Split(sockets, others, older); may != last {
+		if may := handover.AllowedShare(sockets, others, older); may != last {
 			part := 1.0
 			if len(others) > 0 {
 				part = 0.5
@@ -310,7 +310,7 @@
 	end := s.end
 	s.leaving, s.end = true, nil
 	s.mu.Unlock()
-	s.board.Ready(false)
+	s.board.SetReady(false)
 	if end != nil {
 		end()
 	}
@@ -358,7 +358,7 @@
 		o.owner.List(decide.ListChange, change)
 		o.log.Info("handover: db machines taken out or called back through another process", "changes", len(change))
 	}
-	o.owner.Post(func() { o.line.board.Saw(count) })
+	o.owner.Post(func() { o.line.board.SetAppliedChanges(count) })
 }
 
 // said reads what operators said, to any process.
@@ -377,7 +377,7 @@
 	if err != nil || o.line == nil {
 		return err
 	}
-	count, err := o.line.board.Change(machineFile, func(was []byte) ([]byte, error) {
+	count, err := o.line.board.Update(machineFile, func(was []byte) ([]byte, error) {
 		var all []suspend.Entry
 		if was != nil {
 			if err := json.Unmarshal(was, &all); err != nil {
@@ -402,7 +402,7 @@
 	if until, ok := ctx.Deadline(); ok {
 		wait = min(max(time.Until(until), takeLeast), takeWait)
 	}
-	if !o.line.board.Await(count, wait) {
+	if !o.line.board.AwaitApplied(count, wait) {
 		o.log.Warn("handover: another process has not yet said that it took this over", "waited", wait)
 	}
 	return nil
@@ -451,25 +451,25 @@
 func (s *succession) receive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.adopt == nil || s.leaving || s.end != nil || !s.board.Shared() {
+	if s.adopt == nil || s.leaving || s.end != nil || !s.board.Joined() {
 		return
 	}
-	stop, err := s.board.Receive(s.adopt)
+	stop, err := s.board.ReceiveConns(s.adopt)
 	if err != nil {
 		s.log.Warn("handover: clients' connections can't be taken over", "err", err)
 	}
 	s.end = stop
-	s.board.Ready(true)
+	s.board.SetReady(true)
 }
 
 // passes gives this process's connections to its successor, nil if there can't be one.
-func (s *succession) passes() pgfront.Pass {
+func (s *succession) passes() pgfront.TransferFunc {
 	if s == nil {
 		return nil
 	}
-	p := s.board.Passer()
+	p := s.board.NewConnSender()
 	return func(nc net.Conn, began bool) bool {
-		err := p.Pass(nc, began)
+		err := p.Send(nc, began)
 		if err == nil {
 			s.passed.Add(1)
 		} else if s.kept.Add(1) == 1 {
@@ -481,14 +481,14 @@
 
 // succeeded tells whether another process of this gateway is ready to serve.
 func (s *succession) succeeded() bool {
-	return s != nil && slices.ContainsFunc(s.board.Others(), func(o handover.Other) bool { return o.Ready && !o.Older })
+	return s != nil && slices.ContainsFunc(s.board.Peers(), func(o handover.Peer) bool { return o.Ready && !o.Older })
 }
 
 // limit has the gateway use so much of its memory and so many descriptors from now on.
 func (g *running) limit(bufs *pgwire.Pool, share Budget) func(part float64, sockets int) {
 	return func(part float64, sockets int) {
-		bufs.Limit(int(part*float64(share.Buffers)), int(part*float64(share.Small)))
-		g.front.Limit(int(clientPart * float64(sockets)))
+		bufs.SetLimits(int(part*float64(share.Buffers)), int(part*float64(share.Small)))
+		g.front.SetMaxConnections(int(clientPart * float64(sockets)))
 		g.owner.Post(func() { g.pool.SetMaxConns(int(memberPart * float64(sockets))) })
 		if g.c.memory > 0 {
 			debug.SetMemoryLimit(int64(part * softPart * float64(g.c.memory)))
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/adminapi"
 	"reachwind/internal/core"
-	"reachwind/internal/opsdoor"
 	"reachwind/internal/suspend"
 )
 
@@ -21,8 +21,8 @@
 )
 
 // door is the configuration of the operators' door.
-func (c *Config) door() opsdoor.Config {
-	return opsdoor.Config{Addr: c.Admin, Most: min(max(c.sockets/doorPart, doorLeast), opsdoor.DefaultMost)}
+func (c *Config) door() adminapi.Config {
+	return adminapi.Config{Addr: c.Admin, MaxConnections: min(max(c.sockets/doorPart, doorLeast), adminapi.DefaultMaxConnections)}
 }
 
 // operators is the gateway's side of the door: it has the owner do what operators say, and stands between discovery's
@@ -30,7 +30,7 @@
 type operators struct {
 	owner *core.Core
 	log   *slog.Logger
-	door  *opsdoor.Door
+	door  *adminapi.Server
 	line  *succession // nil: no other process takes this one's place
 
 	mu  sync.Mutex // held while the core is told, so that it is told in the order of the changes
@@ -41,9 +41,9 @@
 	serving atomic.Bool
 }
 
-func newOperators(conf opsdoor.Config, owner *core.Core, log *slog.Logger) *operators {
+func newOperators(conf adminapi.Config, owner *core.Core, log *slog.Logger) *operators {
 	o := &operators{owner: owner, log: log, set: suspend.New()}
-	o.door = opsdoor.New(conf, o, log)
+	o.door = adminapi.New(conf, o, log)
 	return o
 }
 
@@ -100,25 +100,25 @@
 	return o.set.IsSuspended(id)
 }
 
-// Ready implements opsdoor.Operator.
+// Ready implements adminapi.Operator.
 func (o *operators) Ready() error {
 	switch {
 	case o.leaving.Load():
-		return opsdoor.NotReady{Found: "this process is ending", Do: "call the one that replaces it"}
+		return adminapi.NotReadyError{Found: "this process is ending", Remedy: "call the one that replaces it"}
 	case !o.serving.Load():
-		return opsdoor.NotReady{Found: "this process does not accept clients yet", Do: "ask again in a second"}
+		return adminapi.NotReadyError{Found: "this process does not accept clients yet", Remedy: "ask again in a second"}
 	case !o.taken.Load():
-		return opsdoor.NotReady{Found: "no list of db machines yet", Do: "look at discovery, or give the configuration a list"}
+		return adminapi.NotReadyError{Found: "no list of db machines yet", Remedy: "look at discovery, or give the configuration a list"}
 	}
 	return nil
 }
 
-// Suspend implements opsdoor.Operator.
+// Suspend implements adminapi.Operator.
 func (o *operators) Suspend(ctx context.Context, id string) error {
 	return o.share(ctx, o.say(ctx, id, "db machine suspended", (*suspend.Set).Suspend))
 }
 
-// Resume implements opsdoor.Operator.
+// Resume implements adminapi.Operator.
 func (o *operators) Resume(ctx context.Context, id string) error {
 	return o.share(ctx, o.say(ctx, id, "db machine resumed", (*suspend.Set).Resume))
 }
@@ -149,7 +149,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	took := opsdoor.NotDone{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
+	took := adminapi.NotDoneError{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
 	if !begun.Swap(true) {
 		return took
 	}
@@ -157,6 +157,6 @@
 	case err := <-done:
 		return err
 	case <-time.After(beginWait):
-		return opsdoor.Unconfirmed{NotDone: took}
+		return adminapi.UnconfirmedError{NotDoneError: took}
 	}
 }
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/adminapi"
 	"reachwind/internal/core"
-	"reachwind/internal/opsdoor"
 	"reachwind/internal/standin/cluster"
 	"reachwind/internal/standin/pgclient"
 )
@@ -210,11 +210,11 @@
 // TestStalledOwner: an owner that does not come to it in time leaves the operator with a no, and does nothing later.
 func TestStalledOwner(t *testing.T) {
 	owner := core.New(core.NewClock(), nil, slog.New(slog.DiscardHandler))
-	o := newOperators(opsdoor.Config{}, owner, slog.New(slog.DiscardHandler))
+	o := newOperators(adminapi.Config{}, owner, slog.New(slog.DiscardHandler))
 	o.set.ApplyList(decide.ListFull, []core.ListedMember{{Member: decide.Member{ID: "m"}}})
 	short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	if err := o.Suspend(short, "m"); !errors.As(err, new(opsdoor.NotDone)) {
+	if err := o.Suspend(short, "m"); !errors.As(err, new(adminapi.NotDoneError)) {
 		t.Errorf("from a stalled owner: %v", err)
 	}
 	if err := o.Ready(); err == nil {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -278,7 +278,7 @@
 		if _, err := nc.Write(pgwire.AppendStartup(nil, "app", "shop")); err != nil {
 			t.Fatal(err)
 		}
-		for text, b := []byte{}, []byte{0}; !bytes.HasSuffix(text, pgwire.AppendReady(nil)); text = append(text, b...) {
+		for text, b := []byte{}, []byte{0}; !bytes.HasSuffix(text, pgwire.AppendReadyForQuery(nil)); text = append(text, b...) {
 			if _, err := nc.Read(b); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/handover/board.go
+++ b/internal/handover/board.go
@@ -43,28 +43,28 @@
 
 // Errors of a board or a state file that can't be used.
 var (
-	ErrMissing = errors.New("is missing")
-	ErrTorn    = errors.New("is not whole")
-	ErrVersion = errors.New("is of another version")
-	ErrHuge    = errors.New("is larger than any that this program writes")
-	ErrBusy    = errors.New("is held by another process that does not go on")
-	ErrCrowd   = errors.New("too many processes of this gateway live at once")
+	ErrMissing          = errors.New("is missing")
+	ErrDamaged          = errors.New("is not whole")
+	ErrVersion          = errors.New("is of another version")
+	ErrTooLarge         = errors.New("is larger than any that this program writes")
+	ErrBusy             = errors.New("is held by another process that does not go on")
+	ErrTooManyProcesses = errors.New("too many processes of this gateway live at once")
 )
 
 // StateError tells of a shared file that can't be used, and what an operator can do.
 type StateError struct {
-	File string
-	Err  error // one of the above, or the system's
-	Do   string
+	File   string
+	Err    error // one of the above, or the system's
+	Remedy string
 }
 
-func (e *StateError) Error() string { return fmt.Sprintf("%s %v; %s", e.File, e.Err, e.Do) }
+func (e *StateError) Error() string { return fmt.Sprintf("%s %v; %s", e.File, e.Err, e.Remedy) }
 
 // Unwrap gives the cause.
 func (e *StateError) Unwrap() error { return e.Err }
 
-// Board is the shared memory of a gateway's processes. Its methods may be called from any goroutine; none blocks.
-type Board struct {
+// SharedState is the shared memory of a gateway's processes. Its methods may be called from any goroutine; none blocks.
+type SharedState struct {
 	dir   string
 	lock  *os.File
 	slot  int
@@ -73,24 +73,24 @@
 	at    atomic.Pointer[[words]atomic.Uint64] // nil: this process runs without a board, and only knows who lives
 }
 
-// Other is what a process of the same gateway says of itself.
-type Other struct {
-	Shares bool // it uses the board; else nothing more is known of it
-	Birth  uint64
-	Older  bool
-	Ready  bool
-	Used   int    // descriptors
-	Saw    uint64 // count of state changes that it has taken over
+// Peer is what a process of the same gateway says of itself.
+type Peer struct {
+	Joined         bool // it uses the board; else nothing more is known of it
+	StartNumber    uint64
+	Older          bool
+	Ready          bool
+	Descriptors    int    // descriptors
+	AppliedChanges uint64 // count of state changes that it has taken over
 }
 
 // Open takes a place among the processes of the gateway whose folder is dir. Where the board can't be used an error
 // comes with a Board that knows who lives, or with none if not even that can be told.
-func Open(dir string) (*Board, error) {
+func Open(dir string) (*SharedState, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, &StateError{lockName, err, "give the gateway a folder that it may write to, as TMPDIR"}
 	}
-	b := &Board{dir: dir, lock: f, slot: -1}
+	b := &SharedState{dir: dir, lock: f, slot: -1}
 	for i := range slots {
 		if b.hold(i) == nil {
 			b.slot = i
@@ -99,15 +99,15 @@
 	}
 	if b.slot < 0 {
 		_ = f.Close()
-		return nil, &StateError{lockName, ErrCrowd, "end processes of former upgrades that were left running"}
+		return nil, &StateError{lockName, ErrTooManyProcesses, "end processes of former upgrades that were left running"}
 	}
 	b.tell(0)
-	return b, b.Share()
+	return b, b.Join()
 }
 
-// Share takes part in the board, if this process does not yet and if it can.
-func (b *Board) Share() error {
-	if b.Shared() {
+// Join takes part in the board, if this process does not yet and if it can.
+func (b *SharedState) Join() error {
+	if b.Joined() {
 		return nil
 	}
 	release, err := b.claim(lockMaking)
@@ -138,12 +138,12 @@
 }
 
 // tell notes in the lock file which board this process uses, 0 = none: one that was put in its place is another.
-func (b *Board) tell(file uint64) {
+func (b *SharedState) tell(file uint64) {
 	_, _ = b.lock.WriteAt(binary.LittleEndian.AppendUint64(nil, file), int64(b.slot*8))
 }
 
 // uses is the board that the process at a place uses.
-func (b *Board) uses(slot int) uint64 {
+func (b *SharedState) uses(slot int) uint64 {
 	var w [8]byte
 	if _, err := b.lock.ReadAt(w[:], int64(slot*8)); err != nil {
 		return 0
@@ -152,7 +152,7 @@
 }
 
 // make writes a whole new board and puts it in place of what is there.
-func (b *Board) make() error {
+func (b *SharedState) make() error {
 	f, err := os.CreateTemp(b.dir, boardName+".*")
 	if err != nil {
 		return err
@@ -176,7 +176,7 @@
 }
 
 // attach maps the board that is there, if it is whole and of this version.
-func (b *Board) attach() error {
+func (b *SharedState) attach() error {
 	f, err := os.OpenFile(filepath.Join(b.dir, boardName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return ErrMissing
@@ -191,18 +191,18 @@
 	}
 	head := make([]byte, 24)
 	if _, err := f.ReadAt(head, 0); err != nil || !info.Mode().IsRegular() {
-		return ErrTorn
+		return ErrDamaged
 	}
 	first, size := binary.NativeEndian.Uint64(head), binary.NativeEndian.Uint64(head[8:])
 	switch {
 	case first>>32 != magic || binary.NativeEndian.Uint64(head[16:]) != uint64(crc32.Checksum(head[:16], castagnoli)):
-		return ErrTorn
+		return ErrDamaged
 	case first&0xffffffff != version || size != words:
 		return ErrVersion
 	case info.Size() > words*8:
-		return ErrHuge
+		return ErrTooLarge
 	case info.Size() < words*8:
-		return ErrTorn
+		return ErrDamaged
 	}
 	var stat unix.Stat_t
 	if err := unix.Fstat(int(f.Fd()), &stat); err != nil {
@@ -218,18 +218,18 @@
 }
 
 // Close gives up the place. The board stays for others, and mapped: some goroutine may still look at it.
-func (b *Board) Close() { _ = b.lock.Close() }
+func (b *SharedState) Close() { _ = b.lock.Close() }
 
-// Shared tells whether the board can be used.
-func (b *Board) Shared() bool { return b.at.Load() != nil }
+// Joined tells whether the board can be used.
+func (b *SharedState) Joined() bool { return b.at.Load() != nil }
 
 // hold takes a byte of the lock file, for as long as this process lives or until it is dropped.
-func (b *Board) hold(at int) error {
+func (b *SharedState) hold(at int) error {
 	return unix.FcntlFlock(b.lock.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: int64(at), Len: 1})
 }
 
 // claim takes a byte for a moment; another that does not let go of it is waited for a bounded time.
-func (b *Board) claim(at int) (release func(), err error) {
+func (b *SharedState) claim(at int) (release func(), err error) {
 	for until := time.Now().Add(lockWait); ; time.Sleep(2 * time.Millisecond) {
 		if err = b.hold(at); err == nil {
 			return func() {
@@ -243,14 +243,14 @@
 }
 
 // lives tells whether another process holds a place.
-func (b *Board) lives(slot int) bool {
+func (b *SharedState) lives(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(slot), Len: 1}
 	err := unix.FcntlFlock(b.lock.Fd(), unix.F_OFD_GETLK, &l)
 	return err == nil && l.Type != unix.F_UNLCK
 }
 
 // Alone tells whether no other process of the gateway lives.
-func (b *Board) Alone() bool {
+func (b *SharedState) Alone() bool {
 	for i := range slots {
 		if i != b.slot && b.lives(i) {
 			return false
@@ -259,18 +259,18 @@
 	return true
 }
 
-// Others are the processes beside this one.
-func (b *Board) Others() (all []Other) {
+// Peers are the processes beside this one.
+func (b *SharedState) Peers() (all []Peer) {
 	for i := range slots {
 		if i == b.slot || !b.lives(i) {
 			continue
 		}
 		at := b.at.Load()
-		o := Other{Older: at == nil}
+		o := Peer{Older: at == nil}
 		if at != nil && b.uses(i) == b.file {
 			s := at[slotAt+i*slotWords:]
 			if birth := s[slotBirth].Load(); birth != 0 {
-				o = Other{true, birth, birth < b.birth, s[slotReady].Load() != 0, int(s[slotUsed].Load()), s[slotSaw].Load()}
+				o = Peer{true, birth, birth < b.birth, s[slotReady].Load() != 0, int(s[slotUsed].Load()), s[slotSaw].Load()}
 			}
 		}
 		all = append(all, o)
@@ -278,11 +278,11 @@
 	return all
 }
 
-func (b *Board) own(word int) *atomic.Uint64 { return &b.at.Load()[slotAt+b.slot*slotWords+word] }
+func (b *SharedState) own(word int) *atomic.Uint64 { return &b.at.Load()[slotAt+b.slot*slotWords+word] }
 
-// Ready says whether this process can serve.
-func (b *Board) Ready(yes bool) {
-	if b.Shared() {
+// SetReady says whether this process can serve.
+func (b *SharedState) SetReady(yes bool) {
+	if b.Joined() {
 		n := uint64(0)
 		if yes {
 			n = 1
@@ -291,9 +291,9 @@
 	}
 }
 
-// Used says how many descriptors this process holds.
-func (b *Board) Used(n int) {
-	if b.Shared() {
+// SetDescriptors says how many descriptors this process holds.
+func (b *SharedState) SetDescriptors(n int) {
+	if b.Joined() {
 		b.own(slotUsed).Store(uint64(n))
 	}
 }
@@ -306,9 +306,9 @@
 	return sessionsAt + int(h.Sum64()%sessions)
 }
 
-// Commit notes that a session's write was committed at p, as time since the start of Unix time. It must be called
+// RecordCommit notes that a session's write was committed at p, as time since the start of Unix time. It must be called
 // before the write is answered.
-func (b *Board) Commit(group int64, session string, p time.Duration) {
+func (b *SharedState) RecordCommit(group int64, session string, p time.Duration) {
 	at := b.at.Load()
 	if at == nil || p <= 0 {
 		return
@@ -322,9 +322,9 @@
 	}
 }
 
-// Committed is a time up to which a session's reads must see: that of its last commit in any process, or later.
+// LastCommit is a time up to which a session's reads must see: that of its last commit in any process, or later.
 // 0 = it has none.
-func (b *Board) Committed(group int64, session string) time.Duration {
+func (b *SharedState) LastCommit(group int64, session string) time.Duration {
 	at := b.at.Load()
 	if at == nil {
 		return 0
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -33,7 +33,7 @@
 func unseal(b []byte) ([]byte, error) {
 	if len(b) < fileHead || string(b[:4]) != fileMagic ||
 		binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli) {
-		return nil, ErrTorn
+		return nil, ErrDamaged
 	}
 	if binary.LittleEndian.Uint32(b[4:]) != fileVersion {
 		return nil, ErrVersion
@@ -41,13 +41,13 @@
 	payload := b[fileHead:]
 	if binary.LittleEndian.Uint64(b[8:]) != uint64(len(payload)) ||
 		binary.LittleEndian.Uint32(b[16:]) != crc32.Checksum(payload, castagnoli) {
-		return nil, ErrTorn
+		return nil, ErrDamaged
 	}
 	return payload, nil
 }
 
 // Load reads a state file whole, or tells why it can't be used.
-func (b *Board) Load(name string) ([]byte, error) { return Load(b.dir, name) }
+func (b *SharedState) Load(name string) ([]byte, error) { return Load(b.dir, name) }
 
 // Load is Board.Load for a process that has not taken its place yet.
 func Load(dir, name string) ([]byte, error) {
@@ -61,7 +61,7 @@
 		all, err = io.ReadAll(io.LimitReader(f, fileHead+fileMost+1))
 	}
 	if err == nil && len(all) > fileHead+fileMost {
-		err = ErrHuge
+		err = ErrTooLarge
 	}
 	if err == nil {
 		all, err = unseal(all)
@@ -73,9 +73,9 @@
 }
 
 // Save puts a state file in place, whole: a reader sees the former or the new one.
-func (b *Board) Save(name string, payload []byte) error {
+func (b *SharedState) Save(name string, payload []byte) error {
 	if len(payload) > fileMost {
-		return &StateError{name, ErrHuge, "take fewer machines out, or lists of fewer members"}
+		return &StateError{name, ErrTooLarge, "take fewer machines out, or lists of fewer members"}
 	}
 	f, err := os.CreateTemp(b.dir, name+".*")
 	if err == nil {
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// Change reads a state file, has edit make the next payload of it and saves that, while no other process does the
+// Update reads a state file, has edit make the next payload of it and saves that, while no other process does the
 // same. A file that can't be used is given to edit as nil. The change is counted on the board, and the count given.
-func (b *Board) Change(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
+func (b *SharedState) Update(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
 	release, err := b.claim(lockFiles)
 	if err != nil {
 		return 0, &StateError{name, err, "end the process that was stopped, or resume it"}
@@ -123,8 +123,8 @@
 	return at[wordBans].Add(1), nil
 }
 
-// Changes is the count of changes that any process made.
-func (b *Board) Changes() uint64 {
+// ChangeCount is the count of changes that any process made.
+func (b *SharedState) ChangeCount() uint64 {
 	at := b.at.Load()
 	if at == nil {
 		return 0
@@ -132,19 +132,19 @@
 	return at[wordBans].Load()
 }
 
-// Saw says that this process has taken over all changes up to count.
-func (b *Board) Saw(count uint64) {
-	if b.Shared() {
+// SetAppliedChanges says that this process has taken over all changes up to count.
+func (b *SharedState) SetAppliedChanges(count uint64) {
+	if b.Joined() {
 		b.own(slotSaw).Store(count)
 	}
 }
 
-// Await returns true once all others that live have said that they saw count, false if they have not after wait.
-func (b *Board) Await(count uint64, wait time.Duration) bool {
+// AwaitApplied returns true once all others that live have said that they saw count, false if they have not after wait.
+func (b *SharedState) AwaitApplied(count uint64, wait time.Duration) bool {
 	for until := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
 		all := true
-		for _, o := range b.Others() {
-			all = all && o.Saw >= count
+		for _, o := range b.Peers() {
+			all = all && o.AppliedChanges >= count
 		}
 		if all || !time.Now().Before(until) {
 			return all
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -36,12 +36,12 @@
 		n, _ := strconv.Atoi(f[2])
 		switch f[0] {
 		case "commit":
-			b.Commit(1, f[1], time.Duration(n))
+			b.RecordCommit(1, f[1], time.Duration(n))
 		case "add":
-			_, err = b.Change("set", func(was []byte) ([]byte, error) { return append(was, byte(n)), nil })
+			_, err = b.Update("set", func(was []byte) ([]byte, error) { return append(was, byte(n)), nil })
 		case "take":
-			_, err = b.Receive(func(nc net.Conn, _ bool) { _, _ = nc.Write([]byte("taken")) })
-			b.Ready(true)
+			_, err = b.ReceiveConns(func(nc net.Conn, _ bool) { _, _ = nc.Write([]byte("taken")) })
+			b.SetReady(true)
 		}
 		fmt.Println("done", err)
 	}
@@ -120,7 +120,7 @@
 			}
 		}
 		for s, n := range newest {
-			if got := b.Committed(1, s); got < time.Duration(n) {
+			if got := b.LastCommit(1, s); got < time.Duration(n) {
 				t.Fatalf("step %d: session %s committed at %d, the board says %d", i, s, n, got)
 			}
 		}
@@ -133,7 +133,7 @@
 				t.Fatalf("step %d: change %d is lost, file has %v", i, n, all)
 			}
 		}
-		if got := len(b.Others()); got > len(live) {
+		if got := len(b.Peers()); got > len(live) {
 			t.Fatalf("step %d: %d others live, the board counts %d", i, len(live), got)
 		}
 	}
@@ -187,16 +187,16 @@
 			return
 		}
 		second, err := Open(dir) // where the first lives
-		if second == nil || second.Shared() || !errors.As(err, new(*StateError)) {
+		if second == nil || second.Joined() || !errors.As(err, new(*StateError)) {
 			rt.Fatalf("a broken board was taken beside another process: %v", err)
 		}
-		if o := b.Others(); len(o) != 1 || o[0].Shares {
+		if o := b.Peers(); len(o) != 1 || o[0].Joined {
 			rt.Fatalf("the first sees %v", o)
 		}
 		second.Close()
 		b.Close()
 		third, err := Open(dir)
-		if err != nil || !third.Shared() {
+		if err != nil || !third.Joined() {
 			rt.Fatalf("a broken board was not replaced where nobody lives: %v", err)
 		}
 		third.Close()
@@ -208,14 +208,14 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(64, 4096).Draw(rt, "limit")
 		held := rapid.IntRange(0, limit).Draw(rt, "held")
-		may := Split(limit, []Other{{Used: held, Older: true}}, false)
+		may := AllowedShare(limit, []Peer{{Descriptors: held, Older: true}}, false)
 		if may > limit-held && may > int(leastPart*float64(limit)) {
 			rt.Fatalf("limit %d, the other holds %d: may use %d", limit, held, may)
 		}
-		if older := Split(limit, []Other{{Used: may}}, true); older+may > limit && may > int(leastPart*float64(limit)) && older > int(leastPart*float64(limit)) {
+		if older := AllowedShare(limit, []Peer{{Descriptors: may}}, true); older+may > limit && may > int(leastPart*float64(limit)) && older > int(leastPart*float64(limit)) {
 			rt.Fatalf("limit %d: %d and %d", limit, may, older)
 		}
-		if Split(limit, nil, false) != limit {
+		if AllowedShare(limit, nil, false) != limit {
 			rt.Fatal("alone it is less than all")
 		}
 	})
--- a/internal/handover/pass.go
+++ b/internal/handover/pass.go
@@ -21,14 +21,14 @@
 	endWait   = 500 * time.Millisecond // for connections that were passed on when this process begins to end
 )
 
-func (b *Board) socket(birth uint64) string {
+func (b *SharedState) socket(birth uint64) string {
 	return filepath.Join(b.dir, fmt.Sprintf("reachwind.%d.sock", birth))
 }
 
-// Receive takes over the connections that a former process passes on, until stop is called. A connection that began
+// ReceiveConns takes over the connections that a former process passes on, until stop is called. A connection that began
 // is one whose startup is over and that stands before a command; else nothing of it was read.
-func (b *Board) Receive(take func(nc net.Conn, began bool)) (stop func(), err error) {
-	if !b.Shared() {
+func (b *SharedState) ReceiveConns(take func(nc net.Conn, began bool)) (stop func(), err error) {
+	if !b.Joined() {
 		return func() {}, &StateError{boardName, ErrMissing, "nothing: clients' connections are closed when they are idle"}
 	}
 	path := b.socket(b.birth)
@@ -137,9 +137,9 @@
 // errDied says that the other process ended before it took a connection over.
 var errDied = errors.New("the other process has not taken it over")
 
-// Passer passes connections on to the successor.
-type Passer struct {
-	b    *Board
+// ConnSender passes connections on to the successor.
+type ConnSender struct {
+	b    *SharedState
 	wait time.Duration // for word that a connection is taken over
 
 	mu sync.Mutex
@@ -155,13 +155,13 @@
 	dead    bool
 }
 
-// Passer returns a passer; nothing is opened yet.
-func (b *Board) Passer() *Passer { return &Passer{b: b, wait: takenWait} }
+// NewConnSender returns a passer; nothing is opened yet.
+func (b *SharedState) NewConnSender() *ConnSender { return &ConnSender{b: b, wait: takenWait} }
 
-// Pass gives a connection to the youngest process that is ready. Without an error the caller may only close its own
+// Send gives a connection to the youngest process that is ready. Without an error the caller may only close its own
 // side of it; with one it still has it, also where the other process died before it took it over. Where neither is known
 // in time the other may still take it, so it counts as taken. It may be called from many goroutines.
-func (p *Passer) Pass(nc net.Conn, began bool) error {
+func (p *ConnSender) Send(nc net.Conn, began bool) error {
 	taken, err := p.pass(nc, began)
 	if err != nil {
 		return err
@@ -176,7 +176,7 @@
 }
 
 // pass passes a connection on, and returns where word of it comes.
-func (p *Passer) pass(nc net.Conn, began bool) (<-chan error, error) {
+func (p *ConnSender) pass(nc net.Conn, began bool) (<-chan error, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return nil, errNobody
@@ -212,11 +212,11 @@
 }
 
 // link connects to the youngest process that is ready.
-func (b *Board) link() (*link, error) {
+func (b *SharedState) link() (*link, error) {
 	birth := uint64(0)
-	for _, o := range b.Others() {
+	for _, o := range b.Peers() {
 		if o.Ready && !o.Older {
-			birth = max(birth, o.Birth)
+			birth = max(birth, o.StartNumber)
 		}
 	}
 	if birth == 0 {
--- a/internal/handover/pass_test.go
+++ b/internal/handover/pass_test.go
@@ -37,7 +37,7 @@
 }
 
 // board takes a place in dir.
-func board(t *testing.T, dir string) *Board {
+func board(t *testing.T, dir string) *SharedState {
 	t.Helper()
 	b, err := Open(dir)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return b
 }
 
-func patient(b *Board) *Passer {
-	p := b.Passer()
+func patient(b *SharedState) *ConnSender {
+	p := b.NewConnSender()
 	p.wait = time.Minute
 	return p
 }
@@ -64,7 +64,7 @@
 		t.Fatal(next.out.Text())
 	}
 	far, near := client(t)
-	if err := p.Pass(near, true); err != nil {
+	if err := p.Send(near, true); err != nil {
 		t.Fatal(err)
 	}
 	_ = near.Close()
@@ -76,7 +76,7 @@
 	}
 	far, near = client(t)
 	passed := make(chan error, 1)
-	go func() { passed <- p.Pass(near, true) }()
+	go func() { passed <- p.Send(near, true) }()
 	for written := false; !written; time.Sleep(time.Millisecond) {
 		p.mu.Lock() // held until it is written
 		p.to.mu.Lock()
@@ -121,14 +121,14 @@
 	p := patient(board(t, dir))
 	ending := board(t, dir)
 	gate, taken := make(chan struct{}), new(atomic.Int64)
-	stop, err := ending.Receive(func(net.Conn, bool) {
+	stop, err := ending.ReceiveConns(func(net.Conn, bool) {
 		<-gate
 		taken.Add(1)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ending.Ready(true)
+	ending.SetReady(true)
 	const many = 5
 	var words []<-chan error
 	for range many {
@@ -140,7 +140,7 @@
 		words = append(words, word)
 	}
 	first := p.to
-	ending.Ready(false)
+	ending.SetReady(false)
 	stopped := make(chan struct{})
 	go func() {
 		stop()
@@ -165,15 +165,15 @@
 		}
 	}
 	next := board(t, dir)
-	if _, err := next.Receive(func(nc net.Conn, _ bool) { _, _ = fmt.Fprint(nc, "next") }); err != nil {
+	if _, err := next.ReceiveConns(func(nc net.Conn, _ bool) { _, _ = fmt.Fprint(nc, "next") }); err != nil {
 		t.Fatal(err)
 	}
-	next.Ready(true)
+	next.SetReady(true)
 	far, near := client(t)
 	p.mu.Lock()
 	p.to = first
 	p.mu.Unlock()
-	if err := p.Pass(near, true); err != nil {
+	if err := p.Send(near, true); err != nil {
 		t.Error(err)
 	}
 	read(t, far, "next")
@@ -195,12 +195,12 @@
 	dir := t.TempDir()
 	p := patient(board(t, dir))
 	next := board(t, dir)
-	if _, err := next.Receive(func(net.Conn, bool) {}); err != nil {
+	if _, err := next.ReceiveConns(func(net.Conn, bool) {}); err != nil {
 		t.Fatal(err)
 	}
-	next.Ready(true)
+	next.SetReady(true)
 	_, near := client(t)
-	if err := p.Pass(near, true); err != nil {
+	if err := p.Send(near, true); err != nil {
 		t.Fatal(err)
 	}
 	p.mu.Lock()
--- a/internal/handover/split.go
+++ b/internal/handover/split.go
@@ -6,16 +6,16 @@
 	margin    = 0.05 // of it, for what the other took since it last said so
 )
 
-// Split is how much of a limit a process may use while others live that say they use so much of it; ending are those
+// AllowedShare is how much of a limit a process may use while others live that say they use so much of it; ending are those
 // that are told to stop and take nothing new. Alone it is the whole. Two that keep to it stay under the limit
 // together: each leaves free what the other says it holds, and at least what a newcomer needs.
-func Split(limit int, others []Other, older bool) int {
+func AllowedShare(limit int, others []Peer, older bool) int {
 	if len(others) == 0 {
 		return limit
 	}
 	used := 0
 	for _, o := range others {
-		used += o.Used
+		used += o.Descriptors
 	}
 	if older { // the newcomer's need goes first: the older one ends soon
 		used = max(used, int(otherPart*float64(limit)))
--- a/internal/pgfront/adopt_test.go
+++ b/internal/pgfront/adopt_test.go
@@ -46,7 +46,7 @@
 	s.Adopt(near, true)
 	_ = far.SetDeadline(time.Now().Add(30 * time.Second))
 	got, err := io.ReadAll(far)
-	if want := pgwire.AppendReady(pgwire.Append(nil, 'I')); err != nil || !bytes.Equal(got, want) {
+	if want := pgwire.AppendReadyForQuery(pgwire.Append(nil, 'I')); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("answered %q, %v, want %q", got, err, want)
 	}
 }
--- a/internal/pgfront/cancel.go
+++ b/internal/pgfront/cancel.go
@@ -79,7 +79,7 @@
 // cancelled answers a request that its client cancelled.
 func (c *conn) cancelled() error {
 	out := pgwire.AppendError(c.out[:0], "ERROR", queryCanceled, "canceling statement due to user request", "")
-	c.out = pgwire.AppendReady(out)
+	c.out = pgwire.AppendReadyForQuery(out)
 	return c.write(c.out)
 }
 
--- a/internal/pgfront/cancel_test.go
+++ b/internal/pgfront/cancel_test.go
@@ -129,7 +129,7 @@
 					stream := pgwire.NewStream()
 					f.open[0].Client.Answer(core.Answer{Body: stream})
 					f.mu.Unlock()
-					w, _ := stream.Taken()
+					w, _ := stream.AwaitTaker()
 					if _, err := w.Write([]byte("T")); err != nil {
 						t.Fatal(err)
 					}
@@ -152,7 +152,7 @@
 					_ = c.CloseWrite()
 				}
 				until(t, func() bool { _, _, gone := f.counts(); return gone == 1 })
-				until(t, func() bool { return s.Open() == 0 })
+				until(t, func() bool { return s.OpenConnections() == 0 })
 				want := int64(0)
 				if tc.taken {
 					want = aheadMost
@@ -209,7 +209,7 @@
 			}
 		}
 		_ = c.Close()
-		until(t, func() bool { return s.Open() == 0 && s.ahead.Load() == 0 && bufs.Free() == buffers })
+		until(t, func() bool { return s.OpenConnections() == 0 && s.ahead.Load() == 0 && bufs.FreeLarge() == buffers })
 	}
 }
 
@@ -229,13 +229,13 @@
 		t.Errorf("keys %+v and %+v", mine, theirs)
 	}
 	cancel := func(b []byte) {
-		n := s.Open()
+		n := s.OpenConnections()
 		cc, cr := sock(t, s)
 		_, _ = cc.Write(b)
 		if got, err := io.ReadAll(cr); len(got) != 0 || err != nil { // all is done when it ends
 			t.Errorf("told %q, %v", got, err)
 		}
-		until(t, func() bool { return s.Open() == n })
+		until(t, func() bool { return s.OpenConnections() == n })
 	}
 	until(t, func() bool { _, open, _ := f.counts(); return open == 1 })
 	cancel(cancelOf(mine)) // idle
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -85,11 +85,11 @@
 		"too slow":  {1, append(slices.Clone(ask), 'Q', 0), "IZE", (*Server).Handle, nil},
 		"refused":   {0, hello, "E", (*Server).Handle, nil},
 		"closed": {0, nil, "E", func(s *Server, nc net.Conn) {
-			s.refusing = (s.conf.Spare + 1) / 2
+			s.refusing = (s.conf.SpareConnections + 1) / 2
 			s.Handle(nc)
 		}, nil},
 		"no room for one passed on": {1, nil, "", func(s *Server, nc net.Conn) {
-			s.conf.Max = -s.conf.Spare
+			s.conf.MaxConnections = -s.conf.SpareConnections
 			s.Adopt(nc, true)
 		}, nil},
 		"cut": {1, nil, "", func(s *Server, nc net.Conn) {
@@ -101,8 +101,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := new(fakeCore)
 			s, _ := newServer(f, tc.most)
-			s.conf.StartWait, s.conf.RefuseWait = 200*time.Millisecond, time.Hour
-			s.conf.Spare = max(s.conf.Spare, 4)
+			s.conf.StartupTimeout, s.conf.LingerTimeout = 200*time.Millisecond, time.Hour
+			s.conf.SpareConnections = max(s.conf.SpareConnections, 4)
 			near, far := pair(t)
 			looks := interruptible.New[int](far, 16)
 			nc := &crossed{TCPConn: far, cross: func() {
@@ -119,7 +119,7 @@
 			tc.serve(s, nc)
 			var text []byte
 			if tc.then != nil {
-				for b := []byte{0}; !bytes.HasSuffix(text, pgwire.AppendReady(pgwire.Append(nil, 'I'))); text = append(text, b...) {
+				for b := []byte{0}; !bytes.HasSuffix(text, pgwire.AppendReadyForQuery(pgwire.Append(nil, 'I'))); text = append(text, b...) {
 					if _, err := near.Read(b); err != nil {
 						t.Fatal(err)
 					}
@@ -156,8 +156,8 @@
 				defer s.mu.Unlock()
 				return len(s.lingered) == 0
 			})
-			if f.arrived > 0 || len(s.lingered) > 0 || s.Open() > 0 {
-				t.Errorf("%d requests sent on, %d connections linger, %d open", f.arrived, len(s.lingered), s.Open())
+			if f.arrived > 0 || len(s.lingered) > 0 || s.OpenConnections() > 0 {
+				t.Errorf("%d requests sent on, %d connections linger, %d open", f.arrived, len(s.lingered), s.OpenConnections())
 			}
 		})
 	}
@@ -168,7 +168,7 @@
 func TestLingerBounds(t *testing.T) {
 	f := new(fakeCore)
 	s, _ := newServer(f, 1) // with two to spare: three in all
-	s.conf.RefuseWait = time.Hour
+	s.conf.LingerTimeout = time.Hour
 	ended := func(near net.Conn) {
 		t.Helper()
 		if _, err := io.Copy(io.Discard, near); err != nil {
@@ -215,11 +215,11 @@
 	}
 	_ = clients[2].Close()
 	s.Shutdown()
-	if n := len(lingers()); n > 0 || s.Open() > 0 {
-		t.Errorf("%d linger, %d open", n, s.Open())
+	if n := len(lingers()); n > 0 || s.OpenConnections() > 0 {
+		t.Errorf("%d linger, %d open", n, s.OpenConnections())
 	}
 	s, _ = newServer(f, 1)
-	s.conf.RefuseWait = 50 * time.Millisecond
+	s.conf.LingerTimeout = 50 * time.Millisecond
 	near, far = pair(t)
 	s.Handle(far)
 	_, _ = near.Write(pgwire.Append(pgwire.AppendStartup(nil, "app", "shop"), 'X'))
@@ -229,13 +229,13 @@
 	}
 	// Nor does one that stays hold up a shutdown.
 	s, _ = newServer(f, 1)
-	s.conf.RefuseWait = time.Hour
+	s.conf.LingerTimeout = time.Hour
 	near, far = pair(t)
 	s.Handle(far)
 	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query("")...))
 	s.Shutdown()
-	if n := len(lingers()); n != 1 || s.Open() > 0 {
-		t.Errorf("%d linger, %d open", n, s.Open())
+	if n := len(lingers()); n != 1 || s.OpenConnections() > 0 {
+		t.Errorf("%d linger, %d open", n, s.OpenConnections())
 	}
 	ended(near)
 }
@@ -260,7 +260,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := new(fakeCore)
 			s, _ := newServer(f, 1)
-			s.conf.StartWait, s.conf.RefuseWait = time.Hour, time.Hour
+			s.conf.StartupTimeout, s.conf.LingerTimeout = time.Hour, time.Hour
 			near, far := pair(t)
 			s.Handle(far)
 			if _, err := near.Write(tc.text); err != nil {
@@ -285,7 +285,7 @@
 				s.Shutdown()
 				close(over)
 			}()
-			s.LastCall()
+			s.AbandonPartialMessages()
 			f.mu.Lock()
 			for _, q := range f.open {
 				q.Call.Release()
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -72,7 +72,7 @@
 
 func newConn(s *Server, nc net.Conn) *conn {
 	now := time.Now()
-	c := &conn{Conn: interruptible.New[message](nc, readSize), s: s, idleSince: now, due: now.Add(s.conf.StartWait)}
+	c := &conn{Conn: interruptible.New[message](nc, readSize), s: s, idleSince: now, due: now.Add(s.conf.StartupTimeout)}
 	c.OnRead = func(n int) { c.arrivals.came(n, s.core.Now()) }
 	return c
 }
@@ -175,11 +175,11 @@
 
 // limitMessage limits the read of a message that has begun: its client may pause for the time to start, four times that in all.
 func (c *conn) limitMessage() (stop func()) {
-	wait := c.s.conf.StartWait
+	wait := c.s.conf.StartupTimeout
 	if c.last {
 		wait = min(wait, lastWait)
 	}
-	return c.limit(wait, 4*c.s.conf.StartWait)
+	return c.limit(wait, 4*c.s.conf.StartupTimeout)
 }
 
 const lastWait = 10 * time.Millisecond // a message that has begun may pause so long when the process ends
@@ -223,7 +223,7 @@
 func (c *conn) startup() error {
 	wait := time.Until(c.due)
 	if c.refuse {
-		wait = c.s.conf.RefuseWait
+		wait = c.s.conf.LingerTimeout
 	}
 	stop := c.limit(wait, wait)
 	woken := func() error {
@@ -281,11 +281,11 @@
 	out := pgwire.Append(c.out[:0], 'R', "\x00\x00\x00\x00")
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"standard_conforming_strings", "on"}, {"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}} {
-		out = pgwire.AppendStatus(out, p[0], p[1])
+		out = pgwire.AppendParameterStatus(out, p[0], p[1])
 	}
 	out = pgwire.Append(out, 'K', c.s.newKey(c))
-	c.out = pgwire.AppendReady(out)
-	c.due = time.Now().Add(c.s.conf.StartWait)
+	c.out = pgwire.AppendReadyForQuery(out)
+	c.due = time.Now().Add(c.s.conf.StartupTimeout)
 	return c.write(c.out)
 }
 
@@ -331,7 +331,7 @@
 		return errEnd
 	case 'S':
 		c.skipping = false
-		return c.write(pgwire.AppendReady(c.out[:0]))
+		return c.write(pgwire.AppendReadyForQuery(c.out[:0]))
 	case 'H': // flush: all is flushed
 		return nil
 	case 'P', 'B', 'D', 'E', 'C', 'F':
@@ -341,7 +341,7 @@
 		c.skipping = typ != 'F'
 		c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.Unsupported, "only simple queries are served", "")
 		if typ == 'F' {
-			c.out = pgwire.AppendReady(c.out)
+			c.out = pgwire.AppendReadyForQuery(c.out)
 		}
 		return c.write(c.out)
 	}
@@ -388,7 +388,7 @@
 	buf.B = buf.B[:n-1]
 	if out, ok := local(c.out[:0], buf.B); ok {
 		buf.Release()
-		c.out = pgwire.AppendReady(out)
+		c.out = pgwire.AppendReadyForQuery(out)
 		return c.write(c.out)
 	}
 	q, err := c.request(buf, came)
@@ -400,7 +400,7 @@
 		}
 		c.s.core.RecordFrontOutcome(front, record.Failed, why)
 		c.out = pgwire.AppendError(c.out[:0], "ERROR", code, err.Error(), "")
-		c.out = pgwire.AppendReady(c.out)
+		c.out = pgwire.AppendReadyForQuery(c.out)
 		return c.write(c.out)
 	}
 	q.Client = client{c, q}
@@ -434,7 +434,7 @@
 	case m.tail == nil: // the client sees that it is not whole by the connection's end
 		return errCut
 	}
-	return c.write(pgwire.AppendReady(m.tail))
+	return c.write(pgwire.AppendReadyForQuery(m.tail))
 }
 
 const passMost = time.Minute // that an answer may take to pass through, whatever the pace of the client and the member
@@ -448,7 +448,7 @@
 // Write writes all of b, or fails: the client must take some of it within the time for an answer, and the whole by end.
 func (l *lent) Write(b []byte) (done int, err error) {
 	for done < len(b) && err == nil {
-		until := time.Now().Add(l.c.s.conf.WriteWait)
+		until := time.Now().Add(l.c.s.conf.WriteTimeout)
 		if until.After(l.end) {
 			until = l.end
 		}
@@ -470,7 +470,7 @@
 			return nil, err
 		}
 	}
-	buf := c.s.bufs.Get(n, c.s.conf.Keep)
+	buf := c.s.bufs.Get(n, c.s.conf.ReservedBuffers)
 	if buf == nil {
 		return nil, nil
 	}
@@ -490,7 +490,7 @@
 	c.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
 	c.s.full.Warn(c.s.log, "request refused: out of buffers")
 	c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.TooManyConnections, "too many requests", c.comeBack())
-	return c.write(pgwire.AppendReady(c.out))
+	return c.write(pgwire.AppendReadyForQuery(c.out))
 }
 
 // local answers what needs no member: empty queries, and settings of the session, which have no effect.
@@ -511,25 +511,25 @@
 	if err != nil {
 		return nil, err
 	}
-	t := c.s.conf.Terms.Current()
+	t := c.s.conf.Settings.Current()
 	k, ok := t.Class(st.Class, came)
 	if !ok {
 		return nil, fmt.Errorf("unknown class %.40q", st.Class)
 	}
 	switch {
-	case st.Read == k.Writes():
+	case st.IsRead == k.Writes():
 		return nil, fmt.Errorf("class %q takes no such statement", st.Class)
-	case k.Effect == decide.Keyed && !st.Keyed:
+	case k.Effect == decide.Keyed && !st.HasIdempotencyKey:
 		return nil, fmt.Errorf("class %q needs k", st.Class)
 	case !c.s.conf.Claims.Claim(st.ID): // under one id two requests would look to members like copies of one
 		return nil, errInUse
 	}
 	st.Done = func() { c.s.conf.Claims.Release(st.ID) }
 	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: t.TenantIndex(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: came,
-		LastWrite: core.Time(st.After) * time.Millisecond, Call: st,
-		Deadline: came + min(core.Time(min(st.Wait, maxWait))*time.Millisecond, k.Deadline)}
+		LastWrite: core.Time(st.LastWriteUnixMs) * time.Millisecond, Call: st,
+		Deadline: came + min(core.Time(min(st.WaitMs, maxWait))*time.Millisecond, k.Deadline)}
 	if k.HasSession() {
-		q.Session = st.Key
+		q.Session = st.ItemKey
 	}
 	return q, nil
 }
@@ -542,7 +542,7 @@
 	case core.Served:
 		body := a.Body.(*pgwire.Buf)
 		defer body.Release()
-		body.B = pgwire.AppendReady(body.B)
+		body.B = pgwire.AppendReadyForQuery(body.B)
 		return c.write(body.B)
 	case core.Refused:
 		detail := ""
@@ -553,12 +553,12 @@
 	case core.Failed:
 		c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.SystemError, "failed, it may or may not have run", "")
 	}
-	c.out = pgwire.AppendReady(c.out)
+	c.out = pgwire.AppendReadyForQuery(c.out)
 	return c.write(c.out)
 }
 
 func (c *conn) comeBack() string {
-	after := c.s.conf.Terms.Current().RetryAfter
+	after := c.s.conf.Settings.Current().RetryAfter
 	if after <= 0 {
 		return ""
 	}
@@ -566,7 +566,7 @@
 }
 
 func (c *conn) write(b []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(c.s.conf.WriteWait))
+	_ = c.SetWriteDeadline(time.Now().Add(c.s.conf.WriteTimeout))
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -102,8 +102,8 @@
 	if err != nil {
 		panic(err)
 	}
-	return New(f, Config{Terms: book, Max: most, Spare: 2, Keep: 1,
-		StartWait: time.Second, WriteWait: time.Second, RefuseWait: time.Second}, bufs, slog.New(slog.DiscardHandler)), bufs
+	return New(f, Config{Settings: book, MaxConnections: most, SpareConnections: 2, ReservedBuffers: 1,
+		StartupTimeout: time.Second, WriteTimeout: time.Second, LingerTimeout: time.Second}, bufs, slog.New(slog.DiscardHandler)), bufs
 }
 
 func query(text string) []byte { return pgwire.Append(nil, 'Q', text, "\x00") }
@@ -221,7 +221,7 @@
 func TestEndIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 9)
-		s.conf.IdleKeep, s.conf.IdleMost = 2, 2*time.Second
+		s.conf.MaxIdleConnections, s.conf.IdleTimeout = 2, 2*time.Second
 		hello := pgwire.AppendStartup(nil, "app", "shop")
 		peers := []*peer{dial(s, append(slices.Clone(hello), query(read)...))}
 		ended := func() (n int) {
@@ -298,7 +298,7 @@
 			p := dial(s, text)
 			time.Sleep(1100 * time.Millisecond)
 			synctest.Wait()
-			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.Free() != buffers {
+			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.FreeLarge() != buffers {
 				t.Errorf("%s: replies %q, ended %v", name, got, p.ended())
 			}
 			close(p.write)
@@ -328,7 +328,7 @@
 			t.Errorf("replies %q", got)
 		}
 		trickle(query(read + strings.Repeat(" ", readSize))[:readSize], 9)
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != buffers {
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != buffers {
 			t.Errorf("replies %q, ended %v", got, p.ended())
 		}
 		close(p.write)
@@ -386,13 +386,13 @@
 		time.Sleep(time.Minute) // idle clients may stay
 		p.write <- query(read + strings.Repeat(" ", readSize))[:readSize]
 		synctest.Wait()
-		if p.ended() || bufs.Free() != buffers-1 {
-			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.Free(), buffers)
+		if p.ended() || bufs.FreeLarge() != buffers-1 {
+			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.FreeLarge(), buffers)
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != buffers || f.arrived != 0 {
-			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.Free(), buffers)
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != buffers || f.arrived != 0 {
+			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.FreeLarge(), buffers)
 		}
 		close(p.write)
 		_ = a.Close()
@@ -528,7 +528,7 @@
 		case b >= 150 && open >= 0 && len(f.open) > 0:
 			answer := core.Answer{Verdict: core.Verdict(b % 3), RetryAfter: 70 * time.Millisecond}
 			if answer.Verdict == core.Served {
-				body := bufs.Get(pgwire.BufSize, 0)
+				body := bufs.Get(pgwire.LargeBufSize, 0)
 				body.B = pgwire.Append(body.B, 'D', "\x00\x01\x00\x00\x00\x01v")
 				answer.Body = body
 			}
@@ -575,8 +575,8 @@
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 	s.Shutdown()
-	if len(f.open) > 0 || bufs.Free() != buffers {
-		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.Free(), buffers)
+	if len(f.open) > 0 || bufs.FreeLarge() != buffers {
+		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.FreeLarge(), buffers)
 	}
 }
 
@@ -585,7 +585,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
 		for range buffers - 1 {
-			bufs.Get(pgwire.BufSize, 0)
+			bufs.Get(pgwire.LargeBufSize, 0)
 		}
 		a, b := net.Pipe()
 		s.Handle(b)
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -24,22 +24,22 @@
 
 // Config holds what the front is told.
 type Config struct {
-	Terms      *activesettings.Holder
-	Max        int             // client connections; for more, idle ones are ended
-	Spare      int             // connections above Max, half for those being ended, half for those being refused; those that linger have what is left
-	Keep       int             // buffers left to the members when statements take the rest
-	StartWait  time.Duration   // the startup and the first command must begin by then; no message may pause for longer
-	WriteWait  time.Duration   // an answer must have been taken by then
-	RefuseWait time.Duration   // how long a connection may linger once its last word is written, or wait to be refused
-	IdleMost   time.Duration   // a connection idle for longer is ended,
-	IdleKeep   int             // and the longest idle where so many are
-	Pass       Pass            // nil: no other process takes connections over
-	Claims     *call.ActiveIDs // ids in work, shared with other fronts; nil: none are
+	Settings           *activesettings.Holder
+	MaxConnections     int             // client connections; for more, idle ones are ended
+	SpareConnections   int             // connections above Max, half for those being ended, half for those being refused; those that linger have what is left
+	ReservedBuffers    int             // buffers left to the members when statements take the rest
+	StartupTimeout     time.Duration   // the startup and the first command must begin by then; no message may pause for longer
+	WriteTimeout       time.Duration   // an answer must have been taken by then
+	LingerTimeout      time.Duration   // how long a connection may linger once its last word is written, or wait to be refused
+	IdleTimeout        time.Duration   // a connection idle for longer is ended,
+	MaxIdleConnections int             // and the longest idle where so many are
+	Transfer           TransferFunc    // nil: no other process takes connections over
+	Claims             *call.ActiveIDs // ids in work, shared with other fronts; nil: none are
 }
 
-// Pass gives a client's connection to another process that goes on with it, and tells whether it has. The connection
+// TransferFunc gives a client's connection to another process that goes on with it, and tells whether it has. The connection
 // began if its startup is over; it stands before a command then. It may be called from many goroutines.
-type Pass func(nc net.Conn, began bool) bool
+type TransferFunc func(nc net.Conn, began bool) bool
 
 // Core is the part of the core that a front uses.
 type Core interface {
@@ -88,7 +88,7 @@
 
 // New returns a server that hands its requests to c.
 func New(c Core, conf Config, bufs *pgwire.Pool, log *slog.Logger) *Server {
-	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, most: conf.Max}
+	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, most: conf.MaxConnections}
 	s.ended.L = &s.mu
 	if s.conf.Claims == nil {
 		s.conf.Claims = call.NewActiveIDs()
@@ -134,8 +134,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case len(s.conns) < s.most, len(s.conns) < s.most+s.conf.Spare/2 && s.makeRoom():
-	case s.refusing < (s.conf.Spare+1)/2:
+	case len(s.conns) < s.most, len(s.conns) < s.most+s.conf.SpareConnections/2 && s.makeRoom():
+	case s.refusing < (s.conf.SpareConnections+1)/2:
 		s.refusing++
 		c.refuse = true
 		stay := 0 // where another process passed on more than may be, the idle ones make room for the next
@@ -175,7 +175,7 @@
 // evict makes room for one connection more, if there is none, by closing the one that has lingered longest. It tells
 // whether there is room. The caller holds the lock.
 func (s *Server) evict() bool {
-	if len(s.conns)+s.refusing+len(s.lingered) < s.most+s.conf.Spare {
+	if len(s.conns)+s.refusing+len(s.lingered) < s.most+s.conf.SpareConnections {
 		return true
 	}
 	if len(s.lingered) == 0 {
@@ -202,7 +202,7 @@
 	s.lingers++
 	s.ended.Broadcast()
 	s.mu.Unlock()
-	interruptible.LingeringClose(c.Conn.Conn, time.Now().Add(s.conf.RefuseWait), lingerMost)
+	interruptible.LingeringClose(c.Conn.Conn, time.Now().Add(s.conf.LingerTimeout), lingerMost)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lingers--
@@ -235,9 +235,9 @@
 // pass gives a connection to another process, if this one ends and there is one.
 func (s *Server) pass(nc net.Conn, began bool) bool {
 	s.mu.Lock()
-	passing := s.passing && s.conf.Pass != nil
+	passing := s.passing && s.conf.Transfer != nil
 	s.mu.Unlock()
-	return passing && s.conf.Pass(nc, began)
+	return passing && s.conf.Transfer(nc, began)
 }
 
 // Adopt serves a connection that another process passed on. It was within the limits there, which both keep
@@ -246,7 +246,7 @@
 	c := newConn(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= s.conf.Max+s.conf.Spare {
+	if len(s.conns) >= s.conf.MaxConnections+s.conf.SpareConnections {
 		s.turnAway(c, began)
 		return
 	}
@@ -323,7 +323,7 @@
 	}
 	slices.SortFunc(idle, func(a, b *conn) int { return a.idleSince.Compare(b.idleSince) })
 	for i, c := range idle {
-		if age := time.Since(c.idleSince); age < idleLeast || age < s.conf.IdleMost && len(idle)-i <= s.conf.IdleKeep {
+		if age := time.Since(c.idleSince); age < idleLeast || age < s.conf.IdleTimeout && len(idle)-i <= s.conf.MaxIdleConnections {
 			break
 		}
 		c.leaving = true
@@ -352,9 +352,9 @@
 	c.spoke = true
 }
 
-// Limit has the server hold so many client connections at most from now on. Those that are open stay until they are
+// SetMaxConnections has the server hold so many client connections at most from now on. Those that are open stay until they are
 // idle.
-func (s *Server) Limit(most int) {
+func (s *Server) SetMaxConnections(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.most = most
@@ -371,8 +371,8 @@
 	}
 }
 
-// Open is how many connections are open, those being refused among them, those that linger not.
-func (s *Server) Open() int {
+// OpenConnections is how many connections are open, those being refused among them, those that linger not.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) + s.refusing
@@ -407,9 +407,9 @@
 
 const lastLinger = 50 * time.Millisecond // more than a request is under way to the gateway
 
-// LastCall is for the last moments of a Shutdown: commands that are whole are answered, but the rest of one that has
+// AbandonPartialMessages is for the last moments of a Shutdown: commands that are whole are answered, but the rest of one that has
 // begun is not waited for any longer. Whoever sends it then finds the connection ended.
-func (s *Server) LastCall() {
+func (s *Server) AbandonPartialMessages() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = true
--- a/internal/pgmember/conn.go
+++ b/internal/pgmember/conn.go
@@ -277,7 +277,7 @@
 		case *pgwire.Statement: // as it came
 			query = c.Query(wait)
 		case *call.Request:
-			query = pgwire.Form(c, wait)
+			query = pgwire.EncodeCall(c, wait)
 		}
 	}
 	size := int64(0)
@@ -373,7 +373,7 @@
 		return errStopped
 	}
 	have, _ := c.Reader.Peek(c.Reader.Buffered())
-	rest := append(bytes.Clone(have), waiting(c.Conn.Conn, pgwire.BufSize)...)
+	rest := append(bytes.Clone(have), waiting(c.Conn.Conn, pgwire.LargeBufSize)...)
 	a.drained = true
 	c.Reader.Reset(io.MultiReader(bytes.NewReader(rest), stopped{}))
 	return nil
@@ -415,7 +415,7 @@
 
 // report reads the figures that the settings name.
 func (c *conn) report(r *decide.Report, text []byte) {
-	pgwire.Pairs(text, func(name string, v float64) {
+	pgwire.ForEachLoadValue(text, func(name string, v float64) {
 		for _, n := range c.p.conf.Load().ReportFigures {
 			if n == name {
 				settings.SetReportFigure(r, 0, name, v)
@@ -426,7 +426,7 @@
 
 // outcomeOf maps an answer as the protocol's table does.
 func outcomeOf(a *answer) decide.Result {
-	if pgwire.Unusable(a.code) {
+	if pgwire.IsStatementError(a.code) {
 		return decide.Rejected
 	}
 	switch a.code {
@@ -501,7 +501,7 @@
 			at := len(a.buf.B)
 			a.buf.B = append(a.buf.B, head...)[:at+5+n]
 			body = a.buf.B[at+5:]
-		case n > pgwire.MaxSmall:
+		case n > pgwire.MaxSmallMessage:
 			return pgwire.ErrTooLong
 		case n > len(body):
 			body = make([]byte, n) // rare: a long error or parameter
@@ -531,7 +531,7 @@
 		if have != nil {
 			n += len(have.B)
 		}
-		if n > pgwire.BufSize || a.row != nil {
+		if n > pgwire.LargeBufSize || a.row != nil {
 			return pgwire.ErrTooLong
 		}
 		if a.buf = c.p.bufs.Get(n, 0); a.buf == nil {
@@ -560,7 +560,7 @@
 
 // large tells whether head begins a row that must pass through. One that answers a call of another protocol can't.
 func (a *answer) large(head []byte) bool {
-	if a.job == nil || a.job.attempt == nil || !a.described || a.row != nil || a.code != "" || !pgwire.Large(head) {
+	if a.job == nil || a.job.attempt == nil || !a.described || a.row != nil || a.code != "" || !pgwire.IsLargeRow(head) {
 		return false
 	}
 	_, ok := a.job.attempt.Request.Call.(*pgwire.Statement)
@@ -572,18 +572,18 @@
 	if a.drained { // given up, and no more of it will come
 		return errStopped
 	}
-	c.watch(a, pgwire.RowHead)
-	head, err := c.Peek(pgwire.RowHead, woken)
+	c.watch(a, pgwire.RowHeaderSize)
+	head, err := c.Peek(pgwire.RowHeaderSize, woken)
 	if err != nil {
 		return err
 	}
-	left, err := pgwire.RowLen(head)
+	left, err := pgwire.LargeRowValueLen(head)
 	if err != nil {
 		return err
 	}
 	s := pgwire.NewStream()
 	c.p.core.AnswerStarted(a.job.attempt, s)
-	w, done := s.Taken()
+	w, done := s.AwaitTaker()
 	if w == nil {
 		if err := woken(); err != nil {
 			return err
@@ -660,11 +660,11 @@
 		}
 	case a.job == nil && (typ == 'R' || typ == 'K'):
 	case typ == 'T' && !over && !a.described:
-		a.described, err = true, pgwire.OneColumn(body)
+		a.described, err = true, pgwire.CheckRowDescription(body)
 	case typ == 'D' && !over && a.described && a.row == nil:
-		a.row, err = pgwire.Column(body)
+		a.row, err = pgwire.DataRowValue(body)
 	case typ == 'C' && !over && a.row != nil:
-		a.complete, err = true, pgwire.Tag(body)
+		a.complete, err = true, pgwire.CheckCommandTag(body)
 		if a.done != nil {
 			a.tail = pgwire.Append(make([]byte, 0, len(body)+11), 'C', string(body))
 		}
@@ -676,7 +676,7 @@
 
 // status takes a ParameterStatus.
 func (c *conn) status(a *answer, body []byte) {
-	switch name, value := pgwire.Status(body); name {
+	switch name, value := pgwire.ParseParameterStatus(body); name {
 	case "recovery":
 		a.role = decide.Replica
 		if value == "off" {
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -212,7 +212,7 @@
 	_, _ = io.ReadFull(c, head)
 	n, _ := pgwire.StartupLen(head)
 	_, _ = io.ReadFull(c, make([]byte, n))
-	_, _ = c.Write(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
+	_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
 }
 
 // statement reads one message off a member's connection.
@@ -237,7 +237,7 @@
 	readClass  = &decide.Class{Name: "r", Consistency: decide.AnyData}
 	writeClass = &decide.Class{Name: "w", Consistency: decide.Write, Effect: decide.Once}
 	served     = pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00\x01v"), 'C', "SELECT 1\x00")
-	told       = pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "off"), "lsn_ms", "1767225600123")
+	told       = pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "off"), "lsn_ms", "1767225600123")
 )
 
 // idle leaves the pool with one connection that has served and is idle.
@@ -245,7 +245,7 @@
 	w.ask(readClass, "")
 	l, c := w.welcome()
 	statement(w.t, c)
-	_, _ = c.Write(pgwire.AppendReady(served))
+	_, _ = c.Write(pgwire.AppendReadyForQuery(served))
 	w.outcome()
 	until(w.t, func() (idle bool) {
 		w.owner(func() { idle = len(w.pool.members["m"].idle) == 1 })
@@ -303,7 +303,7 @@
 				}
 				w.ask(readClass, "the next")
 				nothing(t, c, "the next")
-				_, _ = c.Write(pgwire.AppendReady(served))
+				_, _ = c.Write(pgwire.AppendReadyForQuery(served))
 				w.outcome()
 				w.owner(func() {
 					if want := map[string]int{"gone": 0, "cancelled": 1}[name]; len(s.answers) != want {
@@ -389,16 +389,16 @@
 		result        decide.Result
 		told          bool
 	}{
-		"whole":                   {"", string(pgwire.AppendReady(append(append([]byte{}, served...), told...))), decide.Served, true},
-		"begun before":            {string(served[:9]), string(pgwire.AppendReady(append(append([]byte{}, served[9:]...), told...))), decide.Served, true},
-		"long":                    {"", string(pgwire.AppendReady(append(append([]byte{}, long...), told...))), decide.Served, true},
-		"turned away":             {"", string(pgwire.AppendReady(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), told...))), decide.Misdirected, true},
+		"whole":                   {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...))), decide.Served, true},
+		"begun before":            {string(served[:9]), string(pgwire.AppendReadyForQuery(append(append([]byte{}, served[9:]...), told...))), decide.Served, true},
+		"long":                    {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, long...), told...))), decide.Served, true},
+		"turned away":             {"", string(pgwire.AppendReadyForQuery(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), told...))), decide.Misdirected, true},
 		"told, and no more":       {"", string(told) + string(served[:7]), decide.TimedOut, true},
 		"half a line":             {"", string(served[:7]), decide.TimedOut, false},
 		"nothing":                 {"", "", decide.TimedOut, false},
 		"half of what it told":    {"", string(told[:len(told)-2]), decide.TimedOut, false},
 		"noise":                   {"", "what is this?", decide.Errored, false},
-		"more than belongs to it": {"", string(pgwire.AppendReady(append(append([]byte{}, served...), told...))) + "N", decide.Served, true},
+		"more than belongs to it": {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...))) + "N", decide.Served, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWires(t)
@@ -501,7 +501,7 @@
 	statement(t, c)
 	w.core.Gone(q)
 	w.owner(func() {})
-	_, _ = c.Write(pgwire.AppendReady(append(append([]byte{}, served...), told...)))
+	_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...)))
 	if e := w.outcome(); e.Result != decide.Served || !e.HasPosition || !e.Ended || len(s.answers) != 0 {
 		t.Errorf("outcome %+v, %d answers", e, len(s.answers))
 	}
@@ -516,7 +516,7 @@
 		if stamps {
 			w.ask(readClass, "")
 			statement(t, c)
-			_, _ = c.Write(pgwire.AppendReady(append(append([]byte{}, served...), told...)))
+			_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...)))
 			w.outcome()
 		}
 		before := w.core.Now()
@@ -588,7 +588,7 @@
 		t.Errorf("%d bytes were written on the connection that was closing, %v", n, err)
 	}
 	statement(t, second)
-	_, _ = second.Write(pgwire.AppendReady(served))
+	_, _ = second.Write(pgwire.AppendReadyForQuery(served))
 	if e := w.outcome(); e.Result != decide.Served || e.Reused {
 		t.Errorf("outcome %+v", e)
 	}
--- a/internal/pgmember/pass_test.go
+++ b/internal/pgmember/pass_test.go
@@ -82,22 +82,22 @@
 }
 
 func pass(t *testing.T, rnd *rand.Rand, f fault) {
-	value := strings.Repeat("0123456789abcdef?", 1+(pgwire.WholeMost+rnd.IntN(100_000))/17)
+	value := strings.Repeat("0123456789abcdef?", 1+(pgwire.MaxBufferedValue+rnd.IntN(100_000))/17)
 	row := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
 	head := pgwire.Append(nil, 'T', description)
 	whole := pgwire.Append(bytes.Clone(head), 'D', row)
 	tag := pgwire.Append(nil, 'C', "SELECT 1\x00")
-	note := pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
-	reply := pgwire.AppendReady(append(append(bytes.Clone(whole), tag...), note...))
-	want := pgwire.AppendReady(append(bytes.Clone(whole), tag...)) // what the client must get
+	note := pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
+	reply := pgwire.AppendReadyForQuery(append(append(bytes.Clone(whole), tag...), note...))
+	want := pgwire.AppendReadyForQuery(append(bytes.Clone(whole), tag...)) // what the client must get
 	at := []int{rnd.IntN(len(reply)), rnd.IntN(80), len(reply) - 1 - rnd.IntN(90)}[rnd.IntN(3)]
 	switch f {
 	case badHead:
-		reply[len(head)+1+rnd.IntN(pgwire.RowHead-1)] ^= 1 << rnd.IntN(8)
+		reply[len(head)+1+rnd.IntN(pgwire.RowHeaderSize-1)] ^= 1 << rnd.IntN(8)
 	case errorAfter:
-		reply = pgwire.AppendReady(append(bytes.Clone(whole), pgwire.AppendError(nil, "ERROR", "53300", "no", "")...))
+		reply = pgwire.AppendReadyForQuery(append(bytes.Clone(whole), pgwire.AppendError(nil, "ERROR", "53300", "no", "")...))
 	case badTag:
-		reply = pgwire.AppendReady(pgwire.Append(bytes.Clone(whole), 'C', "\x01"))
+		reply = pgwire.AppendReadyForQuery(pgwire.Append(bytes.Clone(whole), 'C', "\x01"))
 	case moreAfter:
 		reply = append(reply, whole[:1+rnd.IntN(len(whole)-1)]...)
 	}
@@ -117,7 +117,7 @@
 			if _, err := b.Read(buf); err != nil { // the startup comes in one write
 				return
 			}
-			_, _ = b.Write(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
+			_, _ = b.Write(pgwire.AppendReadyForQuery(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
 			for {
 				for text := ""; !strings.HasSuffix(text, "\x00"); {
 					n, err := b.Read(buf)
@@ -158,8 +158,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := pgfront.New(owner, pgfront.Config{Terms: book, Max: 4,
-		StartWait: time.Second, WriteWait: 5 * time.Second, RefuseWait: time.Second}, bufs, log)
+	front := pgfront.New(owner, pgfront.Config{Settings: book, MaxConnections: 4,
+		StartupTimeout: time.Second, WriteTimeout: 5 * time.Second, LingerTimeout: time.Second}, bufs, log)
 	a, b := net.Pipe()
 	front.Handle(b)
 	query := pgwire.Append(nil, 'Q', "/* id=1,c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k'\x00")
@@ -222,8 +222,8 @@
 		}
 	})
 	synctest.Wait()
-	if bufs.Free()+bufs.FreeSmall() != 16 || out.Load() != 0 || front.Open() != 0 {
-		t.Errorf("%d of 16 buffers free, %d member connections, %d clients", bufs.Free()+bufs.FreeSmall(), out.Load(), front.Open())
+	if bufs.FreeLarge()+bufs.FreeSmall() != 16 || out.Load() != 0 || front.OpenConnections() != 0 {
+		t.Errorf("%d of 16 buffers free, %d member connections, %d clients", bufs.FreeLarge()+bufs.FreeSmall(), out.Load(), front.OpenConnections())
 	}
 	cancel()
 	synctest.Wait()
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -176,7 +176,7 @@
 	}
 	n, _ := pgwire.StartupLen(head)
 	_, _ = io.ReadFull(c, make([]byte, n))
-	_, _ = c.Write(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
+	_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
 	for {
 		if _, err := io.ReadFull(c, head); err != nil {
 			return
@@ -186,7 +186,7 @@
 		_, _ = io.ReadFull(c, body)
 		if strings.HasPrefix(string(body), "SHOW health") {
 			row := "x0=1000.5,x1=1,nonsense=3"
-			_, _ = c.Write(pgwire.AppendReady(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00",
+			_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00",
 				string(rune(len(row))), row), 'C', "SHOW\x00")))
 			continue
 		}
@@ -221,30 +221,30 @@
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	row := pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00\x01v")
-	note := pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
+	note := pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
 	var reply []byte
 	more := true
 	switch way {
 	case "row":
-		reply = pgwire.AppendReady(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
 	case "noise":
 		reply = []byte("\x9f\x03 what is this, and where does it end? \r\n")
 	case "stall":
 		reply = row[:len(row)-3]
 	case "two rows":
-		reply = pgwire.AppendReady(pgwire.Append(append(row, row[5+len(description):]...), 'C', "SELECT 2\x00"))
+		reply = pgwire.AppendReadyForQuery(pgwire.Append(append(row, row[5+len(description):]...), 'C', "SELECT 2\x00"))
 	case "short row":
-		reply = pgwire.AppendReady(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D',
+		reply = pgwire.AppendReadyForQuery(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D',
 			"\x00\x01\x00\x00\x00\x09v"), 'C', "SELECT 1\x00"))
 	case "endless":
-		reply = bytes.Repeat(pgwire.AppendStatus(nil, "more", "and more"), 1000)
+		reply = bytes.Repeat(pgwire.AppendParameterStatus(nil, "more", "and more"), 1000)
 	case "odd error":
-		reply = pgwire.AppendReady(pgwire.Append(nil, 'E', "SERROR\x00C5\x00\x00"))
+		reply = pgwire.AppendReadyForQuery(pgwire.Append(nil, 'E', "SERROR\x00C5\x00\x00"))
 	case "extra":
-		reply = pgwire.AppendReady(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
 		reply = append(reply, reply...)
 	case "norow":
-		reply = pgwire.AppendReady(note)
+		reply = pgwire.AppendReadyForQuery(note)
 	case "badlen":
 		reply, more = []byte{'D', 0x7f, 0, 0, 0}, false
 	case "half":
@@ -262,7 +262,7 @@
 		if code, ok := strings.CutPrefix(way, "begun "); ok {
 			begun, way = pgwire.Append(nil, 'T', description), code
 		}
-		reply = pgwire.AppendReady(append(pgwire.AppendError(begun, "ERROR", way, "no", ""), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.AppendError(begun, "ERROR", way, "no", ""), note...))
 	}
 	l.over()
 	_, _ = c.Write(reply)
@@ -595,9 +595,9 @@
 				t.Errorf("request %d: %d outcomes of %d sends", id, got, sends[id])
 			}
 		}
-		if len(r.script.probes) != probes || r.bufs.Free() != 40 || r.bufs.FreeSmall() != 20 || r.pool.open != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
+		if len(r.script.probes) != probes || r.bufs.FreeLarge() != 40 || r.bufs.FreeSmall() != 20 || r.pool.open != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
 			t.Errorf("%d of %d probes ended; %d of 40 buffers back; %d connections counted, %d open; %d jobs",
-				len(r.script.probes), probes, r.bufs.Free(), r.pool.open, r.conns, len(r.pool.jobs))
+				len(r.script.probes), probes, r.bufs.FreeLarge(), r.pool.open, r.conns, len(r.pool.jobs))
 		}
 	})
 }
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -97,8 +97,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.front = pgfront.New(owner, pgfront.Config{Terms: book, Max: 100, Spare: 10, StartWait: 20 * time.Second,
-		WriteWait: 20 * time.Second, RefuseWait: time.Second}, g.bufs, log)
+	g.front = pgfront.New(owner, pgfront.Config{Settings: book, MaxConnections: 100, SpareConnections: 10, StartupTimeout: 20 * time.Second,
+		WriteTimeout: 20 * time.Second, LingerTimeout: time.Second}, g.bufs, log)
 	clients, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	until(g.t, func() bool {
 		g.mod.mu.Lock()
 		defer g.mod.mu.Unlock()
-		return g.mod.out == 0 && g.front.Open() == 0 && g.bufs.Free()+g.bufs.FreeSmall() == 160
+		return g.mod.out == 0 && g.front.OpenConnections() == 0 && g.bufs.FreeLarge()+g.bufs.FreeSmall() == 160
 	})
 }
 
@@ -243,7 +243,7 @@
 	m := <-g.came
 	g.greet(m)
 	statement(t, m)
-	value := strings.Repeat("v", pgwire.WholeMost+1000)
+	value := strings.Repeat("v", pgwire.MaxBufferedValue+1000)
 	row := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
 	answer := pgwire.Append(pgwire.Append(nil, 'T', description), 'D', row)
 	_, _ = m.Write(answer[:len(answer)-10])
@@ -285,7 +285,7 @@
 	m = <-g.came
 	g.greet(m)
 	statement(t, m)
-	_, _ = m.Write(pgwire.AppendReady(bytes.Clone(served)))
+	_, _ = m.Write(pgwire.AppendReadyForQuery(bytes.Clone(served)))
 	order := ""
 	for range 4 {
 		typ, _ := message(t, r)
--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// BufSize holds the largest message that is held whole: a value of 64 KiB as hex digits, with its statement.
-const BufSize = 132 << 10
+// LargeBufSize holds the largest message that is held whole: a value of 64 KiB as hex digits, with its statement.
+const LargeBufSize = 132 << 10
 
-// SmallSize holds the usual statement or small answer. Many are held by slow peers at once, and few need more.
-const SmallSize = 4 << 10
+// SmallBufSize holds the usual statement or small answer. Many are held by slow peers at once, and few need more.
+const SmallBufSize = 4 << 10
 
 // Buf is a buffer from a Pool. B is empty when it comes and may grow up to its capacity only.
 type Buf struct {
@@ -33,12 +33,12 @@
 
 // NewPool returns a pool of at most full buffers of BufSize and small ones of SmallSize, which are made as needed.
 func NewPool(full, small int) *Pool {
-	return &Pool{full: shelf{size: BufSize, left: full, most: full}, tiny: shelf{size: SmallSize, left: small, most: small}}
+	return &Pool{full: shelf{size: LargeBufSize, left: full, most: full}, tiny: shelf{size: SmallBufSize, left: small, most: small}}
 }
 
-// Limit has the pool hold so many buffers of each size at most from now on. Those in use above that are dropped as they
+// SetLimits has the pool hold so many buffers of each size at most from now on. Those in use above that are dropped as they
 // come back.
-func (p *Pool) Limit(full, small int) {
+func (p *Pool) SetLimits(full, small int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.full.limit(full)
@@ -65,12 +65,12 @@
 func (p *Pool) Get(n, keep int) *Buf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n <= SmallSize {
+	if n <= SmallBufSize {
 		if b := p.tiny.get(p); b != nil {
 			return b
 		}
 	}
-	if n > BufSize || p.full.count() <= keep {
+	if n > LargeBufSize || p.full.count() <= keep {
 		return nil
 	}
 	return p.full.get(p)
@@ -103,8 +103,8 @@
 	s.trim()
 }
 
-// Free returns how many full buffers may still be had.
-func (p *Pool) Free() int {
+// FreeLarge returns how many full buffers may still be had.
+func (p *Pool) FreeLarge() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.full.count()
--- a/internal/pgwire/call.go
+++ b/internal/pgwire/call.go
@@ -10,9 +10,9 @@
 	"reachwind/internal/call"
 )
 
-// Form returns the parts of a Query for a call that came by another protocol: the statement that a client of
+// EncodeCall returns the parts of a Query for a call that came by another protocol: the statement that a client of
 // PostgreSQL would have sent for it, as the protocol page has it. Values go as bytea in hexadecimal.
-func Form(c *call.Request, wait int64) [][]byte {
+func EncodeCall(c *call.Request, wait int64) [][]byte {
 	b := make([]byte, 5, 256+2*len(c.Value))
 	b = append(append(b, "/* id="...), c.ID...)
 	b = append(append(b, ",c="...), c.Class...)
@@ -65,8 +65,8 @@
 	return string(p), string(a), limit, true
 }
 
-// Plain tells whether a text can stand in a statement's comment.
-func Plain(s string) bool {
+// ValidCommentValue tells whether a text can stand in a statement's comment.
+func ValidCommentValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 0x7f || c == ',' || c == '*' || c == '/' || c == '=' {
 			return false
@@ -86,7 +86,7 @@
 			return nil, errNoRow
 		}
 		if typ == 'D' {
-			v, err := Column(b.B[at+5 : at+5+n])
+			v, err := DataRowValue(b.B[at+5 : at+5+n])
 			if err != nil {
 				return nil, err
 			}
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -38,11 +38,11 @@
 // The largest messages taken.
 const (
 	MaxStartup = 8 << 10
-	MaxMessage = BufSize - 64 // room for a frame around the statement
+	MaxMessage = LargeBufSize - 64 // room for a frame around the statement
 )
 
-// MaxSmall bounds a message that carries no value: errors, parameters and the like.
-const MaxSmall = 8 << 10
+// MaxSmallMessage bounds a message that carries no value: errors, parameters and the like.
+const MaxSmallMessage = 8 << 10
 
 // ErrTooLong says that a message announces an impossible length, ErrMalformed
 // that a message is not what its type says.
@@ -69,8 +69,8 @@
 	return int(l) - 4, nil
 }
 
-// Unusable tells that a code finds fault with the statement itself.
-func Unusable(code string) bool {
+// IsStatementError tells that a code finds fault with the statement itself.
+func IsStatementError(code string) bool {
 	return strings.HasPrefix(code, syntaxClass) || code == ProtocolViolation
 }
 
@@ -95,13 +95,13 @@
 	return append(b, body...)
 }
 
-// AppendStatus appends a ParameterStatus.
-func AppendStatus(b []byte, name, value string) []byte {
+// AppendParameterStatus appends a ParameterStatus.
+func AppendParameterStatus(b []byte, name, value string) []byte {
 	return Append(b, 'S', name, "\x00", value, "\x00")
 }
 
-// AppendReady appends ReadyForQuery, outside a transaction.
-func AppendReady(b []byte) []byte { return Append(b, 'Z', "I") }
+// AppendReadyForQuery appends ReadyForQuery, outside a transaction.
+func AppendReadyForQuery(b []byte) []byte { return Append(b, 'Z', "I") }
 
 // AppendError appends an ErrorResponse; an empty detail is left out.
 func AppendError(b []byte, severity, code, text, detail string) []byte {
@@ -127,15 +127,15 @@
 	return ""
 }
 
-// Status splits a ParameterStatus's body.
-func Status(body []byte) (name, value string) {
+// ParseParameterStatus splits a ParameterStatus's body.
+func ParseParameterStatus(body []byte) (name, value string) {
 	n, rest, _ := bytes.Cut(body, []byte{0})
 	v, _, _ := bytes.Cut(rest, []byte{0})
 	return string(n), string(v)
 }
 
-// OneColumn checks a RowDescription's body: one column, and nothing else.
-func OneColumn(body []byte) error {
+// CheckRowDescription checks a RowDescription's body: one column, and nothing else.
+func CheckRowDescription(body []byte) error {
 	const after = 18 // bytes of numbers after a column's name
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 || bytes.IndexByte(body[2:], 0)+1+after != len(body)-2 {
 		return fmt.Errorf("%w: row description", ErrMalformed)
@@ -143,16 +143,16 @@
 	return nil
 }
 
-// Column returns the value in a DataRow's body, which must hold one that is not null, and nothing else.
-func Column(body []byte) ([]byte, error) {
+// DataRowValue returns the value in a DataRow's body, which must hold one that is not null, and nothing else.
+func DataRowValue(body []byte) ([]byte, error) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 || int64(binary.BigEndian.Uint32(body[2:])) != int64(len(body)-6) {
 		return nil, fmt.Errorf("%w: row", ErrMalformed)
 	}
 	return body[6:], nil
 }
 
-// Tag checks a CommandComplete's body: a line of text.
-func Tag(body []byte) error {
+// CheckCommandTag checks a CommandComplete's body: a line of text.
+func CheckCommandTag(body []byte) error {
 	n := len(body) - 1
 	if n < 1 || body[n] != 0 || bytes.ContainsFunc(body[:n], func(r rune) bool { return r < ' ' || r > '~' }) {
 		return fmt.Errorf("%w: command tag", ErrMalformed)
@@ -169,8 +169,8 @@
 	return code, nil
 }
 
-// Pairs calls each for every name=value of a load report.
-func Pairs(s []byte, each func(name string, v float64)) {
+// ForEachLoadValue calls each for every name=value of a load report.
+func ForEachLoadValue(s []byte, each func(name string, v float64)) {
 	for more := true; more; {
 		var pair []byte
 		pair, s, more = bytes.Cut(s, []byte{','})
@@ -183,18 +183,18 @@
 
 // Statement is a client's statement with what its comment says.
 type Statement struct {
-	Buf     *Buf   // the text, without its final zero
-	ID      string // id
-	Class   string // c
-	Tenant  string // t
-	Wait    int64  // d, in milliseconds
-	Cluster int64
-	After   int64 // Unix time in ms of the session's last write, 0 = none
-	Retry   bool
-	Keyed   bool   // k is there
-	Key     string // the quoted key
-	Read    bool   // a SELECT
-	Done    func() // called on Release, if set
+	Buf               *Buf   // the text, without its final zero
+	ID                string // id
+	Class             string // c
+	Tenant            string // t
+	WaitMs            int64  // d, in milliseconds
+	Cluster           int64
+	LastWriteUnixMs   int64 // Unix time in ms of the session's last write, 0 = none
+	Retry             bool
+	HasIdempotencyKey bool   // k is there
+	ItemKey           string // the quoted key
+	IsRead            bool   // a SELECT
+	Done              func() // called on Release, if set
 
 	dFrom, dTo int // where the digits of d stand in the text
 }
@@ -259,7 +259,7 @@
 	rest := text[end+2:]
 	switch Verb(rest) {
 	case "SELECT":
-		s.Read = true
+		s.IsRead = true
 	case "INSERT":
 	default:
 		return nil, errors.New("neither SELECT nor INSERT")
@@ -267,7 +267,7 @@
 	if bytes.Count(rest, []byte{'\''})%2 != 0 {
 		return nil, errors.New("quote without end")
 	}
-	if s.Key = quoted(rest); s.Key == "" || len(s.Key) > maxName && !s.page(rest) {
+	if s.ItemKey = quoted(rest); s.ItemKey == "" || len(s.ItemKey) > maxName && !s.page(rest) {
 		return nil, errors.New("no key, or one of impossible length")
 	}
 	return s, nil
@@ -275,8 +275,8 @@
 
 // page tells whether the statement asks for a page, whose name may be longer as no table keeps it.
 func (s *Statement) page(rest []byte) bool {
-	_, _, _, ok := ParsePage(s.Key)
-	return ok && s.Read && len(s.Key) <= 5*maxName && bytes.Contains(rest, []byte(" FROM pages "))
+	_, _, _, ok := ParsePage(s.ItemKey)
+	return ok && s.IsRead && len(s.ItemKey) <= 5*maxName && bytes.Contains(rest, []byte(" FROM pages "))
 }
 
 const maxFields = 32 // in a comment
@@ -309,7 +309,7 @@
 			err = errors.New("comment: id of impossible length")
 		}
 	case "k":
-		s.Keyed = true
+		s.HasIdempotencyKey = true
 	case "c":
 		s.Class = v
 	case "t":
@@ -319,9 +319,9 @@
 	case "cluster":
 		s.Cluster = number()
 	case "after":
-		s.After = number()
+		s.LastWriteUnixMs = number()
 	case "d":
-		s.Wait = number()
+		s.WaitMs = number()
 		s.dFrom, s.dTo = to-len(value), to
 	}
 	return err
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -8,7 +8,7 @@
 )
 
 func parse(text string) (*Statement, error) {
-	b := NewPool(1, 0).Get(BufSize, 0)
+	b := NewPool(1, 0).Get(LargeBufSize, 0)
 	b.B = append(b.B, text...)
 	return Parse(b)
 }
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Class != "order" || s.Tenant != "acme" || s.Wait != 480 || s.Cluster != 2 || s.After != 1767225600123 ||
-		!s.Retry || s.Key != "7f'3" || s.Read {
+	if s.Class != "order" || s.Tenant != "acme" || s.WaitMs != 480 || s.Cluster != 2 || s.LastWriteUnixMs != 1767225600123 ||
+		!s.Retry || s.ItemKey != "7f'3" || s.IsRead {
 		t.Errorf("parsed %+v", s)
 	}
 	want := "/* id=9b,c=order,t=acme,d=7,k=5c,cluster=2,after=1767225600123,r=1,new=x */ " +
@@ -29,7 +29,7 @@
 	if typ, n, err := Header(q); typ != 'Q' || n != len(want) || err != nil || string(q[5:]) != want {
 		t.Errorf("query %q", q)
 	}
-	if s.ID != "9b" || !s.Keyed {
+	if s.ID != "9b" || !s.HasIdempotencyKey {
 		t.Errorf("parsed %+v", s)
 	}
 	const good = "/* id=9,c=a,d=1,cluster=0 */ SELECT doc FROM items WHERE id = 'a'"
@@ -84,20 +84,20 @@
 	if ErrorField([]byte("Cxx"), 'C') != "" {
 		t.Error("a field without end was taken")
 	}
-	if n, v := Status(AppendStatus(nil, "recovery", "on")[5:]); n != "recovery" || v != "on" {
+	if n, v := ParseParameterStatus(AppendParameterStatus(nil, "recovery", "on")[5:]); n != "recovery" || v != "on" {
 		t.Error(n, v)
 	}
 	for _, bad := range []string{"", "\x00\x00", "\x00\x01\xff\xff\xff\xff", "\x00\x01\x00\x00\x00\x05abc",
 		"\x00\x01\x00\x00\x00\x01abc", "\x00\x02\x00\x00\x00\x01a"} {
-		if v, err := Column([]byte(bad)); err == nil {
+		if v, err := DataRowValue([]byte(bad)); err == nil {
 			t.Errorf("column of %q: %q", bad, v)
 		}
-		if OneColumn([]byte(bad)) == nil {
+		if CheckRowDescription([]byte(bad)) == nil {
 			t.Errorf("description %q", bad)
 		}
 	}
 	for tag, ok := range map[string]bool{"SELECT 1\x00": true, "SELECT 1": false, "\x00": false, "": false, "A\x00B\x00": false} {
-		if (Tag([]byte(tag)) == nil) != ok {
+		if (CheckCommandTag([]byte(tag)) == nil) != ok {
 			t.Errorf("tag %q", tag)
 		}
 	}
@@ -112,7 +112,7 @@
 		}
 	}
 	var names []string
-	Pairs([]byte("x0=1.5, x1=1,bad,nan=NaN,inf=Inf"), func(n string, v float64) { names = append(names, n) })
+	ForEachLoadValue([]byte("x0=1.5, x1=1,bad,nan=NaN,inf=Inf"), func(n string, v float64) { names = append(names, n) })
 	if strings.Join(names, " ") != "x0 x1" {
 		t.Errorf("pairs %q", names)
 	}
@@ -120,18 +120,18 @@
 
 func TestPool(t *testing.T) {
 	p := NewPool(2, 1)
-	a, s := p.Get(BufSize, 0), p.Get(SmallSize, 0)
+	a, s := p.Get(LargeBufSize, 0), p.Get(SmallBufSize, 0)
 	b := p.Get(1, 0) // there is no small one left
-	if a == nil || b == nil || s == nil || cap(s.B) != SmallSize || p.Get(1, 0) != nil || p.Free()+p.FreeSmall() != 0 {
+	if a == nil || b == nil || s == nil || cap(s.B) != SmallBufSize || p.Get(1, 0) != nil || p.FreeLarge()+p.FreeSmall() != 0 {
 		t.Fatal("the pool has no limit")
 	}
 	a.B = append(a.B, bytes.Repeat([]byte("x"), 100)...)
 	a.Release()
 	s.Release()
-	if p.Get(SmallSize+1, 1) != nil || p.Get(1, 1) != s {
+	if p.Get(SmallBufSize+1, 1) != nil || p.Get(1, 1) != s {
 		t.Error("a small buffer taken for too much, or full ones not kept")
 	}
-	if c := p.Get(BufSize, 0); c != a || len(c.B) != 0 || cap(c.B) != BufSize {
+	if c := p.Get(LargeBufSize, 0); c != a || len(c.B) != 0 || cap(c.B) != LargeBufSize {
 		t.Error("a buffer did not come back empty")
 	}
 }
--- a/internal/pgwire/stream.go
+++ b/internal/pgwire/stream.go
@@ -9,24 +9,24 @@
 // A value of more than WholeMost bytes passes through as it comes; a row of more than RowMost bytes is none: a value
 // of 4 MiB as hex digits.
 const (
-	WholeMost = 64 << 10
-	RowMost   = 8<<20 + 64
-	RowHead   = 11 // bytes of a DataRow before its value: type, length, one column, the value's length
+	MaxBufferedValue = 64 << 10
+	MaxRowSize       = 8<<20 + 64
+	RowHeaderSize    = 11 // bytes of a DataRow before its value: type, length, one column, the value's length
 )
 
-// Large tells whether five bytes head a DataRow whose value is too large to be held whole.
-func Large(h []byte) bool {
-	return h[0] == 'D' && binary.BigEndian.Uint32(h[1:5]) > RowHead-1+WholeMost
+// IsLargeRow tells whether five bytes head a DataRow whose value is too large to be held whole.
+func IsLargeRow(h []byte) bool {
+	return h[0] == 'D' && binary.BigEndian.Uint32(h[1:5]) > RowHeaderSize-1+MaxBufferedValue
 }
 
-// RowLen returns the length of the value that the RowHead bytes of a large DataRow announce, which must be its only
+// LargeRowValueLen returns the length of the value that the RowHead bytes of a large DataRow announce, which must be its only
 // column, not null, and fill it.
-func RowLen(h []byte) (int, error) {
+func LargeRowValueLen(h []byte) (int, error) {
 	n, cols, value := int64(binary.BigEndian.Uint32(h[1:5])), binary.BigEndian.Uint16(h[5:7]), int64(binary.BigEndian.Uint32(h[7:11]))
 	switch {
-	case n > RowMost:
-		return 0, fmt.Errorf("%w: row of %d bytes, want at most %d", ErrTooLong, n, RowMost)
-	case cols != 1 || value != n-(RowHead-1):
+	case n > MaxRowSize:
+		return 0, fmt.Errorf("%w: row of %d bytes, want at most %d", ErrTooLong, n, MaxRowSize)
+	case cols != 1 || value != n-(RowHeaderSize-1):
 		return 0, fmt.Errorf("%w: row of %d bytes with %d columns, the first of %d", ErrMalformed, n, cols, value)
 	}
 	return int(value), nil
@@ -58,8 +58,8 @@
 	}
 }
 
-// Taken waits until the stream is taken or released; w is nil if nobody takes it. It is the member's side's, to be called once.
-func (s *Stream) Taken() (w io.Writer, done func(tail []byte)) {
+// AwaitTaker waits until the stream is taken or released; w is nil if nobody takes it. It is the member's side's, to be called once.
+func (s *Stream) AwaitTaker() (w io.Writer, done func(tail []byte)) {
 	t := <-s.taken
 	return t.w, t.done
 }
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Terms, conf.Header, conf.Read, conf.Write, conf.Life = book, 100*time.Millisecond, time.Second, time.Second, time.Hour
+	conf.Settings, conf.HeaderTimeout, conf.ReadTimeout, conf.WriteTimeout, conf.CursorLifetime = book, 100*time.Millisecond, time.Second, time.Second, time.Hour
 	s, err := New(noCore{t}, conf, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 		t.Run(name, func(t *testing.T) {
 			var near net.Conn
 			dialled := make(chan struct{})
-			s := crossedFront(t, Config{Max: tc.most, Idle: tc.idleFor}, func(far *crossed) {
+			s := crossedFront(t, Config{MaxConnections: tc.most, IdleTimeout: tc.idleFor}, func(far *crossed) {
 				<-dialled
 				was := far.read.Load()
 				_, _ = near.Write([]byte(get + "\r\n"))
@@ -166,7 +166,7 @@
 // TestLingerBounds: a connection that lingers gives way to a client that comes, and does not hold up a shutdown for
 // longer than that may last.
 func TestLingerBounds(t *testing.T) {
-	s := crossedFront(t, Config{Max: 1, Idle: time.Hour}, func(*crossed) {})
+	s := crossedFront(t, Config{MaxConnections: 1, IdleTimeout: time.Hour}, func(*crossed) {})
 	var all []net.Conn
 	for i := range 5 {
 		nc, err := net.Dial("tcp", s.Addr())
--- a/internal/restfront/edge.go
+++ b/internal/restfront/edge.go
@@ -19,12 +19,12 @@
 	perConn     = 48 << 10 // bytes that a connection holds, about: buffers, header and goroutines
 )
 
-// Read reads the rest block.
-func Read(b *edgeconf.Block) Config {
-	c := Config{Listen: b.Text("listen", ""), Max: int(b.Int("connections", maxUsual, 1, 100_000)), Body: b.Size("body", bodyUsual, 1, bodyUsual),
-		Header: b.Span("header_wait", headerUsual, 10*time.Millisecond, time.Minute), Read: b.Span("read_wait", readUsual, 10*time.Millisecond, time.Minute),
-		Write: b.Span("write_wait", writeUsual, 10*time.Millisecond, time.Minute), Idle: b.Span("idle", idleUsual, 100*time.Millisecond, time.Hour),
-		Keys: b.File("cursor_keys"), Life: b.Span("cursor_life", lifeUsual, time.Second, 30*24*time.Hour)}
+// ReadConfig reads the rest block.
+func ReadConfig(b *edgeconf.Block) Config {
+	c := Config{Listen: b.Text("listen", ""), MaxConnections: int(b.Int("connections", maxUsual, 1, 100_000)), MaxBodyBytes: b.Size("body", bodyUsual, 1, bodyUsual),
+		HeaderTimeout: b.Span("header_wait", headerUsual, 10*time.Millisecond, time.Minute), ReadTimeout: b.Span("read_wait", readUsual, 10*time.Millisecond, time.Minute),
+		WriteTimeout: b.Span("write_wait", writeUsual, 10*time.Millisecond, time.Minute), IdleTimeout: b.Span("idle", idleUsual, 100*time.Millisecond, time.Hour),
+		CursorKeysFile: b.File("cursor_keys"), CursorLifetime: b.Span("cursor_life", lifeUsual, time.Second, 30*24*time.Hour)}
 	if _, err := c.ring(); err != nil {
 		b.FaultAt("cursor_keys", "cursor_keys: %v", err)
 	}
@@ -36,5 +36,5 @@
 
 // Footprint is what the front holds at most: bytes of memory, and descriptors.
 func (c *Config) Footprint() (memory int64, files int) {
-	return int64(c.Max) * (perConn + c.Body), c.Max + refusedMost + 1 // and the listener
+	return int64(c.MaxConnections) * (perConn + c.MaxBodyBytes), c.MaxConnections + refusedMost + 1 // and the listener
 }
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -64,8 +64,8 @@
 				t.Fatal(err)
 			}
 			f := &fakeCore{}
-			s, err := New(f, Config{Listen: "127.0.0.1:0", Max: 4, Body: 1 << 10, Header: time.Minute, Read: time.Minute, Write: time.Minute,
-				Idle: time.Minute, Terms: book, Life: time.Minute}, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
+			s, err := New(f, Config{Listen: "127.0.0.1:0", MaxConnections: 4, MaxBodyBytes: 1 << 10, HeaderTimeout: time.Minute, ReadTimeout: time.Minute, WriteTimeout: time.Minute,
+				IdleTimeout: time.Minute, Settings: book, CursorLifetime: time.Minute}, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/restfront/list.go
+++ b/internal/restfront/list.go
@@ -33,24 +33,24 @@
 
 // ring reads the keys of cursors.
 func (c *Config) ring() (*cursor.KeyRing, error) {
-	if c.Keys == "" {
+	if c.CursorKeysFile == "" {
 		k := cursor.Key{ID: 1, IssueFrom: skew, AcceptUntil: 1 << 62}
 		if _, err := rand.Read(k.Secret[:]); err != nil {
 			return nil, err
 		}
-		return cursor.NewKeyRing([]cursor.Key{k}, c.Life, skew)
+		return cursor.NewKeyRing([]cursor.Key{k}, c.CursorLifetime, skew)
 	}
-	text, err := os.ReadFile(c.Keys)
+	text, err := os.ReadFile(c.CursorKeysFile)
 	if err != nil {
 		return nil, err
 	}
 	keys, err := cursor.ParseKeys(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", c.Keys, err)
+		return nil, fmt.Errorf("%s: %w", c.CursorKeysFile, err)
 	}
-	ring, err := cursor.NewKeyRing(keys, c.Life, skew)
+	ring, err := cursor.NewKeyRing(keys, c.CursorLifetime, skew)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", c.Keys, err)
+		return nil, fmt.Errorf("%s: %w", c.CursorKeysFile, err)
 	}
 	return ring, nil
 }
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -37,16 +37,16 @@
 
 // Config holds what the front is told.
 type Config struct {
-	Listen string
-	Max    int           // connections
-	Body   int64         // bytes of a value
-	Header time.Duration // a request's header must have come by then
-	Read   time.Duration // and all of it by then
-	Write  time.Duration // an answer must have been taken by then, on top of what the client waits
-	Idle   time.Duration // a connection idle for longer ends
-	Terms  *activesettings.Holder
-	Keys   string        // file with the keys of cursors; empty: a key of this process alone
-	Life   time.Duration // of a cursor
+	Listen         string
+	MaxConnections int           // connections
+	MaxBodyBytes   int64         // bytes of a value
+	HeaderTimeout  time.Duration // a request's header must have come by then
+	ReadTimeout    time.Duration // and all of it by then
+	WriteTimeout   time.Duration // an answer must have been taken by then, on top of what the client waits
+	IdleTimeout    time.Duration // a connection idle for longer ends
+	Settings       *activesettings.Holder
+	CursorKeysFile string        // file with the keys of cursors; empty: a key of this process alone
+	CursorLifetime time.Duration // of a cursor
 }
 
 const (
@@ -103,8 +103,8 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		(&problem{kind: "not-found", status: http.StatusNotFound, detail: "there is no such resource; want /v1/clusters/{n}/items or an item of it"}).write(w)
 	})
-	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.Header, ReadTimeout: conf.Read, IdleTimeout: conf.Idle, MaxHeaderBytes: headerMost,
-		WriteTimeout: conf.Read + call.MaxWait + conf.Write, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.HeaderTimeout, ReadTimeout: conf.ReadTimeout, IdleTimeout: conf.IdleTimeout, MaxHeaderBytes: headerMost,
+		WriteTimeout: conf.ReadTimeout + call.MaxWait + conf.WriteTimeout, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 			if t, ok := nc.(*tracked); ok {
 				nc = t.Conn
@@ -117,7 +117,7 @@
 // Prepare checks a new configuration. apply takes over its keys, from the same file or another: cursors sealed by
 // keys that both hold go on.
 func (s *Server) Prepare(conf Config) (apply func(), err error) {
-	if conf.Keys == "" && s.conf.Keys == "" { // the process keeps its own key
+	if conf.CursorKeysFile == "" && s.conf.CursorKeysFile == "" { // the process keeps its own key
 		return func() {}, nil
 	}
 	ring, err := conf.ring()
@@ -212,7 +212,7 @@
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= s.conf.Max {
+	if s.open >= s.conf.MaxConnections {
 		if len(s.lingered) == 0 {
 			return false
 		}
@@ -356,7 +356,7 @@
 	if item == "" || len(item) > 256 || !utf8.ValidString(item) || strings.ContainsRune(item, 0) {
 		return bad("id", "the id has %d bytes, want 1 to 256 of UTF-8 without zeros", len(item))
 	}
-	t := s.conf.Terms.Current()
+	t := s.conf.Settings.Current()
 	k, ok := t.Class(h.Get("Reachwind-Class"), came)
 	if !ok {
 		return bad("class", "the class is %.40q, want one of the settings in Reachwind-Class", h.Get("Reachwind-Class"))
@@ -365,7 +365,7 @@
 		return bad("class", "class %q takes no %s", k.Name, r.Method)
 	}
 	tenant := t.TenantIndex(h.Get("Reachwind-Tenant"))
-	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.Plain(name) {
+	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.ValidCommentValue(name) {
 		return bad("tenant", "the tenant is %.40q, want a plain name", name)
 	}
 	wait := defaultWait
@@ -380,17 +380,17 @@
 		Key: h.Get("Idempotency-Key"), Retry: h.Get("Reachwind-Retry") == "1"}
 	if c.ID == "" {
 		c.ID = s.prefix + strconv.FormatUint(s.last.Add(1), 10)
-	} else if !pgwire.Plain(c.ID) {
+	} else if !pgwire.ValidCommentValue(c.ID) {
 		return bad("request-id", "the request id is %.40q, want a plain name", c.ID)
 	}
-	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.Plain(c.Key) {
+	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.ValidCommentValue(c.Key) {
 		return bad("idempotency-key", "the Idempotency-Key is %.40q, want a plain name", c.Key)
 	}
 	if op == call.Write {
-		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.Body)); err != nil {
+		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.MaxBodyBytes)); err != nil {
 			var long *http.MaxBytesError
 			if errors.As(err, &long) {
-				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.Body), outcome: record.Failed, cause: record.Invalid}
+				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.MaxBodyBytes), outcome: record.Failed, cause: record.Invalid}
 			}
 			return bad("body", "the body did not come whole")
 		}
@@ -452,7 +452,7 @@
 		return
 	}
 	h.Set("Content-Length", strconv.Itoa(len(value)))
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.conf.Write))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.conf.WriteTimeout))
 	_, _ = w.Write(value)
 }
 
--- a/internal/standin/cluster/serve.go
+++ b/internal/standin/cluster/serve.go
@@ -69,9 +69,9 @@
 	if _, err := r.Discard(n); err != nil {
 		return
 	}
-	out := pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00"))
+	out := pgwire.AppendReadyForQuery(pgwire.Append(nil, 'R', "\x00\x00\x00\x00"))
 	pool := pgwire.NewPool(1, 0)
-	buf := pool.Get(pgwire.BufSize, 0)
+	buf := pool.Get(pgwire.LargeBufSize, 0)
 	for {
 		if _, err := nc.Write(out); err != nil {
 			return
@@ -106,7 +106,7 @@
 	case hang:
 		return nil
 	case pgwire.Empty(buf.B):
-		return pgwire.AppendReady(pgwire.Append(out, 'I'))
+		return pgwire.AppendReadyForQuery(pgwire.Append(out, 'I'))
 	case strings.HasPrefix(string(buf.B), "SHOW health"):
 		m.c.mu.Lock()
 		defer m.c.mu.Unlock()
@@ -119,7 +119,7 @@
 	}
 	st, err := pgwire.Parse(buf)
 	if err != nil {
-		return pgwire.AppendReady(pgwire.AppendError(out, "ERROR", pgwire.ProtocolViolation, err.Error(), ""))
+		return pgwire.AppendReadyForQuery(pgwire.AppendError(out, "ERROR", pgwire.ProtocolViolation, err.Error(), ""))
 	}
 	select {
 	case m.slots <- struct{}{}:
@@ -127,7 +127,7 @@
 		m.c.mu.Lock()
 		m.Refused++
 		m.c.mu.Unlock()
-		return pgwire.AppendReady(pgwire.AppendError(out, "ERROR", pgwire.TooManyConnections, "queue full", ""))
+		return pgwire.AppendReadyForQuery(pgwire.AppendError(out, "ERROR", pgwire.TooManyConnections, "queue full", ""))
 	}
 	if m.c.conf.Work > 0 {
 		time.Sleep(m.c.conf.Work)
@@ -138,16 +138,16 @@
 	if m.hang {
 		return nil
 	}
-	if st.Read {
-		value, _ := m.g.get(st.Key, m.position())
-		if prefix, after, limit, ok := pgwire.ParsePage(st.Key); ok && strings.Contains(string(buf.B), " FROM pages ") {
+	if st.IsRead {
+		value, _ := m.g.get(st.ItemKey, m.position())
+		if prefix, after, limit, ok := pgwire.ParsePage(st.ItemKey); ok && strings.Contains(string(buf.B), " FROM pages ") {
 			value = m.g.page(prefix, after, limit, m.position())
 		}
 		m.Served++
 		return m.stamp(row(out, value, "SELECT 1"), m.position())
 	}
 	value, key := insert(buf.B)
-	lsn, ok := m.write(st.Key, value, key)
+	lsn, ok := m.write(st.ItemKey, value, key)
 	if !ok {
 		return m.stamp(pgwire.AppendError(out, "ERROR", pgwire.ReadOnly, "this is no primary", ""), m.position())
 	}
@@ -233,8 +233,8 @@
 	if m.primary {
 		role = "off"
 	}
-	out = pgwire.AppendStatus(out, "recovery", role)
-	return pgwire.AppendReady(pgwire.AppendStatus(out, "lsn_ms", strconv.FormatInt(lsn, 10)))
+	out = pgwire.AppendParameterStatus(out, "recovery", role)
+	return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(out, "lsn_ms", strconv.FormatInt(lsn, 10)))
 }
 
 // row is an answer of one column and one row.
--- a/internal/standin/pgclient/client.go
+++ b/internal/standin/pgclient/client.go
@@ -145,7 +145,7 @@
 		}
 		switch typ {
 		case 'D':
-			v, err := pgwire.Column(body)
+			v, err := pgwire.DataRowValue(body)
 			if err != nil {
 				return a, err
 			}
