--- a/cmd/reachwind/release.go
+++ b/cmd/reachwind/release.go
@@ -33,33 +33,33 @@
 	err = edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("release", true, func(b *edgeconf.Block) {
 			if r.Name != "" {
-				b.Fault("a second release, want one in a file")
+				b.AddFault("a second release, want one in a file")
 				return
 			}
-			r = agreed.Release{Name: b.Label, Of: b.One("of", "gateways", "gateways", "members"), Version: b.Text("version", ""), Former: b.Text("former", ""),
-				Command: b.Texts("command"), Undo: b.Texts("back"), TermMs: b.Span("term", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds(),
-				Together: int(b.Int("together", 1, 1, 1000)), AutoBack: b.One("on_halt", "stay", "stay", "back") == "back",
+			r = agreed.Release{Name: b.Label, Of: b.Enum("of", "gateways", "gateways", "members"), Version: b.String("version", ""), Former: b.String("former", ""),
+				Command: b.Strings("command"), Undo: b.Strings("back"), TermMs: b.Duration("term", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds(),
+				Together: int(b.Int("together", 1, 1, 1000)), AutoBack: b.Enum("on_halt", "stay", "stay", "back") == "back",
 				Want: agreed.Want{Off: true}}
 			b.Blocks("step", true, func(b *edgeconf.Block) {
-				r.Steps = append(r.Steps, agreed.Step{Name: b.Label, Zone: b.Text("zone", ""), Count: int(b.Int("count", 0, 0, agreed.ItemsMost)), Share: b.Number("share", 0, 0, 1),
-					PauseMs: b.Span("pause", 0, 0, 24*time.Hour).Milliseconds()})
+				r.Steps = append(r.Steps, agreed.Step{Name: b.Label, Zone: b.String("zone", ""), Count: int(b.Int("count", 0, 0, agreed.ItemsMost)), Share: b.Number("share", 0, 0, 1),
+					PauseMs: b.Duration("pause", 0, 0, 24*time.Hour).Milliseconds()})
 			})
 			b.Blocks("health", false, func(b *edgeconf.Block) {
 				r.Want = agreed.Want{Refused: b.Number("refused", 0.01, 0, 1), Late: b.Number("late", 0.02, 0, 1), P99Times: b.Number("p99_times", 2, 1, 1000),
-					Restarts: int(b.Int("restarts", 0, 0, 1000)), Least: uint64(b.Int("requests", 100, 1, 1e9)), WithinMs: b.Span("within", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds()}
+					Restarts: int(b.Int("restarts", 0, 0, 1000)), Least: uint64(b.Int("requests", 100, 1, 1e9)), WithinMs: b.Duration("within", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds()}
 			})
 			if why := r.Check(); why != "" {
-				b.Fault("%s", why)
+				b.AddFault("%s", why)
 			}
 			if r.Of == "gateways" && r.Version == "" && !r.Want.Off {
-				b.Fault("health compares versions, and no version is named: want version = what the new gateways say")
+				b.AddFault("health compares versions, and no version is named: want version = what the new gateways say")
 			}
 			if r.AutoBack && len(r.Undo) == 0 {
-				b.Fault("on_halt is \"back\", and no command back is named")
+				b.AddFault("on_halt is \"back\", and no command back is named")
 			}
 		})
 		if r.Name == "" {
-			b.Fault("no block release, want one with a name, a command and steps")
+			b.AddFault("no block release, want one with a name, a command and steps")
 		}
 	})
 	return r, err
--- a/internal/edgeconf/edgeconf.go
+++ b/internal/edgeconf/edgeconf.go
@@ -91,16 +91,16 @@
 	*f = append(*f, Fault{r.Filename, r.Start.Line, r.Start.Column, fmt.Sprintf(format, args...)})
 }
 
-// Fault notes a fault of the block as a whole.
-func (b *Block) Fault(format string, args ...any) { b.faults.add(b.place, format, args...) }
+// AddFault notes a fault of the block as a whole.
+func (b *Block) AddFault(format string, args ...any) { b.faults.add(b.place, format, args...) }
 
-// FaultAt notes a fault of an attribute, or of the block where that is absent.
-func (b *Block) FaultAt(name, format string, args ...any) {
+// AddFaultAt notes a fault of an attribute, or of the block where that is absent.
+func (b *Block) AddFaultAt(name, format string, args ...any) {
 	if a := b.body.Attributes[name]; a != nil {
 		b.faults.add(a.Expr.Range(), format, args...)
 		return
 	}
-	b.Fault(format, args...)
+	b.AddFault(format, args...)
 }
 
 // Has tells whether an attribute is there.
@@ -114,7 +114,7 @@
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() || v.IsNull() || !v.IsWhollyKnown() {
-		b.FaultAt(name, "%s is no plain value, want %s", name, want)
+		b.AddFaultAt(name, "%s is no plain value, want %s", name, want)
 		return cty.NilVal, false
 	}
 	return v, true
@@ -133,22 +133,22 @@
 	return "a " + v.Type().FriendlyName()
 }
 
-// Text reads a string.
-func (b *Block) Text(name, usual string) string {
+// String reads a string.
+func (b *Block) String(name, usual string) string {
 	v, ok := b.value(name, "a text")
 	if !ok {
 		return usual
 	}
 	if v.Type() != cty.String {
-		b.FaultAt(name, "%s is %s, want a text in quotes", name, found(v))
+		b.AddFaultAt(name, "%s is %s, want a text in quotes", name, found(v))
 		return usual
 	}
 	return v.AsString()
 }
 
-// File reads the name of a file, relative to the configuration's folder.
-func (b *Block) File(name string) string {
-	f := b.Text(name, "")
+// FilePath reads the name of a file, relative to the configuration's folder.
+func (b *Block) FilePath(name string) string {
+	f := b.String(name, "")
 	if f == "" || filepath.IsAbs(f) {
 		return f
 	}
@@ -162,7 +162,7 @@
 		return usual
 	}
 	if v.Type() != cty.Bool {
-		b.FaultAt(name, "%s is %s, want true or false", name, found(v))
+		b.AddFaultAt(name, "%s is %s, want true or false", name, found(v))
 		return usual
 	}
 	return v.True()
@@ -175,12 +175,12 @@
 		return usual
 	}
 	if v.Type() != cty.Number {
-		b.FaultAt(name, "%s is %s, want a number", name, found(v))
+		b.AddFaultAt(name, "%s is %s, want a number", name, found(v))
 		return usual
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < least || n > most {
-		b.FaultAt(name, "%s is %s, want from %g to %g", name, found(v), least, most)
+		b.AddFaultAt(name, "%s is %s, want from %g to %g", name, found(v), least, most)
 		return usual
 	}
 	return n
@@ -190,7 +190,7 @@
 func (b *Block) Int(name string, usual, least, most int64) int64 {
 	n := b.Number(name, float64(usual), float64(least), float64(most))
 	if n != math.Trunc(n) {
-		b.FaultAt(name, "%s is %g, want a whole number", name, n)
+		b.AddFaultAt(name, "%s is %g, want a whole number", name, n)
 		return usual
 	}
 	return int64(n)
@@ -203,7 +203,7 @@
 
 // Size reads bytes, as "4MB", from least to most.
 func (b *Block) Size(name string, usual, least, most int64) int64 {
-	text := b.Text(name, "")
+	text := b.String(name, "")
 	if text == "" {
 		return usual
 	}
@@ -219,10 +219,10 @@
 		if size := n * u.n; size >= float64(least) && size <= float64(most) {
 			return int64(size)
 		}
-		b.FaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(least), FormatSize(most))
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(least), FormatSize(most))
 		return usual
 	}
-	b.FaultAt(name, "%s is %q, want a size such as \"64KB\", \"4MB\" or \"1GB\"", name, text)
+	b.AddFaultAt(name, "%s is %q, want a size such as \"64KB\", \"4MB\" or \"1GB\"", name, text)
 	return usual
 }
 
@@ -236,38 +236,38 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-// Span reads a time span, as "250ms", from least to most.
-func (b *Block) Span(name string, usual, least, most time.Duration) time.Duration {
-	text := b.Text(name, "")
+// Duration reads a time span, as "250ms", from least to most.
+func (b *Block) Duration(name string, usual, least, most time.Duration) time.Duration {
+	text := b.String(name, "")
 	if text == "" {
 		return usual
 	}
 	d, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		b.FaultAt(name, "%s is %q, want a time span such as \"250ms\", \"5s\" or \"24h\"", name, text)
+		b.AddFaultAt(name, "%s is %q, want a time span such as \"250ms\", \"5s\" or \"24h\"", name, text)
 	case d < least || d > most:
-		b.FaultAt(name, "%s is %q, want from %s to %s", name, text, least, most)
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, least, most)
 	default:
 		return d
 	}
 	return usual
 }
 
-// Texts reads a list of strings.
-func (b *Block) Texts(name string) []string {
+// Strings reads a list of strings.
+func (b *Block) Strings(name string) []string {
 	v, ok := b.value(name, "a list of texts")
 	if !ok {
 		return nil
 	}
 	if !v.Type().IsTupleType() && !v.Type().IsListType() {
-		b.FaultAt(name, "%s is %s, want a list of texts such as [\"a\", \"b\"]", name, found(v))
+		b.AddFaultAt(name, "%s is %s, want a list of texts such as [\"a\", \"b\"]", name, found(v))
 		return nil
 	}
 	var texts []string
 	for _, e := range v.AsValueSlice() {
 		if e.Type() != cty.String {
-			b.FaultAt(name, "%s holds %s, want texts only", name, found(e))
+			b.AddFaultAt(name, "%s holds %s, want texts only", name, found(e))
 			return nil
 		}
 		texts = append(texts, e.AsString())
@@ -275,23 +275,23 @@
 	return texts
 }
 
-// One reads a text that must be among those given.
-func (b *Block) One(name, usual string, among ...string) string {
-	text := b.Text(name, usual)
+// Enum reads a text that must be among those given.
+func (b *Block) Enum(name, usual string, among ...string) string {
+	text := b.String(name, usual)
 	for _, a := range among {
 		if text == a {
 			return text
 		}
 	}
 	if b.Has(name) {
-		b.FaultAt(name, "%s is %q, want one of %s", name, text, quoted(among))
+		b.AddFaultAt(name, "%s is %q, want one of %s", name, text, quoted(among))
 	}
 	return usual
 }
 
-// Some reads a list of texts that must be among those given, as their places.
-func (b *Block) Some(name string, among []string) (places []int) {
-	for _, text := range b.Texts(name) {
+// EnumIndexes reads a list of texts that must be among those given, as their places.
+func (b *Block) EnumIndexes(name string, among []string) (places []int) {
+	for _, text := range b.Strings(name) {
 		at := -1
 		for i, a := range among {
 			if a == text {
@@ -299,7 +299,7 @@
 			}
 		}
 		if at < 0 {
-			b.FaultAt(name, "%s holds %q, want some of %s", name, text, quoted(among))
+			b.AddFaultAt(name, "%s holds %q, want some of %s", name, text, quoted(among))
 			continue
 		}
 		places = append(places, at)
@@ -329,16 +329,16 @@
 		in := &Block{Type: kind, dir: b.dir, body: h.Body, faults: b.faults, seen: map[string]bool{}, place: h.DefRange()}
 		switch {
 		case labelled && (len(h.Labels) != 1 || h.Labels[0] == ""):
-			in.Fault("block %s has %d labels, want one: its name", kind, len(h.Labels))
+			in.AddFault("block %s has %d labels, want one: its name", kind, len(h.Labels))
 		case !labelled && len(h.Labels) > 0:
-			in.Fault("block %s has a label, want none", kind)
+			in.AddFault("block %s has a label, want none", kind)
 		case !labelled && n > 1:
-			in.Fault("a second block %s, want one at most", kind)
+			in.AddFault("a second block %s, want one at most", kind)
 		}
 		if len(h.Labels) > 0 {
 			in.Label = h.Labels[0]
 			if labels[in.Label] {
-				in.Fault("a second block %s %q, want a name that no other has", kind, in.Label)
+				in.AddFault("a second block %s %q, want a name that no other has", kind, in.Label)
 			}
 			labels[in.Label] = true
 		}
--- a/internal/edgeconf/edgeconf_test.go
+++ b/internal/edgeconf/edgeconf_test.go
@@ -28,10 +28,10 @@
 	err := Parse("edge.hcl", []byte(text), func(b *Block) {
 		b.Blocks("box", false, func(b *Block) {
 			b.Size("size", 1, 1, 1<<30)
-			b.Span("wait", 0, time.Second, time.Minute)
+			b.Duration("wait", 0, time.Second, time.Minute)
 			b.Int("count", 0, 0, 9)
-			b.Texts("names")
-			b.One("kind", "red", "red", "green")
+			b.Strings("names")
+			b.Enum("kind", "red", "red", "green")
 		})
 		b.Blocks("item", true, func(b *Block) { b.Size("big", 1, 1, 1<<30) })
 	})
@@ -71,8 +71,8 @@
 		_ = Parse("f", text, func(b *Block) {
 			b.Blocks("box", false, func(b *Block) {
 				b.Size("size", 1, 1, 10)
-				b.Texts("names")
-				b.Span("wait", 0, 0, 1)
+				b.Strings("names")
+				b.Duration("wait", 0, 0, 1)
 				b.Bool("on", false)
 				b.Number("n", 0, 0, 1)
 			})
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -46,29 +46,29 @@
 // Read reads a fleet block. Faults are the block's.
 func Read(b *edgeconf.Block) Config {
 	c := Config{
-		Listen:    b.Text("listen", ""),
-		Advertise: b.Text("advertise", ""),
-		Admin:     b.Text("admin", ""),
-		Seeds:     b.Texts("seeds"),
-		SeedFile:  b.File("seed_file"),
-		Council:   b.Texts("council"),
-		Zone:      b.Text("zone", ""),
-		Region:    b.Text("region", ""),
-		KeyFile:   b.File("key_file"),
-		Folder:    b.File("folder"),
-		Events:    b.File("events"),
+		Listen:    b.String("listen", ""),
+		Advertise: b.String("advertise", ""),
+		Admin:     b.String("admin", ""),
+		Seeds:     b.Strings("seeds"),
+		SeedFile:  b.FilePath("seed_file"),
+		Council:   b.Strings("council"),
+		Zone:      b.String("zone", ""),
+		Region:    b.String("region", ""),
+		KeyFile:   b.FilePath("key_file"),
+		Folder:    b.FilePath("folder"),
+		Events:    b.FilePath("events"),
 		Bytes:     int(b.Size("bytes_per_second", bytesUsual, bytesLeast, bytesMost)),
-		Keep:      b.Span("keep_failed", 24*time.Hour, time.Minute, 30*24*time.Hour),
+		Keep:      b.Duration("keep_failed", 24*time.Hour, time.Minute, 30*24*time.Hour),
 		Routes:    map[string]string{},
 
-		SignalWait: b.Span("signal_wait", drain.SignalWait, 0, time.Minute),
+		SignalWait: b.Duration("signal_wait", drain.SignalWait, 0, time.Minute),
 	}
 	address := func(in *edgeconf.Block, name, value string, wanted bool) {
 		if value == "" && !wanted {
 			return
 		}
 		if _, port, err := net.SplitHostPort(value); err != nil || port == "" || len(value) > swim.AddrMost {
-			in.FaultAt(name, "%s is %q, want host:port", name, value)
+			in.AddFaultAt(name, "%s is %q, want host:port", name, value)
 		}
 	}
 	address(b, "listen", c.Listen, true)
@@ -76,7 +76,7 @@
 	address(b, "admin", c.Admin, false)
 	if host, _, err := net.SplitHostPort(c.Admin); c.Admin != "" && err == nil {
 		if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-			b.FaultAt("admin", "admin is %q, want a loopback address", c.Admin)
+			b.AddFaultAt("admin", "admin is %q, want a loopback address", c.Admin)
 		}
 	}
 	for _, s := range c.Seeds {
@@ -86,31 +86,31 @@
 		address(b, "council", s, true)
 	}
 	if len(c.Council) > 7 {
-		b.FaultAt("council", "%d voters, want at most 7", len(c.Council))
+		b.AddFaultAt("council", "%d voters, want at most 7", len(c.Council))
 	}
 	if len(c.Seeds) > seedsMost {
-		b.FaultAt("seeds", "%d seeds, want at most %d", len(c.Seeds), seedsMost)
+		b.AddFaultAt("seeds", "%d seeds, want at most %d", len(c.Seeds), seedsMost)
 	}
 	if len(c.Zone) > swim.NameMost || len(c.Region) > swim.NameMost {
-		b.Fault("zone or region is longer than %d bytes", swim.NameMost)
+		b.AddFault("zone or region is longer than %d bytes", swim.NameMost)
 	}
 	b.Blocks("route", true, func(r *edgeconf.Block) {
-		to := r.Text("address", "")
+		to := r.String("address", "")
 		address(r, "address", to, true)
 		c.Routes[r.Label] = to
 	})
 	switch {
 	case c.KeyFile == "":
-		b.Fault("no key_file, want a file with a base64 key of 32 bytes a line")
+		b.AddFault("no key_file, want a file with a base64 key of 32 bytes a line")
 	default:
 		var err error
 		if c.Keys, err = peers.ReadKeys(c.KeyFile); err != nil {
-			b.FaultAt("key_file", "%v", err)
+			b.AddFaultAt("key_file", "%v", err)
 		}
 	}
 	if c.SeedFile != "" {
 		if _, err := readSeeds(c.SeedFile); err != nil {
-			b.FaultAt("seed_file", "%v", err)
+			b.AddFaultAt("seed_file", "%v", err)
 		}
 	}
 	return c
--- a/internal/fleet/council/config.go
+++ b/internal/fleet/council/config.go
@@ -38,7 +38,7 @@
 			c = &read
 		})
 		if c == nil {
-			b.Fault("no block council, want one")
+			b.AddFault("no block council, want one")
 		}
 	})
 	return c, err
@@ -46,63 +46,63 @@
 
 // Read reads a council block. Faults are the block's.
 func Read(b *edgeconf.Block) Config {
-	c := Config{Name: b.Text("name", ""), Listen: b.Text("listen", ""), Admin: b.Text("admin", ""), Folder: b.File("folder"), KeyFile: b.File("key_file"),
+	c := Config{Name: b.String("name", ""), Listen: b.String("listen", ""), Admin: b.String("admin", ""), Folder: b.FilePath("folder"), KeyFile: b.FilePath("key_file"),
 		Voters: map[string]string{}}
 	address := func(in *edgeconf.Block, name, value string) {
 		if _, port, err := net.SplitHostPort(value); err != nil || port == "" {
-			in.FaultAt(name, "%s is %q, want host:port", name, value)
+			in.AddFaultAt(name, "%s is %q, want host:port", name, value)
 		}
 	}
 	address(b, "listen", c.Listen)
 	address(b, "admin", c.Admin)
 	if host, _, err := net.SplitHostPort(c.Admin); err == nil && host != "localhost" {
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-			b.FaultAt("admin", "admin is %q, want a loopback address", c.Admin)
+			b.AddFaultAt("admin", "admin is %q, want a loopback address", c.Admin)
 		}
 	}
 	b.Blocks("voter", true, func(v *edgeconf.Block) {
-		at := v.Text("address", "")
+		at := v.String("address", "")
 		address(v, "address", at)
 		if len(v.Label) > swim.NameMost {
-			v.Fault("a name of %d bytes, want at most %d", len(v.Label), swim.NameMost)
+			v.AddFault("a name of %d bytes, want at most %d", len(v.Label), swim.NameMost)
 		}
 		c.Voters[v.Label] = at
 	})
 	b.Blocks("zone", true, func(z *edgeconf.Block) {
-		one := zoneplan.Zone{Name: z.Label, Region: z.Text("region", ""), Capacity: z.Number("capacity", 0, 0, 1e9)}
-		for _, n := range z.Texts("near") {
+		one := zoneplan.Zone{Name: z.Label, Region: z.String("region", ""), Capacity: z.Number("capacity", 0, 0, 1e9)}
+		for _, n := range z.Strings("near") {
 			one.Near = append(one.Near, zoneplan.Neighbour{Zone: n})
 		}
 		if len(z.Label) > agreed.TextMost {
-			z.Fault("a name of %d bytes, want at most %d", len(z.Label), agreed.TextMost)
+			z.AddFault("a name of %d bytes, want at most %d", len(z.Label), agreed.TextMost)
 		}
 		c.Zones = append(c.Zones, one)
 	})
 	for _, z := range c.Zones {
 		for _, n := range z.Near {
 			if n.Zone == z.Name || !slices.ContainsFunc(c.Zones, func(o zoneplan.Zone) bool { return o.Name == n.Zone }) {
-				b.Fault("zone %q is near %q, want another zone that has a block", z.Name, n.Zone)
+				b.AddFault("zone %q is near %q, want another zone that has a block", z.Name, n.Zone)
 			}
 		}
 	}
 	if len(c.Zones) > agreed.ZonesMost {
-		b.Fault("%d zones, want at most %d", len(c.Zones), agreed.ZonesMost)
+		b.AddFault("%d zones, want at most %d", len(c.Zones), agreed.ZonesMost)
 	}
 	if _, ok := c.Voters[c.Name]; !ok {
-		b.FaultAt("name", "name is %q, want that of one of the voters", c.Name)
+		b.AddFaultAt("name", "name is %q, want that of one of the voters", c.Name)
 	}
 	if n := len(c.Voters); n < VotersLeast || n > VotersMost || n%2 == 0 {
-		b.Fault("%d voters, want 3, 5 or 7 (1 to try things out)", n)
+		b.AddFault("%d voters, want 3, 5 or 7 (1 to try things out)", n)
 	}
 	if c.Folder == "" {
-		b.Fault("no folder, want one that lasts")
+		b.AddFault("no folder, want one that lasts")
 	}
 	if c.KeyFile == "" {
-		b.Fault("no key_file, want a file with a base64 key of 32 bytes a line")
+		b.AddFault("no key_file, want a file with a base64 key of 32 bytes a line")
 	} else {
 		var err error
 		if c.Keys, err = peers.ReadKeys(c.KeyFile); err != nil {
-			b.FaultAt("key_file", "%v", err)
+			b.AddFaultAt("key_file", "%v", err)
 		}
 	}
 	return c
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -54,7 +54,7 @@
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
 			f := fleet.Read(b)
 			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.NameMost {
-				b.Fault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.NameMost)
+				b.AddFault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.NameMost)
 			}
 			e.Fleet = &f
 		})
--- a/internal/lab/rig/scenario.go
+++ b/internal/lab/rig/scenario.go
@@ -67,33 +67,33 @@
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("group", false, func(b *edgeconf.Block) {
 			s.Size = int(b.Int("size", 3, 2, sizeMost))
-			s.Zones = b.Texts("zones")
+			s.Zones = b.Strings("zones")
 			s.Seeds = int(b.Int("seeds", 2, 1, sizeMost))
 		})
 		b.Blocks("load", true, func(b *edgeconf.Block) {
 			s.Loads = append(s.Loads, Load{b.Label, b.Number("rate", 20, 1, 2000), b.Number("served", 0, 0, 1)})
 		})
 		b.Blocks("step", true, func(b *edgeconf.Block) {
-			st := Step{Name: b.Label, At: b.Span("at", 0, 0, time.Hour), Heal: b.Bool("heal", false), Kill: b.Texts("kill"), Start: b.Texts("start"),
-				Pause: b.Texts("pause"), Resume: b.Texts("resume"), Wipe: b.Texts("wipe")}
+			st := Step{Name: b.Label, At: b.Duration("at", 0, 0, time.Hour), Heal: b.Bool("heal", false), Kill: b.Strings("kill"), Start: b.Strings("start"),
+				Pause: b.Strings("pause"), Resume: b.Strings("resume"), Wipe: b.Strings("wipe")}
 			b.Blocks("link", true, func(b *edgeconf.Block) {
-				st.Links = append(st.Links, LinkFault{b.Texts("from"), b.Texts("to"), b.Bool("both", true), Link{Cut: b.Bool("cut", false),
-					Delay: b.Span("delay", 0, 0, 10*time.Second), Jitter: b.Span("jitter", 0, 0, 10*time.Second), Loss: b.Number("loss", 0, 0, 1),
+				st.Links = append(st.Links, LinkFault{b.Strings("from"), b.Strings("to"), b.Bool("both", true), Link{Cut: b.Bool("cut", false),
+					Delay: b.Duration("delay", 0, 0, 10*time.Second), Jitter: b.Duration("jitter", 0, 0, 10*time.Second), Loss: b.Number("loss", 0, 0, 1),
 					Repeat: b.Number("repeat", 0, 0, 1), Reset: b.Bool("reset", false), Bandwidth: int(b.Size("bandwidth", 0, 0, 1<<30))}})
 			})
 			s.Steps = append(s.Steps, st)
 		})
 		b.Blocks("hold", true, func(b *edgeconf.Block) {
-			h := Hold{Name: b.Label, At: b.Span("at", 0, 0, time.Hour), Within: b.Span("within", time.Minute, 0, time.Hour), Of: b.Texts("of"),
-				Verdict: b.One("verdict", "", "", "whole", "minority", "alone")}
+			h := Hold{Name: b.Label, At: b.Duration("at", 0, 0, time.Hour), Within: b.Duration("within", time.Minute, 0, time.Hour), Of: b.Strings("of"),
+				Verdict: b.Enum("verdict", "", "", "whole", "minority", "alone")}
 			if len(h.Of) == 0 {
 				h.Of = []string{"*"}
 			}
 			s.Holds = append(s.Holds, h)
 		})
-		b.Blocks("never", false, func(b *edgeconf.Block) { s.Never = b.Texts("failed") })
+		b.Blocks("never", false, func(b *edgeconf.Block) { s.Never = b.Strings("failed") })
 		if s.Size == 0 {
-			b.Fault("no block group, want one with size and zones")
+			b.AddFault("no block group, want one with size and zones")
 		}
 		for _, st := range s.Steps {
 			for _, l := range st.Links {
@@ -112,7 +112,7 @@
 		var i int
 		_, err := fmt.Sscanf(name, "gw-%d", &i)
 		if name != "*" && !(ok && slices.Contains(s.Zones, zone)) && (err != nil || i < 0 || i >= s.Size) {
-			b.Fault("there is no %q, want gw-00 to gw-%02d, zone:NAME or *", name, s.Size-1)
+			b.AddFault("there is no %q, want gw-00 to gw-%02d, zone:NAME or *", name, s.Size-1)
 		}
 	}
 }
--- a/internal/logship/edge.go
+++ b/internal/logship/edge.go
@@ -24,8 +24,8 @@
 func Read(b *edgeconf.Block, names Names) Config {
 	c := Config{
 		Syslog: syslog.Config{
-			Hostname:   b.Text("hostname", ""),
-			AppName:    b.Text("app_name", "reachwind"),
+			Hostname:   b.String("hostname", ""),
+			AppName:    b.String("app_name", "reachwind"),
 			Enterprise: int(b.Int("enterprise", 32473, 1, math.MaxUint32)),
 			MaxBytes:   int(b.Int("max_bytes", syslog.UsualMax, syslog.LeastMax, 32<<10)),
 			Facility:   16 + int(b.Int("facility_local", 0, 0, 7)),
@@ -33,21 +33,21 @@
 			Classes:    names.Classes,
 			Tenants:    names.Tenants,
 		},
-		Linger:     b.Span("linger", 0, time.Millisecond, time.Second),
-		WarnExpiry: b.Span("warn_expiry", 0, time.Hour, spanMost),
+		Linger:     b.Duration("linger", 0, time.Millisecond, time.Second),
+		WarnExpiry: b.Duration("warn_expiry", 0, time.Hour, spanMost),
 		Resend:     int(b.Size("resend", 0, 0, 1<<30)),
 		CatchUp:    b.Number("catch_up", 0, 1, 1e9),
 	}
 	b.Blocks("queue", false, func(q *edgeconf.Block) {
 		c.Memory = int(q.Size("memory", 0, memoryLeast, 1<<32))
-		c.Spool = q.File("spool")
+		c.Spool = q.FilePath("spool")
 		c.Disk = q.Size("disk", 0, diskLeast, sizeMost)
-		c.MaxAge = q.Span("max_age", 0, time.Second, spanMost)
-		c.Sync = q.Span("sync", 0, 10*time.Millisecond, time.Minute)
+		c.MaxAge = q.Duration("max_age", 0, time.Second, spanMost)
+		c.Sync = q.Duration("sync", 0, 10*time.Millisecond, time.Minute)
 		if c.Spool == "" {
 			for _, n := range []string{"disk", "max_age", "sync"} {
 				if q.Has(n) {
-					q.FaultAt(n, "%s is for a spool, and none is named", n)
+					q.AddFaultAt(n, "%s is for a spool, and none is named", n)
 				}
 			}
 		}
@@ -57,46 +57,46 @@
 	b.Blocks("collector", true, func(k *edgeconf.Block) {
 		known[k.Label] = len(c.Collectors)
 		blocks = append(blocks, k)
-		c.Collectors = append(c.Collectors, Collector{Name: k.Label, Address: k.Text("address", ""),
-			Transport: Transport(k.One("transport", string(TCP), string(UDP), string(TCP), string(TLS))),
-			Framing:   Framing(k.One("framing", "", string(Octets), string(LF))),
-			Files:     tlskeys.Files{Cert: k.File("cert"), Key: k.File("key"), CA: k.File("ca")}, ServerName: k.Text("server_name", ""),
-			Fingerprints: k.Texts("fingerprints"),
-			Connect:      k.Span("connect_wait", 0, 10*time.Millisecond, time.Minute),
-			Write:        k.Span("write_wait", 0, 10*time.Millisecond, time.Minute)})
+		c.Collectors = append(c.Collectors, Collector{Name: k.Label, Address: k.String("address", ""),
+			Transport: Transport(k.Enum("transport", string(TCP), string(UDP), string(TCP), string(TLS))),
+			Framing:   Framing(k.Enum("framing", "", string(Octets), string(LF))),
+			Files:     tlskeys.Files{Cert: k.FilePath("cert"), Key: k.FilePath("key"), CA: k.FilePath("ca")}, ServerName: k.String("server_name", ""),
+			Fingerprints: k.Strings("fingerprints"),
+			Connect:      k.Duration("connect_wait", 0, 10*time.Millisecond, time.Minute),
+			Write:        k.Duration("write_wait", 0, 10*time.Millisecond, time.Minute)})
 		probe := c.Collectors[len(c.Collectors)-1]
 		if err := probe.defaults(); err != nil {
-			k.Fault("collector %q: %v", k.Label, err)
+			k.AddFault("collector %q: %v", k.Label, err)
 		} else if probe.Transport == TLS {
 			if _, err := tlskeys.Open(probe.Files); err != nil {
-				k.Fault("collector %q: %v", k.Label, err)
+				k.AddFault("collector %q: %v", k.Label, err)
 			}
 		}
 	})
 	customers := append([]string{""}, names.Tenants...)
 	b.Blocks("route", true, func(r *edgeconf.Block) {
-		route := Route{Collectors: r.Texts("to")}
+		route := Route{Collectors: r.Strings("to")}
 		route.Name = r.Label
-		for _, i := range r.Some("kind", record.Kinds[:record.Gap]) {
+		for _, i := range r.EnumIndexes("kind", record.Kinds[:record.Gap]) {
 			route.Kinds = append(route.Kinds, record.Kind(i))
 		}
-		severity := r.One("severity", "", record.Severities[record.Err:]...)
+		severity := r.Enum("severity", "", record.Severities[record.Err:]...)
 		for i, s := range record.Severities {
 			if s == severity {
 				route.Severity = record.Severity(i)
 			}
 		}
-		route.Classes = r.Some("class", names.Classes)
-		for _, i := range r.Some("customer", customers) {
+		route.Classes = r.EnumIndexes("class", names.Classes)
+		for _, i := range r.EnumIndexes("customer", customers) {
 			route.Customers = append(route.Customers, i-1)
 		}
-		for _, i := range r.Some("outcome", record.Outcomes[:]) {
+		for _, i := range r.EnumIndexes("outcome", record.Outcomes[:]) {
 			route.Outcomes = append(route.Outcomes, record.Outcome(i))
 		}
-		route.Members = r.Texts("member")
+		route.Members = r.Strings("member")
 		route.Rate = r.Number("rate", 0, 0, 1e9)
 		route.Sample = r.Number("sample", 0, 1e-6, 1)
-		mode := r.One("mode", "all", logroute.Modes[:]...)
+		mode := r.Enum("mode", "all", logroute.Modes[:]...)
 		for i, m := range logroute.Modes {
 			if m == mode {
 				route.Mode = logroute.Mode(i)
@@ -105,23 +105,23 @@
 		route.Continue = r.Bool("continue", false)
 		for i, to := range route.Collectors {
 			if _, ok := known[to]; !ok {
-				r.FaultAt("to", "route %q: there is no collector %q", r.Label, to)
+				r.AddFaultAt("to", "route %q: there is no collector %q", r.Label, to)
 			}
 			for _, before := range route.Collectors[:i] {
 				if before == to {
-					r.FaultAt("to", "route %q names collector %q twice", r.Label, to)
+					r.AddFaultAt("to", "route %q names collector %q twice", r.Label, to)
 				}
 			}
 		}
 		if len(route.Collectors) == 0 {
-			r.FaultAt("to", "route %q names no collector, want at least one in to", r.Label)
+			r.AddFaultAt("to", "route %q names no collector, want at least one in to", r.Label)
 		}
 		if c.Routes = append(c.Routes, route); len(c.Routes) > routeMost {
-			r.Fault("%d routes, want %d at most", len(c.Routes), routeMost)
+			r.AddFault("%d routes, want %d at most", len(c.Routes), routeMost)
 		}
 	})
 	if len(c.Collectors) == 0 || len(c.Routes) == 0 {
-		b.Fault("syslog has %d collectors and %d routes, want at least one of each", len(c.Collectors), len(c.Routes))
+		b.AddFault("syslog has %d collectors and %d routes, want at least one of each", len(c.Collectors), len(c.Routes))
 		return c
 	}
 	probe := c
@@ -129,10 +129,10 @@
 	probe.Routes = append([]Route(nil), c.Routes...)
 	usual(&probe.Memory, memoryUsual)
 	if _, err := syslog.New(probe.Syslog); err != nil {
-		b.Fault("syslog: %v", err)
+		b.AddFault("syslog: %v", err)
 	}
 	if least := memoryLeast * len(c.Collectors); probe.Memory < least {
-		b.Fault("memory is %s, want at least %s for %d collectors", edgeconf.FormatSize(int64(probe.Memory)), edgeconf.FormatSize(int64(least)), len(c.Collectors))
+		b.AddFault("memory is %s, want at least %s for %d collectors", edgeconf.FormatSize(int64(probe.Memory)), edgeconf.FormatSize(int64(least)), len(c.Collectors))
 	}
 	return c
 }
--- a/internal/restfront/edge.go
+++ b/internal/restfront/edge.go
@@ -21,15 +21,15 @@
 
 // ReadConfig reads the rest block.
 func ReadConfig(b *edgeconf.Block) Config {
-	c := Config{Listen: b.Text("listen", ""), MaxConnections: int(b.Int("connections", maxUsual, 1, 100_000)), MaxBodyBytes: b.Size("body", bodyUsual, 1, bodyUsual),
-		HeaderTimeout: b.Span("header_wait", headerUsual, 10*time.Millisecond, time.Minute), ReadTimeout: b.Span("read_wait", readUsual, 10*time.Millisecond, time.Minute),
-		WriteTimeout: b.Span("write_wait", writeUsual, 10*time.Millisecond, time.Minute), IdleTimeout: b.Span("idle", idleUsual, 100*time.Millisecond, time.Hour),
-		CursorKeysFile: b.File("cursor_keys"), CursorLifetime: b.Span("cursor_life", lifeUsual, time.Second, 30*24*time.Hour)}
+	c := Config{Listen: b.String("listen", ""), MaxConnections: int(b.Int("connections", maxUsual, 1, 100_000)), MaxBodyBytes: b.Size("body", bodyUsual, 1, bodyUsual),
+		HeaderTimeout: b.Duration("header_wait", headerUsual, 10*time.Millisecond, time.Minute), ReadTimeout: b.Duration("read_wait", readUsual, 10*time.Millisecond, time.Minute),
+		WriteTimeout: b.Duration("write_wait", writeUsual, 10*time.Millisecond, time.Minute), IdleTimeout: b.Duration("idle", idleUsual, 100*time.Millisecond, time.Hour),
+		CursorKeysFile: b.FilePath("cursor_keys"), CursorLifetime: b.Duration("cursor_life", lifeUsual, time.Second, 30*24*time.Hour)}
 	if _, err := c.ring(); err != nil {
-		b.FaultAt("cursor_keys", "cursor_keys: %v", err)
+		b.AddFaultAt("cursor_keys", "cursor_keys: %v", err)
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		b.FaultAt("listen", "listen is %q, want an address as \"127.0.0.1:8080\"", c.Listen)
+		b.AddFaultAt("listen", "listen is %q, want an address as \"127.0.0.1:8080\"", c.Listen)
 	}
 	return c
 }
