--- a/cmd/reachwind/drain.go
+++ b/cmd/reachwind/drain.go
@@ -16,7 +16,7 @@
 func addDrain(c *cobra.Command, admin *string, asJSON *bool) {
 	var term, wait time.Duration
 	var reason string
-	ask := func(q fleet.DrainAsk) (a fleet.DrainAnswer, err error) {
+	ask := func(q fleet.DrainRequest) (a fleet.DrainResponse, err error) {
 		body, err := json.Marshal(q)
 		if err != nil {
 			return a, err
@@ -32,7 +32,7 @@
 	}
 	d := &cobra.Command{Use: "drain", Short: "have a gateway go out of service, by a permit of the council; returns once nothing is in work there", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			a, err := ask(fleet.DrainAsk{TermMs: term.Milliseconds(), WaitMs: wait.Milliseconds(), Reason: reason})
+			a, err := ask(fleet.DrainRequest{TermMs: term.Milliseconds(), WaitMs: wait.Milliseconds(), Reason: reason})
 			if err == nil && a.Refused != "" {
 				err = exitError{exTempFail, errors.New("not drained: " + a.Refused)}
 			}
@@ -51,7 +51,7 @@
 	back := &cobra.Command{Use: "undrain [TARGET]", Short: "have a gateway come back, by its own --admin; or tell the council that TARGET, whose permit ended, is back", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				a, err := ask(fleet.DrainAsk{Back: true})
+				a, err := ask(fleet.DrainRequest{Back: true})
 				if err != nil || *asJSON {
 					return show(cmd.OutOrStdout(), a, err)
 				}
--- a/cmd/reachwind/fleet.go
+++ b/cmd/reachwind/fleet.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"reachwind/internal/fleet"
-	"reachwind/internal/fleet/belief"
+	"reachwind/internal/fleet/observation"
 	"reachwind/internal/fleet/view"
 )
 
@@ -63,7 +63,7 @@
 			if m.Drain {
 				state += ", drains"
 			}
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%v\t%d\t%s\t%.1f ms\t%s\t%s\n", name, m.Zone, m.Region, state, m.Sure,
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%v\t%d\t%s\t%.1f ms\t%s\t%s\n", name, m.Zone, m.Region, state, m.Confidence,
 				(time.Duration(m.SinceMs) * time.Millisecond).Round(100*time.Millisecond), m.Epoch, m.Verdict, m.RTTMs, m.Address, m.Version)
 		}
 		return w.Flush()
@@ -78,7 +78,7 @@
 		for _, r := range v.Reasons {
 			_, _ = fmt.Fprintln(out, " ", r)
 		}
-		_, _ = fmt.Fprintln(out, "parts of shared budgets, 1 = its own:", pairs(v.Parts))
+		_, _ = fmt.Fprintln(out, "parts of shared budgets, 1 = its own:", pairs(v.Quotas))
 		_, _ = fmt.Fprintln(out, "counts:", pairs(v.Counts))
 		if s := v.Council; s != nil {
 			_, _ = fmt.Fprintf(out, "council: leader %q, index %d, heard %v ago, permit %d\n", s.Leader, s.Index, (time.Duration(s.AgeMs) * time.Millisecond).Round(100*time.Millisecond), s.Fence)
@@ -86,7 +86,7 @@
 		return nil
 	})
 	add("beliefs", "what is claimed of members, by whom", func(out io.Writer) error {
-		var lines []belief.Line
+		var lines []observation.MemberSummary
 		if err := ask(admin, "/v1/beliefs", &lines); err != nil || asJSON {
 			return show(out, lines, err)
 		}
@@ -107,7 +107,7 @@
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		_, _ = fmt.Fprintln(w, "ACT\tMINE\tTHEIRS\tALLOWED\tWHY")
 		for _, r := range view.Rules() {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\n", r.Act, r.Mine, r.Theirs, r.Allowed, r.Why)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\n", r.Operation, r.OwnVerdict, r.PeerVerdict, r.Allowed, r.Reason)
 		}
 		return w.Flush()
 	})
--- a/cmd/reachwind/main_test.go
+++ b/cmd/reachwind/main_test.go
@@ -284,11 +284,11 @@
 		t.Fatal(err)
 	}
 	var rules []view.Rule
-	if err := json.Unmarshal([]byte(out.String()), &rules); err != nil || len(rules) != 9*len(view.Acts) {
+	if err := json.Unmarshal([]byte(out.String()), &rules); err != nil || len(rules) != 9*len(view.OperationNames) {
 		t.Fatalf("%d rules, %v", len(rules), err)
 	}
 	for _, r := range rules { // whatever is cut, every gateway serves; nobody borrows or drains towards who is cut off
-		if strings.HasPrefix(r.Act, "serve") && !r.Allowed || (r.Act == "start a drain" || r.Act == "take larger budgets") && r.Allowed && r.Mine != "whole" {
+		if strings.HasPrefix(r.Operation, "serve") && !r.Allowed || (r.Operation == "start a drain" || r.Operation == "take larger budgets") && r.Allowed && r.OwnVerdict != "whole" {
 			t.Errorf("%+v", r)
 		}
 	}
--- a/cmd/windlab/beliefs.go
+++ b/cmd/windlab/beliefs.go
@@ -185,7 +185,7 @@
 
 // explained tells whether the member was in trouble at the time of an event, or a little before.
 func explained(e fleet.Event, troubles []trouble) bool {
-	at := time.Unix(0, e.Wall)
+	at := time.Unix(0, e.WallNs)
 	for _, t := range troubles {
 		if t.member == e.Member && at.After(t.begin.Add(-100*time.Millisecond)) && at.Before(t.end.Add(3*time.Second)) {
 			return true
--- a/cmd/windlab/councilcost.go
+++ b/cmd/windlab/councilcost.go
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	s := &subscribers{stop: make(chan struct{}), told: map[string]map[string]time.Time{}}
-	if s.net, err = peers.Listen(peers.Config{Listen: "127.0.0.1:0", Keys: keys, Bytes: 64 << 20}, slog.New(slog.DiscardHandler)); err != nil {
+	if s.net, err = peers.Listen(peers.Config{Listen: "127.0.0.1:0", Keys: keys, BytesPerSecond: 64 << 20}, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
 	go func() {
@@ -52,9 +52,9 @@
 			select {
 			case <-s.stop:
 				return
-			case m := <-s.net.In():
-				var t subscribe.Told
-				if len(m.Frame) < 2 || m.Frame[0] != subscribe.FrameTold || cbor.Unmarshal(m.Frame[1:], &t) != nil {
+			case m := <-s.net.Received():
+				var t subscribe.Update
+				if len(m.Frame) < 2 || m.Frame[0] != subscribe.FrameUpdate || cbor.Unmarshal(m.Frame[1:], &t) != nil {
 					continue
 				}
 				now := time.Now()
@@ -88,7 +88,7 @@
 				case <-time.After(time.Second / time.Duration(n)):
 				}
 				counts.Classes[0].Requests++
-				b := sub.Report(time.Since(begin), subscribe.Report{Name: fmt.Sprintf("sub-%03d", i), Zone: string(rune('a' + i%3)), Epoch: 1, Addr: s.net.Addr(), Version: "1", Counts: counts})
+				b := sub.NextReport(time.Since(begin), subscribe.Report{Name: fmt.Sprintf("sub-%03d", i), Zone: string(rune('a' + i%3)), Epoch: 1, Addr: s.net.AdvertisedAddr(), Version: "1", Counts: counts})
 				for _, a := range c.Listens() {
 					s.net.Send("", a, append([]byte{subscribe.FrameReport}, b...), false, false)
 				}
--- a/internal/branch/when/when_test.go
+++ b/internal/branch/when/when_test.go
@@ -81,7 +81,7 @@
 				}
 			}
 		}
-		p := Peers{Verdict: view.Whole, Office: 2, Far: far, SeesFar: !down}
+		p := Peers{Verdict: view.Majority, Office: 2, Far: far, SeesFar: !down}
 		if in && what == election && odds(0.5) {
 			p.Far = 0 // the data centre's gateways are being rolled meanwhile
 		}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -43,8 +43,8 @@
 	files                             = 2 + 16 + 8 + 8
 )
 
-// Read reads a fleet block. Faults are the block's.
-func Read(b *edgeconf.Block) Config {
+// ReadConfig reads a fleet block. Faults are the block's.
+func ReadConfig(b *edgeconf.Block) Config {
 	c := Config{
 		Listen:    b.String("listen", ""),
 		Advertise: b.String("advertise", ""),
@@ -67,7 +67,7 @@
 		if value == "" && !wanted {
 			return
 		}
-		if _, port, err := net.SplitHostPort(value); err != nil || port == "" || len(value) > swim.AddrMost {
+		if _, port, err := net.SplitHostPort(value); err != nil || port == "" || len(value) > swim.MaxAddrBytes {
 			in.AddFaultAt(name, "%s is %q, want host:port", name, value)
 		}
 	}
@@ -91,8 +91,8 @@
 	if len(c.Seeds) > seedsMost {
 		b.AddFaultAt("seeds", "%d seeds, want at most %d", len(c.Seeds), seedsMost)
 	}
-	if len(c.Zone) > swim.NameMost || len(c.Region) > swim.NameMost {
-		b.AddFault("zone or region is longer than %d bytes", swim.NameMost)
+	if len(c.Zone) > swim.MaxNameBytes || len(c.Region) > swim.MaxNameBytes {
+		b.AddFault("zone or region is longer than %d bytes", swim.MaxNameBytes)
 	}
 	b.Blocks("route", true, func(r *edgeconf.Block) {
 		to := r.String("address", "")
--- a/internal/fleet/council/admin.go
+++ b/internal/fleet/council/admin.go
@@ -87,7 +87,7 @@
 	m := v.node.Machine
 	s := Status{Name: v.conf.Name, Quorum: id != 0, Leader: v.name(id), Leading: leading, Term: v.node.Term(), Index: m.Index(), TimeMs: m.Time(),
 		Budgets: m.Budgets(), Permits: m.Permits(), Targets: m.Targets(), Releases: m.Releases(), Rules: m.Rules(), Serves: m.Serves(),
-		Form: m.Form(), Identity: v.life.Identity, ID: v.self, Listen: v.net.Addr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneActs()), Starts: v.life.Starts, Lineage: m.Lineage()}
+		Form: m.Form(), Identity: v.life.Identity, ID: v.self, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneActs()), Starts: v.life.Starts, Lineage: m.Lineage()}
 	conf := v.node.Conf()
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
 		o := VoterState{Name: v.name(id), ID: id, Address: v.address(id), Learns: slices.Contains(conf.Learners, id), HeardMs: -1}
--- a/internal/fleet/council/config.go
+++ b/internal/fleet/council/config.go
@@ -63,8 +63,8 @@
 	b.Blocks("voter", true, func(v *edgeconf.Block) {
 		at := v.String("address", "")
 		address(v, "address", at)
-		if len(v.Label) > swim.NameMost {
-			v.AddFault("a name of %d bytes, want at most %d", len(v.Label), swim.NameMost)
+		if len(v.Label) > swim.MaxNameBytes {
+			v.AddFault("a name of %d bytes, want at most %d", len(v.Label), swim.MaxNameBytes)
 		}
 		c.Voters[v.Label] = at
 	})
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -101,7 +101,7 @@
 	forms   Time                    // all voters speak the newest form since then, 0 = they don't
 	leader  uint64
 
-	reports  *subscribe.Book
+	reports  *subscribe.Registry
 	reportAt Time
 	healthAt Time
 	number   uint64            // of this voter's own commands
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	if v.net, err = peers.Listen(peers.Config{Listen: c.Listen, Keys: c.Keys, Bytes: bytesMost}, log); err != nil {
+	if v.net, err = peers.Listen(peers.Config{Listen: c.Listen, Keys: c.Keys, BytesPerSecond: bytesMost}, log); err != nil {
 		return err
 	}
 	defer v.net.Close()
@@ -143,7 +143,7 @@
 // begin begins a life of a folder, without sockets.
 func begin(c Config, log *slog.Logger, store *Store, saved Saved) (*Voter, error) {
 	v := &Voter{conf: c, log: log, store: store, begin: time.Now(), asks: make(chan func(), asksMost), waiting: map[uint64]func(agreed.Result, error){},
-		heard: map[string]neighbour{}, reports: subscribe.NewBook(), told: map[string]string{}, guides: map[uint64]agreed.Voter{}}
+		heard: map[string]neighbour{}, reports: subscribe.NewRegistry(), told: map[string]string{}, guides: map[uint64]agreed.Voter{}}
 	names, id := c.names(), uint64(0)
 	if c.Join {
 		names, id = []string{}, idFirst+store.Identity>>16
@@ -182,7 +182,7 @@
 		case <-ctx.Done():
 			v.log.Info("council stops")
 			return nil
-		case m := <-v.net.In():
+		case m := <-v.net.Received():
 			v.frame(m)
 		case ask := <-v.asks:
 			ask()
@@ -279,7 +279,7 @@
 		if n, ok := v.heard[name]; !ok || v.now()-n.at > heardFor || n.form < agreed.Form {
 			same = false
 		}
-		v.carry(frameHello, id, &envelope2{Form: agreed.Form, ID: v.self, Addr: v.net.Addr()})
+		v.carry(frameHello, id, &envelope2{Form: agreed.Form, ID: v.self, Addr: v.net.AdvertisedAddr()})
 	}
 	if _, leads := v.node.Leader(); !same || !leads || v.node.Machine.Form() >= agreed.Form {
 		v.forms = 0
@@ -337,7 +337,7 @@
 // frame takes a message of another voter, if it is still the one that it was.
 func (v *Voter) frame(in peers.Incoming) {
 	if in.Stream != 0 {
-		defer v.net.Answer(in.Stream, "", []byte{0}, false) // it has come; what it led to goes its own way
+		defer v.net.Reply(in.Stream, "", []byte{0}, false) // it has come; what it led to goes its own way
 	}
 	if len(in.Frame) < 2 {
 		return
@@ -345,7 +345,7 @@
 	switch b := in.Frame[1:]; in.Frame[0] {
 	case subscribe.FrameReport:
 		v.report(b)
-	case subscribe.FrameAsk:
+	case subscribe.FramePermitRequest:
 		v.asked(b)
 	case frameRaft:
 		var e envelope
--- a/internal/fleet/council/gateways.go
+++ b/internal/fleet/council/gateways.go
@@ -11,19 +11,19 @@
 
 // report takes a gateway's word that it is there, and answers with what is agreed, as far as this voter knows.
 func (v *Voter) report(b []byte) {
-	r, ok := v.reports.Take(v.now(), b)
+	r, ok := v.reports.HandleReport(v.now(), b)
 	if !ok {
 		return
 	}
 	id, _ := v.node.Leader()
-	if len(v.told) < subscribe.GatewaysMost || v.told[r.Name] != "" {
+	if len(v.told) < subscribe.MaxGateways || v.told[r.Name] != "" {
 		v.told[r.Name] = r.Addr
 	}
-	v.tell(r.Name, &subscribe.Told{Number: r.Number, Leader: v.name(id)})
+	v.tell(r.Name, &subscribe.Update{Number: r.Number, Leader: v.name(id)})
 }
 
 // tell tells a gateway what is agreed, as far as this voter knows.
-func (v *Voter) tell(name string, told *subscribe.Told) {
+func (v *Voter) tell(name string, told *subscribe.Update) {
 	m := v.node.Machine
 	target := "gateway/" + name
 	told.Name = name
@@ -33,15 +33,15 @@
 	}
 	told.Drains = v.draining()
 	v.zonesAway(told)
-	v.net.Send(name, v.told[name], append([]byte{subscribe.FrameTold}, told.Encode()...), false, false)
+	v.net.Send(name, v.told[name], append([]byte{subscribe.FrameUpdate}, told.Encode()...), false, false)
 }
 
 // draining are the members that are permitted to go out.
-func (v *Voter) draining() (all []subscribe.Drain) {
+func (v *Voter) draining() (all []subscribe.MemberDrain) {
 	m := v.node.Machine
 	for _, p := range m.Permits() {
-		if name, ok := strings.CutPrefix(p.Target, "db/"); ok && !p.Overdue && len(all) < subscribe.DrainsMost {
-			all = append(all, subscribe.Drain{Member: name, LeftMs: max(0, p.Until-m.Time())})
+		if name, ok := strings.CutPrefix(p.Target, "db/"); ok && !p.Overdue && len(all) < subscribe.MaxDrainsPerUpdate {
+			all = append(all, subscribe.MemberDrain{Member: name, LeftMs: max(0, p.Until-m.Time())})
 		}
 	}
 	return all
@@ -51,7 +51,7 @@
 // them before they go.
 func (v *Voter) tellDrains() {
 	names := ""
-	var t subscribe.Told
+	var t subscribe.Update
 	v.zonesAway(&t)
 	for _, z := range t.Zones {
 		names += fmt.Sprintf("%s %.3f ", z.Zone, z.Away)
@@ -64,19 +64,19 @@
 	}
 	v.drains = names
 	for name := range v.told {
-		v.tell(name, &subscribe.Told{})
+		v.tell(name, &subscribe.Update{})
 	}
 }
 
 // asked takes a gateway's command about itself, and answers once it is decided. Who does not lead does not answer.
 func (v *Voter) asked(b []byte) {
-	a, ok := subscribe.ReadAsk(b)
+	a, ok := subscribe.DecodePermitRequest(b)
 	if _, leads := v.node.Leader(); !ok || !leads || len(v.waiting) >= ticketsMost {
 		return
 	}
 	if p, held := v.node.Machine.Permit("gateway/" + a.Name); a.Op == "leave" && held && !p.Overdue { // whoever has it out has asked already
-		g := subscribe.Got{Number: a.Number, OK: true, Fence: p.Fence, Index: v.node.Machine.Index()}
-		v.net.Send(a.Name, a.Addr, append([]byte{subscribe.FrameGot}, g.Encode()...), false, false)
+		g := subscribe.PermitAnswer{Number: a.Number, OK: true, Fence: p.Fence, Index: v.node.Machine.Index()}
+		v.net.Send(a.Name, a.Addr, append([]byte{subscribe.FramePermitAnswer}, g.Encode()...), false, false)
 		return
 	}
 	op := map[string]agreed.Op{"acquire": agreed.Acquire, "leave": agreed.Acquire, "renew": agreed.Renew, "give_back": agreed.GiveBack}[a.Op]
@@ -92,11 +92,11 @@
 		if err != nil {
 			return
 		}
-		g := subscribe.Got{Number: a.Number, OK: r.OK, Refused: r.Refused, Index: v.node.Machine.Index()}
+		g := subscribe.PermitAnswer{Number: a.Number, OK: r.OK, Refused: r.Refused, Index: v.node.Machine.Index()}
 		if r.Permit != nil {
 			g.Fence = r.Permit.Fence
 		}
-		v.net.Send(a.Name, a.Addr, append([]byte{subscribe.FrameGot}, g.Encode()...), false, false)
+		v.net.Send(a.Name, a.Addr, append([]byte{subscribe.FramePermitAnswer}, g.Encode()...), false, false)
 	}
 }
 
@@ -104,11 +104,11 @@
 // permits that ended and whose gateways are seen serving.
 func (v *Voter) population() {
 	_, leads := v.node.Leader()
-	v.reports.Lead(v.now(), leads)
+	v.reports.SetLeading(v.now(), leads)
 	if !leads || v.now() < v.reportAt {
 		return
 	}
-	v.reportAt = v.now() + subscribe.Every
+	v.reportAt = v.now() + subscribe.ReportInterval
 	m := v.node.Machine
 	known := m.Targets()
 	full := m.Form() >= agreed.Releases
@@ -117,14 +117,14 @@
 	}
 	for _, p := range m.Permits() {
 		// One that left under its own permit is back once a later start of it serves.
-		own := p.Holder == p.Target && v.reports.Returned(p.Target)
+		own := p.Holder == p.Target && v.reports.ReturnedAfterDrain(p.Target)
 		if (p.Overdue || own) && v.reports.Serving(v.now(), p.Target) {
 			v.propose(&agreed.Command{Op: agreed.GiveBack, Target: p.Target, Fence: p.Fence, Reason: "seen back"})
 		}
 	}
 	if full && (m.Moving() || m.Rules().Worth > 0) && v.now() >= v.healthAt {
 		v.healthAt = v.now() + healthEvery
-		if all := v.reports.Health(); len(all) > 0 {
+		if all := v.reports.TakeHealth(); len(all) > 0 {
 			v.propose(&agreed.Command{Op: agreed.Health, Versions: all})
 		}
 	}
--- a/internal/fleet/council/zones.go
+++ b/internal/fleet/council/zones.go
@@ -28,8 +28,8 @@
 			}
 			v.planner.Resume(now, p.Number, zones)
 		}
-		v.reports.Zones(now) // what came before this voter led is of no known while
-		v.planAt = now + subscribe.Every
+		v.reports.TakeZoneCounts(now) // what came before this voter led is of no known while
+		v.planAt = now + subscribe.ReportInterval
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.ZoneActs())) {
 		a := m.ZoneActs()[name]
@@ -39,8 +39,8 @@
 	if now < v.planAt {
 		return
 	}
-	v.planAt = now + subscribe.Every
-	v.planner.See(now, v.reports.Zones(now))
+	v.planAt = now + subscribe.ReportInterval
+	v.planner.See(now, v.reports.TakeZoneCounts(now))
 	plan, fresh := v.planner.Look(now)
 	if !fresh {
 		return
@@ -54,7 +54,7 @@
 }
 
 // zonesAway is what gateways are told of the plan that holds.
-func (v *Voter) zonesAway(t *subscribe.Told) {
+func (v *Voter) zonesAway(t *subscribe.Update) {
 	m := v.node.Machine
 	p := m.Zones()
 	if p == nil || m.Time() >= p.Until {
--- a/internal/fleet/drain/drain.go
+++ b/internal/fleet/drain/drain.go
@@ -79,14 +79,14 @@
 
 // Status is what is told of a machine.
 type Status struct {
-	State   string `json:"state"`
-	Fence   uint64 `json:"fence,omitempty"`
-	LeftMs  int64  `json:"left_ms,omitempty"` // of the permit
-	Reason  string `json:"reason,omitempty"`
-	Why     string `json:"why,omitempty"` // it is not out: the last refusal
-	Unasked int    `json:"unasked"`       // stops by signal without a permit
-	Recalls int    `json:"recalls"`
-	Ended   int    `json:"ended"` // permits that ended while it was out
+	State              string `json:"state"`
+	Fence              uint64 `json:"fence,omitempty"`
+	LeftMs             int64  `json:"left_ms,omitempty"` // of the permit
+	Reason             string `json:"reason,omitempty"`
+	LastRefusal        string `json:"why,omitempty"` // it is not out: the last refusal
+	StopsWithoutPermit int    `json:"unasked"`       // stops by signal without a permit
+	Recalls            int    `json:"recalls"`
+	ExpiredPermits     int    `json:"ended"` // permits that ended while it was out
 }
 
 // Machine is one gateway's. It is its owner's alone.
@@ -121,7 +121,7 @@
 
 // Status tells of the machine.
 func (m *Machine) Status(now Time) Status {
-	s := Status{State: m.state.String(), Fence: m.fence, Reason: m.want.Reason, Why: m.why, Unasked: m.Unasked, Recalls: m.Recalls, Ended: m.Ended}
+	s := Status{State: m.state.String(), Fence: m.fence, Reason: m.want.Reason, LastRefusal: m.why, StopsWithoutPermit: m.Unasked, Recalls: m.Recalls, ExpiredPermits: m.Ended}
 	if m.fence != 0 {
 		s.LeftMs = (m.until - now).Milliseconds()
 	}
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -9,19 +9,19 @@
 
 // Event is an act of this process, as the events file has it: one JSON object a line.
 type Event struct {
-	Name    string   `json:"name"`
-	Epoch   uint64   `json:"epoch"`
-	Number  uint64   `json:"n"`       // of this start, from 1
-	Mono    int64    `json:"mono_ns"` // since this start
-	Wall    int64    `json:"wall_ns"` // Unix time, by this process's clock
-	Kind    string   `json:"kind"`    // start, peer, verdict, paused, displaced, epoch, look, member, leave
-	Peer    string   `json:"peer,omitempty"`
-	PeerOf  uint64   `json:"peer_epoch,omitempty"`
-	State   string   `json:"state,omitempty"`
-	Was     string   `json:"was,omitempty"`
-	Reasons []string `json:"reasons,omitempty"`
-	Member  string   `json:"member,omitempty"`
-	For     int64    `json:"for_ns,omitempty"`
+	Name          string   `json:"name"`
+	Epoch         uint64   `json:"epoch"`
+	Number        uint64   `json:"n"`       // of this start, from 1
+	MonoNs        int64    `json:"mono_ns"` // since this start
+	WallNs        int64    `json:"wall_ns"` // Unix time, by this process's clock
+	Kind          string   `json:"kind"`    // start, peer, verdict, paused, displaced, epoch, look, member, leave
+	Peer          string   `json:"peer,omitempty"`
+	PeerEpoch     uint64   `json:"peer_epoch,omitempty"`
+	State         string   `json:"state,omitempty"`
+	PreviousState string   `json:"was,omitempty"`
+	Reasons       []string `json:"reasons,omitempty"`
+	Member        string   `json:"member,omitempty"`
+	For           int64    `json:"for_ns,omitempty"`
 }
 
 const (
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,11 +18,11 @@
 	"sync/atomic"
 	"time"
 
-	"reachwind/internal/fleet/belief"
 	"reachwind/internal/fleet/drain"
 	"reachwind/internal/fleet/group"
+	"reachwind/internal/fleet/observation"
 	"reachwind/internal/fleet/peers"
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/subscribe"
 	"reachwind/internal/fleet/swim"
 	"reachwind/internal/fleet/view"
@@ -41,24 +41,24 @@
 
 // Gateway is what the fleet needs of the gateway. Its methods must not block.
 type Gateway interface {
-	// Told takes advice on a member.
-	Told(member string, look, try, guess bool)
-	// Parts takes what this gateway may use of each shared budget, 1 being its own part, and returns how much of its
+	// ApplyAdvice takes advice on a member.
+	ApplyAdvice(member string, look, try, guess bool)
+	// SetQuotas takes what this gateway may use of each shared budget, 1 being its own part, and returns how much of its
 	// own part it asked for lately, by done, which may be called later.
-	Parts(parts [share.Budgets]float64, done func(used [share.Budgets]float64))
-	// Counts gives, by done, which may be called later, the final answers since the start and what is known of some
+	SetQuotas(parts [quota.BudgetCount]float64, done func(used [quota.BudgetCount]float64))
+	// CollectCounts gives, by done, which may be called later, the final answers since the start and what is known of some
 	// members, of all in turn.
-	Counts(done func(subscribe.Counts, []subscribe.Seen, []subscribe.Tried))
-	// Zones takes which parts of the zones' load go elsewhere; zones that are not named keep theirs.
-	Zones(away map[string]float64)
-	// Look tries some members of zones that load goes away from. It is called each second.
-	Look()
-	// Drains takes all members that the council permits to go out now.
-	Drains(members []string)
-	// Door opens the clients' side for a part of the connections it may have, 0 = it is shut and connections end.
-	Door(part float64)
-	// Busy is how many client connections are open.
-	Busy() int
+	CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts))
+	// SetZonesAway takes which parts of the zones' load go elsewhere; zones that are not named keep theirs.
+	SetZonesAway(away map[string]float64)
+	// ProbeZonesAway tries some members of zones that load goes away from. It is called each second.
+	ProbeZonesAway()
+	// SetDrainingMembers takes all members that the council permits to go out now.
+	SetDrainingMembers(members []string)
+	// SetConnectionFraction opens the clients' side for a part of the connections it may have, 0 = it is shut and connections end.
+	SetConnectionFraction(part float64)
+	// OpenConnections is how many client connections are open.
+	OpenConnections() int
 }
 
 // Deps are what a fleet part is made of.
@@ -83,21 +83,21 @@
 	epoch      uint64
 	number     uint64
 	events     *eventLog
-	saw        chan group.Saw
+	saw        chan group.MemberObservation
 	asks       chan func()
 	stop       chan struct{}
 	ended      chan struct{}
 	admin      *http.Server
 	seeds      []string
-	parts      [share.Budgets]float64
+	parts      [quota.BudgetCount]float64
 	subscribed *subscribe.Subscription
 	drain      *drain.Machine
-	asker      subscribe.Asker
+	asker      subscribe.PermitRequester
 	waits      []func(drain.Status, string) // for the end of a drain that was asked for
 	part       float64                      // of the door
 	counts     subscribe.Counts
-	seen       []subscribe.Seen
-	tried      []subscribe.Tried
+	seen       []subscribe.MemberReport
+	tried      []subscribe.ZoneAttempts
 	zones      zones
 	drains     map[string]time.Duration // members permitted to go out, and until when by this clock
 	leaves     bool
@@ -126,12 +126,12 @@
 			d.Log.Warn("fleet epoch not read, the clock gives a new one", "err", err)
 		}
 	}
-	f := &Fleet{conf: c, deps: d, log: d.Log, begin: time.Now(), saw: make(chan group.Saw, sawMost), asks: make(chan func(), asksMost),
+	f := &Fleet{conf: c, deps: d, log: d.Log, begin: time.Now(), saw: make(chan group.MemberObservation, sawMost), asks: make(chan func(), asksMost),
 		stop: make(chan struct{}), ended: make(chan struct{})}
-	f.epoch = group.EpochOf(d.Wall().UnixMilli(), uint16(rand.Uint32()), last)
+	f.epoch = group.NewEpoch(d.Wall().UnixMilli(), uint16(rand.Uint32()), last)
 	f.keepEpoch()
-	f.member.Store(int64(view.Never))
-	f.discovery.Store(int64(view.Never))
+	f.member.Store(int64(view.DistantPast))
+	f.discovery.Store(int64(view.DistantPast))
 	f.hot.Store(&map[string]bool{})
 	for i := range f.parts {
 		f.parts[i] = 1
@@ -140,12 +140,12 @@
 	if f.events, err = newEventLog(c.Events); err != nil {
 		return nil, fmt.Errorf("events: %w", err)
 	}
-	if f.net, err = peers.Listen(peers.Config{Listen: c.Listen, Advertise: c.Advertise, Keys: c.Keys, Bytes: c.Bytes, Routes: c.Routes}, d.Log); err != nil {
+	if f.net, err = peers.Listen(peers.Config{Listen: c.Listen, Advertise: c.Advertise, Keys: c.Keys, BytesPerSecond: c.Bytes, Routes: c.Routes}, d.Log); err != nil {
 		return nil, err
 	}
 	f.seeds = f.allSeeds()
 	f.group = group.New(group.Config{Region: c.Region, Version: c.Version, Started: 0,
-		Swim: swim.Config{Name: c.Name, Addr: f.net.Addr(), Zone: c.Zone, Epoch: f.epoch, Seeds: f.seeds, Seed: rand.Uint64(), Keep: c.Keep}})
+		Swim: swim.Config{Name: c.Name, Addr: f.net.AdvertisedAddr(), Zone: c.Zone, Epoch: f.epoch, Seeds: f.seeds, Seed: rand.Uint64(), KeepFailed: c.Keep}})
 	if err := f.listenAdmin(); err != nil {
 		f.net.Close()
 		return nil, fmt.Errorf("admin: %w", err)
@@ -154,7 +154,7 @@
 	f.subscribed = subscribe.New()
 	f.drain = drain.New(drain.Config{Longest: d.Longest, SignalWait: c.SignalWait})
 	f.part = 1
-	f.log.Info("fleet begins", "name", c.Name, "epoch", f.epoch, "listen", c.Listen, "advertise", f.net.Addr(), "seeds", len(f.seeds))
+	f.log.Info("fleet begins", "name", c.Name, "epoch", f.epoch, "listen", c.Listen, "advertise", f.net.AdvertisedAddr(), "seeds", len(f.seeds))
 	go f.run()
 	return f, nil
 }
@@ -200,16 +200,16 @@
 			f.carry(f.group.Step(f.now(), group.Event{Leave: true}))
 			f.event(Event{Kind: "leave"})
 			return
-		case m := <-f.net.In():
-			if len(m.Frame) > 1 && m.Frame[0] == subscribe.FrameTold {
+		case m := <-f.net.Received():
+			if len(m.Frame) > 1 && m.Frame[0] == subscribe.FrameUpdate {
 				f.told(m.Frame[1:])
 				continue
 			}
-			if len(m.Frame) > 1 && m.Frame[0] == subscribe.FrameGot {
+			if len(m.Frame) > 1 && m.Frame[0] == subscribe.FramePermitAnswer {
 				f.got(m.Frame[1:])
 				continue
 			}
-			f.carry(f.group.Step(f.now(), group.Event{Frame: m.Frame, Stream: m.Stream, Refused: m.Refused}))
+			f.carry(f.group.Step(f.now(), group.Event{Frame: m.Frame, Stream: m.Stream, Refused: m.RefusedAddr}))
 		case s := <-f.saw:
 			if !s.Quiet && !s.Looked {
 				f.event(Event{Kind: "member", Member: s.Member, State: s.Kind.String()})
@@ -219,9 +219,9 @@
 			ask()
 		case <-t.C:
 			now := f.now()
-			f.group.Heard(time.Duration(f.member.Load()), time.Duration(f.discovery.Load()))
+			f.group.SetLastAnswers(time.Duration(f.member.Load()), time.Duration(f.discovery.Load()))
 			if f.deps.Load != nil {
-				f.group.Load(f.deps.Load())
+				f.group.SetLoad(f.deps.Load())
 			}
 			f.carry(f.group.Step(now))
 			if now >= seedsAt {
@@ -233,7 +233,7 @@
 				f.warm()
 			}
 			if now >= reportAt && len(f.conf.Council) > 0 {
-				reportAt = now + subscribe.Every
+				reportAt = now + subscribe.ReportInterval
 				f.report(now)
 			}
 			f.drained(now, drain.Event{})
@@ -249,15 +249,15 @@
 // share tells the gateway its parts, and learns what it used.
 func (f *Fleet) share(now time.Duration) {
 	for i := range f.parts {
-		if p := f.group.Ledger.Part(now, i); p < f.parts[i] || p > f.parts[i]+shareStep {
+		if p := f.group.Ledger.Quota(now, i); p < f.parts[i] || p > f.parts[i]+shareStep {
 			f.parts[i] = p // less at once, more by steps
 		}
 	}
-	f.deps.Gateway.Parts(f.parts, func(used [share.Budgets]float64) {
+	f.deps.Gateway.SetQuotas(f.parts, func(used [quota.BudgetCount]float64) {
 		select {
 		case f.asks <- func() {
 			for i, u := range used {
-				f.group.Ledger.Used(i, u)
+				f.group.Ledger.RecordUse(i, u)
 			}
 		}:
 		default:
@@ -282,7 +282,7 @@
 		a := &acts[i]
 		switch {
 		case a.Frame != nil && a.Stream != 0:
-			f.net.Answer(a.Stream, a.To, a.Frame, a.Spare)
+			f.net.Reply(a.Stream, a.To, a.Frame, a.Spare)
 		case a.Frame != nil:
 			f.net.Send(a.Name, a.To, a.Frame, a.Dial, a.Spare)
 		case a.Change != nil:
@@ -303,7 +303,7 @@
 				f.hot.Store(&hot)
 			}
 			if f.deps.Gateway != nil {
-				f.deps.Gateway.Told(v.Member, v.Look, v.Try, v.Guess)
+				f.deps.Gateway.ApplyAdvice(v.Member, v.Look, v.Try, v.Guess)
 			}
 		}
 	}
@@ -311,25 +311,25 @@
 
 func (f *Fleet) change(c *swim.Change) {
 	switch {
-	case c.Paused > 0:
-		f.log.Warn("this gateway was stopped a while", "span", c.Paused)
-		f.event(Event{Kind: "paused", For: int64(c.Paused)})
+	case c.PausedFor > 0:
+		f.log.Warn("this gateway was stopped a while", "span", c.PausedFor)
+		f.event(Event{Kind: "paused", For: int64(c.PausedFor)})
 	case c.Displaced:
 		f.log.Error("another gateway has this name", "name", f.conf.Name, "its_epoch", c.Peer.Epoch, "its_address", c.Peer.Addr)
-		f.event(Event{Kind: "displaced", Peer: c.Peer.Name, PeerOf: c.Peer.Epoch})
-	case c.Epoch != 0:
-		f.epoch = c.Epoch
+		f.event(Event{Kind: "displaced", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch})
+	case c.NewEpoch != 0:
+		f.epoch = c.NewEpoch
 		f.keepEpoch()
-		f.log.Info("fleet epoch is new", "epoch", c.Epoch)
+		f.log.Info("fleet epoch is new", "epoch", c.NewEpoch)
 		f.event(Event{Kind: "epoch"})
-	case c.From == c.Peer.State:
+	case c.PreviousState == c.Peer.State:
 	default:
 		was := ""
-		if c.From != 0 {
-			was = c.From.String()
+		if c.PreviousState != 0 {
+			was = c.PreviousState.String()
 		}
-		f.event(Event{Kind: "peer", Peer: c.Peer.Name, PeerOf: c.Peer.Epoch, State: c.Peer.State.String(), Was: was})
-		if c.Peer.State == swim.Suspect || c.From == swim.Suspect && c.Peer.State == swim.Alive {
+		f.event(Event{Kind: "peer", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch, State: c.Peer.State.String(), PreviousState: was})
+		if c.Peer.State == swim.Suspect || c.PreviousState == swim.Suspect && c.Peer.State == swim.Alive {
 			f.suspects.Info(f.log, "fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", was)
 			return
 		}
@@ -342,41 +342,41 @@
 		return
 	}
 	f.number++
-	e.Name, e.Epoch, e.Number, e.Mono, e.Wall = f.conf.Name, f.epoch, f.number, int64(f.now()), f.deps.Wall().UnixNano()
+	e.Name, e.Epoch, e.Number, e.MonoNs, e.WallNs = f.conf.Name, f.epoch, f.number, int64(f.now()), f.deps.Wall().UnixNano()
 	f.events.put(e)
 }
 
 // What the gateway saw. These may be called from any goroutine and never block.
 
-// Saw takes what the gateway came to believe of a member by its own experience.
-func (f *Fleet) Saw(member string, k belief.Kind, position int64) {
-	f.look(group.Saw{Member: member, Kind: k, Position: position})
+// RecordObservation takes what the gateway came to believe of a member by its own experience.
+func (f *Fleet) RecordObservation(member string, k observation.Kind, position int64) {
+	f.look(group.MemberObservation{Member: member, Kind: k, Position: position})
 }
 
-// Probed takes how a probe of a member ended.
-func (f *Fleet) Probed(member string, answered bool) {
+// RecordProbe takes how a probe of a member ended.
+func (f *Fleet) RecordProbe(member string, answered bool) {
 	if (*f.hot.Load())[member] {
-		k := belief.Silent
+		k := observation.Silent
 		if answered {
-			k = belief.Answers
+			k = observation.Answers
 		}
-		f.look(group.Saw{Member: member, Kind: k, Looked: true})
+		f.look(group.MemberObservation{Member: member, Kind: k, Looked: true})
 	}
 }
 
-// Answered takes that a member answered a request. It is on each request's way: a store, and no more for members
+// RecordAnswer takes that a member answered a request. It is on each request's way: a store, and no more for members
 // that nothing is claimed of.
-func (f *Fleet) Answered(member string) {
+func (f *Fleet) RecordAnswer(member string) {
 	f.member.Store(int64(f.now()))
 	if hot := *f.hot.Load(); len(hot) > 0 && hot[member] {
-		f.look(group.Saw{Member: member, Kind: belief.Answers, Quiet: true})
+		f.look(group.MemberObservation{Member: member, Kind: observation.Answers, Quiet: true})
 	}
 }
 
-// Discovered takes that discovery answered.
-func (f *Fleet) Discovered() { f.discovery.Store(int64(f.now())) }
+// RecordDiscovery takes that discovery answered.
+func (f *Fleet) RecordDiscovery() { f.discovery.Store(int64(f.now())) }
 
-func (f *Fleet) look(s group.Saw) {
+func (f *Fleet) look(s group.MemberObservation) {
 	select {
 	case f.saw <- s:
 	default:
@@ -444,52 +444,52 @@
 
 // Member is a line of `reachwind fleet members`.
 type Member struct {
-	Name    string  `json:"name"`
-	Zone    string  `json:"zone"`
-	Region  string  `json:"region"`
-	State   string  `json:"state"`
-	Epoch   uint64  `json:"epoch"`
-	Version string  `json:"version"`
-	Address string  `json:"address"`
-	Verdict string  `json:"verdict"`
-	Load    float64 `json:"load"`
-	Drain   bool    `json:"drain"`
-	SinceMs int64   `json:"since_ms"`
-	RTTMs   float64 `json:"rtt_ms"`
-	Sure    float64 `json:"sure"`
-	Self    bool    `json:"self"`
+	Name       string  `json:"name"`
+	Zone       string  `json:"zone"`
+	Region     string  `json:"region"`
+	State      string  `json:"state"`
+	Epoch      uint64  `json:"epoch"`
+	Version    string  `json:"version"`
+	Address    string  `json:"address"`
+	Verdict    string  `json:"verdict"`
+	Load       float64 `json:"load"`
+	Drain      bool    `json:"drain"`
+	SinceMs    int64   `json:"since_ms"`
+	RTTMs      float64 `json:"rtt_ms"`
+	Confidence float64 `json:"sure"`
+	Self       bool    `json:"self"`
 }
 
 // View is what `reachwind fleet view` shows.
 type View struct {
-	Name    string             `json:"name"`
-	Epoch   uint64             `json:"epoch"`
-	Verdict string             `json:"verdict"`
-	Number  uint64             `json:"number"`
-	SinceMs int64              `json:"since_ms"`
-	Reasons []string           `json:"reasons"`
-	Digest  string             `json:"digest"`
-	Doubt   int                `json:"doubt"`
-	Parts   map[string]float64 `json:"parts"`
-	Counts  map[string]int64   `json:"counts"`
-	Council *subscribe.State   `json:"council,omitempty"` // what was last heard of it, and how old that is
-	Drain   drain.Status       `json:"drain"`
-	Drains  []string           `json:"members_draining,omitempty"` // as the council permits them to go out
-	Plan    uint64             `json:"zone_plan,omitempty"`
-	Away    map[string]float64 `json:"zones_away,omitempty"` // parts of zones' load that go elsewhere
+	Name            string             `json:"name"`
+	Epoch           uint64             `json:"epoch"`
+	Verdict         string             `json:"verdict"`
+	Number          uint64             `json:"number"`
+	SinceMs         int64              `json:"since_ms"`
+	Reasons         []string           `json:"reasons"`
+	Digest          string             `json:"digest"`
+	Doubt           int                `json:"doubt"`
+	Quotas          map[string]float64 `json:"parts"`
+	Counts          map[string]int64   `json:"counts"`
+	Council         *subscribe.State   `json:"council,omitempty"` // what was last heard of it, and how old that is
+	Drain           drain.Status       `json:"drain"`
+	MembersDraining []string           `json:"members_draining,omitempty"` // as the council permits them to go out
+	ZonePlan        uint64             `json:"zone_plan,omitempty"`
+	ZonesAway       map[string]float64 `json:"zones_away,omitempty"` // parts of zones' load that go elsewhere
 }
 
 func (f *Fleet) members() []Member {
 	now := f.now()
 	self := f.group.Swim.Self()
 	all := []Member{{Name: self.Name, Zone: f.conf.Zone, Region: f.conf.Region, State: self.State.String(), Epoch: self.Epoch, Version: f.conf.Version,
-		Address: self.Addr, Verdict: f.group.View.Status().Verdict.String(), SinceMs: now.Milliseconds(), Sure: 1, Self: true}}
+		Address: self.Addr, Verdict: f.group.View.Status().Verdict.String(), SinceMs: now.Milliseconds(), Confidence: 1, Self: true}}
 	e := f.group.Evidence()
 	for _, p := range f.group.Swim.Peers() {
-		m := f.group.Meta(&p)
+		m := f.group.PeerMeta(&p)
 		all = append(all, Member{Name: p.Name, Zone: m.Zone, Region: m.Region, State: p.State.String(), Epoch: p.Epoch, Version: m.Version, Address: p.Addr,
 			Verdict: m.Verdict.String(), Load: float64(m.Load) / 8, Drain: m.Drain, SinceMs: (now - p.Since).Milliseconds(),
-			RTTMs: float64(p.RTT.Microseconds()) / 1000, Sure: f.group.View.Sure(now, &p, e)})
+			RTTMs: float64(p.RTT.Microseconds()) / 1000, Confidence: f.group.View.Confidence(now, &p, e)})
 	}
 	slices.SortFunc(all, func(a, b Member) int {
 		if a.Name < b.Name {
@@ -506,11 +506,11 @@
 	c := &f.net.Counts
 	d := f.group.Swim.Dropped
 	v := View{Name: f.conf.Name, Epoch: f.epoch, Verdict: s.Verdict.String(), Number: s.Number, SinceMs: (now - s.Since).Milliseconds(), Reasons: s.Reasons,
-		Digest: fmt.Sprintf("%016x", f.group.Swim.Digest()), Doubt: f.group.Swim.Doubt(), Parts: map[string]float64{},
-		Counts: map[string]int64{"sent": c.Sent.Load(), "sent_bytes": c.SentBytes.Load(), "taken": c.Taken.Load(), "taken_bytes": c.TakenBytes.Load(),
+		Digest: fmt.Sprintf("%016x", f.group.Swim.Digest()), Doubt: f.group.Swim.Doubt(), Quotas: map[string]float64{},
+		Counts: map[string]int64{"sent": c.Sent.Load(), "sent_bytes": c.SentBytes.Load(), "taken": c.Received.Load(), "taken_bytes": c.ReceivedBytes.Load(),
 			"unauthentic": c.Unauthentic.Load(), "repeated": c.Repeated.Load(), "unknown_key": c.UnknownKey.Load(), "overflow": c.Overflow.Load(),
 			"throttled": c.Throttled.Load(), "streams_refused": c.StreamsRefused.Load(), "unknown_kind": int64(f.group.Unknown + d.Kind),
-			"garbled": int64(f.group.Garbled), "old_epoch": int64(d.Epoch), "wrong_address": int64(d.Address), "impossible": int64(d.Jump),
+			"garbled": int64(f.group.Garbled), "old_epoch": int64(d.Epoch), "wrong_address": int64(d.Address), "impossible": int64(d.Incarnation),
 			"table_full": int64(d.Full), "claims_full": int64(f.group.Book.Dropped.Full), "claims_old": int64(f.group.Book.Dropped.Old),
 			"looks": int64(f.group.Book.Looks), "looks_wrong": int64(f.group.Book.Wrong), "looks_held": int64(f.group.Book.Dropped.Rate),
 			"saw_dropped": f.dropped.Load(), "loans_out": int64(f.group.Ledger.Lent), "loans_in": int64(f.group.Ledger.Taken),
@@ -523,10 +523,10 @@
 		v.Council = &s
 	}
 	v.Drain = f.drain.Status(now)
-	v.Plan, v.Away = f.zones.number, maps.Clone(f.zones.away)
-	v.Drains = slices.Sorted(maps.Keys(f.drains))
-	for i, n := range share.Names {
-		v.Parts[n] = f.group.Ledger.Part(now, i)
+	v.ZonePlan, v.ZonesAway = f.zones.number, maps.Clone(f.zones.away)
+	v.MembersDraining = slices.Sorted(maps.Keys(f.drains))
+	for i, n := range quota.BudgetNames {
+		v.Quotas[n] = f.group.Ledger.Quota(now, i)
 	}
 	return v
 }
@@ -554,7 +554,7 @@
 	}
 	handle("/v1/members", func() any { return f.members() })
 	handle("/v1/view", func() any { return f.view() })
-	handle("/v1/beliefs", func() any { return f.group.Book.Lines(f.now()) })
+	handle("/v1/beliefs", func() any { return f.group.Book.Summaries(f.now()) })
 	mux.HandleFunc("POST /v1/drain", f.askDrain)
 	f.admin = &http.Server{Handler: mux, ReadHeaderTimeout: adminWait, ReadTimeout: adminWait, WriteTimeout: drainAskMost + adminWait, IdleTimeout: adminWait,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelDebug)}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -37,7 +37,7 @@
 `
 	read := func(text string) (c Config, err error) {
 		return c, edgeconf.Parse(filepath.Join(dir, "edge.hcl"), []byte(text), func(b *edgeconf.Block) {
-			b.Blocks("fleet", false, func(b *edgeconf.Block) { c = Read(b) })
+			b.Blocks("fleet", false, func(b *edgeconf.Block) { c = ReadConfig(b) })
 		})
 	}
 	c, err := read(good)
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -12,8 +12,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"reachwind/internal/fleet/belief"
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/observation"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/swim"
 	"reachwind/internal/fleet/view"
 )
@@ -21,8 +21,8 @@
 // Time is a point on the owner's monotonic clock, or a span on it.
 type Time = time.Duration
 
-// Speaks are the least and the newest form of frames that this program knows.
-var Speaks = [2]uint8{1, 1}
+// FrameVersions are the least and the newest form of frames that this program knows.
+var FrameVersions = [2]uint8{1, 1}
 
 // frame kinds; a receiver drops those it does not know.
 const (
@@ -44,9 +44,9 @@
 	epochs      = 1 << 10 // drawn within a millisecond of start
 )
 
-// EpochOf is the epoch of a start at a wall time in Unix milliseconds: later than any before it on a clock that goes
+// NewEpoch is the epoch of a start at a wall time in Unix milliseconds: later than any before it on a clock that goes
 // forward, and than last, the one that a folder kept. luck tells two starts within a millisecond apart.
-func EpochOf(ms int64, luck uint16, last uint64) uint64 {
+func NewEpoch(ms int64, luck uint16, last uint64) uint64 {
 	return max(uint64(max(ms, 0))*epochs+uint64(luck)%epochs, last+1)
 }
 
@@ -56,7 +56,7 @@
 	Region  string
 	Version string
 	Started Time // now, on the owner's clock
-	Lend    share.Guard
+	Lend    quota.Guard
 }
 
 // envelope carries what is not swim's.
@@ -72,16 +72,16 @@
 	Frame   []byte // opened and authentic
 	Stream  uint64 // that Frame came by and may be answered on, 0 = none
 	Refused string // address that refused a connection
-	Saw     *Saw
+	Saw     *MemberObservation
 	Seeds   []string
 	Drain   *bool
 	Leave   bool
 }
 
-// Saw is what this gateway saw of a member.
-type Saw struct {
+// MemberObservation is what this gateway saw of a member.
+type MemberObservation struct {
 	Member   string
-	Kind     belief.Kind
+	Kind     observation.Kind
 	Position int64
 	Quiet    bool // it answers as usual: not told to others
 	Looked   bool // this ends a look that claims led to
@@ -97,7 +97,7 @@
 	Spare   bool // may be dropped first where the bytes a second are used up
 	Change  *swim.Change
 	Verdict bool // the verdict changed
-	Advice  *belief.Advice
+	Advice  *observation.Advice
 }
 
 // Group is one gateway's part. It is its owner's alone.
@@ -105,8 +105,8 @@
 	cfg    Config
 	Swim   *swim.Node
 	View   *view.View
-	Book   *belief.Book
-	Ledger *share.Ledger
+	Book   *observation.Store
+	Ledger *quota.Ledger
 
 	now                                        Time
 	member, discovery, pausedAt                Time
@@ -126,8 +126,8 @@
 // New returns the part of a gateway that knows nobody.
 func New(c Config) *Group {
 	s := c.Swim
-	g := &Group{cfg: c, View: view.New(s.Name, s.Zone, len(s.Seeds) > 0), Book: belief.New(s.Name, s.Zone, s.Epoch, s.Seed),
-		Ledger: share.New(c.Started, s.Epoch, c.Lend), metas: map[string]*view.Meta{}, now: c.Started, member: view.Never, discovery: view.Never, pausedAt: view.Never}
+	g := &Group{cfg: c, View: view.New(s.Name, s.Zone, len(s.Seeds) > 0), Book: observation.New(s.Name, s.Zone, s.Epoch, s.Seed),
+		Ledger: quota.New(c.Started, s.Epoch, c.Lend), metas: map[string]*view.Meta{}, now: c.Started, member: view.DistantPast, discovery: view.DistantPast, pausedAt: view.DistantPast}
 	g.meta = g.tells()
 	c.Swim.Meta = g.meta.Encode()
 	g.Swim = swim.New(c.Swim)
@@ -141,7 +141,7 @@
 		load = g.load
 	}
 	m := view.Meta{Zone: g.cfg.Swim.Zone, Region: g.cfg.Region, Version: g.cfg.Version, Load: load, Drain: g.drain,
-		Verdict: g.View.Status().Verdict, Speaks: Speaks}
+		Verdict: g.View.Status().Verdict, FrameVersions: FrameVersions}
 	return m
 }
 
@@ -150,16 +150,16 @@
 	return view.Evidence{Member: g.member, Discovery: g.discovery, Paused: g.pausedAt, Doubt: g.Swim.Doubt()}
 }
 
-// Load tells how busy this gateway is, from 0 to 1.
-func (g *Group) Load(part float64) { g.load = uint8(8 * max(0, min(1, part))) }
+// SetLoad tells how busy this gateway is, from 0 to 1.
+func (g *Group) SetLoad(part float64) { g.load = uint8(8 * max(0, min(1, part))) }
 
-// Discovered notes an answer of discovery.
-func (g *Group) Discovered(now Time) { g.discovery = now }
+// RecordDiscovery notes an answer of discovery.
+func (g *Group) RecordDiscovery(now Time) { g.discovery = now }
 
-// Answered notes that a member answered as usual.
-func (g *Group) Answered(now Time, member string) {
+// RecordAnswer notes that a member answered as usual.
+func (g *Group) RecordAnswer(now Time, member string) {
 	g.member = now
-	g.Book.Answered(now, member)
+	g.Book.RecordAnswer(now, member)
 }
 
 // Step takes what happened by now and returns what must be done; the slice holds until the next Step. It is to be
@@ -182,17 +182,17 @@
 	for i := range g.acts {
 		a := &g.acts[i]
 		if a.Change != nil {
-			if a.Change.Paused > 0 {
+			if a.Change.PausedFor > 0 {
 				g.pausedAt = g.now
 			}
-			if e := a.Change.Epoch; e != 0 {
-				g.Ledger.Rename(e)
-				g.Book.Rename(e)
+			if e := a.Change.NewEpoch; e != 0 {
+				g.Ledger.SetEpoch(e)
+				g.Book.SetEpoch(e)
 			}
 			if p := &a.Change.Peer; p.Name != "" && !a.Change.Displaced {
-				m := view.ReadMeta(p.Meta)
+				m := view.DecodeMeta(p.Meta)
 				g.metas[p.Name] = &m
-				if len(g.metas) > 2*swim.TableMost { // those forgotten are read anew
+				if len(g.metas) > 2*swim.MaxPeers { // those forgotten are read anew
 					clear(g.metas)
 				}
 			}
@@ -213,19 +213,19 @@
 			g.Garbled++
 		}
 	case e.Refused != "":
-		g.swim(swim.Event{Refused: e.Refused})
+		g.swim(swim.Event{RefusedAddr: e.Refused})
 	case e.Saw != nil:
 		s := e.Saw
-		if s.Kind == belief.Answers || s.Kind == belief.Primary {
+		if s.Kind == observation.Answers || s.Kind == observation.Primary {
 			g.member = g.now
 		}
 		switch {
-		case s.Looked && (s.Kind == belief.Silent || s.Kind == belief.Refused):
-			g.Book.Confirmed(s.Member)
+		case s.Looked && (s.Kind == observation.Silent || s.Kind == observation.Refused):
+			g.Book.ConfirmSilent(s.Member)
 		case s.Quiet || s.Looked:
-			g.Book.Answered(g.now, s.Member)
+			g.Book.RecordAnswer(g.now, s.Member)
 		default:
-			g.Book.Saw(g.now, s.Member, s.Kind, s.Position, g.Swim.Len())
+			g.Book.RecordOwn(g.now, s.Member, s.Kind, s.Position, g.Swim.Len())
 		}
 	case e.Seeds != nil:
 		g.swim(swim.Event{Seeds: e.Seeds})
@@ -266,24 +266,24 @@
 		g.Swim.Dropped.Address++ // not for this start, or not from a peer's present one
 		return nil
 	}
-	theirs, mine := g.Meta(&p).Verdict, g.View.Status().Verdict
+	theirs, mine := g.PeerMeta(&p).Verdict, g.View.Status().Verdict
 	if kind == frameShare {
-		m, err := share.Decode(e.Body)
+		m, err := quota.Decode(e.Body)
 		if err != nil {
 			return err
 		}
-		may, _ := view.Allowed(view.Borrow, mine, theirs)
-		if reply := g.Ledger.Take(g.now, p.Name, m, may); reply != nil {
+		may, _ := view.Allowed(view.BorrowQuota, mine, theirs)
+		if reply := g.Ledger.HandleMessage(g.now, p.Name, m, may); reply != nil {
 			g.send(&p, frameShare, reply.Encode(), false)
 		}
 		return nil
 	}
-	batch, err := belief.Decode(e.Body)
+	batch, err := observation.Decode(e.Body)
 	if err != nil {
 		return err
 	}
-	if ok, _ := view.Allowed(view.UseBeliefs, mine, theirs); ok {
-		for _, a := range g.Book.Told(g.now, batch, g.Swim.Len()) {
+	if ok, _ := view.Allowed(view.UseObservations, mine, theirs); ok {
+		for _, a := range g.Book.Merge(g.now, batch, g.Swim.Len()) {
 			g.out = append(g.out, Action{Advice: &a})
 		}
 	}
@@ -303,22 +303,22 @@
 func (g *Group) timers() {
 	if g.now >= g.judgeAt {
 		g.judgeAt = g.now + judgeEvery
-		if g.View.Judge(g.now, g.tally(), g.Swim.Displaced(), g.Evidence()) {
+		if g.View.Evaluate(g.now, g.tally(), g.Swim.Displaced(), g.Evidence()) {
 			g.out = append(g.out, Action{Verdict: true})
 		}
 	}
 	if g.now >= g.tellAt {
 		g.tellAt = g.now + tellEvery
-		if batch := g.Book.Batch(g.now); len(batch) > 0 {
-			body := belief.Encode(batch)
-			for _, p := range g.Swim.Draw(tellTo) {
+		if batch := g.Book.NextBatch(g.now); len(batch) > 0 {
+			body := observation.Encode(batch)
+			for _, p := range g.Swim.RandomPeers(tellTo) {
 				g.send(&p, frameBeliefs, body, true)
 			}
 		}
 	}
 	if g.now >= g.shareAt {
 		g.shareAt = g.now + shareEvery
-		for _, s := range g.Ledger.Ask(g.now, g.lenders) {
+		for _, s := range g.Ledger.RequestLoans(g.now, g.lenders) {
 			if p, ok := g.Swim.Peer(s.To); ok {
 				g.send(&p, frameShare, s.Message.Encode(), true)
 			}
@@ -326,7 +326,7 @@
 	}
 	if g.now >= g.forgetAt {
 		g.forgetAt = g.now + forgetEvery
-		g.Book.Forget(g.now)
+		g.Book.Expire(g.now)
 		m := g.tells()
 		urgent := m.Verdict != g.meta.Verdict || m.Drain != g.meta.Drain
 		if (urgent || g.now >= g.metaAt) && !bytes.Equal(m.Encode(), g.meta.Encode()) {
@@ -338,21 +338,21 @@
 
 // lenders are some peers that this gateway may borrow from now. What each can spare is not told around: it changes
 // too often; they are asked.
-func (g *Group) lenders(int) (all []share.Lender) {
+func (g *Group) lenders(int) (all []quota.Lender) {
 	mine := g.View.Status().Verdict
-	for _, p := range g.Swim.Draw(askTo) {
-		if ok, _ := view.Allowed(view.Borrow, mine, g.Meta(&p).Verdict); ok {
-			all = append(all, share.Lender{Name: p.Name, Spare: share.Lendable})
+	for _, p := range g.Swim.RandomPeers(askTo) {
+		if ok, _ := view.Allowed(view.BorrowQuota, mine, g.PeerMeta(&p).Verdict); ok {
+			all = append(all, quota.Lender{Name: p.Name, Spare: quota.LendableFraction})
 		}
 	}
 	return all
 }
 
-// Meta is what a peer last told of itself.
-func (g *Group) Meta(p *swim.Peer) *view.Meta {
+// PeerMeta is what a peer last told of itself.
+func (g *Group) PeerMeta(p *swim.Peer) *view.Meta {
 	m := g.metas[p.Name]
 	if m == nil {
-		read := view.ReadMeta(p.Meta)
+		read := view.DecodeMeta(p.Meta)
 		m = &read
 		g.metas[p.Name] = m
 	}
@@ -365,11 +365,11 @@
 		return g.tallied
 	}
 	g.tallied, g.stale, g.talliedAt = view.NewTally(), false, g.now
-	g.Swim.Each(func(p *swim.Peer) { g.View.Count(&g.tallied, g.now, p, g.Meta(p).Zone) })
+	g.Swim.ForEach(func(p *swim.Peer) { g.View.Count(&g.tallied, g.now, p, g.PeerMeta(p).Zone) })
 	return g.tallied
 }
 
-// Heard takes when members and discovery last answered, on the owner's clock.
-func (g *Group) Heard(member, discovery Time) {
+// SetLastAnswers takes when members and discovery last answered, on the owner's clock.
+func (g *Group) SetLastAnswers(member, discovery Time) {
 	g.member, g.discovery = max(g.member, member), max(g.discovery, discovery)
 }
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -22,15 +22,15 @@
 		return
 	}
 	self := f.group.Swim.Self()
-	r := subscribe.Report{Name: self.Name, Zone: f.conf.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.conf.Version, Drain: f.drain.Away(), Leaves: f.leaves,
-		Counts: &f.counts, Seen: f.seen, Tried: f.tried}
+	r := subscribe.Report{Name: self.Name, Zone: f.conf.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.conf.Version, Drain: f.drain.Away(), Leaving: f.leaves,
+		Counts: &f.counts, Members: f.seen, ZoneAttempts: f.tried}
 	f.seen = nil
-	f.toCouncil(subscribe.FrameReport, f.subscribed.Report(now, r))
+	f.toCouncil(subscribe.FrameReport, f.subscribed.NextReport(now, r))
 	if f.deps.Gateway != nil && !f.leaves {
 		if len(f.zones.away) > 0 {
-			f.deps.Gateway.Look()
+			f.deps.Gateway.ProbeZonesAway()
 		}
-		f.deps.Gateway.Counts(func(c subscribe.Counts, seen []subscribe.Seen, tried []subscribe.Tried) {
+		f.deps.Gateway.CollectCounts(func(c subscribe.Counts, seen []subscribe.MemberReport, tried []subscribe.ZoneAttempts) {
 			select {
 			case f.asks <- func() { f.counts, f.seen, f.tried = c, seen, tried }:
 			default: // the next time
@@ -49,10 +49,10 @@
 // members holds for the terms it names.
 func (f *Fleet) told(b []byte) {
 	now := f.now()
-	if !f.subscribed.Take(now, b) {
+	if !f.subscribed.HandleUpdate(now, b) {
 		return
 	}
-	t, _, _ := f.subscribed.Last()
+	t, _, _ := f.subscribed.LastUpdate()
 	e := drain.Event{Recall: t.Recall && t.Fence != 0 && t.Fence == f.drain.Fence()}
 	e.Fenced = f.drain.Fence() != 0 && t.Fence != f.drain.Fence() && t.Index >= f.grantedAt
 	until := map[string]time.Duration{}
@@ -73,7 +73,7 @@
 	}
 	f.log.Info("fleet members permitted to go out", "members", is)
 	f.event(Event{Kind: "drains", Reasons: is})
-	f.deps.Gateway.Drains(is)
+	f.deps.Gateway.SetDrainingMembers(is)
 }
 
 // got takes what the council decided about a wish of this gateway.
@@ -98,12 +98,12 @@
 func (f *Fleet) drained(now time.Duration, e drain.Event) {
 	busy := 0
 	if g := f.deps.Gateway; g != nil {
-		busy = g.Busy()
+		busy = g.OpenConnections()
 	}
 	a := f.drain.Step(now, e, busy)
 	ask := func(op string, term time.Duration) {
 		self := f.group.Swim.Self()
-		f.asker.Begin(now, subscribe.Ask{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
+		f.asker.Begin(now, subscribe.PermitRequest{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
 			Reason: f.drain.Status(now).Reason})
 	}
 	if a.Stop {
@@ -122,13 +122,13 @@
 		ask("give_back", 0)
 	}
 	if b := f.asker.Send(now); b != nil {
-		f.toCouncil(subscribe.FrameAsk, b)
+		f.toCouncil(subscribe.FramePermitRequest, b)
 	}
 	if a.Part >= 0 {
 		f.part = a.Part
 	}
 	if f.deps.Gateway != nil && (a.Part >= 0 || f.part < 1 && !f.leaves) { // by steps the door depends on how many there are
-		f.deps.Gateway.Door(f.part)
+		f.deps.Gateway.SetConnectionFraction(f.part)
 	}
 	if a.Changed {
 		s := f.drain.Status(now)
@@ -160,17 +160,17 @@
 	}
 }
 
-// GoesAway tells the peers that this gateway takes nothing new.
-func (f *Fleet) GoesAway() {
+// AnnounceDrain tells the peers that this gateway takes nothing new.
+func (f *Fleet) AnnounceDrain() {
 	_ = f.ask(func() {
 		yes := true
 		f.carry(f.group.Step(f.now(), group.Event{Drain: &yes}))
 	})
 }
 
-// Leave asks the council for a permit to end, and waits for it as long as configured at the most. It returns how long
+// AwaitStopPermit asks the council for a permit to end, and waits for it as long as configured at the most. It returns how long
 // it waited. Peers know by then that this gateway goes.
-func (f *Fleet) Leave(ctx context.Context) time.Duration {
+func (f *Fleet) AwaitStopPermit(ctx context.Context) time.Duration {
 	begin := time.Now()
 	if len(f.conf.Council) == 0 {
 		return 0
@@ -184,9 +184,9 @@
 			return
 		}
 		f.waits = append(f.waits, func(s drain.Status, _ string) {
-			if s.Unasked > was {
-				f.log.Warn("this gateway ends without a permit", "why", s.Why)
-				f.event(Event{Kind: "unasked", Reasons: []string{s.Why}})
+			if s.StopsWithoutPermit > was {
+				f.log.Warn("this gateway ends without a permit", "why", s.LastRefusal)
+				f.event(Event{Kind: "unasked", Reasons: []string{s.LastRefusal}})
 			}
 			close(done)
 		})
@@ -207,23 +207,23 @@
 // drainAskMost is how long a caller may wait for a drain to be granted and over.
 const drainAskMost = 2 * time.Minute
 
-// DrainAsk is what `reachwind fleet drain` and `undrain` ask a gateway for.
-type DrainAsk struct {
+// DrainRequest is what `reachwind fleet drain` and `undrain` ask a gateway for.
+type DrainRequest struct {
 	Back   bool   `json:"back,omitempty"`
 	TermMs int64  `json:"term_ms,omitempty"`
 	WaitMs int64  `json:"wait_ms,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// DrainAnswer is what came of it.
-type DrainAnswer struct {
+// DrainResponse is what came of it.
+type DrainResponse struct {
 	drain.Status
 	Refused string `json:"refused,omitempty"`
 }
 
 // askDrain serves an operator's wish that this gateway goes out or comes back. It answers once it is out, or serves.
 func (f *Fleet) askDrain(w http.ResponseWriter, r *http.Request) {
-	var q DrainAsk
+	var q DrainRequest
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&q)
 	if q.TermMs == 0 {
 		q.TermMs = drain.TermUsual.Milliseconds()
@@ -245,7 +245,7 @@
 			return
 		}
 		if mine := f.group.View.Status().Verdict; !q.Back {
-			if ok, why := view.Allowed(view.StartDrain, mine, view.Whole); !ok {
+			if ok, why := view.Allowed(view.StartDrain, mine, view.Majority); !ok {
 				over <- end{f.drain.Status(now), "its verdict is " + mine.String() + ": " + why}
 				return
 			}
@@ -276,7 +276,7 @@
 	select {
 	case e := <-over:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(DrainAnswer{e.s, e.why})
+		_ = json.NewEncoder(w).Encode(DrainResponse{e.s, e.why})
 	case <-r.Context().Done():
 	case <-time.After(drainAskMost):
 		http.Error(w, "not over in time: see `reachwind fleet view`", http.StatusServiceUnavailable)
--- a/internal/fleet/signal/signal.go
+++ b/internal/fleet/loadsignal/signal.go
@@ -1,4 +1,4 @@
-// Package signal lets one gateway's estimate of a member know what all have outstanding
+// Package loadsignal lets one gateway's estimate of a member know what all have outstanding
 // there and what they measured: each tells its own in bounded digests. What comes of them
 // is a weight in the choice among members that may answer; never a position, and never a
 // reason to take a member out. It does no I/O, starts no goroutine and reads no clock.
@@ -10,7 +10,7 @@
 //  3. What was told fades, and is gone after Age. With nothing told, all weights go back to 1.
 //  4. A weight moves by at most Step of the way to its aim in a Tick, so that many which
 //     hear the same at once do not all go to the same member.
-package signal
+package loadsignal
 
 import (
 	"cmp"
--- a/internal/fleet/signal/signal_test.go
+++ b/internal/fleet/loadsignal/signal_test.go
@@ -1,4 +1,4 @@
-package signal
+package loadsignal
 
 import (
 	"fmt"
--- a/internal/fleet/belief/belief.go
+++ b/internal/fleet/observation/belief.go
@@ -1,8 +1,8 @@
-// Package belief holds observations of members that travel between gateways: who
+// Package observation holds observations of members that travel between gateways: who
 // saw what of which member, when, by what evidence. What comes of them is advice
 // to look, never an exclusion. It does no I/O, starts no goroutine and reads no
 // clock.
-package belief
+package observation
 
 import (
 	"cmp"
@@ -104,8 +104,8 @@
 	left int  // how often it is still passed on
 }
 
-// Book is one gateway's. It is its owner's alone.
-type Book struct {
+// Store is one gateway's. It is its owner's alone.
+type Store struct {
 	name, zone string
 	epoch      uint64
 	rng        *rand.Rand
@@ -118,22 +118,22 @@
 	looksAt    Time
 	trust      map[string]float64 // of witnesses whose claims were not borne out, below 1
 	spread     []*seen
-	Dropped    Drops
+	Dropped    DropCounts
 	Looks      int // asked for in all
 	Wrong      int // of these, after which the member answered
 }
 
-// Drops counts what was not taken.
-type Drops struct{ Full, Old, Rate, Oneself int }
+// DropCounts counts what was not taken.
+type DropCounts struct{ Full, Old, Rate, Oneself int }
 
 // New returns an empty book.
-func New(name, zone string, epoch, seed uint64) *Book {
-	return &Book{name: name, zone: zone, epoch: epoch, rng: rand.New(rand.NewPCG(seed, 0x62656c)), members: map[string]map[string]*seen{},
+func New(name, zone string, epoch, seed uint64) *Store {
+	return &Store{name: name, zone: zone, epoch: epoch, rng: rand.New(rand.NewPCG(seed, 0x62656c)), members: map[string]map[string]*seen{},
 		own: map[string]Time{}, looked: map[string]Time{}, looks: looksMost, trust: map[string]float64{}}
 }
 
-// Saw takes what this gateway itself saw, to tell the others. peers is how many there are.
-func (b *Book) Saw(now Time, member string, k Kind, position int64, peers int) {
+// RecordOwn takes what this gateway itself saw, to tell the others. peers is how many there are.
+func (b *Store) RecordOwn(now Time, member string, k Kind, position int64, peers int) {
 	b.now = now
 	if k == Answers || k == Primary {
 		b.own[member] = now
@@ -147,8 +147,8 @@
 	b.put(o, peers)
 }
 
-// Answered notes an answer of a member without telling anyone: it answers as usual.
-func (b *Book) Answered(now Time, member string) {
+// RecordAnswer notes an answer of a member without telling anyone: it answers as usual.
+func (b *Store) RecordAnswer(now Time, member string) {
 	if len(b.members[member]) > 0 || b.looked[member] != 0 {
 		b.now, b.own[member] = now, now
 		b.judge(member)
@@ -157,7 +157,7 @@
 
 // judge compares what was claimed of a member with the answer that just came: who claimed that it was silent, at a
 // time before which it was looked for, is trusted less.
-func (b *Book) judge(member string) {
+func (b *Store) judge(member string) {
 	at, ok := b.looked[member]
 	if !ok {
 		return
@@ -175,8 +175,8 @@
 	}
 }
 
-// Confirmed takes that a look was not answered: those who said so are trusted more again.
-func (b *Book) Confirmed(member string) {
+// ConfirmSilent takes that a look was not answered: those who said so are trusted more again.
+func (b *Store) ConfirmSilent(member string) {
 	if _, ok := b.looked[member]; !ok {
 		return
 	}
@@ -192,7 +192,7 @@
 	}
 }
 
-func (b *Book) trusted(w string) float64 {
+func (b *Store) trusted(w string) float64 {
 	if t, ok := b.trust[w]; ok {
 		return t
 	}
@@ -200,7 +200,7 @@
 }
 
 // put keeps an observation if it is the newest of its witness.
-func (b *Book) put(o *seen, peers int) bool {
+func (b *Store) put(o *seen, peers int) bool {
 	of := b.members[o.Member]
 	if of == nil {
 		if len(b.members) >= membersMax {
@@ -227,8 +227,8 @@
 	return true
 }
 
-// Told takes a batch that a peer passed on, and returns advice.
-func (b *Book) Told(now Time, batch []Observation, peers int) []Advice {
+// Merge takes a batch that a peer passed on, and returns advice.
+func (b *Store) Merge(now Time, batch []Observation, peers int) []Advice {
 	b.now = now
 	touched := map[string]bool{}
 	for _, o := range batch {
@@ -263,7 +263,7 @@
 }
 
 // Weigh weighs what is claimed of a member by others, at the time of the book's last event.
-func (b *Book) Weigh(member string) Weight {
+func (b *Store) Weigh(member string) Weight {
 	var w Weight
 	out, up := map[string]float64{}, map[string]float64{}
 	own := b.own[member]
@@ -298,7 +298,7 @@
 }
 
 // advise says what to do about a member that something new is claimed of.
-func (b *Book) advise(member string) (Advice, bool) {
+func (b *Store) advise(member string) (Advice, bool) {
 	w := b.Weigh(member)
 	a := Advice{Member: member, Witnesses: w.Witnesses}
 	a.Guess = w.Primary > 0 && b.now-w.Primary < halfLife
@@ -319,7 +319,7 @@
 }
 
 // mayLook bounds the looks that claims can cause, however many there are.
-func (b *Book) mayLook() bool {
+func (b *Store) mayLook() bool {
 	b.looks = min(looksMost, b.looks+looksMost*(b.now-b.looksAt).Seconds())
 	b.looksAt = b.now
 	if b.looks < 1 {
@@ -329,8 +329,8 @@
 	return true
 }
 
-// Batch is what to pass on now, nil if nothing; those passed on least come first.
-func (b *Book) Batch(now Time) []Observation {
+// NextBatch is what to pass on now, nil if nothing; those passed on least come first.
+func (b *Store) NextBatch(now Time) []Observation {
 	b.now = now
 	b.spread = slices.DeleteFunc(b.spread, func(o *seen) bool { return o.left <= 0 || now-o.at > keep })
 	slices.SortStableFunc(b.spread, func(x, y *seen) int { return cmp.Compare(y.left, x.left) })
@@ -347,8 +347,8 @@
 	return batch
 }
 
-// Forget drops what is too old to count. It is to be called each second or so.
-func (b *Book) Forget(now Time) {
+// Expire drops what is too old to count. It is to be called each second or so.
+func (b *Store) Expire(now Time) {
 	b.now = now
 	for m, of := range b.members {
 		for w, o := range of {
@@ -372,8 +372,8 @@
 	}
 }
 
-// Line is what is claimed of a member, for tables and JSON.
-type Line struct {
+// MemberSummary is what is claimed of a member, for tables and JSON.
+type MemberSummary struct {
 	Member    string  `json:"member"`
 	Out       float64 `json:"out"`
 	Up        float64 `json:"up"`
@@ -390,13 +390,13 @@
 	Trust   float64 `json:"trust"`
 }
 
-// Lines are all claims that are held, in the order of members and witnesses.
-func (b *Book) Lines(now Time) []Line {
+// Summaries are all claims that are held, in the order of members and witnesses.
+func (b *Store) Summaries(now Time) []MemberSummary {
 	b.now = now
-	lines := []Line{}
+	lines := []MemberSummary{}
 	for _, m := range slices.Sorted(maps.Keys(b.members)) {
 		w := b.Weigh(m)
-		l := Line{Member: m, Out: w.Out, Up: w.Up, Witnesses: w.Witnesses, Claims: []Claim{}}
+		l := MemberSummary{Member: m, Out: w.Out, Up: w.Up, Witnesses: w.Witnesses, Claims: []Claim{}}
 		for _, name := range slices.Sorted(maps.Keys(b.members[m])) {
 			o := b.members[m][name]
 			l.Claims = append(l.Claims, Claim{name, o.Zone, o.Kind.String(), (now - o.at).Milliseconds(), b.trusted(name)})
@@ -406,8 +406,8 @@
 	return lines
 }
 
-// Rename takes over a new epoch of this gateway.
-func (b *Book) Rename(epoch uint64) { b.epoch = epoch }
+// SetEpoch takes over a new epoch of this gateway.
+func (b *Store) SetEpoch(epoch uint64) { b.epoch = epoch }
 
 // Members are the members that something is claimed of.
-func (b *Book) Members() []string { return slices.Collect(maps.Keys(b.members)) }
+func (b *Store) Members() []string { return slices.Collect(maps.Keys(b.members)) }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -22,11 +22,11 @@
 
 // Config is what the sockets are told.
 type Config struct {
-	Listen    string
-	Advertise string
-	Keys      *Keys
-	Bytes     int               // a second, sent in all
-	Routes    map[string]string // peers that are reached by another address than the one they tell
+	Listen         string
+	Advertise      string
+	Keys           *Keys
+	BytesPerSecond int               // a second, sent in all
+	Routes         map[string]string // peers that are reached by another address than the one they tell
 }
 
 const (
@@ -44,14 +44,14 @@
 
 // Incoming is an authentic frame, or an address that refused a connection.
 type Incoming struct {
-	Frame   []byte
-	Stream  uint64
-	Refused string
+	Frame       []byte
+	Stream      uint64
+	RefusedAddr string
 }
 
 // Counts are what went and came, and what was dropped for which reason. They may be read at any time.
 type Counts struct {
-	Sent, SentBytes, Taken, TakenBytes                               atomic.Int64
+	Sent, SentBytes, Received, ReceivedBytes                         atomic.Int64
 	Unauthentic, Repeated, UnknownKey, Oversize, Overflow, Throttled atomic.Int64
 	StreamsRefused                                                   atomic.Int64
 }
@@ -100,7 +100,7 @@
 	}
 	s := &Sockets{conf: conf, log: log, udp: udp, tcp: tcp, in: make(chan Incoming, queueMost), out: make(chan struct{}, streamsOut), keys: conf.Keys,
 		routes: conf.Routes, sealer: newSealer(), heard: map[string][4]byte{}, tried: map[string]int{}, addrs: map[string]*net.UDPAddr{},
-		streams: map[uint64]*inbound{}, room: burst * float64(conf.Bytes), roomAt: time.Now()}
+		streams: map[uint64]*inbound{}, room: burst * float64(conf.BytesPerSecond), roomAt: time.Now()}
 	s.opener = &opener{own: s.sealer.own, windows: map[instance]*window{}}
 	if s.conf.Advertise == "" {
 		s.conf.Advertise = tcp.Addr().String()
@@ -118,11 +118,11 @@
 	over chan struct{} // closed when it has had it
 }
 
-// Addr is what peers are told.
-func (s *Sockets) Addr() string { return s.conf.Advertise }
+// AdvertisedAddr is what peers are told.
+func (s *Sockets) AdvertisedAddr() string { return s.conf.Advertise }
 
-// In is what came.
-func (s *Sockets) In() <-chan Incoming { return s.in }
+// Received is what came.
+func (s *Sockets) Received() <-chan Incoming { return s.in }
 
 // SetKeys takes over other keys and routes.
 func (s *Sockets) SetKeys(k *Keys, routes map[string]string) {
@@ -173,10 +173,10 @@
 // spend takes n bytes of what may be sent, or counts that they may not.
 func (s *Sockets) spend(n int, spare bool) bool {
 	now := time.Now()
-	s.room = min(s.room+now.Sub(s.roomAt).Seconds()*float64(s.conf.Bytes), burst*float64(s.conf.Bytes))
+	s.room = min(s.room+now.Sub(s.roomAt).Seconds()*float64(s.conf.BytesPerSecond), burst*float64(s.conf.BytesPerSecond))
 	s.roomAt = now
 	left := s.room - float64(n)
-	if left < 0 || spare && left < reserve*burst*float64(s.conf.Bytes) {
+	if left < 0 || spare && left < reserve*burst*float64(s.conf.BytesPerSecond) {
 		s.Counts.Throttled.Add(1)
 		return false
 	}
@@ -227,8 +227,8 @@
 	}
 }
 
-// Answer sends a frame on a stream that a message came by.
-func (s *Sockets) Answer(stream uint64, addr string, frame []byte, spare bool) {
+// Reply sends a frame on a stream that a message came by.
+func (s *Sockets) Reply(stream uint64, addr string, frame []byte, spare bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	in := s.streams[stream]
@@ -264,7 +264,7 @@
 		c, err := d.DialContext(s.ctx, "tcp", to)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				s.post(Incoming{Refused: addr})
+				s.post(Incoming{RefusedAddr: addr})
 			}
 			return
 		}
@@ -356,8 +356,8 @@
 		s.junk.Warn(s.log, "fleet message not authentic", "err", err)
 		return false
 	}
-	c.Taken.Add(1)
-	c.TakenBytes.Add(int64(len(b)))
+	c.Received.Add(1)
+	c.ReceivedBytes.Add(int64(len(b)))
 	s.post(Incoming{Frame: m.frame, Stream: stream})
 	return true
 }
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/quota/share.go
@@ -1,4 +1,4 @@
-// Package share divides budgets between gateways that know each other. Each has a
+// Package quota divides budgets between gateways that know each other. Each has a
 // part of its own that needs no talk; what it does not use of it, it lends to one
 // that asks, for a term. It does no I/O, starts no goroutine and reads no clock.
 //
@@ -15,7 +15,7 @@
 //     does not use what it could have lent.
 //
 // So no clock is compared with another, only how far each has run.
-package share
+package quota
 
 import (
 	"cmp"
@@ -31,29 +31,29 @@
 
 // The shared budgets. Their numbers are on the wire: they are never used anew.
 const (
-	Cold      = 0 // chances at cold members
-	Probes    = 1 // of members
-	Asks      = 2 // calls of discovery
-	Customers = 3 // requests within their shares
-	Budgets   = 4
+	SlowStart      = 0 // chances at cold members
+	Probes         = 1 // of members
+	DiscoveryCalls = 2 // calls of discovery
+	Tenants        = 3 // requests within their shares
+	BudgetCount    = 4
 )
 
-// Names are the budgets' names in tables and JSON.
-var Names = [Budgets]string{"cold", "probes", "asks", "customers"}
+// BudgetNames are the budgets' names in tables and JSON.
+var BudgetNames = [BudgetCount]string{"cold", "probes", "asks", "customers"}
 
 const (
-	// Term is how long a loan lasts.
-	Term = 10 * time.Second
-	// Margin is what a lender waits beyond that: clocks run apart by less than one in a hundred.
-	Margin = Term / 100
-	// Lendable is the part of a gateway's own part that it may lend: the rest is its own at any time.
-	Lendable   = 0.5
-	askEvery   = time.Second
-	answerMost = 2 * time.Second // a loan that answers an older request is left: too little of its term may be left
-	loansMost  = 64              // out or in, of one budget
-	useBlend   = 0.2
-	needTimes  = 1.25 // what is held ready above what was used lately
-	leastLoan  = 0.02 // of an own part
+	// LoanTerm is how long a loan lasts.
+	LoanTerm = 10 * time.Second
+	// ClockMargin is what a lender waits beyond that: clocks run apart by less than one in a hundred.
+	ClockMargin = LoanTerm / 100
+	// LendableFraction is the part of a gateway's own part that it may lend: the rest is its own at any time.
+	LendableFraction = 0.5
+	askEvery         = time.Second
+	answerMost       = 2 * time.Second // a loan that answers an older request is left: too little of its term may be left
+	loansMost        = 64              // out or in, of one budget
+	useBlend         = 0.2
+	needTimes        = 1.25 // what is held ready above what was used lately
+	leastLoan        = 0.02 // of an own part
 )
 
 // Guard is one of the checks that keep the sum. A checker switches them off one at a time.
@@ -61,11 +61,11 @@
 
 // The guards.
 const (
-	GuardStart  Guard = 1 << iota // claim 4
-	GuardTerm                     // claim 2: a loan ends, counted from the request
-	GuardOnce                     // claim 3
-	GuardMargin                   // claim 1: the margin
-	GuardLend                     // claim 1: what is lent is not used
+	GuardStart    Guard = 1 << iota // claim 4
+	GuardTerm                       // claim 2: a loan ends, counted from the request
+	GuardTakeOnce                   // claim 3
+	GuardMargin                     // claim 1: the margin
+	GuardLent                       // claim 1: what is lent is not used
 )
 
 // Guards are all of them, with what each keeps.
@@ -74,7 +74,7 @@
 	Name  string
 }{
 	{GuardStart, "who starts does not use what it may have lent"}, {GuardTerm, "a loan ends, counted from its request"},
-	{GuardOnce, "a loan is taken once"}, {GuardMargin, "a lender waits for clocks that run apart"}, {GuardLend, "what is lent is not used"},
+	{GuardTakeOnce, "a loan is taken once"}, {GuardMargin, "a lender waits for clocks that run apart"}, {GuardLent, "what is lent is not used"},
 }
 
 // Message asks for a part of a budget, or lends one.
@@ -132,7 +132,7 @@
 	start   Time
 	now     Time
 	number  uint64
-	budgets [Budgets]budget
+	budgets [BudgetCount]budget
 	off     Guard
 	Lent    int // loans made
 	Taken   int
@@ -146,8 +146,8 @@
 
 func (l *Ledger) on(g Guard) bool { return l.off&g == 0 }
 
-// Rename takes over a new epoch: requests under the old one get no loans any more.
-func (l *Ledger) Rename(epoch uint64) { l.epoch = epoch }
+// SetEpoch takes over a new epoch: requests under the old one get no loans any more.
+func (l *Ledger) SetEpoch(epoch uint64) { l.epoch = epoch }
 
 // lent is what is out of a budget, or may be.
 func (l *Ledger) lent(b *budget) float64 {
@@ -156,18 +156,18 @@
 	for _, o := range b.out {
 		sum += o.part
 	}
-	if l.on(GuardStart) && l.now-l.start < Term+Margin {
-		return Lendable
+	if l.on(GuardStart) && l.now-l.start < LoanTerm+ClockMargin {
+		return LendableFraction
 	}
 	return sum
 }
 
-// Part is what this gateway may use of a budget now, in own parts: 1 is today's split.
-func (l *Ledger) Part(now Time, i int) float64 {
+// Quota is what this gateway may use of a budget now, in own parts: 1 is today's split.
+func (l *Ledger) Quota(now Time, i int) float64 {
 	l.now = max(l.now, now)
 	b := &l.budgets[i]
 	part := 1.0
-	if l.on(GuardLend) {
+	if l.on(GuardLent) {
 		part -= l.lent(b)
 	}
 	b.in = slices.DeleteFunc(b.in, func(o loan) bool { return l.on(GuardTerm) && l.now >= o.until })
@@ -177,8 +177,8 @@
 	return part
 }
 
-// Used tells how much of a budget was used lately, in own parts a time in which one part comes in.
-func (l *Ledger) Used(i int, parts float64) {
+// RecordUse tells how much of a budget was used lately, in own parts a time in which one part comes in.
+func (l *Ledger) RecordUse(i int, parts float64) {
 	b := &l.budgets[i]
 	b.use += useBlend * (min(parts, 1e3) - b.use)
 }
@@ -186,15 +186,15 @@
 // need is what this gateway wants of a budget.
 func (b *budget) need() float64 { return needTimes * b.use }
 
-// Spare is what it could lend now.
-func (l *Ledger) Spare(now Time, i int) float64 {
-	part := l.Part(now, i)
+// LendableNow is what it could lend now.
+func (l *Ledger) LendableNow(now Time, i int) float64 {
+	part := l.Quota(now, i)
 	b := &l.budgets[i]
-	room := Lendable - l.lent(b)
-	if l.on(GuardStart) && l.now-l.start < Term+Margin || len(b.in) > 0 || len(b.out) >= loansMost {
+	room := LendableFraction - l.lent(b)
+	if l.on(GuardStart) && l.now-l.start < LoanTerm+ClockMargin || len(b.in) > 0 || len(b.out) >= loansMost {
 		return 0
 	}
-	return max(0, min(room, part-max(b.need(), 1-Lendable)))
+	return max(0, min(room, part-max(b.need(), 1-LendableFraction)))
 }
 
 // Lender is a peer that may be asked, and what it said it could spare.
@@ -203,18 +203,18 @@
 	Spare float64
 }
 
-// Send is a message for a peer.
-type Send struct {
+// Outgoing is a message for a peer.
+type Outgoing struct {
 	To      string
 	Message Message
 }
 
-// Ask asks peers for what this gateway lacks. lenders are those that it may borrow from now.
-func (l *Ledger) Ask(now Time, lenders func(i int) []Lender) (out []Send) {
+// RequestLoans asks peers for what this gateway lacks. lenders are those that it may borrow from now.
+func (l *Ledger) RequestLoans(now Time, lenders func(i int) []Lender) (out []Outgoing) {
 	l.now = max(l.now, now)
 	for i := range l.budgets {
 		b := &l.budgets[i]
-		lack := b.need() - l.Part(now, i)
+		lack := b.need() - l.Quota(now, i)
 		if lack < leastLoan || l.now < b.askAt || len(b.in) >= loansMost {
 			continue
 		}
@@ -226,7 +226,7 @@
 			if want := min(lack, p.Spare); want >= leastLoan {
 				l.number++
 				b.asked = append(b.asked, request{l.number, p.Name, l.now, want})
-				out = append(out, Send{p.Name, Message{Budget: uint8(i), Number: l.number, Epoch: l.epoch, Part: want}})
+				out = append(out, Outgoing{p.Name, Message{Budget: uint8(i), Number: l.number, Epoch: l.epoch, Part: want}})
 				lack -= want
 			}
 		}
@@ -234,10 +234,10 @@
 	return out
 }
 
-// Take takes a message of a peer, and returns the loan that answers it, if any. mayLend tells whether the peer may
+// HandleMessage takes a message of a peer, and returns the loan that answers it, if any. mayLend tells whether the peer may
 // have one now.
-func (l *Ledger) Take(now Time, from string, m *Message, mayLend bool) *Message {
-	if m.Budget >= Budgets || math.IsNaN(m.Part) || m.Part <= 0 {
+func (l *Ledger) HandleMessage(now Time, from string, m *Message, mayLend bool) *Message {
+	if m.Budget >= BudgetCount || math.IsNaN(m.Part) || m.Part <= 0 {
 		l.Refused++
 		return nil
 	}
@@ -247,13 +247,13 @@
 		l.borrow(b, from, m)
 		return nil
 	}
-	part := min(m.Part, l.Spare(now, int(m.Budget)))
+	part := min(m.Part, l.LendableNow(now, int(m.Budget)))
 	if !mayLend || part < leastLoan {
 		return nil
 	}
-	term := Term
+	term := LoanTerm
 	if l.on(GuardMargin) {
-		term += Margin
+		term += ClockMargin
 	}
 	b.out = append(b.out, loan{from, m.Number, part, l.now + term})
 	l.Lent++
@@ -268,7 +268,7 @@
 		return
 	}
 	r := b.asked[i]
-	if l.on(GuardOnce) {
+	if l.on(GuardTakeOnce) {
 		b.asked = slices.Delete(b.asked, i, i+1)
 	}
 	if l.now-r.at > answerMost || m.Part > r.part {
@@ -276,5 +276,5 @@
 		return
 	}
 	l.Taken++
-	b.in = append(b.in, loan{from, m.Number, m.Part, r.at + Term})
+	b.in = append(b.in, loan{from, m.Number, m.Part, r.at + LoanTerm})
 }
--- a/internal/fleet/turn/turn.go
+++ b/internal/fleet/rotation/turn.go
@@ -1,4 +1,4 @@
-// Package turn tells who does for all gateways what one of them should do: a look at a
+// Package rotation tells who does for all gateways what one of them should do: a look at a
 // member, the trial of a suspect, a call to discovery. Whose turn it is follows from the
 // view and the time alone. It does no I/O, starts no goroutine and reads no clock.
 //
@@ -15,7 +15,7 @@
 // A turn is no lock: two views, a clock that is further off, or a process that was stopped
 // between its look at the clock and its act, have two that act. It is for what two may do
 // without harm. What exactly one may do takes a permit of the council.
-package turn
+package rotation
 
 import (
 	"cmp"
@@ -23,7 +23,7 @@
 	"slices"
 	"time"
 
-	"reachwind/internal/fleet/draw"
+	"reachwind/internal/fleet/seededhash"
 )
 
 // Time is wall time since the Unix epoch, or a span on it.
@@ -91,19 +91,19 @@
 
 // place is me's place in the order of a slot, and how many there are in it.
 func (t Task) place(slot int64, names []string, missing int, me string) (place, n int) {
-	seed := draw.Mix(draw.Of(0, t.Name) ^ draw.Mix(uint64(slot)))
-	own := draw.Mix(seed ^ draw.Of(0, me))
+	seed := seededhash.Mix(seededhash.Of(0, t.Name) ^ seededhash.Mix(uint64(slot)))
+	own := seededhash.Mix(seed ^ seededhash.Of(0, me))
 	for _, name := range names {
 		if name == me {
 			continue
 		}
-		if s := draw.Mix(seed ^ draw.Of(0, name)); s < own || s == own && name < me {
+		if s := seededhash.Mix(seed ^ seededhash.Of(0, name)); s < own || s == own && name < me {
 			place++
 		}
 		n++
 	}
 	for i := range missing {
-		if draw.Mix(seed^draw.Mix(uint64(i)+1)) < own {
+		if seededhash.Mix(seed^seededhash.Mix(uint64(i)+1)) < own {
 			place++
 		}
 		n++
@@ -114,10 +114,10 @@
 // Order is the order in which names come, one after another, in a round of a task: that of
 // healed offices or regions that come back. All that know the names and the round know it.
 func Order(task string, round int64, names []string) []string {
-	seed := draw.Mix(draw.Of(0, task) ^ draw.Mix(uint64(round)))
+	seed := seededhash.Mix(seededhash.Of(0, task) ^ seededhash.Mix(uint64(round)))
 	all := slices.Clone(names)
 	slices.SortFunc(all, func(a, b string) int {
-		return cmp.Or(cmp.Compare(draw.Mix(seed^draw.Of(0, a)), draw.Mix(seed^draw.Of(0, b))), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(seededhash.Mix(seed^seededhash.Of(0, a)), seededhash.Mix(seed^seededhash.Of(0, b))), cmp.Compare(a, b))
 	})
 	return slices.Compact(all)
 }
--- a/internal/fleet/turn/turn_test.go
+++ b/internal/fleet/rotation/turn_test.go
@@ -1,4 +1,4 @@
-package turn
+package rotation
 
 import (
 	"errors"
--- a/internal/fleet/draw/draw.go
+++ b/internal/fleet/seededhash/draw.go
@@ -1,6 +1,6 @@
-// Package draw gives the numbers by which many gateways choose alike without talking: the same words give the same
+// Package seededhash gives the numbers by which many gateways choose alike without talking: the same words give the same
 // number everywhere, in every build. It has no state.
-package draw
+package seededhash
 
 import "github.com/cespare/xxhash/v2"
 
--- a/internal/fleet/subscribe/asks.go
+++ b/internal/fleet/subscribe/asks.go
@@ -10,15 +10,15 @@
 
 // Frames by which a gateway asks for a permit to be out. Numbers are on the wire: they are never used anew.
 const (
-	FrameAsk = 25
-	FrameGot = 26
+	FramePermitRequest = 25
+	FramePermitAnswer  = 26
 )
 
-// AskEvery is how often an ask is sent anew, to all voters, until it is answered.
-const AskEvery = 300 * time.Millisecond
+// ResendInterval is how often an ask is sent anew, to all voters, until it is answered.
+const ResendInterval = 300 * time.Millisecond
 
-// Ask is a gateway's command about itself. Fields are added, never changed.
-type Ask struct {
+// PermitRequest is a gateway's command about itself. Fields are added, never changed.
+type PermitRequest struct {
 	Name   string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
 	Number uint64 `cbor:"3,keyasint"` // of this epoch, growing: what is asked twice is done once
@@ -29,14 +29,14 @@
 	Reason string `cbor:"8,keyasint,omitempty"`
 }
 
-// ReadAsk reads an ask; ok is false for one that makes no sense.
-func ReadAsk(b []byte) (a Ask, ok bool) {
+// DecodePermitRequest reads an ask; ok is false for one that makes no sense.
+func DecodePermitRequest(b []byte) (a PermitRequest, ok bool) {
 	err := cbor.Unmarshal(b, &a)
 	return a, err == nil && a.Name != "" && len(a.Name) <= textMost && len(a.Addr) <= textMost && len(a.Reason) <= agreed.TextMost
 }
 
-// Got is what the council decided.
-type Got struct {
+// PermitAnswer is what the council decided.
+type PermitAnswer struct {
 	Number  uint64 `cbor:"1,keyasint"`
 	OK      bool   `cbor:"2,keyasint,omitempty"`
 	Refused string `cbor:"3,keyasint,omitempty"`
@@ -45,32 +45,32 @@
 }
 
 // Encode is the answer's bytes.
-func (g *Got) Encode() []byte { return encode(g) }
+func (g *PermitAnswer) Encode() []byte { return encode(g) }
 
-// Asker keeps one ask at a time under way. It is its owner's alone.
-type Asker struct {
+// PermitRequester keeps one ask at a time under way. It is its owner's alone.
+type PermitRequester struct {
 	number uint64
-	ask    *Ask // nil: none
-	at     Time // first sent
+	ask    *PermitRequest // nil: none
+	at     Time           // first sent
 	sentAt Time
 }
 
 // Begin begins an ask in place of any under way, whose answer is no longer waited for.
-func (k *Asker) Begin(now Time, a Ask) {
+func (k *PermitRequester) Begin(now Time, a PermitRequest) {
 	k.number++
 	a.Number = k.number
-	k.ask, k.at, k.sentAt = &a, now, now-AskEvery
+	k.ask, k.at, k.sentAt = &a, now, now-ResendInterval
 }
 
 // Busy tells that an ask waits for its answer.
-func (k *Asker) Busy() bool { return k.ask != nil }
+func (k *PermitRequester) Busy() bool { return k.ask != nil }
 
 // Stop gives an ask up. The council may still do it.
-func (k *Asker) Stop() { k.ask = nil }
+func (k *PermitRequester) Stop() { k.ask = nil }
 
 // Send returns the bytes that are to be sent to all voters now, nil if nothing is.
-func (k *Asker) Send(now Time) []byte {
-	if k.ask == nil || now-k.sentAt < AskEvery {
+func (k *PermitRequester) Send(now Time) []byte {
+	if k.ask == nil || now-k.sentAt < ResendInterval {
 		return nil
 	}
 	k.sentAt = now
@@ -79,7 +79,7 @@
 
 // Take takes an answer. ok is false unless it is that of the ask under way, which is returned with the time at which it
 // was first sent: a term counts from there.
-func (k *Asker) Take(b []byte) (a Ask, g Got, at Time, ok bool) {
+func (k *PermitRequester) Take(b []byte) (a PermitRequest, g PermitAnswer, at Time, ok bool) {
 	if cbor.Unmarshal(b, &g) != nil || k.ask == nil || g.Number != k.ask.Number {
 		return a, g, 0, false
 	}
@@ -88,17 +88,17 @@
 	return a, g, k.at, true
 }
 
-// Drain is a member that is permitted to go out.
-type Drain struct {
+// MemberDrain is a member that is permitted to go out.
+type MemberDrain struct {
 	Member string `cbor:"1,keyasint"`
 	LeftMs int64  `cbor:"2,keyasint"` // of its permit's term
 }
 
-// DrainsMost bounds a datagram.
-const DrainsMost = 16
+// MaxDrainsPerUpdate bounds a datagram.
+const MaxDrainsPerUpdate = 16
 
-// Seen is what a gateway knows of a member by answers of its own.
-type Seen struct {
+// MemberReport is what a gateway knows of a member by answers of its own.
+type MemberReport struct {
 	Member   string `cbor:"1,keyasint"`
 	Group    int64  `cbor:"2,keyasint"`
 	Primary  bool   `cbor:"3,keyasint,omitempty"`
@@ -107,11 +107,11 @@
 	Zone     string `cbor:"6,keyasint,omitempty"`
 }
 
-// SeenMost is how many go into one report; a gateway tells of all members in turn.
-const SeenMost = 8
+// MaxMembersPerReport is how many go into one report; a gateway tells of all members in turn.
+const MaxMembersPerReport = 8
 
-// Tried are a gateway's attempts at the members of a zone since its start, those at looks that plans lead to among them.
-type Tried struct {
+// ZoneAttempts are a gateway's attempts at the members of a zone since its start, those at looks that plans lead to among them.
+type ZoneAttempts struct {
 	Zone     string `cbor:"1,keyasint"`
 	Attempts uint64 `cbor:"2,keyasint"`
 	Failed   uint64 `cbor:"3,keyasint,omitempty"`
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -22,23 +22,23 @@
 // Frames between gateways and voters. Numbers are on the wire: they are never used anew.
 const (
 	FrameReport = 21
-	FrameTold   = 22
+	FrameUpdate = 22
 )
 
 const (
-	// Every is how often a gateway reports, and the leader looks through the reports.
-	Every = time.Second
-	// SilentFor is after which a gateway that does not report counts as out by itself.
-	SilentFor = 10 * time.Second
-	// ServingFor is within which one must have reported to be seen serving.
-	ServingFor   = 3 * time.Second
-	forgetAfter  = 24 * time.Hour
-	leftCounts   = 10 * time.Minute // one that was told to stop is out, whoever told it; later it is taken for gone for good
-	GatewaysMost = 4096
-	membersMost  = 4096
-	seenFor      = 20 * time.Second // a gateway's word on a member counts for so long
-	caughtUp     = 2 * time.Second  // a replica that lacks no more of its group's log is caught up
-	textMost     = 80
+	// ReportInterval is how often a gateway reports, and the leader looks through the reports.
+	ReportInterval = time.Second
+	// SilentTimeout is after which a gateway that does not report counts as out by itself.
+	SilentTimeout = 10 * time.Second
+	// ServingWindow is within which one must have reported to be seen serving.
+	ServingWindow = 3 * time.Second
+	forgetAfter   = 24 * time.Hour
+	leftCounts    = 10 * time.Minute // one that was told to stop is out, whoever told it; later it is taken for gone for good
+	MaxGateways   = 4096
+	membersMost   = 4096
+	seenFor       = 20 * time.Second // a gateway's word on a member counts for so long
+	caughtUp      = 2 * time.Second  // a replica that lacks no more of its group's log is caught up
+	textMost      = 80
 )
 
 // Report is a gateway's word that it is there. Fields are added, never changed.
@@ -50,15 +50,15 @@
 	Addr    string `cbor:"5,keyasint"`
 	Version string `cbor:"6,keyasint,omitempty"`
 	Drain   bool   `cbor:"7,keyasint,omitempty"`
-	Leaves  bool   `cbor:"8,keyasint,omitempty"`
+	Leaving bool   `cbor:"8,keyasint,omitempty"`
 
-	Counts *Counts `cbor:"9,keyasint,omitempty"`
-	Seen   []Seen  `cbor:"10,keyasint,omitempty"`
-	Tried  []Tried `cbor:"11,keyasint,omitempty"`
+	Counts       *Counts        `cbor:"9,keyasint,omitempty"`
+	Members      []MemberReport `cbor:"10,keyasint,omitempty"`
+	ZoneAttempts []ZoneAttempts `cbor:"11,keyasint,omitempty"`
 }
 
-// Told is a voter's answer.
-type Told struct {
+// Update is a voter's answer.
+type Update struct {
 	Number uint64 `cbor:"1,keyasint"` // of the report
 	Leader string `cbor:"2,keyasint,omitempty"`
 	Term   uint64 `cbor:"3,keyasint"`
@@ -66,9 +66,9 @@
 	Fence  uint64 `cbor:"5,keyasint,omitempty"` // of the permit to be out that this gateway is under, 0 = none
 	LeftMs int64  `cbor:"6,keyasint,omitempty"` // of its term
 
-	Name   string  `cbor:"9,keyasint,omitempty"` // of the gateway that is told
-	Recall bool    `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: it had better come back
-	Drains []Drain `cbor:"8,keyasint,omitempty"` // members that are permitted to go out
+	Name   string        `cbor:"9,keyasint,omitempty"` // of the gateway that is told
+	Recall bool          `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: it had better come back
+	Drains []MemberDrain `cbor:"8,keyasint,omitempty"` // members that are permitted to go out
 
 	Plan       uint64     `cbor:"10,keyasint,omitempty"` // number of the plan of zones, 0 = none
 	PlanLeftMs int64      `cbor:"11,keyasint,omitempty"` // of its term
@@ -76,7 +76,7 @@
 }
 
 // Encode is the answer's bytes.
-func (t *Told) Encode() []byte { return encode(t) }
+func (t *Update) Encode() []byte { return encode(t) }
 
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
@@ -89,7 +89,7 @@
 // Subscription is what a gateway knows of the council. It is its owner's alone.
 type Subscription struct {
 	number uint64
-	last   Told
+	last   Update
 	at     Time // when the report that it answers was sent
 	sent   map[uint64]Time
 	heard  bool
@@ -99,8 +99,8 @@
 // New returns a subscription that has heard nothing.
 func New() *Subscription { return &Subscription{sent: map[uint64]Time{}} }
 
-// Report numbers a report.
-func (s *Subscription) Report(now Time, r Report) []byte {
+// NextReport numbers a report.
+func (s *Subscription) NextReport(now Time, r Report) []byte {
 	s.number++
 	r.Number = s.number
 	if len(s.sent) > 16 {
@@ -110,10 +110,10 @@
 	return encode(&r)
 }
 
-// Take takes a voter's word: the one of the highest index counts, dated from when the report that it answers was sent.
+// HandleUpdate takes a voter's word: the one of the highest index counts, dated from when the report that it answers was sent.
 // One that answers no report is what changed just now; it is dated as the last one was. It tells whether it counts.
-func (s *Subscription) Take(now Time, b []byte) bool {
-	var t Told
+func (s *Subscription) HandleUpdate(now Time, b []byte) bool {
+	var t Update
 	if cbor.Unmarshal(b, &t) != nil {
 		return false
 	}
@@ -128,8 +128,8 @@
 	return true
 }
 
-// Last is what was heard last and when it came; ok is false if nothing ever was.
-func (s *Subscription) Last() (t Told, at Time, ok bool) { return s.last, s.tookAt, s.heard }
+// LastUpdate is what was heard last and when it came; ok is false if nothing ever was.
+func (s *Subscription) LastUpdate() (t Update, at Time, ok bool) { return s.last, s.tookAt, s.heard }
 
 // State is what is known of the council, for tables and JSON.
 type State struct {
@@ -147,8 +147,8 @@
 	return State{s.last.Leader, s.last.Index, (now - s.at).Milliseconds(), s.last.Fence}
 }
 
-// Book is a voter's: who reported when. It is its owner's alone.
-type Book struct {
+// Registry is a voter's: who reported when. It is its owner's alone.
+type Registry struct {
 	seen  map[string]*heard
 	since Time // this voter has led, or heard reports without a gap, since then
 	leads bool
@@ -167,23 +167,23 @@
 
 // word is the last word on a member of the gateways of a zone.
 type word struct {
-	Seen
+	MemberReport
 	at Time
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
+// NewRegistry returns an empty book.
+func NewRegistry() *Registry {
+	return &Registry{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
 }
 
-// Take takes a report. One of an older start or number is dropped.
-func (b *Book) Take(now Time, raw []byte) (r Report, ok bool) {
+// HandleReport takes a report. One of an older start or number is dropped.
+func (b *Registry) HandleReport(now Time, raw []byte) (r Report, ok bool) {
 	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > textMost || len(r.Zone) > textMost || len(r.Addr) > textMost {
 		return r, false
 	}
 	h := b.seen[r.Name]
 	if h == nil {
-		if len(b.seen) >= GatewaysMost {
+		if len(b.seen) >= MaxGateways {
 			return r, false
 		}
 		h = &heard{}
@@ -194,17 +194,17 @@
 	b.count(h, &r)
 	b.tried(h, &r)
 	if h.Epoch != r.Epoch {
-		h.again = h.Epoch != 0 && (h.Drain || h.Leaves)
+		h.again = h.Epoch != 0 && (h.Drain || h.Leaving)
 	}
 	h.Report, h.at = r, now
-	for _, m := range r.Seen {
+	for _, m := range r.Members {
 		b.word(now, r.Zone, m)
 	}
 	return r, true
 }
 
 // count adds what a gateway counted since its last report to its version.
-func (b *Book) count(h *heard, r *Report) {
+func (b *Registry) count(h *heard, r *Report) {
 	v := b.versions[r.Version]
 	if v == nil {
 		if len(b.versions) >= 16 {
@@ -213,7 +213,7 @@
 		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketsCount)}
 		b.versions[r.Version] = v
 	}
-	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaves {
+	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaving {
 		v.Restarts++ // it did not say that it leaves
 	}
 	if r.Counts == nil || h.Epoch == 0 { // of who is new to this voter, all before is not of this while
@@ -234,7 +234,7 @@
 }
 
 // zone is what the gateways of one zone saw of another since the last look.
-func (b *Book) zone(witness, of string) *zoneplan.Seen {
+func (b *Registry) zone(witness, of string) *zoneplan.Seen {
 	z := b.zones[[2]string{witness, of}]
 	if z == nil {
 		z = &zoneplan.Seen{Witness: witness, Of: of}
@@ -246,17 +246,17 @@
 }
 
 // tried adds what a gateway tried since its last report, and what its clients asked.
-func (b *Book) tried(h *heard, r *Report) {
-	if h.Epoch == 0 || len(r.Tried) > agreed.ZonesMost {
+func (b *Registry) tried(h *heard, r *Report) {
+	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.ZonesMost {
 		return
 	}
-	was := map[string]Tried{}
+	was := map[string]ZoneAttempts{}
 	if h.Epoch == r.Epoch {
-		for _, t := range h.Tried {
+		for _, t := range h.ZoneAttempts {
 			was[t.Zone] = t
 		}
 	}
-	for _, t := range r.Tried {
+	for _, t := range r.ZoneAttempts {
 		if t.Zone == "" || len(t.Zone) > textMost || t.Failed > t.Attempts {
 			continue
 		}
@@ -277,8 +277,8 @@
 	}
 }
 
-// Zones is what was seen of zones since the last call: work a second, attempts in all.
-func (b *Book) Zones(now Time) (all []zoneplan.Seen) {
+// TakeZoneCounts is what was seen of zones since the last call: work a second, attempts in all.
+func (b *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
 	span := max(now-b.zonesAt, time.Millisecond).Seconds()
 	b.zonesAt = now
 	for _, z := range b.zones {
@@ -289,8 +289,8 @@
 	return all
 }
 
-// Health is what was counted since the last call, by version; those that nothing came of are left out.
-func (b *Book) Health() (all []agreed.VersionHealth) {
+// TakeHealth is what was counted since the last call, by version; those that nothing came of are left out.
+func (b *Registry) TakeHealth() (all []agreed.VersionHealth) {
 	for _, name := range slices.Sorted(maps.Keys(b.versions)) {
 		v := b.versions[name]
 		n := uint64(v.Restarts)
@@ -305,7 +305,7 @@
 	return all
 }
 
-func (b *Book) word(now Time, zone string, m Seen) {
+func (b *Registry) word(now Time, zone string, m MemberReport) {
 	if m.Member == "" || len(m.Member) > textMost || len(m.Zone) > textMost {
 		return
 	}
@@ -324,7 +324,7 @@
 
 // dbs are the members as gateways tell of them: out if most zones that tell of it lately say so, primary if most say so.
 // A replica's position is the highest told, as positions only grow.
-func (b *Book) dbs(now Time) (all []agreed.Target) {
+func (b *Registry) dbs(now Time) (all []agreed.Target) {
 	type one struct {
 		t        agreed.Target
 		position int64
@@ -374,8 +374,8 @@
 	return all
 }
 
-// Lead notes whether this voter leads.
-func (b *Book) Lead(now Time, leads bool) {
+// SetLeading notes whether this voter leads.
+func (b *Registry) SetLeading(now Time, leads bool) {
 	if leads && !b.leads {
 		b.since = now
 	}
@@ -385,12 +385,12 @@
 // Targets is who is there and who is out by itself, and whether that is another set than the one known. A leader that has
 // led for less than SilentFor takes nobody for out whom the council did not: it may just not have heard of it yet.
 // With full it tells of versions, starts and members too.
-func (b *Book) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
+func (b *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
 	was := map[string]agreed.Target{}
 	for _, t := range known {
 		if name, ok := strings.CutPrefix(t.Name, "gateway/"); ok {
 			was[name] = t
-			if b.seen[name] == nil && len(b.seen) < GatewaysMost { // agreed before this voter heard of it
+			if b.seen[name] == nil && len(b.seen) < MaxGateways { // agreed before this voter heard of it
 				b.seen[name] = &heard{Report: Report{Name: name, Zone: t.Zone}, at: b.since}
 			}
 		} else if !full || now-b.since < seenFor { // a new leader hears of all members first
@@ -402,11 +402,11 @@
 	}
 	for name, h := range b.seen {
 		silent := now - max(h.at, b.since)
-		if silent > forgetAfter || h.Leaves && silent > leftCounts {
+		if silent > forgetAfter || h.Leaving && silent > leftCounts {
 			delete(b.seen, name)
 			continue
 		}
-		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaves || silent > SilentFor || was[name].Out && now-h.at > ServingFor}
+		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaving || silent > SilentTimeout || was[name].Out && now-h.at > ServingWindow}
 		if full {
 			t.Version, t.Epoch = h.Version, h.Epoch
 			if h.Epoch == 0 { // not heard of since this voter began
@@ -421,14 +421,14 @@
 }
 
 // Serving tells whether a gateway reported lately that it serves.
-func (b *Book) Serving(now Time, target string) bool {
+func (b *Registry) Serving(now Time, target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
 	h := b.seen[name]
-	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaves && now-h.at < ServingFor
+	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaving && now-h.at < ServingWindow
 }
 
-// Returned tells that a gateway whose last start drained or left has begun another one.
-func (b *Book) Returned(target string) bool {
+// ReturnedAfterDrain tells that a gateway whose last start drained or left has begun another one.
+func (b *Registry) ReturnedAfterDrain(target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
 	h := b.seen[name]
 	return ok && h != nil && h.again
--- a/internal/fleet/subscribe/subscribe_test.go
+++ b/internal/fleet/subscribe/subscribe_test.go
@@ -10,8 +10,8 @@
 // TestBook: health is counted from report to report of one start, by version; restarts that nobody announced count; a
 // gateway that left under a permit and is back is told; members are judged by zones, not by how many gateways speak.
 func TestBook(t *testing.T) {
-	b := NewBook()
-	b.Lead(0, true)
+	b := NewRegistry()
+	b.SetLeading(0, true)
 	now, number := Time(0), uint64(0)
 	say := func(name, zone, version string, epoch, requests, refused uint64, more func(*Report)) {
 		number++
@@ -21,13 +21,13 @@
 		if more != nil {
 			more(&r)
 		}
-		if _, ok := b.Take(now, encode(&r)); !ok {
+		if _, ok := b.HandleReport(now, encode(&r)); !ok {
 			t.Fatalf("the report of %s is not taken", name)
 		}
 	}
 	health := func(want ...agreed.Served) {
 		t.Helper()
-		all := b.Health()
+		all := b.TakeHealth()
 		if len(all) != len(want) {
 			t.Fatalf("%d versions are told, want %d: %+v", len(all), len(want), all)
 		}
@@ -44,29 +44,29 @@
 	say("g2", "b", "2", 1, 25, 5, nil)
 	health(agreed.Served{Requests: 10, Refused: 2}, agreed.Served{Requests: 20, Refused: 5})
 	say("g2", "b", "2", 2, 7, 1, nil) // a start that nobody announced
-	if all := b.Health(); len(all) != 1 || all[0].Restarts != 1 || all[0].Classes[0].Requests != 7 {
+	if all := b.TakeHealth(); len(all) != 1 || all[0].Restarts != 1 || all[0].Classes[0].Requests != 7 {
 		t.Errorf("after a restart: %+v", all)
 	}
-	if b.Returned("gateway/g1") {
+	if b.ReturnedAfterDrain("gateway/g1") {
 		t.Error("who never left is told as back")
 	}
-	say("g1", "a", "1", 1, 1010, 2, func(r *Report) { r.Drain, r.Leaves = true, true })
+	say("g1", "a", "1", 1, 1010, 2, func(r *Report) { r.Drain, r.Leaving = true, true })
 	if b.Serving(now, "gateway/g1") {
 		t.Error("who leaves is told as serving")
 	}
 	say("g1", "a", "1", 5, 1, 0, nil)
-	if !b.Returned("gateway/g1") || !b.Serving(now, "gateway/g1") {
+	if !b.ReturnedAfterDrain("gateway/g1") || !b.Serving(now, "gateway/g1") {
 		t.Error("who is back is not told as back")
 	}
 	if r := (Report{Name: "g1", Epoch: 1, Number: 99}); true {
-		if _, ok := b.Take(now, encode(&r)); ok {
+		if _, ok := b.HandleReport(now, encode(&r)); ok {
 			t.Error("a report of an older start is taken")
 		}
 	}
 	now = 30 * time.Second
 	seen := func(out, primary bool, position int64) func(*Report) {
 		return func(r *Report) {
-			r.Seen = []Seen{{Member: "m1", Group: 1, Out: out, Primary: primary, Position: position}, {Member: "m2", Group: 1, Position: 9_000}, {Member: "m3", Group: 1, Position: 100}}
+			r.Members = []MemberReport{{Member: "m1", Group: 1, Out: out, Primary: primary, Position: position}, {Member: "m2", Group: 1, Position: 9_000}, {Member: "m3", Group: 1, Position: 100}}
 		}
 	}
 	for i := range 5 { // five gateways behind one broken link are one witness
@@ -102,27 +102,27 @@
 // TestAsker: one ask at a time, sent again until it is answered; answers to others are dropped; terms count from the first
 // time that it was sent.
 func TestAsker(t *testing.T) {
-	var k Asker
-	k.Begin(time.Second, Ask{Name: "g", Op: "acquire"})
+	var k PermitRequester
+	k.Begin(time.Second, PermitRequest{Name: "g", Op: "acquire"})
 	first := k.Send(time.Second)
-	if first == nil || k.Send(time.Second+AskEvery/2) != nil || k.Send(time.Second+AskEvery) == nil {
+	if first == nil || k.Send(time.Second+ResendInterval/2) != nil || k.Send(time.Second+ResendInterval) == nil {
 		t.Error("an ask is sent too often or not again")
 	}
-	a, ok := ReadAsk(first)
+	a, ok := DecodePermitRequest(first)
 	if !ok || a.Number != 1 {
 		t.Errorf("read as %+v, %v", a, ok)
 	}
-	if _, _, _, ok := k.Take((&Got{Number: 9, OK: true}).Encode()); ok {
+	if _, _, _, ok := k.Take((&PermitAnswer{Number: 9, OK: true}).Encode()); ok {
 		t.Error("the answer to another ask is taken")
 	}
-	if _, g, at, ok := k.Take((&Got{Number: 1, OK: true, Fence: 7}).Encode()); !ok || g.Fence != 7 || at != time.Second || k.Busy() {
+	if _, g, at, ok := k.Take((&PermitAnswer{Number: 1, OK: true, Fence: 7}).Encode()); !ok || g.Fence != 7 || at != time.Second || k.Busy() {
 		t.Errorf("taken as %+v, asked at %v, %v", g, at, ok)
 	}
-	if _, _, _, ok := k.Take((&Got{Number: 1, OK: true}).Encode()); ok {
+	if _, _, _, ok := k.Take((&PermitAnswer{Number: 1, OK: true}).Encode()); ok {
 		t.Error("an answer is taken twice")
 	}
-	for _, b := range [][]byte{nil, {0xff}, encode(&Ask{})} {
-		if _, ok := ReadAsk(b); ok {
+	for _, b := range [][]byte{nil, {0xff}, encode(&PermitRequest{})} {
+		if _, ok := DecodePermitRequest(b); ok {
 			t.Errorf("%x is read as an ask", b)
 		}
 	}
--- a/internal/fleet/subset/plan.go
+++ b/internal/fleet/subset/plan.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"reachwind/internal/fleet/draw"
+	"reachwind/internal/fleet/seededhash"
 )
 
 type scored struct {
@@ -32,10 +32,10 @@
 // Members pick without regard to zones: a zone's loss leaves its gateways with members.
 func (p *Plan) pick(picks, asks int) {
 	gs, ms := len(p.gateways), len(p.members)
-	seed := draw.Of(0, p.group)
+	seed := seededhash.Of(0, p.group)
 	names := make([]uint64, ms)
 	for m := range names {
-		names[m] = draw.Of(0, p.members[m].Name)
+		names[m] = seededhash.Of(0, p.members[m].Name)
 	}
 	byMember := make([][]scored, ms) // the least scores of each
 	for m := range byMember {
@@ -44,10 +44,10 @@
 	mine := make([]scored, 0, picks+2)
 	for g, gw := range p.gateways {
 		mine = mine[:0]
-		own := draw.Of(seed, gw.Name)
+		own := seededhash.Of(seed, gw.Name)
 		for m := range names {
-			mine = offer(mine, picks+1, m, draw.Mix(own^names[m]), p.willing(g, m))
-			byMember[m] = offer(byMember[m], asks+1, g, draw.Mix(own+names[m]), gw.Carries)
+			mine = offer(mine, picks+1, m, seededhash.Mix(own^names[m]), p.willing(g, m))
+			byMember[m] = offer(byMember[m], asks+1, g, seededhash.Mix(own+names[m]), gw.Carries)
 		}
 		for k, w := range taper(mine, picks) {
 			p.pairs = append(p.pairs, pair{g, mine[k].at, w})
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -16,7 +16,7 @@
 	"math"
 	"slices"
 
-	"reachwind/internal/fleet/draw"
+	"reachwind/internal/fleet/seededhash"
 	"reachwind/internal/fleet/view"
 )
 
@@ -138,7 +138,7 @@
 			all[i].Carries = median
 		}
 	}
-	if v.Verdict != view.Whole {
+	if v.Verdict != view.Majority {
 		// Each that is cut off takes others to be there, else all would lean to the members that these leave.
 		// Their names come after all others.
 		of := ""
@@ -181,10 +181,10 @@
 		in[e.m] = true
 	}
 	var rest []scored
-	seed := draw.Of(draw.Of(0, p.group), p.gateways[g].Name)
+	seed := seededhash.Of(seededhash.Of(0, p.group), p.gateways[g].Name)
 	for m := range p.members {
 		if !in[m] {
-			rest = append(rest, scored{m, score(draw.Of(seed, p.members[m].Name), p.willing(g, m))})
+			rest = append(rest, scored{m, score(seededhash.Of(seed, p.members[m].Name), p.willing(g, m))})
 		}
 	}
 	slices.SortFunc(rest, scored.compare)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	"reachwind/internal/fleet/draw"
+	"reachwind/internal/fleet/seededhash"
 	"reachwind/internal/fleet/view"
 )
 
@@ -228,11 +228,11 @@
 		t.Errorf("load %.3f", most)
 	}
 	was, half := planned(v), without(v, -1, -1)
-	half.Gateways = slices.DeleteFunc(half.Gateways, func(g Gateway) bool { return draw.Of(0, g.Name)%2 == 0 })
+	half.Gateways = slices.DeleteFunc(half.Gateways, func(g Gateway) bool { return seededhash.Of(0, g.Name)%2 == 0 })
 	s, opened := moved(half, was, planned(half))
 	t.Logf("half the gateways go: %.2f of the others' load moves, %d new pairs of %d gateways", s, opened, len(half.Gateways))
 	half = without(v, -1, -1)
-	half.Members = slices.DeleteFunc(half.Members, func(m Member) bool { return draw.Of(0, m.Name)%2 == 0 })
+	half.Members = slices.DeleteFunc(half.Members, func(m Member) bool { return seededhash.Of(0, m.Name)%2 == 0 })
 	s, opened = moved(v, was, planned(half))
 	t.Logf("half the members go: %.2f of the load moves, %d new pairs of %d gateways", s, opened, len(v.Gateways))
 }
--- a/internal/fleet/subset/ways_test.go
+++ b/internal/fleet/subset/ways_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	"reachwind/internal/fleet/draw"
+	"reachwind/internal/fleet/seededhash"
 	"reachwind/internal/fleet/view"
 )
 
@@ -26,7 +26,7 @@
 
 // fleet draws a view: uneven has gateways carry from 1 to 10, a tenth of them 10, and members differ fourfold.
 func fleet(rng *rand.Rand, gs, ms int, uneven bool) View {
-	v := View{Group: "g", Verdict: view.Whole}
+	v := View{Group: "g", Verdict: view.Majority}
 	for i, n := range names("gw", gs) {
 		g := Gateway{Name: n, Zone: string(rune('a' + i%3)), Carries: 1}
 		if uneven {
@@ -87,7 +87,7 @@
 		return chosen(v, func(_ int, g Gateway) []Member {
 			// By the gateway's own seed over the list as it is, as a client without talk would.
 			ms := slices.Clone(v.Members)
-			rand.New(rand.NewPCG(draw.Of(0, g.Name), 1)).Shuffle(len(ms), func(a, b int) { ms[a], ms[b] = ms[b], ms[a] })
+			rand.New(rand.NewPCG(seededhash.Of(0, g.Name), 1)).Shuffle(len(ms), func(a, b int) { ms[a], ms[b] = ms[b], ms[a] })
 			return ms[:min(size, len(ms))]
 		})
 	}},
@@ -95,7 +95,7 @@
 		return chosen(v, func(_ int, g Gateway) []Member {
 			var list []scored
 			for i, m := range v.Members {
-				list = least(list, size, scored{i, score(draw.Of(draw.Of(0, g.Name), m.Name), 1)})
+				list = least(list, size, scored{i, score(seededhash.Of(seededhash.Of(0, g.Name), m.Name), 1)})
 			}
 			var out []Member
 			for _, s := range list {
@@ -118,8 +118,8 @@
 		// members' arcs are as their capacity. Both stand in the order of their hashes.
 		var carried, capacity float64
 		gs, ms := slices.Clone(v.Gateways), slices.Clone(v.Members)
-		slices.SortFunc(gs, func(a, b Gateway) int { return int(draw.Of(0, a.Name)>>33) - int(draw.Of(0, b.Name)>>33) })
-		slices.SortFunc(ms, func(a, b Member) int { return int(draw.Of(0, a.Name)>>33) - int(draw.Of(0, b.Name)>>33) })
+		slices.SortFunc(gs, func(a, b Gateway) int { return int(seededhash.Of(0, a.Name)>>33) - int(seededhash.Of(0, b.Name)>>33) })
+		slices.SortFunc(ms, func(a, b Member) int { return int(seededhash.Of(0, a.Name)>>33) - int(seededhash.Of(0, b.Name)>>33) })
 		for _, g := range gs {
 			carried += g.Carries
 		}
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -57,14 +57,14 @@
 
 // The guards.
 const (
-	GuardPause   Guard = 1 << iota // own pauses are not held against others
-	GuardRefute                    // who is alive denies what is said of it
-	GuardEpoch                     // what belongs to an older start of a peer is dropped
-	GuardAsk                       // others are asked before a peer is suspected
-	GuardJump                      // incarnations out of reach are refused
-	GuardRetry                     // failed peers are tried again
-	GuardYield                     // a process yields its name to a later start that is alive
-	GuardAddress                   // what is addressed to another start of this process is dropped
+	GuardOwnPause      Guard = 1 << iota // own pauses are not held against others
+	GuardRefute                          // who is alive denies what is said of it
+	GuardEpoch                           // what belongs to an older start of a peer is dropped
+	GuardIndirectProbe                   // others are asked before a peer is suspected
+	GuardIncarnation                     // incarnations out of reach are refused
+	GuardRetry                           // failed peers are tried again
+	GuardYieldName                       // a process yields its name to a later start that is alive
+	GuardAddressee                       // what is addressed to another start of this process is dropped
 )
 
 // Guards are all of them, with what each keeps.
@@ -72,11 +72,11 @@
 	Guard Guard
 	Name  string
 }{
-	{GuardPause, "own pauses are not held against others"}, {GuardRefute, "who is alive denies what is said of it"},
-	{GuardEpoch, "what an older start of a peer sends is dropped, and it is told"}, {GuardAsk, "others are asked before a peer is suspected"},
-	{GuardJump, "incarnations out of reach are refused"},
-	{GuardRetry, "failed peers and seeds are tried again"}, {GuardYield, "a name is yielded to a later start that is alive"},
-	{GuardAddress, "what is addressed to another start is dropped"},
+	{GuardOwnPause, "own pauses are not held against others"}, {GuardRefute, "who is alive denies what is said of it"},
+	{GuardEpoch, "what an older start of a peer sends is dropped, and it is told"}, {GuardIndirectProbe, "others are asked before a peer is suspected"},
+	{GuardIncarnation, "incarnations out of reach are refused"},
+	{GuardRetry, "failed peers and seeds are tried again"}, {GuardYieldName, "a name is yielded to a later start that is alive"},
+	{GuardAddressee, "what is addressed to another start is dropped"},
 }
 
 // Config is what a node is told.
@@ -86,18 +86,18 @@
 	Meta             []byte
 	Seeds            []string
 	Seed             uint64
-	Keep             Time  // failed peers are remembered for so long
-	Off              Guard // for checkers only
+	KeepFailed       Time  // failed peers are remembered for so long
+	DisabledGuards   Guard // for checkers only
 }
 
 // Peer is what is known of a peer.
 type Peer struct {
 	Claim
-	Since Time // in its state
-	Heard Time // last message from it, never = none
-	RTT   Time // 0 = not known
-	Via   string
-	Gone  bool // its host refused a connection since: the process is gone, not the link
+	Since       Time // in its state
+	LastHeard   Time // last message from it, never = none
+	RTT         Time // 0 = not known
+	LastHelper  string
+	ProcessGone bool // its host refused a connection since: the process is gone, not the link
 
 	variance  Time
 	wits      map[string]bool // zones that suspect it
@@ -108,12 +108,12 @@
 
 // Event is what happened. Exactly one field group counts.
 type Event struct {
-	Message *Message
-	Stream  uint64 // Message came by this stream and may be answered on it; 0 = by datagram
-	Refused string // an address at which a connection was refused
-	Meta    []byte // this node's from now on, unless nil
-	Seeds   []string
-	Leave   bool
+	Message     *Message
+	Stream      uint64 // Message came by this stream and may be answered on it; 0 = by datagram
+	RefusedAddr string // an address at which a connection was refused
+	Meta        []byte // this node's from now on, unless nil
+	Seeds       []string
+	Leave       bool
 }
 
 // Action is what must be done.
@@ -128,12 +128,12 @@
 
 // Change is a change of what is known.
 type Change struct {
-	Peer Peer
-	From State // 0 = not known before
+	Peer          Peer
+	PreviousState State // 0 = not known before
 	// For this node itself:
 	Displaced bool   // a later start has its name and is alive: this one is no peer
-	Epoch     uint64 // its epoch from now on, 0 = unchanged
-	Paused    Time   // it was stopped for so long
+	NewEpoch  uint64 // its epoch from now on, 0 = unchanged
+	PausedFor Time   // it was stopped for so long
 }
 
 type probe struct {
@@ -171,18 +171,18 @@
 	displaced, left                                             bool
 	self                                                        int // transmissions left of the news of itself
 	digest                                                      uint64
-	Dropped                                                     Drops
+	Dropped                                                     DropCounts
 }
 
-// Drops counts what was not taken.
-type Drops struct {
-	Epoch, Address, Jump, Full, Kind int
+// DropCounts counts what was not taken.
+type DropCounts struct {
+	Epoch, Address, Incarnation, Full, Kind int
 }
 
 // New returns a node that knows of no peer.
 func New(c Config) *Node {
-	if c.Keep == 0 {
-		c.Keep = 24 * time.Hour
+	if c.KeepFailed == 0 {
+		c.KeepFailed = 24 * time.Hour
 	}
 	n := &Node{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x7377696d)), meta: c.Meta, seeds: c.Seeds, peers: map[string]*Peer{},
 		ended: map[string]*Peer{}, probes: map[uint32]*probe{}, greeted: map[uint32]string{}, owners: map[string]string{}, stepped: never, newsAt: never, syncAt: never, helloAt: never}
@@ -190,7 +190,7 @@
 	return n
 }
 
-func (n *Node) on(g Guard) bool { return n.cfg.Off&g == 0 }
+func (n *Node) on(g Guard) bool { return n.cfg.DisabledGuards&g == 0 }
 
 // Peers are all peers known, this node not among them, in the order of their names.
 func (n *Node) Peers() []Peer {
@@ -215,8 +215,8 @@
 	return Peer{}, false
 }
 
-// Each calls f for each peer known, in no order. It must not change them.
-func (n *Node) Each(f func(*Peer)) {
+// ForEach calls f for each peer known, in no order. It must not change them.
+func (n *Node) ForEach(f func(*Peer)) {
 	for _, p := range n.peers {
 		f(p)
 	}
@@ -225,8 +225,8 @@
 // Len is how many peers are known.
 func (n *Node) Len() int { return len(n.peers) }
 
-// Draw draws up to k live peers at random.
-func (n *Node) Draw(k int) (drawn []Peer) {
+// RandomPeers draws up to k live peers at random.
+func (n *Node) RandomPeers(k int) (drawn []Peer) {
 	if !n.displaced {
 		for _, p := range n.some(k, nil) {
 			drawn = append(drawn, *p)
@@ -241,7 +241,7 @@
 	if n.left {
 		s = Left
 	}
-	return Claim{Name: n.cfg.Name, Epoch: n.cfg.Epoch, Inc: n.inc, State: s, Addr: n.cfg.Addr, Meta: n.meta}
+	return Claim{Name: n.cfg.Name, Epoch: n.cfg.Epoch, Incarnation: n.inc, State: s, Addr: n.cfg.Addr, Meta: n.meta}
 }
 
 // Displaced tells that a later start has this node's name.
@@ -267,7 +267,7 @@
 // Step takes what happened by now and appends what must be done. It is to be called each 100 ms at the least.
 func (n *Node) Step(now Time, events []Event, out []Action) []Action {
 	n.out = out
-	if n.stepped != never && now-n.stepped > pauseLeast && n.on(GuardPause) {
+	if n.stepped != never && now-n.stepped > pauseLeast && n.on(GuardOwnPause) {
 		n.paused(now - n.stepped)
 	}
 	if n.stepped == never { // members of a restarted group begin at different times
@@ -296,17 +296,17 @@
 		}
 	}
 	n.doubt = min(n.doubt+1, doubtMost)
-	n.out = append(n.out, Action{Change: &Change{Paused: span}})
+	n.out = append(n.out, Action{Change: &Change{PausedFor: span}})
 }
 
 func (n *Node) take(e *Event) {
 	switch {
 	case e.Message != nil:
 		n.message(e.Message, e.Stream)
-	case e.Refused != "":
+	case e.RefusedAddr != "":
 		for _, p := range n.peers {
-			if p.Addr == e.Refused && p.State != Left {
-				p.Gone = true
+			if p.Addr == e.RefusedAddr && p.State != Left {
+				p.ProcessGone = true
 			}
 		}
 	case e.Leave:
@@ -387,7 +387,7 @@
 
 // news fills a message with claims to pass on, those passed on least first.
 func (n *Node) news(m *Message, to *Peer) *Message {
-	room := PacketMost - 200
+	room := MaxDatagramBytes - 200
 	add := func(c Claim) bool {
 		if room -= c.size(); room < 0 {
 			return false
@@ -421,7 +421,7 @@
 func (n *Node) claim(p *Peer) Claim {
 	c := p.Claim
 	if c.State == Failed || c.State == Left {
-		c.Age = uint32((n.now - p.Since) / time.Second)
+		c.AgeSeconds = uint32((n.now - p.Since) / time.Second)
 	}
 	return c
 }
@@ -443,7 +443,7 @@
 	if n.left || m.From == n.id() { // its own, come back
 		return
 	}
-	if m.To.Name != "" && m.To != n.id() && n.on(GuardAddress) {
+	if m.To.Name != "" && m.To != n.id() && n.on(GuardAddressee) {
 		n.Dropped.Address++ // meant for an earlier start of this process, or recorded and played again
 		return
 	}
@@ -470,7 +470,7 @@
 		p = n.peers[m.From.Name]
 	}
 	if p != nil {
-		p.Heard, p.Gone = n.now, false
+		p.LastHeard, p.ProcessGone = n.now, false
 		if p.Addr != m.Addr && m.Addr != "" && p.State == Alive { // it has moved; its next claim says so too
 			p.Addr = m.Addr
 		}
@@ -483,15 +483,15 @@
 		n.answer(m, p, stream)
 	case Ack:
 		n.acked(m)
-	case Ask:
+	case PingRequest:
 		if len(n.probes) >= probesMost {
 			n.Dropped.Full++
 			break
 		}
 		n.seq++
-		n.probes[n.seq] = &probe{target: m.Target, addr: m.TAddr, at: n.now, ask: forever, end: n.now + askTimes*ackMost, forID: m.From,
+		n.probes[n.seq] = &probe{target: m.Target, addr: m.TargetAddr, at: n.now, ask: forever, end: n.now + askTimes*ackMost, forID: m.From,
 			forAddr: m.Addr, forSeq: m.Seq}
-		n.send(m.TAddr, n.news(&Message{Kind: Ping, Seq: n.seq, To: m.Target}, n.peers[m.Target.Name]))
+		n.send(m.TargetAddr, n.news(&Message{Kind: Ping, Seq: n.seq, To: m.Target}, n.peers[m.Target.Name]))
 	case Sync:
 		n.act(Action{To: m.Addr, Stream: stream, Message: n.all(&Message{Kind: SyncReply, Seq: m.Seq, To: m.From})})
 	case Gossip, SyncReply:
@@ -553,12 +553,12 @@
 	by := m.Target
 	if by.Name != "" && by == q.target { // another reached it
 		if p := n.peers[by.Name]; p != nil && p.Epoch == by.Epoch {
-			p.Via, p.Gone = m.From.Name, false
+			p.LastHelper, p.ProcessGone = m.From.Name, false
 		}
 	} else if m.From != q.target {
 		return
 	} else if p := n.peers[m.From.Name]; p != nil {
-		p.Via = ""
+		p.LastHelper = ""
 		if rtt := n.now - q.at; p.RTT == 0 {
 			p.RTT, p.variance = rtt, rtt/2
 		} else {
@@ -574,7 +574,7 @@
 
 // claimed takes what is said of a peer, by itself or by others.
 func (n *Node) claimed(c Claim) {
-	if c.State < Alive || c.State > Left || len(c.Meta) > MetaMost {
+	if c.State < Alive || c.State > Left || len(c.Meta) > MaxMetaBytes {
 		n.Dropped.Kind++
 		return
 	}
@@ -584,15 +584,15 @@
 	}
 	p := n.peers[c.Name]
 	switch {
-	case c.Inc > incMost && n.on(GuardJump):
-		n.Dropped.Jump++
+	case c.Incarnation > incMost && n.on(GuardIncarnation):
+		n.Dropped.Incarnation++
 		return
 	case p == nil:
 		n.meet(&c)
 		return
 	}
-	newer := c.Epoch > p.Epoch || c.Epoch == p.Epoch && c.Inc > p.Inc
-	same := c.Epoch == p.Epoch && c.Inc == p.Inc
+	newer := c.Epoch > p.Epoch || c.Epoch == p.Epoch && c.Incarnation > p.Incarnation
+	same := c.Epoch == p.Epoch && c.Incarnation == p.Incarnation
 	switch c.State {
 	case Alive:
 		if newer {
@@ -604,18 +604,18 @@
 		switch {
 		case newer || same && p.State == Alive:
 			n.become(p, c)
-			p.wits = map[string]bool{c.By: true}
+			p.wits = map[string]bool{c.SuspectedBy: true}
 			n.term(p)
-		case same && p.State == Suspect && !p.wits[c.By] && len(p.wits) < witnesses:
-			p.wits[c.By] = true
-			p.By = c.By
+		case same && p.State == Suspect && !p.wits[c.SuspectedBy] && len(p.wits) < witnesses:
+			p.wits[c.SuspectedBy] = true
+			p.SuspectedBy = c.SuspectedBy
 			n.tell(p) // another witness is news
 			n.term(p)
 		}
 	case Failed, Left:
 		if newer || same && p.State < c.State {
 			n.become(p, c)
-			p.Since = n.now - Time(c.Age)*time.Second
+			p.Since = n.now - Time(c.AgeSeconds)*time.Second
 		}
 	}
 }
@@ -623,7 +623,7 @@
 // said takes what is said of this node itself.
 func (n *Node) said(c *Claim) {
 	switch {
-	case c.Epoch > n.cfg.Epoch && (c.State == Failed || c.State == Left || !n.on(GuardYield)):
+	case c.Epoch > n.cfg.Epoch && (c.State == Failed || c.State == Left || !n.on(GuardYieldName)):
 		// That start has ended, yet it was later than this one: an old copy of the folder, or a clock that went back.
 		n.renew(c.Epoch + 1)
 	case c.Epoch > n.cfg.Epoch:
@@ -636,12 +636,12 @@
 			n.self = max(n.self, n.spread()/2)
 		}
 	case n.left:
-	case (c.Inc > n.inc || c.State != Alive && c.Inc == n.inc) && n.on(GuardRefute):
-		if c.Inc > incMost && n.on(GuardJump) {
-			n.Dropped.Jump++
+	case (c.Incarnation > n.inc || c.State != Alive && c.Incarnation == n.inc) && n.on(GuardRefute):
+		if c.Incarnation > incMost && n.on(GuardIncarnation) {
+			n.Dropped.Incarnation++
 			return
 		}
-		n.inc = c.Inc + 1
+		n.inc = c.Incarnation + 1
 		n.self = n.spread()
 		n.doubt = min(n.doubt+1, doubtMost) // they missed its answers: it may be slow itself
 	}
@@ -651,19 +651,19 @@
 func (n *Node) renew(epoch uint64) {
 	n.cfg.Epoch, n.inc, n.displaced = epoch, 0, false
 	n.self = n.spread()
-	n.out = append(n.out, Action{Change: &Change{Epoch: epoch}})
+	n.out = append(n.out, Action{Change: &Change{NewEpoch: epoch}})
 }
 
 // meet adds a peer.
 func (n *Node) meet(c *Claim) {
-	if c.State == Failed && Time(c.Age)*time.Second > n.cfg.Keep || c.State == Left && Time(c.Age)*time.Second > leftKeep {
+	if c.State == Failed && Time(c.AgeSeconds)*time.Second > n.cfg.KeepFailed || c.State == Left && Time(c.AgeSeconds)*time.Second > leftKeep {
 		return
 	}
-	if len(n.peers) >= TableMost && !n.evict() {
+	if len(n.peers) >= MaxPeers && !n.evict() {
 		n.Dropped.Full++
 		return
 	}
-	p := &Peer{Heard: never}
+	p := &Peer{LastHeard: never}
 	n.peers[c.Name] = p
 	at := 0
 	if len(n.order) > 0 {
@@ -675,11 +675,11 @@
 	}
 	n.become(p, *c)
 	if c.State == Suspect {
-		p.wits = map[string]bool{c.By: true}
+		p.wits = map[string]bool{c.SuspectedBy: true}
 		n.term(p)
 	}
 	if c.State >= Failed {
-		p.Since = n.now - Time(c.Age)*time.Second
+		p.Since = n.now - Time(c.AgeSeconds)*time.Second
 	}
 }
 
@@ -698,7 +698,7 @@
 }
 
 func (n *Node) forget(p *Peer) {
-	n.digest ^= digestOf(p.Name, p.Epoch, p.Inc, p.State)
+	n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
 	delete(n.peers, p.Name)
 	delete(n.ended, p.Name)
 	n.fresh = slices.DeleteFunc(n.fresh, func(o *Peer) bool { return o == p })
@@ -710,7 +710,7 @@
 func (n *Node) become(p *Peer, c Claim) {
 	was := p.State
 	if was != 0 {
-		n.digest ^= digestOf(p.Name, p.Epoch, p.Inc, p.State)
+		n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
 	}
 	if c.State != Alive { // who says so may know less of where it is
 		if c.Addr == "" {
@@ -721,23 +721,23 @@
 		}
 	}
 	if c.Epoch != p.Epoch {
-		p.RTT, p.Via, p.Gone = 0, "", false
+		p.RTT, p.LastHelper, p.ProcessGone = 0, "", false
 	}
 	p.Claim, p.wits = c, nil
-	p.Age = 0
-	n.digest ^= digestOf(p.Name, p.Epoch, p.Inc, p.State)
+	p.AgeSeconds = 0
+	n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
 	if was != c.State {
 		p.Since = n.now
 	}
 	if c.State == Alive {
-		p.Gone = false
+		p.ProcessGone = false
 	}
 	if delete(n.ended, p.Name); c.State != Alive {
 		n.ended[p.Name] = p
 	}
 	n.tell(p)
 	n.newsAt = n.now
-	n.out = append(n.out, Action{Change: &Change{Peer: *p, From: was}})
+	n.out = append(n.out, Action{Change: &Change{Peer: *p, PreviousState: was}})
 }
 
 // term sets by when a suspect must have denied it: the more independent witnesses, the sooner.
@@ -748,7 +748,7 @@
 	least := suspectTimes * math.Max(1, math.Log10(float64(len(n.peers)+1))) * float64(period)
 	most := suspectMost * least
 	k := math.Min(1, math.Log(float64(len(p.wits)))/math.Log(witnesses))
-	if p.Gone {
+	if p.ProcessGone {
 		k = 1
 	}
 	p.until = p.suspected + Time(most-k*(most-least))
@@ -765,9 +765,9 @@
 		switch {
 		case p.State == Suspect && n.now >= p.until:
 			c := p.Claim
-			c.State, c.By = Failed, ""
+			c.State, c.SuspectedBy = Failed, ""
 			n.become(p, c)
-		case p.State == Failed && n.now-p.Since > n.cfg.Keep, p.State == Left && n.now-p.Since > leftKeep:
+		case p.State == Failed && n.now-p.Since > n.cfg.KeepFailed, p.State == Left && n.now-p.Since > leftKeep:
 			n.forget(p)
 		}
 	}
@@ -875,20 +875,20 @@
 		}
 		return
 	}
-	if p.Heard > q.at { // whatever it sent, it is there; its answer to this may be lost
+	if p.LastHeard > q.at { // whatever it sent, it is there; its answer to this may be lost
 		delete(n.probes, seq)
 		return
 	}
 	if n.now >= q.ask && !q.asked {
 		q.asked = true
 		q.end = max(q.end, n.now+askTimes*n.patience(p))
-		if n.on(GuardAsk) {
-			helpers := n.some(askTo, func(o *Peer) bool { return o == p || o.State != Alive || o.Name == p.Via })
-			if v := n.peers[p.Via]; v != nil && v.State == Alive { // who reached it last time
+		if n.on(GuardIndirectProbe) {
+			helpers := n.some(askTo, func(o *Peer) bool { return o == p || o.State != Alive || o.Name == p.LastHelper })
+			if v := n.peers[p.LastHelper]; v != nil && v.State == Alive { // who reached it last time
 				helpers = append(helpers[:min(len(helpers), askTo-1)], v)
 			}
 			for _, h := range helpers {
-				n.send(h.Addr, &Message{Kind: Ask, Seq: seq, To: h.id(), Target: q.target, TAddr: q.addr})
+				n.send(h.Addr, &Message{Kind: PingRequest, Seq: seq, To: h.id(), Target: q.target, TargetAddr: q.addr})
 			}
 			n.act(Action{To: q.addr, Dial: true, Message: &Message{Kind: Ping, Seq: seq, To: q.target}})
 		}
@@ -905,7 +905,7 @@
 	}
 	if p.State == Alive || !p.wits[by] {
 		c := p.Claim
-		c.State, c.By = Suspect, by
+		c.State, c.SuspectedBy = Suspect, by
 		n.claimed(c)
 	}
 }
--- a/internal/fleet/swim/wire_test.go
+++ b/internal/fleet/swim/wire_test.go
@@ -18,8 +18,8 @@
 		t.Errorf("read as %+v, %v", m, err)
 	}
 	for name, m := range map[string]Message{
-		"no sender": {Kind: Ping}, "a long name": {Kind: Ping, From: ID{Name: string(make([]byte, NameMost+1))}},
-		"a long meta": {Kind: Gossip, From: ID{Name: "a"}, Claims: []Claim{{Name: "x", State: Alive, Meta: make([]byte, MetaMost+1)}}},
+		"no sender": {Kind: Ping}, "a long name": {Kind: Ping, From: ID{Name: string(make([]byte, MaxNameBytes+1))}},
+		"a long meta": {Kind: Gossip, From: ID{Name: "a"}, Claims: []Claim{{Name: "x", State: Alive, Meta: make([]byte, MaxMetaBytes+1)}}},
 	} {
 		if _, err := Decode(Encode(&m)); err == nil {
 			t.Errorf("%s was taken", name)
@@ -30,7 +30,7 @@
 // FuzzMessages: nothing that is read makes a node panic, grow beyond its table, or answer with more than a few messages.
 func FuzzMessages(f *testing.F) {
 	f.Add(Encode(&Message{Kind: Sync, Seq: 1, From: ID{Name: "a", Epoch: 2}, Addr: "b:1", Claims: []Claim{{Name: "me", Epoch: 9, State: Failed}}}))
-	f.Add(Encode(&Message{Kind: Ask, Seq: 1, From: ID{Name: "a", Epoch: 2}, Target: ID{Name: "c"}, TAddr: "d:1"}))
+	f.Add(Encode(&Message{Kind: PingRequest, Seq: 1, From: ID{Name: "a", Epoch: 2}, Target: ID{Name: "c"}, TargetAddr: "d:1"}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n := New(Config{Name: "me", Epoch: 5, Addr: "me:1", Seed: 1})
 		m, err := Decode(b)
@@ -52,17 +52,17 @@
 func TestTableIsBounded(t *testing.T) {
 	n := New(Config{Name: "me", Epoch: 5, Addr: "me:1", Seed: 1})
 	name := func(i int) string { return "p" + string(rune('0'+i%10)) + string(rune(0x4e00+i)) }
-	for i := range 2 * TableMost {
+	for i := range 2 * MaxPeers {
 		s := Alive
 		if i%2 == 0 {
 			s = Left
 		}
 		n.Step(time.Duration(i)*time.Millisecond, []Event{{Message: &Message{Kind: Gossip, From: ID{Name: "a", Epoch: 1}, Claims: []Claim{{Name: name(i), Epoch: 1, State: s, Addr: "x:1"}}}}}, nil)
 	}
-	if n.Len() > TableMost {
+	if n.Len() > MaxPeers {
 		t.Errorf("%d peers kept", n.Len())
 	}
-	for i := 1; i < TableMost; i += 2 {
+	for i := 1; i < MaxPeers; i += 2 {
 		if p, ok := n.Peer(name(i)); !ok || p.State == Left {
 			t.Fatalf("a live peer was forgotten for one that left")
 		}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -23,7 +23,7 @@
 const (
 	Alone    Verdict = 1 // no peer is reached
 	Minority Verdict = 2 // not more than half of those that may be there
-	Whole    Verdict = 3 // more than half
+	Majority Verdict = 3 // more than half
 )
 
 var verdictNames = [...]string{"unknown", "alone", "minority", "whole"}
@@ -46,13 +46,13 @@
 
 // Meta is what a peer tells of itself. Fields are added, never changed.
 type Meta struct {
-	Zone    string   `cbor:"1,keyasint,omitempty"`
-	Region  string   `cbor:"2,keyasint,omitempty"`
-	Version string   `cbor:"3,keyasint,omitempty"`
-	Load    uint8    `cbor:"4,keyasint,omitempty"` // eighths of what it can carry
-	Drain   bool     `cbor:"5,keyasint,omitempty"`
-	Verdict Verdict  `cbor:"6,keyasint,omitempty"`
-	Speaks  [2]uint8 `cbor:"8,keyasint"` // least and newest form of what it sends
+	Zone          string   `cbor:"1,keyasint,omitempty"`
+	Region        string   `cbor:"2,keyasint,omitempty"`
+	Version       string   `cbor:"3,keyasint,omitempty"`
+	Load          uint8    `cbor:"4,keyasint,omitempty"` // eighths of what it can carry
+	Drain         bool     `cbor:"5,keyasint,omitempty"`
+	Verdict       Verdict  `cbor:"6,keyasint,omitempty"`
+	FrameVersions [2]uint8 `cbor:"8,keyasint"` // least and newest form of what it sends
 }
 
 // Encode is the meta as it travels.
@@ -64,8 +64,8 @@
 	return b
 }
 
-// ReadMeta reads what a peer told; what can't be read is empty.
-func ReadMeta(b []byte) Meta {
+// DecodeMeta reads what a peer told; what can't be read is empty.
+func DecodeMeta(b []byte) Meta {
 	var m Meta
 	if len(b) == 0 || cbor.Unmarshal(b, &m) != nil {
 		return Meta{}
@@ -81,8 +81,8 @@
 	Doubt     int  // of its own hearing
 }
 
-// Never is before every time.
-const Never Time = -1 << 60
+// DistantPast is before every time.
+const DistantPast Time = -1 << 60
 
 // Status is a verdict with its reasons.
 type Status struct {
@@ -105,11 +105,11 @@
 
 // New returns the view of a gateway that knows nobody. Where it expects peers it is alone, else the whole group.
 func New(name, zone string, expects bool) *View {
-	v := &View{name: name, zone: zone, expects: expects, better: betterMin, changed: Never}
+	v := &View{name: name, zone: zone, expects: expects, better: betterMin, changed: DistantPast}
 	v.status = Status{Verdict: Alone, Number: 1, Reasons: []string{"no peer has been met yet"}}
 	v.want, v.wantSince = Alone, 0
 	if !expects {
-		v.status.Verdict, v.want = Whole, Whole
+		v.status.Verdict, v.want = Majority, Majority
 		v.status.Reasons = []string{"no peers are expected"}
 	}
 	return v
@@ -141,7 +141,7 @@
 	if p.State == swim.Left {
 		return
 	}
-	if p.State == swim.Failed && p.Gone && now-p.Since > goneAfter {
+	if p.State == swim.Failed && p.ProcessGone && now-p.Since > goneAfter {
 		t.gone++
 		return
 	}
@@ -155,9 +155,9 @@
 	}
 }
 
-// Judge looks at the peers anew and tells whether the verdict changed. It is to be called once or more a second.
+// Evaluate looks at the peers anew and tells whether the verdict changed. It is to be called once or more a second.
 // Each calls its argument for each peer with what it last told of itself.
-func (v *View) Judge(now Time, t Tally, displaced bool, e Evidence) bool {
+func (v *View) Evaluate(now Time, t Tally, displaced bool, e Evidence) bool {
 	total, own, other, gone := t.total(), t.own, t.other, t.gone
 	want := Minority
 	switch {
@@ -166,7 +166,7 @@
 	case total.here == 1 && (total.all > 1 || v.expects):
 		want = Alone
 	case 2*total.here > total.all:
-		want = Whole
+		want = Majority
 	}
 	if want != v.want {
 		v.want, v.wantSince = want, now
@@ -198,7 +198,7 @@
 	if gone > 0 {
 		why = append(why, fmt.Sprintf("%d more refused connections: their processes are gone", gone))
 	}
-	if want == Whole {
+	if want == Majority {
 		return why
 	}
 	members, discovery := now-e.Member < evidence, now-e.Discovery < evidence
@@ -217,22 +217,22 @@
 	return why
 }
 
-// Sure is how sure this gateway is of a peer's state, from 0 to 1: less on others' word, much less where it may be
+// Confidence is how sure this gateway is of a peer's state, from 0 to 1: less on others' word, much less where it may be
 // itself that does not hear.
-func (v *View) Sure(now Time, p *swim.Peer, e Evidence) float64 {
+func (v *View) Confidence(now Time, p *swim.Peer, e Evidence) float64 {
 	sure := 0.5
 	switch p.State {
 	case swim.Left:
 		return 1
 	case swim.Alive:
-		if sure = 0.99; now-p.Heard > heardLate {
+		if sure = 0.99; now-p.LastHeard > heardLate {
 			sure = 0.8
 		}
 	case swim.Failed:
-		if sure = 0.8; p.Gone {
+		if sure = 0.8; p.ProcessGone {
 			return 0.99
 		}
-		if v.status.Verdict != Whole || v.want != Whole {
+		if v.status.Verdict != Majority || v.want != Majority {
 			sure = 0.4
 		}
 	}
@@ -244,44 +244,44 @@
 
 // Acts that depend on the verdicts.
 
-// Act is what a gateway may do or not.
-type Act uint8
+// Operation is what a gateway may do or not.
+type Operation uint8
 
 // The acts.
 const (
-	ServeReads Act = iota
+	ServeReads Operation = iota
 	ServeWrites
-	UseBeliefs
-	Borrow
+	UseObservations
+	BorrowQuota
 	ProbeForOthers
 	StartDrain
 )
 
-// Acts are all acts, with their names in tables.
-var Acts = []string{"serve reads", "serve writes", "use told beliefs", "take larger budgets", "probe for others", "start a drain"}
+// OperationNames are all acts, with their names in tables.
+var OperationNames = []string{"serve reads", "serve writes", "use told beliefs", "take larger budgets", "probe for others", "start a drain"}
 
 // Rule is one cell of the table.
 type Rule struct {
-	Act     string `json:"act"`
-	Mine    string `json:"mine"`
-	Theirs  string `json:"theirs"`
-	Allowed bool   `json:"allowed"`
-	Why     string `json:"why"`
+	Operation   string `json:"act"`
+	OwnVerdict  string `json:"mine"`
+	PeerVerdict string `json:"theirs"`
+	Allowed     bool   `json:"allowed"`
+	Reason      string `json:"why"`
 }
 
 // Allowed tells whether a gateway of verdict mine may do an act towards, or on the word of, a peer whose own verdict
 // is theirs; and why. It is the code that decides, and what `reachwind fleet rules` prints.
-func Allowed(a Act, mine, theirs Verdict) (bool, string) {
+func Allowed(a Operation, mine, theirs Verdict) (bool, string) {
 	switch a {
 	case ServeReads, ServeWrites:
 		return true, "every gateway serves by what it sees itself"
-	case UseBeliefs:
+	case UseObservations:
 		if mine == Alone {
 			return false, "alone, what was told is of before the cut"
 		}
 		return true, "a claim leads to a look only, whoever makes it"
-	case Borrow:
-		if mine == Whole && theirs == Whole {
+	case BorrowQuota:
+		if mine == Majority && theirs == Majority {
 			return true, "both ends can be reached when the term ends"
 		}
 		return false, "today's split needs no talk"
@@ -291,7 +291,7 @@
 		}
 		return true, "who is between two halves is the only way to tell a cut from a crash"
 	case StartDrain:
-		if mine == Whole && theirs != Alone {
+		if mine == Majority && theirs != Alone {
 			return true, "those who stay can carry it, and know"
 		}
 		return false, "what is out on the other side of a cut is not known"
@@ -301,11 +301,11 @@
 
 // Rules is the whole table, in the order of acts and verdicts.
 func Rules() (all []Rule) {
-	verdicts := []Verdict{Whole, Minority, Alone}
-	for a, name := range Acts {
+	verdicts := []Verdict{Majority, Minority, Alone}
+	for a, name := range OperationNames {
 		for _, mine := range verdicts {
 			for _, theirs := range verdicts {
-				ok, why := Allowed(Act(a), mine, theirs)
+				ok, why := Allowed(Operation(a), mine, theirs)
 				all = append(all, Rule{name, mine.String(), theirs.String(), ok, why})
 			}
 		}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -23,7 +23,7 @@
 )
 
 // zonesTold takes the plan that a voter tells. One with a lower number than the one that is held is of the past.
-func (f *Fleet) zonesTold(now time.Duration, t *subscribe.Told) {
+func (f *Fleet) zonesTold(now time.Duration, t *subscribe.Update) {
 	z := &f.zones
 	if t.Plan == 0 || t.Plan < z.number || len(t.Zones) > 64 {
 		return
@@ -62,6 +62,6 @@
 	f.log.Info("fleet zones", "plan", f.zones.number, "away", away)
 	f.event(Event{Kind: "zones", Reasons: names, For: int64(f.zones.number)})
 	if f.deps.Gateway != nil {
-		f.deps.Gateway.Zones(maps.Clone(away))
+		f.deps.Gateway.SetZonesAway(maps.Clone(away))
 	}
 }
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -52,9 +52,9 @@
 			e.REST = &r
 		})
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
-			f := fleet.Read(b)
-			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.NameMost {
-				b.AddFault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.NameMost)
+			f := fleet.ReadConfig(b)
+			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.MaxNameBytes {
+				b.AddFault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.MaxNameBytes)
 			}
 			e.Fleet = &f
 		})
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -11,8 +11,8 @@
 	"reachwind/internal/core"
 	"reachwind/internal/fleet"
 	"reachwind/internal/fleet/agreed"
-	"reachwind/internal/fleet/belief"
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/observation"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/subscribe"
 )
 
@@ -20,14 +20,14 @@
 // budgets comes back.
 type told struct {
 	*running
-	counts *subscribe.Counts          // the owner's
-	tried  map[string]subscribe.Tried // by zone, the owner's
+	counts *subscribe.Counts                 // the owner's
+	tried  map[string]subscribe.ZoneAttempts // by zone, the owner's
 	looks  int
 	at     int // of the members told of last
 }
 
-// Told implements fleet.Gateway.
-func (g *told) Told(member string, look, try, guess bool) {
+// ApplyAdvice implements fleet.Gateway.
+func (g *told) ApplyAdvice(member string, look, try, guess bool) {
 	if guess {
 		g.owner.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Role: decide.Primary})
 	}
@@ -39,24 +39,24 @@
 	}
 }
 
-// Parts implements fleet.Gateway.
-func (g *told) Parts(parts [share.Budgets]float64, done func([share.Budgets]float64)) {
+// SetQuotas implements fleet.Gateway.
+func (g *told) SetQuotas(parts [quota.BudgetCount]float64, done func([quota.BudgetCount]float64)) {
 	g.owner.PostEvent(decide.Event{Kind: decide.BudgetShares, BudgetShares: parts})
 	g.owner.Post(func() { done(g.router.BudgetDemand()) })
 }
 
-// Counts implements fleet.Gateway.
-func (g *told) Counts(done func(subscribe.Counts, []subscribe.Seen, []subscribe.Tried)) {
+// CollectCounts implements fleet.Gateway.
+func (g *told) CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts)) {
 	g.owner.Post(func() {
 		all := g.router.Members()
-		var some []subscribe.Seen
-		for range min(len(all), subscribe.SeenMost) {
+		var some []subscribe.MemberReport
+		for range min(len(all), subscribe.MaxMembersPerReport) {
 			g.at = (g.at + 1) % len(all)
 			k := &all[g.at]
-			some = append(some, subscribe.Seen{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
+			some = append(some, subscribe.MemberReport{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
 				Position: k.Position.Milliseconds(), Out: k.Unavailable})
 		}
-		var tried []subscribe.Tried
+		var tried []subscribe.ZoneAttempts
 		for _, z := range slices.Sorted(maps.Keys(g.tried)) {
 			tried = append(tried, g.tried[z])
 		}
@@ -64,15 +64,15 @@
 	})
 }
 
-// Drains implements fleet.Gateway.
-func (g *told) Drains(members []string) {
+// SetDrainingMembers implements fleet.Gateway.
+func (g *told) SetDrainingMembers(members []string) {
 	if g.over != nil {
 		g.over.Drain(members)
 	}
 }
 
-// Zones implements fleet.Gateway.
-func (g *told) Zones(away map[string]float64) {
+// SetZonesAway implements fleet.Gateway.
+func (g *told) SetZonesAway(away map[string]float64) {
 	if g.over != nil {
 		g.over.Zones(away)
 	}
@@ -81,9 +81,9 @@
 // looksMost are the looks a second at members of zones that load goes away from.
 const looksMost = 3
 
-// Look implements fleet.Gateway: it tries whether members of zones that load goes away from take connections, some each
+// ProbeZonesAway implements fleet.Gateway: it tries whether members of zones that load goes away from take connections, some each
 // time. It is weak evidence, and enough to send a first trial part there again.
-func (g *told) Look() {
+func (g *told) ProbeZonesAway() {
 	if g.over == nil {
 		return
 	}
@@ -124,8 +124,8 @@
 	g.tried[zone] = t
 }
 
-// Door implements fleet.Gateway.
-func (g *told) Door(part float64) {
+// SetConnectionFraction implements fleet.Gateway.
+func (g *told) SetConnectionFraction(part float64) {
 	d := g.door.Load()
 	if d == nil {
 		return
@@ -138,8 +138,8 @@
 	}
 }
 
-// Busy implements fleet.Gateway.
-func (g *told) Busy() int { return g.front.OpenConnections() }
+// OpenConnections implements fleet.Gateway.
+func (g *told) OpenConnections() int { return g.front.OpenConnections() }
 
 // sees is the way back: what the gateway sees, for the fleet.
 type sees struct {
@@ -175,25 +175,25 @@
 func (s sees) MemberChanged(c decide.Change, member string) {
 	switch c {
 	case decide.Suspected:
-		s.f.Saw(member, belief.Silent, 0)
+		s.f.RecordObservation(member, observation.Silent, 0)
 	case decide.Recovered:
-		s.f.Saw(member, belief.Answers, 0)
+		s.f.RecordObservation(member, observation.Answers, 0)
 	case decide.PrimaryFound:
 		if s.g.over != nil {
 			s.g.over.Primary(member)
 		}
-		s.f.Saw(member, belief.Primary, 0)
+		s.f.RecordObservation(member, observation.Primary, 0)
 	}
 }
 
 // Answered implements core.Witness.
-func (s sees) Answered(member string) { s.f.Answered(member) }
+func (s sees) Answered(member string) { s.f.RecordAnswer(member) }
 
 // Probed implements core.Witness.
-func (s sees) Probed(member string, answered bool) { s.f.Probed(member, answered) }
+func (s sees) Probed(member string, answered bool) { s.f.RecordProbe(member, answered) }
 
 // DiscoveryAnswered implements core.Witness.
-func (s sees) DiscoveryAnswered() { s.f.Discovered() }
+func (s sees) DiscoveryAnswered() { s.f.RecordDiscovery() }
 
 // startFleet has the gateway know its peers.
 func startFleet(conf *fleet.Config, g *running, buffers int) (part, error) {
@@ -204,7 +204,7 @@
 	own := *conf
 	own.Version = g.o.Version
 	counts := new(subscribe.Counts)
-	way := &told{running: g, counts: counts, tried: map[string]subscribe.Tried{}}
+	way := &told{running: g, counts: counts, tried: map[string]subscribe.ZoneAttempts{}}
 	f, err := fleet.Start(own, fleet.Deps{Log: g.o.Log, Zone: g.c.Decide.Zone, Wall: wall, Gateway: way,
 		Longest: lastCall(g.c.terms.Current().MaxDeadline),
 		Load:    func() float64 { return float64(g.claims.Len()) / float64(max(1, buffers)) }})
@@ -221,7 +221,7 @@
 			}
 			return f.Prepare(*e.Fleet)
 		},
-		drain: func(context.Context) { f.GoesAway() },
+		drain: func(context.Context) { f.AnnounceDrain() },
 		stop:  f.Close,
 	}, nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -346,7 +346,7 @@
 	}
 	if g.fleet != nil { // asks for a permit, and waits for it no longer than configured
 		wait, stop := context.WithDeadline(context.Background(), plan.answer)
-		g.fleet.Leave(wait)
+		g.fleet.AwaitStopPermit(wait)
 		stop()
 	}
 	drained := make(chan struct{})
--- a/internal/lab/rig/puppet.go
+++ b/internal/lab/rig/puppet.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"reachwind/internal/fleet/belief"
 	"reachwind/internal/fleet/group"
+	"reachwind/internal/fleet/observation"
 	"reachwind/internal/fleet/peers"
 	"reachwind/internal/fleet/swim"
 )
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := peers.Listen(peers.Config{Listen: "127.0.0.1:0", Keys: keys, Bytes: 1 << 20}, slog.New(slog.DiscardHandler))
+	s, err := peers.Listen(peers.Config{Listen: "127.0.0.1:0", Keys: keys, BytesPerSecond: 1 << 20}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return nil, err
 	}
@@ -48,8 +48,8 @@
 		seeds = append(seeds, n.Listen)
 		p.to[n.Name] = n.Listen
 	}
-	p.group = group.New(group.Config{Version: "puppet", Swim: swim.Config{Name: name, Addr: s.Addr(), Zone: zone,
-		Epoch: group.EpochOf(time.Now().UnixMilli(), uint16(rand.Uint32()), 0), Seeds: seeds, Seed: rand.Uint64()}})
+	p.group = group.New(group.Config{Version: "puppet", Swim: swim.Config{Name: name, Addr: s.AdvertisedAddr(), Zone: zone,
+		Epoch: group.NewEpoch(time.Now().UnixMilli(), uint16(rand.Uint32()), 0), Seeds: seeds, Seed: rand.Uint64()}})
 	p.done.Add(1)
 	go p.run()
 	return p, nil
@@ -63,8 +63,8 @@
 		select {
 		case <-p.stop:
 			return
-		case m := <-p.net.In():
-			p.step(group.Event{Frame: m.Frame, Stream: m.Stream, Refused: m.Refused})
+		case m := <-p.net.Received():
+			p.step(group.Event{Frame: m.Frame, Stream: m.Stream, Refused: m.RefusedAddr})
 		case <-t.C:
 			p.step()
 		}
@@ -77,7 +77,7 @@
 	for _, a := range p.group.Step(time.Since(p.begin), events...) {
 		switch {
 		case a.Frame != nil && a.Stream != 0:
-			p.net.Answer(a.Stream, a.To, a.Frame, false)
+			p.net.Reply(a.Stream, a.To, a.Frame, false)
 		case a.Frame != nil:
 			p.net.Send(a.Name, a.To, a.Frame, a.Dial, false)
 		}
@@ -85,8 +85,8 @@
 }
 
 // Say has it claim that it saw something of a member.
-func (p *Puppet) Say(member string, k belief.Kind) {
-	p.step(group.Event{Saw: &group.Saw{Member: member, Kind: k}})
+func (p *Puppet) Say(member string, k observation.Kind) {
+	p.step(group.Event{Saw: &group.MemberObservation{Member: member, Kind: k}})
 }
 
 // Accuse has it tell each node that a peer is in a state in which it is not.
--- a/internal/lab/rig/release_test.go
+++ b/internal/lab/rig/release_test.go
@@ -392,8 +392,8 @@
 	until(t, "the command runs", func() error { _, err := os.Stat(mark); return err })
 	for _, n := range r.Nodes {
 		v, err := n.View()
-		if err != nil || len(v.Drains) != 1 || v.Drains[0] != victim.ID {
-			t.Errorf("%s lists %v as draining when the command runs, want %s: %v", n.Name, v.Drains, victim.ID, err)
+		if err != nil || len(v.MembersDraining) != 1 || v.MembersDraining[0] != victim.ID {
+			t.Errorf("%s lists %v as draining when the command runs, want %s: %v", n.Name, v.MembersDraining, victim.ID, err)
 		}
 	}
 	victim.Kill()
@@ -408,8 +408,8 @@
 	}
 	until(t, "gateways use it again", func() error {
 		v, err := r.Nodes[0].View()
-		if err == nil && len(v.Drains) > 0 {
-			err = fmt.Errorf("%v", v.Drains)
+		if err == nil && len(v.MembersDraining) > 0 {
+			err = fmt.Errorf("%v", v.MembersDraining)
 		}
 		return err
 	})
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -474,8 +474,8 @@
 	for _, n := range r.Nodes {
 		all, _ := n.Events()
 		for _, e := range all {
-			at := time.Unix(0, e.Wall).Add(-n.Offset)
-			lines = append(lines, line{at, fmt.Sprintf("%s/%d #%d %s %s %s->%s %v", e.Name, e.Epoch, e.Number, e.Kind, e.Peer, e.Was, e.State, e.Reasons)})
+			at := time.Unix(0, e.WallNs).Add(-n.Offset)
+			lines = append(lines, line{at, fmt.Sprintf("%s/%d #%d %s %s %s->%s %v", e.Name, e.Epoch, e.Number, e.Kind, e.Peer, e.PreviousState, e.State, e.Reasons)})
 		}
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at.Before(lines[j].at) })
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"reachwind/internal/fleet"
-	"reachwind/internal/fleet/belief"
+	"reachwind/internal/fleet/observation"
 	"reachwind/internal/fleet/swim"
 	"reachwind/internal/lab/load"
 )
@@ -127,7 +127,7 @@
 // nobodyFailed fails if a node took a peer for failed since a time; nodes' clocks must be the rig's.
 func nobodyFailed(t *testing.T, r *Rig, since time.Time, what string) {
 	t.Helper()
-	if f := events(t, r.Up(), "peer", func(e fleet.Event) bool { return e.State == "failed" && e.Wall > since.UnixNano() }); len(f) > 0 {
+	if f := events(t, r.Up(), "peer", func(e fleet.Event) bool { return e.State == "failed" && e.WallNs > since.UnixNano() }); len(f) > 0 {
 		t.Errorf("%s: %s was taken for failed by %s", what, f[0].Peer, f[0].Name)
 	}
 }
@@ -317,7 +317,7 @@
 	p := r.Nodes[4]
 	began := time.Now()
 	blames := func() []fleet.Event {
-		return events(t, []*Node{p}, "peer", func(e fleet.Event) bool { return e.State == "failed" && e.Wall > began.UnixNano() })
+		return events(t, []*Node{p}, "peer", func(e fleet.Event) bool { return e.State == "failed" && e.WallNs > began.UnixNano() })
 	}
 	p.Pause(true)
 	time.Sleep(time.Second)
@@ -397,10 +397,10 @@
 	go func() {
 		for i := 0; ctx.Err() == nil; i++ {
 			for _, p := range liars {
-				p.Say(primary, belief.Silent)
+				p.Say(primary, observation.Silent)
 				if victim, ok := p.Peer("gw-01"); ok {
-					p.Accuse(swim.Claim{Name: "gw-01", Epoch: victim.Epoch, Inc: []uint32{victim.Inc, victim.Inc + 3, math.MaxUint32}[i%3],
-						State: []swim.State{swim.Failed, swim.Suspect, swim.Left}[i%3], By: "x"})
+					p.Accuse(swim.Claim{Name: "gw-01", Epoch: victim.Epoch, Incarnation: []uint32{victim.Incarnation, victim.Incarnation + 3, math.MaxUint32}[i%3],
+						State: []swim.State{swim.Failed, swim.Suspect, swim.Left}[i%3], SuspectedBy: "x"})
 				}
 				p.Raw([]byte{200, 1, 2, 3})                            // a kind of a version to come
 				p.Raw(append([]byte{1}, 0xbf, 0x61, 0x61, 0x01, 0xff)) // not read
--- a/internal/lab/rig/zones_test.go
+++ b/internal/lab/rig/zones_test.go
@@ -51,8 +51,8 @@
 	until(t, "all gateways act by it", func() error {
 		for _, n := range r.Nodes {
 			v, err := n.View()
-			if err != nil || v.Away["a"] < 0.99 || v.Away["b"] > 0 {
-				return errors.Join(err, fmt.Errorf("%s sends %v away", n.Name, v.Away))
+			if err != nil || v.ZonesAway["a"] < 0.99 || v.ZonesAway["b"] > 0 {
+				return errors.Join(err, fmt.Errorf("%s sends %v away", n.Name, v.ZonesAway))
 			}
 		}
 		return nil
@@ -79,8 +79,8 @@
 	until(t, "no gateway sends anything away", func() error {
 		for _, n := range r.Nodes {
 			v, err := n.View()
-			if err != nil || len(v.Away) > 0 {
-				return errors.Join(err, fmt.Errorf("%s sends %v away", n.Name, v.Away))
+			if err != nil || len(v.ZonesAway) > 0 {
+				return errors.Join(err, fmt.Errorf("%s sends %v away", n.Name, v.ZonesAway))
 			}
 		}
 		return nil
@@ -97,8 +97,8 @@
 	}
 	until(t, "without a council gateways go back to what they see", func() error {
 		v, err := r.Nodes[0].View()
-		if err == nil && len(v.Away) > 0 {
-			err = fmt.Errorf("%v", v.Away)
+		if err == nil && len(v.ZonesAway) > 0 {
+			err = fmt.Errorf("%v", v.ZonesAway)
 		}
 		return err
 	})
--- a/internal/lab/simnet/day.go
+++ b/internal/lab/simnet/day.go
@@ -6,9 +6,9 @@
 	"math"
 	"time"
 
-	"reachwind/internal/fleet/belief"
 	"reachwind/internal/fleet/group"
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/observation"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/swim"
 	"reachwind/internal/fleet/view"
 )
@@ -23,14 +23,14 @@
 // Report is what a day showed.
 type Report struct {
 	Faults    []string
-	Converged Time                   // after the last fault
-	Most      [share.Budgets]float64 // of a budget in use at once, over the sum of the own parts
+	Converged Time                       // after the last fault
+	Most      [quota.BudgetCount]float64 // of a budget in use at once, over the sum of the own parts
 	Frames    int
 }
 
 // Day plays a day of faults drawn from a seed with the given guards switched off, and returns the first rule broken.
 // What must never happen is looked at after every event, what must come about within a generous bound.
-func Day(seed uint64, off swim.Guard, lend share.Guard) (*Report, error) {
+func Day(seed uint64, off swim.Guard, lend quota.Guard) (*Report, error) {
 	w := New(seed)
 	w.Off, w.Lend = off, lend
 	d := &day{w: w, rep: &Report{}, quiet: -time.Hour}
@@ -134,7 +134,7 @@
 	for _, n := range d.w.Nodes {
 		names[n.Name] = true
 	}
-	for i := range share.Budgets {
+	for i := range quota.BudgetCount {
 		sum := 0.0
 		for _, n := range d.w.Nodes {
 			sum += n.Part(i)
@@ -142,7 +142,7 @@
 		over := sum / float64(len(d.w.Nodes))
 		d.rep.Most[i] = math.Max(d.rep.Most[i], over)
 		if over > 1+1e-9 && d.err == nil {
-			d.err = fmt.Errorf("at %v %.3f of budget %s is in use by all together", d.w.Now, over, share.Names[i])
+			d.err = fmt.Errorf("at %v %.3f of budget %s is in use by all together", d.w.Now, over, quota.BudgetNames[i])
 		}
 	}
 }
@@ -377,7 +377,7 @@
 func (d *day) oneWhole(side map[*Node]int) {
 	whole := map[int]string{}
 	for n, s := range side {
-		if n.Up && !n.Paused && n.clock() > 2*splitKnown && n.G.View.Status().Verdict == view.Whole {
+		if n.Up && !n.Paused && n.clock() > 2*splitKnown && n.G.View.Status().Verdict == view.Majority {
 			whole[s] = n.Name
 		}
 	}
@@ -482,7 +482,7 @@
 	for range liars {
 		from, about := w.Nodes[w.Rng.IntN(len(w.Nodes))], w.Nodes[w.Rng.IntN(len(w.Nodes))]
 		claim := swim.Claim{Name: about.Name, Epoch: about.Epoch, State: []swim.State{swim.Suspect, swim.Failed, swim.Left, swim.Alive}[w.Rng.IntN(4)],
-			Inc: []uint32{0, 1, 7, math.MaxUint32}[w.Rng.IntN(4)], Addr: about.Addr, By: from.Zone}
+			Incarnation: []uint32{0, 1, 7, math.MaxUint32}[w.Rng.IntN(4)], Addr: about.Addr, SuspectedBy: from.Zone}
 		for _, to := range w.Nodes {
 			if to != from && to.Up && from.Up {
 				m := &swim.Message{Kind: swim.Gossip, From: swim.ID{Name: from.Name, Epoch: from.Epoch}, Addr: from.Addr,
@@ -510,16 +510,16 @@
 	w.OnAct = func(n *Node, a *group.Action) {
 		if v := a.Advice; v != nil && v.Look {
 			if looks[v.Member]++; v.Member == "lied-of" { // it looks, and is answered
-				w.At(w.Now+50*time.Millisecond, func() { n.saw(group.Saw{Member: v.Member, Kind: belief.Answers, Looked: true}) })
+				w.At(w.Now+50*time.Millisecond, func() { n.saw(group.MemberObservation{Member: v.Member, Kind: observation.Answers, Looked: true}) })
 			}
 		}
 	}
-	w.Nodes[0].saw(group.Saw{Member: "silent", Kind: belief.Silent})
+	w.Nodes[0].saw(group.MemberObservation{Member: "silent", Kind: observation.Silent})
 	w.Run(w.Now + 2*time.Second)
 	heard = looks["silent"]
 	for range 60 { // for a minute, each second
 		for i := range liars {
-			w.Nodes[size-1-i].saw(group.Saw{Member: "lied-of", Kind: belief.Silent})
+			w.Nodes[size-1-i].saw(group.MemberObservation{Member: "lied-of", Kind: observation.Silent})
 		}
 		w.Run(w.Now + time.Second)
 	}
@@ -527,7 +527,7 @@
 }
 
 // saw has a process see something of a member.
-func (n *Node) saw(s group.Saw) {
+func (n *Node) saw(s group.MemberObservation) {
 	if n.Up && !n.Paused {
 		n.step(group.Event{Saw: &s})
 	}
--- a/internal/lab/simnet/guards.go
+++ b/internal/lab/simnet/guards.go
@@ -4,7 +4,7 @@
 	"runtime"
 	"sync"
 
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/swim"
 )
 
@@ -22,13 +22,13 @@
 	type job struct {
 		name string
 		off  swim.Guard
-		lend share.Guard
+		lend quota.Guard
 	}
 	var jobs []job
 	for _, g := range swim.Guards {
 		jobs = append(jobs, job{"swim: " + g.Name, g.Guard, 0})
 	}
-	for _, g := range share.Guards {
+	for _, g := range quota.Guards {
 		jobs = append(jobs, job{"share: " + g.Name, 0, g.Guard})
 	}
 	out := make([]Removal, len(jobs))
--- a/internal/lab/simnet/measure.go
+++ b/internal/lab/simnet/measure.go
@@ -82,7 +82,7 @@
 		}
 		done, err = w.Until(at+5*time.Minute, func() error {
 			for _, n := range w.Nodes {
-				if v := n.G.View.Status().Verdict; n.Zone == "a" && v == view.Whole || n.Zone != "a" && v != view.Whole {
+				if v := n.G.View.Status().Verdict; n.Zone == "a" && v == view.Majority || n.Zone != "a" && v != view.Majority {
 					return fmt.Errorf("%s of zone %s is %v", n.Name, n.Zone, v)
 				}
 			}
--- a/internal/lab/simnet/simnet.go
+++ b/internal/lab/simnet/simnet.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"reachwind/internal/fleet/group"
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/swim"
 	"reachwind/internal/fleet/view"
 )
@@ -39,7 +39,7 @@
 	Paused           bool
 	Epoch            uint64
 	Drift            float64 // its clock runs so much faster
-	Use              [share.Budgets]float64
+	Use              [quota.BudgetCount]float64
 	Bytes, Frames    int // sent
 	Failures         int // peers taken for failed
 	Changes          []Change
@@ -71,7 +71,7 @@
 	streams map[uint64]stream
 	lastID  uint64
 	Off     swim.Guard
-	Lend    share.Guard
+	Lend    quota.Guard
 	Seed    uint64
 	OnAct   func(*Node, *group.Action) // sees each action; may be nil
 	Check   func()                     // called after each event; may be nil
@@ -129,9 +129,9 @@
 	n.host++
 	n.Up, n.Paused, n.waiting = true, false, nil
 	n.started = w.Now
-	n.Epoch = group.EpochOf(int64(w.Now/time.Millisecond)+1, uint16(w.Rng.Uint32()), last)
+	n.Epoch = group.NewEpoch(int64(w.Now/time.Millisecond)+1, uint16(w.Rng.Uint32()), last)
 	n.G = group.New(group.Config{Started: n.clock(), Lend: w.Lend,
-		Swim: swim.Config{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Epoch: n.Epoch, Seeds: w.Known, Seed: w.Rng.Uint64(), Off: w.Off}})
+		Swim: swim.Config{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Epoch: n.Epoch, Seeds: w.Known, Seed: w.Rng.Uint64(), DisabledGuards: w.Off}})
 	w.push(delivery{at: w.Now + Time(w.Rng.Int64N(int64(tick))), tick: n, host: n.host})
 }
 
@@ -140,7 +140,7 @@
 	n.Start(0)
 	n.Epoch = epoch
 	n.G = group.New(group.Config{Started: n.clock(), Lend: n.w.Lend,
-		Swim: swim.Config{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Epoch: epoch, Seeds: n.w.Known, Seed: n.w.Rng.Uint64(), Off: n.w.Off}})
+		Swim: swim.Config{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Epoch: epoch, Seeds: n.w.Known, Seed: n.w.Rng.Uint64(), DisabledGuards: n.w.Off}})
 }
 
 // Kill ends a process.
@@ -157,7 +157,7 @@
 	if !n.Up || n.Paused {
 		return 0
 	}
-	return n.G.Ledger.Part(n.clock(), i)
+	return n.G.Ledger.Quota(n.clock(), i)
 }
 
 // Set sets the link from one process to another.
@@ -196,7 +196,7 @@
 				w.push(delivery{at: w.Now + tick, tick: d.tick, host: d.host})
 				if !d.tick.Paused {
 					for i, u := range d.tick.Use {
-						d.tick.G.Ledger.Used(i, u)
+						d.tick.G.Ledger.RecordUse(i, u)
 					}
 					d.tick.step()
 				}
@@ -239,8 +239,8 @@
 			w.OnAct(n, a)
 		}
 		if c := a.Change; c != nil {
-			if c.Epoch != 0 {
-				n.Epoch = c.Epoch
+			if c.NewEpoch != 0 {
+				n.Epoch = c.NewEpoch
 			}
 			if c.Peer.Name != "" && !c.Displaced {
 				if c.Peer.State == swim.Failed {
@@ -386,9 +386,9 @@
 // table is a process's view in one line, for what went wrong.
 func (n *Node) table() string {
 	s := n.G.Swim.Self()
-	line := fmt.Sprintf("[%s/%d/%d %v", s.Name, s.Epoch, s.Inc, s.State)
+	line := fmt.Sprintf("[%s/%d/%d %v", s.Name, s.Epoch, s.Incarnation, s.State)
 	for _, p := range n.G.Swim.Peers() {
-		line += fmt.Sprintf(", %s/%d/%d %v", p.Name, p.Epoch, p.Inc, p.State)
+		line += fmt.Sprintf(", %s/%d/%d %v", p.Name, p.Epoch, p.Incarnation, p.State)
 	}
 	return line + "]"
 }
--- a/internal/lab/simnet/simnet_test.go
+++ b/internal/lab/simnet/simnet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/swim"
 )
 
@@ -60,11 +60,11 @@
 	for _, c := range []struct {
 		seed uint64
 		off  swim.Guard
-		lend share.Guard
+		lend quota.Guard
 	}{
-		{3, swim.GuardPause, 0}, {1, swim.GuardRefute, 0}, {300, swim.GuardEpoch, 0}, {17, swim.GuardAsk, 0}, {6, swim.GuardJump, 0},
-		{2, swim.GuardRetry, 0}, {7, swim.GuardYield, 0}, {11, swim.GuardAddress, 0},
-		{8, 0, share.GuardStart}, {1, 0, share.GuardTerm}, {5, 0, share.GuardOnce}, {1, 0, share.GuardMargin}, {1, 0, share.GuardLend},
+		{3, swim.GuardOwnPause, 0}, {1, swim.GuardRefute, 0}, {300, swim.GuardEpoch, 0}, {17, swim.GuardIndirectProbe, 0}, {6, swim.GuardIncarnation, 0},
+		{2, swim.GuardRetry, 0}, {7, swim.GuardYieldName, 0}, {11, swim.GuardAddressee, 0},
+		{8, 0, quota.GuardStart}, {1, 0, quota.GuardTerm}, {5, 0, quota.GuardTakeOnce}, {1, 0, quota.GuardMargin}, {1, 0, quota.GuardLent},
 	} {
 		if _, err := Day(c.seed, c.off, c.lend); err == nil {
 			t.Errorf("day %d does not miss guards %d, %d", c.seed, c.off, c.lend)
