--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,7 +16,7 @@
 
 	"reachwind/decide"
 	"reachwind/internal/core"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 )
 
 // List is a list of members, or a change of one, in discovery's form.
@@ -42,7 +42,7 @@
 	"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}
 
 // EntryOf gives a member in discovery's form.
-func EntryOf(m core.Listed) Entry {
+func EntryOf(m core.ListedMember) Entry {
 	e := Entry{InstanceID: m.ID, HostPort: m.Addr, Zone: m.Zone, MachineType: m.Kind, Cell: m.Group, Lifecycle: "ready", Weight: m.Weight,
 		StartedAtMs: m.Started.Milliseconds()}
 	for name, state := range states {
@@ -54,14 +54,14 @@
 }
 
 // Members translates the entries.
-func (l *List) Members() ([]core.Listed, error) {
-	list := make([]core.Listed, 0, len(l.Instances))
+func (l *List) Members() ([]core.ListedMember, error) {
+	list := make([]core.ListedMember, 0, len(l.Instances))
 	for _, e := range l.Instances {
 		state, ok := states[e.Lifecycle]
 		if !ok || e.InstanceID == "" {
 			return nil, fmt.Errorf("list: instance %q: unknown lifecycle %q", e.InstanceID, e.Lifecycle)
 		}
-		list = append(list, core.Listed{Addr: e.HostPort, Member: decide.Member{ID: e.InstanceID, Group: e.Cell,
+		list = append(list, core.ListedMember{Addr: e.HostPort, Member: decide.Member{ID: e.InstanceID, Group: e.Cell,
 			Zone: e.Zone, Kind: e.MachineType, Weight: e.Weight, State: state,
 			Started: core.Time(e.StartedAtMs) * time.Millisecond}})
 	}
@@ -118,15 +118,15 @@
 	idleLeast = 50 * time.Millisecond
 )
 
-// Broken is a call that discovery may hold for answered, or never heard of: nothing came of the answer, or not all.
-type Broken struct {
+// AnswerError is a call that discovery may hold for answered, or never heard of: nothing came of the answer, or not all.
+type AnswerError struct {
 	Addr  string
 	Begun bool // a part of the answer came
 	Err   error
 }
 
 // Error implements error.
-func (e *Broken) Error() string {
+func (e *AnswerError) Error() string {
 	found, do := "silent", "see whether it runs and is reached from here"
 	if e.Begun {
 		found, do = "half an answer, or one that is no list", "see what it writes there"
@@ -135,7 +135,7 @@
 }
 
 // Unwrap returns the cause.
-func (e *Broken) Unwrap() error { return e.Err }
+func (e *AnswerError) Unwrap() error { return e.Err }
 
 // refusal is a call that reached discovery and ended without a byte of a list.
 type refusal struct {
@@ -150,7 +150,7 @@
 func (e *refusal) Unwrap() error { return e.err }
 
 // Sink takes what discovery says.
-type Sink func(kind decide.EventKind, members []core.Listed)
+type Sink func(kind decide.EventKind, members []core.ListedMember)
 
 // Client asks discovery. Watch, Fetch and Move only leave word for Run.
 type Client struct {
@@ -162,7 +162,7 @@
 	most    time.Duration // between the beginnings of two calls, while discovery is down
 	beyond  time.Duration // what the fleet's calls take, all made at once, past the longest queue
 	rng     *rand.Rand
-	pace    decide.CallPace // after a crowd, where lists are pushed
+	pace    decide.DiscoveryPacer // after a crowd, where lists are pushed
 	sink    Sink
 	log     *slog.Logger
 	dial    func(ctx context.Context, addr string) (net.Conn, error)
@@ -179,7 +179,7 @@
 	idle  bool   // the last answer brought nothing
 	conn  *conn  // kept for the next call
 
-	failed, broke, back often.Line
+	failed, broke, back logthrottle.Line
 }
 
 // Config is what a Client starts from.
@@ -203,7 +203,7 @@
 	if c.pushed {
 		c.wide, c.most = c.near, min(max(backPushed, c.beyond), backMost)
 	}
-	c.pace = decide.CallPace{Fronts: conf.Gateways, Random: c.rng.Float64}
+	c.pace = decide.DiscoveryPacer{Fronts: conf.Gateways, Random: c.rng.Float64}
 	c.version.Store(conf.Version)
 	return c
 }
@@ -217,9 +217,9 @@
 // Fetch asks for the whole list once. A watch that is on brings all changes by itself.
 func (c *Client) Fetch() { leave(c.fetch) }
 
-// Move leaves the old address at once and asks at addr from now on: first for
+// SetAddr leaves the old address at once and asks at addr from now on: first for
 // the whole list, as the versions of two services need not agree, then for changes.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr == c.next {
@@ -255,7 +255,7 @@
 			select {
 			case <-ctx.Done():
 			case <-c.move:
-			case <-time.After(c.pace.Refused(1)):
+			case <-time.After(c.pace.PauseAfterRefusal(1)):
 			}
 		}
 		return
@@ -334,7 +334,7 @@
 		}
 		began := time.Now()
 		list, err := c.get(ctx, target, wait)
-		var members []core.Listed
+		var members []core.ListedMember
 		if err == nil {
 			if members, err = list.Members(); err == nil && target == path && !list.Reset {
 				if list.Reset = len(members) > 0; !list.Reset { // not so marked, an empty one is no answer to this call
@@ -342,7 +342,7 @@
 				}
 			}
 			if err != nil {
-				err = &Broken{c.addr, true, err}
+				err = &AnswerError{c.addr, true, err}
 			}
 		}
 		took := time.Since(began)
@@ -375,7 +375,7 @@
 			return false
 		}
 		if unreachable(err, wait) {
-			c.sink(decide.ListUnreachable, nil)
+			c.sink(decide.DiscoveryUnreachable, nil)
 		}
 		c.broke.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
 		wait = 0 // what was missed is told at once
@@ -388,7 +388,7 @@
 // unreachable tells that a call failed because discovery is down or its machine says that it can't be reached: not that
 // it fell silent, which says nothing, nor that the call queued there.
 func unreachable(err error, wait time.Duration) bool {
-	var broken *Broken
+	var broken *AnswerError
 	if errors.As(err, &broken) {
 		return false
 	}
@@ -399,7 +399,7 @@
 // pause is how long to wait after a call that failed with err and took so long, and so many before it.
 func (c *Client) pause(err error, again int, took time.Duration) time.Duration {
 	spread := c.wide
-	var broken *Broken
+	var broken *AnswerError
 	if errors.As(err, &broken) || c.moved { // what a new address has counts 4 s after it was given (the standing page)
 		spread = c.near
 	}
@@ -411,7 +411,7 @@
 }
 
 // pass takes over an answer's list.
-func (c *Client) pass(list *List, members []core.Listed) {
+func (c *Client) pass(list *List, members []core.ListedMember) {
 	c.moved, c.idle = false, len(members) == 0 && !list.Reset
 	c.version.Store(list.Generation)
 	kind := decide.ListChange
@@ -433,7 +433,7 @@
 		nc, err := c.dial(ctx, c.addr)
 		if err != nil {
 			if timedOut(err) {
-				err = &Broken{c.addr, false, err}
+				err = &AnswerError{c.addr, false, err}
 			}
 			return nil, err
 		}
@@ -446,7 +446,7 @@
 	resp, err := conn.ask(appendGet(nil, c.addr, target), max(wait+slack, patience))
 	switch {
 	case err != nil && (conn.begun || timedOut(err)):
-		return nil, &Broken{c.addr, conn.begun, err}
+		return nil, &AnswerError{c.addr, conn.begun, err}
 	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < idleLeast: // it was closed before the call, which nobody has read
 		c.hangUp()
 		return c.get(ctx, target, wait)
@@ -457,7 +457,7 @@
 	}
 	list := new(List)
 	if err := json.Unmarshal(resp.body, list); err != nil {
-		return nil, &Broken{c.addr, true, fmt.Errorf("list: %w", err)}
+		return nil, &AnswerError{c.addr, true, fmt.Errorf("list: %w", err)}
 	}
 	if !resp.keep || conn.r.Buffered() > 0 { // what nobody asked for would be taken for the next answer
 		c.hangUp()
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -21,15 +21,15 @@
 		return
 	}
 	self := f.group.Swim.Self()
-	r := subscribe.Report{Name: self.Name, Zone: f.conf.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.conf.Version, Drain: f.drain.Away(), Leaves: f.leaves,
-		Counts: &f.counts, Seen: f.seen, Tried: f.tried}
+	r := subscribe.Report{Name: self.Name, Zone: f.conf.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.conf.Version, Drain: f.drain.Away(), Leaving: f.leaves,
+		Counts: &f.counts, Members: f.seen, ZoneAttempts: f.tried}
 	f.seen = nil
-	f.toCouncil(subscribe.FrameReport, f.subscribed.Report(now, r))
+	f.toCouncil(subscribe.FrameReport, f.subscribed.NextReport(now, r))
 	if f.deps.Gateway != nil && !f.leaves {
 		if len(f.zones.away) > 0 {
-			f.deps.Gateway.Look()
+			f.deps.Gateway.ProbeZonesAway()
 		}
-		f.deps.Gateway.Counts(func(c subscribe.Counts, seen []subscribe.Seen, tried []subscribe.Tried) {
+		f.deps.Gateway.CollectCounts(func(c subscribe.Counts, seen []subscribe.MemberReport, tried []subscribe.ZoneAttempts) {
 			select {
 			case f.asks <- func() { f.counts, f.seen, f.tried = c, seen, tried }:
 			default: // dropped; the next report asks again
@@ -48,10 +48,10 @@
 // says about members holds for the terms it states.
 func (f *Fleet) told(b []byte) {
 	now := f.now()
-	if !f.subscribed.Take(now, b) {
+	if !f.subscribed.HandleUpdate(now, b) {
 		return
 	}
-	t, _, _ := f.subscribed.Last()
+	t, _, _ := f.subscribed.LastUpdate()
 	e := drain.Event{Recall: t.Recall && t.Fence != 0 && t.Fence == f.drain.Fence()}
 	e.Fenced = f.drain.Fence() != 0 && t.Fence != f.drain.Fence() && t.Index >= f.grantedAt
 	until := map[string]time.Duration{}
@@ -72,7 +72,7 @@
 	}
 	f.log.Info("fleet members permitted to go out", "members", is)
 	f.event(Event{Kind: "drains", Reasons: is})
-	f.deps.Gateway.Drains(is)
+	f.deps.Gateway.SetDrainingMembers(is)
 }
 
 // got handles the council's answer to a request of this gateway.
@@ -97,12 +97,12 @@
 func (f *Fleet) drained(now time.Duration, e drain.Event) {
 	busy := 0
 	if g := f.deps.Gateway; g != nil {
-		busy = g.Busy()
+		busy = g.OpenConnections()
 	}
 	a := f.drain.Step(now, e, busy)
 	ask := func(op string, term time.Duration) {
 		self := f.group.Swim.Self()
-		f.asker.Begin(now, subscribe.Ask{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
+		f.asker.Begin(now, subscribe.PermitRequest{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
 			Reason: f.drain.Status(now).Reason})
 	}
 	if a.Stop {
@@ -121,13 +121,13 @@
 		ask("give_back", 0)
 	}
 	if b := f.asker.Send(now); b != nil {
-		f.toCouncil(subscribe.FrameAsk, b)
+		f.toCouncil(subscribe.FramePermitRequest, b)
 	}
 	if a.Part >= 0 {
 		f.part = a.Part
 	}
 	if f.deps.Gateway != nil && (a.Part >= 0 || f.part < 1 && !f.leaves) { // while connections return in steps, the limit depends on how many are open
-		f.deps.Gateway.Door(f.part)
+		f.deps.Gateway.SetConnectionFraction(f.part)
 	}
 	if a.Changed {
 		s := f.drain.Status(now)
@@ -159,17 +159,17 @@
 	}
 }
 
-// GoesAway announces to the peers that this gateway accepts no new work.
-func (f *Fleet) GoesAway() {
+// AnnounceDrain announces to the peers that this gateway accepts no new work.
+func (f *Fleet) AnnounceDrain() {
 	_ = f.ask(func() {
 		yes := true
 		f.carry(f.group.Step(f.now(), group.Event{Drain: &yes}))
 	})
 }
 
-// Leave requests a permit of the council to stop, and waits for it at most as long as configured. It returns
+// AwaitStopPermit requests a permit of the council to stop, and waits for it at most as long as configured. It returns
 // how long it waited. By then the peers know that this gateway is leaving.
-func (f *Fleet) Leave(ctx context.Context) time.Duration {
+func (f *Fleet) AwaitStopPermit(ctx context.Context) time.Duration {
 	begin := time.Now()
 	if len(f.conf.Council) == 0 {
 		return 0
@@ -183,9 +183,9 @@
 			return
 		}
 		f.waits = append(f.waits, func(s drain.Status, _ string) {
-			if s.Unasked > was {
-				f.log.Warn("this gateway ends without a permit", "why", s.Why)
-				f.event(Event{Kind: "unasked", Reasons: []string{s.Why}})
+			if s.StopsWithoutPermit > was {
+				f.log.Warn("this gateway ends without a permit", "why", s.LastRefusal)
+				f.event(Event{Kind: "unasked", Reasons: []string{s.LastRefusal}})
 			}
 			close(done)
 		})
@@ -206,16 +206,16 @@
 // drainAskMost is the longest that a caller may wait until a drain is granted and done.
 const drainAskMost = 2 * time.Minute
 
-// DrainAsk is the request of `reachwind fleet drain` and `undrain` to a gateway.
-type DrainAsk struct {
+// DrainRequest is the request of `reachwind fleet drain` and `undrain` to a gateway.
+type DrainRequest struct {
 	Back   bool   `json:"back,omitempty"`
 	TermMs int64  `json:"term_ms,omitempty"`
 	WaitMs int64  `json:"wait_ms,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// DrainAnswer is the answer to it.
-type DrainAnswer struct {
+// DrainResponse is the answer to it.
+type DrainResponse struct {
 	drain.Status
 	Refused string `json:"refused,omitempty"`
 }
@@ -223,7 +223,7 @@
 // askDrain serves an operator's request that this gateway goes out of service or returns. It answers once the
 // gateway is out, or serves.
 func (f *Fleet) askDrain(w http.ResponseWriter, r *http.Request) {
-	var q DrainAsk
+	var q DrainRequest
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&q)
 	if q.TermMs == 0 {
 		q.TermMs = drain.TermUsual.Milliseconds()
@@ -245,7 +245,7 @@
 			return
 		}
 		if mine := f.group.View.Status().Verdict; !q.Back {
-			if ok, why := view.Allowed(view.StartDrain, mine, view.Whole); !ok {
+			if ok, why := view.Allowed(view.StartDrain, mine, view.Majority); !ok {
 				over <- end{f.drain.Status(now), "this gateway's verdict is " + mine.String() + ": " + why}
 				return
 			}
@@ -276,7 +276,7 @@
 	select {
 	case e := <-over:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(DrainAnswer{e.s, e.why})
+		_ = json.NewEncoder(w).Encode(DrainResponse{e.s, e.why})
 	case <-r.Context().Done():
 	case <-time.After(drainAskMost):
 		http.Error(w, "the drain did not finish in time: see its state in `reachwind fleet view`", http.StatusServiceUnavailable)
--- a/internal/fleet/signal/signal.go
+++ b/internal/fleet/loadsignal/signal.go
@@ -1,4 +1,4 @@
-// Package signal shares load estimates of members between gateways: each gateway publishes its outstanding
+// Package loadsignal shares load estimates of members between gateways: each gateway publishes its outstanding
 // requests and measured latencies per member in bounded digests. The result is a weight for the choice among
 // members that may answer. It never affects log positions and never takes a member out of use. The package
 // does no I/O, starts no goroutine and reads no clock.
@@ -10,7 +10,7 @@
 //  3. Reports lose weight with age and are dropped after Age. Without reports all weights return to 1.
 //  4. A weight moves by at most the fraction Step of the way to its target per Tick, so that many gateways
 //     that receive the same reports at once do not all choose the same member.
-package signal
+package loadsignal
 
 import (
 	"cmp"
--- a/internal/fleet/belief/belief.go
+++ b/internal/fleet/observation/belief.go
@@ -1,7 +1,7 @@
-// Package belief exchanges observations of members between gateways: which gateway saw what of which member,
+// Package observation exchanges observations of members between gateways: which gateway saw what of which member,
 // when, and by what evidence. Reports of other gateways yield only advice to probe a member; they never
 // exclude one. The package does no I/O, starts no goroutine and reads no clock.
-package belief
+package observation
 
 import (
 	"cmp"
@@ -104,8 +104,8 @@
 	left int  // remaining transmissions
 }
 
-// Book holds one gateway's observations and those reported by others. It is not safe for concurrent use.
-type Book struct {
+// Store holds one gateway's observations and those reported by others. It is not safe for concurrent use.
+type Store struct {
 	name, zone string
 	epoch      uint64
 	rng        *rand.Rand
@@ -118,22 +118,22 @@
 	looksAt    Time
 	trust      map[string]float64 // trust in witnesses whose reports proved wrong, from trustLeast to below 1
 	spread     []*seen
-	Dropped    Drops
+	Dropped    DropCounts
 	Looks      int // probes advised in total
 	Wrong      int // those of them that the member answered
 }
 
-// Drops counts observations and probes that were dropped, by reason.
-type Drops struct{ Full, Old, Rate, Oneself int }
+// DropCounts counts observations and probes that were dropped, by reason.
+type DropCounts struct{ Full, Old, Rate, Oneself int }
 
 // New returns an empty store for the gateway with this name, zone and epoch.
-func New(name, zone string, epoch, seed uint64) *Book {
-	return &Book{name: name, zone: zone, epoch: epoch, rng: rand.New(rand.NewPCG(seed, 0x62656c)), members: map[string]map[string]*seen{},
+func New(name, zone string, epoch, seed uint64) *Store {
+	return &Store{name: name, zone: zone, epoch: epoch, rng: rand.New(rand.NewPCG(seed, 0x62656c)), members: map[string]map[string]*seen{},
 		own: map[string]Time{}, looked: map[string]Time{}, looks: looksMost, trust: map[string]float64{}}
 }
 
-// Saw records an observation of this gateway itself, to be passed on to others. peers is the number of peers.
-func (b *Book) Saw(now Time, member string, k Kind, position int64, peers int) {
+// RecordOwn records an observation of this gateway itself, to be passed on to others. peers is the number of peers.
+func (b *Store) RecordOwn(now Time, member string, k Kind, position int64, peers int) {
 	b.now = now
 	if k == Answers || k == Primary {
 		b.own[member] = now
@@ -147,8 +147,8 @@
 	b.put(o, peers)
 }
 
-// Answered records a regular answer of a member without passing it on.
-func (b *Book) Answered(now Time, member string) {
+// RecordAnswer records a regular answer of a member without passing it on.
+func (b *Store) RecordAnswer(now Time, member string) {
 	if len(b.members[member]) > 0 || b.looked[member] != 0 {
 		b.now, b.own[member] = now, now
 		b.judge(member)
@@ -157,7 +157,7 @@
 
 // judge compares reports about a member with the answer that just came: witnesses that reported it silent, no
 // later than the advised probe, are trusted less.
-func (b *Book) judge(member string) {
+func (b *Store) judge(member string) {
 	at, ok := b.looked[member]
 	if !ok {
 		return
@@ -175,8 +175,8 @@
 	}
 }
 
-// Confirmed records that an advised probe was not answered: witnesses that reported so regain trust.
-func (b *Book) Confirmed(member string) {
+// ConfirmSilent records that an advised probe was not answered: witnesses that reported so regain trust.
+func (b *Store) ConfirmSilent(member string) {
 	if _, ok := b.looked[member]; !ok {
 		return
 	}
@@ -192,7 +192,7 @@
 	}
 }
 
-func (b *Book) trusted(w string) float64 {
+func (b *Store) trusted(w string) float64 {
 	if t, ok := b.trust[w]; ok {
 		return t
 	}
@@ -200,7 +200,7 @@
 }
 
 // put stores an observation if it is the newest of its witness, and returns whether it did.
-func (b *Book) put(o *seen, peers int) bool {
+func (b *Store) put(o *seen, peers int) bool {
 	of := b.members[o.Member]
 	if of == nil {
 		if len(b.members) >= membersMax {
@@ -227,8 +227,8 @@
 	return true
 }
 
-// Told merges a batch that a peer passed on and returns the resulting advice.
-func (b *Book) Told(now Time, batch []Observation, peers int) []Advice {
+// Merge merges a batch that a peer passed on and returns the resulting advice.
+func (b *Store) Merge(now Time, batch []Observation, peers int) []Advice {
 	b.now = now
 	touched := map[string]bool{}
 	for _, o := range batch {
@@ -264,7 +264,7 @@
 }
 
 // Weigh sums up the reports of others about a member, at the time of the last call that set the clock.
-func (b *Book) Weigh(member string) Weight {
+func (b *Store) Weigh(member string) Weight {
 	var w Weight
 	out, up := map[string]float64{}, map[string]float64{}
 	own := b.own[member]
@@ -299,7 +299,7 @@
 }
 
 // advise returns the advice for a member that has a new report.
-func (b *Book) advise(member string) (Advice, bool) {
+func (b *Store) advise(member string) (Advice, bool) {
 	w := b.Weigh(member)
 	a := Advice{Member: member, Witnesses: w.Witnesses}
 	a.Guess = w.Primary > 0 && b.now-w.Primary < halfLife
@@ -320,7 +320,7 @@
 }
 
 // mayLook limits the rate of probes that reports can cause, however many there are.
-func (b *Book) mayLook() bool {
+func (b *Store) mayLook() bool {
 	b.looks = min(looksMost, b.looks+looksMost*(b.now-b.looksAt).Seconds())
 	b.looksAt = b.now
 	if b.looks < 1 {
@@ -330,9 +330,9 @@
 	return true
 }
 
-// Batch returns the observations to pass on now, those passed on the fewest times first; nil if there are
+// NextBatch returns the observations to pass on now, those passed on the fewest times first; nil if there are
 // none.
-func (b *Book) Batch(now Time) []Observation {
+func (b *Store) NextBatch(now Time) []Observation {
 	b.now = now
 	b.spread = slices.DeleteFunc(b.spread, func(o *seen) bool { return o.left <= 0 || now-o.at > keep })
 	slices.SortStableFunc(b.spread, func(x, y *seen) int { return cmp.Compare(y.left, x.left) })
@@ -349,8 +349,8 @@
 	return batch
 }
 
-// Forget drops entries that are too old to count. It must be called about once a second.
-func (b *Book) Forget(now Time) {
+// Expire drops entries that are too old to count. It must be called about once a second.
+func (b *Store) Expire(now Time) {
 	b.now = now
 	for m, of := range b.members {
 		for w, o := range of {
@@ -374,8 +374,8 @@
 	}
 }
 
-// Line sums up the reports about a member for tables and JSON.
-type Line struct {
+// MemberSummary sums up the reports about a member for tables and JSON.
+type MemberSummary struct {
 	Member    string  `json:"member"`
 	Out       float64 `json:"out"`
 	Up        float64 `json:"up"`
@@ -392,13 +392,13 @@
 	Trust   float64 `json:"trust"`
 }
 
-// Lines returns all stored observations, ordered by member and witness.
-func (b *Book) Lines(now Time) []Line {
+// Summaries returns all stored observations, ordered by member and witness.
+func (b *Store) Summaries(now Time) []MemberSummary {
 	b.now = now
-	lines := []Line{}
+	lines := []MemberSummary{}
 	for _, m := range slices.Sorted(maps.Keys(b.members)) {
 		w := b.Weigh(m)
-		l := Line{Member: m, Out: w.Out, Up: w.Up, Witnesses: w.Witnesses, Claims: []Claim{}}
+		l := MemberSummary{Member: m, Out: w.Out, Up: w.Up, Witnesses: w.Witnesses, Claims: []Claim{}}
 		for _, name := range slices.Sorted(maps.Keys(b.members[m])) {
 			o := b.members[m][name]
 			l.Claims = append(l.Claims, Claim{name, o.Zone, o.Kind.String(), (now - o.at).Milliseconds(), b.trusted(name)})
@@ -408,8 +408,8 @@
 	return lines
 }
 
-// Rename sets a new epoch of this gateway.
-func (b *Book) Rename(epoch uint64) { b.epoch = epoch }
+// SetEpoch sets a new epoch of this gateway.
+func (b *Store) SetEpoch(epoch uint64) { b.epoch = epoch }
 
 // Members returns the members that have stored observations, in no particular order.
-func (b *Book) Members() []string { return slices.Collect(maps.Keys(b.members)) }
+func (b *Store) Members() []string { return slices.Collect(maps.Keys(b.members)) }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -16,16 +16,16 @@
 	"syscall"
 	"time"
 
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 )
 
 // Config is the configuration of Sockets.
 type Config struct {
-	Listen    string
-	Advertise string
-	Keys      *Keys
-	Bytes     int               // bytes per second sent in total
-	Routes    map[string]string // peers by name that are reached at another address than the one they publish
+	Listen         string
+	Advertise      string
+	Keys           *Keys
+	BytesPerSecond int               // bytes per second sent in total
+	Routes         map[string]string // peers by name that are reached at another address than the one they publish
 }
 
 const (
@@ -43,15 +43,15 @@
 
 // Incoming is an authenticated frame, or an address that refused a connection.
 type Incoming struct {
-	Frame   []byte
-	Stream  uint64
-	Refused string
+	Frame       []byte
+	Stream      uint64
+	RefusedAddr string
 }
 
 // Counts counts messages and bytes sent and received, and those dropped by reason. They may be read at any
 // time.
 type Counts struct {
-	Sent, SentBytes, Taken, TakenBytes                               atomic.Int64
+	Sent, SentBytes, Received, ReceivedBytes                         atomic.Int64
 	Unauthentic, Repeated, UnknownKey, Oversize, Overflow, Throttled atomic.Int64
 	StreamsRefused                                                   atomic.Int64
 }
@@ -84,7 +84,7 @@
 	room    float64
 	roomAt  time.Time
 
-	badKey, junk, failing often.Line
+	badKey, junk, failing logthrottle.Line
 }
 
 // Listen opens the sockets. Both use the same port; port 0 selects a free one.
@@ -101,7 +101,7 @@
 	}
 	s := &Sockets{conf: conf, log: log, udp: udp, tcp: tcp, in: make(chan Incoming, queueMost), out: make(chan struct{}, streamsOut), keys: conf.Keys,
 		routes: conf.Routes, sealer: newSealer(), heard: map[string][4]byte{}, tried: map[string]int{}, addrs: map[string]*net.UDPAddr{},
-		streams: map[uint64]*inbound{}, room: burst * float64(conf.Bytes), roomAt: time.Now()}
+		streams: map[uint64]*inbound{}, room: burst * float64(conf.BytesPerSecond), roomAt: time.Now()}
 	s.opener = &opener{own: s.sealer.own, windows: map[instance]*window{}}
 	if s.conf.Advertise == "" {
 		s.conf.Advertise = tcp.Addr().String()
@@ -119,11 +119,11 @@
 	over chan struct{} // closed when the answer was sent
 }
 
-// Addr returns the address that peers are told.
-func (s *Sockets) Addr() string { return s.conf.Advertise }
+// AdvertisedAddr returns the address that peers are told.
+func (s *Sockets) AdvertisedAddr() string { return s.conf.Advertise }
 
-// In returns the channel of received frames and refused addresses.
-func (s *Sockets) In() <-chan Incoming { return s.in }
+// Received returns the channel of received frames and refused addresses.
+func (s *Sockets) Received() <-chan Incoming { return s.in }
 
 // SetKeys replaces keys and routes.
 func (s *Sockets) SetKeys(k *Keys, routes map[string]string) {
@@ -175,10 +175,10 @@
 // may not use the reserve.
 func (s *Sockets) spend(n int, spare bool) bool {
 	now := time.Now()
-	s.room = min(s.room+now.Sub(s.roomAt).Seconds()*float64(s.conf.Bytes), burst*float64(s.conf.Bytes))
+	s.room = min(s.room+now.Sub(s.roomAt).Seconds()*float64(s.conf.BytesPerSecond), burst*float64(s.conf.BytesPerSecond))
 	s.roomAt = now
 	left := s.room - float64(n)
-	if left < 0 || spare && left < reserve*burst*float64(s.conf.Bytes) {
+	if left < 0 || spare && left < reserve*burst*float64(s.conf.BytesPerSecond) {
 		s.Counts.Throttled.Add(1)
 		return false
 	}
@@ -229,8 +229,8 @@
 	}
 }
 
-// Answer sends a frame on the stream that a message came by.
-func (s *Sockets) Answer(stream uint64, addr string, frame []byte, spare bool) {
+// Reply sends a frame on the stream that a message came by.
+func (s *Sockets) Reply(stream uint64, addr string, frame []byte, spare bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	in := s.streams[stream]
@@ -266,7 +266,7 @@
 		c, err := d.DialContext(s.ctx, "tcp", to)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				s.post(Incoming{Refused: addr})
+				s.post(Incoming{RefusedAddr: addr})
 			}
 			return
 		}
@@ -358,8 +358,8 @@
 		s.junk.Warn(s.log, "fleet message not authentic", "err", err)
 		return false
 	}
-	c.Taken.Add(1)
-	c.TakenBytes.Add(int64(len(b)))
+	c.Received.Add(1)
+	c.ReceivedBytes.Add(int64(len(b)))
 	s.post(Incoming{Frame: m.frame, Stream: stream})
 	return true
 }
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/quota/share.go
@@ -1,4 +1,4 @@
-// Package share divides budgets between gateways that know each other. Each gateway has a base share of its
+// Package quota divides budgets between gateways that know each other. Each gateway has a base share of its
 // own that needs no communication, and lends what it does not use of it to others for a limited term. The
 // package does no I/O, starts no goroutine and reads no clock.
 //
@@ -14,7 +14,7 @@
 //     could have lent.
 //
 // So clocks are never compared with each other; only their rates matter.
-package share
+package quota
 
 import (
 	"cmp"
@@ -30,29 +30,29 @@
 
 // The shared budgets. Their numbers are part of the wire format and are never reused.
 const (
-	Cold      = 0 // requests to members in slow start
-	Probes    = 1 // probes of members
-	Asks      = 2 // calls to discovery
-	Customers = 3 // requests of tenants within their shares
-	Budgets   = 4
+	SlowStart      = 0 // requests to members in slow start
+	Probes         = 1 // probes of members
+	DiscoveryCalls = 2 // calls to discovery
+	Tenants        = 3 // requests of tenants within their shares
+	BudgetCount    = 4
 )
 
-// Names lists the budgets' names for tables and JSON.
-var Names = [Budgets]string{"cold", "probes", "asks", "customers"}
+// BudgetNames lists the budgets' names for tables and JSON.
+var BudgetNames = [BudgetCount]string{"cold", "probes", "asks", "customers"}
 
 const (
-	// Term is how long a loan lasts.
-	Term = 10 * time.Second
-	// Margin is how much longer a lender waits: clock rates differ by less than one in a hundred.
-	Margin = Term / 100
-	// Lendable is the fraction of its base share that a gateway may lend. The rest is its own at any time.
-	Lendable   = 0.5
-	askEvery   = time.Second
-	answerMost = 2 * time.Second // a loan for an older request is refused: too little of its term may be left
-	loansMost  = 64              // given or taken, per budget
-	useBlend   = 0.2
-	needTimes  = 1.25 // quota wanted, as a multiple of recent use
-	leastLoan  = 0.02 // in base shares
+	// LoanTerm is how long a loan lasts.
+	LoanTerm = 10 * time.Second
+	// ClockMargin is how much longer a lender waits: clock rates differ by less than one in a hundred.
+	ClockMargin = LoanTerm / 100
+	// LendableFraction is the fraction of its base share that a gateway may lend. The rest is its own at any time.
+	LendableFraction = 0.5
+	askEvery         = time.Second
+	answerMost       = 2 * time.Second // a loan for an older request is refused: too little of its term may be left
+	loansMost        = 64              // given or taken, per budget
+	useBlend         = 0.2
+	needTimes        = 1.25 // quota wanted, as a multiple of recent use
+	leastLoan        = 0.02 // in base shares
 )
 
 // Guard is a bit set of checks that bound the sum. Test tools disable them one at a time to show that each is
@@ -61,11 +61,11 @@
 
 // The guards, by the rule of the package comment that they enforce.
 const (
-	GuardStart  Guard = 1 << iota // rule 4
-	GuardTerm                     // rule 2: a loan ends, counted from its request
-	GuardOnce                     // rule 3
-	GuardMargin                   // rule 1: the margin
-	GuardLend                     // rule 1: what is lent is not used
+	GuardStart    Guard = 1 << iota // rule 4
+	GuardTerm                       // rule 2: a loan ends, counted from its request
+	GuardTakeOnce                   // rule 3
+	GuardMargin                     // rule 1: the margin
+	GuardLent                       // rule 1: what is lent is not used
 )
 
 // Guards lists all guards with their names as printed by test tools.
@@ -74,7 +74,7 @@
 	Name  string
 }{
 	{GuardStart, "who starts does not use what it may have lent"}, {GuardTerm, "a loan ends, counted from its request"},
-	{GuardOnce, "a loan is taken once"}, {GuardMargin, "a lender waits for clocks that run apart"}, {GuardLend, "what is lent is not used"},
+	{GuardTakeOnce, "a loan is taken once"}, {GuardMargin, "a lender waits for clocks that run apart"}, {GuardLent, "what is lent is not used"},
 }
 
 // Message requests a loan of a budget, or grants one.
@@ -133,7 +133,7 @@
 	start   Time
 	now     Time
 	number  uint64
-	budgets [Budgets]budget
+	budgets [BudgetCount]budget
 	off     Guard
 	Lent    int // loans given
 	Taken   int
@@ -148,8 +148,8 @@
 
 func (l *Ledger) on(g Guard) bool { return l.off&g == 0 }
 
-// Rename sets a new epoch: loans for requests of the old one are refused from now on.
-func (l *Ledger) Rename(epoch uint64) { l.epoch = epoch }
+// SetEpoch sets a new epoch: loans for requests of the old one are refused from now on.
+func (l *Ledger) SetEpoch(epoch uint64) { l.epoch = epoch }
 
 // lent returns how much of a budget is lent, or may be lent by an earlier start.
 func (l *Ledger) lent(b *budget) float64 {
@@ -158,18 +158,18 @@
 	for _, o := range b.out {
 		sum += o.part
 	}
-	if l.on(GuardStart) && l.now-l.start < Term+Margin {
-		return Lendable
+	if l.on(GuardStart) && l.now-l.start < LoanTerm+ClockMargin {
+		return LendableFraction
 	}
 	return sum
 }
 
-// Part returns how much this gateway may use of a budget now, in base shares.
-func (l *Ledger) Part(now Time, i int) float64 {
+// Quota returns how much this gateway may use of a budget now, in base shares.
+func (l *Ledger) Quota(now Time, i int) float64 {
 	l.now = max(l.now, now)
 	b := &l.budgets[i]
 	part := 1.0
-	if l.on(GuardLend) {
+	if l.on(GuardLent) {
 		part -= l.lent(b)
 	}
 	b.in = slices.DeleteFunc(b.in, func(o loan) bool { return l.on(GuardTerm) && l.now >= o.until })
@@ -179,9 +179,9 @@
 	return part
 }
 
-// Used records how much of a budget was used recently, in base shares: 1 is as much as one base share allows
+// RecordUse records how much of a budget was used recently, in base shares: 1 is as much as one base share allows
 // in that time.
-func (l *Ledger) Used(i int, parts float64) {
+func (l *Ledger) RecordUse(i int, parts float64) {
 	b := &l.budgets[i]
 	b.use += useBlend * (min(parts, 1e3) - b.use)
 }
@@ -189,15 +189,15 @@
 // need returns how much this gateway wants of a budget.
 func (b *budget) need() float64 { return needTimes * b.use }
 
-// Spare returns how much this gateway could lend now.
-func (l *Ledger) Spare(now Time, i int) float64 {
-	part := l.Part(now, i)
+// LendableNow returns how much this gateway could lend now.
+func (l *Ledger) LendableNow(now Time, i int) float64 {
+	part := l.Quota(now, i)
 	b := &l.budgets[i]
-	room := Lendable - l.lent(b)
-	if l.on(GuardStart) && l.now-l.start < Term+Margin || len(b.in) > 0 || len(b.out) >= loansMost {
+	room := LendableFraction - l.lent(b)
+	if l.on(GuardStart) && l.now-l.start < LoanTerm+ClockMargin || len(b.in) > 0 || len(b.out) >= loansMost {
 		return 0
 	}
-	return max(0, min(room, part-max(b.need(), 1-Lendable)))
+	return max(0, min(room, part-max(b.need(), 1-LendableFraction)))
 }
 
 // Lender is a peer that may be asked for a loan, and how much it may spare.
@@ -206,19 +206,19 @@
 	Spare float64
 }
 
-// Send is a message for a peer.
-type Send struct {
+// Outgoing is a message for a peer.
+type Outgoing struct {
 	To      string
 	Message Message
 }
 
-// Ask returns loan requests for what this gateway lacks. lenders returns the peers that it may borrow from
+// RequestLoans returns loan requests for what this gateway lacks. lenders returns the peers that it may borrow from
 // now.
-func (l *Ledger) Ask(now Time, lenders func(i int) []Lender) (out []Send) {
+func (l *Ledger) RequestLoans(now Time, lenders func(i int) []Lender) (out []Outgoing) {
 	l.now = max(l.now, now)
 	for i := range l.budgets {
 		b := &l.budgets[i]
-		lack := b.need() - l.Part(now, i)
+		lack := b.need() - l.Quota(now, i)
 		if lack < leastLoan || l.now < b.askAt || len(b.in) >= loansMost {
 			continue
 		}
@@ -230,7 +230,7 @@
 			if want := min(lack, p.Spare); want >= leastLoan {
 				l.number++
 				b.asked = append(b.asked, request{l.number, p.Name, l.now, want})
-				out = append(out, Send{p.Name, Message{Budget: uint8(i), Number: l.number, Epoch: l.epoch, Part: want}})
+				out = append(out, Outgoing{p.Name, Message{Budget: uint8(i), Number: l.number, Epoch: l.epoch, Part: want}})
 				lack -= want
 			}
 		}
@@ -238,10 +238,10 @@
 	return out
 }
 
-// Take handles a message of a peer and returns the loan that answers it, or nil. mayLend tells whether the
+// HandleMessage handles a message of a peer and returns the loan that answers it, or nil. mayLend tells whether the
 // peer may be given a loan now.
-func (l *Ledger) Take(now Time, from string, m *Message, mayLend bool) *Message {
-	if m.Budget >= Budgets || math.IsNaN(m.Part) || m.Part <= 0 {
+func (l *Ledger) HandleMessage(now Time, from string, m *Message, mayLend bool) *Message {
+	if m.Budget >= BudgetCount || math.IsNaN(m.Part) || m.Part <= 0 {
 		l.Refused++
 		return nil
 	}
@@ -251,13 +251,13 @@
 		l.borrow(b, from, m)
 		return nil
 	}
-	part := min(m.Part, l.Spare(now, int(m.Budget)))
+	part := min(m.Part, l.LendableNow(now, int(m.Budget)))
 	if !mayLend || part < leastLoan {
 		return nil
 	}
-	term := Term
+	term := LoanTerm
 	if l.on(GuardMargin) {
-		term += Margin
+		term += ClockMargin
 	}
 	b.out = append(b.out, loan{from, m.Number, part, l.now + term})
 	l.Lent++
@@ -272,7 +272,7 @@
 		return
 	}
 	r := b.asked[i]
-	if l.on(GuardOnce) {
+	if l.on(GuardTakeOnce) {
 		b.asked = slices.Delete(b.asked, i, i+1)
 	}
 	if l.now-r.at > answerMost || m.Part > r.part {
@@ -280,5 +280,5 @@
 		return
 	}
 	l.Taken++
-	b.in = append(b.in, loan{from, m.Number, m.Part, r.at + Term})
+	b.in = append(b.in, loan{from, m.Number, m.Part, r.at + LoanTerm})
 }
--- a/internal/fleet/turn/turn.go
+++ b/internal/fleet/rotation/turn.go
@@ -1,4 +1,4 @@
-// Package turn selects the gateway that does a task for all of them: a probe of a member, a half-open probe of
+// Package rotation selects the gateway that does a task for all of them: a probe of a member, a half-open probe of
 // a suspect, a call to discovery. The selection follows from the group's membership and the time alone. The
 // package does no I/O, starts no goroutine and reads no clock.
 //
@@ -15,7 +15,7 @@
 // A selection is no lock: with two views, a clock that is further off, or a process paused between reading the
 // clock and acting, two gateways may act. It is for tasks that two may do without harm. What only one gateway
 // may do needs a permit of the council.
-package turn
+package rotation
 
 import (
 	"cmp"
@@ -23,7 +23,7 @@
 	"slices"
 	"time"
 
-	"reachwind/internal/fleet/draw"
+	"reachwind/internal/fleet/seededhash"
 )
 
 // Time is wall time since the Unix epoch, or a duration.
@@ -92,19 +92,19 @@
 
 // place returns me's position in the order of a slot, and the number of gateways in it.
 func (t Task) place(slot int64, names []string, missing int, me string) (place, n int) {
-	seed := draw.Mix(draw.Of(0, t.Name) ^ draw.Mix(uint64(slot)))
-	own := draw.Mix(seed ^ draw.Of(0, me))
+	seed := seededhash.Mix(seededhash.Of(0, t.Name) ^ seededhash.Mix(uint64(slot)))
+	own := seededhash.Mix(seed ^ seededhash.Of(0, me))
 	for _, name := range names {
 		if name == me {
 			continue
 		}
-		if s := draw.Mix(seed ^ draw.Of(0, name)); s < own || s == own && name < me {
+		if s := seededhash.Mix(seed ^ seededhash.Of(0, name)); s < own || s == own && name < me {
 			place++
 		}
 		n++
 	}
 	for i := range missing {
-		if draw.Mix(seed^draw.Mix(uint64(i)+1)) < own {
+		if seededhash.Mix(seed^seededhash.Mix(uint64(i)+1)) < own {
 			place++
 		}
 		n++
@@ -115,10 +115,10 @@
 // Order returns names in the order of a round of a task, for example in which recovered offices or regions
 // return. It is the same for all that know the names and the round.
 func Order(task string, round int64, names []string) []string {
-	seed := draw.Mix(draw.Of(0, task) ^ draw.Mix(uint64(round)))
+	seed := seededhash.Mix(seededhash.Of(0, task) ^ seededhash.Mix(uint64(round)))
 	all := slices.Clone(names)
 	slices.SortFunc(all, func(a, b string) int {
-		return cmp.Or(cmp.Compare(draw.Mix(seed^draw.Of(0, a)), draw.Mix(seed^draw.Of(0, b))), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(seededhash.Mix(seed^seededhash.Of(0, a)), seededhash.Mix(seed^seededhash.Of(0, b))), cmp.Compare(a, b))
 	})
 	return slices.Compact(all)
 }
--- a/internal/fleet/draw/draw.go
+++ b/internal/fleet/seededhash/draw.go
@@ -1,6 +1,6 @@
-// Package draw provides deterministic hashes by which many gateways make the same choice without
+// Package seededhash provides deterministic hashes by which many gateways make the same choice without
 // communication: the same words give the same number in every process and build. It has no state.
-package draw
+package seededhash
 
 import "github.com/cespare/xxhash/v2"
 
--- a/internal/fleet/subscribe/asks.go
+++ b/internal/fleet/subscribe/asks.go
@@ -11,15 +11,15 @@
 // Frames by which a gateway requests a permit to be out of service. Their numbers are part of the wire format
 // and are never reused.
 const (
-	FrameAsk = 25
-	FrameGot = 26
+	FramePermitRequest = 25
+	FramePermitAnswer  = 26
 )
 
-// AskEvery is the interval at which a request is resent to all voters until it is answered.
-const AskEvery = 300 * time.Millisecond
+// ResendInterval is the interval at which a request is resent to all voters until it is answered.
+const ResendInterval = 300 * time.Millisecond
 
-// Ask is a gateway's request about itself. Fields are added, never changed.
-type Ask struct {
+// PermitRequest is a gateway's request about itself. Fields are added, never changed.
+type PermitRequest struct {
 	Name   string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
 	Number uint64 `cbor:"3,keyasint"` // grows within an epoch: a request that is sent twice is carried out once
@@ -30,14 +30,14 @@
 	Reason string `cbor:"8,keyasint,omitempty"`
 }
 
-// ReadAsk parses a request; ok is false if it is malformed.
-func ReadAsk(b []byte) (a Ask, ok bool) {
+// DecodePermitRequest parses a request; ok is false if it is malformed.
+func DecodePermitRequest(b []byte) (a PermitRequest, ok bool) {
 	err := cbor.Unmarshal(b, &a)
 	return a, err == nil && a.Name != "" && len(a.Name) <= textMost && len(a.Addr) <= textMost && len(a.Reason) <= agreed.TextMost
 }
 
-// Got is the council's answer to a request.
-type Got struct {
+// PermitAnswer is the council's answer to a request.
+type PermitAnswer struct {
 	Number  uint64 `cbor:"1,keyasint"`
 	OK      bool   `cbor:"2,keyasint,omitempty"`
 	Refused string `cbor:"3,keyasint,omitempty"`
@@ -46,32 +46,32 @@
 }
 
 // Encode returns the wire form of the answer.
-func (g *Got) Encode() []byte { return encode(g) }
+func (g *PermitAnswer) Encode() []byte { return encode(g) }
 
-// Asker keeps at most one request in progress. It is not safe for concurrent use.
-type Asker struct {
+// PermitRequester keeps at most one request in progress. It is not safe for concurrent use.
+type PermitRequester struct {
 	number uint64
-	ask    *Ask // nil if none is in progress
-	at     Time // first sent
+	ask    *PermitRequest // nil if none is in progress
+	at     Time           // first sent
 	sentAt Time
 }
 
 // Begin starts a request and replaces any in progress, whose answer is then ignored.
-func (k *Asker) Begin(now Time, a Ask) {
+func (k *PermitRequester) Begin(now Time, a PermitRequest) {
 	k.number++
 	a.Number = k.number
-	k.ask, k.at, k.sentAt = &a, now, now-AskEvery
+	k.ask, k.at, k.sentAt = &a, now, now-ResendInterval
 }
 
 // Busy reports whether a request waits for its answer.
-func (k *Asker) Busy() bool { return k.ask != nil }
+func (k *PermitRequester) Busy() bool { return k.ask != nil }
 
 // Stop abandons the request. The council may still carry it out.
-func (k *Asker) Stop() { k.ask = nil }
+func (k *PermitRequester) Stop() { k.ask = nil }
 
 // Send returns the message to send to all voters now, nil if none is due.
-func (k *Asker) Send(now Time) []byte {
-	if k.ask == nil || now-k.sentAt < AskEvery {
+func (k *PermitRequester) Send(now Time) []byte {
+	if k.ask == nil || now-k.sentAt < ResendInterval {
 		return nil
 	}
 	k.sentAt = now
@@ -80,7 +80,7 @@
 
 // Take handles an answer. ok is false unless it answers the request in progress, which is returned with the
 // time at which it was first sent: a term counts from there.
-func (k *Asker) Take(b []byte) (a Ask, g Got, at Time, ok bool) {
+func (k *PermitRequester) Take(b []byte) (a PermitRequest, g PermitAnswer, at Time, ok bool) {
 	if cbor.Unmarshal(b, &g) != nil || k.ask == nil || g.Number != k.ask.Number {
 		return a, g, 0, false
 	}
@@ -89,17 +89,17 @@
 	return a, g, k.at, true
 }
 
-// Drain is a member that is permitted to go out of service.
-type Drain struct {
+// MemberDrain is a member that is permitted to go out of service.
+type MemberDrain struct {
 	Member string `cbor:"1,keyasint"`
 	LeftMs int64  `cbor:"2,keyasint"` // remaining term of its permit
 }
 
-// DrainsMost limits the drains in one message, which must fit a datagram.
-const DrainsMost = 16
+// MaxDrainsPerUpdate limits the drains in one message, which must fit a datagram.
+const MaxDrainsPerUpdate = 16
 
-// Seen is what a gateway knows of a member from answers that it received itself.
-type Seen struct {
+// MemberReport is what a gateway knows of a member from answers that it received itself.
+type MemberReport struct {
 	Member   string `cbor:"1,keyasint"`
 	Group    int64  `cbor:"2,keyasint"`
 	Primary  bool   `cbor:"3,keyasint,omitempty"`
@@ -108,12 +108,12 @@
 	Zone     string `cbor:"6,keyasint,omitempty"`
 }
 
-// SeenMost is the number of members per report; a gateway reports all members in rotation.
-const SeenMost = 8
+// MaxMembersPerReport is the number of members per report; a gateway reports all members in rotation.
+const MaxMembersPerReport = 8
 
-// Tried counts a gateway's attempts at the members of a zone since its start, including the probes that zone
+// ZoneAttempts counts a gateway's attempts at the members of a zone since its start, including the probes that zone
 // plans lead to.
-type Tried struct {
+type ZoneAttempts struct {
 	Zone     string `cbor:"1,keyasint"`
 	Attempts uint64 `cbor:"2,keyasint"`
 	Failed   uint64 `cbor:"3,keyasint,omitempty"`
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -22,23 +22,23 @@
 // Frames between gateways and voters. Their numbers are part of the wire format and are never reused.
 const (
 	FrameReport = 21
-	FrameTold   = 22
+	FrameUpdate = 22
 )
 
 const (
-	// Every is the interval at which gateways report and the leader evaluates the reports.
-	Every = time.Second
-	// SilentFor is the time after which a gateway that does not report counts as out of service.
-	SilentFor = 10 * time.Second
-	// ServingFor is the time within which a gateway must have reported to count as serving.
-	ServingFor   = 3 * time.Second
-	forgetAfter  = 24 * time.Hour
-	leftCounts   = 10 * time.Minute // a gateway that announced its stop counts as out for this long; later it is forgotten as gone for good
-	GatewaysMost = 4096
-	membersMost  = 4096
-	seenFor      = 20 * time.Second // a gateway's report on a member counts for this long
-	caughtUp     = 2 * time.Second  // a replica within this distance of its group's newest log position is caught up
-	textMost     = 80
+	// ReportInterval is the interval at which gateways report and the leader evaluates the reports.
+	ReportInterval = time.Second
+	// SilentTimeout is the time after which a gateway that does not report counts as out of service.
+	SilentTimeout = 10 * time.Second
+	// ServingWindow is the time within which a gateway must have reported to count as serving.
+	ServingWindow = 3 * time.Second
+	forgetAfter   = 24 * time.Hour
+	leftCounts    = 10 * time.Minute // a gateway that announced its stop counts as out for this long; later it is forgotten as gone for good
+	MaxGateways   = 4096
+	membersMost   = 4096
+	seenFor       = 20 * time.Second // a gateway's report on a member counts for this long
+	caughtUp      = 2 * time.Second  // a replica within this distance of its group's newest log position is caught up
+	textMost      = 80
 )
 
 // Report is a gateway's periodic report to the voters. Fields are added, never changed.
@@ -50,15 +50,15 @@
 	Addr    string `cbor:"5,keyasint"`
 	Version string `cbor:"6,keyasint,omitempty"`
 	Drain   bool   `cbor:"7,keyasint,omitempty"`
-	Leaves  bool   `cbor:"8,keyasint,omitempty"`
+	Leaving bool   `cbor:"8,keyasint,omitempty"`
 
-	Counts *Counts `cbor:"9,keyasint,omitempty"`
-	Seen   []Seen  `cbor:"10,keyasint,omitempty"`
-	Tried  []Tried `cbor:"11,keyasint,omitempty"`
+	Counts       *Counts        `cbor:"9,keyasint,omitempty"`
+	Members      []MemberReport `cbor:"10,keyasint,omitempty"`
+	ZoneAttempts []ZoneAttempts `cbor:"11,keyasint,omitempty"`
 }
 
-// Told is what a voter sends a gateway: the answer to a report, or a change.
-type Told struct {
+// Update is what a voter sends a gateway: the answer to a report, or a change.
+type Update struct {
 	Number uint64 `cbor:"1,keyasint"` // number of the report that it answers, 0 if none
 	Leader string `cbor:"2,keyasint,omitempty"`
 	Term   uint64 `cbor:"3,keyasint"`
@@ -66,9 +66,9 @@
 	Fence  uint64 `cbor:"5,keyasint,omitempty"` // fence of this gateway's permit to be out of service, 0 if none
 	LeftMs int64  `cbor:"6,keyasint,omitempty"` // remaining term of the permit
 
-	Name   string  `cbor:"9,keyasint,omitempty"` // name of the gateway addressed
-	Recall bool    `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: the gateway should return
-	Drains []Drain `cbor:"8,keyasint,omitempty"` // members that are permitted to go out
+	Name   string        `cbor:"9,keyasint,omitempty"` // name of the gateway addressed
+	Recall bool          `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: the gateway should return
+	Drains []MemberDrain `cbor:"8,keyasint,omitempty"` // members that are permitted to go out
 
 	Plan       uint64     `cbor:"10,keyasint,omitempty"` // number of the zone plan, 0 if none
 	PlanLeftMs int64      `cbor:"11,keyasint,omitempty"` // remaining term of the plan
@@ -76,7 +76,7 @@
 }
 
 // Encode returns the wire form of the message.
-func (t *Told) Encode() []byte { return encode(t) }
+func (t *Update) Encode() []byte { return encode(t) }
 
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
@@ -89,7 +89,7 @@
 // Subscription is what a gateway knows of the council. It is not safe for concurrent use.
 type Subscription struct {
 	number uint64
-	last   Told
+	last   Update
 	at     Time // when the report that it answers was sent
 	sent   map[uint64]Time
 	heard  bool
@@ -99,8 +99,8 @@
 // New returns a subscription that has received nothing.
 func New() *Subscription { return &Subscription{sent: map[uint64]Time{}} }
 
-// Report numbers a report and returns its wire form.
-func (s *Subscription) Report(now Time, r Report) []byte {
+// NextReport numbers a report and returns its wire form.
+func (s *Subscription) NextReport(now Time, r Report) []byte {
 	s.number++
 	r.Number = s.number
 	if len(s.sent) > 16 {
@@ -110,11 +110,11 @@
 	return encode(&r)
 }
 
-// Take handles a voter's message and returns whether it became the current one. The message of the highest
+// HandleUpdate handles a voter's message and returns whether it became the current one. The message of the highest
 // index counts, dated from when the report that it answers was sent. One that answers no report announces a
 // change that was just made; it is dated as the one before.
-func (s *Subscription) Take(now Time, b []byte) bool {
-	var t Told
+func (s *Subscription) HandleUpdate(now Time, b []byte) bool {
+	var t Update
 	if cbor.Unmarshal(b, &t) != nil {
 		return false
 	}
@@ -129,8 +129,8 @@
 	return true
 }
 
-// Last returns the current message and when it arrived; ok is false if none ever did.
-func (s *Subscription) Last() (t Told, at Time, ok bool) { return s.last, s.tookAt, s.heard }
+// LastUpdate returns the current message and when it arrived; ok is false if none ever did.
+func (s *Subscription) LastUpdate() (t Update, at Time, ok bool) { return s.last, s.tookAt, s.heard }
 
 // State describes what is known of the council, for tables and JSON.
 type State struct {
@@ -148,8 +148,8 @@
 	return State{s.last.Leader, s.last.Index, (now - s.at).Milliseconds(), s.last.Fence}
 }
 
-// Book is a voter's record of the gateways' reports. It is not safe for concurrent use.
-type Book struct {
+// Registry is a voter's record of the gateways' reports. It is not safe for concurrent use.
+type Registry struct {
 	seen  map[string]*heard
 	since Time // this voter has led, or received reports without a gap, since then
 	leads bool
@@ -168,23 +168,23 @@
 
 // word is the latest report on a member by the gateways of a zone.
 type word struct {
-	Seen
+	MemberReport
 	at Time
 }
 
-// NewBook returns an empty record.
-func NewBook() *Book {
-	return &Book{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
+// NewRegistry returns an empty record.
+func NewRegistry() *Registry {
+	return &Registry{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
 }
 
-// Take handles a report. Malformed reports and those of an older start or number are dropped.
-func (b *Book) Take(now Time, raw []byte) (r Report, ok bool) {
+// HandleReport handles a report. Malformed reports and those of an older start or number are dropped.
+func (b *Registry) HandleReport(now Time, raw []byte) (r Report, ok bool) {
 	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > textMost || len(r.Zone) > textMost || len(r.Addr) > textMost {
 		return r, false
 	}
 	h := b.seen[r.Name]
 	if h == nil {
-		if len(b.seen) >= GatewaysMost {
+		if len(b.seen) >= MaxGateways {
 			return r, false
 		}
 		h = &heard{}
@@ -195,17 +195,17 @@
 	b.count(h, &r)
 	b.tried(h, &r)
 	if h.Epoch != r.Epoch {
-		h.again = h.Epoch != 0 && (h.Drain || h.Leaves)
+		h.again = h.Epoch != 0 && (h.Drain || h.Leaving)
 	}
 	h.Report, h.at = r, now
-	for _, m := range r.Seen {
+	for _, m := range r.Members {
 		b.word(now, r.Zone, m)
 	}
 	return r, true
 }
 
 // count adds what a gateway counted since its last report to the totals of its version.
-func (b *Book) count(h *heard, r *Report) {
+func (b *Registry) count(h *heard, r *Report) {
 	v := b.versions[r.Version]
 	if v == nil {
 		if len(b.versions) >= 16 {
@@ -214,7 +214,7 @@
 		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketsCount)}
 		b.versions[r.Version] = v
 	}
-	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaves {
+	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaving {
 		v.Restarts++ // the earlier start did not announce its stop
 	}
 	if r.Counts == nil || h.Epoch == 0 { // the counts of a gateway that is new to this voter precede this period
@@ -235,7 +235,7 @@
 }
 
 // zone returns the record of what the gateways of one zone observed of another since the last evaluation.
-func (b *Book) zone(witness, of string) *zoneplan.Seen {
+func (b *Registry) zone(witness, of string) *zoneplan.Seen {
 	z := b.zones[[2]string{witness, of}]
 	if z == nil {
 		z = &zoneplan.Seen{Witness: witness, Of: of}
@@ -247,17 +247,17 @@
 }
 
 // tried adds a gateway's attempts since its last report, and its clients' requests.
-func (b *Book) tried(h *heard, r *Report) {
-	if h.Epoch == 0 || len(r.Tried) > agreed.ZonesMost {
+func (b *Registry) tried(h *heard, r *Report) {
+	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.ZonesMost {
 		return
 	}
-	was := map[string]Tried{}
+	was := map[string]ZoneAttempts{}
 	if h.Epoch == r.Epoch {
-		for _, t := range h.Tried {
+		for _, t := range h.ZoneAttempts {
 			was[t.Zone] = t
 		}
 	}
-	for _, t := range r.Tried {
+	for _, t := range r.ZoneAttempts {
 		if t.Zone == "" || len(t.Zone) > textMost || t.Failed > t.Attempts {
 			continue
 		}
@@ -278,9 +278,9 @@
 	}
 }
 
-// Zones returns and resets what was observed of zones since the last call: offered and completed work per
+// TakeZoneCounts returns and resets what was observed of zones since the last call: offered and completed work per
 // second, attempts as totals.
-func (b *Book) Zones(now Time) (all []zoneplan.Seen) {
+func (b *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
 	span := max(now-b.zonesAt, time.Millisecond).Seconds()
 	b.zonesAt = now
 	for _, z := range b.zones {
@@ -291,9 +291,9 @@
 	return all
 }
 
-// Health returns and resets what was counted since the last call, by version, without versions that served no
+// TakeHealth returns and resets what was counted since the last call, by version, without versions that served no
 // request and had no restart.
-func (b *Book) Health() (all []agreed.VersionHealth) {
+func (b *Registry) TakeHealth() (all []agreed.VersionHealth) {
 	for _, name := range slices.Sorted(maps.Keys(b.versions)) {
 		v := b.versions[name]
 		n := uint64(v.Restarts)
@@ -308,7 +308,7 @@
 	return all
 }
 
-func (b *Book) word(now Time, zone string, m Seen) {
+func (b *Registry) word(now Time, zone string, m MemberReport) {
 	if m.Member == "" || len(m.Member) > textMost || len(m.Zone) > textMost {
 		return
 	}
@@ -327,7 +327,7 @@
 
 // dbs returns the members as gateways report them: out if most zones that reported recently say so, primary if
 // most say so. A replica's position is the highest reported, as positions only grow.
-func (b *Book) dbs(now Time) (all []agreed.Target) {
+func (b *Registry) dbs(now Time) (all []agreed.Target) {
 	type one struct {
 		t        agreed.Target
 		position int64
@@ -377,8 +377,8 @@
 	return all
 }
 
-// Lead records whether this voter leads.
-func (b *Book) Lead(now Time, leads bool) {
+// SetLeading records whether this voter leads.
+func (b *Registry) SetLeading(now Time, leads bool) {
 	if leads && !b.leads {
 		b.since = now
 	}
@@ -388,12 +388,12 @@
 // Targets returns all gateways and members, whether each is out, and whether that differs from the known set.
 // A leader that has led for less than SilentFor counts nobody as out that the council did not: it may not have
 // received the reports yet. With full it includes versions, starts and members.
-func (b *Book) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
+func (b *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
 	was := map[string]agreed.Target{}
 	for _, t := range known {
 		if name, ok := strings.CutPrefix(t.Name, "gateway/"); ok {
 			was[name] = t
-			if b.seen[name] == nil && len(b.seen) < GatewaysMost { // agreed before this voter received a report of it
+			if b.seen[name] == nil && len(b.seen) < MaxGateways { // agreed before this voter received a report of it
 				b.seen[name] = &heard{Report: Report{Name: name, Zone: t.Zone}, at: b.since}
 			}
 		} else if !full || now-b.since < seenFor { // a new leader first waits for reports on all members
@@ -405,11 +405,11 @@
 	}
 	for name, h := range b.seen {
 		silent := now - max(h.at, b.since)
-		if silent > forgetAfter || h.Leaves && silent > leftCounts {
+		if silent > forgetAfter || h.Leaving && silent > leftCounts {
 			delete(b.seen, name)
 			continue
 		}
-		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaves || silent > SilentFor || was[name].Out && now-h.at > ServingFor}
+		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaving || silent > SilentTimeout || was[name].Out && now-h.at > ServingWindow}
 		if full {
 			t.Version, t.Epoch = h.Version, h.Epoch
 			if h.Epoch == 0 { // not heard since this voter began
@@ -424,14 +424,14 @@
 }
 
 // Serving reports whether a gateway recently reported that it serves.
-func (b *Book) Serving(now Time, target string) bool {
+func (b *Registry) Serving(now Time, target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
 	h := b.seen[name]
-	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaves && now-h.at < ServingFor
+	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaving && now-h.at < ServingWindow
 }
 
-// Returned reports whether a gateway whose last start drained or left has started again.
-func (b *Book) Returned(target string) bool {
+// ReturnedAfterDrain reports whether a gateway whose last start drained or left has started again.
+func (b *Registry) ReturnedAfterDrain(target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
 	h := b.seen[name]
 	return ok && h != nil && h.again
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -57,14 +57,14 @@
 
 // The guards, each with what it enforces.
 const (
-	GuardPause   Guard = 1 << iota // after an own pause, timeouts of peers are extended
-	GuardRefute                    // a live node refutes claims that it is suspect, failed or gone
-	GuardEpoch                     // messages of an earlier start of a peer are dropped
-	GuardAsk                       // indirect pings precede a suspicion
-	GuardJump                      // implausibly high incarnations are refused
-	GuardRetry                     // failed peers and seeds are retried
-	GuardYield                     // a node yields its name to a later start that is alive
-	GuardAddress                   // messages addressed to another start of this node are dropped
+	GuardOwnPause      Guard = 1 << iota // after an own pause, timeouts of peers are extended
+	GuardRefute                          // a live node refutes claims that it is suspect, failed or gone
+	GuardEpoch                           // messages of an earlier start of a peer are dropped
+	GuardIndirectProbe                   // indirect pings precede a suspicion
+	GuardIncarnation                     // implausibly high incarnations are refused
+	GuardRetry                           // failed peers and seeds are retried
+	GuardYieldName                       // a node yields its name to a later start that is alive
+	GuardAddressee                       // messages addressed to another start of this node are dropped
 )
 
 // Guards lists all guards with their names as printed by test tools.
@@ -72,11 +72,11 @@
 	Guard Guard
 	Name  string
 }{
-	{GuardPause, "own pauses are not held against others"}, {GuardRefute, "who is alive denies what is said of it"},
-	{GuardEpoch, "what an older start of a peer sends is dropped, and it is told"}, {GuardAsk, "others are asked before a peer is suspected"},
-	{GuardJump, "incarnations out of reach are refused"},
-	{GuardRetry, "failed peers and seeds are tried again"}, {GuardYield, "a name is yielded to a later start that is alive"},
-	{GuardAddress, "what is addressed to another start is dropped"},
+	{GuardOwnPause, "own pauses are not held against others"}, {GuardRefute, "who is alive denies what is said of it"},
+	{GuardEpoch, "what an older start of a peer sends is dropped, and it is told"}, {GuardIndirectProbe, "others are asked before a peer is suspected"},
+	{GuardIncarnation, "incarnations out of reach are refused"},
+	{GuardRetry, "failed peers and seeds are tried again"}, {GuardYieldName, "a name is yielded to a later start that is alive"},
+	{GuardAddressee, "what is addressed to another start is dropped"},
 }
 
 // Config is a node's configuration.
@@ -86,18 +86,18 @@
 	Meta             []byte
 	Seeds            []string
 	Seed             uint64
-	Keep             Time  // how long failed peers are remembered; 0 means 24 hours
-	Off              Guard // guards that are switched off; for tests only
+	KeepFailed       Time  // how long failed peers are remembered; 0 means 24 hours
+	DisabledGuards   Guard // guards that are switched off; for tests only
 }
 
 // Peer is the local record of a peer.
 type Peer struct {
 	Claim
-	Since Time // when the current state began
-	Heard Time // when its last message arrived; distantPast if none
-	RTT   Time // smoothed round-trip time, 0 if unknown
-	Via   string
-	Gone  bool // its host refused a connection since: the process ended, the link works
+	Since       Time // when the current state began
+	LastHeard   Time // when its last message arrived; distantPast if none
+	RTT         Time // smoothed round-trip time, 0 if unknown
+	LastHelper  string
+	ProcessGone bool // its host refused a connection since: the process ended, the link works
 
 	variance  Time
 	wits      map[string]bool // zones, or peers without a zone, that suspect it
@@ -109,12 +109,12 @@
 // Event is an input to Step. Of Message (with Stream), Refused and Leave only the first that is set is used;
 // Meta and Seeds apply in addition.
 type Event struct {
-	Message *Message
-	Stream  uint64 // stream that Message came by and may be answered on; 0 for a datagram
-	Refused string // address that refused a connection
-	Meta    []byte // this node's new metadata, nil if unchanged
-	Seeds   []string
-	Leave   bool
+	Message     *Message
+	Stream      uint64 // stream that Message came by and may be answered on; 0 for a datagram
+	RefusedAddr string // address that refused a connection
+	Meta        []byte // this node's new metadata, nil if unchanged
+	Seeds       []string
+	Leave       bool
 }
 
 // Action is an output of Step that the caller has to carry out.
@@ -129,12 +129,12 @@
 
 // Change reports a change in membership, or one of this node itself.
 type Change struct {
-	Peer Peer
-	From State // previous state, 0 if the peer is new
+	Peer          Peer
+	PreviousState State // previous state, 0 if the peer is new
 	// The fields below concern this node itself.
 	Displaced bool   // a later start with the same name is alive; this node no longer takes part
-	Epoch     uint64 // its new epoch, 0 if unchanged
-	Paused    Time   // duration of a pause of this process that was just detected
+	NewEpoch  uint64 // its new epoch, 0 if unchanged
+	PausedFor Time   // duration of a pause of this process that was just detected
 }
 
 type probe struct {
@@ -172,18 +172,18 @@
 	displaced, left                                             bool
 	self                                                        int // remaining transmissions of this node's own claim
 	digest                                                      uint64
-	Dropped                                                     Drops
+	Dropped                                                     DropCounts
 }
 
-// Drops counts messages, claims and requests that were dropped, by reason.
-type Drops struct {
-	Epoch, Address, Jump, Full, Kind int
+// DropCounts counts messages, claims and requests that were dropped, by reason.
+type DropCounts struct {
+	Epoch, Address, Incarnation, Full, Kind int
 }
 
 // New returns a node that knows no peers.
 func New(c Config) *Node {
-	if c.Keep == 0 {
-		c.Keep = 24 * time.Hour
+	if c.KeepFailed == 0 {
+		c.KeepFailed = 24 * time.Hour
 	}
 	n := &Node{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x7377696d)), meta: c.Meta, seeds: c.Seeds, peers: map[string]*Peer{},
 		ended: map[string]*Peer{}, probes: map[uint32]*probe{}, greeted: map[uint32]string{}, owners: map[string]string{}, stepped: never, newsAt: never, syncAt: never, helloAt: never}
@@ -191,7 +191,7 @@
 	return n
 }
 
-func (n *Node) on(g Guard) bool { return n.cfg.Off&g == 0 }
+func (n *Node) on(g Guard) bool { return n.cfg.DisabledGuards&g == 0 }
 
 // Peers returns copies of all known peers, without this node, sorted by name.
 func (n *Node) Peers() []Peer {
@@ -216,8 +216,8 @@
 	return Peer{}, false
 }
 
-// Each calls f for each known peer, in no particular order. f must not change them.
-func (n *Node) Each(f func(*Peer)) {
+// ForEach calls f for each known peer, in no particular order. f must not change them.
+func (n *Node) ForEach(f func(*Peer)) {
 	for _, p := range n.peers {
 		f(p)
 	}
@@ -226,8 +226,8 @@
 // Len returns the number of known peers.
 func (n *Node) Len() int { return len(n.peers) }
 
-// Draw returns up to k live peers chosen at random, none once this node is displaced.
-func (n *Node) Draw(k int) (drawn []Peer) {
+// RandomPeers returns up to k live peers chosen at random, none once this node is displaced.
+func (n *Node) RandomPeers(k int) (drawn []Peer) {
 	if !n.displaced {
 		for _, p := range n.some(k, nil) {
 			drawn = append(drawn, *p)
@@ -242,7 +242,7 @@
 	if n.left {
 		s = Left
 	}
-	return Claim{Name: n.cfg.Name, Epoch: n.cfg.Epoch, Inc: n.inc, State: s, Addr: n.cfg.Addr, Meta: n.meta}
+	return Claim{Name: n.cfg.Name, Epoch: n.cfg.Epoch, Incarnation: n.inc, State: s, Addr: n.cfg.Addr, Meta: n.meta}
 }
 
 // Displaced reports whether a later start with this node's name is alive.
@@ -270,7 +270,7 @@
 // 100 ms.
 func (n *Node) Step(now Time, events []Event, out []Action) []Action {
 	n.out = out
-	if n.stepped != never && now-n.stepped > pauseLeast && n.on(GuardPause) {
+	if n.stepped != never && now-n.stepped > pauseLeast && n.on(GuardOwnPause) {
 		n.paused(now - n.stepped)
 	}
 	if n.stepped == never { // spreads the first pings of a group that was restarted as a whole
@@ -299,17 +299,17 @@
 		}
 	}
 	n.doubt = min(n.doubt+1, doubtMost)
-	n.out = append(n.out, Action{Change: &Change{Paused: span}})
+	n.out = append(n.out, Action{Change: &Change{PausedFor: span}})
 }
 
 func (n *Node) take(e *Event) {
 	switch {
 	case e.Message != nil:
 		n.message(e.Message, e.Stream)
-	case e.Refused != "":
+	case e.RefusedAddr != "":
 		for _, p := range n.peers {
-			if p.Addr == e.Refused && p.State != Left {
-				p.Gone = true
+			if p.Addr == e.RefusedAddr && p.State != Left {
+				p.ProcessGone = true
 			}
 		}
 	case e.Leave:
@@ -390,7 +390,7 @@
 
 // news adds claims to m until the datagram is full, those passed on the fewest times first.
 func (n *Node) news(m *Message, to *Peer) *Message {
-	room := PacketMost - 200
+	room := MaxDatagramBytes - 200
 	add := func(c Claim) bool {
 		if room -= c.size(); room < 0 {
 			return false
@@ -424,7 +424,7 @@
 func (n *Node) claim(p *Peer) Claim {
 	c := p.Claim
 	if c.State == Failed || c.State == Left {
-		c.Age = uint32((n.now - p.Since) / time.Second)
+		c.AgeSeconds = uint32((n.now - p.Since) / time.Second)
 	}
 	return c
 }
@@ -446,7 +446,7 @@
 	if n.left || m.From == n.id() { // this node's own message, reflected
 		return
 	}
-	if m.To.Name != "" && m.To != n.id() && n.on(GuardAddress) {
+	if m.To.Name != "" && m.To != n.id() && n.on(GuardAddressee) {
 		n.Dropped.Address++ // meant for an earlier start of this process, or replayed
 		return
 	}
@@ -473,7 +473,7 @@
 		p = n.peers[m.From.Name]
 	}
 	if p != nil {
-		p.Heard, p.Gone = n.now, false
+		p.LastHeard, p.ProcessGone = n.now, false
 		if p.Addr != m.Addr && m.Addr != "" && p.State == Alive { // the peer moved; its next claim carries the new address too
 			p.Addr = m.Addr
 		}
@@ -486,15 +486,15 @@
 		n.answer(m, p, stream)
 	case Ack:
 		n.acked(m)
-	case Ask:
+	case PingRequest:
 		if len(n.probes) >= probesMost {
 			n.Dropped.Full++
 			break
 		}
 		n.seq++
-		n.probes[n.seq] = &probe{target: m.Target, addr: m.TAddr, at: n.now, ask: forever, end: n.now + askTimes*ackMost, forID: m.From,
+		n.probes[n.seq] = &probe{target: m.Target, addr: m.TargetAddr, at: n.now, ask: forever, end: n.now + askTimes*ackMost, forID: m.From,
 			forAddr: m.Addr, forSeq: m.Seq}
-		n.send(m.TAddr, n.news(&Message{Kind: Ping, Seq: n.seq, To: m.Target}, n.peers[m.Target.Name]))
+		n.send(m.TargetAddr, n.news(&Message{Kind: Ping, Seq: n.seq, To: m.Target}, n.peers[m.Target.Name]))
 	case Sync:
 		n.act(Action{To: m.Addr, Stream: stream, Message: n.all(&Message{Kind: SyncReply, Seq: m.Seq, To: m.From})})
 	case Gossip, SyncReply:
@@ -557,12 +557,12 @@
 	by := m.Target
 	if by.Name != "" && by == q.target { // a helper reached it
 		if p := n.peers[by.Name]; p != nil && p.Epoch == by.Epoch {
-			p.Via, p.Gone = m.From.Name, false
+			p.LastHelper, p.ProcessGone = m.From.Name, false
 		}
 	} else if m.From != q.target {
 		return
 	} else if p := n.peers[m.From.Name]; p != nil {
-		p.Via = ""
+		p.LastHelper = ""
 		if rtt := n.now - q.at; p.RTT == 0 {
 			p.RTT, p.variance = rtt, rtt/2
 		} else {
@@ -578,7 +578,7 @@
 
 // claimed handles a claim about a peer, made by the peer itself or by others.
 func (n *Node) claimed(c Claim) {
-	if c.State < Alive || c.State > Left || len(c.Meta) > MetaMost {
+	if c.State < Alive || c.State > Left || len(c.Meta) > MaxMetaBytes {
 		n.Dropped.Kind++
 		return
 	}
@@ -588,15 +588,15 @@
 	}
 	p := n.peers[c.Name]
 	switch {
-	case c.Inc > incMost && n.on(GuardJump):
-		n.Dropped.Jump++
+	case c.Incarnation > incMost && n.on(GuardIncarnation):
+		n.Dropped.Incarnation++
 		return
 	case p == nil:
 		n.meet(&c)
 		return
 	}
-	newer := c.Epoch > p.Epoch || c.Epoch == p.Epoch && c.Inc > p.Inc
-	same := c.Epoch == p.Epoch && c.Inc == p.Inc
+	newer := c.Epoch > p.Epoch || c.Epoch == p.Epoch && c.Incarnation > p.Incarnation
+	same := c.Epoch == p.Epoch && c.Incarnation == p.Incarnation
 	switch c.State {
 	case Alive:
 		if newer {
@@ -608,18 +608,18 @@
 		switch {
 		case newer || same && p.State == Alive:
 			n.become(p, c)
-			p.wits = map[string]bool{c.By: true}
+			p.wits = map[string]bool{c.SuspectedBy: true}
 			n.term(p)
-		case same && p.State == Suspect && !p.wits[c.By] && len(p.wits) < witnesses:
-			p.wits[c.By] = true
-			p.By = c.By
+		case same && p.State == Suspect && !p.wits[c.SuspectedBy] && len(p.wits) < witnesses:
+			p.wits[c.SuspectedBy] = true
+			p.SuspectedBy = c.SuspectedBy
 			n.tell(p) // a further witness is passed on too
 			n.term(p)
 		}
 	case Failed, Left:
 		if newer || same && p.State < c.State {
 			n.become(p, c)
-			p.Since = n.now - Time(c.Age)*time.Second
+			p.Since = n.now - Time(c.AgeSeconds)*time.Second
 		}
 	}
 }
@@ -627,7 +627,7 @@
 // said handles a claim about this node itself.
 func (n *Node) said(c *Claim) {
 	switch {
-	case c.Epoch > n.cfg.Epoch && (c.State == Failed || c.State == Left || !n.on(GuardYield)):
+	case c.Epoch > n.cfg.Epoch && (c.State == Failed || c.State == Left || !n.on(GuardYieldName)):
 		// That start has ended but was later than this one: the folder is an old copy, or the clock went back.
 		n.renew(c.Epoch + 1)
 	case c.Epoch > n.cfg.Epoch:
@@ -640,12 +640,12 @@
 			n.self = max(n.self, n.spread()/2)
 		}
 	case n.left:
-	case (c.Inc > n.inc || c.State != Alive && c.Inc == n.inc) && n.on(GuardRefute):
-		if c.Inc > incMost && n.on(GuardJump) {
-			n.Dropped.Jump++
+	case (c.Incarnation > n.inc || c.State != Alive && c.Incarnation == n.inc) && n.on(GuardRefute):
+		if c.Incarnation > incMost && n.on(GuardIncarnation) {
+			n.Dropped.Incarnation++
 			return
 		}
-		n.inc = c.Inc + 1
+		n.inc = c.Incarnation + 1
 		n.self = n.spread()
 		n.doubt = min(n.doubt+1, doubtMost) // others missed this node's answers: it may be slow itself
 	}
@@ -655,19 +655,19 @@
 func (n *Node) renew(epoch uint64) {
 	n.cfg.Epoch, n.inc, n.displaced = epoch, 0, false
 	n.self = n.spread()
-	n.out = append(n.out, Action{Change: &Change{Epoch: epoch}})
+	n.out = append(n.out, Action{Change: &Change{NewEpoch: epoch}})
 }
 
 // meet adds a peer that was not known.
 func (n *Node) meet(c *Claim) {
-	if c.State == Failed && Time(c.Age)*time.Second > n.cfg.Keep || c.State == Left && Time(c.Age)*time.Second > leftKeep {
+	if c.State == Failed && Time(c.AgeSeconds)*time.Second > n.cfg.KeepFailed || c.State == Left && Time(c.AgeSeconds)*time.Second > leftKeep {
 		return
 	}
-	if len(n.peers) >= TableMost && !n.evict() {
+	if len(n.peers) >= MaxPeers && !n.evict() {
 		n.Dropped.Full++
 		return
 	}
-	p := &Peer{Heard: never}
+	p := &Peer{LastHeard: never}
 	n.peers[c.Name] = p
 	at := 0
 	if len(n.order) > 0 {
@@ -679,11 +679,11 @@
 	}
 	n.become(p, *c)
 	if c.State == Suspect {
-		p.wits = map[string]bool{c.By: true}
+		p.wits = map[string]bool{c.SuspectedBy: true}
 		n.term(p)
 	}
 	if c.State >= Failed {
-		p.Since = n.now - Time(c.Age)*time.Second
+		p.Since = n.now - Time(c.AgeSeconds)*time.Second
 	}
 }
 
@@ -703,7 +703,7 @@
 }
 
 func (n *Node) forget(p *Peer) {
-	n.digest ^= digestOf(p.Name, p.Epoch, p.Inc, p.State)
+	n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
 	delete(n.peers, p.Name)
 	delete(n.ended, p.Name)
 	n.fresh = slices.DeleteFunc(n.fresh, func(o *Peer) bool { return o == p })
@@ -715,7 +715,7 @@
 func (n *Node) become(p *Peer, c Claim) {
 	was := p.State
 	if was != 0 {
-		n.digest ^= digestOf(p.Name, p.Epoch, p.Inc, p.State)
+		n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
 	}
 	if c.State != Alive { // the witness may know less about the peer's address and metadata
 		if c.Addr == "" {
@@ -726,23 +726,23 @@
 		}
 	}
 	if c.Epoch != p.Epoch {
-		p.RTT, p.Via, p.Gone = 0, "", false
+		p.RTT, p.LastHelper, p.ProcessGone = 0, "", false
 	}
 	p.Claim, p.wits = c, nil
-	p.Age = 0
-	n.digest ^= digestOf(p.Name, p.Epoch, p.Inc, p.State)
+	p.AgeSeconds = 0
+	n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
 	if was != c.State {
 		p.Since = n.now
 	}
 	if c.State == Alive {
-		p.Gone = false
+		p.ProcessGone = false
 	}
 	if delete(n.ended, p.Name); c.State != Alive {
 		n.ended[p.Name] = p
 	}
 	n.tell(p)
 	n.newsAt = n.now
-	n.out = append(n.out, Action{Change: &Change{Peer: *p, From: was}})
+	n.out = append(n.out, Action{Change: &Change{Peer: *p, PreviousState: was}})
 }
 
 // term sets the time by which a suspect must have refuted the suspicion: the more independent witnesses, the
@@ -754,7 +754,7 @@
 	least := suspectTimes * math.Max(1, math.Log10(float64(len(n.peers)+1))) * float64(period)
 	most := suspectMost * least
 	k := math.Min(1, math.Log(float64(len(p.wits)))/math.Log(witnesses))
-	if p.Gone {
+	if p.ProcessGone {
 		k = 1
 	}
 	p.until = p.suspected + Time(most-k*(most-least))
@@ -771,9 +771,9 @@
 		switch {
 		case p.State == Suspect && n.now >= p.until:
 			c := p.Claim
-			c.State, c.By = Failed, ""
+			c.State, c.SuspectedBy = Failed, ""
 			n.become(p, c)
-		case p.State == Failed && n.now-p.Since > n.cfg.Keep, p.State == Left && n.now-p.Since > leftKeep:
+		case p.State == Failed && n.now-p.Since > n.cfg.KeepFailed, p.State == Left && n.now-p.Since > leftKeep:
 			n.forget(p)
 		}
 	}
@@ -883,20 +883,20 @@
 		}
 		return
 	}
-	if p.Heard > q.at { // any message shows that it is alive; its answer to this ping may be lost
+	if p.LastHeard > q.at { // any message shows that it is alive; its answer to this ping may be lost
 		delete(n.probes, seq)
 		return
 	}
 	if n.now >= q.ask && !q.asked {
 		q.asked = true
 		q.end = max(q.end, n.now+askTimes*n.patience(p))
-		if n.on(GuardAsk) {
-			helpers := n.some(askTo, func(o *Peer) bool { return o == p || o.State != Alive || o.Name == p.Via })
-			if v := n.peers[p.Via]; v != nil && v.State == Alive { // the helper that reached it last time
+		if n.on(GuardIndirectProbe) {
+			helpers := n.some(askTo, func(o *Peer) bool { return o == p || o.State != Alive || o.Name == p.LastHelper })
+			if v := n.peers[p.LastHelper]; v != nil && v.State == Alive { // the helper that reached it last time
 				helpers = append(helpers[:min(len(helpers), askTo-1)], v)
 			}
 			for _, h := range helpers {
-				n.send(h.Addr, &Message{Kind: Ask, Seq: seq, To: h.id(), Target: q.target, TAddr: q.addr})
+				n.send(h.Addr, &Message{Kind: PingRequest, Seq: seq, To: h.id(), Target: q.target, TargetAddr: q.addr})
 			}
 			n.act(Action{To: q.addr, Dial: true, Message: &Message{Kind: Ping, Seq: seq, To: q.target}})
 		}
@@ -913,7 +913,7 @@
 	}
 	if p.State == Alive || !p.wits[by] {
 		c := p.Claim
-		c.State, c.By = Suspect, by
+		c.State, c.SuspectedBy = Suspect, by
 		n.claimed(c)
 	}
 }
--- a/internal/fleet/swim/wire.go
+++ b/internal/fleet/swim/wire.go
@@ -12,14 +12,14 @@
 
 // The message kinds. Their numbers are part of the wire format and are never reused.
 const (
-	Ping      Kind = 1 // requests an Ack
-	Ack       Kind = 2
-	Ask       Kind = 3 // requests an indirect ping of Target, whose Ack is passed on
-	Gossip    Kind = 4 // carries claims only
-	Sync      Kind = 5 // carries all claims and requests all claims; sent by stream
-	SyncReply Kind = 6
-	Hello     Kind = 7 // join attempt to an address whose owner is unknown, or from a node that may not be a peer: carries no claims
-	Welcome   Kind = 8 // answers a Hello
+	Ping        Kind = 1 // requests an Ack
+	Ack         Kind = 2
+	PingRequest Kind = 3 // requests an indirect ping of Target, whose Ack is passed on
+	Gossip      Kind = 4 // carries claims only
+	Sync        Kind = 5 // carries all claims and requests all claims; sent by stream
+	SyncReply   Kind = 6
+	Hello       Kind = 7 // join attempt to an address whose owner is unknown, or from a node that may not be a peer: carries no claims
+	Welcome     Kind = 8 // answers a Hello
 )
 
 // State is the claimed state of a peer.
@@ -52,45 +52,45 @@
 
 // Claim is a statement about a peer's state. Only the peer itself raises its incarnation.
 type Claim struct {
-	Name  string `cbor:"1,keyasint"`
-	Epoch uint64 `cbor:"2,keyasint"`
-	Inc   uint32 `cbor:"3,keyasint,omitempty"`
-	State State  `cbor:"4,keyasint"`
-	Addr  string `cbor:"5,keyasint,omitempty"`
-	Meta  []byte `cbor:"6,keyasint,omitempty"`
-	Age   uint32 `cbor:"7,keyasint,omitempty"` // Failed and Left: seconds since the sender recorded this state
-	By    string `cbor:"8,keyasint,omitempty"` // Suspect: zone of the suspecting peer, or its name if it has no zone
+	Name        string `cbor:"1,keyasint"`
+	Epoch       uint64 `cbor:"2,keyasint"`
+	Incarnation uint32 `cbor:"3,keyasint,omitempty"`
+	State       State  `cbor:"4,keyasint"`
+	Addr        string `cbor:"5,keyasint,omitempty"`
+	Meta        []byte `cbor:"6,keyasint,omitempty"`
+	AgeSeconds  uint32 `cbor:"7,keyasint,omitempty"` // Failed and Left: seconds since the sender recorded this state
+	SuspectedBy string `cbor:"8,keyasint,omitempty"` // Suspect: zone of the suspecting peer, or its name if it has no zone
 }
 
 // Message is a membership message. Receivers skip fields that they do not know and drop messages of unknown
 // kinds.
 type Message struct {
-	Kind   Kind    `cbor:"1,keyasint"`
-	Seq    uint32  `cbor:"2,keyasint,omitempty"`
-	From   ID      `cbor:"3,keyasint"`
-	Addr   string  `cbor:"4,keyasint,omitempty"` // address at which From is reached
-	To     ID      `cbor:"5,keyasint"`           // empty: whoever is reached at the address
-	Target ID      `cbor:"6,keyasint,omitzero"`
-	TAddr  string  `cbor:"7,keyasint,omitempty"`
-	Digest uint64  `cbor:"8,keyasint,omitempty"` // digest of From's membership table, 0 if not sent
-	Claims []Claim `cbor:"9,keyasint,omitempty"`
+	Kind       Kind    `cbor:"1,keyasint"`
+	Seq        uint32  `cbor:"2,keyasint,omitempty"`
+	From       ID      `cbor:"3,keyasint"`
+	Addr       string  `cbor:"4,keyasint,omitempty"` // address at which From is reached
+	To         ID      `cbor:"5,keyasint"`           // empty: whoever is reached at the address
+	Target     ID      `cbor:"6,keyasint,omitzero"`
+	TargetAddr string  `cbor:"7,keyasint,omitempty"`
+	Digest     uint64  `cbor:"8,keyasint,omitempty"` // digest of From's membership table, 0 if not sent
+	Claims     []Claim `cbor:"9,keyasint,omitempty"`
 }
 
 // Limits for messages that are received.
 const (
-	NameMost = 64
-	AddrMost = 80
-	MetaMost = 256
-	// PacketMost is the maximum length of a message sent by datagram, in bytes before sealing.
-	PacketMost = 1200
-	// StreamMost is the maximum length of a message sent by stream, in bytes: a table of TableMost peers.
-	StreamMost = 1 << 20
-	// TableMost is the maximum number of peers in the table.
-	TableMost = 4096
+	MaxNameBytes = 64
+	MaxAddrBytes = 80
+	MaxMetaBytes = 256
+	// MaxDatagramBytes is the maximum length of a message sent by datagram, in bytes before sealing.
+	MaxDatagramBytes = 1200
+	// MaxStreamBytes is the maximum length of a message sent by stream, in bytes: a table of TableMost peers.
+	MaxStreamBytes = 1 << 20
+	// MaxPeers is the maximum number of peers in the table.
+	MaxPeers = 4096
 )
 
 var decoder = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 2 * TableMost, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
+	m, err := cbor.DecOptions{MaxArrayElements: 2 * MaxPeers, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -122,13 +122,13 @@
 var errBounds = errors.New("swim: a field is out of its bounds")
 
 func (m *Message) check() error {
-	if m.From.Name == "" || len(m.From.Name) > NameMost || len(m.To.Name) > NameMost || len(m.Target.Name) > NameMost ||
-		len(m.Addr) > AddrMost || len(m.TAddr) > AddrMost || len(m.Claims) > TableMost {
+	if m.From.Name == "" || len(m.From.Name) > MaxNameBytes || len(m.To.Name) > MaxNameBytes || len(m.Target.Name) > MaxNameBytes ||
+		len(m.Addr) > MaxAddrBytes || len(m.TargetAddr) > MaxAddrBytes || len(m.Claims) > MaxPeers {
 		return errBounds
 	}
 	for i := range m.Claims {
 		c := &m.Claims[i]
-		if c.Name == "" || len(c.Name) > NameMost || len(c.Addr) > AddrMost || len(c.Meta) > MetaMost || len(c.By) > NameMost {
+		if c.Name == "" || len(c.Name) > MaxNameBytes || len(c.Addr) > MaxAddrBytes || len(c.Meta) > MaxMetaBytes || len(c.SuspectedBy) > MaxNameBytes {
 			return errBounds
 		}
 	}
@@ -136,4 +136,4 @@
 }
 
 // size estimates the encoded length of a claim in bytes.
-func (c *Claim) size() int { return 24 + len(c.Name) + len(c.Addr) + len(c.Meta) + len(c.By) }
+func (c *Claim) size() int { return 24 + len(c.Name) + len(c.Addr) + len(c.Meta) + len(c.SuspectedBy) }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -23,7 +23,7 @@
 const (
 	Alone    Verdict = 1 // no peer is reached
 	Minority Verdict = 2 // at most half of the gateways that may be running are reached
-	Whole    Verdict = 3 // more than half are reached; printed as "whole"
+	Majority Verdict = 3 // more than half are reached; printed as "whole"
 )
 
 var verdictNames = [...]string{"unknown", "alone", "minority", "whole"}
@@ -46,13 +46,13 @@
 
 // Meta is the metadata that a peer publishes about itself. Fields are added, never changed.
 type Meta struct {
-	Zone    string   `cbor:"1,keyasint,omitempty"`
-	Region  string   `cbor:"2,keyasint,omitempty"`
-	Version string   `cbor:"3,keyasint,omitempty"`
-	Load    uint8    `cbor:"4,keyasint,omitempty"` // load in eighths of its capacity
-	Drain   bool     `cbor:"5,keyasint,omitempty"`
-	Verdict Verdict  `cbor:"6,keyasint,omitempty"`
-	Speaks  [2]uint8 `cbor:"8,keyasint"` // oldest and newest frame version that it supports
+	Zone          string   `cbor:"1,keyasint,omitempty"`
+	Region        string   `cbor:"2,keyasint,omitempty"`
+	Version       string   `cbor:"3,keyasint,omitempty"`
+	Load          uint8    `cbor:"4,keyasint,omitempty"` // load in eighths of its capacity
+	Drain         bool     `cbor:"5,keyasint,omitempty"`
+	Verdict       Verdict  `cbor:"6,keyasint,omitempty"`
+	FrameVersions [2]uint8 `cbor:"8,keyasint"` // oldest and newest frame version that it supports
 }
 
 // Encode returns the wire form.
@@ -64,8 +64,8 @@
 	return b
 }
 
-// ReadMeta parses a peer's metadata; if it can't be parsed the result is empty.
-func ReadMeta(b []byte) Meta {
+// DecodeMeta parses a peer's metadata; if it can't be parsed the result is empty.
+func DecodeMeta(b []byte) Meta {
 	var m Meta
 	if len(b) == 0 || cbor.Unmarshal(b, &m) != nil {
 		return Meta{}
@@ -81,8 +81,8 @@
 	Doubt     int  // self-doubt level of the membership protocol
 }
 
-// Never is before all other times; it stands for "not yet".
-const Never Time = -1 << 60
+// DistantPast is before all other times; it stands for "not yet".
+const DistantPast Time = -1 << 60
 
 // Status is a verdict with its reasons.
 type Status struct {
@@ -105,11 +105,11 @@
 
 // New returns the view of a gateway that knows no peers. If it expects peers its verdict is Alone, else Whole.
 func New(name, zone string, expects bool) *View {
-	v := &View{name: name, zone: zone, expects: expects, better: betterMin, changed: Never}
+	v := &View{name: name, zone: zone, expects: expects, better: betterMin, changed: DistantPast}
 	v.status = Status{Verdict: Alone, Number: 1, Reasons: []string{"no peer has been heard from yet"}}
 	v.want, v.wantSince = Alone, 0
 	if !expects {
-		v.status.Verdict, v.want = Whole, Whole
+		v.status.Verdict, v.want = Majority, Majority
 		v.status.Reasons = []string{"no seeds are configured, so no peers are expected"}
 	}
 	return v
@@ -142,7 +142,7 @@
 	if p.State == swim.Left {
 		return
 	}
-	if p.State == swim.Failed && p.Gone && now-p.Since > goneAfter {
+	if p.State == swim.Failed && p.ProcessGone && now-p.Since > goneAfter {
 		t.gone++
 		return
 	}
@@ -156,9 +156,9 @@
 	}
 }
 
-// Judge updates the verdict from a tally and reports whether it changed. It must be called at least once a
+// Evaluate updates the verdict from a tally and reports whether it changed. It must be called at least once a
 // second. displaced tells that a later start has this gateway's name.
-func (v *View) Judge(now Time, t Tally, displaced bool, e Evidence) bool {
+func (v *View) Evaluate(now Time, t Tally, displaced bool, e Evidence) bool {
 	total, own, other, gone := t.total(), t.own, t.other, t.gone
 	want := Minority
 	switch {
@@ -167,7 +167,7 @@
 	case total.here == 1 && (total.all > 1 || v.expects):
 		want = Alone
 	case 2*total.here > total.all:
-		want = Whole
+		want = Majority
 	}
 	if want != v.want {
 		v.want, v.wantSince = want, now
@@ -199,7 +199,7 @@
 	if gone > 0 {
 		why = append(why, fmt.Sprintf("%d more refused connections: their processes have ended", gone))
 	}
-	if want == Whole {
+	if want == Majority {
 		return why
 	}
 	members, discovery := now-e.Member < evidence, now-e.Discovery < evidence
@@ -218,22 +218,22 @@
 	return why
 }
 
-// Sure returns the confidence in a peer's recorded state, from 0 to 1: lower if it rests on others' claims,
+// Confidence returns the confidence in a peer's recorded state, from 0 to 1: lower if it rests on others' claims,
 // and much lower while this gateway itself may be missing messages.
-func (v *View) Sure(now Time, p *swim.Peer, e Evidence) float64 {
+func (v *View) Confidence(now Time, p *swim.Peer, e Evidence) float64 {
 	sure := 0.5
 	switch p.State {
 	case swim.Left:
 		return 1
 	case swim.Alive:
-		if sure = 0.99; now-p.Heard > heardLate {
+		if sure = 0.99; now-p.LastHeard > heardLate {
 			sure = 0.8
 		}
 	case swim.Failed:
-		if sure = 0.8; p.Gone {
+		if sure = 0.8; p.ProcessGone {
 			return 0.99
 		}
-		if v.status.Verdict != Whole || v.want != Whole {
+		if v.status.Verdict != Majority || v.want != Majority {
 			sure = 0.4
 		}
 	}
@@ -245,45 +245,45 @@
 
 // Operations that depend on the verdicts.
 
-// Act is an operation that a verdict may forbid.
-type Act uint8
+// Operation is an operation that a verdict may forbid.
+type Operation uint8
 
 // The operations.
 const (
-	ServeReads Act = iota
+	ServeReads Operation = iota
 	ServeWrites
-	UseBeliefs
-	Borrow
+	UseObservations
+	BorrowQuota
 	ProbeForOthers
 	StartDrain
 )
 
-// Acts lists the names of all operations as printed in tables, by Act.
-var Acts = []string{"serve reads", "serve writes", "use told beliefs", "take larger budgets", "probe for others", "start a drain"}
+// OperationNames lists the names of all operations as printed in tables, by Act.
+var OperationNames = []string{"serve reads", "serve writes", "use told beliefs", "take larger budgets", "probe for others", "start a drain"}
 
 // Rule is one cell of the table of rules.
 type Rule struct {
-	Act     string `json:"act"`
-	Mine    string `json:"mine"`
-	Theirs  string `json:"theirs"`
-	Allowed bool   `json:"allowed"`
-	Why     string `json:"why"`
+	Operation   string `json:"act"`
+	OwnVerdict  string `json:"mine"`
+	PeerVerdict string `json:"theirs"`
+	Allowed     bool   `json:"allowed"`
+	Reason      string `json:"why"`
 }
 
 // Allowed reports whether a gateway with verdict mine may perform an operation towards, or on the word of, a
 // peer with verdict theirs, and why. It is the code that decides at run time as well as what `reachwind fleet
 // rules` prints.
-func Allowed(a Act, mine, theirs Verdict) (bool, string) {
+func Allowed(a Operation, mine, theirs Verdict) (bool, string) {
 	switch a {
 	case ServeReads, ServeWrites:
 		return true, "every gateway serves by its own observations"
-	case UseBeliefs:
+	case UseObservations:
 		if mine == Alone {
 			return false, "while alone, reports of peers date from before the partition"
 		}
 		return true, "a claim only triggers a probe, whoever makes it"
-	case Borrow:
-		if mine == Whole && theirs == Whole {
+	case BorrowQuota:
+		if mine == Majority && theirs == Majority {
 			return true, "both gateways can be reached when the term of the loan ends"
 		}
 		return false, "the even split of budgets needs no communication"
@@ -293,7 +293,7 @@
 		}
 		return true, "only a gateway that reaches both sides can tell a partition from a crash"
 	case StartDrain:
-		if mine == Whole && theirs != Alone {
+		if mine == Majority && theirs != Alone {
 			return true, "the remaining gateways know of the drain and can carry the load"
 		}
 		return false, "which gateways are out on the other side of a partition is not known"
@@ -303,11 +303,11 @@
 
 // Rules returns the whole table, ordered by operation, then own verdict, then peer verdict.
 func Rules() (all []Rule) {
-	verdicts := []Verdict{Whole, Minority, Alone}
-	for a, name := range Acts {
+	verdicts := []Verdict{Majority, Minority, Alone}
+	for a, name := range OperationNames {
 		for _, mine := range verdicts {
 			for _, theirs := range verdicts {
-				ok, why := Allowed(Act(a), mine, theirs)
+				ok, why := Allowed(Operation(a), mine, theirs)
 				all = append(all, Rule{name, mine.String(), theirs.String(), ok, why})
 			}
 		}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -25,7 +25,7 @@
 
 // zonesTold handles the plan in a voter's message. A plan with a lower number than the present one is
 // outdated.
-func (f *Fleet) zonesTold(now time.Duration, t *subscribe.Told) {
+func (f *Fleet) zonesTold(now time.Duration, t *subscribe.Update) {
 	z := &f.zones
 	if t.Plan == 0 || t.Plan < z.number || len(t.Zones) > 64 {
 		return
@@ -64,6 +64,6 @@
 	f.log.Info("fleet zones", "plan", f.zones.number, "away", away)
 	f.event(Event{Kind: "zones", Reasons: names, For: int64(f.zones.number)})
 	if f.deps.Gateway != nil {
-		f.deps.Gateway.Zones(maps.Clone(away))
+		f.deps.Gateway.SetZonesAway(maps.Clone(away))
 	}
 }
