--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -25,29 +25,29 @@
 
 // Frame kinds, part of the wire format. Receivers drop kinds that they do not know.
 const (
-	frameSwim    = 1
-	frameBeliefs = 2
-	frameShare   = 3
+	frameSwim         = 1
+	frameObservations = 2
+	frameQuota        = 3
 )
 
 const (
-	judgeEvery  = 500 * time.Millisecond
-	tellEvery   = 200 * time.Millisecond
-	tellTo      = 3
-	metaEvery   = 20 * time.Second // minimum interval between metadata updates, except for verdicts and drains
-	shareEvery  = time.Second
-	forgetEvery = time.Second
-	askTo       = 3
-	tallyFor    = 2 * time.Second
-	loadStep    = 2       // eighths by which the load must change to be published
-	epochs      = 1 << 10 // distinct epochs within one millisecond of start time
+	verdictInterval     = 500 * time.Millisecond
+	observationInterval = 200 * time.Millisecond
+	observationFanout   = 3
+	metaInterval        = 20 * time.Second // minimum interval between metadata updates, except for verdicts and drains
+	loanInterval        = time.Second
+	expiryInterval      = time.Second
+	lendersPerRequest   = 3
+	tallyValidity       = 2 * time.Second
+	loadStep            = 2       // eighths by which the load must change to be published
+	epochsPerMs         = 1 << 10 // distinct epochs within one millisecond of start time
 )
 
 // NewEpoch returns the epoch of a start at a wall time in Unix milliseconds. It is later than all earlier ones
 // as long as the clock goes forward, and later than last, the epoch that a folder kept. luck is random and
 // separates two starts within one millisecond.
 func NewEpoch(ms int64, luck uint16, last uint64) uint64 {
-	return max(uint64(max(ms, 0))*epochs+uint64(luck)%epochs, last+1)
+	return max(uint64(max(ms, 0))*epochsPerMs+uint64(luck)%epochsPerMs, last+1)
 }
 
 // Config is the configuration of a Group.
@@ -103,85 +103,85 @@
 
 // Group is one gateway's state in the group. It is not safe for concurrent use.
 type Group struct {
-	cfg    Config
+	config Config
 	Swim   *swim.Node
 	View   *view.View
 	Book   *observation.Store
 	Ledger *quota.Ledger
 
-	now                                        Time
-	member, discovery, pausedAt                Time
-	drain                                      bool
-	load                                       uint8
-	meta                                       view.Meta
-	tallied                                    view.Tally
-	talliedAt                                  Time
-	stale                                      bool
-	metas                                      map[string]*view.Meta // metadata of peers by name
-	judgeAt, tellAt, metaAt, shareAt, forgetAt Time
-	out                                        []Action
-	acts                                       []swim.Action
-	Unknown, Garbled                           int // frames dropped: of unknown kinds, and not decodable
+	now                                                            Time
+	memberAnswered, discoveryAnswered, pausedAt                    Time
+	draining                                                       bool
+	load                                                           uint8
+	ownMeta                                                        view.Meta
+	tallied                                                        view.Tally
+	talliedAt                                                      Time
+	tallyStale                                                     bool
+	peerMetas                                                      map[string]*view.Meta // metadata of peers by name
+	nextVerdict, nextObservations, nextMeta, nextLoans, nextExpiry Time
+	actions                                                        []Action
+	swimActions                                                    []swim.Action
+	Unknown, Garbled                                               int // frames dropped: of unknown kinds, and not decodable
 }
 
 // New returns the state of a gateway that knows no peers.
 func New(c Config) *Group {
 	s := c.Swim
-	g := &Group{cfg: c, View: view.New(s.Name, s.Zone, len(s.Seeds) > 0), Book: observation.New(s.Name, s.Zone, s.Epoch, s.Seed),
-		Ledger: quota.New(c.Started, s.Epoch, c.Lend), metas: map[string]*view.Meta{}, now: c.Started, member: view.DistantPast, discovery: view.DistantPast, pausedAt: view.DistantPast}
-	g.meta = g.tells()
-	c.Swim.Meta = g.meta.Encode()
+	g := &Group{config: c, View: view.New(s.Name, s.Zone, len(s.Seeds) > 0), Book: observation.New(s.Name, s.Zone, s.Epoch, s.Seed),
+		Ledger: quota.New(c.Started, s.Epoch, c.Lend), peerMetas: map[string]*view.Meta{}, now: c.Started, memberAnswered: view.DistantPast, discoveryAnswered: view.DistantPast, pausedAt: view.DistantPast}
+	g.ownMeta = g.currentMeta()
+	c.Swim.Meta = g.ownMeta.Encode()
 	g.Swim = swim.New(c.Swim)
 	return g
 }
 
-// tells returns the metadata that this gateway publishes about itself now.
-func (g *Group) tells() view.Meta {
-	load := g.meta.Load
+// currentMeta returns the metadata that this gateway publishes about itself now.
+func (g *Group) currentMeta() view.Meta {
+	load := g.ownMeta.Load
 	if g.load > load+loadStep-1 || g.load+loadStep-1 < load {
 		load = g.load
 	}
-	m := view.Meta{Zone: g.cfg.Swim.Zone, Region: g.cfg.Region, Version: g.cfg.Version, Load: load, Drain: g.drain,
+	m := view.Meta{Zone: g.config.Swim.Zone, Region: g.config.Region, Version: g.config.Version, Load: load, Drain: g.draining,
 		Verdict: g.View.Status().Verdict, FrameVersions: FrameVersions}
 	return m
 }
 
 // Evidence returns what this gateway observed besides its peers.
 func (g *Group) Evidence() view.Evidence {
-	return view.Evidence{Member: g.member, Discovery: g.discovery, Paused: g.pausedAt, Doubt: g.Swim.Doubt()}
+	return view.Evidence{Member: g.memberAnswered, Discovery: g.discoveryAnswered, Paused: g.pausedAt, Doubt: g.Swim.Doubt()}
 }
 
 // SetLoad sets this gateway's load, from 0 to 1.
 func (g *Group) SetLoad(part float64) { g.load = uint8(8 * max(0, min(1, part))) }
 
 // RecordDiscovery records an answer of discovery.
-func (g *Group) RecordDiscovery(now Time) { g.discovery = now }
+func (g *Group) RecordDiscovery(now Time) { g.discoveryAnswered = now }
 
 // RecordAnswer records that a member answered as usual.
 func (g *Group) RecordAnswer(now Time, member string) {
-	g.member = now
+	g.memberAnswered = now
 	g.Book.RecordAnswer(now, member)
 }
 
 // Step applies events at time now and returns the resulting actions; the slice is valid until the next Step.
 // It must be called at least every 100 ms.
 func (g *Group) Step(now Time, events ...Event) []Action {
-	g.now, g.out = now, g.out[:0]
+	g.now, g.actions = now, g.actions[:0]
 	if len(events) == 0 {
-		g.swim()
+		g.stepSwim()
 	}
 	for i := range events {
-		g.take(&events[i])
+		g.handleEvent(&events[i])
 	}
-	g.timers()
-	return g.out
+	g.runTimers()
+	return g.actions
 }
 
-// swim passes events to the membership protocol and converts its actions.
-func (g *Group) swim(events ...swim.Event) {
-	g.acts = g.Swim.Step(g.now, events, g.acts[:0])
-	for i := range g.acts {
-		a := &g.acts[i]
+// stepSwim passes events to the membership protocol and converts its actions.
+func (g *Group) stepSwim(events ...swim.Event) {
+	g.swimActions = g.Swim.Step(g.now, events, g.swimActions[:0])
+	for i := range g.swimActions {
+		a := &g.swimActions[i]
 		if a.Change != nil {
 			if a.Change.PausedFor > 0 {
 				g.pausedAt = g.now
@@ -192,33 +192,33 @@
 			}
 			if p := &a.Change.Peer; p.Name != "" && !a.Change.Displaced {
 				m := view.DecodeMeta(p.Meta)
-				g.metas[p.Name] = &m
-				if len(g.metas) > 2*swim.MaxPeers { // peers still known are decoded again when needed
-					clear(g.metas)
+				g.peerMetas[p.Name] = &m
+				if len(g.peerMetas) > 2*swim.MaxPeers { // peers still known are decoded again when needed
+					clear(g.peerMetas)
 				}
 			}
-			g.stale = true
-			g.out = append(g.out, Action{Change: a.Change})
+			g.tallyStale = true
+			g.actions = append(g.actions, Action{Change: a.Change})
 			continue
 		}
 		k := a.Message.Kind
-		g.out = append(g.out, Action{Frame: append([]byte{frameSwim}, swim.Encode(a.Message)...), To: a.To, Name: a.Name, Stream: a.Stream, Dial: a.Dial,
+		g.actions = append(g.actions, Action{Frame: append([]byte{frameSwim}, swim.Encode(a.Message)...), To: a.To, Name: a.Name, Stream: a.Stream, Dial: a.Dial,
 			Spare: k == swim.Gossip || k == swim.Sync || k == swim.SyncReply})
 	}
 }
 
-func (g *Group) take(e *Event) {
+func (g *Group) handleEvent(e *Event) {
 	switch {
 	case e.Frame != nil:
-		if err := g.frame(e.Frame, e.Stream); err != nil {
+		if err := g.handleFrame(e.Frame, e.Stream); err != nil {
 			g.Garbled++
 		}
 	case e.Refused != "":
-		g.swim(swim.Event{RefusedAddr: e.Refused})
+		g.stepSwim(swim.Event{RefusedAddr: e.Refused})
 	case e.Saw != nil:
 		s := e.Saw
 		if s.Kind == observation.Answers || s.Kind == observation.Primary {
-			g.member = g.now
+			g.memberAnswered = g.now
 		}
 		switch {
 		case s.Looked && (s.Kind == observation.Silent || s.Kind == observation.Refused):
@@ -229,20 +229,20 @@
 			g.Book.RecordOwn(g.now, s.Member, s.Kind, s.Position, g.Swim.Len())
 		}
 	case e.Seeds != nil:
-		g.swim(swim.Event{Seeds: e.Seeds})
+		g.stepSwim(swim.Event{Seeds: e.Seeds})
 	case e.Drain != nil:
-		g.drain = *e.Drain
+		g.draining = *e.Drain
 	case e.Leave:
-		g.swim(swim.Event{Leave: true})
+		g.stepSwim(swim.Event{Leave: true})
 	}
 }
 
-var errFrame = errors.New("group: empty frame")
+var errEmptyFrame = errors.New("group: empty frame")
 
-// frame handles a frame from a peer.
-func (g *Group) frame(b []byte, stream uint64) error {
+// handleFrame handles a frame from a peer.
+func (g *Group) handleFrame(b []byte, stream uint64) error {
 	if len(b) < 2 {
-		return errFrame
+		return errEmptyFrame
 	}
 	kind, b := b[0], b[1:]
 	if kind == frameSwim {
@@ -250,10 +250,10 @@
 		if err != nil {
 			return err
 		}
-		g.swim(swim.Event{Message: m, Stream: stream})
+		g.stepSwim(swim.Event{Message: m, Stream: stream})
 		return nil
 	}
-	if kind != frameBeliefs && kind != frameShare {
+	if kind != frameObservations && kind != frameQuota {
 		g.Unknown++
 		return nil
 	}
@@ -268,14 +268,14 @@
 		return nil
 	}
 	theirs, mine := g.PeerMeta(&p).Verdict, g.View.Status().Verdict
-	if kind == frameShare {
+	if kind == frameQuota {
 		m, err := quota.Decode(e.Body)
 		if err != nil {
 			return err
 		}
 		may, _ := view.Allowed(view.BorrowQuota, mine, theirs)
 		if reply := g.Ledger.HandleMessage(g.now, p.Name, m, may); reply != nil {
-			g.send(&p, frameShare, reply.Encode(), false)
+			g.send(&p, frameQuota, reply.Encode(), false)
 		}
 		return nil
 	}
@@ -285,7 +285,7 @@
 	}
 	if ok, _ := view.Allowed(view.UseObservations, mine, theirs); ok {
 		for _, a := range g.Book.Merge(g.now, batch, g.Swim.Len()) {
-			g.out = append(g.out, Action{Advice: &a})
+			g.actions = append(g.actions, Action{Advice: &a})
 		}
 	}
 	return nil
@@ -298,41 +298,41 @@
 	if err != nil {
 		panic(err) // a struct of plain fields always encodes
 	}
-	g.out = append(g.out, Action{Frame: append([]byte{kind}, b...), To: p.Addr, Name: p.Name, Spare: spare})
+	g.actions = append(g.actions, Action{Frame: append([]byte{kind}, b...), To: p.Addr, Name: p.Name, Spare: spare})
 }
 
-func (g *Group) timers() {
-	if g.now >= g.judgeAt {
-		g.judgeAt = g.now + judgeEvery
-		if g.View.Evaluate(g.now, g.tally(), g.Swim.Displaced(), g.Evidence()) {
-			g.out = append(g.out, Action{Verdict: true})
+func (g *Group) runTimers() {
+	if g.now >= g.nextVerdict {
+		g.nextVerdict = g.now + verdictInterval
+		if g.View.Evaluate(g.now, g.currentTally(), g.Swim.Displaced(), g.Evidence()) {
+			g.actions = append(g.actions, Action{Verdict: true})
 		}
 	}
-	if g.now >= g.tellAt {
-		g.tellAt = g.now + tellEvery
+	if g.now >= g.nextObservations {
+		g.nextObservations = g.now + observationInterval
 		if batch := g.Book.NextBatch(g.now); len(batch) > 0 {
 			body := observation.Encode(batch)
-			for _, p := range g.Swim.RandomPeers(tellTo) {
-				g.send(&p, frameBeliefs, body, true)
+			for _, p := range g.Swim.RandomPeers(observationFanout) {
+				g.send(&p, frameObservations, body, true)
 			}
 		}
 	}
-	if g.now >= g.shareAt {
-		g.shareAt = g.now + shareEvery
+	if g.now >= g.nextLoans {
+		g.nextLoans = g.now + loanInterval
 		for _, s := range g.Ledger.RequestLoans(g.now, g.lenders) {
 			if p, ok := g.Swim.Peer(s.To); ok {
-				g.send(&p, frameShare, s.Message.Encode(), true)
+				g.send(&p, frameQuota, s.Message.Encode(), true)
 			}
 		}
 	}
-	if g.now >= g.forgetAt {
-		g.forgetAt = g.now + forgetEvery
+	if g.now >= g.nextExpiry {
+		g.nextExpiry = g.now + expiryInterval
 		g.Book.Expire(g.now)
-		m := g.tells()
-		urgent := m.Verdict != g.meta.Verdict || m.Drain != g.meta.Drain
-		if (urgent || g.now >= g.metaAt) && !bytes.Equal(m.Encode(), g.meta.Encode()) {
-			g.metaAt, g.meta = g.now+metaEvery, m
-			g.swim(swim.Event{Meta: m.Encode()})
+		m := g.currentMeta()
+		urgent := m.Verdict != g.ownMeta.Verdict || m.Drain != g.ownMeta.Drain
+		if (urgent || g.now >= g.nextMeta) && !bytes.Equal(m.Encode(), g.ownMeta.Encode()) {
+			g.nextMeta, g.ownMeta = g.now+metaInterval, m
+			g.stepSwim(swim.Event{Meta: m.Encode()})
 		}
 	}
 }
@@ -341,7 +341,7 @@
 // to be published, so they are asked.
 func (g *Group) lenders(int) (all []quota.Lender) {
 	mine := g.View.Status().Verdict
-	for _, p := range g.Swim.RandomPeers(askTo) {
+	for _, p := range g.Swim.RandomPeers(lendersPerRequest) {
 		if ok, _ := view.Allowed(view.BorrowQuota, mine, g.PeerMeta(&p).Verdict); ok {
 			all = append(all, quota.Lender{Name: p.Name, Spare: quota.LendableFraction})
 		}
@@ -351,27 +351,27 @@
 
 // PeerMeta returns what a peer last published about itself.
 func (g *Group) PeerMeta(p *swim.Peer) *view.Meta {
-	m := g.metas[p.Name]
+	m := g.peerMetas[p.Name]
 	if m == nil {
 		read := view.DecodeMeta(p.Meta)
 		m = &read
-		g.metas[p.Name] = m
+		g.peerMetas[p.Name] = m
 	}
 	return m
 }
 
-// tally counts the peers. The result is cached while nothing changed, but only for a short time, as the state
+// currentTally counts the peers. The result is cached while nothing changed, but only for a short time, as the state
 // of failed peers also depends on time.
-func (g *Group) tally() view.Tally {
-	if !g.stale && g.now < g.talliedAt+tallyFor {
+func (g *Group) currentTally() view.Tally {
+	if !g.tallyStale && g.now < g.talliedAt+tallyValidity {
 		return g.tallied
 	}
-	g.tallied, g.stale, g.talliedAt = view.NewTally(), false, g.now
+	g.tallied, g.tallyStale, g.talliedAt = view.NewTally(), false, g.now
 	g.Swim.ForEach(func(p *swim.Peer) { g.View.Count(&g.tallied, g.now, p, g.PeerMeta(p).Zone) })
 	return g.tallied
 }
 
 // SetLastAnswers sets when members and discovery last answered, on the owner's clock.
 func (g *Group) SetLastAnswers(member, discovery Time) {
-	g.member, g.discovery = max(g.member, member), max(g.discovery, discovery)
+	g.memberAnswered, g.discoveryAnswered = max(g.memberAnswered, member), max(g.discoveryAnswered, discovery)
 }
--- a/internal/fleet/observation/belief.go
+++ b/internal/fleet/observation/belief.go
@@ -39,18 +39,18 @@
 }
 
 const (
-	halfLife   = 3 * time.Second // age at which an observation counts half
-	keep       = 20 * time.Second
-	passOn     = 3.0 // times log2 of the group size: how often an observation is passed on
-	hopsMost   = 12
-	membersMax = 1024
-	eachMax    = 64  // witnesses kept per member
-	batchMost  = 24  // observations per message
-	lookScore  = 0.3 // weight of independent witnesses that is worth a probe
-	lookGap    = time.Second
-	looksMost  = 10.0 // probes per second caused by reports, over all members; also the largest burst
-	trustLeast = 0.05
-	trustBack  = 0.02 // a tenth of the fraction of lost trust that a confirming probe gives back
+	halfLife           = 3 * time.Second // age at which an observation counts half
+	retention          = 20 * time.Second
+	retransmitMultiple = 3.0 // times log2 of the group size: how often an observation is passed on
+	maxHops            = 12
+	maxMembers         = 1024
+	maxWitnesses       = 64  // witnesses kept per member
+	maxBatch           = 24  // observations per message
+	minProbeScore      = 0.3 // weight of independent witnesses that is worth a probe
+	minProbeInterval   = time.Second
+	maxProbesPerSecond = 10.0 // probes per second caused by reports, over all members; also the largest burst
+	minTrust           = 0.05
+	trustRecovery      = 0.02 // a tenth of the fraction of lost trust that a confirming probe gives back
 )
 
 // Observation is what one gateway observed of one member.
@@ -97,30 +97,30 @@
 	Witnesses        int // number of independent witnesses
 }
 
-// seen is a stored observation.
-type seen struct {
+// stored is a stored observation.
+type stored struct {
 	Observation
-	at   Time // when it was made, on this gateway's clock
-	left int  // remaining transmissions
+	observedAt    Time // when it was made, on this gateway's clock
+	transmitsLeft int  // remaining transmissions
 }
 
 // Store holds one gateway's observations and those reported by others. It is not safe for concurrent use.
 type Store struct {
-	name, zone string
-	epoch      uint64
-	rng        *rand.Rand
-	now        Time
-	number     uint64
-	members    map[string]map[string]*seen // by member, then by witness
-	own        map[string]Time             // when this gateway itself last had an answer of each member
-	looked     map[string]Time
-	looks      float64
-	looksAt    Time
-	trust      map[string]float64 // trust in witnesses whose reports proved wrong, from trustLeast to below 1
-	spread     []*seen
-	Dropped    DropCounts
-	Looks      int // probes advised in total
-	Wrong      int // those of them that the member answered
+	name, zone   string
+	epoch        uint64
+	rng          *rand.Rand
+	now          Time
+	lastNumber   uint64
+	members      map[string]map[string]*stored // by member, then by witness
+	lastAnswer   map[string]Time               // when this gateway itself last had an answer of each member
+	probeAdvised map[string]Time
+	probeTokens  float64
+	tokensAt     Time
+	trust        map[string]float64 // trust in witnesses whose reports proved wrong, from trustLeast to below 1
+	pending      []*stored
+	Dropped      DropCounts
+	Looks        int // probes advised in total
+	Wrong        int // those of them that the member answered
 }
 
 // DropCounts counts observations and probes that were dropped, by reason.
@@ -128,62 +128,62 @@
 
 // New returns an empty store for the gateway with this name, zone and epoch.
 func New(name, zone string, epoch, seed uint64) *Store {
-	return &Store{name: name, zone: zone, epoch: epoch, rng: rand.New(rand.NewPCG(seed, 0x62656c)), members: map[string]map[string]*seen{},
-		own: map[string]Time{}, looked: map[string]Time{}, looks: looksMost, trust: map[string]float64{}}
+	return &Store{name: name, zone: zone, epoch: epoch, rng: rand.New(rand.NewPCG(seed, 0x62656c)), members: map[string]map[string]*stored{},
+		lastAnswer: map[string]Time{}, probeAdvised: map[string]Time{}, probeTokens: maxProbesPerSecond, trust: map[string]float64{}}
 }
 
 // RecordOwn records an observation of this gateway itself, to be passed on to others. peers is the number of peers.
 func (b *Store) RecordOwn(now Time, member string, k Kind, position int64, peers int) {
 	b.now = now
 	if k == Answers || k == Primary {
-		b.own[member] = now
-		if len(b.own) > membersMax {
-			b.own = map[string]Time{member: now}
+		b.lastAnswer[member] = now
+		if len(b.lastAnswer) > maxMembers {
+			b.lastAnswer = map[string]Time{member: now}
 		}
-		b.judge(member)
+		b.penalizeWitnesses(member)
 	}
-	b.number++
-	o := &seen{Observation: Observation{Witness: b.name, Epoch: b.epoch, Zone: b.zone, Number: b.number, Member: member, Kind: k, Position: position}, at: now}
-	b.put(o, peers)
+	b.lastNumber++
+	o := &stored{Observation: Observation{Witness: b.name, Epoch: b.epoch, Zone: b.zone, Number: b.lastNumber, Member: member, Kind: k, Position: position}, observedAt: now}
+	b.add(o, peers)
 }
 
 // RecordAnswer records a regular answer of a member without passing it on.
 func (b *Store) RecordAnswer(now Time, member string) {
-	if len(b.members[member]) > 0 || b.looked[member] != 0 {
-		b.now, b.own[member] = now, now
-		b.judge(member)
+	if len(b.members[member]) > 0 || b.probeAdvised[member] != 0 {
+		b.now, b.lastAnswer[member] = now, now
+		b.penalizeWitnesses(member)
 	}
 }
 
-// judge compares reports about a member with the answer that just came: witnesses that reported it silent, no
+// penalizeWitnesses compares reports about a member with the answer that just came: witnesses that reported it silent, no
 // later than the advised probe, are trusted less.
-func (b *Store) judge(member string) {
-	at, ok := b.looked[member]
+func (b *Store) penalizeWitnesses(member string) {
+	at, ok := b.probeAdvised[member]
 	if !ok {
 		return
 	}
-	delete(b.looked, member)
+	delete(b.probeAdvised, member)
 	b.Wrong++
 	for w, o := range b.members[member] {
-		if w != b.name && (o.Kind == Silent || o.Kind == Refused) && o.at <= at {
-			t := b.trusted(w)
-			b.trust[w] = max(trustLeast, t/2)
+		if w != b.name && (o.Kind == Silent || o.Kind == Refused) && o.observedAt <= at {
+			t := b.trustIn(w)
+			b.trust[w] = max(minTrust, t/2)
 		}
 	}
-	if len(b.trust) > membersMax {
+	if len(b.trust) > maxMembers {
 		b.trust = map[string]float64{}
 	}
 }
 
 // ConfirmSilent records that an advised probe was not answered: witnesses that reported so regain trust.
 func (b *Store) ConfirmSilent(member string) {
-	if _, ok := b.looked[member]; !ok {
+	if _, ok := b.probeAdvised[member]; !ok {
 		return
 	}
-	delete(b.looked, member)
+	delete(b.probeAdvised, member)
 	for w, o := range b.members[member] {
 		if t, lost := b.trust[w]; lost && (o.Kind == Silent || o.Kind == Refused) {
-			if t += 10 * trustBack * (1 - t); t > 0.95 {
+			if t += 10 * trustRecovery * (1 - t); t > 0.95 {
 				delete(b.trust, w)
 			} else {
 				b.trust[w] = t
@@ -192,38 +192,38 @@
 	}
 }
 
-func (b *Store) trusted(w string) float64 {
+func (b *Store) trustIn(w string) float64 {
 	if t, ok := b.trust[w]; ok {
 		return t
 	}
 	return 1
 }
 
-// put stores an observation if it is the newest of its witness, and returns whether it did.
-func (b *Store) put(o *seen, peers int) bool {
+// add stores an observation if it is the newest of its witness, and returns whether it did.
+func (b *Store) add(o *stored, peers int) bool {
 	of := b.members[o.Member]
 	if of == nil {
-		if len(b.members) >= membersMax {
+		if len(b.members) >= maxMembers {
 			b.Dropped.Full++
 			return false
 		}
-		of = map[string]*seen{}
+		of = map[string]*stored{}
 		b.members[o.Member] = of
 	}
 	was := of[o.Witness]
 	if was != nil && (o.Epoch < was.Epoch || o.Epoch == was.Epoch && o.Number <= was.Number) {
 		return false
 	}
-	if was == nil && len(of) >= eachMax {
+	if was == nil && len(of) >= maxWitnesses {
 		b.Dropped.Full++
 		return false
 	}
 	if was != nil { // the older one is no longer passed on
-		was.left = 0
+		was.transmitsLeft = 0
 	}
 	of[o.Witness] = o
-	o.left = int(math.Ceil(passOn * math.Log2(float64(peers+2))))
-	b.spread = append(b.spread, o)
+	o.transmitsLeft = int(math.Ceil(retransmitMultiple * math.Log2(float64(peers+2))))
+	b.pending = append(b.pending, o)
 	return true
 }
 
@@ -236,11 +236,11 @@
 		switch {
 		case o.Witness == b.name:
 			b.Dropped.Oneself++
-		case age > keep || o.Hops > hopsMost:
+		case age > retention || o.Hops > maxHops:
 			b.Dropped.Old++
 		default:
 			o.Hops++
-			if b.put(&seen{Observation: o, at: now - age}, peers) {
+			if b.add(&stored{Observation: o, observedAt: now - age}, peers) {
 				touched[o.Member] = true
 			}
 		}
@@ -267,23 +267,23 @@
 func (b *Store) Weigh(member string) Weight {
 	var w Weight
 	out, up := map[string]float64{}, map[string]float64{}
-	own := b.own[member]
+	own := b.lastAnswer[member]
 	for name, o := range b.members[member] {
-		if name == b.name || b.now-o.at > keep {
+		if name == b.name || b.now-o.observedAt > retention {
 			continue
 		}
-		fresh := math.Exp2(-float64(max(0, b.now-o.at))/float64(halfLife)) * b.trusted(name)
+		fresh := math.Exp2(-float64(max(0, b.now-o.observedAt))/float64(halfLife)) * b.trustIn(name)
 		zone := o.Zone
 		if zone == "" {
 			zone = name
 		}
 		switch {
 		case o.Kind == Primary:
-			w.Primary = max(w.Primary, o.at)
+			w.Primary = max(w.Primary, o.observedAt)
 			up[zone] = max(up[zone], fresh)
 		case o.Kind == Answers:
 			up[zone] = max(up[zone], fresh)
-		case o.at <= own: // this gateway has had an answer since
+		case o.observedAt <= own: // this gateway has had an answer since
 		default:
 			out[zone] = max(out[zone], fresh)
 		}
@@ -303,30 +303,30 @@
 	w := b.Weigh(member)
 	a := Advice{Member: member, Witnesses: w.Witnesses}
 	a.Guess = w.Primary > 0 && b.now-w.Primary < halfLife
-	a.Look = w.Out >= lookScore && w.Out > w.Up
-	a.Try = !a.Look && w.Up >= lookScore && w.Up > w.Out
+	a.Look = w.Out >= minProbeScore && w.Out > w.Up
+	a.Try = !a.Look && w.Up >= minProbeScore && w.Up > w.Out
 	if a.Look {
-		if b.now-b.looked[member] < lookGap && b.looked[member] != 0 {
+		if b.now-b.probeAdvised[member] < minProbeInterval && b.probeAdvised[member] != 0 {
 			a.Look = false
-		} else if !b.mayLook() {
+		} else if !b.takeProbeToken() {
 			a.Look = false
 			b.Dropped.Rate++
 		} else {
-			b.looked[member] = b.now
+			b.probeAdvised[member] = b.now
 			b.Looks++
 		}
 	}
 	return a, a.Look || a.Try || a.Guess
 }
 
-// mayLook limits the rate of probes that reports can cause, however many there are.
-func (b *Store) mayLook() bool {
-	b.looks = min(looksMost, b.looks+looksMost*(b.now-b.looksAt).Seconds())
-	b.looksAt = b.now
-	if b.looks < 1 {
+// takeProbeToken limits the rate of probes that reports can cause, however many there are.
+func (b *Store) takeProbeToken() bool {
+	b.probeTokens = min(maxProbesPerSecond, b.probeTokens+maxProbesPerSecond*(b.now-b.tokensAt).Seconds())
+	b.tokensAt = b.now
+	if b.probeTokens < 1 {
 		return false
 	}
-	b.looks--
+	b.probeTokens--
 	return true
 }
 
@@ -334,16 +334,16 @@
 // none.
 func (b *Store) NextBatch(now Time) []Observation {
 	b.now = now
-	b.spread = slices.DeleteFunc(b.spread, func(o *seen) bool { return o.left <= 0 || now-o.at > keep })
-	slices.SortStableFunc(b.spread, func(x, y *seen) int { return cmp.Compare(y.left, x.left) })
-	if len(b.spread) > membersMax {
-		b.spread = b.spread[:membersMax]
+	b.pending = slices.DeleteFunc(b.pending, func(o *stored) bool { return o.transmitsLeft <= 0 || now-o.observedAt > retention })
+	slices.SortStableFunc(b.pending, func(x, y *stored) int { return cmp.Compare(y.transmitsLeft, x.transmitsLeft) })
+	if len(b.pending) > maxMembers {
+		b.pending = b.pending[:maxMembers]
 	}
 	var batch []Observation
-	for _, o := range b.spread[:min(len(b.spread), batchMost)] {
-		o.left--
+	for _, o := range b.pending[:min(len(b.pending), maxBatch)] {
+		o.transmitsLeft--
 		c := o.Observation
-		c.Age = uint32((now - o.at) / time.Millisecond)
+		c.Age = uint32((now - o.observedAt) / time.Millisecond)
 		batch = append(batch, c)
 	}
 	return batch
@@ -354,7 +354,7 @@
 	b.now = now
 	for m, of := range b.members {
 		for w, o := range of {
-			if now-o.at > keep {
+			if now-o.observedAt > retention {
 				delete(of, w)
 			}
 		}
@@ -362,14 +362,14 @@
 			delete(b.members, m)
 		}
 	}
-	for m, at := range b.looked {
-		if now-at > keep {
-			delete(b.looked, m)
+	for m, at := range b.probeAdvised {
+		if now-at > retention {
+			delete(b.probeAdvised, m)
 		}
 	}
-	for m, at := range b.own {
-		if now-at > keep {
-			delete(b.own, m)
+	for m, at := range b.lastAnswer {
+		if now-at > retention {
+			delete(b.lastAnswer, m)
 		}
 	}
 }
@@ -401,7 +401,7 @@
 		l := MemberSummary{Member: m, Out: w.Out, Up: w.Up, Witnesses: w.Witnesses, Claims: []Claim{}}
 		for _, name := range slices.Sorted(maps.Keys(b.members[m])) {
 			o := b.members[m][name]
-			l.Claims = append(l.Claims, Claim{name, o.Zone, o.Kind.String(), (now - o.at).Milliseconds(), b.trusted(name)})
+			l.Claims = append(l.Claims, Claim{name, o.Zone, o.Kind.String(), (now - o.observedAt).Milliseconds(), b.trustIn(name)})
 		}
 		lines = append(lines, l)
 	}
--- a/internal/fleet/quota/share.go
+++ b/internal/fleet/quota/share.go
@@ -47,12 +47,12 @@
 	ClockMargin = LoanTerm / 100
 	// LendableFraction is the fraction of its base share that a gateway may lend. The rest is its own at any time.
 	LendableFraction = 0.5
-	askEvery         = time.Second
-	answerMost       = 2 * time.Second // a loan for an older request is refused: too little of its term may be left
-	loansMost        = 64              // given or taken, per budget
-	useBlend         = 0.2
-	needTimes        = 1.25 // quota wanted, as a multiple of recent use
-	leastLoan        = 0.02 // in base shares
+	requestInterval  = time.Second
+	maxAnswerAge     = 2 * time.Second // a loan for an older request is refused: too little of its term may be left
+	maxLoans         = 64              // given or taken, per budget
+	useSmoothing     = 0.2
+	needMultiple     = 1.25 // quota wanted, as a multiple of recent use
+	minLoan          = 0.02 // in base shares
 )
 
 // Guard is a bit set of checks that bound the sum. Test tools disable them one at a time to show that each is
@@ -108,57 +108,57 @@
 type loan struct {
 	peer   string
 	number uint64
-	part   float64
+	amount float64
 	until  Time
 }
 
 type request struct {
 	number uint64
 	peer   string
-	at     Time
-	part   float64
+	sentAt Time
+	amount float64
 }
 
 type budget struct {
-	use     float64 // recent use, in base shares
-	out, in []loan
-	asked   []request
-	askAt   Time
+	recentUse         float64 // recent use, in base shares
+	loansOut, loansIn []loan
+	requests          []request
+	nextRequest       Time
 }
 
 // Ledger holds one gateway's loans. It is not safe for concurrent use. All amounts are in base shares: 1 is an
 // even split of the budget.
 type Ledger struct {
-	epoch   uint64
-	start   Time
-	now     Time
-	number  uint64
-	budgets [BudgetCount]budget
-	off     Guard
-	Lent    int // loans given
-	Taken   int
-	Refused int // loans that came late, twice or unrequested, and malformed messages
+	epoch          uint64
+	startedAt      Time
+	now            Time
+	lastRequest    uint64
+	budgets        [BudgetCount]budget
+	disabledGuards Guard
+	Lent           int // loans given
+	Taken          int
+	Refused        int // loans that came late, twice or unrequested, and malformed messages
 }
 
 // New returns the ledger of a gateway that starts now. off are the guards that are switched off, for tests
 // only.
 func New(now Time, epoch uint64, off Guard) *Ledger {
-	return &Ledger{epoch: epoch, start: now, now: now, off: off}
+	return &Ledger{epoch: epoch, startedAt: now, now: now, disabledGuards: off}
 }
 
-func (l *Ledger) on(g Guard) bool { return l.off&g == 0 }
+func (l *Ledger) enabled(g Guard) bool { return l.disabledGuards&g == 0 }
 
 // SetEpoch sets a new epoch: loans for requests of the old one are refused from now on.
 func (l *Ledger) SetEpoch(epoch uint64) { l.epoch = epoch }
 
-// lent returns how much of a budget is lent, or may be lent by an earlier start.
-func (l *Ledger) lent(b *budget) float64 {
-	b.out = slices.DeleteFunc(b.out, func(o loan) bool { return l.now >= o.until })
+// lentAmount returns how much of a budget is lent, or may be lent by an earlier start.
+func (l *Ledger) lentAmount(b *budget) float64 {
+	b.loansOut = slices.DeleteFunc(b.loansOut, func(o loan) bool { return l.now >= o.until })
 	sum := 0.0
-	for _, o := range b.out {
-		sum += o.part
+	for _, o := range b.loansOut {
+		sum += o.amount
 	}
-	if l.on(GuardStart) && l.now-l.start < LoanTerm+ClockMargin {
+	if l.enabled(GuardStart) && l.now-l.startedAt < LoanTerm+ClockMargin {
 		return LendableFraction
 	}
 	return sum
@@ -169,12 +169,12 @@
 	l.now = max(l.now, now)
 	b := &l.budgets[i]
 	part := 1.0
-	if l.on(GuardLent) {
-		part -= l.lent(b)
+	if l.enabled(GuardLent) {
+		part -= l.lentAmount(b)
 	}
-	b.in = slices.DeleteFunc(b.in, func(o loan) bool { return l.on(GuardTerm) && l.now >= o.until })
-	for _, o := range b.in {
-		part += o.part
+	b.loansIn = slices.DeleteFunc(b.loansIn, func(o loan) bool { return l.enabled(GuardTerm) && l.now >= o.until })
+	for _, o := range b.loansIn {
+		part += o.amount
 	}
 	return part
 }
@@ -183,18 +183,18 @@
 // in that time.
 func (l *Ledger) RecordUse(i int, parts float64) {
 	b := &l.budgets[i]
-	b.use += useBlend * (min(parts, 1e3) - b.use)
+	b.recentUse += useSmoothing * (min(parts, 1e3) - b.recentUse)
 }
 
 // need returns how much this gateway wants of a budget.
-func (b *budget) need() float64 { return needTimes * b.use }
+func (b *budget) need() float64 { return needMultiple * b.recentUse }
 
 // LendableNow returns how much this gateway could lend now.
 func (l *Ledger) LendableNow(now Time, i int) float64 {
 	part := l.Quota(now, i)
 	b := &l.budgets[i]
-	room := LendableFraction - l.lent(b)
-	if l.on(GuardStart) && l.now-l.start < LoanTerm+ClockMargin || len(b.in) > 0 || len(b.out) >= loansMost {
+	room := LendableFraction - l.lentAmount(b)
+	if l.enabled(GuardStart) && l.now-l.startedAt < LoanTerm+ClockMargin || len(b.loansIn) > 0 || len(b.loansOut) >= maxLoans {
 		return 0
 	}
 	return max(0, min(room, part-max(b.need(), 1-LendableFraction)))
@@ -219,18 +219,18 @@
 	for i := range l.budgets {
 		b := &l.budgets[i]
 		lack := b.need() - l.Quota(now, i)
-		if lack < leastLoan || l.now < b.askAt || len(b.in) >= loansMost {
+		if lack < minLoan || l.now < b.nextRequest || len(b.loansIn) >= maxLoans {
 			continue
 		}
-		b.askAt = l.now + askEvery
-		b.asked = slices.DeleteFunc(b.asked, func(r request) bool { return l.now-r.at > answerMost })
+		b.nextRequest = l.now + requestInterval
+		b.requests = slices.DeleteFunc(b.requests, func(r request) bool { return l.now-r.sentAt > maxAnswerAge })
 		from := lenders(i)
 		slices.SortStableFunc(from, func(x, y Lender) int { return cmp.Compare(y.Spare, x.Spare) })
 		for _, p := range from[:min(3, len(from))] {
-			if want := min(lack, p.Spare); want >= leastLoan {
-				l.number++
-				b.asked = append(b.asked, request{l.number, p.Name, l.now, want})
-				out = append(out, Outgoing{p.Name, Message{Budget: uint8(i), Number: l.number, Epoch: l.epoch, Part: want}})
+			if want := min(lack, p.Spare); want >= minLoan {
+				l.lastRequest++
+				b.requests = append(b.requests, request{l.lastRequest, p.Name, l.now, want})
+				out = append(out, Outgoing{p.Name, Message{Budget: uint8(i), Number: l.lastRequest, Epoch: l.epoch, Part: want}})
 				lack -= want
 			}
 		}
@@ -248,37 +248,37 @@
 	b := &l.budgets[m.Budget]
 	if m.Loan {
 		l.now = max(l.now, now)
-		l.borrow(b, from, m)
+		l.acceptLoan(b, from, m)
 		return nil
 	}
 	part := min(m.Part, l.LendableNow(now, int(m.Budget)))
-	if !mayLend || part < leastLoan {
+	if !mayLend || part < minLoan {
 		return nil
 	}
 	term := LoanTerm
-	if l.on(GuardMargin) {
+	if l.enabled(GuardMargin) {
 		term += ClockMargin
 	}
-	b.out = append(b.out, loan{from, m.Number, part, l.now + term})
+	b.loansOut = append(b.loansOut, loan{from, m.Number, part, l.now + term})
 	l.Lent++
 	return &Message{Budget: m.Budget, Loan: true, Number: m.Number, Epoch: m.Epoch, Part: part}
 }
 
-// borrow accepts a loan if this start requested it recently and has not accepted it yet.
-func (l *Ledger) borrow(b *budget, from string, m *Message) {
-	i := slices.IndexFunc(b.asked, func(r request) bool { return r.number == m.Number && r.peer == from })
-	if i < 0 || m.Epoch != l.epoch || len(b.in) >= loansMost {
+// acceptLoan accepts a loan if this start requested it recently and has not accepted it yet.
+func (l *Ledger) acceptLoan(b *budget, from string, m *Message) {
+	i := slices.IndexFunc(b.requests, func(r request) bool { return r.number == m.Number && r.peer == from })
+	if i < 0 || m.Epoch != l.epoch || len(b.loansIn) >= maxLoans {
 		l.Refused++
 		return
 	}
-	r := b.asked[i]
-	if l.on(GuardTakeOnce) {
-		b.asked = slices.Delete(b.asked, i, i+1)
+	r := b.requests[i]
+	if l.enabled(GuardTakeOnce) {
+		b.requests = slices.Delete(b.requests, i, i+1)
 	}
-	if l.now-r.at > answerMost || m.Part > r.part {
+	if l.now-r.sentAt > maxAnswerAge || m.Part > r.amount {
 		l.Refused++
 		return
 	}
 	l.Taken++
-	b.in = append(b.in, loan{from, m.Number, m.Part, r.at + LoanTerm})
+	b.loansIn = append(b.loansIn, loan{from, m.Number, m.Part, r.sentAt + LoanTerm})
 }
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -19,37 +19,37 @@
 type Time = time.Duration
 
 const (
-	never   Time = -1 << 60
-	forever Time = 1 << 62
+	distantPast   Time = -1 << 60
+	distantFuture Time = 1 << 62
 )
 
 // Protocol parameters.
 const (
-	period      = time.Second            // one peer is pinged per period
-	gossipEvery = 200 * time.Millisecond // updates go to gossipTo random peers
-	gossipTo    = 3
-	askTo       = 3                      // peers asked for an indirect ping
-	ackFirst    = 400 * time.Millisecond // answer timeout while no round-trip time is known
-	ackLeast    = 100 * time.Millisecond
-	ackMost     = 2 * time.Second // so that links with 800 ms one-way delay stay usable
-	askTimes    = 3               // an indirect answer may take this multiple of the direct timeout
-
-	suspectTimes = 4.0 // minimum suspicion time in periods, times log10 of the group size
-	suspectMost  = 3.0 // maximum suspicion time as a multiple of the minimum: with no second witness
-	witnesses    = 3   // witnesses (zones, or peers without a zone) that shorten the suspicion to its minimum
-	retransmit   = 1.3 // times log2 of the group size: how often an update is passed on
-	doubtMost    = 3   // limit of the self-doubt: timeouts grow up to 1+doubtMost times while answers are missed
-	pauseLeast   = 1500 * time.Millisecond
-	reconnect    = 2 * time.Second // one failed peer or seed is tried per interval
-	syncGap      = 2 * time.Second // between digest-triggered syncs, as gossip may already carry the difference
-	syncQuiet    = time.Second     // no digest-triggered sync this soon after an update
-	helloEvery   = time.Second     // interval of join attempts while no peer is live
-	incMost      = 1 << 20         // higher incarnations are refused: the peer could hardly refute them; at half of it the node begins a new epoch
-	leftKeep     = 10 * time.Minute
-	probesMost   = 1024 // outstanding, those for other peers included
-	greetedMost  = 256
-	rttBlend     = 0.125
-	varBlend     = 0.25
+	probePeriod         = time.Second            // one peer is pinged per period
+	gossipInterval      = 200 * time.Millisecond // updates go to gossipTo random peers
+	gossipFanout        = 3
+	indirectPingPeers   = 3                      // peers asked for an indirect ping
+	initialAckTimeout   = 400 * time.Millisecond // answer timeout while no round-trip time is known
+	minAckTimeout       = 100 * time.Millisecond
+	maxAckTimeout       = 2 * time.Second // so that links with 800 ms one-way delay stay usable
+	indirectAckMultiple = 3               // an indirect answer may take this multiple of the direct timeout
+
+	minSuspicionPeriods  = 4.0 // minimum suspicion time in periods, times log10 of the group size
+	maxSuspicionMultiple = 3.0 // maximum suspicion time as a multiple of the minimum: with no second witness
+	maxWitnesses         = 3   // witnesses (zones, or peers without a zone) that shorten the suspicion to its minimum
+	retransmitMultiple   = 1.3 // times log2 of the group size: how often an update is passed on
+	maxDoubt             = 3   // limit of the self-doubt: timeouts grow up to 1+doubtMost times while answers are missed
+	minPause             = 1500 * time.Millisecond
+	reconnectInterval    = 2 * time.Second // one failed peer or seed is tried per interval
+	minSyncInterval      = 2 * time.Second // between digest-triggered syncs, as gossip may already carry the difference
+	syncQuietTime        = time.Second     // no digest-triggered sync this soon after an update
+	joinInterval         = time.Second     // interval of join attempts while no peer is live
+	maxIncarnation       = 1 << 20         // higher incarnations are refused: the peer could hardly refute them; at half of it the node begins a new epoch
+	leftRetention        = 10 * time.Minute
+	maxProbes            = 1024 // outstanding, those for other peers included
+	maxPendingHellos     = 256
+	rttSmoothing         = 0.125
+	varianceSmoothing    = 0.25
 )
 
 // Guard is a bit set of protocol checks. Test tools disable them one at a time to show that each is needed.
@@ -99,11 +99,11 @@
 	LastHelper  string
 	ProcessGone bool // its host refused a connection since: the process ended, the link works
 
-	variance  Time
-	wits      map[string]bool // zones, or peers without a zone, that suspect it
-	until     Time            // Suspect: time at which it is declared failed
-	suspected Time
-	left      int // remaining transmissions of its latest claim
+	variance      Time
+	witnesses     map[string]bool // zones, or peers without a zone, that suspect it
+	failAt        Time            // Suspect: time at which it is declared failed
+	suspectedAt   Time
+	transmitsLeft int // remaining transmissions of its latest claim
 }
 
 // Event is an input to Step. Of Message (with Stream), Refused and Leave only the first that is set is used;
@@ -138,41 +138,41 @@
 }
 
 type probe struct {
-	target   ID
-	addr     string
-	at       Time
-	ask, end Time // when indirect pings are sent, and when the probe has failed
-	asked    bool
-	forID    ID // peer that requested this probe and is sent the Ack
-	forAddr  string
-	forSeq   uint32
+	target             ID
+	addr               string
+	sentAt             Time
+	indirectAt, failAt Time // when indirect pings are sent, and when the probe has failed
+	indirectSent       bool
+	requesterID        ID // peer that requested this probe and is sent the Ack
+	requesterAddr      string
+	requesterSeq       uint32
 }
 
 // Node is one gateway's membership state. It is not safe for concurrent use.
 type Node struct {
-	cfg     Config
-	rng     *rand.Rand
-	now     Time
-	out     []Action
-	inc     uint32
-	meta    []byte
-	seeds   []string
-	peers   map[string]*Peer
-	order   []string         // ping order, reshuffled each round
-	fresh   []*Peer          // peers whose latest claim is still passed on
-	ended   map[string]*Peer // peers that are suspect, failed or left
-	at      int
-	probes  map[uint32]*probe
-	greeted map[uint32]string // outstanding Hellos by sequence number: the address sent to
-	owners  map[string]string // name of the peer that answered at each seed address
-	seq     uint32
-	doubt   int
-
-	stepped, pingAt, gossipAt, retryAt, newsAt, syncAt, helloAt Time
-	displaced, left                                             bool
-	self                                                        int // remaining transmissions of this node's own claim
-	digest                                                      uint64
-	Dropped                                                     DropCounts
+	config        Config
+	rng           *rand.Rand
+	now           Time
+	actions       []Action
+	incarnation   uint32
+	meta          []byte
+	seeds         []string
+	peers         map[string]*Peer
+	pingOrder     []string         // ping order, reshuffled each round
+	updates       []*Peer          // peers whose latest claim is still passed on
+	notAlive      map[string]*Peer // peers that are suspect, failed or left
+	nextPing      int
+	probes        map[uint32]*probe
+	pendingHellos map[uint32]string // outstanding Hellos by sequence number: the address sent to
+	seedOwners    map[string]string // name of the peer that answered at each seed address
+	seq           uint32
+	doubt         int
+
+	lastStep, pingAt, gossipAt, retryAt, lastUpdate, lastSync, helloAt Time
+	displaced, hasLeft                                                 bool
+	selfTransmitsLeft                                                  int // remaining transmissions of this node's own claim
+	digest                                                             uint64
+	Dropped                                                            DropCounts
 }
 
 // DropCounts counts messages, claims and requests that were dropped, by reason.
@@ -185,13 +185,13 @@
 	if c.KeepFailed == 0 {
 		c.KeepFailed = 24 * time.Hour
 	}
-	n := &Node{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x7377696d)), meta: c.Meta, seeds: c.Seeds, peers: map[string]*Peer{},
-		ended: map[string]*Peer{}, probes: map[uint32]*probe{}, greeted: map[uint32]string{}, owners: map[string]string{}, stepped: never, newsAt: never, syncAt: never, helloAt: never}
-	n.self = n.spread()
+	n := &Node{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0x7377696d)), meta: c.Meta, seeds: c.Seeds, peers: map[string]*Peer{},
+		notAlive: map[string]*Peer{}, probes: map[uint32]*probe{}, pendingHellos: map[uint32]string{}, seedOwners: map[string]string{}, lastStep: distantPast, lastUpdate: distantPast, lastSync: distantPast, helloAt: distantPast}
+	n.selfTransmitsLeft = n.transmitLimit()
 	return n
 }
 
-func (n *Node) on(g Guard) bool { return n.cfg.DisabledGuards&g == 0 }
+func (n *Node) enabled(g Guard) bool { return n.config.DisabledGuards&g == 0 }
 
 // Peers returns copies of all known peers, without this node, sorted by name.
 func (n *Node) Peers() []Peer {
@@ -229,7 +229,7 @@
 // RandomPeers returns up to k live peers chosen at random, none once this node is displaced.
 func (n *Node) RandomPeers(k int) (drawn []Peer) {
 	if !n.displaced {
-		for _, p := range n.some(k, nil) {
+		for _, p := range n.randomLive(k, nil) {
 			drawn = append(drawn, *p)
 		}
 	}
@@ -239,10 +239,10 @@
 // Self returns this node's claim about itself.
 func (n *Node) Self() Claim {
 	s := Alive
-	if n.left {
+	if n.hasLeft {
 		s = Left
 	}
-	return Claim{Name: n.cfg.Name, Epoch: n.cfg.Epoch, Incarnation: n.inc, State: s, Addr: n.cfg.Addr, Meta: n.meta}
+	return Claim{Name: n.config.Name, Epoch: n.config.Epoch, Incarnation: n.incarnation, State: s, Addr: n.config.Addr, Meta: n.meta}
 }
 
 // Displaced reports whether a later start with this node's name is alive.
@@ -254,10 +254,10 @@
 
 // Digest returns a hash of the membership table, this node included. Equal digests mean equal tables.
 func (n *Node) Digest() uint64 {
-	return n.digest ^ digestOf(n.cfg.Name, n.cfg.Epoch, n.inc, n.Self().State)
+	return n.digest ^ claimHash(n.config.Name, n.config.Epoch, n.incarnation, n.Self().State)
 }
 
-func digestOf(name string, epoch uint64, inc uint32, s State) uint64 {
+func claimHash(name string, epoch uint64, inc uint32, s State) uint64 {
 	if s == Suspect { // a suspicion is decided soon, so it does not change the digest
 		s = Alive
 	}
@@ -269,43 +269,43 @@
 // Step applies events at time now and appends the resulting actions to out. It must be called at least every
 // 100 ms.
 func (n *Node) Step(now Time, events []Event, out []Action) []Action {
-	n.out = out
-	if n.stepped != never && now-n.stepped > pauseLeast && n.on(GuardOwnPause) {
-		n.paused(now - n.stepped)
+	n.actions = out
+	if n.lastStep != distantPast && now-n.lastStep > minPause && n.enabled(GuardOwnPause) {
+		n.extendTimeouts(now - n.lastStep)
 	}
-	if n.stepped == never { // spreads the first pings of a group that was restarted as a whole
-		n.pingAt = now + Time(n.rng.Float64()*float64(period))
+	if n.lastStep == distantPast { // spreads the first pings of a group that was restarted as a whole
+		n.pingAt = now + Time(n.rng.Float64()*float64(probePeriod))
 	}
-	n.now, n.stepped = now, now
-	if n.inc > incMost/2 {
-		n.renew(n.cfg.Epoch + 1)
+	n.now, n.lastStep = now, now
+	if n.incarnation > maxIncarnation/2 {
+		n.startEpoch(n.config.Epoch + 1)
 	}
 	for i := range events {
-		n.take(&events[i])
+		n.handleEvent(&events[i])
 	}
-	n.timers()
-	return n.out
+	n.runTimers()
+	return n.actions
 }
 
-// paused extends all timeouts that wait for peers by span: their messages of that time were not lost by them.
-func (n *Node) paused(span Time) {
+// extendTimeouts extends all timeouts that wait for peers by span: their messages of that time were not lost by them.
+func (n *Node) extendTimeouts(span Time) {
 	for _, p := range n.probes {
-		p.at, p.ask, p.end = p.at+span, p.ask+span, p.end+span
+		p.sentAt, p.indirectAt, p.failAt = p.sentAt+span, p.indirectAt+span, p.failAt+span
 	}
 	for _, p := range n.peers {
 		if p.State == Suspect {
-			p.until += span
-			p.suspected += span // further witnesses shorten the timeout from this point
+			p.failAt += span
+			p.suspectedAt += span // further witnesses shorten the timeout from this point
 		}
 	}
-	n.doubt = min(n.doubt+1, doubtMost)
-	n.out = append(n.out, Action{Change: &Change{PausedFor: span}})
+	n.doubt = min(n.doubt+1, maxDoubt)
+	n.actions = append(n.actions, Action{Change: &Change{PausedFor: span}})
 }
 
-func (n *Node) take(e *Event) {
+func (n *Node) handleEvent(e *Event) {
 	switch {
 	case e.Message != nil:
-		n.message(e.Message, e.Stream)
+		n.handleMessage(e.Message, e.Stream)
 	case e.RefusedAddr != "":
 		for _, p := range n.peers {
 			if p.Addr == e.RefusedAddr && p.State != Left {
@@ -313,57 +313,57 @@
 			}
 		}
 	case e.Leave:
-		n.left = true
-		n.self = n.spread()
+		n.hasLeft = true
+		n.selfTransmitsLeft = n.transmitLimit()
 		c := n.Self()
-		for _, p := range n.some(2*gossipTo, nil) {
+		for _, p := range n.randomLive(2*gossipFanout, nil) {
 			n.send(p.Addr, &Message{Kind: Gossip, To: p.id(), Claims: []Claim{c}})
 		}
 	}
 	if e.Meta != nil && !slices.Equal(e.Meta, n.meta) {
 		n.meta = e.Meta
-		n.inc++
-		n.self = n.spread()
+		n.incarnation++
+		n.selfTransmitsLeft = n.transmitLimit()
 	}
 	if e.Seeds != nil {
 		n.seeds = e.Seeds
-		clear(n.owners)
+		clear(n.seedOwners)
 	}
 }
 
 func (p *Peer) id() ID { return ID{Name: p.Name, Epoch: p.Epoch} }
 
-func (n *Node) id() ID { return ID{Name: n.cfg.Name, Epoch: n.cfg.Epoch} }
+func (n *Node) id() ID { return ID{Name: n.config.Name, Epoch: n.config.Epoch} }
 
 // send queues a message to be sent by datagram.
-func (n *Node) send(addr string, m *Message) { n.act(Action{To: addr, Message: m}) }
+func (n *Node) send(addr string, m *Message) { n.emit(Action{To: addr, Message: m}) }
 
-func (n *Node) act(a Action) {
-	a.Message.From, a.Message.Addr = n.id(), n.cfg.Addr
+func (n *Node) emit(a Action) {
+	a.Message.From, a.Message.Addr = n.id(), n.config.Addr
 	if a.Name == "" {
 		a.Name = a.Message.To.Name
 	}
 	if a.Message.Kind != Hello && a.Message.Kind != Gossip {
 		a.Message.Digest = n.Digest()
 	}
-	n.out = append(n.out, a)
+	n.actions = append(n.actions, a)
 }
 
-// spread returns how often an update is passed on.
-func (n *Node) spread() int {
-	return int(math.Ceil(retransmit * math.Log2(float64(len(n.peers)+2))))
+// transmitLimit returns how often an update is passed on.
+func (n *Node) transmitLimit() int {
+	return int(math.Ceil(retransmitMultiple * math.Log2(float64(len(n.peers)+2))))
 }
 
-// some returns up to k live peers chosen at random, without those that not selects.
-func (n *Node) some(k int, not func(*Peer) bool) (drawn []*Peer) {
+// randomLive returns up to k live peers chosen at random, without those that not selects.
+func (n *Node) randomLive(k int, not func(*Peer) bool) (drawn []*Peer) {
 	fits := func(p *Peer) bool {
 		return p.State <= Suspect && (not == nil || !not(p)) && !slices.Contains(drawn, p)
 	}
 	for range 4 * k { // most peers are live, so a few draws normally suffice
-		if len(n.order) < 8*k || len(drawn) == k {
+		if len(n.pingOrder) < 8*k || len(drawn) == k {
 			break
 		}
-		if p := n.peers[n.order[n.rng.IntN(len(n.order))]]; fits(p) {
+		if p := n.peers[n.pingOrder[n.rng.IntN(len(n.pingOrder))]]; fits(p) {
 			drawn = append(drawn, p)
 		}
 	}
@@ -371,7 +371,7 @@
 		return drawn
 	}
 	var rest []*Peer
-	for _, name := range n.order {
+	for _, name := range n.pingOrder {
 		if p := n.peers[name]; fits(p) {
 			rest = append(rest, p)
 		}
@@ -380,19 +380,19 @@
 	return append(drawn, rest[:min(k-len(drawn), len(rest))]...)
 }
 
-// tell schedules p's latest claim to be passed on.
-func (n *Node) tell(p *Peer) {
-	if p.left == 0 {
-		n.fresh = append(n.fresh, p)
+// enqueueUpdate schedules p's latest claim to be passed on.
+func (n *Node) enqueueUpdate(p *Peer) {
+	if p.transmitsLeft == 0 {
+		n.updates = append(n.updates, p)
 	}
-	p.left = n.spread()
+	p.transmitsLeft = n.transmitLimit()
 }
 
-// news adds claims to m until the datagram is full, those passed on the fewest times first.
-func (n *Node) news(m *Message, to *Peer) *Message {
+// addUpdates adds claims to m until the datagram is full, those passed on the fewest times first.
+func (n *Node) addUpdates(m *Message, to *Peer) *Message {
 	room := MaxDatagramBytes - 200
 	add := func(c Claim) bool {
-		if room -= c.size(); room < 0 {
+		if room -= c.encodedSize(); room < 0 {
 			return false
 		}
 		m.Claims = append(m.Claims, c)
@@ -402,26 +402,26 @@
 		return m
 	}
 	if to != nil && to.State != Alive { // the peer must learn what is claimed of it, so that it can refute it
-		add(n.claim(to))
+		add(n.currentClaim(to))
 	}
-	if n.self > 0 && add(n.Self()) {
-		n.self--
+	if n.selfTransmitsLeft > 0 && add(n.Self()) {
+		n.selfTransmitsLeft--
 	}
-	slices.SortStableFunc(n.fresh, func(a, b *Peer) int { return b.left - a.left })
-	for _, p := range n.fresh {
+	slices.SortStableFunc(n.updates, func(a, b *Peer) int { return b.transmitsLeft - a.transmitsLeft })
+	for _, p := range n.updates {
 		if p == to {
 			continue
 		}
-		if !add(n.claim(p)) {
+		if !add(n.currentClaim(p)) {
 			break
 		}
-		p.left--
+		p.transmitsLeft--
 	}
-	n.fresh = slices.DeleteFunc(n.fresh, func(p *Peer) bool { return p.left == 0 })
+	n.updates = slices.DeleteFunc(n.updates, func(p *Peer) bool { return p.transmitsLeft == 0 })
 	return m
 }
 
-func (n *Node) claim(p *Peer) Claim {
+func (n *Node) currentClaim(p *Peer) Claim {
 	c := p.Claim
 	if c.State == Failed || c.State == Left {
 		c.AgeSeconds = uint32((n.now - p.Since) / time.Second)
@@ -429,12 +429,12 @@
 	return c
 }
 
-// all adds the whole membership table to m.
-func (n *Node) all(m *Message) *Message {
+// addAllClaims adds the whole membership table to m.
+func (n *Node) addAllClaims(m *Message) *Message {
 	m.Claims = append(m.Claims, n.Self())
-	for _, name := range n.order {
+	for _, name := range n.pingOrder {
 		if p := n.peers[name]; p != nil {
-			m.Claims = append(m.Claims, n.claim(p))
+			m.Claims = append(m.Claims, n.currentClaim(p))
 		}
 	}
 	return m
@@ -442,34 +442,34 @@
 
 // Messages.
 
-func (n *Node) message(m *Message, stream uint64) {
-	if n.left || m.From == n.id() { // this node's own message, reflected
+func (n *Node) handleMessage(m *Message, stream uint64) {
+	if n.hasLeft || m.From == n.id() { // this node's own message, reflected
 		return
 	}
-	if m.To.Name != "" && m.To != n.id() && n.on(GuardAddressee) {
+	if m.To.Name != "" && m.To != n.id() && n.enabled(GuardAddressee) {
 		n.Dropped.Address++ // meant for an earlier start of this process, or replayed
 		return
 	}
 	if m.Kind == Hello {
-		n.hello(m, stream)
+		n.handleHello(m, stream)
 		return
 	}
-	if m.From.Name == n.cfg.Name { // from another start with this name
+	if m.From.Name == n.config.Name { // from another start with this name
 		if m.Kind == Welcome || m.Kind == SyncReply {
-			n.claimed(Claim{Name: m.From.Name, Epoch: m.From.Epoch, State: Alive, Addr: m.Addr})
+			n.handleClaim(Claim{Name: m.From.Name, Epoch: m.From.Epoch, State: Alive, Addr: m.Addr})
 		}
 		return
 	}
 	p := n.peers[m.From.Name]
-	if p != nil && m.From.Epoch < p.Epoch && n.on(GuardEpoch) {
+	if p != nil && m.From.Epoch < p.Epoch && n.enabled(GuardEpoch) {
 		n.Dropped.Epoch++
 		if m.Kind != Ack && m.Kind != Gossip { // tell it which start has its name now
-			n.send(m.Addr, &Message{Kind: Gossip, To: m.From, Claims: []Claim{n.claim(p)}})
+			n.send(m.Addr, &Message{Kind: Gossip, To: m.From, Claims: []Claim{n.currentClaim(p)}})
 		}
 		return
 	}
 	if p == nil || m.From.Epoch > p.Epoch { // the message itself shows that its sender is alive
-		n.claimed(Claim{Name: m.From.Name, Epoch: m.From.Epoch, State: Alive, Addr: m.Addr})
+		n.handleClaim(Claim{Name: m.From.Name, Epoch: m.From.Epoch, State: Alive, Addr: m.Addr})
 		p = n.peers[m.From.Name]
 	}
 	if p != nil {
@@ -479,78 +479,78 @@
 		}
 	}
 	for i := range m.Claims {
-		n.claimed(m.Claims[i])
+		n.handleClaim(m.Claims[i])
 	}
 	switch m.Kind {
 	case Ping:
-		n.answer(m, p, stream)
+		n.sendAck(m, p, stream)
 	case Ack:
-		n.acked(m)
+		n.handleAck(m)
 	case PingRequest:
-		if len(n.probes) >= probesMost {
+		if len(n.probes) >= maxProbes {
 			n.Dropped.Full++
 			break
 		}
 		n.seq++
-		n.probes[n.seq] = &probe{target: m.Target, addr: m.TargetAddr, at: n.now, ask: forever, end: n.now + askTimes*ackMost, forID: m.From,
-			forAddr: m.Addr, forSeq: m.Seq}
-		n.send(m.TargetAddr, n.news(&Message{Kind: Ping, Seq: n.seq, To: m.Target}, n.peers[m.Target.Name]))
+		n.probes[n.seq] = &probe{target: m.Target, addr: m.TargetAddr, sentAt: n.now, indirectAt: distantFuture, failAt: n.now + indirectAckMultiple*maxAckTimeout, requesterID: m.From,
+			requesterAddr: m.Addr, requesterSeq: m.Seq}
+		n.send(m.TargetAddr, n.addUpdates(&Message{Kind: Ping, Seq: n.seq, To: m.Target}, n.peers[m.Target.Name]))
 	case Sync:
-		n.act(Action{To: m.Addr, Stream: stream, Message: n.all(&Message{Kind: SyncReply, Seq: m.Seq, To: m.From})})
+		n.emit(Action{To: m.Addr, Stream: stream, Message: n.addAllClaims(&Message{Kind: SyncReply, Seq: m.Seq, To: m.From})})
 	case Gossip, SyncReply:
 	case Welcome: // a seed or a failed peer answered: fetch its table
-		if at, ok := n.greeted[m.Seq]; ok {
-			delete(n.greeted, m.Seq)
-			n.owners[at] = m.From.Name
+		if at, ok := n.pendingHellos[m.Seq]; ok {
+			delete(n.pendingHellos, m.Seq)
+			n.seedOwners[at] = m.From.Name
 		}
 		if p == nil || p.State != Alive || m.Digest != n.Digest() {
-			n.sync(m.Addr, m.From)
+			n.sendSync(m.Addr, m.From)
 			return
 		}
 	default:
 		n.Dropped.Kind++
 	}
-	if d := m.Digest; d != 0 && p != nil && d != n.Digest() && n.now-n.newsAt > syncQuiet && n.now-n.syncAt > syncGap {
-		n.sync(p.Addr, p.id())
+	if d := m.Digest; d != 0 && p != nil && d != n.Digest() && n.now-n.lastUpdate > syncQuietTime && n.now-n.lastSync > minSyncInterval {
+		n.sendSync(p.Addr, p.id())
 	}
 }
 
-func (n *Node) answer(m *Message, p *Peer, stream uint64) {
+func (n *Node) sendAck(m *Message, p *Peer, stream uint64) {
 	ack := &Message{Kind: Ack, Seq: m.Seq, To: m.From}
 	if p != nil {
-		n.news(ack, p)
+		n.addUpdates(ack, p)
 	}
-	n.act(Action{To: m.Addr, Message: ack, Stream: stream})
+	n.emit(Action{To: m.Addr, Message: ack, Stream: stream})
 }
 
-// hello answers any sender that knows the group key and takes nothing that it says for true. A sender whose
+// handleHello answers any sender that knows the group key and takes nothing that it says for true. A sender whose
 // name belongs to a later start is told so. It stays silent towards a later start with this node's own name.
-func (n *Node) hello(m *Message, stream uint64) {
-	if m.From.Name == n.cfg.Name && m.From.Epoch < n.cfg.Epoch || m.From.Name != n.cfg.Name {
+func (n *Node) handleHello(m *Message, stream uint64) {
+	if m.From.Name == n.config.Name && m.From.Epoch < n.config.Epoch || m.From.Name != n.config.Name {
 		w := &Message{Kind: Welcome, Seq: m.Seq, To: m.From}
 		if p := n.peers[m.From.Name]; p != nil && p.Epoch >= m.From.Epoch {
-			w.Claims = []Claim{n.claim(p)}
+			w.Claims = []Claim{n.currentClaim(p)}
 		}
-		n.act(Action{To: m.Addr, Message: w, Stream: stream})
+		n.emit(Action{To: m.Addr, Message: w, Stream: stream})
 	}
 }
 
-func (n *Node) sync(addr string, to ID) {
-	n.syncAt = n.now
+func (n *Node) sendSync(addr string, to ID) {
+	n.lastSync = n.now
 	n.seq++
-	n.act(Action{To: addr, Dial: true, Message: n.all(&Message{Kind: Sync, Seq: n.seq, To: to})})
+	n.emit(Action{To: addr, Dial: true, Message: n.addAllClaims(&Message{Kind: Sync, Seq: n.seq, To: to})})
 }
 
-// acked handles the answer to a ping.
-func (n *Node) acked(m *Message) {
+// handleAck handles the answer to a ping.
+func (n *Node) handleAck(m *Message) {
 	q := n.probes[m.Seq]
 	if q == nil {
 		return
 	}
-	if q.forAddr != "" { // pinged on behalf of another peer
+	if q.requesterAddr != "" { // pinged on behalf of another peer
 		if q.target == m.From {
 			delete(n.probes, m.Seq)
-			n.send(q.forAddr, &Message{Kind: Ack, Seq: q.forSeq, To: q.forID, Target: q.target})
+			n.send(q.requesterAddr, &Message{Kind: Ack, Seq: q.requesterSeq, To: q.requesterID, Target: q.target})
 		}
 		return
 	}
@@ -563,11 +563,11 @@
 		return
 	} else if p := n.peers[m.From.Name]; p != nil {
 		p.LastHelper = ""
-		if rtt := n.now - q.at; p.RTT == 0 {
+		if rtt := n.now - q.sentAt; p.RTT == 0 {
 			p.RTT, p.variance = rtt, rtt/2
 		} else {
-			p.variance += Time(varBlend * (math.Abs(float64(rtt-p.RTT)) - float64(p.variance)))
-			p.RTT += Time(rttBlend * float64(rtt-p.RTT))
+			p.variance += Time(varianceSmoothing * (math.Abs(float64(rtt-p.RTT)) - float64(p.variance)))
+			p.RTT += Time(rttSmoothing * float64(rtt-p.RTT))
 		}
 	}
 	delete(n.probes, m.Seq)
@@ -576,23 +576,23 @@
 
 // Claims.
 
-// claimed handles a claim about a peer, made by the peer itself or by others.
-func (n *Node) claimed(c Claim) {
+// handleClaim handles a claim about a peer, made by the peer itself or by others.
+func (n *Node) handleClaim(c Claim) {
 	if c.State < Alive || c.State > Left || len(c.Meta) > MaxMetaBytes {
 		n.Dropped.Kind++
 		return
 	}
-	if c.Name == n.cfg.Name {
-		n.said(&c)
+	if c.Name == n.config.Name {
+		n.handleSelfClaim(&c)
 		return
 	}
 	p := n.peers[c.Name]
 	switch {
-	case c.Incarnation > incMost && n.on(GuardIncarnation):
+	case c.Incarnation > maxIncarnation && n.enabled(GuardIncarnation):
 		n.Dropped.Incarnation++
 		return
 	case p == nil:
-		n.meet(&c)
+		n.addPeer(&c)
 		return
 	}
 	newer := c.Epoch > p.Epoch || c.Epoch == p.Epoch && c.Incarnation > p.Incarnation
@@ -600,87 +600,87 @@
 	switch c.State {
 	case Alive:
 		if newer {
-			n.become(p, c)
+			n.applyClaim(p, c)
 		} else if same && p.State == Alive && len(p.Meta) == 0 && len(c.Meta) > 0 {
-			n.become(p, c) // first met by a message that carried none of its metadata
+			n.applyClaim(p, c) // first met by a message that carried none of its metadata
 		}
 	case Suspect:
 		switch {
 		case newer || same && p.State == Alive:
-			n.become(p, c)
-			p.wits = map[string]bool{c.SuspectedBy: true}
-			n.term(p)
-		case same && p.State == Suspect && !p.wits[c.SuspectedBy] && len(p.wits) < witnesses:
-			p.wits[c.SuspectedBy] = true
+			n.applyClaim(p, c)
+			p.witnesses = map[string]bool{c.SuspectedBy: true}
+			n.setFailTime(p)
+		case same && p.State == Suspect && !p.witnesses[c.SuspectedBy] && len(p.witnesses) < maxWitnesses:
+			p.witnesses[c.SuspectedBy] = true
 			p.SuspectedBy = c.SuspectedBy
-			n.tell(p) // a further witness is passed on too
-			n.term(p)
+			n.enqueueUpdate(p) // a further witness is passed on too
+			n.setFailTime(p)
 		}
 	case Failed, Left:
 		if newer || same && p.State < c.State {
-			n.become(p, c)
+			n.applyClaim(p, c)
 			p.Since = n.now - Time(c.AgeSeconds)*time.Second
 		}
 	}
 }
 
-// said handles a claim about this node itself.
-func (n *Node) said(c *Claim) {
+// handleSelfClaim handles a claim about this node itself.
+func (n *Node) handleSelfClaim(c *Claim) {
 	switch {
-	case c.Epoch > n.cfg.Epoch && (c.State == Failed || c.State == Left || !n.on(GuardYieldName)):
+	case c.Epoch > n.config.Epoch && (c.State == Failed || c.State == Left || !n.enabled(GuardYieldName)):
 		// That start has ended but was later than this one: the folder is an old copy, or the clock went back.
-		n.renew(c.Epoch + 1)
-	case c.Epoch > n.cfg.Epoch:
+		n.startEpoch(c.Epoch + 1)
+	case c.Epoch > n.config.Epoch:
 		if !n.displaced {
 			n.displaced = true
-			n.out = append(n.out, Action{Change: &Change{Peer: Peer{Claim: *c}, Displaced: true}})
+			n.actions = append(n.actions, Action{Change: &Change{Peer: Peer{Claim: *c}, Displaced: true}})
 		}
-	case c.Epoch < n.cfg.Epoch:
+	case c.Epoch < n.config.Epoch:
 		if c.State == Alive || c.State == Suspect {
-			n.self = max(n.self, n.spread()/2)
+			n.selfTransmitsLeft = max(n.selfTransmitsLeft, n.transmitLimit()/2)
 		}
-	case n.left:
-	case (c.Incarnation > n.inc || c.State != Alive && c.Incarnation == n.inc) && n.on(GuardRefute):
-		if c.Incarnation > incMost && n.on(GuardIncarnation) {
+	case n.hasLeft:
+	case (c.Incarnation > n.incarnation || c.State != Alive && c.Incarnation == n.incarnation) && n.enabled(GuardRefute):
+		if c.Incarnation > maxIncarnation && n.enabled(GuardIncarnation) {
 			n.Dropped.Incarnation++
 			return
 		}
-		n.inc = c.Incarnation + 1
-		n.self = n.spread()
-		n.doubt = min(n.doubt+1, doubtMost) // others missed this node's answers: it may be slow itself
+		n.incarnation = c.Incarnation + 1
+		n.selfTransmitsLeft = n.transmitLimit()
+		n.doubt = min(n.doubt+1, maxDoubt) // others missed this node's answers: it may be slow itself
 	}
 }
 
-// renew begins a new epoch.
-func (n *Node) renew(epoch uint64) {
-	n.cfg.Epoch, n.inc, n.displaced = epoch, 0, false
-	n.self = n.spread()
-	n.out = append(n.out, Action{Change: &Change{NewEpoch: epoch}})
+// startEpoch begins a new epoch.
+func (n *Node) startEpoch(epoch uint64) {
+	n.config.Epoch, n.incarnation, n.displaced = epoch, 0, false
+	n.selfTransmitsLeft = n.transmitLimit()
+	n.actions = append(n.actions, Action{Change: &Change{NewEpoch: epoch}})
 }
 
-// meet adds a peer that was not known.
-func (n *Node) meet(c *Claim) {
-	if c.State == Failed && Time(c.AgeSeconds)*time.Second > n.cfg.KeepFailed || c.State == Left && Time(c.AgeSeconds)*time.Second > leftKeep {
+// addPeer adds a peer that was not known.
+func (n *Node) addPeer(c *Claim) {
+	if c.State == Failed && Time(c.AgeSeconds)*time.Second > n.config.KeepFailed || c.State == Left && Time(c.AgeSeconds)*time.Second > leftRetention {
 		return
 	}
 	if len(n.peers) >= MaxPeers && !n.evict() {
 		n.Dropped.Full++
 		return
 	}
-	p := &Peer{LastHeard: never}
+	p := &Peer{LastHeard: distantPast}
 	n.peers[c.Name] = p
 	at := 0
-	if len(n.order) > 0 {
-		at = n.rng.IntN(len(n.order) + 1)
+	if len(n.pingOrder) > 0 {
+		at = n.rng.IntN(len(n.pingOrder) + 1)
 	}
-	n.order = slices.Insert(n.order, at, c.Name)
-	if at < n.at {
-		n.at++
+	n.pingOrder = slices.Insert(n.pingOrder, at, c.Name)
+	if at < n.nextPing {
+		n.nextPing++
 	}
-	n.become(p, *c)
+	n.applyClaim(p, *c)
 	if c.State == Suspect {
-		p.wits = map[string]bool{c.SuspectedBy: true}
-		n.term(p)
+		p.witnesses = map[string]bool{c.SuspectedBy: true}
+		n.setFailTime(p)
 	}
 	if c.State >= Failed {
 		p.Since = n.now - Time(c.AgeSeconds)*time.Second
@@ -697,25 +697,25 @@
 		}
 	}
 	if worst != nil {
-		n.forget(worst)
+		n.removePeer(worst)
 	}
 	return worst != nil
 }
 
-func (n *Node) forget(p *Peer) {
-	n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
+func (n *Node) removePeer(p *Peer) {
+	n.digest ^= claimHash(p.Name, p.Epoch, p.Incarnation, p.State)
 	delete(n.peers, p.Name)
-	delete(n.ended, p.Name)
-	n.fresh = slices.DeleteFunc(n.fresh, func(o *Peer) bool { return o == p })
-	n.order = slices.DeleteFunc(n.order, func(s string) bool { return s == p.Name })
-	n.at = min(n.at, len(n.order))
+	delete(n.notAlive, p.Name)
+	n.updates = slices.DeleteFunc(n.updates, func(o *Peer) bool { return o == p })
+	n.pingOrder = slices.DeleteFunc(n.pingOrder, func(s string) bool { return s == p.Name })
+	n.nextPing = min(n.nextPing, len(n.pingOrder))
 }
 
-// become applies a claim to a peer, schedules it to be passed on and reports the change.
-func (n *Node) become(p *Peer, c Claim) {
+// applyClaim applies a claim to a peer, schedules it to be passed on and reports the change.
+func (n *Node) applyClaim(p *Peer, c Claim) {
 	was := p.State
 	if was != 0 {
-		n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
+		n.digest ^= claimHash(p.Name, p.Epoch, p.Incarnation, p.State)
 	}
 	if c.State != Alive { // the witness may know less about the peer's address and metadata
 		if c.Addr == "" {
@@ -728,93 +728,93 @@
 	if c.Epoch != p.Epoch {
 		p.RTT, p.LastHelper, p.ProcessGone = 0, "", false
 	}
-	p.Claim, p.wits = c, nil
+	p.Claim, p.witnesses = c, nil
 	p.AgeSeconds = 0
-	n.digest ^= digestOf(p.Name, p.Epoch, p.Incarnation, p.State)
+	n.digest ^= claimHash(p.Name, p.Epoch, p.Incarnation, p.State)
 	if was != c.State {
 		p.Since = n.now
 	}
 	if c.State == Alive {
 		p.ProcessGone = false
 	}
-	if delete(n.ended, p.Name); c.State != Alive {
-		n.ended[p.Name] = p
+	if delete(n.notAlive, p.Name); c.State != Alive {
+		n.notAlive[p.Name] = p
 	}
-	n.tell(p)
-	n.newsAt = n.now
-	n.out = append(n.out, Action{Change: &Change{Peer: *p, PreviousState: was}})
+	n.enqueueUpdate(p)
+	n.lastUpdate = n.now
+	n.actions = append(n.actions, Action{Change: &Change{Peer: *p, PreviousState: was}})
 }
 
-// term sets the time by which a suspect must have refuted the suspicion: the more independent witnesses, the
+// setFailTime sets the time by which a suspect must have refuted the suspicion: the more independent witnesses, the
 // sooner.
-func (n *Node) term(p *Peer) {
-	if p.suspected == 0 || p.State != Suspect || len(p.wits) <= 1 {
-		p.suspected = n.now
+func (n *Node) setFailTime(p *Peer) {
+	if p.suspectedAt == 0 || p.State != Suspect || len(p.witnesses) <= 1 {
+		p.suspectedAt = n.now
 	}
-	least := suspectTimes * math.Max(1, math.Log10(float64(len(n.peers)+1))) * float64(period)
-	most := suspectMost * least
-	k := math.Min(1, math.Log(float64(len(p.wits)))/math.Log(witnesses))
+	least := minSuspicionPeriods * math.Max(1, math.Log10(float64(len(n.peers)+1))) * float64(probePeriod)
+	most := maxSuspicionMultiple * least
+	k := math.Min(1, math.Log(float64(len(p.witnesses)))/math.Log(maxWitnesses))
 	if p.ProcessGone {
 		k = 1
 	}
-	p.until = p.suspected + Time(most-k*(most-least))
+	p.failAt = p.suspectedAt + Time(most-k*(most-least))
 }
 
 // Timers.
 
-func (n *Node) timers() {
+func (n *Node) runTimers() {
 	for _, seq := range slices.Sorted(maps.Keys(n.probes)) {
-		n.overdue(seq, n.probes[seq])
+		n.checkProbe(seq, n.probes[seq])
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.ended)) { // fixed order, so that runs with the same seed are identical
-		p := n.ended[name]
+	for _, name := range slices.Sorted(maps.Keys(n.notAlive)) { // fixed order, so that runs with the same seed are identical
+		p := n.notAlive[name]
 		switch {
-		case p.State == Suspect && n.now >= p.until:
+		case p.State == Suspect && n.now >= p.failAt:
 			c := p.Claim
 			c.State, c.SuspectedBy = Failed, ""
-			n.become(p, c)
-		case p.State == Failed && n.now-p.Since > n.cfg.KeepFailed, p.State == Left && n.now-p.Since > leftKeep:
-			n.forget(p)
+			n.applyClaim(p, c)
+		case p.State == Failed && n.now-p.Since > n.config.KeepFailed, p.State == Left && n.now-p.Since > leftRetention:
+			n.removePeer(p)
 		}
 	}
-	if n.left {
+	if n.hasLeft {
 		return
 	}
-	if n.now >= n.helloAt && (n.displaced || len(n.ended) == len(n.peers) && len(n.some(1, nil)) == 0) {
-		n.helloAt = n.now + helloEvery + Time(n.rng.Float64()*float64(helloEvery))
-		n.retry(2)
+	if n.now >= n.helloAt && (n.displaced || len(n.notAlive) == len(n.peers) && len(n.randomLive(1, nil)) == 0) {
+		n.helloAt = n.now + joinInterval + Time(n.rng.Float64()*float64(joinInterval))
+		n.sendHellos(2)
 	}
 	if n.displaced {
 		return
 	}
 	if n.now >= n.pingAt {
-		n.pingAt += period
+		n.pingAt += probePeriod
 		if n.pingAt <= n.now {
-			n.pingAt = n.now + period
+			n.pingAt = n.now + probePeriod
 		}
-		n.ping()
+		n.pingNext()
 	}
 	if n.now >= n.gossipAt {
-		n.gossipAt = n.now + gossipEvery
-		for _, p := range n.some(gossipTo, nil) {
-			if m := n.news(&Message{Kind: Gossip, To: p.id()}, p); len(m.Claims) > 0 {
+		n.gossipAt = n.now + gossipInterval
+		for _, p := range n.randomLive(gossipFanout, nil) {
+			if m := n.addUpdates(&Message{Kind: Gossip, To: p.id()}, p); len(m.Claims) > 0 {
 				n.send(p.Addr, m)
 			}
 		}
 	}
-	if n.now >= n.retryAt && n.on(GuardRetry) {
-		n.retryAt = n.now + reconnect/2 + Time(n.rng.Float64()*float64(reconnect))
-		n.retry(1)
+	if n.now >= n.retryAt && n.enabled(GuardRetry) {
+		n.retryAt = n.now + reconnectInterval/2 + Time(n.rng.Float64()*float64(reconnectInterval))
+		n.sendHellos(1)
 	}
 }
 
-// retry sends a Hello to up to k addresses chosen at random from failed peers and from seeds that belong to no
+// sendHellos sends a Hello to up to k addresses chosen at random from failed peers and from seeds that belong to no
 // live peer.
-func (n *Node) retry(k int) {
+func (n *Node) sendHellos(k int) {
 	var addrs []string
 	names := map[string]string{}
-	live := map[string]bool{n.cfg.Addr: true}
-	for _, name := range n.order {
+	live := map[string]bool{n.config.Addr: true}
+	for _, name := range n.pingOrder {
 		p := n.peers[name]
 		names[p.Addr] = name
 		if p.State == Failed && p.Addr != "" {
@@ -827,93 +827,93 @@
 		}
 	}
 	for _, s := range n.seeds {
-		p := n.peers[n.owners[s]]
-		if !live[s] && !slices.Contains(addrs, s) && (p == nil || p.State != Alive) && n.owners[s] != n.cfg.Name {
+		p := n.peers[n.seedOwners[s]]
+		if !live[s] && !slices.Contains(addrs, s) && (p == nil || p.State != Alive) && n.seedOwners[s] != n.config.Name {
 			addrs = append(addrs, s)
 		}
 	}
 	n.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 	for _, a := range addrs[:min(k, len(addrs))] {
 		n.seq++
-		if len(n.greeted) >= greetedMost {
-			clear(n.greeted)
+		if len(n.pendingHellos) >= maxPendingHellos {
+			clear(n.pendingHellos)
 		}
-		n.greeted[n.seq] = a
-		n.act(Action{To: a, Name: names[a], Message: &Message{Kind: Hello, Seq: n.seq}})
+		n.pendingHellos[n.seq] = a
+		n.emit(Action{To: a, Name: names[a], Message: &Message{Kind: Hello, Seq: n.seq}})
 	}
 }
 
-// ping pings the next live peer of the round.
-func (n *Node) ping() {
-	for range n.order {
-		if n.at >= len(n.order) {
-			n.at = 0
-			n.rng.Shuffle(len(n.order), func(i, j int) { n.order[i], n.order[j] = n.order[j], n.order[i] })
+// pingNext pings the next live peer of the round.
+func (n *Node) pingNext() {
+	for range n.pingOrder {
+		if n.nextPing >= len(n.pingOrder) {
+			n.nextPing = 0
+			n.rng.Shuffle(len(n.pingOrder), func(i, j int) { n.pingOrder[i], n.pingOrder[j] = n.pingOrder[j], n.pingOrder[i] })
 		}
-		p := n.peers[n.order[n.at]]
-		n.at++
+		p := n.peers[n.pingOrder[n.nextPing]]
+		n.nextPing++
 		if p.State != Alive && p.State != Suspect {
 			continue
 		}
-		wait := n.patience(p)
+		wait := n.ackTimeout(p)
 		n.seq++
-		n.probes[n.seq] = &probe{target: p.id(), addr: p.Addr, at: n.now, ask: n.now + wait, end: n.now + max(period, (1+askTimes)*wait)}
-		n.send(p.Addr, n.news(&Message{Kind: Ping, Seq: n.seq, To: p.id()}, p))
+		n.probes[n.seq] = &probe{target: p.id(), addr: p.Addr, sentAt: n.now, indirectAt: n.now + wait, failAt: n.now + max(probePeriod, (1+indirectAckMultiple)*wait)}
+		n.send(p.Addr, n.addUpdates(&Message{Kind: Ping, Seq: n.seq, To: p.id()}, p))
 		return
 	}
 }
 
-// patience returns the timeout for a direct answer of p: based on its round-trip times, and longer the more
+// ackTimeout returns the timeout for a direct answer of p: based on its round-trip times, and longer the more
 // this node doubts itself.
-func (n *Node) patience(p *Peer) Time {
-	wait := ackFirst
+func (n *Node) ackTimeout(p *Peer) Time {
+	wait := initialAckTimeout
 	if p.RTT > 0 {
-		wait = max(ackLeast, p.RTT+4*p.variance)
+		wait = max(minAckTimeout, p.RTT+4*p.variance)
 	}
-	return min(wait, ackMost) * Time(1+n.doubt)
+	return min(wait, maxAckTimeout) * Time(1+n.doubt)
 }
 
-// overdue sends indirect pings for a probe whose direct answer is late, and suspects the peer if they bring no
+// checkProbe sends indirect pings for a probe whose direct answer is late, and suspects the peer if they bring no
 // answer either.
-func (n *Node) overdue(seq uint32, q *probe) {
+func (n *Node) checkProbe(seq uint32, q *probe) {
 	p := n.peers[q.target.Name]
-	if q.forAddr != "" || p == nil || p.Epoch != q.target.Epoch || p.State == Failed || p.State == Left {
-		if n.now >= q.end {
+	if q.requesterAddr != "" || p == nil || p.Epoch != q.target.Epoch || p.State == Failed || p.State == Left {
+		if n.now >= q.failAt {
 			delete(n.probes, seq)
 		}
 		return
 	}
-	if p.LastHeard > q.at { // any message shows that it is alive; its answer to this ping may be lost
+	if p.LastHeard > q.sentAt { // any message shows that it is alive; its answer to this ping may be lost
 		delete(n.probes, seq)
 		return
 	}
-	if n.now >= q.ask && !q.asked {
-		q.asked = true
-		q.end = max(q.end, n.now+askTimes*n.patience(p))
-		if n.on(GuardIndirectProbe) {
-			helpers := n.some(askTo, func(o *Peer) bool { return o == p || o.State != Alive || o.Name == p.LastHelper })
+	if n.now >= q.indirectAt && !q.indirectSent {
+		q.indirectSent = true
+		q.failAt = max(q.failAt, n.now+indirectAckMultiple*n.ackTimeout(p))
+		if n.enabled(GuardIndirectProbe) {
+			helpers := n.randomLive(indirectPingPeers, func(o *Peer) bool { return o == p || o.State != Alive || o.Name == p.LastHelper })
 			if v := n.peers[p.LastHelper]; v != nil && v.State == Alive { // the helper that reached it last time
-				helpers = append(helpers[:min(len(helpers), askTo-1)], v)
+				helpers = append(helpers[:min(len(helpers), indirectPingPeers-1)], v)
 			}
 			for _, h := range helpers {
 				n.send(h.Addr, &Message{Kind: PingRequest, Seq: seq, To: h.id(), Target: q.target, TargetAddr: q.addr})
 			}
-			n.act(Action{To: q.addr, Dial: true, Message: &Message{Kind: Ping, Seq: seq, To: q.target}})
+			n.emit(Action{To: q.addr, Dial: true, Message: &Message{Kind: Ping, Seq: seq, To: q.target}})
 		}
 		return
 	}
-	if n.now < q.end {
+	if n.now < q.failAt {
 		return
 	}
 	delete(n.probes, seq)
-	n.doubt = min(n.doubt+1, doubtMost)
-	by := n.cfg.Zone
+	n.doubt = min(n.doubt+1, maxDoubt)
+	by := n.config.Zone
 	if by == "" {
-		by = n.cfg.Name
+		by = n.config.Name
 	}
-	if p.State == Alive || !p.wits[by] {
+	if p.State == Alive || !p.witnesses[by] {
 		c := p.Claim
 		c.State, c.SuspectedBy = Suspect, by
-		n.claimed(c)
+		n.handleClaim(c)
 	}
 }
--- a/internal/fleet/swim/wire.go
+++ b/internal/fleet/swim/wire.go
@@ -113,27 +113,29 @@
 	if err := decoder.Unmarshal(b, m); err != nil {
 		return nil, err
 	}
-	if err := m.check(); err != nil {
+	if err := m.validate(); err != nil {
 		return nil, err
 	}
 	return m, nil
 }
 
-var errBounds = errors.New("swim: a field is out of its bounds")
+var errLimits = errors.New("swim: a field is out of its bounds")
 
-func (m *Message) check() error {
+func (m *Message) validate() error {
 	if m.From.Name == "" || len(m.From.Name) > MaxNameBytes || len(m.To.Name) > MaxNameBytes || len(m.Target.Name) > MaxNameBytes ||
 		len(m.Addr) > MaxAddrBytes || len(m.TargetAddr) > MaxAddrBytes || len(m.Claims) > MaxPeers {
-		return errBounds
+		return errLimits
 	}
 	for i := range m.Claims {
 		c := &m.Claims[i]
 		if c.Name == "" || len(c.Name) > MaxNameBytes || len(c.Addr) > MaxAddrBytes || len(c.Meta) > MaxMetaBytes || len(c.SuspectedBy) > MaxNameBytes {
-			return errBounds
+			return errLimits
 		}
 	}
 	return nil
 }
 
-// size estimates the encoded length of a claim in bytes.
-func (c *Claim) size() int { return 24 + len(c.Name) + len(c.Addr) + len(c.Meta) + len(c.SuspectedBy) }
+// encodedSize estimates the encoded length of a claim in bytes.
+func (c *Claim) encodedSize() int {
+	return 24 + len(c.Name) + len(c.Addr) + len(c.Meta) + len(c.SuspectedBy)
+}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -34,14 +34,14 @@
 }
 
 const (
-	worseAfter = time.Second      // a worse verdict applies once it has lasted this long
-	betterMin  = 2 * time.Second  // a better verdict applies after at least this delay, which doubles with each further improvement
-	betterMax  = 60 * time.Second // maximum of that delay
-	calmAfter  = 60 * time.Second // the delay halves after each such time without a change
-	goneAfter  = 5 * time.Second  // a peer whose process is known to have ended for this long no longer counts
-	heardLate  = 30 * time.Second // a peer not heard directly for longer is known only from others' claims
-	evidence   = 5 * time.Second  // answers of members and of discovery count for this long
-	pauseWords = 10 * time.Second // an own pause is given as a reason for this long
+	degradeDelay          = time.Second      // a worse verdict applies once it has lasted this long
+	minRecoveryDelay      = 2 * time.Second  // a better verdict applies after at least this delay, which doubles with each further improvement
+	maxRecoveryDelay      = 60 * time.Second // maximum of that delay
+	stableTime            = 60 * time.Second // the delay halves after each such time without a change
+	goneDelay             = 5 * time.Second  // a peer whose process is known to have ended for this long no longer counts
+	directContactValidity = 30 * time.Second // a peer not heard directly for longer is known only from others' claims
+	evidenceValidity      = 5 * time.Second  // answers of members and of discovery count for this long
+	pauseReasonTime       = 10 * time.Second // an own pause is given as a reason for this long
 )
 
 // Meta is the metadata that a peer publishes about itself. Fields are added, never changed.
@@ -94,22 +94,22 @@
 
 // View is one gateway's verdict and its hysteresis. It is not safe for concurrent use.
 type View struct {
-	name, zone string
-	status     Status
-	want       Verdict // verdict by the latest counts, without hysteresis
-	wantSince  Time
-	better     Time // how long a better verdict must last at present
-	changed    Time
-	expects    bool // seeds are configured: knowing no peer means being alone
+	name, zone     string
+	status         Status
+	candidate      Verdict // verdict by the latest counts, without hysteresis
+	candidateSince Time
+	recoveryDelay  Time // how long a better verdict must last at present
+	changedAt      Time
+	expectsPeers   bool // seeds are configured: knowing no peer means being alone
 }
 
 // New returns the view of a gateway that knows no peers. If it expects peers its verdict is Alone, else Whole.
 func New(name, zone string, expects bool) *View {
-	v := &View{name: name, zone: zone, expects: expects, better: betterMin, changed: DistantPast}
+	v := &View{name: name, zone: zone, expectsPeers: expects, recoveryDelay: minRecoveryDelay, changedAt: DistantPast}
 	v.status = Status{Verdict: Alone, Number: 1, Reasons: []string{"no peer has been heard from yet"}}
-	v.want, v.wantSince = Alone, 0
+	v.candidate, v.candidateSince = Alone, 0
 	if !expects {
-		v.status.Verdict, v.want = Majority, Majority
+		v.status.Verdict, v.candidate = Majority, Majority
 		v.status.Reasons = []string{"no seeds are configured, so no peers are expected"}
 	}
 	return v
@@ -119,21 +119,21 @@
 func (v *View) Status() Status { return v.status }
 
 // count is the number of gateways reached, of all that may be running.
-type count struct{ here, all int }
+type count struct{ reached, expected int }
 
-func (c count) String() string { return fmt.Sprintf("%d of %d", c.here, c.all) }
+func (c count) String() string { return fmt.Sprintf("%d of %d", c.reached, c.expected) }
 
 // Tally counts gateways reached and expected, by own zone and other zones, this gateway included.
 type Tally struct {
-	own, other count
-	gone       int
+	ownZone, otherZones count
+	ended               int
 }
 
 // NewTally returns a tally of this gateway alone.
-func NewTally() Tally { return Tally{own: count{1, 1}} }
+func NewTally() Tally { return Tally{ownZone: count{1, 1}} }
 
 func (t *Tally) total() count {
-	return count{t.own.here + t.other.here, t.own.all + t.other.all}
+	return count{t.ownZone.reached + t.otherZones.reached, t.ownZone.expected + t.otherZones.expected}
 }
 
 // Count adds a peer of the zone to the tally, as of now. Peers that left are no part of the group, and those
@@ -142,50 +142,50 @@
 	if p.State == swim.Left {
 		return
 	}
-	if p.State == swim.Failed && p.ProcessGone && now-p.Since > goneAfter {
-		t.gone++
+	if p.State == swim.Failed && p.ProcessGone && now-p.Since > goneDelay {
+		t.ended++
 		return
 	}
-	in := &t.other
+	in := &t.otherZones
 	if zone == v.zone {
-		in = &t.own
+		in = &t.ownZone
 	}
-	in.all++
+	in.expected++
 	if p.State == swim.Alive { // a suspect may be running, but is not reached
-		in.here++
+		in.reached++
 	}
 }
 
 // Evaluate updates the verdict from a tally and reports whether it changed. It must be called at least once a
 // second. displaced tells that a later start has this gateway's name.
 func (v *View) Evaluate(now Time, t Tally, displaced bool, e Evidence) bool {
-	total, own, other, gone := t.total(), t.own, t.other, t.gone
+	total, own, other, gone := t.total(), t.ownZone, t.otherZones, t.ended
 	want := Minority
 	switch {
 	case displaced:
 		want = Alone
-	case total.here == 1 && (total.all > 1 || v.expects):
+	case total.reached == 1 && (total.expected > 1 || v.expectsPeers):
 		want = Alone
-	case 2*total.here > total.all:
+	case 2*total.reached > total.expected:
 		want = Majority
 	}
-	if want != v.want {
-		v.want, v.wantSince = want, now
+	if want != v.candidate {
+		v.candidate, v.candidateSince = want, now
 	}
-	if now-v.changed > calmAfter && v.better > betterMin {
-		v.better, v.changed = max(betterMin, v.better/2), now
+	if now-v.changedAt > stableTime && v.recoveryDelay > minRecoveryDelay {
+		v.recoveryDelay, v.changedAt = max(minRecoveryDelay, v.recoveryDelay/2), now
 	}
-	wait := worseAfter
+	wait := degradeDelay
 	if want > v.status.Verdict {
-		wait = v.better
+		wait = v.recoveryDelay
 	}
-	if want == v.status.Verdict || now-v.wantSince < wait {
+	if want == v.status.Verdict || now-v.candidateSince < wait {
 		return false
 	}
-	if want > v.status.Verdict && now-v.changed < calmAfter {
-		v.better = min(2*v.better, betterMax)
+	if want > v.status.Verdict && now-v.changedAt < stableTime {
+		v.recoveryDelay = min(2*v.recoveryDelay, maxRecoveryDelay)
 	}
-	v.changed = now
+	v.changedAt = now
 	v.status = Status{Verdict: want, Number: v.status.Number + 1, Since: now,
 		Reasons: reasons(now, total, own, other, gone, displaced, want, e)}
 	return true
@@ -202,9 +202,9 @@
 	if want == Majority {
 		return why
 	}
-	members, discovery := now-e.Member < evidence, now-e.Discovery < evidence
+	members, discovery := now-e.Member < evidenceValidity, now-e.Discovery < evidenceValidity
 	switch {
-	case now-e.Paused < pauseWords:
+	case now-e.Paused < pauseReasonTime:
 		why = append(why, "this gateway was paused recently: it does not blame peers yet")
 	case members && discovery:
 		why = append(why, "members and discovery answer: the links between gateways are down, or the other gateways failed")
@@ -226,18 +226,18 @@
 	case swim.Left:
 		return 1
 	case swim.Alive:
-		if sure = 0.99; now-p.LastHeard > heardLate {
+		if sure = 0.99; now-p.LastHeard > directContactValidity {
 			sure = 0.8
 		}
 	case swim.Failed:
 		if sure = 0.8; p.ProcessGone {
 			return 0.99
 		}
-		if v.status.Verdict != Majority || v.want != Majority {
+		if v.status.Verdict != Majority || v.candidate != Majority {
 			sure = 0.4
 		}
 	}
-	if p.State != swim.Alive && (e.Doubt > 1 || now-e.Paused < pauseWords) {
+	if p.State != swim.Alive && (e.Doubt > 1 || now-e.Paused < pauseReasonTime) {
 		sure = min(sure, 0.4)
 	}
 	return sure
