--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -14,54 +14,54 @@
 
 // Config is the parsed and validated fleet block of the configuration.
 type Config struct {
-	Name      string // name of the gateway
-	Version   string
-	Listen    string
-	Advertise string
-	Admin     string // address of the admin API; none if empty
-	Seeds     []string
-	SeedFile  string
-	Council   []string // addresses of the council's voters; no council if empty
-	Zone      string
-	Region    string
-	KeyFile   string
-	Keys      *peers.Keys
-	Folder    string // folder that keeps the epoch; none if empty
-	Events    string // path of the events file; none if empty
-	Bytes     int
-	Routes    map[string]string
-	Keep      time.Duration
+	Name       string // name of the gateway
+	Version    string
+	Listen     string
+	Advertise  string
+	Admin      string // address of the admin API; none if empty
+	Seeds      []string
+	SeedFile   string
+	Council    []string // addresses of the council's voters; no council if empty
+	Zone       string
+	Region     string
+	KeyFile    string
+	Keys       *peers.Keys
+	Folder     string // folder that keeps the epoch; none if empty
+	Events     string // path of the events file; none if empty
+	Bytes      int
+	Routes     map[string]string
+	KeepFailed time.Duration
 
 	SignalWait time.Duration // limit of the wait for a permit after a stop signal
 }
 
 const (
-	bytesUsual, bytesLeast, bytesMost = 32 << 10, 4 << 10, 16 << 20
-	seedsMost                         = 64
-	tableBytes                        = 1 << 10 // bytes of memory per peer, with its claims and metadata
-	peersUsual                        = 1024    // number of peers that the memory footprint allows for
-	files                             = 2 + 16 + 8 + 8
+	defaultBytesPerSecond, minBytesPerSecond, maxBytesPerSecond = 32 << 10, 4 << 10, 16 << 20
+	maxSeeds                                                    = 64
+	bytesPerPeer                                                = 1 << 10 // bytes of memory per peer, with its claims and metadata
+	plannedPeers                                                = 1024    // number of peers that the memory footprint allows for
+	maxDescriptors                                              = 2 + 16 + 8 + 8
 )
 
 // ReadConfig parses a fleet block. Faults are recorded in the block.
 func ReadConfig(b *edgeconf.Block) Config {
 	c := Config{
-		Listen:    b.String("listen", ""),
-		Advertise: b.String("advertise", ""),
-		Admin:     b.String("admin", ""),
-		Seeds:     b.Strings("seeds"),
-		SeedFile:  b.FilePath("seed_file"),
-		Council:   b.Strings("council"),
-		Zone:      b.String("zone", ""),
-		Region:    b.String("region", ""),
-		KeyFile:   b.FilePath("key_file"),
-		Folder:    b.FilePath("folder"),
-		Events:    b.FilePath("events"),
-		Bytes:     int(b.Size("bytes_per_second", bytesUsual, bytesLeast, bytesMost)),
-		Keep:      b.Duration("keep_failed", 24*time.Hour, time.Minute, 30*24*time.Hour),
-		Routes:    map[string]string{},
+		Listen:     b.String("listen", ""),
+		Advertise:  b.String("advertise", ""),
+		Admin:      b.String("admin", ""),
+		Seeds:      b.Strings("seeds"),
+		SeedFile:   b.FilePath("seed_file"),
+		Council:    b.Strings("council"),
+		Zone:       b.String("zone", ""),
+		Region:     b.String("region", ""),
+		KeyFile:    b.FilePath("key_file"),
+		Folder:     b.FilePath("folder"),
+		Events:     b.FilePath("events"),
+		Bytes:      int(b.Size("bytes_per_second", defaultBytesPerSecond, minBytesPerSecond, maxBytesPerSecond)),
+		KeepFailed: b.Duration("keep_failed", 24*time.Hour, time.Minute, 30*24*time.Hour),
+		Routes:     map[string]string{},
 
-		SignalWait: b.Duration("signal_wait", drain.SignalWait, 0, time.Minute),
+		SignalWait: b.Duration("signal_wait", drain.DefaultSignalWait, 0, time.Minute),
 	}
 	address := func(in *edgeconf.Block, name, value string, wanted bool) {
 		if value == "" && !wanted {
@@ -88,8 +88,8 @@
 	if len(c.Council) > 7 {
 		b.AddFaultAt("council", "%d voters, want at most 7", len(c.Council))
 	}
-	if len(c.Seeds) > seedsMost {
-		b.AddFaultAt("seeds", "%d seeds, want at most %d", len(c.Seeds), seedsMost)
+	if len(c.Seeds) > maxSeeds {
+		b.AddFaultAt("seeds", "%d seeds, want at most %d", len(c.Seeds), maxSeeds)
 	}
 	if len(c.Zone) > swim.MaxNameBytes || len(c.Region) > swim.MaxNameBytes {
 		b.AddFault("zone or region is longer than %d bytes", swim.MaxNameBytes)
@@ -125,7 +125,7 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		line = strings.TrimSpace(line)
-		if _, _, err := net.SplitHostPort(line); err == nil && line[0] != '#' && len(seeds) < seedsMost {
+		if _, _, err := net.SplitHostPort(line); err == nil && line[0] != '#' && len(seeds) < maxSeeds {
 			seeds = append(seeds, line)
 		}
 	}
@@ -134,5 +134,5 @@
 
 // Footprint returns the most that the fleet component uses: bytes of memory and file descriptors.
 func (c *Config) Footprint() (memory int64, descriptors int) {
-	return peersUsual*tableBytes + int64(2*c.Bytes), files
+	return plannedPeers*bytesPerPeer + int64(2*c.Bytes), maxDescriptors
 }
--- a/internal/fleet/drain/drain.go
+++ b/internal/fleet/drain/drain.go
@@ -15,37 +15,37 @@
 
 // The states.
 const (
-	Serving   State = iota
-	Asking          // waits for a permit; it serves
-	Leaving         // announced to peers and the council; it still serves and accepts connections
-	Draining        // it accepts no connections and answers accepted requests
-	Out             // nothing is in progress
-	Returning       // it accepts connections in growing steps
+	Serving    State = iota
+	Requesting       // waits for a permit; it serves
+	Leaving          // announced to peers and the council; it still serves and accepts connections
+	Draining         // it accepts no connections and answers accepted requests
+	Out              // nothing is in progress
+	Returning        // it accepts connections in growing steps
 )
 
-var names = [...]string{"serving", "asking", "leaving", "draining", "out", "returning"}
+var stateNames = [...]string{"serving", "asking", "leaving", "draining", "out", "returning"}
 
 // String returns the state's name for tables and JSON.
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 // Durations and fractions.
 const (
-	TermUsual   = 5 * time.Minute
-	TermLeast   = 2 * time.Second
-	Notice      = 500 * time.Millisecond // between the announcement and refusing connections, so that peers that send work here learn of it
-	returnFor   = 10 * time.Second       // from the first connections to all
-	returnLeast = 0.1                    // fraction of the connections at first
-	SignalWait  = 400 * time.Millisecond // default limit of the wait for a permit after a stop signal
+	DefaultTerm       = 5 * time.Minute
+	MinTerm           = 2 * time.Second
+	AnnouncementTime  = 500 * time.Millisecond // between the announcement and refusing connections, so that peers that send work here learn of it
+	returnDuration    = 10 * time.Second       // from the first connections to all
+	minReturnFraction = 0.1                    // fraction of the connections at first
+	DefaultSignalWait = 400 * time.Millisecond // default limit of the wait for a permit after a stop signal
 )
 
 // Config is the configuration of a Machine.
 type Config struct {
-	Longest    Time // the longest that a request may take: accepted requests are answered by then
-	SignalWait Time // limit of the wait for a permit after a stop signal
+	LongestRequest Time // the longest that a request may take: accepted requests are answered by then
+	SignalWait     Time // limit of the wait for a permit after a stop signal
 }
 
-// Want is a request to take the gateway out of service.
-type Want struct {
+// Request is a request to take the gateway out of service.
+type Request struct {
 	Reason string
 	Term   Time // of the permit
 	Wait   Time // for the permit
@@ -54,26 +54,26 @@
 
 // Event is an input to Step. Several fields may be set.
 type Event struct {
-	Want    *Want
-	Back    bool   // the gateway is asked to return to service
-	Granted bool   // a permit was granted or renewed
-	Asked   Time   // when the request that this answers was first sent: the term counts from there
-	Fence   uint64 // of the permit
-	Refused string // the council refused: the reason
-	Fenced  bool   // the council knows another fence, or none
-	Recall  bool   // the council recalls it, as too many are out
+	Request     *Request
+	Back        bool   // the gateway is asked to return to service
+	Granted     bool   // a permit was granted or renewed
+	RequestedAt Time   // when the request that this answers was first sent: the term counts from there
+	Fence       uint64 // of the permit
+	Refused     string // the council refused: the reason
+	Fenced      bool   // the council knows another fence, or none
+	Recall      bool   // the council recalls it, as too many are out
 }
 
-// Act holds the actions that the caller has to carry out.
-type Act struct {
-	Acquire  Time // request a permit of this term; 0 = no action
-	Renew    Time // renew the permit for this term; 0 = no action
-	GiveBack bool
-	Stop     bool    // cancel the request in progress
-	Tell     bool    // report the state to peers and the council now
-	Part     float64 // fraction of the permitted connections that may be open; below 0: unchanged
-	Changed  bool    // the state changed
-	Failed   string  // the request was not granted: the reason
+// Actions holds the actions that the caller has to carry out.
+type Actions struct {
+	Acquire            Time // request a permit of this term; 0 = no action
+	Renew              Time // renew the permit for this term; 0 = no action
+	GiveBack           bool
+	CancelRequest      bool    // cancel the request in progress
+	Announce           bool    // report the state to peers and the council now
+	ConnectionFraction float64 // fraction of the permitted connections that may be open; below 0: unchanged
+	Changed            bool    // the state changed
+	Failure            string  // the request was not granted: the reason
 }
 
 // Status describes a machine to operators.
@@ -90,21 +90,21 @@
 
 // Machine is one gateway's drain state. It is not safe for concurrent use.
 type Machine struct {
-	cfg                     Config
-	state                   State
-	since                   Time
-	want                    Want
-	until                   Time // end of the permit by this clock; 0 = none
-	fence                   uint64
-	give                    Time // when the request is abandoned
-	part                    float64
-	asked                   bool // a renewal is in progress
-	why                     string
-	Unasked, Recalls, Ended int
+	config                                      Config
+	state                                       State
+	since                                       Time
+	request                                     Request
+	permitUntil                                 Time // end of the permit by this clock; 0 = none
+	fence                                       uint64
+	abandonAt                                   Time // when the request is abandoned
+	connectionFraction                          float64
+	renewing                                    bool // a renewal is in progress
+	lastRefusal                                 string
+	StopsWithoutPermit, Recalls, ExpiredPermits int
 }
 
 // New returns the machine of a gateway that serves.
-func New(c Config) *Machine { return &Machine{cfg: c, part: 1} }
+func New(c Config) *Machine { return &Machine{config: c, connectionFraction: 1} }
 
 // State returns the gateway's state.
 func (m *Machine) State() State { return m.state }
@@ -113,118 +113,120 @@
 func (m *Machine) Fence() uint64 { return m.fence }
 
 // Signalled reports whether the process is about to end.
-func (m *Machine) Signalled() bool { return m.want.Signal }
+func (m *Machine) Signalled() bool { return m.request.Signal }
 
-// Away reports whether peers should send work elsewhere.
-func (m *Machine) Away() bool { return m.state == Leaving || m.state == Draining || m.state == Out }
+// ShouldDivert reports whether peers should send work elsewhere.
+func (m *Machine) ShouldDivert() bool {
+	return m.state == Leaving || m.state == Draining || m.state == Out
+}
 
 // Status returns the machine's status.
 func (m *Machine) Status(now Time) Status {
-	s := Status{State: m.state.String(), Fence: m.fence, Reason: m.want.Reason, LastRefusal: m.why, StopsWithoutPermit: m.Unasked, Recalls: m.Recalls, ExpiredPermits: m.Ended}
+	s := Status{State: m.state.String(), Fence: m.fence, Reason: m.request.Reason, LastRefusal: m.lastRefusal, StopsWithoutPermit: m.StopsWithoutPermit, Recalls: m.Recalls, ExpiredPermits: m.ExpiredPermits}
 	if m.fence != 0 {
-		s.LeftMs = (m.until - now).Milliseconds()
+		s.LeftMs = (m.permitUntil - now).Milliseconds()
 	}
 	return s
 }
 
-func (m *Machine) enter(now Time, s State, a *Act) {
+func (m *Machine) enter(now Time, s State, a *Actions) {
 	if m.state != s {
 		m.state, m.since = s, now
-		a.Changed, a.Tell = true, true
+		a.Changed, a.Announce = true, true
 	}
 }
 
 // Step applies an event at time now and returns the resulting actions. busy is the number of open connections
 // and requests in progress. It must be called at least every 100 ms.
-func (m *Machine) Step(now Time, e Event, busy int) Act {
-	a := Act{Part: -1}
-	if w := e.Want; w != nil {
+func (m *Machine) Step(now Time, e Event, busy int) Actions {
+	a := Actions{ConnectionFraction: -1}
+	if w := e.Request; w != nil {
 		switch {
 		case m.state == Serving:
-			m.want, m.why = *w, ""
+			m.request, m.lastRefusal = *w, ""
 			if w.Signal {
-				m.want.Wait = m.cfg.SignalWait
+				m.request.Wait = m.config.SignalWait
 			}
-			m.give = now + m.want.Wait
-			m.enter(now, Asking, &a)
+			m.abandonAt = now + m.request.Wait
+			m.enter(now, Requesting, &a)
 			a.Acquire = w.Term
 		case w.Signal && m.fence != 0: // it is out, or about to be, under a permit already
-			m.want.Signal = true
+			m.request.Signal = true
 		case w.Signal:
-			m.Unasked++
-			m.want.Signal = true
+			m.StopsWithoutPermit++
+			m.request.Signal = true
 			m.enter(now, Leaving, &a)
 		default:
-			a.Failed = "the gateway is " + m.state.String() + " already"
+			a.Failure = "the gateway is " + m.state.String() + " already"
 		}
 	}
-	if e.Granted && (m.state == Asking || m.fence != 0) {
-		m.asked = false
-		m.until = e.Asked + m.want.Term
+	if e.Granted && (m.state == Requesting || m.fence != 0) {
+		m.renewing = false
+		m.permitUntil = e.RequestedAt + m.request.Term
 		m.fence = e.Fence
-		if m.state == Asking {
+		if m.state == Requesting {
 			m.enter(now, Leaving, &a)
 		}
 	} else if e.Granted { // too late: the request was abandoned
 		m.fence = e.Fence
 		a.GiveBack = true
 	}
-	if e.Refused != "" && m.state == Asking {
-		m.why = e.Refused
-		a.Acquire = m.want.Term // retry until the wait is over
+	if e.Refused != "" && m.state == Requesting {
+		m.lastRefusal = e.Refused
+		a.Acquire = m.request.Term // retry until the wait is over
 	}
-	if e.Refused != "" && m.asked {
-		m.asked = false
+	if e.Refused != "" && m.renewing {
+		m.renewing = false
 	}
-	if m.state == Asking && now >= m.give {
-		a.Acquire, a.Stop = 0, true
-		if m.why == "" {
-			m.why = "the council did not answer in time"
+	if m.state == Requesting && now >= m.abandonAt {
+		a.Acquire, a.CancelRequest = 0, true
+		if m.lastRefusal == "" {
+			m.lastRefusal = "the council did not answer in time"
 		}
-		if m.want.Signal {
-			m.Unasked++
+		if m.request.Signal {
+			m.StopsWithoutPermit++
 			m.enter(now, Leaving, &a)
 		} else {
-			a.Failed = m.why
+			a.Failure = m.lastRefusal
 			m.enter(now, Serving, &a)
 		}
 	}
-	if !m.want.Signal && m.Away() {
+	if !m.request.Signal && m.ShouldDivert() {
 		switch {
 		case e.Recall:
 			m.Recalls++
-			m.back(now, &a)
-		case e.Fenced || m.fence != 0 && now >= m.until: // the council no longer counts it as out, so it must return
-			m.Ended++
+			m.startReturn(now, &a)
+		case e.Fenced || m.fence != 0 && now >= m.permitUntil: // the council no longer counts it as out, so it must return
+			m.ExpiredPermits++
 			m.fence = 0
-			m.back(now, &a)
+			m.startReturn(now, &a)
 		case e.Back:
-			m.back(now, &a)
-		case m.fence != 0 && !m.asked && now >= m.until-m.want.Term/2:
-			m.asked = true
-			a.Renew = m.want.Term
+			m.startReturn(now, &a)
+		case m.fence != 0 && !m.renewing && now >= m.permitUntil-m.request.Term/2:
+			m.renewing = true
+			a.Renew = m.request.Term
 		}
 	}
-	if e.Back && m.state == Asking {
-		a.Stop, a.Acquire, a.Failed = true, 0, "the gateway was called back while it waited for a permit"
+	if e.Back && m.state == Requesting {
+		a.CancelRequest, a.Acquire, a.Failure = true, 0, "the gateway was called back while it waited for a permit"
 		m.enter(now, Serving, &a)
 	}
 	switch m.state {
 	case Leaving:
-		if now-m.since >= Notice {
+		if now-m.since >= AnnouncementTime {
 			m.enter(now, Draining, &a)
-			a.Part, m.part = 0, 0
+			a.ConnectionFraction, m.connectionFraction = 0, 0
 		}
 	case Draining:
-		if busy == 0 || now-m.since >= m.cfg.Longest {
+		if busy == 0 || now-m.since >= m.config.LongestRequest {
 			m.enter(now, Out, &a)
 		}
 	case Returning:
-		if p := min(1, returnLeast+(1-returnLeast)*float64(now-m.since)/float64(returnFor)); p > m.part+0.02 || p >= 1 && m.part < 1 {
-			m.part = p
-			a.Part = p
+		if p := min(1, minReturnFraction+(1-minReturnFraction)*float64(now-m.since)/float64(returnDuration)); p > m.connectionFraction+0.02 || p >= 1 && m.connectionFraction < 1 {
+			m.connectionFraction = p
+			a.ConnectionFraction = p
 		}
-		if m.part >= 1 {
+		if m.connectionFraction >= 1 {
 			m.enter(now, Serving, &a)
 			if m.fence != 0 {
 				a.GiveBack = true
@@ -234,12 +236,12 @@
 	return a
 }
 
-func (m *Machine) back(now Time, a *Act) {
-	m.asked = false
+func (m *Machine) startReturn(now Time, a *Actions) {
+	m.renewing = false
 	m.enter(now, Returning, a)
-	a.Stop = true
-	m.part = 0
+	a.CancelRequest = true
+	m.connectionFraction = 0
 }
 
-// Given records that the permit was returned, or that the council knows none.
-func (m *Machine) Given() { m.fence = 0 }
+// PermitReturned records that the permit was returned, or that the council knows none.
+func (m *Machine) PermitReturned() { m.fence = 0 }
--- a/internal/fleet/drain/drain_test.go
+++ b/internal/fleet/drain/drain_test.go
@@ -12,7 +12,7 @@
 // by itself once nobody renews its permit.
 func TestSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(Config{Longest: 3 * time.Second, SignalWait: SignalWait})
+		m := New(Config{LongestRequest: 3 * time.Second, SignalWait: DefaultSignalWait})
 		now, busy := Time(0), 3
 		var asked *Time // an ask under way, first sent then
 		var renew bool
@@ -26,7 +26,7 @@
 			var e Event
 			switch rapid.IntRange(0, 60).Draw(t, "event") {
 			case 0:
-				e.Want = &Want{Reason: "r", Term: 6 * time.Second, Wait: 2 * time.Second}
+				e.Request = &Request{Reason: "r", Term: 6 * time.Second, Wait: 2 * time.Second}
 			case 1:
 				e.Back = true
 			case 2:
@@ -41,10 +41,10 @@
 			case 5:
 				if !signalled && rapid.IntRange(0, 5).Draw(t, "signal") == 0 {
 					signalled = true
-					e.Want = &Want{Reason: "signal", Term: time.Minute, Signal: true}
+					e.Request = &Request{Reason: "signal", Term: time.Minute, Signal: true}
 				}
 			}
-			if asked != nil && alive && e.Want == nil && rapid.Bool().Draw(t, "answers") {
+			if asked != nil && alive && e.Request == nil && rapid.Bool().Draw(t, "answers") {
 				switch {
 				case renew && council != m.Fence(), !renew && rapid.IntRange(0, 3).Draw(t, "refused") == 0:
 					e.Refused = "others are out"
@@ -53,7 +53,7 @@
 						fence++
 						council = fence
 					}
-					e.Granted, e.Asked, e.Fence = true, *asked, council
+					e.Granted, e.RequestedAt, e.Fence = true, *asked, council
 				}
 				asked = nil
 			}
@@ -62,7 +62,7 @@
 			}
 			was := m.State()
 			a := m.Step(now, e, busy)
-			if a.Stop {
+			if a.CancelRequest {
 				asked = nil
 			}
 			if a.Acquire > 0 || a.Renew > 0 {
@@ -70,28 +70,28 @@
 				asked, renew = &at, a.Renew > 0
 			}
 			if e.Granted && m.Fence() == e.Fence {
-				until = e.Asked + m.want.Term
+				until = e.RequestedAt + m.request.Term
 			}
 			if a.GiveBack {
 				if council == m.Fence() {
 					council = 0
 				}
-				m.Given()
+				m.PermitReturned()
 			}
 			if was != Leaving && m.State() == Leaving {
 				toldAt = now
-				if !a.Tell {
+				if !a.Announce {
 					t.Fatal("it leaves and tells nobody")
 				}
 			}
-			if a.Part >= 0 {
-				if a.Part == 0 {
+			if a.ConnectionFraction >= 0 {
+				if a.ConnectionFraction == 0 {
 					shutSince = now
-					if now-toldAt < Notice {
+					if now-toldAt < AnnouncementTime {
 						t.Fatalf("its door is shut %v after the word", now-toldAt)
 					}
 				}
-				part = a.Part
+				part = a.ConnectionFraction
 			}
 			if part == 0 && !signalled && (m.Fence() == 0 || now > until+100*time.Millisecond) {
 				t.Fatalf("at %v its door is shut without a permit that holds (fence %d until %v, state %v)", now, m.Fence(), until, m.State())
@@ -107,7 +107,7 @@
 			} else if m.State() != Returning {
 				back = -1
 			}
-			if back >= 0 && now-back > returnFor+time.Second {
+			if back >= 0 && now-back > returnDuration+time.Second {
 				t.Fatal("it does not come back")
 			}
 			if s := m.Status(now); s.State == "" {
--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -11,7 +11,7 @@
 
 const epochFile = "epoch"
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // readEpoch returns the last epoch that was stored in the folder, 0 if none.
 func readEpoch(dir string) (uint64, error) {
@@ -24,13 +24,13 @@
 	}
 	var epoch uint64
 	var sum uint32
-	if _, err := fmt.Sscanf(string(text), "1 %d %08x\n", &epoch, &sum); err != nil || sum != epochSum(epoch) {
+	if _, err := fmt.Sscanf(string(text), "1 %d %08x\n", &epoch, &sum); err != nil || sum != epochChecksum(epoch) {
 		return 0, fmt.Errorf("%s: %.40q found, want form 1, a number and its checksum", filepath.Join(dir, epochFile), text)
 	}
 	return epoch, nil
 }
 
-func epochSum(epoch uint64) uint32 { return crc32.Checksum(fmt.Append(nil, epoch), table) }
+func epochChecksum(epoch uint64) uint32 { return crc32.Checksum(fmt.Append(nil, epoch), crcTable) }
 
 // writeEpoch stores an epoch atomically: after a power failure the file holds either the old epoch or the new
 // one.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(f, "1 %d %08x\n", epoch, epochSum(epoch))
+	_, err = fmt.Fprintf(f, "1 %d %08x\n", epoch, epochChecksum(epoch))
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err != nil {
 		return err
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	eventsMost  = 8 << 20 // maximum size in bytes; then the file becomes FILE.old and a new one begins
-	eventsQueue = 1024
+	maxEventsBytes = 8 << 20 // maximum size in bytes; then the file becomes FILE.old and a new one begins
+	eventQueueSize = 1024
 )
 
 // eventLog writes events from its own goroutine. A nil eventLog does nothing.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &eventLog{path: path, queue: make(chan Event, eventsQueue), done: make(chan struct{})}
+	l := &eventLog{path: path, queue: make(chan Event, eventQueueSize), done: make(chan struct{})}
 	go l.run(f)
 	return l, nil
 }
@@ -65,7 +65,7 @@
 		if err != nil {
 			l.Dropped.Add(1)
 		}
-		if size += int64(n); size < eventsMost {
+		if size += int64(n); size < maxEventsBytes {
 			continue
 		}
 		if os.Rename(l.path, l.path+".old") == nil {
@@ -78,8 +78,8 @@
 	_ = f.Close()
 }
 
-// put queues an event, or drops and counts it if the queue is full. It never blocks.
-func (l *eventLog) put(e Event) {
+// enqueue queues an event, or drops and counts it if the queue is full. It never blocks.
+func (l *eventLog) enqueue(e Event) {
 	if l == nil {
 		return
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -30,13 +30,13 @@
 )
 
 const (
-	tick       = 100 * time.Millisecond
-	asksMost   = 64 // functions queued for the owner goroutine
-	adminWait  = 2 * time.Second
-	sawMost    = 256 // observations queued for the owner goroutine; further ones are dropped and counted
-	seedsEvery = 5 * time.Second
-	shareEvery = time.Second
-	shareStep  = 0.05 // increase of a quota that is passed on to the gateway
+	tickInterval          = 100 * time.Millisecond
+	maxQueuedCalls        = 64 // functions queued for the owner goroutine
+	adminTimeout          = 2 * time.Second
+	maxQueuedObservations = 256 // observations queued for the owner goroutine; further ones are dropped and counted
+	seedsInterval         = 5 * time.Second
+	quotaInterval         = time.Second
+	quotaStep             = 0.05 // increase of a quota that is passed on to the gateway
 )
 
 // Gateway is what the fleet component needs of the gateway. Its methods must not block.
@@ -76,41 +76,41 @@
 
 // Fleet is a running fleet component.
 type Fleet struct {
-	conf       Config
-	deps       Deps
-	log        *slog.Logger
-	net        *peers.Sockets
-	group      *group.Group // owned by the run goroutine
-	begin      time.Time
-	epoch      uint64
-	number     uint64
-	events     *eventLog
-	saw        chan group.MemberObservation
-	asks       chan func()
-	stop       chan struct{}
-	ended      chan struct{}
-	admin      *http.Server
-	seeds      []string
-	parts      [quota.BudgetCount]float64
-	subscribed *subscribe.Subscription
-	drain      *drain.Machine
-	asker      subscribe.PermitRequester
-	waits      []func(drain.Status, string) // called when a requested drain ends or changes state
-	part       float64                      // fraction of the connections that may be open
-	counts     subscribe.Counts
-	seen       []subscribe.MemberReport
-	tried      []subscribe.ZoneAttempts
-	zones      zones
-	drains     map[string]time.Duration // members permitted to go out, and until when by this clock
-	leaves     bool
-	grantedAt  uint64 // log index below which updates may not reflect the latest grant
-
-	member, discovery atomic.Int64 // times of the last answers, on the fleet's clock
-	hot               atomic.Pointer[map[string]bool]
-	dropped           atomic.Int64
-	once              sync.Once
-
-	suspects, looks logthrottle.Line
+	config             Config
+	deps               Deps
+	log                *slog.Logger
+	sockets            *peers.Sockets
+	group              *group.Group // owned by the run goroutine
+	startedAt          time.Time
+	epoch              uint64
+	eventNumber        uint64
+	events             *eventLog
+	observations       chan group.MemberObservation
+	calls              chan func()
+	stop               chan struct{}
+	stopped            chan struct{}
+	admin              *http.Server
+	seeds              []string
+	quotas             [quota.BudgetCount]float64
+	subscription       *subscribe.Subscription
+	drain              *drain.Machine
+	permitRequester    subscribe.PermitRequester
+	drainWaiters       []func(drain.Status, string) // called when a requested drain ends or changes state
+	connectionFraction float64                      // fraction of the connections that may be open
+	counts             subscribe.Counts
+	memberReports      []subscribe.MemberReport
+	zoneAttempts       []subscribe.ZoneAttempts
+	zones              zonePlan
+	memberDrains       map[string]time.Duration // members permitted to go out, and until when by this clock
+	leaving            bool
+	grantIndex         uint64 // log index below which updates may not reflect the latest grant
+
+	memberAnswered, discoveryAnswered atomic.Int64 // times of the last answers, on the fleet's clock
+	reportedMembers                   atomic.Pointer[map[string]bool]
+	droppedObservations               atomic.Int64
+	closeOnce                         sync.Once
+
+	suspectLog, probeLog logthrottle.Line
 }
 
 // Start opens the sockets and starts the component.
@@ -128,52 +128,52 @@
 			d.Log.Warn("fleet epoch file not readable, a new epoch is derived from the clock", "err", err)
 		}
 	}
-	f := &Fleet{conf: c, deps: d, log: d.Log, begin: time.Now(), saw: make(chan group.MemberObservation, sawMost), asks: make(chan func(), asksMost),
-		stop: make(chan struct{}), ended: make(chan struct{})}
+	f := &Fleet{config: c, deps: d, log: d.Log, startedAt: time.Now(), observations: make(chan group.MemberObservation, maxQueuedObservations), calls: make(chan func(), maxQueuedCalls),
+		stop: make(chan struct{}), stopped: make(chan struct{})}
 	f.epoch = group.NewEpoch(d.Wall().UnixMilli(), uint16(rand.Uint32()), last)
-	f.keepEpoch()
-	f.member.Store(int64(view.DistantPast))
-	f.discovery.Store(int64(view.DistantPast))
-	f.hot.Store(&map[string]bool{})
-	for i := range f.parts {
-		f.parts[i] = 1
+	f.storeEpoch()
+	f.memberAnswered.Store(int64(view.DistantPast))
+	f.discoveryAnswered.Store(int64(view.DistantPast))
+	f.reportedMembers.Store(&map[string]bool{})
+	for i := range f.quotas {
+		f.quotas[i] = 1
 	}
 	var err error
 	if f.events, err = newEventLog(c.Events); err != nil {
 		return nil, fmt.Errorf("events: %w", err)
 	}
-	if f.net, err = peers.Listen(peers.Config{Listen: c.Listen, Advertise: c.Advertise, Keys: c.Keys, BytesPerSecond: c.Bytes, Routes: c.Routes}, d.Log); err != nil {
+	if f.sockets, err = peers.Listen(peers.Config{Listen: c.Listen, Advertise: c.Advertise, Keys: c.Keys, BytesPerSecond: c.Bytes, Routes: c.Routes}, d.Log); err != nil {
 		return nil, err
 	}
 	f.seeds = f.allSeeds()
 	f.group = group.New(group.Config{Region: c.Region, Version: c.Version, Started: 0,
-		Swim: swim.Config{Name: c.Name, Addr: f.net.AdvertisedAddr(), Zone: c.Zone, Epoch: f.epoch, Seeds: f.seeds, Seed: rand.Uint64(), KeepFailed: c.Keep}})
+		Swim: swim.Config{Name: c.Name, Addr: f.sockets.AdvertisedAddr(), Zone: c.Zone, Epoch: f.epoch, Seeds: f.seeds, Seed: rand.Uint64(), KeepFailed: c.KeepFailed}})
 	if err := f.listenAdmin(); err != nil {
-		f.net.Close()
+		f.sockets.Close()
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	f.event(Event{Kind: "start"})
-	f.subscribed = subscribe.New()
-	f.drain = drain.New(drain.Config{Longest: d.Longest, SignalWait: c.SignalWait})
-	f.part = 1
-	f.log.Info("fleet begins", "name", c.Name, "epoch", f.epoch, "listen", c.Listen, "advertise", f.net.AdvertisedAddr(), "seeds", len(f.seeds))
+	f.logEvent(Event{Kind: "start"})
+	f.subscription = subscribe.New()
+	f.drain = drain.New(drain.Config{LongestRequest: d.Longest, SignalWait: c.SignalWait})
+	f.connectionFraction = 1
+	f.log.Info("fleet begins", "name", c.Name, "epoch", f.epoch, "listen", c.Listen, "advertise", f.sockets.AdvertisedAddr(), "seeds", len(f.seeds))
 	go f.run()
 	return f, nil
 }
 
-func (f *Fleet) keepEpoch() {
-	if f.conf.Folder == "" {
+func (f *Fleet) storeEpoch() {
+	if f.config.Folder == "" {
 		return
 	}
-	if err := writeEpoch(f.conf.Folder, f.epoch); err != nil {
+	if err := writeEpoch(f.config.Folder, f.epoch); err != nil {
 		f.log.Warn("fleet epoch not kept", "err", err)
 	}
 }
 
 func (f *Fleet) allSeeds() []string {
-	seeds := slices.Clone(f.conf.Seeds)
-	if f.conf.SeedFile != "" {
-		more, err := readSeeds(f.conf.SeedFile)
+	seeds := slices.Clone(f.config.Seeds)
+	if f.config.SeedFile != "" {
+		more, err := readSeeds(f.config.SeedFile)
 		if err != nil {
 			f.log.Warn("fleet seeds not read, the old ones hold", "err", err)
 			return f.seeds
@@ -186,78 +186,78 @@
 	return seeds
 }
 
-func (f *Fleet) now() time.Duration { return time.Since(f.begin) }
+func (f *Fleet) now() time.Duration { return time.Since(f.startedAt) }
 
 // run is the goroutine that owns the group and all fields that are not safe for concurrent use.
 func (f *Fleet) run() {
-	defer close(f.ended)
-	t := time.NewTicker(tick)
+	defer close(f.stopped)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	var seedsAt, shareAt, reportAt time.Duration
 	for {
 		select {
 		case <-f.stop:
-			f.leaves = true
+			f.leaving = true
 			f.report(f.now())
-			f.carry(f.group.Step(f.now(), group.Event{Leave: true}))
-			f.event(Event{Kind: "leave"})
+			f.perform(f.group.Step(f.now(), group.Event{Leave: true}))
+			f.logEvent(Event{Kind: "leave"})
 			return
-		case m := <-f.net.Received():
+		case m := <-f.sockets.Received():
 			if len(m.Frame) > 1 && m.Frame[0] == subscribe.FrameUpdate {
-				f.told(m.Frame[1:])
+				f.handleUpdate(m.Frame[1:])
 				continue
 			}
 			if len(m.Frame) > 1 && m.Frame[0] == subscribe.FramePermitAnswer {
-				f.got(m.Frame[1:])
+				f.handlePermitAnswer(m.Frame[1:])
 				continue
 			}
-			f.carry(f.group.Step(f.now(), group.Event{Frame: m.Frame, Stream: m.Stream, Refused: m.RefusedAddr}))
-		case s := <-f.saw:
+			f.perform(f.group.Step(f.now(), group.Event{Frame: m.Frame, Stream: m.Stream, Refused: m.RefusedAddr}))
+		case s := <-f.observations:
 			if !s.Quiet && !s.Looked {
-				f.event(Event{Kind: "member", Member: s.Member, State: s.Kind.String()})
+				f.logEvent(Event{Kind: "member", Member: s.Member, State: s.Kind.String()})
 			}
-			f.carry(f.group.Step(f.now(), group.Event{Saw: &s}))
-		case ask := <-f.asks:
+			f.perform(f.group.Step(f.now(), group.Event{Saw: &s}))
+		case ask := <-f.calls:
 			ask()
 		case <-t.C:
 			now := f.now()
-			f.group.SetLastAnswers(time.Duration(f.member.Load()), time.Duration(f.discovery.Load()))
+			f.group.SetLastAnswers(time.Duration(f.memberAnswered.Load()), time.Duration(f.discoveryAnswered.Load()))
 			if f.deps.Load != nil {
 				f.group.SetLoad(f.deps.Load())
 			}
-			f.carry(f.group.Step(now))
+			f.perform(f.group.Step(now))
 			if now >= seedsAt {
-				seedsAt = now + seedsEvery
+				seedsAt = now + seedsInterval
 				if s := f.allSeeds(); !slices.Equal(s, f.seeds) {
 					f.seeds = s
-					f.carry(f.group.Step(now, group.Event{Seeds: s}))
+					f.perform(f.group.Step(now, group.Event{Seeds: s}))
 				}
-				f.warm()
+				f.updateReportedMembers()
 			}
-			if now >= reportAt && len(f.conf.Council) > 0 {
+			if now >= reportAt && len(f.config.Council) > 0 {
 				reportAt = now + subscribe.ReportInterval
 				f.report(now)
 			}
-			f.drained(now, drain.Event{})
-			f.zonesEnd(now)
+			f.stepDrain(now, drain.Event{})
+			f.expirePlan(now)
 			if now >= shareAt && f.deps.Gateway != nil {
-				shareAt = now + shareEvery
-				f.share(now)
+				shareAt = now + quotaInterval
+				f.updateQuotas(now)
 			}
 		}
 	}
 }
 
-// share passes the quotas to the gateway and records what it used.
-func (f *Fleet) share(now time.Duration) {
-	for i := range f.parts {
-		if p := f.group.Ledger.Quota(now, i); p < f.parts[i] || p > f.parts[i]+shareStep {
-			f.parts[i] = p // decreases apply at once, increases in steps
+// updateQuotas passes the quotas to the gateway and records what it used.
+func (f *Fleet) updateQuotas(now time.Duration) {
+	for i := range f.quotas {
+		if p := f.group.Ledger.Quota(now, i); p < f.quotas[i] || p > f.quotas[i]+quotaStep {
+			f.quotas[i] = p // decreases apply at once, increases in steps
 		}
 	}
-	f.deps.Gateway.SetQuotas(f.parts, func(used [quota.BudgetCount]float64) {
+	f.deps.Gateway.SetQuotas(f.quotas, func(used [quota.BudgetCount]float64) {
 		select {
-		case f.asks <- func() {
+		case f.calls <- func() {
 			for i, u := range used {
 				f.group.Ledger.RecordUse(i, u)
 			}
@@ -267,42 +267,42 @@
 	})
 }
 
-// warm updates the set of members that have reports: answers of other members need not be recorded.
-func (f *Fleet) warm() {
+// updateReportedMembers updates the set of members that have reports: answers of other members need not be recorded.
+func (f *Fleet) updateReportedMembers() {
 	hot := map[string]bool{}
 	for _, m := range f.group.Book.Members() {
 		hot[m] = true
 	}
-	if len(hot) > 0 || len(*f.hot.Load()) > 0 {
-		f.hot.Store(&hot)
+	if len(hot) > 0 || len(*f.reportedMembers.Load()) > 0 {
+		f.reportedMembers.Store(&hot)
 	}
 }
 
-// carry carries out the group's actions.
-func (f *Fleet) carry(acts []group.Action) {
+// perform carries out the group's actions.
+func (f *Fleet) perform(acts []group.Action) {
 	for i := range acts {
 		a := &acts[i]
 		switch {
 		case a.Frame != nil && a.Stream != 0:
-			f.net.Reply(a.Stream, a.To, a.Frame, a.Spare)
+			f.sockets.Reply(a.Stream, a.To, a.Frame, a.Spare)
 		case a.Frame != nil:
-			f.net.Send(a.Name, a.To, a.Frame, a.Dial, a.Spare)
+			f.sockets.Send(a.Name, a.To, a.Frame, a.Dial, a.Spare)
 		case a.Change != nil:
-			f.change(a.Change)
+			f.handleChange(a.Change)
 		case a.Verdict:
 			s := f.group.View.Status()
 			f.log.Info("fleet verdict", "verdict", s.Verdict.String(), "number", s.Number, "reasons", s.Reasons)
-			f.event(Event{Kind: "verdict", State: s.Verdict.String(), Reasons: s.Reasons})
+			f.logEvent(Event{Kind: "verdict", State: s.Verdict.String(), Reasons: s.Reasons})
 		case a.Advice != nil:
 			v := a.Advice
 			if v.Look {
-				f.looks.Info(f.log, "fleet has members looked at", "member", v.Member, "witnesses", v.Witnesses)
-				f.event(Event{Kind: "look", Member: v.Member})
+				f.probeLog.Info(f.log, "fleet has members looked at", "member", v.Member, "witnesses", v.Witnesses)
+				f.logEvent(Event{Kind: "look", Member: v.Member})
 				hot := map[string]bool{v.Member: true}
-				for m := range *f.hot.Load() {
+				for m := range *f.reportedMembers.Load() {
 					hot[m] = true
 				}
-				f.hot.Store(&hot)
+				f.reportedMembers.Store(&hot)
 			}
 			if f.deps.Gateway != nil {
 				f.deps.Gateway.ApplyAdvice(v.Member, v.Look, v.Try, v.Guess)
@@ -311,78 +311,78 @@
 	}
 }
 
-func (f *Fleet) change(c *swim.Change) {
+func (f *Fleet) handleChange(c *swim.Change) {
 	switch {
 	case c.PausedFor > 0:
 		f.log.Warn("this gateway was stopped a while", "span", c.PausedFor)
-		f.event(Event{Kind: "paused", For: int64(c.PausedFor)})
+		f.logEvent(Event{Kind: "paused", For: int64(c.PausedFor)})
 	case c.Displaced:
-		f.log.Error("another gateway has this name", "name", f.conf.Name, "its_epoch", c.Peer.Epoch, "its_address", c.Peer.Addr)
-		f.event(Event{Kind: "displaced", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch})
+		f.log.Error("another gateway has this name", "name", f.config.Name, "its_epoch", c.Peer.Epoch, "its_address", c.Peer.Addr)
+		f.logEvent(Event{Kind: "displaced", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch})
 	case c.NewEpoch != 0:
 		f.epoch = c.NewEpoch
-		f.keepEpoch()
+		f.storeEpoch()
 		f.log.Info("fleet epoch is new", "epoch", c.NewEpoch)
-		f.event(Event{Kind: "epoch"})
+		f.logEvent(Event{Kind: "epoch"})
 	case c.PreviousState == c.Peer.State:
 	default:
 		was := ""
 		if c.PreviousState != 0 {
 			was = c.PreviousState.String()
 		}
-		f.event(Event{Kind: "peer", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch, State: c.Peer.State.String(), PreviousState: was})
+		f.logEvent(Event{Kind: "peer", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch, State: c.Peer.State.String(), PreviousState: was})
 		if c.Peer.State == swim.Suspect || c.PreviousState == swim.Suspect && c.Peer.State == swim.Alive {
-			f.suspects.Info(f.log, "fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", was)
+			f.suspectLog.Info(f.log, "fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", was)
 			return
 		}
 		f.log.Info("fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", was, "epoch", c.Peer.Epoch)
 	}
 }
 
-func (f *Fleet) event(e Event) {
+func (f *Fleet) logEvent(e Event) {
 	if f.events == nil {
 		return
 	}
-	f.number++
-	e.Name, e.Epoch, e.Number, e.MonoNs, e.WallNs = f.conf.Name, f.epoch, f.number, int64(f.now()), f.deps.Wall().UnixNano()
-	f.events.put(e)
+	f.eventNumber++
+	e.Name, e.Epoch, e.Number, e.MonoNs, e.WallNs = f.config.Name, f.epoch, f.eventNumber, int64(f.now()), f.deps.Wall().UnixNano()
+	f.events.enqueue(e)
 }
 
 // Observations of the gateway. These methods may be called from any goroutine and never block.
 
 // RecordObservation records what the gateway itself concluded about a member.
 func (f *Fleet) RecordObservation(member string, k observation.Kind, position int64) {
-	f.look(group.MemberObservation{Member: member, Kind: k, Position: position})
+	f.enqueueObservation(group.MemberObservation{Member: member, Kind: k, Position: position})
 }
 
 // RecordProbe records the result of a probe of a member.
 func (f *Fleet) RecordProbe(member string, answered bool) {
-	if (*f.hot.Load())[member] {
+	if (*f.reportedMembers.Load())[member] {
 		k := observation.Silent
 		if answered {
 			k = observation.Answers
 		}
-		f.look(group.MemberObservation{Member: member, Kind: k, Looked: true})
+		f.enqueueObservation(group.MemberObservation{Member: member, Kind: k, Looked: true})
 	}
 }
 
 // RecordAnswer records that a member answered a request. It is called for every request: one atomic store, and no
 // more for members without reports.
 func (f *Fleet) RecordAnswer(member string) {
-	f.member.Store(int64(f.now()))
-	if hot := *f.hot.Load(); len(hot) > 0 && hot[member] {
-		f.look(group.MemberObservation{Member: member, Kind: observation.Answers, Quiet: true})
+	f.memberAnswered.Store(int64(f.now()))
+	if hot := *f.reportedMembers.Load(); len(hot) > 0 && hot[member] {
+		f.enqueueObservation(group.MemberObservation{Member: member, Kind: observation.Answers, Quiet: true})
 	}
 }
 
 // RecordDiscovery records an answer of discovery.
-func (f *Fleet) RecordDiscovery() { f.discovery.Store(int64(f.now())) }
+func (f *Fleet) RecordDiscovery() { f.discoveryAnswered.Store(int64(f.now())) }
 
-func (f *Fleet) look(s group.MemberObservation) {
+func (f *Fleet) enqueueObservation(s group.MemberObservation) {
 	select {
-	case f.saw <- s:
+	case f.observations <- s:
 	default:
-		f.dropped.Add(1)
+		f.droppedObservations.Add(1)
 	}
 }
 
@@ -393,7 +393,7 @@
 
 // Prepare checks a new configuration and returns the function that applies it: keys, routes and seeds.
 func (f *Fleet) Prepare(c Config) (func(), error) {
-	o := &f.conf
+	o := &f.config
 	if c.Zone == "" {
 		c.Zone = f.deps.Zone
 	}
@@ -402,41 +402,41 @@
 		return nil, ErrRestart
 	}
 	return func() {
-		f.net.SetKeys(c.Keys, c.Routes)
-		_ = f.ask(func() { f.conf.Seeds, f.conf.SeedFile = c.Seeds, c.SeedFile })
+		f.sockets.SetKeys(c.Keys, c.Routes)
+		_ = f.runOnOwner(func() { f.config.Seeds, f.config.SeedFile = c.Seeds, c.SeedFile })
 	}, nil
 }
 
 // Close announces to the peers that this gateway leaves, and stops the component.
 func (f *Fleet) Close(ctx context.Context) {
-	f.once.Do(func() {
+	f.closeOnce.Do(func() {
 		close(f.stop)
-		<-f.ended
+		<-f.stopped
 		if f.admin != nil {
 			_ = f.admin.Shutdown(ctx)
 		}
-		f.net.Close()
+		f.sockets.Close()
 		f.events.close()
 	})
 }
 
-// ask runs a function on the owner goroutine and waits for it.
-func (f *Fleet) ask(do func()) error {
+// runOnOwner runs a function on the owner goroutine and waits for it.
+func (f *Fleet) runOnOwner(do func()) error {
 	done := make(chan struct{})
-	t := time.NewTimer(adminWait)
+	t := time.NewTimer(adminTimeout)
 	defer t.Stop()
 	select {
-	case f.asks <- func() { do(); close(done) }:
+	case f.calls <- func() { do(); close(done) }:
 	case <-t.C:
 		return errors.New("the fleet component is overloaded: no answer within 2 s")
-	case <-f.ended:
+	case <-f.stopped:
 		return errors.New("the fleet component has stopped")
 	}
 	select {
 	case <-done:
 	case <-t.C:
 		return errors.New("the fleet component is overloaded: no answer within 2 s")
-	case <-f.ended:
+	case <-f.stopped:
 		return errors.New("the fleet component has stopped")
 	}
 	return nil
@@ -481,10 +481,10 @@
 	ZonesAway       map[string]float64 `json:"zones_away,omitempty"` // fractions of zones' load that go elsewhere
 }
 
-func (f *Fleet) members() []Member {
+func (f *Fleet) listMembers() []Member {
 	now := f.now()
 	self := f.group.Swim.Self()
-	all := []Member{{Name: self.Name, Zone: f.conf.Zone, Region: f.conf.Region, State: self.State.String(), Epoch: self.Epoch, Version: f.conf.Version,
+	all := []Member{{Name: self.Name, Zone: f.config.Zone, Region: f.config.Region, State: self.State.String(), Epoch: self.Epoch, Version: f.config.Version,
 		Address: self.Addr, Verdict: f.group.View.Status().Verdict.String(), SinceMs: now.Milliseconds(), Confidence: 1, Self: true}}
 	e := f.group.Evidence()
 	for _, p := range f.group.Swim.Peers() {
@@ -502,12 +502,12 @@
 	return all
 }
 
-func (f *Fleet) view() View {
+func (f *Fleet) currentView() View {
 	now := f.now()
 	s := f.group.View.Status()
-	c := &f.net.Counts
+	c := &f.sockets.Counts
 	d := f.group.Swim.Dropped
-	v := View{Name: f.conf.Name, Epoch: f.epoch, Verdict: s.Verdict.String(), Number: s.Number, SinceMs: (now - s.Since).Milliseconds(), Reasons: s.Reasons,
+	v := View{Name: f.config.Name, Epoch: f.epoch, Verdict: s.Verdict.String(), Number: s.Number, SinceMs: (now - s.Since).Milliseconds(), Reasons: s.Reasons,
 		Digest: fmt.Sprintf("%016x", f.group.Swim.Digest()), Doubt: f.group.Swim.Doubt(), Quotas: map[string]float64{},
 		Counts: map[string]int64{"sent": c.Sent.Load(), "sent_bytes": c.SentBytes.Load(), "taken": c.Received.Load(), "taken_bytes": c.ReceivedBytes.Load(),
 			"unauthentic": c.Unauthentic.Load(), "repeated": c.Repeated.Load(), "unknown_key": c.UnknownKey.Load(), "overflow": c.Overflow.Load(),
@@ -515,18 +515,18 @@
 			"garbled": int64(f.group.Garbled), "old_epoch": int64(d.Epoch), "wrong_address": int64(d.Address), "impossible": int64(d.Incarnation),
 			"table_full": int64(d.Full), "claims_full": int64(f.group.Book.Dropped.Full), "claims_old": int64(f.group.Book.Dropped.Old),
 			"looks": int64(f.group.Book.Looks), "looks_wrong": int64(f.group.Book.Wrong), "looks_held": int64(f.group.Book.Dropped.Rate),
-			"saw_dropped": f.dropped.Load(), "loans_out": int64(f.group.Ledger.Lent), "loans_in": int64(f.group.Ledger.Taken),
+			"saw_dropped": f.droppedObservations.Load(), "loans_out": int64(f.group.Ledger.Lent), "loans_in": int64(f.group.Ledger.Taken),
 			"loans_refused": int64(f.group.Ledger.Refused)}}
 	if f.events != nil {
 		v.Counts["events_dropped"] = f.events.Dropped.Load()
 	}
-	if len(f.conf.Council) > 0 {
-		s := f.subscribed.State(now)
+	if len(f.config.Council) > 0 {
+		s := f.subscription.State(now)
 		v.Council = &s
 	}
 	v.Drain = f.drain.Status(now)
 	v.ZonePlan, v.ZonesAway = f.zones.number, maps.Clone(f.zones.away)
-	v.MembersDraining = slices.Sorted(maps.Keys(f.drains))
+	v.MembersDraining = slices.Sorted(maps.Keys(f.memberDrains))
 	for i, n := range quota.BudgetNames {
 		v.Quotas[n] = f.group.Ledger.Quota(now, i)
 	}
@@ -535,10 +535,10 @@
 
 // listenAdmin starts the admin API that `reachwind fleet` uses.
 func (f *Fleet) listenAdmin() error {
-	if f.conf.Admin == "" {
+	if f.config.Admin == "" {
 		return nil
 	}
-	l, err := net.Listen("tcp", f.conf.Admin)
+	l, err := net.Listen("tcp", f.config.Admin)
 	if err != nil {
 		return err
 	}
@@ -546,7 +546,7 @@
 	handle := func(path string, get func() any) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 			var v any
-			if err := f.ask(func() { v = get() }); err != nil {
+			if err := f.runOnOwner(func() { v = get() }); err != nil {
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 				return
 			}
@@ -554,11 +554,11 @@
 			_ = json.NewEncoder(w).Encode(v)
 		})
 	}
-	handle("/v1/members", func() any { return f.members() })
-	handle("/v1/view", func() any { return f.view() })
+	handle("/v1/members", func() any { return f.listMembers() })
+	handle("/v1/view", func() any { return f.currentView() })
 	handle("/v1/beliefs", func() any { return f.group.Book.Summaries(f.now()) })
-	mux.HandleFunc("POST /v1/drain", f.askDrain)
-	f.admin = &http.Server{Handler: mux, ReadHeaderTimeout: adminWait, ReadTimeout: adminWait, WriteTimeout: drainAskMost + adminWait, IdleTimeout: adminWait,
+	mux.HandleFunc("POST /v1/drain", f.serveDrain)
+	f.admin = &http.Server{Handler: mux, ReadHeaderTimeout: adminTimeout, ReadTimeout: adminTimeout, WriteTimeout: maxDrainWait + adminTimeout, IdleTimeout: adminTimeout,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelDebug)}
 	go func() { _ = f.admin.Serve(l) }()
 	return nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,8 +10,8 @@
 	"reachwind/internal/edgeconf"
 )
 
-// TestBlock checks that a valid block is read, and that faults are reported with their lines.
-func TestBlock(t *testing.T) {
+// TestReadConfig checks that a valid block is read, and that faults are reported with their lines.
+func TestReadConfig(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -17,84 +17,84 @@
 
 // report reports to the council that this gateway is running and how it serves. Nothing waits for the answer.
 func (f *Fleet) report(now time.Duration) {
-	if len(f.conf.Council) == 0 {
+	if len(f.config.Council) == 0 {
 		return
 	}
 	self := f.group.Swim.Self()
-	r := subscribe.Report{Name: self.Name, Zone: f.conf.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.conf.Version, Drain: f.drain.Away(), Leaving: f.leaves,
-		Counts: &f.counts, Members: f.seen, ZoneAttempts: f.tried}
-	f.seen = nil
-	f.toCouncil(subscribe.FrameReport, f.subscribed.NextReport(now, r))
-	if f.deps.Gateway != nil && !f.leaves {
+	r := subscribe.Report{Name: self.Name, Zone: f.config.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.config.Version, Drain: f.drain.ShouldDivert(), Leaving: f.leaving,
+		Counts: &f.counts, Members: f.memberReports, ZoneAttempts: f.zoneAttempts}
+	f.memberReports = nil
+	f.sendToCouncil(subscribe.FrameReport, f.subscription.NextReport(now, r))
+	if f.deps.Gateway != nil && !f.leaving {
 		if len(f.zones.away) > 0 {
 			f.deps.Gateway.ProbeZonesAway()
 		}
 		f.deps.Gateway.CollectCounts(func(c subscribe.Counts, seen []subscribe.MemberReport, tried []subscribe.ZoneAttempts) {
 			select {
-			case f.asks <- func() { f.counts, f.seen, f.tried = c, seen, tried }:
+			case f.calls <- func() { f.counts, f.memberReports, f.zoneAttempts = c, seen, tried }:
 			default: // dropped; the next report asks again
 			}
 		})
 	}
 }
 
-func (f *Fleet) toCouncil(kind byte, b []byte) {
-	for _, a := range f.conf.Council {
-		f.net.Send("", a, append([]byte{kind}, b...), false, false)
+func (f *Fleet) sendToCouncil(kind byte, b []byte) {
+	for _, a := range f.config.Council {
+		f.sockets.Send("", a, append([]byte{kind}, b...), false, false)
 	}
 }
 
-// told handles a voter's message. What it says about this gateway's own permit counts by its fence; what it
+// handleUpdate handles a voter's message. What it says about this gateway's own permit counts by its fence; what it
 // says about members holds for the terms it states.
-func (f *Fleet) told(b []byte) {
+func (f *Fleet) handleUpdate(b []byte) {
 	now := f.now()
-	if !f.subscribed.HandleUpdate(now, b) {
+	if !f.subscription.HandleUpdate(now, b) {
 		return
 	}
-	t, _, _ := f.subscribed.LastUpdate()
+	t, _, _ := f.subscription.LastUpdate()
 	e := drain.Event{Recall: t.Recall && t.Fence != 0 && t.Fence == f.drain.Fence()}
-	e.Fenced = f.drain.Fence() != 0 && t.Fence != f.drain.Fence() && t.Index >= f.grantedAt
+	e.Fenced = f.drain.Fence() != 0 && t.Fence != f.drain.Fence() && t.Index >= f.grantIndex
 	until := map[string]time.Duration{}
 	for _, d := range t.Drains {
 		until[d.Member] = now + time.Duration(d.LeftMs)*time.Millisecond
 	}
-	f.drainMembers(until)
-	f.zonesTold(now, &t)
-	f.drained(now, e)
+	f.setMemberDrains(until)
+	f.applyPlan(now, &t)
+	f.stepDrain(now, e)
 }
 
-// drainMembers lists members as draining while their permits last.
-func (f *Fleet) drainMembers(until map[string]time.Duration) {
-	was, is := slices.Sorted(maps.Keys(f.drains)), slices.Sorted(maps.Keys(until))
-	f.drains = until
+// setMemberDrains lists members as draining while their permits last.
+func (f *Fleet) setMemberDrains(until map[string]time.Duration) {
+	was, is := slices.Sorted(maps.Keys(f.memberDrains)), slices.Sorted(maps.Keys(until))
+	f.memberDrains = until
 	if slices.Equal(was, is) || f.deps.Gateway == nil {
 		return
 	}
 	f.log.Info("fleet members permitted to go out", "members", is)
-	f.event(Event{Kind: "drains", Reasons: is})
+	f.logEvent(Event{Kind: "drains", Reasons: is})
 	f.deps.Gateway.SetDrainingMembers(is)
 }
 
-// got handles the council's answer to a request of this gateway.
-func (f *Fleet) got(b []byte) {
-	a, g, at, ok := f.asker.Take(b)
+// handlePermitAnswer handles the council's answer to a request of this gateway.
+func (f *Fleet) handlePermitAnswer(b []byte) {
+	a, g, at, ok := f.permitRequester.HandleAnswer(b)
 	if !ok {
 		return
 	}
 	if a.Op == "give_back" {
-		f.drain.Given()
+		f.drain.PermitReturned()
 		return
 	}
 	e := drain.Event{Refused: g.Refused}
 	if g.OK {
-		e = drain.Event{Granted: true, Asked: at, Fence: g.Fence}
-		f.grantedAt = g.Index // updates up to this index may not reflect the grant
+		e = drain.Event{Granted: true, RequestedAt: at, Fence: g.Fence}
+		f.grantIndex = g.Index // updates up to this index may not reflect the grant
 	}
-	f.drained(f.now(), e)
+	f.stepDrain(f.now(), e)
 }
 
-// drained passes an event to the drain machine and carries out its actions. It is also called on each tick.
-func (f *Fleet) drained(now time.Duration, e drain.Event) {
+// stepDrain passes an event to the drain machine and carries out its actions. It is also called on each tick.
+func (f *Fleet) stepDrain(now time.Duration, e drain.Event) {
 	busy := 0
 	if g := f.deps.Gateway; g != nil {
 		busy = g.OpenConnections()
@@ -102,14 +102,14 @@
 	a := f.drain.Step(now, e, busy)
 	ask := func(op string, term time.Duration) {
 		self := f.group.Swim.Self()
-		f.asker.Begin(now, subscribe.PermitRequest{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
+		f.permitRequester.Start(now, subscribe.PermitRequest{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
 			Reason: f.drain.Status(now).Reason})
 	}
-	if a.Stop {
-		f.asker.Stop()
+	if a.CancelRequest {
+		f.permitRequester.Cancel()
 	}
 	switch {
-	case a.Acquire > 0 && (!f.asker.Busy() || e.Want != nil):
+	case a.Acquire > 0 && (!f.permitRequester.Pending() || e.Request != nil):
 		op := "acquire"
 		if f.drain.Signalled() {
 			op = "leave"
@@ -120,40 +120,40 @@
 	case a.GiveBack:
 		ask("give_back", 0)
 	}
-	if b := f.asker.Send(now); b != nil {
-		f.toCouncil(subscribe.FramePermitRequest, b)
+	if b := f.permitRequester.DueMessage(now); b != nil {
+		f.sendToCouncil(subscribe.FramePermitRequest, b)
 	}
-	if a.Part >= 0 {
-		f.part = a.Part
+	if a.ConnectionFraction >= 0 {
+		f.connectionFraction = a.ConnectionFraction
 	}
-	if f.deps.Gateway != nil && (a.Part >= 0 || f.part < 1 && !f.leaves) { // while connections return in steps, the limit depends on how many are open
-		f.deps.Gateway.SetConnectionFraction(f.part)
+	if f.deps.Gateway != nil && (a.ConnectionFraction >= 0 || f.connectionFraction < 1 && !f.leaving) { // while connections return in steps, the limit depends on how many are open
+		f.deps.Gateway.SetConnectionFraction(f.connectionFraction)
 	}
 	if a.Changed {
 		s := f.drain.Status(now)
 		f.log.Info("fleet drain", "state", s.State, "fence", s.Fence, "reason", s.Reason)
-		f.event(Event{Kind: "drain", State: s.State, For: int64(s.Fence)})
+		f.logEvent(Event{Kind: "drain", State: s.State, For: int64(s.Fence)})
 	}
-	if a.Tell {
-		yes := f.drain.Away()
+	if a.Announce {
+		yes := f.drain.ShouldDivert()
 		f.report(now)
-		f.carry(f.group.Step(now, group.Event{Drain: &yes}))
+		f.perform(f.group.Step(now, group.Event{Drain: &yes}))
 	}
-	if a.Failed != "" {
-		f.log.Warn("fleet drain not granted", "why", a.Failed)
+	if a.Failure != "" {
+		f.log.Warn("fleet drain not granted", "why", a.Failure)
 	}
-	if s := f.drain.State(); a.Failed != "" || a.Changed && (s == drain.Out || s == drain.Serving || s == drain.Leaving) {
-		waits := f.waits
-		f.waits = nil
+	if s := f.drain.State(); a.Failure != "" || a.Changed && (s == drain.Out || s == drain.Serving || s == drain.Leaving) {
+		waits := f.drainWaiters
+		f.drainWaiters = nil
 		for _, w := range waits {
-			w(f.drain.Status(now), a.Failed)
+			w(f.drain.Status(now), a.Failure)
 		}
 	}
-	for m, until := range f.drains {
+	for m, until := range f.memberDrains {
 		if now >= until { // no update confirmed the permit in time
-			left := maps.Clone(f.drains)
+			left := maps.Clone(f.memberDrains)
 			delete(left, m)
-			f.drainMembers(left)
+			f.setMemberDrains(left)
 			break
 		}
 	}
@@ -161,9 +161,9 @@
 
 // AnnounceDrain announces to the peers that this gateway accepts no new work.
 func (f *Fleet) AnnounceDrain() {
-	_ = f.ask(func() {
+	_ = f.runOnOwner(func() {
 		yes := true
-		f.carry(f.group.Step(f.now(), group.Event{Drain: &yes}))
+		f.perform(f.group.Step(f.now(), group.Event{Drain: &yes}))
 	})
 }
 
@@ -171,40 +171,40 @@
 // how long it waited. By then the peers know that this gateway is leaving.
 func (f *Fleet) AwaitStopPermit(ctx context.Context) time.Duration {
 	begin := time.Now()
-	if len(f.conf.Council) == 0 {
+	if len(f.config.Council) == 0 {
 		return 0
 	}
 	done := make(chan struct{})
-	_ = f.ask(func() {
-		was := f.drain.Unasked
-		if f.drain.Away() {
-			f.drained(f.now(), drain.Event{Want: &drain.Want{Reason: "stopped by signal", Term: signalTerm, Signal: true}})
+	_ = f.runOnOwner(func() {
+		was := f.drain.StopsWithoutPermit
+		if f.drain.ShouldDivert() {
+			f.stepDrain(f.now(), drain.Event{Request: &drain.Request{Reason: "stopped by signal", Term: signalPermitTerm, Signal: true}})
 			close(done)
 			return
 		}
-		f.waits = append(f.waits, func(s drain.Status, _ string) {
+		f.drainWaiters = append(f.drainWaiters, func(s drain.Status, _ string) {
 			if s.StopsWithoutPermit > was {
 				f.log.Warn("this gateway ends without a permit", "why", s.LastRefusal)
-				f.event(Event{Kind: "unasked", Reasons: []string{s.LastRefusal}})
+				f.logEvent(Event{Kind: "unasked", Reasons: []string{s.LastRefusal}})
 			}
 			close(done)
 		})
-		f.drained(f.now(), drain.Event{Want: &drain.Want{Reason: "stopped by signal", Term: signalTerm, Signal: true}})
+		f.stepDrain(f.now(), drain.Event{Request: &drain.Request{Reason: "stopped by signal", Term: signalPermitTerm, Signal: true}})
 	})
 	select {
 	case <-done:
-	case <-f.ended:
-	case <-time.After(f.conf.SignalWait + time.Second):
+	case <-f.stopped:
+	case <-time.After(f.config.SignalWait + time.Second):
 	case <-ctx.Done():
 	}
 	return time.Since(begin)
 }
 
-// signalTerm is the term of the permit of a gateway that stops after a signal: it must be back by then.
-const signalTerm = 2 * time.Minute
+// signalPermitTerm is the term of the permit of a gateway that stops after a signal: it must be back by then.
+const signalPermitTerm = 2 * time.Minute
 
-// drainAskMost is the longest that a caller may wait until a drain is granted and done.
-const drainAskMost = 2 * time.Minute
+// maxDrainWait is the longest that a caller may wait until a drain is granted and done.
+const maxDrainWait = 2 * time.Minute
 
 // DrainRequest is the request of `reachwind fleet drain` and `undrain` to a gateway.
 type DrainRequest struct {
@@ -220,17 +220,17 @@
 	Refused string `json:"refused,omitempty"`
 }
 
-// askDrain serves an operator's request that this gateway goes out of service or returns. It answers once the
+// serveDrain serves an operator's request that this gateway goes out of service or returns. It answers once the
 // gateway is out, or serves.
-func (f *Fleet) askDrain(w http.ResponseWriter, r *http.Request) {
+func (f *Fleet) serveDrain(w http.ResponseWriter, r *http.Request) {
 	var q DrainRequest
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&q)
 	if q.TermMs == 0 {
-		q.TermMs = drain.TermUsual.Milliseconds()
+		q.TermMs = drain.DefaultTerm.Milliseconds()
 	}
 	term, wait := time.Duration(q.TermMs)*time.Millisecond, time.Duration(q.WaitMs)*time.Millisecond
-	if err != nil || term < drain.TermLeast || term > 24*time.Hour || wait < 0 || wait > drainAskMost/2 || len(q.Reason) > 200 {
-		http.Error(w, fmt.Sprintf("invalid drain request: error %v; term is %v, want at least %v; wait is %v, want at most %v", err, term, drain.TermLeast, wait, drainAskMost/2), http.StatusBadRequest)
+	if err != nil || term < drain.MinTerm || term > 24*time.Hour || wait < 0 || wait > maxDrainWait/2 || len(q.Reason) > 200 {
+		http.Error(w, fmt.Sprintf("invalid drain request: error %v; term is %v, want at least %v; wait is %v, want at most %v", err, term, drain.MinTerm, wait, maxDrainWait/2), http.StatusBadRequest)
 		return
 	}
 	type end struct {
@@ -238,9 +238,9 @@
 		why string
 	}
 	over := make(chan end, 1)
-	err = f.ask(func() {
+	err = f.runOnOwner(func() {
 		now := f.now()
-		if !q.Back && len(f.conf.Council) == 0 {
+		if !q.Back && len(f.config.Council) == 0 {
 			over <- end{f.drain.Status(now), "this gateway has no council configured that could grant a permit"}
 			return
 		}
@@ -257,17 +257,17 @@
 		var wake func(drain.Status, string)
 		wake = func(s drain.Status, why string) {
 			if s.State == drain.Leaving.String() || q.Back && s.State == drain.Out.String() { // still in transition
-				f.waits = append(f.waits, wake)
+				f.drainWaiters = append(f.drainWaiters, wake)
 				return
 			}
 			over <- end{s, why}
 		}
-		f.waits = append(f.waits, wake)
+		f.drainWaiters = append(f.drainWaiters, wake)
 		e := drain.Event{Back: q.Back}
 		if !q.Back {
-			e.Want = &drain.Want{Reason: q.Reason, Term: term, Wait: wait}
+			e.Request = &drain.Request{Reason: q.Reason, Term: term, Wait: wait}
 		}
-		f.drained(now, e)
+		f.stepDrain(now, e)
 	})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -278,7 +278,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(DrainResponse{e.s, e.why})
 	case <-r.Context().Done():
-	case <-time.After(drainAskMost):
+	case <-time.After(maxDrainWait):
 		http.Error(w, "the drain did not finish in time: see its state in `reachwind fleet view`", http.StatusServiceUnavailable)
 	}
 }
--- a/internal/fleet/loadsignal/signal.go
+++ b/internal/fleet/loadsignal/signal.go
@@ -24,23 +24,23 @@
 
 // Limits and parameters.
 const (
-	MostLines    = 64                     // lines per digest; those with the most outstanding requests are sent
-	MostGateways = 1024                   // gateways whose digests are held; the one heard longest ago is dropped first
-	MostName     = 255                    // bytes of a name; lines and digests with longer names are refused
-	MostOut      = 1 << 16                // highest number of outstanding requests in a line
-	MostLatency  = 30 * time.Second       // highest latency in a line
-	Age          = 5 * time.Second        // several intervals between digests
-	Tick         = 100 * time.Millisecond // between adjustments of the weights
-	Step         = 0.05                   // half of the way takes 1.4 s, longer than digests take to spread
-	Least, Most  = 0.5, 2.0               // so no member is left without requests, and none gets more than four times another's
-	Share        = 3.0                    // honest gateways with a common subset of members differ by about this factor
+	MaxLines             = 64                     // lines per digest; those with the most outstanding requests are sent
+	MaxGateways          = 1024                   // gateways whose digests are held; the one heard longest ago is dropped first
+	MaxNameBytes         = 255                    // bytes of a name; lines and digests with longer names are refused
+	MaxOutstanding       = 1 << 16                // highest number of outstanding requests in a line
+	MaxLatency           = 30 * time.Second       // highest latency in a line
+	MaxAge               = 5 * time.Second        // several intervals between digests
+	Tick                 = 100 * time.Millisecond // between adjustments of the weights
+	MaxStep              = 0.05                   // half of the way takes 1.4 s, longer than digests take to spread
+	MinWeight, MaxWeight = 0.5, 2.0               // so no member is left without requests, and none gets more than four times another's
+	MaxReportMultiple    = 3.0                    // honest gateways with a common subset of members differ by about this factor
 )
 
 // Line is what a gateway itself knows of one member.
 type Line struct {
-	Member  string
-	Out     uint32 // its own requests outstanding at the member
-	Latency Time   // as measured recently, 0 if not measured
+	Member      string
+	Outstanding uint32 // its own requests outstanding at the member
+	Latency     Time   // as measured recently, 0 if not measured
 }
 
 // Digest is what one gateway publishes. Gateway is the sender as established by the transport.
@@ -56,81 +56,83 @@
 	Capacity float64 // in any unit common to all members; 0 or less counts as 1
 }
 
-// Drops counts digests, gateways and lines that were dropped, by reason.
-type Drops struct{ Full, Old, Lines int }
-
-// Book holds the digests that one gateway received and its weights. It is not safe for concurrent use.
-type Book struct {
-	Dropped Drops
-	own     Digest
-	told    map[string]told
-	weights map[string]float64
-	moved   Time
-	step    float64
-	share   float64
+// DropCounts counts digests, gateways and lines that were dropped, by reason.
+type DropCounts struct{ Full, Old, Lines int }
+
+// Estimator holds the digests that one gateway received and its weights. It is not safe for concurrent use.
+type Estimator struct {
+	Dropped     DropCounts
+	own         Digest
+	digests     map[string]receivedDigest
+	weights     map[string]float64
+	movedAt     Time
+	maxStep     float64
+	reportLimit float64
 }
 
-type told struct {
+type receivedDigest struct {
 	Digest
 	at Time
 }
 
 // New returns the book of a gateway that has received nothing.
-func New(name string, epoch uint64) *Book {
-	return &Book{own: Digest{Gateway: name, Epoch: epoch}, told: map[string]told{}, weights: map[string]float64{}, step: Step, share: Share}
+func New(name string, epoch uint64) *Estimator {
+	return &Estimator{own: Digest{Gateway: name, Epoch: epoch}, digests: map[string]receivedDigest{}, weights: map[string]float64{}, maxStep: MaxStep, reportLimit: MaxReportMultiple}
 }
 
-// Note sets this gateway's own lines, replacing the earlier ones.
-func (b *Book) Note(lines []Line) { b.own.Lines = append(b.own.Lines[:0], lines...) }
+// SetOwn sets this gateway's own lines, replacing the earlier ones.
+func (b *Estimator) SetOwn(lines []Line) { b.own.Lines = append(b.own.Lines[:0], lines...) }
 
 // Digest returns the digest to send to the other gateways now.
-func (b *Book) Digest() Digest {
+func (b *Estimator) Digest() Digest {
 	b.own.Number++
 	d := b.own
 	d.Lines = slices.Clone(d.Lines)
-	slices.SortFunc(d.Lines, func(a, b Line) int { return cmp.Or(cmp.Compare(b.Out, a.Out), cmp.Compare(a.Member, b.Member)) })
-	d.Lines = d.Lines[:min(len(d.Lines), MostLines)]
+	slices.SortFunc(d.Lines, func(a, b Line) int {
+		return cmp.Or(cmp.Compare(b.Outstanding, a.Outstanding), cmp.Compare(a.Member, b.Member))
+	})
+	d.Lines = d.Lines[:min(len(d.Lines), MaxLines)]
 	return d
 }
 
-// Told handles a digest and returns whether it was newer than the one held.
-func (b *Book) Told(now Time, d Digest) bool {
-	was, known := b.told[d.Gateway]
-	if d.Gateway == b.own.Gateway || len(d.Gateway) > MostName || known && cmp.Or(cmp.Compare(d.Epoch, was.Epoch), cmp.Compare(d.Number, was.Number)) <= 0 {
+// HandleDigest handles a digest and returns whether it was newer than the one held.
+func (b *Estimator) HandleDigest(now Time, d Digest) bool {
+	was, known := b.digests[d.Gateway]
+	if d.Gateway == b.own.Gateway || len(d.Gateway) > MaxNameBytes || known && cmp.Or(cmp.Compare(d.Epoch, was.Epoch), cmp.Compare(d.Number, was.Number)) <= 0 {
 		b.Dropped.Old++
 		return false
 	}
-	if !known && len(b.told) >= MostGateways {
+	if !known && len(b.digests) >= MaxGateways {
 		oldest := ""
-		for name, t := range b.told {
-			if o, has := b.told[oldest]; !has || t.at < o.at || t.at == o.at && name < oldest {
+		for name, t := range b.digests {
+			if o, has := b.digests[oldest]; !has || t.at < o.at || t.at == o.at && name < oldest {
 				oldest = name
 			}
 		}
-		delete(b.told, oldest)
+		delete(b.digests, oldest)
 		b.Dropped.Full++
 	}
-	lines := make([]Line, 0, min(len(d.Lines), MostLines))
+	lines := make([]Line, 0, min(len(d.Lines), MaxLines))
 	for _, l := range d.Lines {
 		twice := slices.ContainsFunc(lines, func(o Line) bool { return o.Member == l.Member })
-		if twice || len(lines) == MostLines || len(l.Member) > MostName || l.Out > MostOut || l.Latency < 0 || l.Latency > MostLatency {
+		if twice || len(lines) == MaxLines || len(l.Member) > MaxNameBytes || l.Outstanding > MaxOutstanding || l.Latency < 0 || l.Latency > MaxLatency {
 			b.Dropped.Lines++
 			continue
 		}
 		lines = append(lines, l)
 	}
 	d.Lines = lines
-	b.told[d.Gateway] = told{d, now}
+	b.digests[d.Gateway] = receivedDigest{d, now}
 	return true
 }
 
-// Weigh adjusts the weights of members; members that are not listed are dropped. It must be called every Tick:
+// UpdateWeights adjusts the weights of members; members that are not listed are dropped. It must be called every Tick:
 // an earlier call does nothing, a late one adjusts by one Tick only.
-func (b *Book) Weigh(now Time, members []Member) {
-	if now < b.moved+Tick {
+func (b *Estimator) UpdateWeights(now Time, members []Member) {
+	if now < b.movedAt+Tick {
 		return
 	}
-	b.moved = now
+	b.movedAt = now
 	type seen struct {
 		out     []float64 // as reported, reduced by age
 		latency []float64
@@ -142,19 +144,19 @@
 	take := func(lines []Line, part float64) {
 		for _, l := range lines {
 			if s := at[l.Member]; s != nil {
-				if s.out = append(s.out, float64(l.Out)*part); l.Latency > 0 {
+				if s.out = append(s.out, float64(l.Outstanding)*part); l.Latency > 0 {
 					s.latency = append(s.latency, l.Latency.Seconds())
 				}
 			}
 		}
 	}
 	take(b.own.Lines, 1)
-	for name, t := range b.told {
-		if now-t.at >= Age {
-			delete(b.told, name)
+	for name, t := range b.digests {
+		if now-t.at >= MaxAge {
+			delete(b.digests, name)
 			continue
 		}
-		take(t.Lines, 1-float64(now-t.at)/float64(Age))
+		take(t.Lines, 1-float64(now-t.at)/float64(MaxAge))
 	}
 	busy, mean := map[string]float64{}, 0.0
 	for _, m := range members {
@@ -163,7 +165,7 @@
 			capacity = 1
 		}
 		slices.Sort(s.out) // sums of floats depend on their order, and maps have none
-		sum, most := 1.0, max(1, median(s.out))*b.share
+		sum, most := 1.0, max(1, median(s.out))*b.reportLimit
 		for _, o := range s.out {
 			sum += min(o, most)
 		}
@@ -178,13 +180,13 @@
 	next := make(map[string]float64, len(members))
 	for _, m := range members {
 		was := b.Weight(m.Name)
-		next[m.Name] = was + (min(max(math.Exp(mean)/busy[m.Name], Least), Most)-was)*b.step
+		next[m.Name] = was + (min(max(math.Exp(mean)/busy[m.Name], MinWeight), MaxWeight)-was)*b.maxStep
 	}
 	b.weights = next
 }
 
 // Weight returns the factor for a member in the choice among members that may answer; 1 is neutral.
-func (b *Book) Weight(member string) float64 {
+func (b *Estimator) Weight(member string) float64 {
 	if w, known := b.weights[member]; known {
 		return w
 	}
--- a/internal/fleet/loadsignal/signal_test.go
+++ b/internal/fleet/loadsignal/signal_test.go
@@ -11,14 +11,14 @@
 // simulate runs 12 gateways that choose among 12 members by weight, one member at half its speed from the
 // fifth second on. Digests take half a second to arrive. It returns how far one member's intake varies about
 // its mean, and the requests that wait at the slow member, both after 15 s.
-func play(seed uint64, prepare func(*Book)) (swing, slow float64) {
+func simulate(seed uint64, prepare func(*Estimator)) (swing, slow float64) {
 	const gateways, members, ticks, late = 12, 12, 300, 5
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var ms []Member
 	for m := range members {
 		ms = append(ms, Member{fmt.Sprint("m", m), 1})
 	}
-	var books []*Book
+	var books []*Estimator
 	var out [gateways][members]float64
 	var sent [][]Digest
 	for g := range gateways {
@@ -67,14 +67,14 @@
 			for m := range ms {
 				lines = append(lines, Line{ms[m].Name, uint32(out[g][m] + 0.5), Time(waiting[m] / 100 * float64(Tick))})
 			}
-			b.Note(lines)
+			b.SetOwn(lines)
 			round = append(round, b.Digest())
 			if tick >= late {
 				for _, d := range sent[tick-late] {
-					b.Told(now, d)
+					b.HandleDigest(now, d)
 				}
 			}
-			b.Weigh(now, ms)
+			b.UpdateWeights(now, ms)
 		}
 		sent = append(sent, round)
 	}
@@ -95,18 +95,18 @@
 	return swing, slow
 }
 
-func TestSwing(t *testing.T) {
-	damped, slow := play(1, func(*Book) {})
-	wild, slowWild := play(1, func(b *Book) { b.step = 1 })
-	without, slowWithout := play(1, func(b *Book) { b.step = 0 })
+func TestWeightOscillation(t *testing.T) {
+	damped, slow := simulate(1, func(*Estimator) {})
+	wild, slowWild := simulate(1, func(b *Estimator) { b.maxStep = 1 })
+	without, slowWithout := simulate(1, func(b *Estimator) { b.maxStep = 0 })
 	t.Logf("swing %.2f damped, %.2f not, %.2f with no signal; the slow member has waiting %.0f, %.0f, %.0f", damped, wild, without, slow, slowWild, slowWithout)
 	if damped > wild/1.5 || slow > slowWithout/2 {
 		t.Errorf("swing %.2f damped, %.2f not; waiting %.0f, without %.0f", damped, wild, slow, slowWithout)
 	}
 }
 
-// TestSteps feeds a book random digests and checks rules 1 to 4 of the package comment and the limits.
-func TestSteps(t *testing.T) {
+// TestRandomDigests feeds a book random digests and checks rules 1 to 4 of the package comment and the limits.
+func TestRandomDigests(t *testing.T) {
 	for seed := range uint64(2) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		b, ms, now := New("me", 1), []Member{{"a", 1}, {"b", math.NaN()}, {"c", -2}, {"d", 4}}, Time(0)
@@ -118,42 +118,42 @@
 				d.Lines = append(d.Lines, Line{ms[rng.IntN(4)].Name + []string{"", "x"}[rng.IntN(2)], rng.Uint32() >> rng.IntN(32), Time(rng.Int64()) >> rng.IntN(60)})
 			}
 			was, known := numbers[d.Gateway]
-			if _, held := b.told[d.Gateway]; held && known && (d.Epoch < was[0] || d.Epoch == was[0] && d.Number <= was[1]) == b.Told(now, d) {
+			if _, held := b.digests[d.Gateway]; held && known && (d.Epoch < was[0] || d.Epoch == was[0] && d.Number <= was[1]) == b.HandleDigest(now, d) {
 				t.Fatalf("seed %d: %v after %v", seed, d, was)
-			} else if !held && !b.Told(now, d) {
+			} else if !held && !b.HandleDigest(now, d) {
 				t.Fatalf("seed %d: %v was not news", seed, d)
 			}
-			numbers[d.Gateway] = [2]uint64{b.told[d.Gateway].Epoch, b.told[d.Gateway].Number}
+			numbers[d.Gateway] = [2]uint64{b.digests[d.Gateway].Epoch, b.digests[d.Gateway].Number}
 			var before [4]float64
 			for i, m := range ms {
 				before[i] = b.Weight(m.Name)
 			}
-			b.Weigh(now, ms)
+			b.UpdateWeights(now, ms)
 			for i, m := range ms {
-				if w := b.Weight(m.Name); !(w >= Least && w <= Most) || math.Abs(w-before[i]) > Step*(Most-Least)+1e-9 {
+				if w := b.Weight(m.Name); !(w >= MinWeight && w <= MaxWeight) || math.Abs(w-before[i]) > MaxStep*(MaxWeight-MinWeight)+1e-9 {
 					t.Fatalf("seed %d: weight of %s goes from %v to %v", seed, m.Name, before[i], w)
 				}
 			}
-			if len(b.told) > MostGateways {
-				t.Fatalf("%d gateways held", len(b.told))
+			if len(b.digests) > MaxGateways {
+				t.Fatalf("%d gateways held", len(b.digests))
 			}
 		}
 		for range 300 {
 			now += time.Second
-			b.Weigh(now, []Member{{"a", 1}, {"c", 1}})
+			b.UpdateWeights(now, []Member{{"a", 1}, {"c", 1}})
 		}
-		if w := b.Weight("a"); math.Abs(w-1) > 0.01 || len(b.told) > 0 {
-			t.Errorf("seed %d: weight %v and %d held long after the last word", seed, w, len(b.told))
+		if w := b.Weight("a"); math.Abs(w-1) > 0.01 || len(b.digests) > 0 {
+			t.Errorf("seed %d: weight %v and %d held long after the last word", seed, w, len(b.digests))
 		}
 	}
 }
 
-// TestLiar measures how far one of 20 gateways with false reports moves the weight of a member, with the limit
+// TestFalseReports measures how far one of 20 gateways with false reports moves the weight of a member, with the limit
 // on each report and without.
-func TestLiar(t *testing.T) {
+func TestFalseReports(t *testing.T) {
 	weight := func(lie uint32, share float64) float64 {
 		b, ms := New("me", 1), []Member{{"a", 1}, {"b", 1}, {"c", 1}, {"d", 1}}
-		b.share = share
+		b.reportLimit = share
 		for tick := range 200 {
 			now := Time(tick+1) * Tick
 			for g := range 20 {
@@ -162,15 +162,15 @@
 					d.Lines = append(d.Lines, Line{m.Name, 10, 20 * time.Millisecond})
 				}
 				if g == 0 {
-					d.Lines[0].Out, d.Lines[0].Latency = lie, MostLatency
+					d.Lines[0].Outstanding, d.Lines[0].Latency = lie, MaxLatency
 				}
-				b.Told(now, d)
+				b.HandleDigest(now, d)
 			}
-			b.Weigh(now, ms)
+			b.UpdateWeights(now, ms)
 		}
 		return b.Weight("a")
 	}
-	high, low, open := weight(MostOut, Share), weight(0, Share), weight(MostOut, MostOut)
+	high, low, open := weight(MaxOutstanding, MaxReportMultiple), weight(0, MaxReportMultiple), weight(MaxOutstanding, MaxOutstanding)
 	t.Logf("weight of a member that one of 20 lies about: %.3f said to be full, %.3f said to be idle; %.3f without the guard", high, low, open)
 	if high < 0.9 || low > 1.05 || open > 0.6 {
 		t.Errorf("weights %.3f, %.3f, %.3f", high, low, open)
--- a/internal/fleet/peers/keys.go
+++ b/internal/fleet/peers/keys.go
@@ -23,7 +23,7 @@
 	secret [32]byte
 }
 
-const keysMost = 16
+const maxKeys = 16
 
 // ReadKeys reads a file with one base64 key of 32 bytes per line. Empty lines and lines that begin with # are
 // skipped.
@@ -48,8 +48,8 @@
 		copy(one.id[:], sum[:])
 		k.list = append(k.list, one)
 	}
-	if len(k.list) == 0 || len(k.list) > keysMost {
-		return nil, fmt.Errorf("%s: %d keys found, want from 1 to %d", path, len(k.list), keysMost)
+	if len(k.list) == 0 || len(k.list) > maxKeys {
+		return nil, fmt.Errorf("%s: %d keys found, want from 1 to %d", path, len(k.list), maxKeys)
 	}
 	return k, nil
 }
@@ -62,11 +62,11 @@
 // process, so that no two processes ever use one nonce under one key. The counter is the nonce. All that
 // precedes the ciphertext is authenticated with it.
 const (
-	form       = 1
-	headLen    = 1 + 4 + 16 + 8
-	tagLen     = 16
-	windowLen  = 1024 // counters that may arrive out of order
-	windowsMax = 4096 // instances tracked; the one not heard from for longest is dropped first
+	formatVersion = 1
+	headerLen     = 1 + 4 + 16 + 8
+	tagLen        = 16
+	windowSize    = 1024 // counters that may arrive out of order
+	maxWindows    = 4096 // instances tracked; the one not heard from for longest is dropped first
 )
 
 type instance [16]byte
@@ -111,15 +111,15 @@
 func (s *sealer) seal(k *key, addr string, frame []byte) []byte {
 	a := s.aeads[k.id]
 	if a == nil {
-		if len(s.aeads) > keysMost {
+		if len(s.aeads) > maxKeys {
 			clear(s.aeads)
 		}
 		a = k.aead(s.own)
 		s.aeads[k.id] = a
 	}
 	s.counter++
-	head := make([]byte, headLen, headLen+1+len(addr)+len(frame)+tagLen)
-	head[0] = form
+	head := make([]byte, headerLen, headerLen+1+len(addr)+len(frame)+tagLen)
+	head[0] = formatVersion
 	copy(head[1:], k.id[:])
 	copy(head[5:], s.own[:])
 	binary.BigEndian.PutUint64(head[21:], s.counter)
@@ -129,24 +129,24 @@
 
 // opener decrypts messages of other processes, each once. It is not safe for concurrent use.
 type opener struct {
-	own     instance
-	windows map[instance]*window
-	turn    uint64
+	own      instance
+	windows  map[instance]*window
+	useCount uint64
 }
 
 type window struct {
-	aeads map[[4]byte]cipher.AEAD
-	top   uint64
-	seen  [windowLen / 64]uint64
-	turn  uint64
+	aeads    map[[4]byte]cipher.AEAD
+	top      uint64
+	seen     [windowSize / 64]uint64
+	lastUsed uint64
 }
 
 var (
-	errShort    = errors.New("message too short, or of an unknown format version")
-	errKey      = errors.New("sealed under a key that is not in the key file")
-	errSeal     = errors.New("authentication failed")
-	errRepeated = errors.New("message received before, or too old to tell")
-	errOwn      = errors.New("own message reflected")
+	errFormat      = errors.New("message too short, or of an unknown format version")
+	errUnknownKey  = errors.New("sealed under a key that is not in the key file")
+	errUnauthentic = errors.New("authentication failed")
+	errRepeated    = errors.New("message received before, or too old to tell")
+	errReflected   = errors.New("own message reflected")
 )
 
 // opened is an authentic message. addr is the address that its sender publishes.
@@ -157,14 +157,14 @@
 }
 
 func (o *opener) open(keys *Keys, b []byte) (m opened, err error) {
-	if len(b) < headLen+tagLen+1 || b[0] != form {
-		return m, errShort
+	if len(b) < headerLen+tagLen+1 || b[0] != formatVersion {
+		return m, errFormat
 	}
 	var of instance
 	copy(m.key[:], b[1:])
 	copy(of[:], b[5:])
 	if of == o.own {
-		return m, errOwn
+		return m, errReflected
 	}
 	var k *key
 	for i := range keys.list {
@@ -173,13 +173,13 @@
 		}
 	}
 	if k == nil {
-		return m, errKey
+		return m, errUnknownKey
 	}
 	counter := binary.BigEndian.Uint64(b[21:])
 	w := o.windows[of]
 	var a cipher.AEAD
 	if w != nil {
-		if w.had(counter) {
+		if w.seenBefore(counter) {
 			return m, errRepeated
 		}
 		a = w.aeads[k.id]
@@ -187,32 +187,32 @@
 	if a == nil {
 		a = k.aead(of)
 	}
-	plain, err := a.Open(nil, nonce(counter), b[headLen:], b[:headLen])
+	plain, err := a.Open(nil, nonce(counter), b[headerLen:], b[:headerLen])
 	if err != nil {
-		return m, errSeal
+		return m, errUnauthentic
 	}
 	if w == nil { // only a sender that knows a key causes a window
-		w = o.add(of)
+		w = o.addWindow(of)
 	}
-	o.turn++
-	w.turn = o.turn
+	o.useCount++
+	w.lastUsed = o.useCount
 	w.aeads[k.id] = a
-	w.mark(counter)
+	w.markSeen(counter)
 	n := int(plain[0])
 	if len(plain) < 1+n {
-		return m, errShort
+		return m, errFormat
 	}
 	m.addr, m.frame = string(plain[1:1+n]), plain[1+n:]
 	return m, nil
 }
 
-func (o *opener) add(of instance) *window {
-	if len(o.windows) >= windowsMax {
+func (o *opener) addWindow(of instance) *window {
+	if len(o.windows) >= maxWindows {
 		var oldest instance
 		least := uint64(1) << 63
 		for i, w := range o.windows {
-			if w.turn < least {
-				oldest, least = i, w.turn
+			if w.lastUsed < least {
+				oldest, least = i, w.lastUsed
 			}
 		}
 		delete(o.windows, oldest)
@@ -222,20 +222,20 @@
 	return w
 }
 
-// had reports whether a counter was received before, or is too old to tell.
-func (w *window) had(c uint64) bool {
+// seenBefore reports whether a counter was received before, or is too old to tell.
+func (w *window) seenBefore(c uint64) bool {
 	if c > w.top {
 		return false
 	}
-	if w.top-c >= windowLen {
+	if w.top-c >= windowSize {
 		return true
 	}
 	return w.seen[c/64%uint64(len(w.seen))]&(1<<(c%64)) != 0
 }
 
-func (w *window) mark(c uint64) {
+func (w *window) markSeen(c uint64) {
 	if c > w.top {
-		if c-w.top >= windowLen {
+		if c-w.top >= windowSize {
 			clear(w.seen[:])
 		} else {
 			for i := w.top + 1; i < c; i++ {
@@ -247,8 +247,8 @@
 	w.seen[c/64%uint64(len(w.seen))] |= 1 << (c % 64)
 }
 
-// same reports whether two sets have the same keys in the same order.
-func (k *Keys) same(o *Keys) bool {
+// equal reports whether two sets have the same keys in the same order.
+func (k *Keys) equal(o *Keys) bool {
 	if len(k.list) != len(o.list) {
 		return false
 	}
--- a/internal/fleet/peers/keys_test.go
+++ b/internal/fleet/peers/keys_test.go
@@ -28,10 +28,10 @@
 	return k
 }
 
-// TestSeals checks that a sealed message opens once, in any order within the window, under any key of the
+// TestSealAndOpen checks that a sealed message opens once, in any order within the window, under any key of the
 // file, and that a message with any changed byte, under another key, repeated, or of this process itself is
 // refused.
-func TestSeals(t *testing.T) {
+func TestSealAndOpen(t *testing.T) {
 	both, old := keyFile(t, 'n', 'o'), keyFile(t, 'o')
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSealer()
@@ -65,7 +65,7 @@
 				t.Fatal("a message was opened twice")
 			case err == nil && (m.addr != "127.0.0.1:7" || m.frame[0] != byte(i)):
 				t.Fatalf("opened as %+v", m)
-			case err != nil && !taken[i] && (w == nil || w.top-uint64(b[28])-uint64(b[27])<<8 < windowLen):
+			case err != nil && !taken[i] && (w == nil || w.top-uint64(b[28])-uint64(b[27])<<8 < windowSize):
 				t.Fatalf("a fresh message was refused: %v", err)
 			}
 			taken[i] = taken[i] || err == nil
@@ -73,23 +73,23 @@
 	})
 	s := newSealer()
 	o := &opener{own: s.own, windows: map[instance]*window{}}
-	if _, err := o.open(both, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errOwn) {
+	if _, err := o.open(both, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errReflected) {
 		t.Errorf("its own message: %v", err)
 	}
 	o.own = instance{}
-	if _, err := o.open(old, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errKey) {
+	if _, err := o.open(old, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errUnknownKey) {
 		t.Errorf("under a key that it lacks: %v", err)
 	}
 	if len(o.windows) > 0 {
 		t.Error("what was not authentic left a trace")
 	}
-	for i := range windowsMax + 10 { // the number of instances is bounded
+	for i := range maxWindows + 10 { // the number of instances is bounded
 		one := newSealer()
 		if _, err := o.open(both, one.seal(&both.list[0], "a", []byte("x"))); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	if len(o.windows) > windowsMax {
+	if len(o.windows) > maxWindows {
 		t.Errorf("%d instances are followed", len(o.windows))
 	}
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -29,16 +29,16 @@
 }
 
 const (
-	datagramMost = 1472
-	streamMost   = 1<<20 + 4096
-	streamWait   = 3 * time.Second // for a whole request and answer
-	streamsIn    = 16              // concurrent inbound streams
-	streamsOut   = 8
-	queueMost    = 1024 // messages waiting for the owner; further ones are dropped
-	junkMost     = 2000 // datagrams per second that fail authentication before the reader slows down and lets the socket's buffer drop them
-	burst        = 2    // send burst, in seconds of the byte rate
-	firstEach    = 16   // one in this many messages is sealed under the first key, whatever key the peer uses
-	reserve      = 0.25 // fraction of the burst reserved for frames that are not spare, such as pings and their answers
+	maxDatagramBytes        = 1472
+	maxStreamBytes          = 1<<20 + 4096
+	streamTimeout           = 3 * time.Second // for a whole request and answer
+	maxStreamsIn            = 16              // concurrent inbound streams
+	maxStreamsOut           = 8
+	maxQueued               = 1024 // messages waiting for the owner; further ones are dropped
+	maxUnauthenticPerSecond = 2000 // datagrams per second that fail authentication before the reader slows down and lets the socket's buffer drop them
+	burstSeconds            = 2    // send burst, in seconds of the byte rate
+	firstKeyInterval        = 16   // one in this many messages is sealed under the first key, whatever key the peer uses
+	reservedFraction        = 0.25 // fraction of the burst reserved for frames that are not spare, such as pings and their answers
 )
 
 // Incoming is an authenticated frame, or an address that refused a connection.
@@ -59,32 +59,32 @@
 // Sockets send and receive frames. Send and Answer must be called by one owner; the other methods are safe for
 // concurrent use.
 type Sockets struct {
-	Counts Counts
-	conf   Config
-	log    *slog.Logger
-	udp    *net.UDPConn
-	tcp    net.Listener
-	in     chan Incoming
-	ctx    context.Context
-	cancel func()
-	done   sync.WaitGroup
-	out    chan struct{} // a slot for each stream being dialled
+	Counts     Counts
+	config     Config
+	log        *slog.Logger
+	udp        *net.UDPConn
+	tcp        net.Listener
+	received   chan Incoming
+	ctx        context.Context
+	cancel     func()
+	goroutines sync.WaitGroup
+	dialSlots  chan struct{} // a slot for each stream being dialled
 
-	mu      sync.Mutex // guards the fields below
-	keys    *Keys
-	routes  map[string]string
-	sealer  *sealer
-	opener  *opener
-	heard   map[string][4]byte // last key received from the peer that publishes the address
-	tried   map[string]int     // messages sent to an address since one was received from it; keys are tried in turn
-	addrs   map[string]*net.UDPAddr
-	streams map[uint64]*inbound
-	sends   uint64
-	last    uint64
-	room    float64
-	roomAt  time.Time
+	mu              sync.Mutex // guards the fields below
+	keys            *Keys
+	routes          map[string]string
+	sealer          *sealer
+	opener          *opener
+	lastKeys        map[string][4]byte // last key received from the peer that publishes the address
+	sendsUnanswered map[string]int     // messages sent to an address since one was received from it; keys are tried in turn
+	addrs           map[string]*net.UDPAddr
+	inboundStreams  map[uint64]*inbound
+	sendCount       uint64
+	lastStream      uint64
+	sendBudget      float64
+	budgetAt        time.Time
 
-	badKey, junk, failing logthrottle.Line
+	unknownKeyLog, unauthenticLog, addressLog logthrottle.Line
 }
 
 // Listen opens the sockets. Both use the same port; port 0 selects a free one.
@@ -99,31 +99,31 @@
 		_ = tcp.Close()
 		return nil, err
 	}
-	s := &Sockets{conf: conf, log: log, udp: udp, tcp: tcp, in: make(chan Incoming, queueMost), out: make(chan struct{}, streamsOut), keys: conf.Keys,
-		routes: conf.Routes, sealer: newSealer(), heard: map[string][4]byte{}, tried: map[string]int{}, addrs: map[string]*net.UDPAddr{},
-		streams: map[uint64]*inbound{}, room: burst * float64(conf.BytesPerSecond), roomAt: time.Now()}
+	s := &Sockets{config: conf, log: log, udp: udp, tcp: tcp, received: make(chan Incoming, maxQueued), dialSlots: make(chan struct{}, maxStreamsOut), keys: conf.Keys,
+		routes: conf.Routes, sealer: newSealer(), lastKeys: map[string][4]byte{}, sendsUnanswered: map[string]int{}, addrs: map[string]*net.UDPAddr{},
+		inboundStreams: map[uint64]*inbound{}, sendBudget: burstSeconds * float64(conf.BytesPerSecond), budgetAt: time.Now()}
 	s.opener = &opener{own: s.sealer.own, windows: map[instance]*window{}}
-	if s.conf.Advertise == "" {
-		s.conf.Advertise = tcp.Addr().String()
+	if s.config.Advertise == "" {
+		s.config.Advertise = tcp.Addr().String()
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Add(2)
-	go s.datagrams()
-	go s.accept()
+	s.goroutines.Add(2)
+	go s.readDatagrams()
+	go s.acceptStreams()
 	return s, nil
 }
 
 // inbound is a stream that waits for its answer.
 type inbound struct {
-	c    net.Conn
-	over chan struct{} // closed when the answer was sent
+	conn net.Conn
+	done chan struct{} // closed when the answer was sent
 }
 
 // AdvertisedAddr returns the address that peers are told.
-func (s *Sockets) AdvertisedAddr() string { return s.conf.Advertise }
+func (s *Sockets) AdvertisedAddr() string { return s.config.Advertise }
 
 // Received returns the channel of received frames and refused addresses.
-func (s *Sockets) Received() <-chan Incoming { return s.in }
+func (s *Sockets) Received() <-chan Incoming { return s.received }
 
 // SetKeys replaces keys and routes.
 func (s *Sockets) SetKeys(k *Keys, routes map[string]string) {
@@ -138,62 +138,62 @@
 	_ = s.udp.Close()
 	_ = s.tcp.Close()
 	s.mu.Lock()
-	for id, in := range s.streams {
-		delete(s.streams, id)
-		_ = in.c.Close()
-		close(in.over)
+	for id, in := range s.inboundStreams {
+		delete(s.inboundStreams, id)
+		_ = in.conn.Close()
+		close(in.done)
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.goroutines.Wait()
 }
 
-// key returns the key to seal with for an address: the last one that its owner used, so that a key rotation in
+// sealKey returns the key to seal with for an address: the last one that its owner used, so that a key rotation in
 // progress divides nobody. Until the owner was heard the keys are tried in turn.
-func (s *Sockets) key(addr string) *key {
-	s.sends++
-	if id, ok := s.heard[addr]; ok && s.sends%firstEach != 0 {
+func (s *Sockets) sealKey(addr string) *key {
+	s.sendCount++
+	if id, ok := s.lastKeys[addr]; ok && s.sendCount%firstKeyInterval != 0 {
 		for i := range s.keys.list {
 			if s.keys.list[i].id == id {
-				if n := s.tried[addr]; n < 3 { // it answers: no need to try other keys
-					s.tried[addr]++
+				if n := s.sendsUnanswered[addr]; n < 3 { // it answers: no need to try other keys
+					s.sendsUnanswered[addr]++
 					return &s.keys.list[i]
 				}
 			}
 		}
 	}
-	if len(s.tried) > windowsMax {
-		clear(s.tried)
+	if len(s.sendsUnanswered) > maxWindows {
+		clear(s.sendsUnanswered)
 	}
-	s.tried[addr]++
-	if _, ok := s.heard[addr]; ok && s.tried[addr] < 3 { // occasionally the first key, so that the old one goes out of use
+	s.sendsUnanswered[addr]++
+	if _, ok := s.lastKeys[addr]; ok && s.sendsUnanswered[addr] < 3 { // occasionally the first key, so that the old one goes out of use
 		return &s.keys.list[0]
 	}
-	return &s.keys.list[(s.tried[addr]-1)%len(s.keys.list)]
+	return &s.keys.list[(s.sendsUnanswered[addr]-1)%len(s.keys.list)]
 }
 
-// spend takes n bytes from the send budget, or counts the message as throttled and returns false. Spare frames
+// takeBudget takes n bytes from the send budget, or counts the message as throttled and returns false. Spare frames
 // may not use the reserve.
-func (s *Sockets) spend(n int, spare bool) bool {
+func (s *Sockets) takeBudget(n int, spare bool) bool {
 	now := time.Now()
-	s.room = min(s.room+now.Sub(s.roomAt).Seconds()*float64(s.conf.BytesPerSecond), burst*float64(s.conf.BytesPerSecond))
-	s.roomAt = now
-	left := s.room - float64(n)
-	if left < 0 || spare && left < reserve*burst*float64(s.conf.BytesPerSecond) {
+	s.sendBudget = min(s.sendBudget+now.Sub(s.budgetAt).Seconds()*float64(s.config.BytesPerSecond), burstSeconds*float64(s.config.BytesPerSecond))
+	s.budgetAt = now
+	left := s.sendBudget - float64(n)
+	if left < 0 || spare && left < reservedFraction*burstSeconds*float64(s.config.BytesPerSecond) {
 		s.Counts.Throttled.Add(1)
 		return false
 	}
-	s.room = left
+	s.sendBudget = left
 	s.Counts.Sent.Add(1)
 	s.Counts.SentBytes.Add(int64(n))
 	return true
 }
 
-// sealed returns the sealed frame, or nil if the send budget is exhausted.
-func (s *Sockets) sealed(addr string, frame []byte, spare bool) []byte {
-	if !s.spend(headLen+1+len(s.conf.Advertise)+len(frame)+tagLen+28, spare) {
+// sealFrame returns the sealed frame, or nil if the send budget is exhausted.
+func (s *Sockets) sealFrame(addr string, frame []byte, spare bool) []byte {
+	if !s.takeBudget(headerLen+1+len(s.config.Advertise)+len(frame)+tagLen+28, spare) {
 		return nil
 	}
-	return s.sealer.seal(s.key(addr), s.conf.Advertise, frame)
+	return s.sealer.seal(s.sealKey(addr), s.config.Advertise, frame)
 }
 
 // Send sends a frame to a peer: by datagram, or by a new stream whose answer is received as a frame. Name may
@@ -205,8 +205,8 @@
 	if r, ok := s.routes[name]; ok && name != "" {
 		to = r
 	}
-	if stream || len(frame) > datagramMost-headLen-tagLen-1-len(s.conf.Advertise) {
-		if b := s.sealed(addr, frame, spare); b != nil {
+	if stream || len(frame) > maxDatagramBytes-headerLen-tagLen-1-len(s.config.Advertise) {
+		if b := s.sealFrame(addr, frame, spare); b != nil {
 			s.dial(addr, to, b)
 		}
 		return
@@ -215,16 +215,16 @@
 	if at == nil {
 		a, err := net.ResolveUDPAddr("udp", to)
 		if err != nil || a.IP == nil {
-			s.failing.Warn(s.log, "peer address not usable", "peer", name, "address", to, "err", err)
+			s.addressLog.Warn(s.log, "peer address not usable", "peer", name, "address", to, "err", err)
 			return
 		}
-		if len(s.addrs) > windowsMax {
+		if len(s.addrs) > maxWindows {
 			clear(s.addrs)
 		}
 		at = a
 		s.addrs[to] = at
 	}
-	if b := s.sealed(addr, frame, spare); b != nil {
+	if b := s.sealFrame(addr, frame, spare); b != nil {
 		_, _ = s.udp.WriteToUDP(b, at) // an error counts as loss on the way
 	}
 }
@@ -233,58 +233,58 @@
 func (s *Sockets) Reply(stream uint64, addr string, frame []byte, spare bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	in := s.streams[stream]
+	in := s.inboundStreams[stream]
 	if in == nil {
 		return
 	}
-	delete(s.streams, stream)
-	b := s.sealed(addr, frame, spare)
-	s.done.Add(1)
+	delete(s.inboundStreams, stream)
+	b := s.sealFrame(addr, frame, spare)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.done.Done()
+		defer s.goroutines.Done()
 		if b != nil {
-			_ = writeFrame(in.c, b)
+			_ = writeFrame(in.conn, b)
 		}
-		_ = in.c.Close()
-		close(in.over)
+		_ = in.conn.Close()
+		close(in.done)
 	}()
 }
 
 // dial sends a message by a new stream. The caller holds the lock.
 func (s *Sockets) dial(addr, to string, b []byte) {
 	select {
-	case s.out <- struct{}{}:
+	case s.dialSlots <- struct{}{}:
 	default:
 		s.Counts.StreamsRefused.Add(1)
 		return
 	}
-	s.done.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.done.Done()
-		defer func() { <-s.out }()
-		d := net.Dialer{Timeout: streamWait / 2}
+		defer s.goroutines.Done()
+		defer func() { <-s.dialSlots }()
+		d := net.Dialer{Timeout: streamTimeout / 2}
 		c, err := d.DialContext(s.ctx, "tcp", to)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				s.post(Incoming{RefusedAddr: addr})
+				s.enqueue(Incoming{RefusedAddr: addr})
 			}
 			return
 		}
 		defer func() { _ = c.Close() }()
 		stop := context.AfterFunc(s.ctx, func() { _ = c.Close() })
 		defer stop()
-		_ = c.SetDeadline(time.Now().Add(streamWait))
+		_ = c.SetDeadline(time.Now().Add(streamTimeout))
 		if writeFrame(c, b) != nil {
 			return
 		}
 		if answer, err := readFrame(c); err == nil {
-			s.take(answer, 0)
+			s.receive(answer, 0)
 		}
 	}()
 }
 
 func writeFrame(c net.Conn, b []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(streamWait))
+	_ = c.SetWriteDeadline(time.Now().Add(streamTimeout))
 	_, err := c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 	return err
 }
@@ -295,8 +295,8 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > streamMost {
-		return nil, errShort
+	if n > maxStreamBytes {
+		return nil, errFormat
 	}
 	// The buffer is not allocated from the announced length: memory grows with what arrives.
 	b, err := io.ReadAll(io.LimitReader(c, int64(n)))
@@ -306,9 +306,9 @@
 	return b, err
 }
 
-// datagrams reads datagrams, and slows down while too many fail authentication.
-func (s *Sockets) datagrams() {
-	defer s.done.Done()
+// readDatagrams reads datagrams, and slows down while too many fail authentication.
+func (s *Sockets) readDatagrams() {
+	defer s.goroutines.Done()
 	buf := make([]byte, 64<<10)
 	junk, since := 0, time.Now()
 	for {
@@ -319,63 +319,63 @@
 			}
 			continue // an ICMP error for a datagram sent earlier
 		}
-		if s.take(buf[:n], 0) {
+		if s.receive(buf[:n], 0) {
 			continue
 		}
 		if time.Since(since) > time.Second {
 			junk, since = 0, time.Now()
 		}
-		if junk++; junk > junkMost {
+		if junk++; junk > maxUnauthenticPerSecond {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// take decrypts a message and queues its frame. It returns whether the message was authentic.
-func (s *Sockets) take(b []byte, stream uint64) bool {
+// receive decrypts a message and queues its frame. It returns whether the message was authentic.
+func (s *Sockets) receive(b []byte, stream uint64) bool {
 	s.mu.Lock()
 	m, err := s.opener.open(s.keys, b)
 	if err == nil {
-		if len(s.heard) > windowsMax {
-			clear(s.heard)
+		if len(s.lastKeys) > maxWindows {
+			clear(s.lastKeys)
 		}
-		s.heard[m.addr] = m.key
-		s.tried[m.addr] = 0
+		s.lastKeys[m.addr] = m.key
+		s.sendsUnanswered[m.addr] = 0
 	}
 	s.mu.Unlock()
 	c := &s.Counts
 	switch {
 	case err == nil:
-	case errors.Is(err, errRepeated), errors.Is(err, errOwn):
+	case errors.Is(err, errRepeated), errors.Is(err, errReflected):
 		c.Repeated.Add(1)
 		return false
-	case errors.Is(err, errKey):
+	case errors.Is(err, errUnknownKey):
 		c.UnknownKey.Add(1)
-		s.badKey.Warn(s.log, "fleet message under an unknown key")
+		s.unknownKeyLog.Warn(s.log, "fleet message under an unknown key")
 		return false
 	default:
 		c.Unauthentic.Add(1)
-		s.junk.Warn(s.log, "fleet message not authentic", "err", err)
+		s.unauthenticLog.Warn(s.log, "fleet message not authentic", "err", err)
 		return false
 	}
 	c.Received.Add(1)
 	c.ReceivedBytes.Add(int64(len(b)))
-	s.post(Incoming{Frame: m.frame, Stream: stream})
+	s.enqueue(Incoming{Frame: m.frame, Stream: stream})
 	return true
 }
 
-func (s *Sockets) post(m Incoming) {
+func (s *Sockets) enqueue(m Incoming) {
 	select {
-	case s.in <- m:
+	case s.received <- m:
 	default:
 		s.Counts.Overflow.Add(1)
 	}
 }
 
-// accept accepts streams: one message each, answered on the stream within streamWait or not at all.
-func (s *Sockets) accept() {
-	defer s.done.Done()
-	room := make(chan struct{}, streamsIn)
+// acceptStreams accepts streams: one message each, answered on the stream within streamWait or not at all.
+func (s *Sockets) acceptStreams() {
+	defer s.goroutines.Done()
+	room := make(chan struct{}, maxStreamsIn)
 	for {
 		c, err := s.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -392,19 +392,19 @@
 			_ = c.Close()
 			continue
 		}
-		s.done.Add(1)
+		s.goroutines.Add(1)
 		go func() {
-			defer s.done.Done()
+			defer s.goroutines.Done()
 			defer func() { <-room }()
-			s.serve(c)
+			s.serveStream(c)
 		}()
 	}
 }
 
-func (s *Sockets) serve(c net.Conn) {
+func (s *Sockets) serveStream(c net.Conn) {
 	stop := context.AfterFunc(s.ctx, func() { _ = c.Close() })
 	defer stop()
-	_ = c.SetDeadline(time.Now().Add(streamWait))
+	_ = c.SetDeadline(time.Now().Add(streamTimeout))
 	b, err := readFrame(c)
 	if err != nil {
 		if !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed) {
@@ -414,32 +414,32 @@
 		return
 	}
 	s.mu.Lock()
-	s.last++
-	id := s.last
+	s.lastStream++
+	id := s.lastStream
 	in := &inbound{c, make(chan struct{})}
-	s.streams[id] = in
+	s.inboundStreams[id] = in
 	s.mu.Unlock()
-	if !s.take(b, id) {
-		s.drop(id)
+	if !s.receive(b, id) {
+		s.dropStream(id)
 		return
 	}
-	t := time.NewTimer(streamWait)
+	t := time.NewTimer(streamTimeout)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-in.over:
+	case <-in.done:
 	case <-s.ctx.Done():
 	}
-	s.drop(id)
+	s.dropStream(id)
 }
 
-// drop closes a stream that was not answered.
-func (s *Sockets) drop(id uint64) {
+// dropStream closes a stream that was not answered.
+func (s *Sockets) dropStream(id uint64) {
 	s.mu.Lock()
-	in := s.streams[id]
-	delete(s.streams, id)
+	in := s.inboundStreams[id]
+	delete(s.inboundStreams, id)
 	s.mu.Unlock()
 	if in != nil {
-		_ = in.c.Close()
+		_ = in.conn.Close()
 	}
 }
--- a/internal/fleet/rotation/turn.go
+++ b/internal/fleet/rotation/turn.go
@@ -31,74 +31,74 @@
 
 // Task is a task that one gateway should do in each slot.
 type Task struct {
-	Name  string
-	Every Time // length of a slot
-	Pass  Time // length of a window; a slot has Every / Pass windows, at least one
-	Guard Time // allowed deviation of a gateway's clock from true time; less than half of Pass
+	Name          string
+	SlotLength    Time // length of a slot
+	WindowLength  Time // length of a window; a slot has Every / Pass windows, at least one
+	MaxClockError Time // allowed deviation of a gateway's clock from true time; less than half of Pass
 }
 
-// Unfit is the error for a task whose durations are inconsistent.
-type Unfit struct{ Task Task }
+// InvalidTask is the error for a task whose durations are inconsistent.
+type InvalidTask struct{ Task Task }
 
-func (e *Unfit) Error() string {
-	return fmt.Sprintf("turn: task %q has every %v, pass %v, guard %v: wanted 0 <= 2 x guard < pass <= every", e.Task.Name, e.Task.Every, e.Task.Pass, e.Task.Guard)
+func (e *InvalidTask) Error() string {
+	return fmt.Sprintf("turn: task %q has every %v, pass %v, guard %v: wanted 0 <= 2 x guard < pass <= every", e.Task.Name, e.Task.SlotLength, e.Task.WindowLength, e.Task.MaxClockError)
 }
 
 // Check returns an *Unfit if the task's durations are inconsistent. The other methods need a task that passes
 // it.
 func (t Task) Check() error {
-	if t.Guard < 0 || 2*t.Guard >= t.Pass || t.Pass > t.Every {
-		return &Unfit{t}
+	if t.MaxClockError < 0 || 2*t.MaxClockError >= t.WindowLength || t.WindowLength > t.SlotLength {
+		return &InvalidTask{t}
 	}
 	return nil
 }
 
-// Hold tells whether a gateway may act, and until when.
-type Hold struct {
-	Mine  bool
-	Slot  int64
-	Rank  int  // index of the window in its slot
-	Until Time // if Mine: the task must be done by then
-	Next  Time // if not Mine: when to ask again
+// Assignment tells whether a gateway may act, and until when.
+type Assignment struct {
+	Mine      bool
+	Slot      int64
+	Window    int  // index of the window in its slot
+	Until     Time // if Mine: the task must be done by then
+	NextCheck Time // if not Mine: when to ask again
 }
 
-// At tells whether gateway me may do the task now. names are the gateways of the view, me among them, in any
+// AssignmentAt tells whether gateway me may do the task now. names are the gateways of the view, me among them, in any
 // order and each once. missing is how many more gateways there should be that the view lacks: their windows
 // stay unused, so that many gateways that are each cut off do not all act in each slot. done is the last slot
 // for which this gateway did the task or heard that it was done.
-func (t Task) At(now Time, names []string, missing int, me string, done int64) Hold {
-	slot := int64(now / t.Every)
-	start := Time(slot) * t.Every
-	windows := int(t.Every / t.Pass)
-	rank := int((now - start) / t.Pass)
-	h := Hold{Slot: slot, Rank: rank, Next: start + t.Every + t.Guard}
+func (t Task) AssignmentAt(now Time, names []string, missing int, me string, done int64) Assignment {
+	slot := int64(now / t.SlotLength)
+	start := Time(slot) * t.SlotLength
+	windows := int(t.SlotLength / t.WindowLength)
+	rank := int((now - start) / t.WindowLength)
+	h := Assignment{Slot: slot, Window: rank, NextCheck: start + t.SlotLength + t.MaxClockError}
 	if done >= slot || rank >= windows {
 		return h
 	}
-	mine, n := t.place(slot, names, missing, me)
+	mine, n := t.position(slot, names, missing, me)
 	for k := rank; k < windows; k++ {
 		if k%n != mine {
 			continue
 		}
-		from, to := start+Time(k)*t.Pass+t.Guard, start+Time(k+1)*t.Pass-t.Guard
+		from, to := start+Time(k)*t.WindowLength+t.MaxClockError, start+Time(k+1)*t.WindowLength-t.MaxClockError
 		if now >= to {
 			continue
 		}
-		h.Mine, h.Rank, h.Until, h.Next = now >= from, k, to, from
+		h.Mine, h.Window, h.Until, h.NextCheck = now >= from, k, to, from
 		break
 	}
 	return h
 }
 
-// place returns me's position in the order of a slot, and the number of gateways in it.
-func (t Task) place(slot int64, names []string, missing int, me string) (place, n int) {
-	seed := seededhash.Mix(seededhash.Of(0, t.Name) ^ seededhash.Mix(uint64(slot)))
-	own := seededhash.Mix(seed ^ seededhash.Of(0, me))
+// position returns me's position in the order of a slot, and the number of gateways in it.
+func (t Task) position(slot int64, names []string, missing int, me string) (place, n int) {
+	seed := seededhash.Mix(seededhash.Chain(0, t.Name) ^ seededhash.Mix(uint64(slot)))
+	own := seededhash.Mix(seed ^ seededhash.Chain(0, me))
 	for _, name := range names {
 		if name == me {
 			continue
 		}
-		if s := seededhash.Mix(seed ^ seededhash.Of(0, name)); s < own || s == own && name < me {
+		if s := seededhash.Mix(seed ^ seededhash.Chain(0, name)); s < own || s == own && name < me {
 			place++
 		}
 		n++
@@ -112,13 +112,13 @@
 	return place, n + 1
 }
 
-// Order returns names in the order of a round of a task, for example in which recovered offices or regions
+// ShuffledOrder returns names in the order of a round of a task, for example in which recovered offices or regions
 // return. It is the same for all that know the names and the round.
-func Order(task string, round int64, names []string) []string {
-	seed := seededhash.Mix(seededhash.Of(0, task) ^ seededhash.Mix(uint64(round)))
+func ShuffledOrder(task string, round int64, names []string) []string {
+	seed := seededhash.Mix(seededhash.Chain(0, task) ^ seededhash.Mix(uint64(round)))
 	all := slices.Clone(names)
 	slices.SortFunc(all, func(a, b string) int {
-		return cmp.Or(cmp.Compare(seededhash.Mix(seed^seededhash.Of(0, a)), seededhash.Mix(seed^seededhash.Of(0, b))), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(seededhash.Mix(seed^seededhash.Chain(0, a)), seededhash.Mix(seed^seededhash.Chain(0, b))), cmp.Compare(a, b))
 	})
 	return slices.Compact(all)
 }
--- a/internal/fleet/rotation/turn_test.go
+++ b/internal/fleet/rotation/turn_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// TestSteps drives gateways with clocks off true time, some of them dead, in one view or two, and
+// TestRandomClocksAndFailures drives gateways with clocks off true time, some of them dead, in one view or two, and
 // holds claims 9 and 10. The plays without a guard have to break claim 9.
-func TestSteps(t *testing.T) {
+func TestRandomClocksAndFailures(t *testing.T) {
 	var broken int
 	for seed := range uint64(60) {
 		for _, guarded := range []bool{true, false} {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			task := Task{Name: fmt.Sprint("look ", seed), Every: 10 * time.Second, Pass: time.Second, Guard: 100 * time.Millisecond}
+			task := Task{Name: fmt.Sprint("look ", seed), SlotLength: 10 * time.Second, WindowLength: time.Second, MaxClockError: 100 * time.Millisecond}
 			if err := task.Check(); err != nil {
 				t.Fatal(err)
 			}
 			used := task
 			if !guarded {
-				used.Guard = 0
+				used.MaxClockError = 0
 			}
 			var names []string
 			for i := range 2 + rng.IntN(12) {
@@ -40,7 +40,7 @@
 			off, dead, done := make([]Time, len(names)), make([]bool, len(names)), make([]int64, len(names))
 			alive := 0
 			for i := range names {
-				off[i] = Time(rng.Int64N(int64(2*task.Guard)+1)) - task.Guard
+				off[i] = Time(rng.Int64N(int64(2*task.MaxClockError)+1)) - task.MaxClockError
 				if dead[i] = rng.IntN(3) == 0; !dead[i] {
 					alive++
 				}
@@ -51,8 +51,8 @@
 			for now := begin; now < begin+60*time.Second; now += step {
 				hold := make([]int, len(views))
 				for i, name := range names {
-					h := used.At(now+off[i], views[of[i]], 0, name, done[i])
-					if h.Next <= now+off[i] && !h.Mine {
+					h := used.AssignmentAt(now+off[i], views[of[i]], 0, name, done[i])
+					if h.NextCheck <= now+off[i] && !h.Mine {
 						t.Fatalf("seed %d: %s is told to ask again in the past: %+v", seed, name, h)
 					}
 					if !h.Mine {
@@ -60,7 +60,7 @@
 					}
 					if hold[of[i]]++; !dead[i] && acted[h.Slot] == 0 && len(views) == 1 {
 						// It acts, and some hear of it at once.
-						acted[h.Slot] = now - Time(h.Slot)*task.Every
+						acted[h.Slot] = now - Time(h.Slot)*task.SlotLength
 						for k := range names {
 							if k == i || rng.IntN(4) > 0 {
 								done[k] = h.Slot
@@ -77,9 +77,9 @@
 				}
 			}
 			if len(views) == 1 && guarded && alive > 0 && len(names) <= 10 {
-				for slot := int64((begin + task.Every) / task.Every); slot < int64((begin+50*time.Second)/task.Every); slot++ {
+				for slot := int64((begin + task.SlotLength) / task.SlotLength); slot < int64((begin+50*time.Second)/task.SlotLength); slot++ {
 					late, was := acted[slot], len(names)-alive
-					if late == 0 || late > Time(was)*task.Pass+2*task.Guard+step {
+					if late == 0 || late > Time(was)*task.WindowLength+2*task.MaxClockError+step {
 						t.Fatalf("seed %d slot %d: %d dead, acted after %v", seed, slot, was, late)
 					}
 				}
@@ -91,10 +91,10 @@
 	}
 }
 
-// TestEven holds that first windows are shared evenly, and that those cut off each by itself act no more in all.
-func TestEven(t *testing.T) {
-	task := Task{Name: "trial", Every: time.Second, Pass: time.Second}
-	names := Order("any", 1, []string{"a", "b", "c", "d", "e", "f", "g", "h", "b"})
+// TestEvenDistribution holds that first windows are shared evenly, and that those cut off each by itself act no more in all.
+func TestEvenDistribution(t *testing.T) {
+	task := Task{Name: "trial", SlotLength: time.Second, WindowLength: time.Second}
+	names := ShuffledOrder("any", 1, []string{"a", "b", "c", "d", "e", "f", "g", "h", "b"})
 	if len(names) != 8 {
 		t.Fatalf("%v has a name twice or lacks one", names)
 	}
@@ -104,10 +104,10 @@
 		mine := 0
 		for s := range slots {
 			at := Time(s+1)*time.Second + time.Millisecond
-			if task.At(at, names, 0, me, 0).Mine {
+			if task.AssignmentAt(at, names, 0, me, 0).Mine {
 				mine++
 			}
-			if task.At(at, []string{me}, 7, me, 0).Mine {
+			if task.AssignmentAt(at, []string{me}, 7, me, 0).Mine {
 				alone++
 			}
 		}
@@ -118,8 +118,8 @@
 	if alone < slots*9/10 || alone > slots*11/10 {
 		t.Errorf("8 that are alone acted %d times in %d slots", alone, slots)
 	}
-	var unfit *Unfit
-	if err := (Task{Every: 1, Pass: 2}).Check(); !errors.As(err, &unfit) {
+	var unfit *InvalidTask
+	if err := (Task{SlotLength: 1, WindowLength: 2}).Check(); !errors.As(err, &unfit) {
 		t.Errorf("%v for a pass longer than its slot", err)
 	}
 }
--- a/internal/fleet/seededhash/draw.go
+++ b/internal/fleet/seededhash/draw.go
@@ -4,8 +4,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Of returns the hash of a chain of words: before is the hash of the words before, 0 at first.
-func Of(before uint64, word string) uint64 { return Mix(before ^ xxhash.Sum64String(word)) }
+// Chain returns the hash of a chain of words: before is the hash of the words before, 0 at first.
+func Chain(before uint64, word string) uint64 { return Mix(before ^ xxhash.Sum64String(word)) }
 
 // Mix scrambles a number (the finalizer of SplitMix64), so that numbers that differ in one bit give unrelated
 // results.
--- a/internal/fleet/subscribe/asks.go
+++ b/internal/fleet/subscribe/asks.go
@@ -33,7 +33,7 @@
 // DecodePermitRequest parses a request; ok is false if it is malformed.
 func DecodePermitRequest(b []byte) (a PermitRequest, ok bool) {
 	err := cbor.Unmarshal(b, &a)
-	return a, err == nil && a.Name != "" && len(a.Name) <= textMost && len(a.Addr) <= textMost && len(a.Reason) <= agreed.TextMost
+	return a, err == nil && a.Name != "" && len(a.Name) <= maxTextBytes && len(a.Addr) <= maxTextBytes && len(a.Reason) <= agreed.TextMost
 }
 
 // PermitAnswer is the council's answer to a request.
@@ -50,43 +50,43 @@
 
 // PermitRequester keeps at most one request in progress. It is not safe for concurrent use.
 type PermitRequester struct {
-	number uint64
-	ask    *PermitRequest // nil if none is in progress
-	at     Time           // first sent
-	sentAt Time
+	number      uint64
+	request     *PermitRequest // nil if none is in progress
+	firstSentAt Time           // first sent
+	lastSentAt  Time
 }
 
-// Begin starts a request and replaces any in progress, whose answer is then ignored.
-func (k *PermitRequester) Begin(now Time, a PermitRequest) {
+// Start starts a request and replaces any in progress, whose answer is then ignored.
+func (k *PermitRequester) Start(now Time, a PermitRequest) {
 	k.number++
 	a.Number = k.number
-	k.ask, k.at, k.sentAt = &a, now, now-ResendInterval
+	k.request, k.firstSentAt, k.lastSentAt = &a, now, now-ResendInterval
 }
 
-// Busy reports whether a request waits for its answer.
-func (k *PermitRequester) Busy() bool { return k.ask != nil }
+// Pending reports whether a request waits for its answer.
+func (k *PermitRequester) Pending() bool { return k.request != nil }
 
-// Stop abandons the request. The council may still carry it out.
-func (k *PermitRequester) Stop() { k.ask = nil }
+// Cancel abandons the request. The council may still carry it out.
+func (k *PermitRequester) Cancel() { k.request = nil }
 
-// Send returns the message to send to all voters now, nil if none is due.
-func (k *PermitRequester) Send(now Time) []byte {
-	if k.ask == nil || now-k.sentAt < ResendInterval {
+// DueMessage returns the message to send to all voters now, nil if none is due.
+func (k *PermitRequester) DueMessage(now Time) []byte {
+	if k.request == nil || now-k.lastSentAt < ResendInterval {
 		return nil
 	}
-	k.sentAt = now
-	return encode(k.ask)
+	k.lastSentAt = now
+	return encode(k.request)
 }
 
-// Take handles an answer. ok is false unless it answers the request in progress, which is returned with the
+// HandleAnswer handles an answer. ok is false unless it answers the request in progress, which is returned with the
 // time at which it was first sent: a term counts from there.
-func (k *PermitRequester) Take(b []byte) (a PermitRequest, g PermitAnswer, at Time, ok bool) {
-	if cbor.Unmarshal(b, &g) != nil || k.ask == nil || g.Number != k.ask.Number {
+func (k *PermitRequester) HandleAnswer(b []byte) (a PermitRequest, g PermitAnswer, at Time, ok bool) {
+	if cbor.Unmarshal(b, &g) != nil || k.request == nil || g.Number != k.request.Number {
 		return a, g, 0, false
 	}
-	a = *k.ask
-	k.ask = nil
-	return a, g, k.at, true
+	a = *k.request
+	k.request = nil
+	return a, g, k.firstSentAt, true
 }
 
 // MemberDrain is a member that is permitted to go out of service.
@@ -135,16 +135,16 @@
 func (c *Counts) since(was *Counts) (d Counts) {
 	for i := range c.Classes {
 		x, y := &c.Classes[i], &was.Classes[i]
-		d.Classes[i] = agreed.Served{Requests: less(x.Requests, y.Requests), Refused: less(x.Refused, y.Refused), Late: less(x.Late, y.Late)}
+		d.Classes[i] = agreed.Served{Requests: saturatingSub(x.Requests, y.Requests), Refused: saturatingSub(x.Refused, y.Refused), Late: saturatingSub(x.Late, y.Late)}
 	}
 	for i := range c.Latency {
-		d.Latency[i] = uint32(less(uint64(c.Latency[i]), uint64(was.Latency[i])))
+		d.Latency[i] = uint32(saturatingSub(uint64(c.Latency[i]), uint64(was.Latency[i])))
 	}
 	return d
 }
 
-// less returns x - y, or 0 if the count went back.
-func less(x, y uint64) uint64 {
+// saturatingSub returns x - y, or 0 if the count went back.
+func saturatingSub(x, y uint64) uint64 {
 	if x < y {
 		return 0
 	}
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -31,14 +31,14 @@
 	// SilentTimeout is the time after which a gateway that does not report counts as out of service.
 	SilentTimeout = 10 * time.Second
 	// ServingWindow is the time within which a gateway must have reported to count as serving.
-	ServingWindow = 3 * time.Second
-	forgetAfter   = 24 * time.Hour
-	leftCounts    = 10 * time.Minute // a gateway that announced its stop counts as out for this long; later it is forgotten as gone for good
-	MaxGateways   = 4096
-	membersMost   = 4096
-	seenFor       = 20 * time.Second // a gateway's report on a member counts for this long
-	caughtUp      = 2 * time.Second  // a replica within this distance of its group's newest log position is caught up
-	textMost      = 80
+	ServingWindow    = 3 * time.Second
+	forgetDelay      = 24 * time.Hour
+	leftRetention    = 10 * time.Minute // a gateway that announced its stop counts as out for this long; later it is forgotten as gone for good
+	MaxGateways      = 4096
+	maxMembers       = 4096
+	reportValidity   = 20 * time.Second // a gateway's report on a member counts for this long
+	caughtUpDistance = 2 * time.Second  // a replica within this distance of its group's newest log position is caught up
+	maxTextBytes     = 80
 )
 
 // Report is a gateway's periodic report to the voters. Fields are added, never changed.
@@ -88,25 +88,25 @@
 
 // Subscription is what a gateway knows of the council. It is not safe for concurrent use.
 type Subscription struct {
-	number uint64
-	last   Update
-	at     Time // when the report that it answers was sent
-	sent   map[uint64]Time
-	heard  bool
-	tookAt Time
+	number       uint64
+	current      Update
+	reportSentAt Time // when the report that it answers was sent
+	sentAt       map[uint64]Time
+	received     bool
+	receivedAt   Time
 }
 
 // New returns a subscription that has received nothing.
-func New() *Subscription { return &Subscription{sent: map[uint64]Time{}} }
+func New() *Subscription { return &Subscription{sentAt: map[uint64]Time{}} }
 
 // NextReport numbers a report and returns its wire form.
 func (s *Subscription) NextReport(now Time, r Report) []byte {
 	s.number++
 	r.Number = s.number
-	if len(s.sent) > 16 {
-		clear(s.sent)
+	if len(s.sentAt) > 16 {
+		clear(s.sentAt)
 	}
-	s.sent[s.number] = now
+	s.sentAt[s.number] = now
 	return encode(&r)
 }
 
@@ -118,19 +118,21 @@
 	if cbor.Unmarshal(b, &t) != nil {
 		return false
 	}
-	at, ok := s.sent[t.Number]
-	if t.Number == 0 && s.heard && t.Index > s.last.Index {
-		at, ok, t.Leader = s.at, true, s.last.Leader
+	at, ok := s.sentAt[t.Number]
+	if t.Number == 0 && s.received && t.Index > s.current.Index {
+		at, ok, t.Leader = s.reportSentAt, true, s.current.Leader
 	}
-	if !ok || s.heard && (t.Index < s.last.Index || t.Index == s.last.Index && at < s.at) {
+	if !ok || s.received && (t.Index < s.current.Index || t.Index == s.current.Index && at < s.reportSentAt) {
 		return false
 	}
-	s.last, s.at, s.heard, s.tookAt = t, at, true, now
+	s.current, s.reportSentAt, s.received, s.receivedAt = t, at, true, now
 	return true
 }
 
 // LastUpdate returns the current message and when it arrived; ok is false if none ever did.
-func (s *Subscription) LastUpdate() (t Update, at Time, ok bool) { return s.last, s.tookAt, s.heard }
+func (s *Subscription) LastUpdate() (t Update, at Time, ok bool) {
+	return s.current, s.receivedAt, s.received
+}
 
 // State describes what is known of the council, for tables and JSON.
 type State struct {
@@ -142,70 +144,70 @@
 
 // State returns the current message's content and its age.
 func (s *Subscription) State(now Time) State {
-	if !s.heard {
+	if !s.received {
 		return State{AgeMs: -1}
 	}
-	return State{s.last.Leader, s.last.Index, (now - s.at).Milliseconds(), s.last.Fence}
+	return State{s.current.Leader, s.current.Index, (now - s.reportSentAt).Milliseconds(), s.current.Fence}
 }
 
 // Registry is a voter's record of the gateways' reports. It is not safe for concurrent use.
 type Registry struct {
-	seen  map[string]*heard
-	since Time // this voter has led, or received reports without a gap, since then
-	leads bool
+	gateways       map[string]*gatewayState
+	observingSince Time // this voter has led, or received reports without a gap, since then
+	leading        bool
 
-	members  map[string]map[string]word // by member, then by zone of the witness
+	members  map[string]map[string]memberState // by member, then by zone of the witness
 	versions map[string]*agreed.VersionHealth
 	zones    map[[2]string]*zoneplan.Seen // by witness zone and zone
 	zonesAt  Time
 }
 
-type heard struct {
+type gatewayState struct {
 	Report
-	at    Time
-	again bool // the start before the present one drained or left
+	receivedAt Time
+	returned   bool // the start before the present one drained or left
 }
 
-// word is the latest report on a member by the gateways of a zone.
-type word struct {
+// memberState is the latest report on a member by the gateways of a zone.
+type memberState struct {
 	MemberReport
-	at Time
+	receivedAt Time
 }
 
 // NewRegistry returns an empty record.
 func NewRegistry() *Registry {
-	return &Registry{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
+	return &Registry{gateways: map[string]*gatewayState{}, members: map[string]map[string]memberState{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
 }
 
 // HandleReport handles a report. Malformed reports and those of an older start or number are dropped.
 func (b *Registry) HandleReport(now Time, raw []byte) (r Report, ok bool) {
-	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > textMost || len(r.Zone) > textMost || len(r.Addr) > textMost {
+	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > maxTextBytes || len(r.Zone) > maxTextBytes || len(r.Addr) > maxTextBytes {
 		return r, false
 	}
-	h := b.seen[r.Name]
+	h := b.gateways[r.Name]
 	if h == nil {
-		if len(b.seen) >= MaxGateways {
+		if len(b.gateways) >= MaxGateways {
 			return r, false
 		}
-		h = &heard{}
-		b.seen[r.Name] = h
+		h = &gatewayState{}
+		b.gateways[r.Name] = h
 	} else if r.Epoch < h.Epoch || r.Epoch == h.Epoch && r.Number <= h.Number {
 		return r, false
 	}
-	b.count(h, &r)
-	b.tried(h, &r)
+	b.addCounts(h, &r)
+	b.addZoneAttempts(h, &r)
 	if h.Epoch != r.Epoch {
-		h.again = h.Epoch != 0 && (h.Drain || h.Leaving)
+		h.returned = h.Epoch != 0 && (h.Drain || h.Leaving)
 	}
-	h.Report, h.at = r, now
+	h.Report, h.receivedAt = r, now
 	for _, m := range r.Members {
-		b.word(now, r.Zone, m)
+		b.recordMember(now, r.Zone, m)
 	}
 	return r, true
 }
 
-// count adds what a gateway counted since its last report to the totals of its version.
-func (b *Registry) count(h *heard, r *Report) {
+// addCounts adds what a gateway counted since its last report to the totals of its version.
+func (b *Registry) addCounts(h *gatewayState, r *Report) {
 	v := b.versions[r.Version]
 	if v == nil {
 		if len(b.versions) >= 16 {
@@ -234,8 +236,8 @@
 	}
 }
 
-// zone returns the record of what the gateways of one zone observed of another since the last evaluation.
-func (b *Registry) zone(witness, of string) *zoneplan.Seen {
+// zoneRecord returns the record of what the gateways of one zone observed of another since the last evaluation.
+func (b *Registry) zoneRecord(witness, of string) *zoneplan.Seen {
 	z := b.zones[[2]string{witness, of}]
 	if z == nil {
 		z = &zoneplan.Seen{Witness: witness, Of: of}
@@ -246,8 +248,8 @@
 	return z
 }
 
-// tried adds a gateway's attempts since its last report, and its clients' requests.
-func (b *Registry) tried(h *heard, r *Report) {
+// addZoneAttempts adds a gateway's attempts since its last report, and its clients' requests.
+func (b *Registry) addZoneAttempts(h *gatewayState, r *Report) {
 	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.ZonesMost {
 		return
 	}
@@ -258,13 +260,13 @@
 		}
 	}
 	for _, t := range r.ZoneAttempts {
-		if t.Zone == "" || len(t.Zone) > textMost || t.Failed > t.Attempts {
+		if t.Zone == "" || len(t.Zone) > maxTextBytes || t.Failed > t.Attempts {
 			continue
 		}
-		n, bad := less(t.Attempts, was[t.Zone].Attempts), less(t.Failed, was[t.Zone].Failed)
-		z := b.zone(r.Zone, t.Zone)
+		n, bad := saturatingSub(t.Attempts, was[t.Zone].Attempts), saturatingSub(t.Failed, was[t.Zone].Failed)
+		z := b.zoneRecord(r.Zone, t.Zone)
 		z.Attempts, z.Failed = z.Attempts+float64(n), z.Failed+float64(min(bad, n))
-		b.zone(t.Zone, t.Zone).Done += float64(n - min(bad, n))
+		b.zoneRecord(t.Zone, t.Zone).Done += float64(n - min(bad, n))
 	}
 	if r.Counts != nil && r.Zone != "" {
 		old := &Counts{}
@@ -273,7 +275,7 @@
 		}
 		d := r.Counts.since(old)
 		for _, c := range d.Classes {
-			b.zone(r.Zone, r.Zone).Offered += float64(c.Requests)
+			b.zoneRecord(r.Zone, r.Zone).Offered += float64(c.Requests)
 		}
 	}
 }
@@ -308,26 +310,26 @@
 	return all
 }
 
-func (b *Registry) word(now Time, zone string, m MemberReport) {
-	if m.Member == "" || len(m.Member) > textMost || len(m.Zone) > textMost {
+func (b *Registry) recordMember(now Time, zone string, m MemberReport) {
+	if m.Member == "" || len(m.Member) > maxTextBytes || len(m.Zone) > maxTextBytes {
 		return
 	}
 	by := b.members[m.Member]
 	if by == nil {
-		if len(b.members) >= membersMost {
+		if len(b.members) >= maxMembers {
 			return
 		}
-		by = map[string]word{}
+		by = map[string]memberState{}
 		b.members[m.Member] = by
 	}
-	if len(by) < 64 || by[zone].at > 0 {
-		by[zone] = word{m, now}
+	if len(by) < 64 || by[zone].receivedAt > 0 {
+		by[zone] = memberState{m, now}
 	}
 }
 
-// dbs returns the members as gateways report them: out if most zones that reported recently say so, primary if
+// memberTargets returns the members as gateways report them: out if most zones that reported recently say so, primary if
 // most say so. A replica's position is the highest reported, as positions only grow.
-func (b *Registry) dbs(now Time) (all []agreed.Target) {
+func (b *Registry) memberTargets(now Time) (all []agreed.Target) {
 	type one struct {
 		t        agreed.Target
 		position int64
@@ -338,7 +340,7 @@
 		zones, out, primary := 0, 0, 0
 		o := &one{t: agreed.Target{Name: "db/" + name}}
 		for z, w := range by {
-			if now-w.at > seenFor {
+			if now-w.receivedAt > reportValidity {
 				delete(by, z)
 				continue
 			}
@@ -369,7 +371,7 @@
 			}
 		}
 		for _, o := range groups[g] {
-			o.t.Caught = !o.t.Primary && o.position > 0 && newest-o.position <= caughtUp.Milliseconds()
+			o.t.Caught = !o.t.Primary && o.position > 0 && newest-o.position <= caughtUpDistance.Milliseconds()
 			o.t.Best = o == best
 			all = append(all, o.t)
 		}
@@ -379,10 +381,10 @@
 
 // SetLeading records whether this voter leads.
 func (b *Registry) SetLeading(now Time, leads bool) {
-	if leads && !b.leads {
-		b.since = now
+	if leads && !b.leading {
+		b.observingSince = now
 	}
-	b.leads = leads
+	b.leading = leads
 }
 
 // Targets returns all gateways and members, whether each is out, and whether that differs from the known set.
@@ -393,23 +395,23 @@
 	for _, t := range known {
 		if name, ok := strings.CutPrefix(t.Name, "gateway/"); ok {
 			was[name] = t
-			if b.seen[name] == nil && len(b.seen) < MaxGateways { // agreed before this voter received a report of it
-				b.seen[name] = &heard{Report: Report{Name: name, Zone: t.Zone}, at: b.since}
+			if b.gateways[name] == nil && len(b.gateways) < MaxGateways { // agreed before this voter received a report of it
+				b.gateways[name] = &gatewayState{Report: Report{Name: name, Zone: t.Zone}, receivedAt: b.observingSince}
 			}
-		} else if !full || now-b.since < seenFor { // a new leader first waits for reports on all members
+		} else if !full || now-b.observingSince < reportValidity { // a new leader first waits for reports on all members
 			all = append(all, t)
 		}
 	}
-	if full && now-b.since >= seenFor {
-		all = b.dbs(now)
+	if full && now-b.observingSince >= reportValidity {
+		all = b.memberTargets(now)
 	}
-	for name, h := range b.seen {
-		silent := now - max(h.at, b.since)
-		if silent > forgetAfter || h.Leaving && silent > leftCounts {
-			delete(b.seen, name)
+	for name, h := range b.gateways {
+		silent := now - max(h.receivedAt, b.observingSince)
+		if silent > forgetDelay || h.Leaving && silent > leftRetention {
+			delete(b.gateways, name)
 			continue
 		}
-		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaving || silent > SilentTimeout || was[name].Out && now-h.at > ServingWindow}
+		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaving || silent > SilentTimeout || was[name].Out && now-h.receivedAt > ServingWindow}
 		if full {
 			t.Version, t.Epoch = h.Version, h.Epoch
 			if h.Epoch == 0 { // not heard since this voter began
@@ -426,13 +428,13 @@
 // Serving reports whether a gateway recently reported that it serves.
 func (b *Registry) Serving(now Time, target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
-	h := b.seen[name]
-	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaving && now-h.at < ServingWindow
+	h := b.gateways[name]
+	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaving && now-h.receivedAt < ServingWindow
 }
 
 // ReturnedAfterDrain reports whether a gateway whose last start drained or left has started again.
 func (b *Registry) ReturnedAfterDrain(target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
-	h := b.seen[name]
-	return ok && h != nil && h.again
+	h := b.gateways[name]
+	return ok && h != nil && h.returned
 }
--- a/internal/fleet/subscribe/subscribe_test.go
+++ b/internal/fleet/subscribe/subscribe_test.go
@@ -7,10 +7,10 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// TestBook checks that health is counted from report to report of one start, by version; that unannounced
+// TestRegistry checks that health is counted from report to report of one start, by version; that unannounced
 // restarts count; that a gateway which left under a permit and is back is reported as returned; and that
 // members are judged by zones, not by the number of gateways that report.
-func TestBook(t *testing.T) {
+func TestRegistry(t *testing.T) {
 	b := NewRegistry()
 	b.SetLeading(0, true)
 	now, number := Time(0), uint64(0)
@@ -100,26 +100,26 @@
 	}
 }
 
-// TestAsker checks that one request at a time is resent until it is answered, that other answers are dropped,
+// TestPermitRequester checks that one request at a time is resent until it is answered, that other answers are dropped,
 // and that the time returned is that of the first transmission.
-func TestAsker(t *testing.T) {
+func TestPermitRequester(t *testing.T) {
 	var k PermitRequester
-	k.Begin(time.Second, PermitRequest{Name: "g", Op: "acquire"})
-	first := k.Send(time.Second)
-	if first == nil || k.Send(time.Second+ResendInterval/2) != nil || k.Send(time.Second+ResendInterval) == nil {
+	k.Start(time.Second, PermitRequest{Name: "g", Op: "acquire"})
+	first := k.DueMessage(time.Second)
+	if first == nil || k.DueMessage(time.Second+ResendInterval/2) != nil || k.DueMessage(time.Second+ResendInterval) == nil {
 		t.Error("an ask is sent too often or not again")
 	}
 	a, ok := DecodePermitRequest(first)
 	if !ok || a.Number != 1 {
 		t.Errorf("read as %+v, %v", a, ok)
 	}
-	if _, _, _, ok := k.Take((&PermitAnswer{Number: 9, OK: true}).Encode()); ok {
+	if _, _, _, ok := k.HandleAnswer((&PermitAnswer{Number: 9, OK: true}).Encode()); ok {
 		t.Error("the answer to another ask is taken")
 	}
-	if _, g, at, ok := k.Take((&PermitAnswer{Number: 1, OK: true, Fence: 7}).Encode()); !ok || g.Fence != 7 || at != time.Second || k.Busy() {
+	if _, g, at, ok := k.HandleAnswer((&PermitAnswer{Number: 1, OK: true, Fence: 7}).Encode()); !ok || g.Fence != 7 || at != time.Second || k.Pending() {
 		t.Errorf("taken as %+v, asked at %v, %v", g, at, ok)
 	}
-	if _, _, _, ok := k.Take((&PermitAnswer{Number: 1, OK: true}).Encode()); ok {
+	if _, _, _, ok := k.HandleAnswer((&PermitAnswer{Number: 1, OK: true}).Encode()); ok {
 		t.Error("an answer is taken twice")
 	}
 	for _, b := range [][]byte{nil, {0xff}, encode(&PermitRequest{})} {
--- a/internal/fleet/subset/part.go
+++ b/internal/fleet/subset/part.go
@@ -22,21 +22,21 @@
 
 // Counts counts picks that did not go to the planned member, by the state of that member.
 type Counts struct {
-	Within  [States]uint64 // to another member of the subset
+	Inside  [States]uint64 // to another member of the subset
 	Outside [States]uint64 // to a substitute outside the subset
-	Nobody  uint64         // no member of the group was fit
+	NoneFit uint64         // no member of the group was fit
 }
 
-// Part is one gateway's subset of a group, with the members that substitute. It is not safe for concurrent
+// Subset is one gateway's subset of a group, with the members that substitute. It is not safe for concurrent
 // use.
-type Part struct {
-	Counts  Counts
-	shares  []Share
-	outside []string // all other members, in the order in which they substitute for this gateway's members
+type Subset struct {
+	Counts      Counts
+	shares      []Share
+	substitutes []string // all other members, in the order in which they substitute for this gateway's members
 }
 
 // Shares returns the subset's members and their weights, whose sum is 1.
-func (p *Part) Shares() []Share { return p.shares }
+func (p *Subset) Shares() []Share { return p.shares }
 
 // Pick chooses a member for one read from a uniform random number in [0, 1) and from how each member is seen
 // now. It allocates nothing. It returns false only if no member of the group is fit; the caller decides what
@@ -45,7 +45,7 @@
 // If the planned member is not fit, the read goes to the fit members of the subset as long as they have half
 // of its weight. If they have less, none of them gets more than twice its share, and the rest goes to the
 // first four fit members outside the subset.
-func (p *Part) Pick(draw float64, state func(member string) State) (member string, ok bool) {
+func (p *Subset) Pick(draw float64, state func(member string) State) (member string, ok bool) {
 	var fit float64
 	meant, cause, rest := -1, Fit, draw
 	for i, s := range p.shares {
@@ -64,25 +64,25 @@
 		}
 	}
 	stay := 1.0
-	if fit < keep {
+	if fit < minFitWeight {
 		stay = fit / (1 - fit)
 	}
 	if rest >= stay {
-		if m := p.standIn((rest-stay)/(1-stay), state); m != "" {
+		if m := p.substitute((rest-stay)/(1-stay), state); m != "" {
 			p.Counts.Outside[cause]++
 			return m, true
 		}
 		rest, stay = (rest-stay)/(1-stay), 1
 	}
-	if m := p.other(rest/stay*fit, state); m != "" {
-		p.Counts.Within[cause]++
+	if m := p.fitMember(rest/stay*fit, state); m != "" {
+		p.Counts.Inside[cause]++
 		return m, true
 	}
-	p.Counts.Nobody++
+	p.Counts.NoneFit++
 	return "", false
 }
 
-func (p *Part) other(rest float64, state func(string) State) (last string) {
+func (p *Subset) fitMember(rest float64, state func(string) State) (last string) {
 	for _, s := range p.shares {
 		if state(s.Member) == Fit {
 			if last = s.Member; rest < s.Weight {
@@ -94,12 +94,12 @@
 	return last
 }
 
-func (p *Part) standIn(draw float64, state func(string) State) string {
-	var found [standIns]string
+func (p *Subset) substitute(draw float64, state func(string) State) string {
+	var found [maxSubstitutes]string
 	n := 0
-	for _, m := range p.outside {
+	for _, m := range p.substitutes {
 		if state(m) == Fit {
-			if found[n] = m; n == standIns-1 {
+			if found[n] = m; n == maxSubstitutes-1 {
 				n++
 				break
 			}
--- a/internal/fleet/subset/plan.go
+++ b/internal/fleet/subset/plan.go
@@ -10,32 +10,32 @@
 )
 
 type scored struct {
-	at    int
+	index int
 	score float64
 }
 
 func (a scored) compare(b scored) int {
-	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.at, b.at))
+	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.index, b.index))
 }
 
-// willing returns a gateway's preference for a member.
-func (p *Plan) willing(g, m int) float64 {
+// preference returns a gateway's preference for a member.
+func (p *Plan) preference(g, m int) float64 {
 	if w := p.members[m].Capacity; p.gateways[g].Zone != p.members[m].Zone {
 		return w
 	}
-	return p.members[m].Capacity * near
+	return p.members[m].Capacity * sameZonePreference
 }
 
-// pick selects the pairs. What a gateway picks depends on the members alone, and what a member picks on the
+// pickPairs selects the pairs. What a gateway picks depends on the members alone, and what a member picks on the
 // gateways alone. So if an entry goes, only those that had picked it pick another, one each; if one comes, it
 // replaces at most one pick of each that picks it. Members pick without regard to zones, so that the loss of a
 // zone leaves its gateways with members.
-func (p *Plan) pick(picks, asks int) {
+func (p *Plan) pickPairs(picks, asks int) {
 	gs, ms := len(p.gateways), len(p.members)
-	seed := seededhash.Of(0, p.group)
+	seed := seededhash.Chain(0, p.group)
 	names := make([]uint64, ms)
 	for m := range names {
-		names[m] = seededhash.Of(0, p.members[m].Name)
+		names[m] = seededhash.Chain(0, p.members[m].Name)
 	}
 	byMember := make([][]scored, ms) // the lowest scores of each member
 	for m := range byMember {
@@ -44,24 +44,24 @@
 	mine := make([]scored, 0, picks+2)
 	for g, gw := range p.gateways {
 		mine = mine[:0]
-		own := seededhash.Of(seed, gw.Name)
+		own := seededhash.Chain(seed, gw.Name)
 		for m := range names {
-			mine = offer(mine, picks+1, m, seededhash.Mix(own^names[m]), p.willing(g, m))
-			byMember[m] = offer(byMember[m], asks+1, g, seededhash.Mix(own+names[m]), gw.Carries)
+			mine = insertScored(mine, picks+1, m, seededhash.Mix(own^names[m]), p.preference(g, m))
+			byMember[m] = insertScored(byMember[m], asks+1, g, seededhash.Mix(own+names[m]), gw.Demand)
 		}
-		for k, w := range taper(mine, picks) {
-			p.pairs = append(p.pairs, pair{g, mine[k].at, w})
+		for k, w := range taperedWeights(mine, picks) {
+			p.pairs = append(p.pairs, pair{g, mine[k].index, w})
 		}
 	}
 	for m, all := range byMember {
-		for k, w := range taper(all, asks) {
-			p.pairs = append(p.pairs, pair{all[k].at, m, w})
+		for k, w := range taperedWeights(all, asks) {
+			p.pairs = append(p.pairs, pair{all[k].index, m, w})
 		}
 	}
-	slices.SortFunc(p.pairs, func(a, b pair) int { return cmp.Or(cmp.Compare(a.g, b.g), cmp.Compare(a.m, b.m)) })
+	slices.SortFunc(p.pairs, func(a, b pair) int { return cmp.Or(cmp.Compare(a.gateway, b.gateway), cmp.Compare(a.member, b.member)) })
 	n := 0
 	for _, e := range p.pairs {
-		if n > 0 && p.pairs[n-1].g == e.g && p.pairs[n-1].m == e.m {
+		if n > 0 && p.pairs[n-1].gateway == e.gateway && p.pairs[n-1].member == e.member {
 			p.pairs[n-1].weight += e.weight
 		} else {
 			p.pairs[n] = e
@@ -69,19 +69,19 @@
 		}
 	}
 	p.pairs = p.pairs[:n]
-	p.first = make([]int, gs+1)
+	p.firstPair = make([]int, gs+1)
 	for _, e := range p.pairs {
-		p.first[e.g+1]++
+		p.firstPair[e.gateway+1]++
 	}
 	for g := range gs {
-		p.first[g+1] += p.first[g]
+		p.firstPair[g+1] += p.firstPair[g]
 	}
 }
 
-// taper yields the first n entries of a sorted list with their weights: the closer an entry is to being
+// taperedWeights yields the first n entries of a sorted list with their weights: the closer an entry is to being
 // replaced by the next one, the lower its weight, so that entries that come or go at the end do so with almost
 // no weight.
-func taper(list []scored, n int) iter.Seq2[int, float64] {
+func taperedWeights(list []scored, n int) iter.Seq2[int, float64] {
 	return func(yield func(int, float64) bool) {
 		for k := range min(n, len(list)) {
 			w := 1.0
@@ -95,16 +95,16 @@
 	}
 }
 
-// offer inserts an entry's score like least, but skips the logarithm if the score can't be among the lowest.
-func offer(list []scored, n, at int, h uint64, weight float64) []scored {
-	if len(list) == n && 1-chance(h) > list[n-1].score*weight { // -log(x) is never below 1 - x
+// insertScored inserts an entry's score like least, but skips the logarithm if the score can't be among the lowest.
+func insertScored(list []scored, n, at int, h uint64, weight float64) []scored {
+	if len(list) == n && 1-uniform(h) > list[n-1].score*weight { // -log(x) is never below 1 - x
 		return list
 	}
-	return least(list, n, scored{at, score(h, weight)})
+	return insertLowest(list, n, scored{at, score(h, weight)})
 }
 
-// least inserts s into a sorted list of the n lowest scores.
-func least(list []scored, n int, s scored) []scored {
+// insertLowest inserts s into a sorted list of the n lowest scores.
+func insertLowest(list []scored, n int, s scored) []scored {
 	if len(list) == n && list[n-1].compare(s) < 0 {
 		return list
 	}
@@ -116,26 +116,26 @@
 	return list[:min(len(list), n)]
 }
 
-// scale computes the weights of the pairs: each gateway's sum is 1, each member's load is near its fraction of
+// scaleWeights computes the weights of the pairs: each gateway's sum is 1, each member's load is near its fraction of
 // the capacity, and within that the weights are as close as possible to those of the picks. Rows and columns
 // are scaled in turn until nothing changes, columns a little less than would fit: that has a single result,
 // whatever the start, and it changes little if the view does. If the pairs allow no even load, gateways' sums
 // hold and members are as near as the rounds allow.
-func (p *Plan) scale() {
+func (p *Plan) scaleWeights() {
 	if len(p.pairs) == 0 {
 		return
 	}
 	gs, ms := len(p.gateways), len(p.members)
 	var carried, capacity float64
 	for _, g := range p.gateways {
-		carried += g.Carries
+		carried += g.Demand
 	}
 	for _, m := range p.members {
 		capacity += m.Capacity
 	}
 	kernel := make([]float64, len(p.pairs))
 	for i, e := range p.pairs {
-		kernel[i] = p.willing(e.g, e.m) * e.weight
+		kernel[i] = p.preference(e.gateway, e.member) * e.weight
 	}
 	row, column, load := make([]float64, gs), make([]float64, ms), make([]float64, ms)
 	for m := range column {
@@ -145,38 +145,38 @@
 		clear(load)
 		for g := range gs {
 			sum := 0.0
-			for i := p.first[g]; i < p.first[g+1]; i++ {
-				sum += float64(kernel[i] * column[p.pairs[i].m])
+			for i := p.firstPair[g]; i < p.firstPair[g+1]; i++ {
+				sum += float64(kernel[i] * column[p.pairs[i].member])
 			}
-			row[g] = p.gateways[g].Carries / carried / sum
-			for i := p.first[g]; i < p.first[g+1]; i++ {
-				load[p.pairs[i].m] += float64(row[g] * kernel[i] * column[p.pairs[i].m])
+			row[g] = p.gateways[g].Demand / carried / sum
+			for i := p.firstPair[g]; i < p.firstPair[g+1]; i++ {
+				load[p.pairs[i].member] += float64(row[g] * kernel[i] * column[p.pairs[i].member])
 			}
 		}
-		p.Off = 0
+		p.MaxExcess = 0
 		change := 0.0
 		for m := range load {
 			part := p.members[m].Capacity / capacity
-			p.Off = max(p.Off, load[m]/part-1)
-			next := min(max(math.Pow(column[m]*part/load[m], firm), 1e-60), 1e60)
+			p.MaxExcess = max(p.MaxExcess, load[m]/part-1)
+			next := min(max(math.Pow(column[m]*part/load[m], balanceFirmness), 1e-60), 1e60)
 			change = max(change, math.Abs(next/column[m]-1))
 			load[m] = next
 		}
-		if change <= still || p.Rounds == rounds {
+		if change <= convergence || p.Rounds == maxRounds {
 			break
 		}
 		column, load = load, column
 	}
 	for i, e := range p.pairs {
-		p.pairs[i].weight = row[e.g] * kernel[i] * column[e.m] / (p.gateways[e.g].Carries / carried)
+		p.pairs[i].weight = row[e.gateway] * kernel[i] * column[e.member] / (p.gateways[e.gateway].Demand / carried)
 	}
 }
 
 // score is the rendezvous score of an entry with the given weight: the probability to have the lowest score of
 // a list is proportional to the weight.
 func score(h uint64, weight float64) float64 {
-	return -math.Log(chance(h)) / weight
+	return -math.Log(uniform(h)) / weight
 }
 
-// chance maps a hash to a number above 0 and at most 1.
-func chance(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
+// uniform maps a hash to a number above 0 and at most 1.
+func uniform(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -22,22 +22,22 @@
 
 // Limits and parameters.
 const (
-	MostGateways = 2048 // gateways in a view: the work grows with gateways x members, see BenchmarkNew
-	MostMembers  = 2048 // members in a group
-	most         = 16   // a gateway's reported demand counts up to this multiple of the median, and down to the median divided by it
-
-	near     = 2    // preference of a gateway for members of its own zone, in picks and load; a higher value moves more load when a member goes
-	firm     = 0.9  // how firmly members' loads are held to their capacity: at 1 they are even and move most, at 0 they would not be held
-	still    = 1e-7 // scaling ends when no factor changes by more than this fraction
-	rounds   = 300  // limit of scaling rounds; about 120 are usual
-	keep     = 0.5  // fraction of a subset's weight: if less is usable, substitutes from outside the subset are added
-	standIns = 4    // substitutes at once, each with an equal fraction
+	MaxGateways = 2048 // gateways in a view: the work grows with gateways x members, see BenchmarkNew
+	MaxMembers  = 2048 // members in a group
+	demandLimit = 16   // a gateway's reported demand counts up to this multiple of the median, and down to the median divided by it
+
+	sameZonePreference = 2    // preference of a gateway for members of its own zone, in picks and load; a higher value moves more load when a member goes
+	balanceFirmness    = 0.9  // how firmly members' loads are held to their capacity: at 1 they are even and move most, at 0 they would not be held
+	convergence        = 1e-7 // scaling ends when no factor changes by more than this fraction
+	maxRounds          = 300  // limit of scaling rounds; about 120 are usual
+	minFitWeight       = 0.5  // fraction of a subset's weight: if less is usable, substitutes from outside the subset are added
+	maxSubstitutes     = 4    // substitutes at once, each with an equal fraction
 )
 
 // Gateway is a live gateway in a view.
 type Gateway struct {
 	Name, Zone string
-	Carries    float64 // its demand, in any unit common to all; 0 or less counts as the median
+	Demand     float64 // its demand, in any unit common to all; 0 or less counts as the median
 }
 
 // Member is one replica of the group.
@@ -61,21 +61,21 @@
 
 // Config sets how many pairs are picked: at most Picks x gateways + Asks x members in all.
 type Config struct {
-	Picks int // members that each gateway picks
-	Asks  int // gateways that each member picks
+	GatewayPicks int // members that each gateway picks
+	MemberPicks  int // gateways that each member picks
 }
 
-// Usual is the configuration that the figures in docs/design/subsets.md are measured with.
-var Usual = Config{Picks: 4, Asks: 24}
+// DefaultConfig is the configuration that the figures in docs/design/subsets.md are measured with.
+var DefaultConfig = Config{GatewayPicks: 4, MemberPicks: 24}
 
-// TooMany is the error for a view that is larger than a plan may be.
-type TooMany struct {
-	What      string
-	Got, Most int
+// TooManyError is the error for a view that is larger than a plan may be.
+type TooManyError struct {
+	What     string
+	Got, Max int
 }
 
-func (e *TooMany) Error() string {
-	return fmt.Sprintf("subset: %d %s in the view, at most %d can be planned for: split the fleet or the group, or use no parts", e.Got, e.What, e.Most)
+func (e *TooManyError) Error() string {
+	return fmt.Sprintf("subset: %d %s in the view, at most %d can be planned for: split the fleet or the group, or use no parts", e.Got, e.What, e.Max)
 }
 
 // Share is a member of a subset and the fraction of the gateway's reads that it gets, from 0 to 1.
@@ -86,43 +86,43 @@
 
 // Plan holds the subsets of all gateways of one view. It does not change once made.
 type Plan struct {
-	group    string
-	gateways []Gateway
-	members  []Member
-	pairs    []pair  // ordered by gateway, then member
-	first    []int   // index of each gateway's first pair, and the number of pairs
-	Rounds   int     // scaling rounds done
-	Off      float64 // relative excess of the most overloaded member over its fraction of the capacity
+	group     string
+	gateways  []Gateway
+	members   []Member
+	pairs     []pair  // ordered by gateway, then member
+	firstPair []int   // index of each gateway's first pair, and the number of pairs
+	Rounds    int     // scaling rounds done
+	MaxExcess float64 // relative excess of the most overloaded member over its fraction of the capacity
 }
 
 type pair struct {
-	g, m   int
-	weight float64
+	gateway, member int
+	weight          float64
 }
 
 // New makes the plan of a view. Views with the same entries give the same plan, whatever their order; of
 // entries with the same name the first counts. Its error is a *TooMany.
 func New(c Config, v View) (*Plan, error) {
-	if n := max(len(v.Gateways), v.Expected); n > MostGateways {
-		return nil, &TooMany{"gateways", n, MostGateways}
+	if n := max(len(v.Gateways), v.Expected); n > MaxGateways {
+		return nil, &TooManyError{"gateways", n, MaxGateways}
 	}
-	if len(v.Members) > MostMembers {
-		return nil, &TooMany{"members", len(v.Members), MostMembers}
+	if len(v.Members) > MaxMembers {
+		return nil, &TooManyError{"members", len(v.Members), MaxMembers}
 	}
-	p := &Plan{group: v.Group, gateways: tidyGateways(v), members: tidyMembers(v.Members)}
-	p.pick(max(c.Picks, 1), max(c.Asks, 1))
-	p.scale()
+	p := &Plan{group: v.Group, gateways: normalizeGateways(v), members: normalizeMembers(v.Members)}
+	p.pickPairs(max(c.GatewayPicks, 1), max(c.MemberPicks, 1))
+	p.scaleWeights()
 	return p, nil
 }
 
-func tidyGateways(v View) []Gateway {
+func normalizeGateways(v View) []Gateway {
 	all := slices.Clone(v.Gateways)
 	slices.SortStableFunc(all, func(a, b Gateway) int { return cmp.Compare(a.Name, b.Name) })
 	all = slices.CompactFunc(all, func(a, b Gateway) bool { return a.Name == b.Name })
 	var told []float64
 	for _, g := range all {
-		if g.Carries > 0 && !math.IsInf(g.Carries, 0) {
-			told = append(told, g.Carries)
+		if g.Demand > 0 && !math.IsInf(g.Demand, 0) {
+			told = append(told, g.Demand)
 		}
 	}
 	median := 1.0
@@ -133,10 +133,10 @@
 	for i := range all {
 		// A reported demand far from the others' moves only a bounded part of the plan, whichever gateway
 		// reports it.
-		if w := all[i].Carries; w > 0 {
-			all[i].Carries = min(max(w, median/most), median*most)
+		if w := all[i].Demand; w > 0 {
+			all[i].Demand = min(max(w, median/demandLimit), median*demandLimit)
 		} else {
-			all[i].Carries = median
+			all[i].Demand = median
 		}
 	}
 	if v.Verdict != view.Majority {
@@ -147,13 +147,13 @@
 			of = all[0].Name
 		}
 		for i := len(all); i < v.Expected; i++ {
-			all = append(all, Gateway{Name: fmt.Sprintf("\xff%d of %s", i, of), Carries: median})
+			all = append(all, Gateway{Name: fmt.Sprintf("\xff%d of %s", i, of), Demand: median})
 		}
 	}
 	return all
 }
 
-func tidyMembers(members []Member) (all []Member) {
+func normalizeMembers(members []Member) (all []Member) {
 	for _, m := range members {
 		if !m.Out {
 			if !(m.Capacity > 0) || math.IsInf(m.Capacity, 0) {
@@ -166,33 +166,33 @@
 	return slices.CompactFunc(all, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// Size returns the number of pairs of all gateways: the connections that the fleet keeps.
-func (p *Plan) Size() int { return len(p.pairs) }
+// PairCount returns the number of pairs of all gateways: the connections that the fleet keeps.
+func (p *Plan) PairCount() int { return len(p.pairs) }
 
-// Part returns a gateway's subset, or nil if the view has no such gateway.
-func (p *Plan) Part(gateway string) *Part {
+// Subset returns a gateway's subset, or nil if the view has no such gateway.
+func (p *Plan) Subset(gateway string) *Subset {
 	g, known := slices.BinarySearchFunc(p.gateways, gateway, func(g Gateway, name string) int { return cmp.Compare(g.Name, name) })
 	if !known {
 		return nil
 	}
-	part := &Part{}
+	part := &Subset{}
 	var in = make([]bool, len(p.members))
-	for _, e := range p.of(g) {
-		part.shares = append(part.shares, Share{p.members[e.m].Name, e.weight})
-		in[e.m] = true
+	for _, e := range p.pairsOf(g) {
+		part.shares = append(part.shares, Share{p.members[e.member].Name, e.weight})
+		in[e.member] = true
 	}
 	var rest []scored
-	seed := seededhash.Of(seededhash.Of(0, p.group), p.gateways[g].Name)
+	seed := seededhash.Chain(seededhash.Chain(0, p.group), p.gateways[g].Name)
 	for m := range p.members {
 		if !in[m] {
-			rest = append(rest, scored{m, score(seededhash.Of(seed, p.members[m].Name), p.willing(g, m))})
+			rest = append(rest, scored{m, score(seededhash.Chain(seed, p.members[m].Name), p.preference(g, m))})
 		}
 	}
 	slices.SortFunc(rest, scored.compare)
 	for _, s := range rest {
-		part.outside = append(part.outside, p.members[s.at].Name)
+		part.substitutes = append(part.substitutes, p.members[s.index].Name)
 	}
 	return part
 }
 
-func (p *Plan) of(g int) []pair { return p.pairs[p.first[g]:p.first[g+1]] }
+func (p *Plan) pairsOf(g int) []pair { return p.pairs[p.firstPair[g]:p.firstPair[g+1]] }
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -12,13 +12,13 @@
 	"reachwind/internal/fleet/view"
 )
 
-// TestSteps applies random changes of one entry each and checks claims 1, 2, 4 (pairs), 5 and 7 of
+// TestRandomChanges applies random changes of one entry each and checks claims 1, 2, 4 (pairs), 5 and 7 of
 // docs/design/subsets.md after each.
-func TestSteps(t *testing.T) {
+func TestRandomChanges(t *testing.T) {
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		v := fleet(rng, 2+rng.IntN(30), 3+rng.IntN(40), seed%2 == 1)
-		was := planned(v)
+		v := randomView(rng, 2+rng.IntN(30), 3+rng.IntN(40), seed%2 == 1)
+		was := planOf(v)
 		for step := range 40 {
 			next := without(v, -1, -1)
 			own, kind := 0, rng.IntN(5)
@@ -33,21 +33,21 @@
 					}
 				}
 			case kind == 2:
-				next.Gateways = append(next.Gateways, Gateway{Name: fmt.Sprint("new", seed, step), Zone: "b", Carries: 1 + 9*rng.Float64()})
+				next.Gateways = append(next.Gateways, Gateway{Name: fmt.Sprint("new", seed, step), Zone: "b", Demand: 1 + 9*rng.Float64()})
 			case kind == 3:
 				next.Members = append(next.Members, Member{Name: fmt.Sprint("mnew", seed, step), Zone: "c", Capacity: 1})
 			default:
-				next.Gateways[g].Carries = []float64{-1, math.NaN(), math.Inf(1), 0, 1e300, 1e-300, 10 * rng.Float64()}[rng.IntN(7)]
+				next.Gateways[g].Demand = []float64{-1, math.NaN(), math.Inf(1), 0, 1e300, 1e-300, 10 * rng.Float64()}[rng.IntN(7)]
 				kind = 4
 			}
-			now := planned(next)
+			now := planOf(next)
 			mixed := next
 			mixed.Gateways = slices.Clone(next.Gateways)
 			rng.Shuffle(len(mixed.Gateways), func(a, b int) {
 				mixed.Gateways[a], mixed.Gateways[b] = mixed.Gateways[b], mixed.Gateways[a]
 			})
 			pairs := 0
-			for g, part := range planned(mixed) {
+			for g, part := range planOf(mixed) {
 				sum := 0.0
 				for m, w := range part {
 					if now[g][m] != w || !(w >= 0) {
@@ -59,10 +59,10 @@
 					t.Fatalf("seed %d step %d: %s sends %v in all", seed, step, g, sum)
 				}
 			}
-			if most := Usual.Picks*len(next.Gateways) + Usual.Asks*len(next.Members); pairs > most {
+			if most := DefaultConfig.GatewayPicks*len(next.Gateways) + DefaultConfig.MemberPicks*len(next.Members); pairs > most {
 				t.Fatalf("seed %d step %d: %d pairs, at most %d", seed, step, pairs, most)
 			}
-			if _, opened := moved(next, was, now); kind < 2 && opened > own {
+			if _, opened := movedLoad(next, was, now); kind < 2 && opened > own {
 				t.Fatalf("seed %d step %d: %d new pairs after one went that had %d", seed, step, opened, own)
 			}
 			v, was = next, now
@@ -74,23 +74,23 @@
 // member.
 func TestTwoViews(t *testing.T) {
 	for _, uneven := range []bool{false, true} {
-		v := fleet(rand.New(rand.NewPCG(1, 2)), 300, 120, uneven)
+		v := randomView(rand.New(rand.NewPCG(1, 2)), 300, 120, uneven)
 		third := without(v, -1, -1)
 		third.Gateways = slices.DeleteFunc(third.Gateways, func(g Gateway) bool { return g.Zone == "c" })
 		half := without(v, -1, -1)
 		half.Members = half.Members[:60]
-		a := planned(v)
+		a := planOf(v)
 		for what, other := range map[string]View{"one gateway": without(v, 7, -1), "one member": without(v, -1, 7),
 			"a zone's gateways": third, "half the members": half} {
-			b := planned(other)
+			b := planOf(other)
 			// Worst case per member: every gateway uses the view that sends it more.
 			sums, both := map[string]float64{}, map[string]float64{}
 			var carried, capacity, worst float64
 			for _, g := range v.Gateways {
-				carried += g.Carries
+				carried += g.Demand
 				for _, m := range v.Members {
-					sums[m.Name] += g.Carries * max(a[g.Name][m.Name], b[g.Name][m.Name])
-					both[m.Name] += g.Carries * (a[g.Name][m.Name] + b[g.Name][m.Name])
+					sums[m.Name] += g.Demand * max(a[g.Name][m.Name], b[g.Name][m.Name])
+					both[m.Name] += g.Demand * (a[g.Name][m.Name] + b[g.Name][m.Name])
 				}
 			}
 			for _, m := range v.Members {
@@ -113,16 +113,16 @@
 // TestCutOff checks claim 8 and prints the load from 100 gateways that are each cut off, with the expected
 // number of gateways known and without.
 func TestCutOff(t *testing.T) {
-	v := fleet(rand.New(rand.NewPCG(1, 2)), 100, 40, false)
-	whole := planned(v)
+	v := randomView(rand.New(rand.NewPCG(1, 2)), 100, 40, false)
+	whole := planOf(v)
 	for _, expected := range []int{100, 0} {
-		each := parts{}
+		each := assignment{}
 		for _, g := range v.Gateways {
-			mine := planned(View{Group: "g", Gateways: []Gateway{g}, Members: v.Members, Verdict: view.Alone, Expected: expected})
+			mine := planOf(View{Group: "g", Gateways: []Gateway{g}, Members: v.Members, Verdict: view.Alone, Expected: expected})
 			each[g.Name] = mine[g.Name]
 		}
-		_, pairs := load(v, whole)
-		most, alone := load(v, each)
+		_, pairs := maxLoad(v, whole)
+		most, alone := maxLoad(v, each)
 		t.Logf("100 alone, expected %d: load %.2f, %d pairs; whole %d pairs", expected, most, alone, pairs)
 		if expected > 0 && (alone > pairs*3/2 || most > 2.2) {
 			t.Errorf("load %.2f, pairs %d of %d", most, alone, pairs)
@@ -133,12 +133,12 @@
 // TestPick checks claim 6 with random states.
 func TestPick(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	p, err := New(Usual, fleet(rng, 40, 120, true))
+	p, err := New(DefaultConfig, randomView(rng, 40, 120, true))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 60 {
-		part := p.Part("gw-0007")
+		part := p.Subset("gw-0007")
 		sick, states := rng.Float64(), map[string]State{}
 		fit := map[bool]float64{} // true: weight of the fit members in the subset; false: number of fit members outside
 		for _, m := range p.members {
@@ -152,7 +152,7 @@
 				fit[true] += s.Weight
 			}
 		}
-		for _, m := range part.outside {
+		for _, m := range part.substitutes {
 			if states[m] == Fit {
 				fit[false]++
 			}
@@ -167,37 +167,37 @@
 			got[m] += 1.0 / n
 		}
 		for c := range States {
-			left += part.Counts.Within[c] + part.Counts.Outside[c]
+			left += part.Counts.Inside[c] + part.Counts.Outside[c]
 		}
-		if want := (1 - fit[true]) * n; math.Abs(float64(left+part.Counts.Nobody)-want) > 15 || left > 0 && part.Counts.Within[Fit]+part.Counts.Outside[Fit] > 0 {
+		if want := (1 - fit[true]) * n; math.Abs(float64(left+part.Counts.NoneFit)-want) > 15 || left > 0 && part.Counts.Inside[Fit]+part.Counts.Outside[Fit] > 0 {
 			t.Fatalf("%d reads counted as having left, want %.0f: %+v", left, want, part.Counts)
 		}
 		for m, w := range got {
 			if was, in := shares[m]; in && fit[false] > 0 && w > 2*was+0.01 {
 				t.Fatalf("%s has %.3f, its share is %.3f, fit %v", m, w, was, fit)
-			} else if !in && m != "" && fit[true] >= keep {
+			} else if !in && m != "" && fit[true] >= minFitWeight {
 				t.Fatalf("%s stands in though %.2f of the part is fit", m, fit[true])
 			}
 		}
 	}
-	part := p.Part("gw-0007")
+	part := p.Subset("gw-0007")
 	if n := testing.AllocsPerRun(100, func() { part.Pick(0.5, func(string) State { return Full }) }); n > 0 {
 		t.Errorf("a pick allocates %v times", n)
 	}
 }
 
-func TestBounds(t *testing.T) {
-	var many *TooMany
-	if _, err := New(Usual, View{Members: make([]Member, MostMembers+1)}); !errors.As(err, &many) {
+func TestLimits(t *testing.T) {
+	var many *TooManyError
+	if _, err := New(DefaultConfig, View{Members: make([]Member, MaxMembers+1)}); !errors.As(err, &many) {
 		t.Errorf("%v for too many members", err)
 	}
 	for _, v := range []View{{}, {Gateways: []Gateway{{Name: "a"}, {Name: "a"}}}, {Members: []Member{{Name: "m"}}},
 		{Gateways: []Gateway{{Name: "a"}}, Members: []Member{{Name: "m", Out: true}}}} {
 		p, err := New(Config{}, v)
-		if err != nil || p.Size() != 0 {
+		if err != nil || p.PairCount() != 0 {
 			t.Errorf("%+v: %v, %v", v, p, err)
 		}
-		if part := p.Part("a"); part != nil {
+		if part := p.Subset("a"); part != nil {
 			if _, ok := part.Pick(0, func(string) State { return Fit }); ok {
 				t.Error("picked a member of none")
 			}
@@ -207,35 +207,35 @@
 
 func BenchmarkNew(b *testing.B) {
 	for _, n := range [][2]int{{40, 120}, {300, 120}, {1000, 1000}} {
-		v := fleet(rand.New(rand.NewPCG(1, 2)), n[0], n[1], true)
+		v := randomView(rand.New(rand.NewPCG(1, 2)), n[0], n[1], true)
 		b.Run(fmt.Sprintf("%dx%d", n[0], n[1]), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				New(Usual, v)
+				New(DefaultConfig, v)
 			}
 		})
 	}
 }
 
-// TestRough checks claim 3 if gateways report their demand in eighths of the maximum, as view.Meta does, and
+// TestCoarseDemand checks claim 3 if gateways report their demand in eighths of the maximum, as view.Meta does, and
 // prints what moves if half of the gateways or members go at once.
-func TestRough(t *testing.T) {
-	v := fleet(rand.New(rand.NewPCG(1, 2)), 300, 120, true)
+func TestCoarseDemand(t *testing.T) {
+	v := randomView(rand.New(rand.NewPCG(1, 2)), 300, 120, true)
 	told := without(v, -1, -1)
 	for i, g := range told.Gateways {
-		told.Gateways[i].Carries = max(math.Round(g.Carries*0.8), 1) / 0.8
+		told.Gateways[i].Demand = max(math.Round(g.Demand*0.8), 1) / 0.8
 	}
-	most, _ := load(v, planned(told))
+	most, _ := maxLoad(v, planOf(told))
 	t.Logf("told in eighths: load %.3f", most)
 	if most > 1.25 {
 		t.Errorf("load %.3f", most)
 	}
-	was, half := planned(v), without(v, -1, -1)
-	half.Gateways = slices.DeleteFunc(half.Gateways, func(g Gateway) bool { return seededhash.Of(0, g.Name)%2 == 0 })
-	s, opened := moved(half, was, planned(half))
+	was, half := planOf(v), without(v, -1, -1)
+	half.Gateways = slices.DeleteFunc(half.Gateways, func(g Gateway) bool { return seededhash.Chain(0, g.Name)%2 == 0 })
+	s, opened := movedLoad(half, was, planOf(half))
 	t.Logf("half the gateways go: %.2f of the others' load moves, %d new pairs of %d gateways", s, opened, len(half.Gateways))
 	half = without(v, -1, -1)
-	half.Members = slices.DeleteFunc(half.Members, func(m Member) bool { return seededhash.Of(0, m.Name)%2 == 0 })
-	s, opened = moved(v, was, planned(half))
+	half.Members = slices.DeleteFunc(half.Members, func(m Member) bool { return seededhash.Chain(0, m.Name)%2 == 0 })
+	s, opened = movedLoad(v, was, planOf(half))
 	t.Logf("half the members go: %.2f of the load moves, %d new pairs of %d gateways", s, opened, len(v.Gateways))
 }
--- a/internal/fleet/subset/ways_test.go
+++ b/internal/fleet/subset/ways_test.go
@@ -14,8 +14,8 @@
 
 var all = flag.Bool("all", false, "all sizes of the table in docs/design/subsets.md")
 
-// parts is the fraction of its reads that each gateway sends to each member, by names.
-type parts map[string]map[string]float64
+// assignment is the fraction of its reads that each gateway sends to each member, by names.
+type assignment map[string]map[string]float64
 
 func names(kind string, n int) (all []string) {
 	for i := range n {
@@ -24,15 +24,15 @@
 	return all
 }
 
-// fleet returns a random view. If uneven, gateways' demands range from 1 to 10, a tenth of them 10, and
+// randomView returns a random view. If uneven, gateways' demands range from 1 to 10, a tenth of them 10, and
 // members' capacities differ up to fourfold.
-func fleet(rng *rand.Rand, gs, ms int, uneven bool) View {
+func randomView(rng *rand.Rand, gs, ms int, uneven bool) View {
 	v := View{Group: "g", Verdict: view.Majority}
 	for i, n := range names("gw", gs) {
-		g := Gateway{Name: n, Zone: string(rune('a' + i%3)), Carries: 1}
+		g := Gateway{Name: n, Zone: string(rune('a' + i%3)), Demand: 1}
 		if uneven {
-			if g.Carries = 1 + 3*rng.Float64(); i%10 == 0 {
-				g.Carries = 10
+			if g.Demand = 1 + 3*rng.Float64(); i%10 == 0 {
+				g.Demand = 10
 			}
 		}
 		v.Gateways = append(v.Gateways, g)
@@ -46,24 +46,24 @@
 	return v
 }
 
-func planned(v View) parts {
-	p, err := New(Usual, v)
+func planOf(v View) assignment {
+	p, err := New(DefaultConfig, v)
 	if err != nil {
 		panic(err)
 	}
-	out := parts{}
+	out := assignment{}
 	for g, gw := range p.gateways {
 		out[gw.Name] = map[string]float64{}
-		for _, e := range p.of(g) {
-			out[gw.Name][p.members[e.m].Name] = e.weight
+		for _, e := range p.pairsOf(g) {
+			out[gw.Name][p.members[e.member].Name] = e.weight
 		}
 	}
 	return out
 }
 
-// chosen returns the subsets that result if choose selects the members of each gateway, weighted by capacity.
-func chosen(v View, choose func(at int, g Gateway) []Member) parts {
-	out := parts{}
+// chosenSubsets returns the subsets that result if choose selects the members of each gateway, weighted by capacity.
+func chosenSubsets(v View, choose func(at int, g Gateway) []Member) assignment {
+	out := assignment{}
 	for at, g := range v.Gateways {
 		mine, sum := map[string]float64{}, 0.0
 		for _, m := range choose(at, g) {
@@ -79,58 +79,62 @@
 }
 
 // The algorithms compared, each with subsets of size members.
-var ways = []struct {
+var algorithms = []struct {
 	name string
-	make func(v View, size int) parts
+	make func(v View, size int) assignment
 }{
-	{"two-sided rendezvous, scaled", func(v View, _ int) parts { return planned(v) }},
-	{"random parts", func(v View, size int) parts {
-		return chosen(v, func(_ int, g Gateway) []Member {
+	{"two-sided rendezvous, scaled", func(v View, _ int) assignment { return planOf(v) }},
+	{"random parts", func(v View, size int) assignment {
+		return chosenSubsets(v, func(_ int, g Gateway) []Member {
 			// By the gateway's own seed over the unsorted list, as a client without coordination would.
 			ms := slices.Clone(v.Members)
-			rand.New(rand.NewPCG(seededhash.Of(0, g.Name), 1)).Shuffle(len(ms), func(a, b int) { ms[a], ms[b] = ms[b], ms[a] })
+			rand.New(rand.NewPCG(seededhash.Chain(0, g.Name), 1)).Shuffle(len(ms), func(a, b int) { ms[a], ms[b] = ms[b], ms[a] })
 			return ms[:min(size, len(ms))]
 		})
 	}},
-	{"rendezvous", func(v View, size int) parts {
-		return chosen(v, func(_ int, g Gateway) []Member {
+	{"rendezvous", func(v View, size int) assignment {
+		return chosenSubsets(v, func(_ int, g Gateway) []Member {
 			var list []scored
 			for i, m := range v.Members {
-				list = least(list, size, scored{i, score(seededhash.Of(seededhash.Of(0, g.Name), m.Name), 1)})
+				list = insertLowest(list, size, scored{i, score(seededhash.Chain(seededhash.Chain(0, g.Name), m.Name), 1)})
 			}
 			var out []Member
 			for _, s := range list {
-				out = append(out, v.Members[s.at])
+				out = append(out, v.Members[s.index])
 			}
 			return out
 		})
 	}},
-	{"rounds of shuffles", func(v View, size int) parts {
+	{"rounds of shuffles", func(v View, size int) assignment {
 		rounds := max(1, len(v.Members)/size)
-		return chosen(v, func(at int, _ Gateway) []Member {
+		return chosenSubsets(v, func(at int, _ Gateway) []Member {
 			ms := slices.Clone(v.Members)
 			rand.New(rand.NewPCG(uint64(at/rounds), 1)).Shuffle(len(ms), func(a, b int) { ms[a], ms[b] = ms[b], ms[a] })
 			from := at % rounds * size
 			return ms[min(from, len(ms)):min(from+size, len(ms))]
 		})
 	}},
-	{"ring, fractional overlap", func(v View, size int) parts {
+	{"ring, fractional overlap", func(v View, size int) assignment {
 		// Gateways' arcs are proportional to their demand, widened evenly so that they overlap size members on
 		// average; members' arcs are proportional to their capacity. Both are ordered by their hashes.
 		var carried, capacity float64
 		gs, ms := slices.Clone(v.Gateways), slices.Clone(v.Members)
-		slices.SortFunc(gs, func(a, b Gateway) int { return int(seededhash.Of(0, a.Name)>>33) - int(seededhash.Of(0, b.Name)>>33) })
-		slices.SortFunc(ms, func(a, b Member) int { return int(seededhash.Of(0, a.Name)>>33) - int(seededhash.Of(0, b.Name)>>33) })
+		slices.SortFunc(gs, func(a, b Gateway) int {
+			return int(seededhash.Chain(0, a.Name)>>33) - int(seededhash.Chain(0, b.Name)>>33)
+		})
+		slices.SortFunc(ms, func(a, b Member) int {
+			return int(seededhash.Chain(0, a.Name)>>33) - int(seededhash.Chain(0, b.Name)>>33)
+		})
 		for _, g := range gs {
-			carried += g.Carries
+			carried += g.Demand
 		}
 		for _, m := range ms {
 			capacity += m.Capacity
 		}
 		laps := max(1, math.Round(float64(size)*float64(len(gs))/float64(len(ms))))
-		out, from := parts{}, 0.0
+		out, from := assignment{}, 0.0
 		for _, g := range gs {
-			wide := min(g.Carries/carried*laps, 1)
+			wide := min(g.Demand/carried*laps, 1)
 			out[g.Name] = map[string]float64{}
 			for lap := range 2 {
 				at := float64(lap)
@@ -142,22 +146,22 @@
 					at = to
 				}
 			}
-			from = math.Mod(from+g.Carries/carried, 1)
+			from = math.Mod(from+g.Demand/carried, 1)
 		}
 		return out
 	}},
 }
 
-// load returns the highest load of a member relative to its fraction of the capacity, and the number of pairs
+// maxLoad returns the highest load of a member relative to its fraction of the capacity, and the number of pairs
 // in use.
-func load(v View, p parts) (most float64, pairs int) {
+func maxLoad(v View, p assignment) (most float64, pairs int) {
 	sums := map[string]float64{}
 	var carried, capacity float64
 	for _, g := range v.Gateways {
-		carried += g.Carries
+		carried += g.Demand
 		pairs += len(p[g.Name])
 		for m, w := range p[g.Name] {
-			sums[m] += w * g.Carries
+			sums[m] += w * g.Demand
 		}
 	}
 	for _, m := range v.Members {
@@ -169,21 +173,21 @@
 	return most, pairs
 }
 
-// moved returns the fraction of the load of gateways present in both that goes to another member, and the
+// movedLoad returns the fraction of the load of gateways present in both that goes to another member, and the
 // number of new pairs.
-func moved(v View, a, b parts) (sum float64, opened int) {
+func movedLoad(v View, a, b assignment) (sum float64, opened int) {
 	var carried float64
 	for _, g := range v.Gateways {
-		carried += g.Carries
+		carried += g.Demand
 		for m, w := range b[g.Name] {
 			if a[g.Name] == nil {
 				break
 			}
 			if was, had := a[g.Name][m]; !had {
 				opened++
-				sum += w * g.Carries
+				sum += w * g.Demand
 			} else if w > was {
-				sum += (w - was) * g.Carries
+				sum += (w - was) * g.Demand
 			}
 		}
 	}
@@ -200,13 +204,13 @@
 	return v
 }
 
-// bound returns a lower limit for the highest relative load of any assignment over the given pairs, by maximum
+// loadLowerBound returns a lower limit for the highest relative load of any assignment over the given pairs, by maximum
 // flow: the lowest limit at which the demand of all gateways can be placed.
-func bound(v View, p parts) float64 {
+func loadLowerBound(v View, p assignment) float64 {
 	var carried, capacity float64
 	at := map[string]int{}
 	for _, g := range v.Gateways {
-		carried += g.Carries
+		carried += g.Demand
 	}
 	for i, m := range v.Members {
 		capacity += m.Capacity
@@ -221,7 +225,7 @@
 		}
 		for g, gw := range v.Gateways {
 			flow[g] = map[int]float64{}
-			for left := gw.Carries / carried; left > 1e-9; {
+			for left := gw.Demand / carried; left > 1e-9; {
 				// A shortest augmenting path from g to a member with spare capacity, through flows that other
 				// gateways could redirect.
 				from, seen := map[int]int{}, map[int]bool{g: true}
@@ -280,27 +284,27 @@
 	return low
 }
 
-// TestWays checks claims 2 to 4 for the algorithm in use, and with -all prints the same figures for the
+// TestAlgorithms checks claims 2 to 4 for the algorithm in use, and with -all prints the same figures for the
 // alternatives.
-func TestWays(t *testing.T) {
+func TestAlgorithms(t *testing.T) {
 	sizes := [][2]int{{2, 3}, {4, 12}, {40, 120}, {120, 12}}
 	if *all {
 		sizes = [][2]int{{2, 3}, {2, 1000}, {4, 12}, {12, 120}, {40, 120}, {300, 120}, {1000, 3}, {1000, 120}, {300, 1000}, {1000, 1000}}
 	}
 	for _, size := range sizes {
 		for _, uneven := range []bool{false, true} {
-			v := fleet(rand.New(rand.NewPCG(1, 2)), size[0], size[1], uneven)
-			_, pairs := load(v, planned(v))
+			v := randomView(rand.New(rand.NewPCG(1, 2)), size[0], size[1], uneven)
+			_, pairs := maxLoad(v, planOf(v))
 			each := (pairs + size[0] - 1) / size[0]
-			for i, way := range ways {
+			for i, way := range algorithms {
 				if i > 0 && !*all {
 					break
 				}
 				was := way.make(v, each)
-				most, pairs := load(v, was)
+				most, pairs := maxLoad(v, was)
 				least := math.NaN()
 				if i == 0 && size[0] <= 300 && size[1] <= 120 {
-					least = bound(v, was)
+					least = loadLowerBound(v, was)
 				}
 				var gone, light, member, opens, opensM float64
 				tries := min(8, size[0], size[1])
@@ -309,7 +313,7 @@
 					less := without(v, g, -1)
 					var carried, capacity, had float64
 					for _, gw := range v.Gateways {
-						carried += gw.Carries
+						carried += gw.Demand
 						if _, has := was[gw.Name][v.Members[m].Name]; has {
 							had++
 						}
@@ -317,17 +321,17 @@
 					for _, one := range v.Members {
 						capacity += one.Capacity
 					}
-					s, o := moved(less, was, way.make(less, each))
-					gone = max(gone, s/(v.Gateways[g].Carries/carried))
-					light = max(light, s/max(v.Gateways[g].Carries/carried, 1/float64(size[0])))
+					s, o := movedLoad(less, was, way.make(less, each))
+					gone = max(gone, s/(v.Gateways[g].Demand/carried))
+					light = max(light, s/max(v.Gateways[g].Demand/carried, 1/float64(size[0])))
 					opens = max(opens, float64(o)/float64(len(was[v.Gateways[g].Name])))
-					s, o = moved(v, was, way.make(without(v, -1, m), each))
+					s, o = movedLoad(v, was, way.make(without(v, -1, m), each))
 					member = max(member, s/(v.Members[m].Capacity/capacity))
 					opensM = max(opensM, float64(o)/had)
 				}
 				t.Logf("| %d x %d | %s | %s | %d | %.3f | %.3f | %.2f | %.2f | %.2f | %.2f |", size[0], size[1], map[bool]string{true: "uneven", false: "even"}[uneven],
 					way.name, pairs, most, least, gone, opens, member, opensM)
-				if i == 0 && (most > 1.1 || pairs > Usual.Picks*size[0]+Usual.Asks*size[1] || opens > 1 || opensM > 1 || light > 2 || member > 2) {
+				if i == 0 && (most > 1.1 || pairs > DefaultConfig.GatewayPicks*size[0]+DefaultConfig.MemberPicks*size[1] || opens > 1 || opensM > 1 || light > 2 || member > 2) {
 					t.Errorf("%v uneven=%v: most %.3f, pairs %d, moved %.2f %.2f, opened %.2f %.2f", size, uneven, most, pairs, light, member, opens, opensM)
 				}
 			}
