--- a/internal/fleet/drain/drain_test.go
+++ b/internal/fleet/drain/drain_test.go
@@ -7,19 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-// TestSteps: whatever the council, operators and signals do, a gateway refuses connections only under a permit that holds
-// or after a signal, tells peers half a second before it does, holds no permit for long without being out, and comes back
-// by itself once nobody renews its permit.
-func TestSteps(t *testing.T) {
+// TestDrainInvariants checks that, whatever the council, operators and signals do, a gateway refuses
+// connections only under a valid permit or after a stop signal, announces this to its peers half a second
+// before, holds no permit for long without being out, and returns by itself once nobody renews its permit.
+func TestDrainInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(Config{LongestRequest: 3 * time.Second, SignalWait: DefaultSignalWait})
 		now, busy := Time(0), 3
-		var asked *Time // an ask under way, first sent then
+		var asked *Time // request in progress: when it was first sent
 		var renew bool
-		fence, council := uint64(0), uint64(0) // council: the fence it knows, 0 = none
+		fence, council := uint64(0), uint64(0) // council: the fence that it knows, 0 if none
 		var until, shutSince, toldAt Time
 		part, signalled := 1.0, false
-		alive := true // the council answers
+		alive := true // whether the council answers
 		back := Time(-1)
 		for range 400 {
 			now += 100 * time.Millisecond
@@ -34,7 +34,7 @@
 			case 3:
 				e.Recall = council != 0
 			case 4:
-				if council != 0 && rapid.Bool().Draw(t, "revoked") { // an operator takes the permit back
+				if council != 0 && rapid.Bool().Draw(t, "revoked") { // an operator revokes the permit
 					council = 0
 					e.Fenced = m.Fence() != 0
 				}
