--- a/internal/fleet/loadsignal/loadsignal.go
+++ b/internal/fleet/loadsignal/loadsignal.go
@@ -1,14 +1,14 @@
-// Package loadsignal shares load estimates of members between gateways: each gateway publishes its outstanding
-// requests and measured latencies per member in bounded digests. The result is a weight for the choice among
-// members that may answer. It never affects log positions and never takes a member out of use. The package
-// does no I/O, starts no goroutine and reads no clock.
+// Package loadsignal shares load estimates of members between gateways: each gateway publishes its
+// outstanding requests and measured latencies per member in bounded digests. The result is a weight for
+// the choice among members that may answer. It never affects log positions and never takes a member out of
+// use. The package does no I/O, starts no goroutine and reads no clock.
 //
-//  1. A weight is between Least and Most, whatever is reported.
-//  2. Of the outstanding requests that one gateway reports for a member, at most Share times the median of all
-//     reports of that member counts; of latencies the median counts. So a gateway that lies moves the estimate
-//     of a member that n gateways report by at most Share / n.
-//  3. Reports lose weight with age and are dropped after Age. Without reports all weights return to 1.
-//  4. A weight moves by at most the fraction Step of the way to its target per Tick, so that many gateways
+//  1. A weight is between MinWeight and MaxWeight, whatever is reported.
+//  2. Of the outstanding requests that one gateway reports for a member, at most MaxReportMultiple times the
+//     median of all reports of that member counts; of latencies the median counts. So a gateway that lies
+//     moves the estimate of a member that n gateways report by at most MaxReportMultiple / n.
+//  3. Reports lose weight with age and are dropped after MaxAge. Without reports all weights return to 1.
+//  4. A weight moves by at most the fraction MaxStep of the way to its target per Tick, so that many gateways
 //     that receive the same reports at once do not all choose the same member.
 package loadsignal
 
--- a/internal/fleet/observation/observation.go
+++ b/internal/fleet/observation/observation.go
@@ -116,7 +116,7 @@
 	probeAdvised map[string]Time
 	probeTokens  float64
 	tokensAt     Time
-	trust        map[string]float64 // trust in witnesses whose reports proved wrong, from trustLeast to below 1
+	trust        map[string]float64 // trust in witnesses whose reports proved wrong, from minTrust to below 1
 	pending      []*stored
 	Dropped      DropCounts
 	Looks        int // probes advised in total
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -56,7 +56,7 @@
 	StreamsRefused                                                   atomic.Int64
 }
 
-// Sockets send and receive frames. Send and Answer must be called by one owner; the other methods are safe for
+// Sockets send and receive frames. Send and Reply must be called by one owner; the other methods are safe for
 // concurrent use.
 type Sockets struct {
 	Counts     Counts
@@ -372,7 +372,7 @@
 	}
 }
 
-// acceptStreams accepts streams: one message each, answered on the stream within streamWait or not at all.
+// acceptStreams accepts streams: one message each, answered on the stream within streamTimeout or not at all.
 func (s *Sockets) acceptStreams() {
 	defer s.goroutines.Done()
 	room := make(chan struct{}, maxStreamsIn)
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -1,17 +1,18 @@
-// Package quota divides budgets between gateways that know each other. Each gateway has a base share of its
-// own that needs no communication, and lends what it does not use of it to others for a limited term. The
-// package does no I/O, starts no goroutine and reads no clock.
+// Package quota divides budgets between gateways that know each other. Each gateway has a base share of
+// its own that needs no communication, and lends what it does not use of it to others for a limited term.
+// The package does no I/O, starts no goroutine and reads no clock.
 //
-// The sum of what all gateways may use never exceeds the sum of their base shares, whatever messages are lost,
-// late or repeated, and whichever gateways are paused, cut off or restarted:
+// The sum of what all gateways may use never exceeds the sum of their base shares, whatever messages are
+// lost, late or repeated, and whichever gateways are paused, cut off or restarted:
 //
-//  1. A lender does not use what it lent until Term, and a margin for clock rate differences, have passed
+//  1. A lender does not use what it lent until LoanTerm, and a margin for clock rate differences, have passed
 //     since it decided to lend.
-//  2. A borrower uses a loan until Term has passed since it sent the request that the loan answers, on its own
-//     clock. It sent the request before the lender decided, so its use ends before the lender's begins again.
+//  2. A borrower uses a loan until LoanTerm has passed since it sent the request that the loan answers, on its
+//     own clock. It sent the request before the lender decided, so its use ends before the lender's begins
+//     again.
 //  3. A loan is accepted once: its number is the request's, which is used once.
-//  4. A gateway that has just started may have lent before: for Term and the margin it does not use what it
-//     could have lent.
+//  4. A gateway that has just started may have lent before: for LoanTerm and the margin it does not use what
+//     it could have lent.
 //
 // So clocks are never compared with each other; only their rates matter.
 package quota
--- a/internal/fleet/rotation/rotation.go
+++ b/internal/fleet/rotation/rotation.go
@@ -1,20 +1,20 @@
-// Package rotation selects the gateway that does a task for all of them: a probe of a member, a half-open probe of
-// a suspect, a call to discovery. The selection follows from the group's membership and the time alone. The
-// package does no I/O, starts no goroutine and reads no clock.
+// Package rotation selects the gateway that does a task for all of them: a probe of a member, a half-open
+// probe of a suspect, a call to discovery. The selection follows from the group's membership and the time
+// alone. The package does no I/O, starts no goroutine and reads no clock.
 //
-// Time is divided into slots of Every, and a slot into windows of Pass. In each window one gateway may act, in
-// an order that is shuffled for each slot; gateways that hear that the task was done skip the later windows.
-// So:
+// Time is divided into slots of SlotLength, and a slot into windows of WindowLength. In each window one
+// gateway may act, in an order that is shuffled for each slot; gateways that hear that the task was done
+// skip the later windows. So:
 //
-//  1. With one common view at most one gateway is selected at any instant, as long as clocks are within Guard
-//     of true time. With n different views at most n are.
-//  2. If the selected gateway does nothing, the next follows within Pass; if f in a row do nothing, within f x
-//     Pass, or at the latest in the next slot with its new order.
+//  1. With one common view at most one gateway is selected at any instant, as long as clocks are within
+//     MaxClockError of true time. With n different views at most n are.
+//  2. If the selected gateway does nothing, the next follows within WindowLength; if f in a row do nothing,
+//     within f x WindowLength, or at the latest in the next slot with its new order.
 //  3. First windows are spread evenly over the gateways.
 //
-// A selection is no lock: with two views, a clock that is further off, or a process paused between reading the
-// clock and acting, two gateways may act. It is for tasks that two may do without harm. What only one gateway
-// may do needs a permit of the council.
+// A selection is no lock: with two views, a clock that is further off, or a process paused between reading
+// the clock and acting, two gateways may act. It is for tasks that two may do without harm. What only one
+// gateway may do needs a permit of the council.
 package rotation
 
 import (
@@ -33,15 +33,15 @@
 type Task struct {
 	Name          string
 	SlotLength    Time // length of a slot
-	WindowLength  Time // length of a window; a slot has Every / Pass windows, at least one
-	MaxClockError Time // allowed deviation of a gateway's clock from true time; less than half of Pass
+	WindowLength  Time // length of a window; a slot has SlotLength / WindowLength windows, at least one
+	MaxClockError Time // allowed deviation of a gateway's clock from true time; less than half of WindowLength
 }
 
 // InvalidTask is the error for a task whose durations are inconsistent.
 type InvalidTask struct{ Task Task }
 
 func (e *InvalidTask) Error() string {
-	return fmt.Sprintf("turn: task %q has every %v, pass %v, guard %v: wanted 0 <= 2 x guard < pass <= every", e.Task.Name, e.Task.SlotLength, e.Task.WindowLength, e.Task.MaxClockError)
+	return fmt.Sprintf("rotation: task %q has slot length %v, window length %v, clock error %v: want 0 <= 2 x clock error < window length <= slot length", e.Task.Name, e.Task.SlotLength, e.Task.WindowLength, e.Task.MaxClockError)
 }
 
 // Check returns an *Unfit if the task's durations are inconsistent. The other methods need a task that passes
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -388,7 +388,7 @@
 }
 
 // Targets returns all gateways and members, whether each is out, and whether that differs from the known set.
-// A leader that has led for less than SilentFor counts nobody as out that the council did not: it may not have
+// A leader that has led for less than SilentTimeout counts nobody as out that the council did not: it may not have
 // received the reports yet. With full it includes versions, starts and members.
 func (b *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
 	was := map[string]agreed.Target{}
--- a/internal/fleet/subset/plan.go
+++ b/internal/fleet/subset/plan.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// insertScored inserts an entry's score like least, but skips the logarithm if the score can't be among the lowest.
+// insertScored inserts an entry's score like insertLowest, but skips the logarithm if the score can't be among the lowest.
 func insertScored(list []scored, n, at int, h uint64, weight float64) []scored {
 	if len(list) == n && 1-uniform(h) > list[n-1].score*weight { // -log(x) is never below 1 - x
 		return list
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -53,13 +53,13 @@
 	Gateways []Gateway
 	Members  []Member
 	Verdict  view.Verdict
-	// Expected is how many gateways there should be. If the verdict is not Whole, those that are not seen are
+	// Expected is how many gateways there should be. If the verdict is not Majority, those that are not seen are
 	// assumed to run elsewhere with the median demand: a gateway that is cut off from the others keeps a
 	// subset of the size that it would have among them.
 	Expected int
 }
 
-// Config sets how many pairs are picked: at most Picks x gateways + Asks x members in all.
+// Config sets how many pairs are picked: at most GatewayPicks x gateways + MemberPicks x members in all.
 type Config struct {
 	GatewayPicks int // members that each gateway picks
 	MemberPicks  int // gateways that each member picks
@@ -75,7 +75,7 @@
 }
 
 func (e *TooManyError) Error() string {
-	return fmt.Sprintf("subset: %d %s in the view, at most %d can be planned for: split the fleet or the group, or use no parts", e.Got, e.What, e.Max)
+	return fmt.Sprintf("subset: %d %s in the view, at most %d can be planned for: split the fleet or the group, or do without subsets", e.Got, e.What, e.Max)
 }
 
 // Share is a member of a subset and the fraction of the gateway's reads that it gets, from 0 to 1.
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -26,7 +26,7 @@
 // Protocol parameters.
 const (
 	probePeriod         = time.Second            // one peer is pinged per period
-	gossipInterval      = 200 * time.Millisecond // updates go to gossipTo random peers
+	gossipInterval      = 200 * time.Millisecond // updates go to gossipFanout random peers
 	gossipFanout        = 3
 	indirectPingPeers   = 3                      // peers asked for an indirect ping
 	initialAckTimeout   = 400 * time.Millisecond // answer timeout while no round-trip time is known
@@ -34,17 +34,17 @@
 	maxAckTimeout       = 2 * time.Second // so that links with 800 ms one-way delay stay usable
 	indirectAckMultiple = 3               // an indirect answer may take this multiple of the direct timeout
 
-	minSuspicionPeriods  = 4.0 // minimum suspicion time in periods, times log10 of the group size
-	maxSuspicionMultiple = 3.0 // maximum suspicion time as a multiple of the minimum: with no second witness
-	maxWitnesses         = 3   // witnesses (zones, or peers without a zone) that shorten the suspicion to its minimum
-	retransmitMultiple   = 1.3 // times log2 of the group size: how often an update is passed on
-	maxDoubt             = 3   // limit of the self-doubt: timeouts grow up to 1+doubtMost times while answers are missed
-	minPause             = 1500 * time.Millisecond
-	reconnectInterval    = 2 * time.Second // one failed peer or seed is tried per interval
-	minSyncInterval      = 2 * time.Second // between digest-triggered syncs, as gossip may already carry the difference
-	syncQuietTime        = time.Second     // no digest-triggered sync this soon after an update
-	joinInterval         = time.Second     // interval of join attempts while no peer is live
-	maxIncarnation       = 1 << 20         // higher incarnations are refused: the peer could hardly refute them; at half of it the node begins a new epoch
+	minSuspicionPeriods  = 4.0                     // minimum suspicion time in periods, times log10 of the group size
+	maxSuspicionMultiple = 3.0                     // maximum suspicion time as a multiple of the minimum: with no second witness
+	maxWitnesses         = 3                       // witnesses (zones, or peers without a zone) that shorten the suspicion to its minimum
+	retransmitMultiple   = 1.3                     // times log2 of the group size: how often an update is passed on
+	maxDoubt             = 3                       // limit of the self-doubt: timeouts grow up to (1+maxDoubt)-fold while answers are missed
+	minPause             = 1500 * time.Millisecond // longer gaps between two Steps count as a pause of this process
+	reconnectInterval    = 2 * time.Second         // one failed peer or seed is tried per interval
+	minSyncInterval      = 2 * time.Second         // between digest-triggered syncs, as gossip may already carry the difference
+	syncQuietTime        = time.Second             // no digest-triggered sync this soon after an update
+	joinInterval         = time.Second             // interval of join attempts while no peer is live
+	maxIncarnation       = 1 << 20                 // higher incarnations are refused: the peer could hardly refute them; at half of it the node begins a new epoch
 	leftRetention        = 10 * time.Minute
 	maxProbes            = 1024 // outstanding, those for other peers included
 	maxPendingHellos     = 256
@@ -106,7 +106,7 @@
 	transmitsLeft int // remaining transmissions of its latest claim
 }
 
-// Event is an input to Step. Of Message (with Stream), Refused and Leave only the first that is set is used;
+// Event is an input to Step. Of Message (with Stream), RefusedAddr and Leave only the first that is set is used;
 // Meta and Seeds apply in addition.
 type Event struct {
 	Message     *Message
@@ -248,7 +248,7 @@
 // Displaced reports whether a later start with this node's name is alive.
 func (n *Node) Displaced() bool { return n.displaced }
 
-// Doubt returns the self-doubt level, from 0 to doubtMost (Lifeguard's local health): it grows while this node
+// Doubt returns the self-doubt level, from 0 to maxDoubt (Lifeguard's local health): it grows while this node
 // seems to miss messages itself, and lengthens its timeouts.
 func (n *Node) Doubt() int { return n.doubt }
 
--- a/internal/fleet/swim/wire.go
+++ b/internal/fleet/swim/wire.go
@@ -83,7 +83,7 @@
 	MaxMetaBytes = 256
 	// MaxDatagramBytes is the maximum length of a message sent by datagram, in bytes before sealing.
 	MaxDatagramBytes = 1200
-	// MaxStreamBytes is the maximum length of a message sent by stream, in bytes: a table of TableMost peers.
+	// MaxStreamBytes is the maximum length of a message sent by stream, in bytes: a table of MaxPeers peers.
 	MaxStreamBytes = 1 << 20
 	// MaxPeers is the maximum number of peers in the table.
 	MaxPeers = 4096
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -103,7 +103,7 @@
 	expectsPeers   bool // seeds are configured: knowing no peer means being alone
 }
 
-// New returns the view of a gateway that knows no peers. If it expects peers its verdict is Alone, else Whole.
+// New returns the view of a gateway that knows no peers. If it expects peers its verdict is Alone, else Majority.
 func New(name, zone string, expects bool) *View {
 	v := &View{name: name, zone: zone, expectsPeers: expects, recoveryDelay: minRecoveryDelay, changedAt: DistantPast}
 	v.status = Status{Verdict: Alone, Number: 1, Reasons: []string{"no peer has been heard from yet"}}
