--- a/internal/fleet/drain/drain_test.go
+++ b/internal/fleet/drain/drain_test.go
@@ -14,13 +14,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(Config{LongestRequest: 3 * time.Second, SignalWait: DefaultSignalWait})
 		now, busy := Time(0), 3
-		var asked *Time // request in progress: when it was first sent
+		var requestSentAt *Time // request in progress: when it was first sent
 		var renew bool
-		fence, council := uint64(0), uint64(0) // council: the fence that it knows, 0 if none
-		var until, shutSince, toldAt Time
-		part, signalled := 1.0, false
-		alive := true // whether the council answers
-		back := Time(-1)
+		fence, councilFence := uint64(0), uint64(0) // councilFence: the fence that the council knows, 0 if none
+		var until, closedSince, announcedAt Time
+		fraction, signalled := 1.0, false
+		councilAnswers := true // whether the council answers
+		returningSince := Time(-1)
 		for range 400 {
 			now += 100 * time.Millisecond
 			var e Event
@@ -30,12 +30,12 @@
 			case 1:
 				e.Back = true
 			case 2:
-				alive = !alive
+				councilAnswers = !councilAnswers
 			case 3:
-				e.Recall = council != 0
+				e.Recall = councilFence != 0
 			case 4:
-				if council != 0 && rapid.Bool().Draw(t, "revoked") { // an operator revokes the permit
-					council = 0
+				if councilFence != 0 && rapid.Bool().Draw(t, "revoked") { // an operator revokes the permit
+					councilFence = 0
 					e.Fenced = m.Fence() != 0
 				}
 			case 5:
@@ -44,74 +44,74 @@
 					e.Request = &Request{Reason: "signal", Term: time.Minute, Signal: true}
 				}
 			}
-			if asked != nil && alive && e.Request == nil && rapid.Bool().Draw(t, "answers") {
+			if requestSentAt != nil && councilAnswers && e.Request == nil && rapid.Bool().Draw(t, "answers") {
 				switch {
-				case renew && council != m.Fence(), !renew && rapid.IntRange(0, 3).Draw(t, "refused") == 0:
+				case renew && councilFence != m.Fence(), !renew && rapid.IntRange(0, 3).Draw(t, "refused") == 0:
 					e.Refused = "others are out"
 				default:
 					if !renew {
 						fence++
-						council = fence
+						councilFence = fence
 					}
-					e.Granted, e.RequestedAt, e.Fence = true, *asked, council
+					e.Granted, e.RequestedAt, e.Fence = true, *requestSentAt, councilFence
 				}
-				asked = nil
+				requestSentAt = nil
 			}
-			if busy > 0 && part == 0 && rapid.Bool().Draw(t, "ends") {
+			if busy > 0 && fraction == 0 && rapid.Bool().Draw(t, "ends") {
 				busy--
 			}
 			was := m.State()
 			a := m.Step(now, e, busy)
 			if a.CancelRequest {
-				asked = nil
+				requestSentAt = nil
 			}
 			if a.Acquire > 0 || a.Renew > 0 {
 				at := now
-				asked, renew = &at, a.Renew > 0
+				requestSentAt, renew = &at, a.Renew > 0
 			}
 			if e.Granted && m.Fence() == e.Fence {
 				until = e.RequestedAt + m.request.Term
 			}
 			if a.GiveBack {
-				if council == m.Fence() {
-					council = 0
+				if councilFence == m.Fence() {
+					councilFence = 0
 				}
 				m.PermitReturned()
 			}
 			if was != Leaving && m.State() == Leaving {
-				toldAt = now
+				announcedAt = now
 				if !a.Announce {
-					t.Fatal("it leaves and tells nobody")
+					t.Fatal("the gateway leaves without announcing it")
 				}
 			}
 			if a.ConnectionFraction >= 0 {
 				if a.ConnectionFraction == 0 {
-					shutSince = now
-					if now-toldAt < AnnouncementTime {
-						t.Fatalf("its door is shut %v after the word", now-toldAt)
+					closedSince = now
+					if now-announcedAt < AnnouncementTime {
+						t.Fatalf("connections are refused %v after the announcement", now-announcedAt)
 					}
 				}
-				part = a.ConnectionFraction
+				fraction = a.ConnectionFraction
 			}
-			if part == 0 && !signalled && (m.Fence() == 0 || now > until+100*time.Millisecond) {
-				t.Fatalf("at %v its door is shut without a permit that holds (fence %d until %v, state %v)", now, m.Fence(), until, m.State())
+			if fraction == 0 && !signalled && (m.Fence() == 0 || now > until+100*time.Millisecond) {
+				t.Fatalf("at %v connections are refused without a valid permit (fence %d until %v, state %v)", now, m.Fence(), until, m.State())
 			}
-			if m.State() == Out && busy > 0 && now-shutSince < 3*time.Second {
-				t.Fatal("it is out with requests in work")
+			if m.State() == Out && busy > 0 && now-closedSince < 3*time.Second {
+				t.Fatal("the gateway is out with requests in progress")
 			}
-			if m.State() == Serving && part < 1 {
-				t.Fatalf("it serves with its door open for %g", part)
+			if m.State() == Serving && fraction < 1 {
+				t.Fatalf("the gateway serves with a connection fraction of %g", fraction)
 			}
-			if m.State() == Returning && back < 0 {
-				back = now
+			if m.State() == Returning && returningSince < 0 {
+				returningSince = now
 			} else if m.State() != Returning {
-				back = -1
+				returningSince = -1
 			}
-			if back >= 0 && now-back > returnDuration+time.Second {
-				t.Fatal("it does not come back")
+			if returningSince >= 0 && now-returningSince > returnDuration+time.Second {
+				t.Fatal("the gateway does not return to service")
 			}
 			if s := m.Status(now); s.State == "" {
-				t.Fatal("no state")
+				t.Fatal("the status has no state")
 			}
 		}
 	})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -46,7 +46,7 @@
 	ApplyAdvice(member string, look, try, guess bool)
 	// SetQuotas sets what this gateway may use of each shared budget, 1 being its base share, and returns by done,
 	// which may be called later, how much it used recently, in base shares.
-	SetQuotas(parts [quota.BudgetCount]float64, done func(used [quota.BudgetCount]float64))
+	SetQuotas(quotas [quota.BudgetCount]float64, done func(used [quota.BudgetCount]float64))
 	// CollectCounts returns by done, which may be called later, the final answers since the start and what is known
 	// of some members, covering all members in rotation.
 	CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts))
@@ -58,7 +58,7 @@
 	SetDrainingMembers(members []string)
 	// SetConnectionFraction sets the fraction of the permitted client connections that may be open. At 0 no connections are
 	// accepted and open ones end.
-	SetConnectionFraction(part float64)
+	SetConnectionFraction(fraction float64)
 	// OpenConnections returns the number of open client connections.
 	OpenConnections() int
 }
@@ -193,7 +193,7 @@
 	defer close(f.stopped)
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	var seedsAt, shareAt, reportAt time.Duration
+	var nextSeeds, nextQuotas, nextReport time.Duration
 	for {
 		select {
 		case <-f.stop:
@@ -217,8 +217,8 @@
 				f.logEvent(Event{Kind: "member", Member: s.Member, State: s.Kind.String()})
 			}
 			f.perform(f.group.Step(f.now(), group.Event{Saw: &s}))
-		case ask := <-f.calls:
-			ask()
+		case call := <-f.calls:
+			call()
 		case <-t.C:
 			now := f.now()
 			f.group.SetLastAnswers(time.Duration(f.memberAnswered.Load()), time.Duration(f.discoveryAnswered.Load()))
@@ -226,22 +226,22 @@
 				f.group.SetLoad(f.deps.Load())
 			}
 			f.perform(f.group.Step(now))
-			if now >= seedsAt {
-				seedsAt = now + seedsInterval
+			if now >= nextSeeds {
+				nextSeeds = now + seedsInterval
 				if s := f.allSeeds(); !slices.Equal(s, f.seeds) {
 					f.seeds = s
 					f.perform(f.group.Step(now, group.Event{Seeds: s}))
 				}
 				f.updateReportedMembers()
 			}
-			if now >= reportAt && len(f.config.Council) > 0 {
-				reportAt = now + subscribe.ReportInterval
+			if now >= nextReport && len(f.config.Council) > 0 {
+				nextReport = now + subscribe.ReportInterval
 				f.report(now)
 			}
 			f.stepDrain(now, drain.Event{})
 			f.expirePlan(now)
-			if now >= shareAt && f.deps.Gateway != nil {
-				shareAt = now + quotaInterval
+			if now >= nextQuotas && f.deps.Gateway != nil {
+				nextQuotas = now + quotaInterval
 				f.updateQuotas(now)
 			}
 		}
@@ -269,19 +269,19 @@
 
 // updateReportedMembers updates the set of members that have reports: answers of other members need not be recorded.
 func (f *Fleet) updateReportedMembers() {
-	hot := map[string]bool{}
+	reported := map[string]bool{}
 	for _, m := range f.group.Book.Members() {
-		hot[m] = true
+		reported[m] = true
 	}
-	if len(hot) > 0 || len(*f.reportedMembers.Load()) > 0 {
-		f.reportedMembers.Store(&hot)
+	if len(reported) > 0 || len(*f.reportedMembers.Load()) > 0 {
+		f.reportedMembers.Store(&reported)
 	}
 }
 
 // perform carries out the group's actions.
-func (f *Fleet) perform(acts []group.Action) {
-	for i := range acts {
-		a := &acts[i]
+func (f *Fleet) perform(actions []group.Action) {
+	for i := range actions {
+		a := &actions[i]
 		switch {
 		case a.Frame != nil && a.Stream != 0:
 			f.sockets.Reply(a.Stream, a.To, a.Frame, a.Spare)
@@ -298,11 +298,11 @@
 			if v.Look {
 				f.probeLog.Info(f.log, "fleet has members looked at", "member", v.Member, "witnesses", v.Witnesses)
 				f.logEvent(Event{Kind: "look", Member: v.Member})
-				hot := map[string]bool{v.Member: true}
+				reported := map[string]bool{v.Member: true}
 				for m := range *f.reportedMembers.Load() {
-					hot[m] = true
+					reported[m] = true
 				}
-				f.reportedMembers.Store(&hot)
+				f.reportedMembers.Store(&reported)
 			}
 			if f.deps.Gateway != nil {
 				f.deps.Gateway.ApplyAdvice(v.Member, v.Look, v.Try, v.Guess)
@@ -326,16 +326,16 @@
 		f.logEvent(Event{Kind: "epoch"})
 	case c.PreviousState == c.Peer.State:
 	default:
-		was := ""
+		previous := ""
 		if c.PreviousState != 0 {
-			was = c.PreviousState.String()
+			previous = c.PreviousState.String()
 		}
-		f.logEvent(Event{Kind: "peer", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch, State: c.Peer.State.String(), PreviousState: was})
+		f.logEvent(Event{Kind: "peer", Peer: c.Peer.Name, PeerEpoch: c.Peer.Epoch, State: c.Peer.State.String(), PreviousState: previous})
 		if c.Peer.State == swim.Suspect || c.PreviousState == swim.Suspect && c.Peer.State == swim.Alive {
-			f.suspectLog.Info(f.log, "fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", was)
+			f.suspectLog.Info(f.log, "fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", previous)
 			return
 		}
-		f.log.Info("fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", was, "epoch", c.Peer.Epoch)
+		f.log.Info("fleet peer", "peer", c.Peer.Name, "state", c.Peer.State.String(), "was", previous, "epoch", c.Peer.Epoch)
 	}
 }
 
@@ -370,7 +370,7 @@
 // more for members without reports.
 func (f *Fleet) RecordAnswer(member string) {
 	f.memberAnswered.Store(int64(f.now()))
-	if hot := *f.reportedMembers.Load(); len(hot) > 0 && hot[member] {
+	if reported := *f.reportedMembers.Load(); len(reported) > 0 && reported[member] {
 		f.enqueueObservation(group.MemberObservation{Member: member, Kind: observation.Answers, Quiet: true})
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -49,7 +49,7 @@
 	for _, want := range []string{`:4:22: admin is "10.1.2.3:7100", want a loopback`, `:5:22: seeds is "nowhere", want host:port`, `:6:22: `, `:7:3: unknown setting "zoen"`,
 		`short.keys:1: no key found, want 32 bytes`, `:11:22: bytes_per_second is "1KB"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in %v", want, err)
+			t.Errorf("no %q in the error %v", want, err)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 				t.Fatal(err)
 			}
 			if e, err := readEpoch(dir); err == nil && e != 1<<50 {
-				t.Errorf("%q read as %d", b, e)
+				t.Errorf("epoch file %q is read as %d", b, e)
 			}
 		}
 	}
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -65,14 +65,14 @@
 
 // setMemberDrains lists members as draining while their permits last.
 func (f *Fleet) setMemberDrains(until map[string]time.Duration) {
-	was, is := slices.Sorted(maps.Keys(f.memberDrains)), slices.Sorted(maps.Keys(until))
+	before, after := slices.Sorted(maps.Keys(f.memberDrains)), slices.Sorted(maps.Keys(until))
 	f.memberDrains = until
-	if slices.Equal(was, is) || f.deps.Gateway == nil {
+	if slices.Equal(before, after) || f.deps.Gateway == nil {
 		return
 	}
-	f.log.Info("fleet members permitted to go out", "members", is)
-	f.logEvent(Event{Kind: "drains", Reasons: is})
-	f.deps.Gateway.SetDrainingMembers(is)
+	f.log.Info("fleet members permitted to go out", "members", after)
+	f.logEvent(Event{Kind: "drains", Reasons: after})
+	f.deps.Gateway.SetDrainingMembers(after)
 }
 
 // handlePermitAnswer handles the council's answer to a request of this gateway.
@@ -95,12 +95,12 @@
 
 // stepDrain passes an event to the drain machine and carries out its actions. It is also called on each tick.
 func (f *Fleet) stepDrain(now time.Duration, e drain.Event) {
-	busy := 0
+	open := 0
 	if g := f.deps.Gateway; g != nil {
-		busy = g.OpenConnections()
+		open = g.OpenConnections()
 	}
-	a := f.drain.Step(now, e, busy)
-	ask := func(op string, term time.Duration) {
+	a := f.drain.Step(now, e, open)
+	request := func(op string, term time.Duration) {
 		self := f.group.Swim.Self()
 		f.permitRequester.Start(now, subscribe.PermitRequest{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
 			Reason: f.drain.Status(now).Reason})
@@ -114,11 +114,11 @@
 		if f.drain.Signalled() {
 			op = "leave"
 		}
-		ask(op, a.Acquire)
+		request(op, a.Acquire)
 	case a.Renew > 0:
-		ask("renew", a.Renew)
+		request("renew", a.Renew)
 	case a.GiveBack:
-		ask("give_back", 0)
+		request("give_back", 0)
 	}
 	if b := f.permitRequester.DueMessage(now); b != nil {
 		f.sendToCouncil(subscribe.FramePermitRequest, b)
@@ -135,17 +135,17 @@
 		f.logEvent(Event{Kind: "drain", State: s.State, For: int64(s.Fence)})
 	}
 	if a.Announce {
-		yes := f.drain.ShouldDivert()
+		divert := f.drain.ShouldDivert()
 		f.report(now)
-		f.perform(f.group.Step(now, group.Event{Drain: &yes}))
+		f.perform(f.group.Step(now, group.Event{Drain: &divert}))
 	}
 	if a.Failure != "" {
 		f.log.Warn("fleet drain not granted", "why", a.Failure)
 	}
 	if s := f.drain.State(); a.Failure != "" || a.Changed && (s == drain.Out || s == drain.Serving || s == drain.Leaving) {
-		waits := f.drainWaiters
+		waiters := f.drainWaiters
 		f.drainWaiters = nil
-		for _, w := range waits {
+		for _, w := range waiters {
 			w(f.drain.Status(now), a.Failure)
 		}
 	}
@@ -162,8 +162,8 @@
 // AnnounceDrain announces to the peers that this gateway accepts no new work.
 func (f *Fleet) AnnounceDrain() {
 	_ = f.runOnOwner(func() {
-		yes := true
-		f.perform(f.group.Step(f.now(), group.Event{Drain: &yes}))
+		divert := true
+		f.perform(f.group.Step(f.now(), group.Event{Drain: &divert}))
 	})
 }
 
@@ -176,14 +176,14 @@
 	}
 	done := make(chan struct{})
 	_ = f.runOnOwner(func() {
-		was := f.drain.StopsWithoutPermit
+		stopsBefore := f.drain.StopsWithoutPermit
 		if f.drain.ShouldDivert() {
 			f.stepDrain(f.now(), drain.Event{Request: &drain.Request{Reason: "stopped by signal", Term: signalPermitTerm, Signal: true}})
 			close(done)
 			return
 		}
 		f.drainWaiters = append(f.drainWaiters, func(s drain.Status, _ string) {
-			if s.StopsWithoutPermit > was {
+			if s.StopsWithoutPermit > stopsBefore {
 				f.log.Warn("this gateway ends without a permit", "why", s.LastRefusal)
 				f.logEvent(Event{Kind: "unasked", Reasons: []string{s.LastRefusal}})
 			}
@@ -233,36 +233,36 @@
 		http.Error(w, fmt.Sprintf("invalid drain request: error %v; term is %v, want at least %v; wait is %v, want at most %v", err, term, drain.MinTerm, wait, maxDrainWait/2), http.StatusBadRequest)
 		return
 	}
-	type end struct {
-		s   drain.Status
-		why string
+	type outcome struct {
+		status  drain.Status
+		refused string
 	}
-	over := make(chan end, 1)
+	result := make(chan outcome, 1)
 	err = f.runOnOwner(func() {
 		now := f.now()
 		if !q.Back && len(f.config.Council) == 0 {
-			over <- end{f.drain.Status(now), "this gateway has no council configured that could grant a permit"}
+			result <- outcome{f.drain.Status(now), "this gateway has no council configured that could grant a permit"}
 			return
 		}
 		if mine := f.group.View.Status().Verdict; !q.Back {
 			if ok, why := view.Allowed(view.StartDrain, mine, view.Majority); !ok {
-				over <- end{f.drain.Status(now), "this gateway's verdict is " + mine.String() + ": " + why}
+				result <- outcome{f.drain.Status(now), "this gateway's verdict is " + mine.String() + ": " + why}
 				return
 			}
 		}
 		if q.Back && f.drain.State() == drain.Serving {
-			over <- end{f.drain.Status(now), ""}
+			result <- outcome{f.drain.Status(now), ""}
 			return
 		}
-		var wake func(drain.Status, string)
-		wake = func(s drain.Status, why string) {
+		var notify func(drain.Status, string)
+		notify = func(s drain.Status, why string) {
 			if s.State == drain.Leaving.String() || q.Back && s.State == drain.Out.String() { // still in transition
-				f.drainWaiters = append(f.drainWaiters, wake)
+				f.drainWaiters = append(f.drainWaiters, notify)
 				return
 			}
-			over <- end{s, why}
+			result <- outcome{s, why}
 		}
-		f.drainWaiters = append(f.drainWaiters, wake)
+		f.drainWaiters = append(f.drainWaiters, notify)
 		e := drain.Event{Back: q.Back}
 		if !q.Back {
 			e.Request = &drain.Request{Reason: q.Reason, Term: term, Wait: wait}
@@ -274,9 +274,9 @@
 		return
 	}
 	select {
-	case e := <-over:
+	case e := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(DrainResponse{e.s, e.why})
+		_ = json.NewEncoder(w).Encode(DrainResponse{e.status, e.refused})
 	case <-r.Context().Done():
 	case <-time.After(maxDrainWait):
 		http.Error(w, "the drain did not finish in time: see its state in `reachwind fleet view`", http.StatusServiceUnavailable)
--- a/internal/fleet/loadsignal/loadsignal.go
+++ b/internal/fleet/loadsignal/loadsignal.go
@@ -81,12 +81,12 @@
 }
 
 // SetOwn sets this gateway's own lines, replacing the earlier ones.
-func (b *Estimator) SetOwn(lines []Line) { b.own.Lines = append(b.own.Lines[:0], lines...) }
+func (e *Estimator) SetOwn(lines []Line) { e.own.Lines = append(e.own.Lines[:0], lines...) }
 
 // Digest returns the digest to send to the other gateways now.
-func (b *Estimator) Digest() Digest {
-	b.own.Number++
-	d := b.own
+func (e *Estimator) Digest() Digest {
+	e.own.Number++
+	d := e.own
 	d.Lines = slices.Clone(d.Lines)
 	slices.SortFunc(d.Lines, func(a, b Line) int {
 		return cmp.Or(cmp.Compare(b.Outstanding, a.Outstanding), cmp.Compare(a.Member, b.Member))
@@ -96,43 +96,43 @@
 }
 
 // HandleDigest handles a digest and returns whether it was newer than the one held.
-func (b *Estimator) HandleDigest(now Time, d Digest) bool {
-	was, known := b.digests[d.Gateway]
-	if d.Gateway == b.own.Gateway || len(d.Gateway) > MaxNameBytes || known && cmp.Or(cmp.Compare(d.Epoch, was.Epoch), cmp.Compare(d.Number, was.Number)) <= 0 {
-		b.Dropped.Old++
+func (e *Estimator) HandleDigest(now Time, d Digest) bool {
+	was, known := e.digests[d.Gateway]
+	if d.Gateway == e.own.Gateway || len(d.Gateway) > MaxNameBytes || known && cmp.Or(cmp.Compare(d.Epoch, was.Epoch), cmp.Compare(d.Number, was.Number)) <= 0 {
+		e.Dropped.Old++
 		return false
 	}
-	if !known && len(b.digests) >= MaxGateways {
+	if !known && len(e.digests) >= MaxGateways {
 		oldest := ""
-		for name, t := range b.digests {
-			if o, has := b.digests[oldest]; !has || t.at < o.at || t.at == o.at && name < oldest {
+		for name, t := range e.digests {
+			if o, has := e.digests[oldest]; !has || t.at < o.at || t.at == o.at && name < oldest {
 				oldest = name
 			}
 		}
-		delete(b.digests, oldest)
-		b.Dropped.Full++
+		delete(e.digests, oldest)
+		e.Dropped.Full++
 	}
 	lines := make([]Line, 0, min(len(d.Lines), MaxLines))
 	for _, l := range d.Lines {
 		twice := slices.ContainsFunc(lines, func(o Line) bool { return o.Member == l.Member })
 		if twice || len(lines) == MaxLines || len(l.Member) > MaxNameBytes || l.Outstanding > MaxOutstanding || l.Latency < 0 || l.Latency > MaxLatency {
-			b.Dropped.Lines++
+			e.Dropped.Lines++
 			continue
 		}
 		lines = append(lines, l)
 	}
 	d.Lines = lines
-	b.digests[d.Gateway] = receivedDigest{d, now}
+	e.digests[d.Gateway] = receivedDigest{d, now}
 	return true
 }
 
 // UpdateWeights adjusts the weights of members; members that are not listed are dropped. It must be called every Tick:
 // an earlier call does nothing, a late one adjusts by one Tick only.
-func (b *Estimator) UpdateWeights(now Time, members []Member) {
-	if now < b.movedAt+Tick {
+func (e *Estimator) UpdateWeights(now Time, members []Member) {
+	if now < e.movedAt+Tick {
 		return
 	}
-	b.movedAt = now
+	e.movedAt = now
 	type seen struct {
 		out     []float64 // as reported, reduced by age
 		latency []float64
@@ -150,10 +150,10 @@
 			}
 		}
 	}
-	take(b.own.Lines, 1)
-	for name, t := range b.digests {
+	take(e.own.Lines, 1)
+	for name, t := range e.digests {
 		if now-t.at >= MaxAge {
-			delete(b.digests, name)
+			delete(e.digests, name)
 			continue
 		}
 		take(t.Lines, 1-float64(now-t.at)/float64(MaxAge))
@@ -165,7 +165,7 @@
 			capacity = 1
 		}
 		slices.Sort(s.out) // sums of floats depend on their order, and maps have none
-		sum, most := 1.0, max(1, median(s.out))*b.reportLimit
+		sum, most := 1.0, max(1, median(s.out))*e.reportLimit
 		for _, o := range s.out {
 			sum += min(o, most)
 		}
@@ -179,15 +179,15 @@
 	}
 	next := make(map[string]float64, len(members))
 	for _, m := range members {
-		was := b.Weight(m.Name)
-		next[m.Name] = was + (min(max(math.Exp(mean)/busy[m.Name], MinWeight), MaxWeight)-was)*b.maxStep
+		was := e.Weight(m.Name)
+		next[m.Name] = was + (min(max(math.Exp(mean)/busy[m.Name], MinWeight), MaxWeight)-was)*e.maxStep
 	}
-	b.weights = next
+	e.weights = next
 }
 
 // Weight returns the factor for a member in the choice among members that may answer; 1 is neutral.
-func (b *Estimator) Weight(member string) float64 {
-	if w, known := b.weights[member]; known {
+func (e *Estimator) Weight(member string) float64 {
+	if w, known := e.weights[member]; known {
 		return w
 	}
 	return 1
--- a/internal/fleet/loadsignal/loadsignal_test.go
+++ b/internal/fleet/loadsignal/loadsignal_test.go
@@ -99,9 +99,9 @@
 	damped, slow := simulate(1, func(*Estimator) {})
 	wild, slowWild := simulate(1, func(b *Estimator) { b.maxStep = 1 })
 	without, slowWithout := simulate(1, func(b *Estimator) { b.maxStep = 0 })
-	t.Logf("swing %.2f damped, %.2f not, %.2f with no signal; the slow member has waiting %.0f, %.0f, %.0f", damped, wild, without, slow, slowWild, slowWithout)
+	t.Logf("variation %.2f damped, %.2f undamped, %.2f without the signal; requests waiting at the slow member: %.0f, %.0f, %.0f", damped, wild, without, slow, slowWild, slowWithout)
 	if damped > wild/1.5 || slow > slowWithout/2 {
-		t.Errorf("swing %.2f damped, %.2f not; waiting %.0f, without %.0f", damped, wild, slow, slowWithout)
+		t.Errorf("variation %.2f damped, %.2f undamped; waiting %.0f, without the signal %.0f", damped, wild, slow, slowWithout)
 	}
 }
 
@@ -119,9 +119,9 @@
 			}
 			was, known := numbers[d.Gateway]
 			if _, held := b.digests[d.Gateway]; held && known && (d.Epoch < was[0] || d.Epoch == was[0] && d.Number <= was[1]) == b.HandleDigest(now, d) {
-				t.Fatalf("seed %d: %v after %v", seed, d, was)
+				t.Fatalf("seed %d: digest %v after epoch and number %v is wrongly accepted or refused", seed, d, was)
 			} else if !held && !b.HandleDigest(now, d) {
-				t.Fatalf("seed %d: %v was not news", seed, d)
+				t.Fatalf("seed %d: digest %v was not accepted", seed, d)
 			}
 			numbers[d.Gateway] = [2]uint64{b.digests[d.Gateway].Epoch, b.digests[d.Gateway].Number}
 			var before [4]float64
@@ -135,7 +135,7 @@
 				}
 			}
 			if len(b.digests) > MaxGateways {
-				t.Fatalf("%d gateways held", len(b.digests))
+				t.Fatalf("digests of %d gateways held", len(b.digests))
 			}
 		}
 		for range 300 {
@@ -143,7 +143,7 @@
 			b.UpdateWeights(now, []Member{{"a", 1}, {"c", 1}})
 		}
 		if w := b.Weight("a"); math.Abs(w-1) > 0.01 || len(b.digests) > 0 {
-			t.Errorf("seed %d: weight %v and %d held long after the last word", seed, w, len(b.digests))
+			t.Errorf("seed %d: weight %v and %d digests held long after the last report", seed, w, len(b.digests))
 		}
 	}
 }
@@ -171,8 +171,8 @@
 		return b.Weight("a")
 	}
 	high, low, open := weight(MaxOutstanding, MaxReportMultiple), weight(0, MaxReportMultiple), weight(MaxOutstanding, MaxOutstanding)
-	t.Logf("weight of a member that one of 20 lies about: %.3f said to be full, %.3f said to be idle; %.3f without the guard", high, low, open)
+	t.Logf("weight of a member that one of 20 gateways reports falsely: %.3f as full, %.3f as idle; %.3f without the limit", high, low, open)
 	if high < 0.9 || low > 1.05 || open > 0.6 {
-		t.Errorf("weights %.3f, %.3f, %.3f", high, low, open)
+		t.Errorf("weights %.3f as full, %.3f as idle, %.3f without the limit", high, low, open)
 	}
 }
--- a/internal/fleet/observation/observation.go
+++ b/internal/fleet/observation/observation.go
@@ -133,121 +133,121 @@
 }
 
 // RecordOwn records an observation of this gateway itself, to be passed on to others. peers is the number of peers.
-func (b *Store) RecordOwn(now Time, member string, k Kind, position int64, peers int) {
-	b.now = now
+func (s *Store) RecordOwn(now Time, member string, k Kind, position int64, peers int) {
+	s.now = now
 	if k == Answers || k == Primary {
-		b.lastAnswer[member] = now
-		if len(b.lastAnswer) > maxMembers {
-			b.lastAnswer = map[string]Time{member: now}
+		s.lastAnswer[member] = now
+		if len(s.lastAnswer) > maxMembers {
+			s.lastAnswer = map[string]Time{member: now}
 		}
-		b.penalizeWitnesses(member)
+		s.penalizeWitnesses(member)
 	}
-	b.lastNumber++
-	o := &stored{Observation: Observation{Witness: b.name, Epoch: b.epoch, Zone: b.zone, Number: b.lastNumber, Member: member, Kind: k, Position: position}, observedAt: now}
-	b.add(o, peers)
+	s.lastNumber++
+	o := &stored{Observation: Observation{Witness: s.name, Epoch: s.epoch, Zone: s.zone, Number: s.lastNumber, Member: member, Kind: k, Position: position}, observedAt: now}
+	s.add(o, peers)
 }
 
 // RecordAnswer records a regular answer of a member without passing it on.
-func (b *Store) RecordAnswer(now Time, member string) {
-	if len(b.members[member]) > 0 || b.probeAdvised[member] != 0 {
-		b.now, b.lastAnswer[member] = now, now
-		b.penalizeWitnesses(member)
+func (s *Store) RecordAnswer(now Time, member string) {
+	if len(s.members[member]) > 0 || s.probeAdvised[member] != 0 {
+		s.now, s.lastAnswer[member] = now, now
+		s.penalizeWitnesses(member)
 	}
 }
 
 // penalizeWitnesses compares reports about a member with the answer that just came: witnesses that reported it silent, no
 // later than the advised probe, are trusted less.
-func (b *Store) penalizeWitnesses(member string) {
-	at, ok := b.probeAdvised[member]
+func (s *Store) penalizeWitnesses(member string) {
+	at, ok := s.probeAdvised[member]
 	if !ok {
 		return
 	}
-	delete(b.probeAdvised, member)
-	b.Wrong++
-	for w, o := range b.members[member] {
-		if w != b.name && (o.Kind == Silent || o.Kind == Refused) && o.observedAt <= at {
-			t := b.trustIn(w)
-			b.trust[w] = max(minTrust, t/2)
+	delete(s.probeAdvised, member)
+	s.Wrong++
+	for w, o := range s.members[member] {
+		if w != s.name && (o.Kind == Silent || o.Kind == Refused) && o.observedAt <= at {
+			t := s.trustIn(w)
+			s.trust[w] = max(minTrust, t/2)
 		}
 	}
-	if len(b.trust) > maxMembers {
-		b.trust = map[string]float64{}
+	if len(s.trust) > maxMembers {
+		s.trust = map[string]float64{}
 	}
 }
 
 // ConfirmSilent records that an advised probe was not answered: witnesses that reported so regain trust.
-func (b *Store) ConfirmSilent(member string) {
-	if _, ok := b.probeAdvised[member]; !ok {
+func (s *Store) ConfirmSilent(member string) {
+	if _, ok := s.probeAdvised[member]; !ok {
 		return
 	}
-	delete(b.probeAdvised, member)
-	for w, o := range b.members[member] {
-		if t, lost := b.trust[w]; lost && (o.Kind == Silent || o.Kind == Refused) {
+	delete(s.probeAdvised, member)
+	for w, o := range s.members[member] {
+		if t, lost := s.trust[w]; lost && (o.Kind == Silent || o.Kind == Refused) {
 			if t += 10 * trustRecovery * (1 - t); t > 0.95 {
-				delete(b.trust, w)
+				delete(s.trust, w)
 			} else {
-				b.trust[w] = t
+				s.trust[w] = t
 			}
 		}
 	}
 }
 
-func (b *Store) trustIn(w string) float64 {
-	if t, ok := b.trust[w]; ok {
+func (s *Store) trustIn(w string) float64 {
+	if t, ok := s.trust[w]; ok {
 		return t
 	}
 	return 1
 }
 
 // add stores an observation if it is the newest of its witness, and returns whether it did.
-func (b *Store) add(o *stored, peers int) bool {
-	of := b.members[o.Member]
-	if of == nil {
-		if len(b.members) >= maxMembers {
-			b.Dropped.Full++
+func (s *Store) add(o *stored, peers int) bool {
+	byWitness := s.members[o.Member]
+	if byWitness == nil {
+		if len(s.members) >= maxMembers {
+			s.Dropped.Full++
 			return false
 		}
-		of = map[string]*stored{}
-		b.members[o.Member] = of
+		byWitness = map[string]*stored{}
+		s.members[o.Member] = byWitness
 	}
-	was := of[o.Witness]
-	if was != nil && (o.Epoch < was.Epoch || o.Epoch == was.Epoch && o.Number <= was.Number) {
+	previous := byWitness[o.Witness]
+	if previous != nil && (o.Epoch < previous.Epoch || o.Epoch == previous.Epoch && o.Number <= previous.Number) {
 		return false
 	}
-	if was == nil && len(of) >= maxWitnesses {
-		b.Dropped.Full++
+	if previous == nil && len(byWitness) >= maxWitnesses {
+		s.Dropped.Full++
 		return false
 	}
-	if was != nil { // the older one is no longer passed on
-		was.transmitsLeft = 0
+	if previous != nil { // the older one is no longer passed on
+		previous.transmitsLeft = 0
 	}
-	of[o.Witness] = o
+	byWitness[o.Witness] = o
 	o.transmitsLeft = int(math.Ceil(retransmitMultiple * math.Log2(float64(peers+2))))
-	b.pending = append(b.pending, o)
+	s.pending = append(s.pending, o)
 	return true
 }
 
 // Merge merges a batch that a peer passed on and returns the resulting advice.
-func (b *Store) Merge(now Time, batch []Observation, peers int) []Advice {
-	b.now = now
+func (s *Store) Merge(now Time, batch []Observation, peers int) []Advice {
+	s.now = now
 	touched := map[string]bool{}
 	for _, o := range batch {
 		age := Time(o.Age) * time.Millisecond
 		switch {
-		case o.Witness == b.name:
-			b.Dropped.Oneself++
+		case o.Witness == s.name:
+			s.Dropped.Oneself++
 		case age > retention || o.Hops > maxHops:
-			b.Dropped.Old++
+			s.Dropped.Old++
 		default:
 			o.Hops++
-			if b.add(&stored{Observation: o, observedAt: now - age}, peers) {
+			if s.add(&stored{Observation: o, observedAt: now - age}, peers) {
 				touched[o.Member] = true
 			}
 		}
 	}
 	var advice []Advice
 	for _, m := range slices.Sorted(maps.Keys(touched)) {
-		if a, ok := b.advise(m); ok {
+		if a, ok := s.advise(m); ok {
 			advice = append(advice, a)
 		}
 	}
@@ -264,15 +264,15 @@
 }
 
 // Weigh sums up the reports of others about a member, at the time of the last call that set the clock.
-func (b *Store) Weigh(member string) Weight {
+func (s *Store) Weigh(member string) Weight {
 	var w Weight
 	out, up := map[string]float64{}, map[string]float64{}
-	own := b.lastAnswer[member]
-	for name, o := range b.members[member] {
-		if name == b.name || b.now-o.observedAt > retention {
+	own := s.lastAnswer[member]
+	for name, o := range s.members[member] {
+		if name == s.name || s.now-o.observedAt > retention {
 			continue
 		}
-		fresh := math.Exp2(-float64(max(0, b.now-o.observedAt))/float64(halfLife)) * b.trustIn(name)
+		weight := math.Exp2(-float64(max(0, s.now-o.observedAt))/float64(halfLife)) * s.trustIn(name)
 		zone := o.Zone
 		if zone == "" {
 			zone = name
@@ -280,12 +280,12 @@
 		switch {
 		case o.Kind == Primary:
 			w.Primary = max(w.Primary, o.observedAt)
-			up[zone] = max(up[zone], fresh)
+			up[zone] = max(up[zone], weight)
 		case o.Kind == Answers:
-			up[zone] = max(up[zone], fresh)
+			up[zone] = max(up[zone], weight)
 		case o.observedAt <= own: // this gateway has had an answer since
 		default:
-			out[zone] = max(out[zone], fresh)
+			out[zone] = max(out[zone], weight)
 		}
 	}
 	for _, f := range out {
@@ -299,48 +299,48 @@
 }
 
 // advise returns the advice for a member that has a new report.
-func (b *Store) advise(member string) (Advice, bool) {
-	w := b.Weigh(member)
+func (s *Store) advise(member string) (Advice, bool) {
+	w := s.Weigh(member)
 	a := Advice{Member: member, Witnesses: w.Witnesses}
-	a.Guess = w.Primary > 0 && b.now-w.Primary < halfLife
+	a.Guess = w.Primary > 0 && s.now-w.Primary < halfLife
 	a.Look = w.Out >= minProbeScore && w.Out > w.Up
 	a.Try = !a.Look && w.Up >= minProbeScore && w.Up > w.Out
 	if a.Look {
-		if b.now-b.probeAdvised[member] < minProbeInterval && b.probeAdvised[member] != 0 {
+		if s.now-s.probeAdvised[member] < minProbeInterval && s.probeAdvised[member] != 0 {
 			a.Look = false
-		} else if !b.takeProbeToken() {
+		} else if !s.takeProbeToken() {
 			a.Look = false
-			b.Dropped.Rate++
+			s.Dropped.Rate++
 		} else {
-			b.probeAdvised[member] = b.now
-			b.Looks++
+			s.probeAdvised[member] = s.now
+			s.Looks++
 		}
 	}
 	return a, a.Look || a.Try || a.Guess
 }
 
 // takeProbeToken limits the rate of probes that reports can cause, however many there are.
-func (b *Store) takeProbeToken() bool {
-	b.probeTokens = min(maxProbesPerSecond, b.probeTokens+maxProbesPerSecond*(b.now-b.tokensAt).Seconds())
-	b.tokensAt = b.now
-	if b.probeTokens < 1 {
+func (s *Store) takeProbeToken() bool {
+	s.probeTokens = min(maxProbesPerSecond, s.probeTokens+maxProbesPerSecond*(s.now-s.tokensAt).Seconds())
+	s.tokensAt = s.now
+	if s.probeTokens < 1 {
 		return false
 	}
-	b.probeTokens--
+	s.probeTokens--
 	return true
 }
 
 // NextBatch returns the observations to pass on now, those passed on the fewest times first; nil if there are
 // none.
-func (b *Store) NextBatch(now Time) []Observation {
-	b.now = now
-	b.pending = slices.DeleteFunc(b.pending, func(o *stored) bool { return o.transmitsLeft <= 0 || now-o.observedAt > retention })
-	slices.SortStableFunc(b.pending, func(x, y *stored) int { return cmp.Compare(y.transmitsLeft, x.transmitsLeft) })
-	if len(b.pending) > maxMembers {
-		b.pending = b.pending[:maxMembers]
+func (s *Store) NextBatch(now Time) []Observation {
+	s.now = now
+	s.pending = slices.DeleteFunc(s.pending, func(o *stored) bool { return o.transmitsLeft <= 0 || now-o.observedAt > retention })
+	slices.SortStableFunc(s.pending, func(x, y *stored) int { return cmp.Compare(y.transmitsLeft, x.transmitsLeft) })
+	if len(s.pending) > maxMembers {
+		s.pending = s.pending[:maxMembers]
 	}
 	var batch []Observation
-	for _, o := range b.pending[:min(len(b.pending), maxBatch)] {
+	for _, o := range s.pending[:min(len(s.pending), maxBatch)] {
 		o.transmitsLeft--
 		c := o.Observation
 		c.Age = uint32((now - o.observedAt) / time.Millisecond)
@@ -350,26 +350,26 @@
 }
 
 // Expire drops entries that are too old to count. It must be called about once a second.
-func (b *Store) Expire(now Time) {
-	b.now = now
-	for m, of := range b.members {
+func (s *Store) Expire(now Time) {
+	s.now = now
+	for m, of := range s.members {
 		for w, o := range of {
 			if now-o.observedAt > retention {
 				delete(of, w)
 			}
 		}
 		if len(of) == 0 {
-			delete(b.members, m)
+			delete(s.members, m)
 		}
 	}
-	for m, at := range b.probeAdvised {
+	for m, at := range s.probeAdvised {
 		if now-at > retention {
-			delete(b.probeAdvised, m)
+			delete(s.probeAdvised, m)
 		}
 	}
-	for m, at := range b.lastAnswer {
+	for m, at := range s.lastAnswer {
 		if now-at > retention {
-			delete(b.lastAnswer, m)
+			delete(s.lastAnswer, m)
 		}
 	}
 }
@@ -393,15 +393,15 @@
 }
 
 // Summaries returns all stored observations, ordered by member and witness.
-func (b *Store) Summaries(now Time) []MemberSummary {
-	b.now = now
+func (s *Store) Summaries(now Time) []MemberSummary {
+	s.now = now
 	lines := []MemberSummary{}
-	for _, m := range slices.Sorted(maps.Keys(b.members)) {
-		w := b.Weigh(m)
+	for _, m := range slices.Sorted(maps.Keys(s.members)) {
+		w := s.Weigh(m)
 		l := MemberSummary{Member: m, Out: w.Out, Up: w.Up, Witnesses: w.Witnesses, Claims: []Claim{}}
-		for _, name := range slices.Sorted(maps.Keys(b.members[m])) {
-			o := b.members[m][name]
-			l.Claims = append(l.Claims, Claim{name, o.Zone, o.Kind.String(), (now - o.observedAt).Milliseconds(), b.trustIn(name)})
+		for _, name := range slices.Sorted(maps.Keys(s.members[m])) {
+			o := s.members[m][name]
+			l.Claims = append(l.Claims, Claim{name, o.Zone, o.Kind.String(), (now - o.observedAt).Milliseconds(), s.trustIn(name)})
 		}
 		lines = append(lines, l)
 	}
@@ -409,7 +409,7 @@
 }
 
 // SetEpoch sets a new epoch of this gateway.
-func (b *Store) SetEpoch(epoch uint64) { b.epoch = epoch }
+func (s *Store) SetEpoch(epoch uint64) { s.epoch = epoch }
 
 // Members returns the members that have stored observations, in no particular order.
-func (b *Store) Members() []string { return slices.Collect(maps.Keys(b.members)) }
+func (s *Store) Members() []string { return slices.Collect(maps.Keys(s.members)) }
--- a/internal/fleet/peers/keys_test.go
+++ b/internal/fleet/peers/keys_test.go
@@ -51,7 +51,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "harm") == 0 {
 				b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 				if _, err := o.open(both, b); err == nil {
-					t.Fatal("a changed message was opened")
+					t.Fatal("a changed message was accepted")
 				}
 				continue
 			}
@@ -62,11 +62,11 @@
 			}
 			switch {
 			case err == nil && taken[i]:
-				t.Fatal("a message was opened twice")
+				t.Fatal("a message was accepted twice")
 			case err == nil && (m.addr != "127.0.0.1:7" || m.frame[0] != byte(i)):
 				t.Fatalf("opened as %+v", m)
 			case err != nil && !taken[i] && (w == nil || w.top-uint64(b[28])-uint64(b[27])<<8 < windowSize):
-				t.Fatalf("a fresh message was refused: %v", err)
+				t.Fatalf("a new message was refused: %v", err)
 			}
 			taken[i] = taken[i] || err == nil
 		}
@@ -74,14 +74,14 @@
 	s := newSealer()
 	o := &opener{own: s.own, windows: map[instance]*window{}}
 	if _, err := o.open(both, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errReflected) {
-		t.Errorf("its own message: %v", err)
+		t.Errorf("own message reflected: %v", err)
 	}
 	o.own = instance{}
 	if _, err := o.open(old, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errUnknownKey) {
-		t.Errorf("under a key that it lacks: %v", err)
+		t.Errorf("message under an unknown key: %v", err)
 	}
 	if len(o.windows) > 0 {
-		t.Error("what was not authentic left a trace")
+		t.Error("a message that failed authentication created state")
 	}
 	for i := range maxWindows + 10 { // the number of instances is bounded
 		one := newSealer()
@@ -90,6 +90,6 @@
 		}
 	}
 	if len(o.windows) > maxWindows {
-		t.Errorf("%d instances are followed", len(o.windows))
+		t.Errorf("%d instances are tracked", len(o.windows))
 	}
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -310,7 +310,7 @@
 func (s *Sockets) readDatagrams() {
 	defer s.goroutines.Done()
 	buf := make([]byte, 64<<10)
-	junk, since := 0, time.Now()
+	unauthentic, windowStart := 0, time.Now()
 	for {
 		n, _, err := s.udp.ReadFromUDP(buf)
 		if err != nil {
@@ -322,10 +322,10 @@
 		if s.receive(buf[:n], 0) {
 			continue
 		}
-		if time.Since(since) > time.Second {
-			junk, since = 0, time.Now()
+		if time.Since(windowStart) > time.Second {
+			unauthentic, windowStart = 0, time.Now()
 		}
-		if junk++; junk > maxUnauthenticPerSecond {
+		if unauthentic++; unauthentic > maxUnauthenticPerSecond {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -375,7 +375,7 @@
 // acceptStreams accepts streams: one message each, answered on the stream within streamTimeout or not at all.
 func (s *Sockets) acceptStreams() {
 	defer s.goroutines.Done()
-	room := make(chan struct{}, maxStreamsIn)
+	slots := make(chan struct{}, maxStreamsIn)
 	for {
 		c, err := s.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -386,7 +386,7 @@
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			s.Counts.StreamsRefused.Add(1)
 			_ = c.Close()
@@ -395,7 +395,7 @@
 		s.goroutines.Add(1)
 		go func() {
 			defer s.goroutines.Done()
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			s.serveStream(c)
 		}()
 	}
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -169,22 +169,22 @@
 func (l *Ledger) Quota(now Time, i int) float64 {
 	l.now = max(l.now, now)
 	b := &l.budgets[i]
-	part := 1.0
+	amount := 1.0
 	if l.enabled(GuardLent) {
-		part -= l.lentAmount(b)
+		amount -= l.lentAmount(b)
 	}
 	b.loansIn = slices.DeleteFunc(b.loansIn, func(o loan) bool { return l.enabled(GuardTerm) && l.now >= o.until })
 	for _, o := range b.loansIn {
-		part += o.amount
+		amount += o.amount
 	}
-	return part
+	return amount
 }
 
 // RecordUse records how much of a budget was used recently, in base shares: 1 is as much as one base share allows
 // in that time.
-func (l *Ledger) RecordUse(i int, parts float64) {
+func (l *Ledger) RecordUse(i int, used float64) {
 	b := &l.budgets[i]
-	b.recentUse += useSmoothing * (min(parts, 1e3) - b.recentUse)
+	b.recentUse += useSmoothing * (min(used, 1e3) - b.recentUse)
 }
 
 // need returns how much this gateway wants of a budget.
@@ -192,13 +192,13 @@
 
 // LendableNow returns how much this gateway could lend now.
 func (l *Ledger) LendableNow(now Time, i int) float64 {
-	part := l.Quota(now, i)
+	amount := l.Quota(now, i)
 	b := &l.budgets[i]
-	room := LendableFraction - l.lentAmount(b)
+	lendable := LendableFraction - l.lentAmount(b)
 	if l.enabled(GuardStart) && l.now-l.startedAt < LoanTerm+ClockMargin || len(b.loansIn) > 0 || len(b.loansOut) >= maxLoans {
 		return 0
 	}
-	return max(0, min(room, part-max(b.need(), 1-LendableFraction)))
+	return max(0, min(lendable, amount-max(b.need(), 1-LendableFraction)))
 }
 
 // Lender is a peer that may be asked for a loan, and how much it may spare.
@@ -219,8 +219,8 @@
 	l.now = max(l.now, now)
 	for i := range l.budgets {
 		b := &l.budgets[i]
-		lack := b.need() - l.Quota(now, i)
-		if lack < minLoan || l.now < b.nextRequest || len(b.loansIn) >= maxLoans {
+		shortfall := b.need() - l.Quota(now, i)
+		if shortfall < minLoan || l.now < b.nextRequest || len(b.loansIn) >= maxLoans {
 			continue
 		}
 		b.nextRequest = l.now + requestInterval
@@ -228,11 +228,11 @@
 		from := lenders(i)
 		slices.SortStableFunc(from, func(x, y Lender) int { return cmp.Compare(y.Spare, x.Spare) })
 		for _, p := range from[:min(3, len(from))] {
-			if want := min(lack, p.Spare); want >= minLoan {
+			if want := min(shortfall, p.Spare); want >= minLoan {
 				l.lastRequest++
 				b.requests = append(b.requests, request{l.lastRequest, p.Name, l.now, want})
 				out = append(out, Outgoing{p.Name, Message{Budget: uint8(i), Number: l.lastRequest, Epoch: l.epoch, Part: want}})
-				lack -= want
+				shortfall -= want
 			}
 		}
 	}
@@ -252,17 +252,17 @@
 		l.acceptLoan(b, from, m)
 		return nil
 	}
-	part := min(m.Part, l.LendableNow(now, int(m.Budget)))
-	if !mayLend || part < minLoan {
+	amount := min(m.Part, l.LendableNow(now, int(m.Budget)))
+	if !mayLend || amount < minLoan {
 		return nil
 	}
 	term := LoanTerm
 	if l.enabled(GuardMargin) {
 		term += ClockMargin
 	}
-	b.loansOut = append(b.loansOut, loan{from, m.Number, part, l.now + term})
+	b.loansOut = append(b.loansOut, loan{from, m.Number, amount, l.now + term})
 	l.Lent++
-	return &Message{Budget: m.Budget, Loan: true, Number: m.Number, Epoch: m.Epoch, Part: part}
+	return &Message{Budget: m.Budget, Loan: true, Number: m.Number, Epoch: m.Epoch, Part: amount}
 }
 
 // acceptLoan accepts a loan if this start requested it recently and has not accepted it yet.
--- a/internal/fleet/rotation/rotation.go
+++ b/internal/fleet/rotation/rotation.go
@@ -91,7 +91,7 @@
 }
 
 // position returns me's position in the order of a slot, and the number of gateways in it.
-func (t Task) position(slot int64, names []string, missing int, me string) (place, n int) {
+func (t Task) position(slot int64, names []string, missing int, me string) (index, n int) {
 	seed := seededhash.Mix(seededhash.Chain(0, t.Name) ^ seededhash.Mix(uint64(slot)))
 	own := seededhash.Mix(seed ^ seededhash.Chain(0, me))
 	for _, name := range names {
@@ -99,17 +99,17 @@
 			continue
 		}
 		if s := seededhash.Mix(seed ^ seededhash.Chain(0, name)); s < own || s == own && name < me {
-			place++
+			index++
 		}
 		n++
 	}
 	for i := range missing {
 		if seededhash.Mix(seed^seededhash.Mix(uint64(i)+1)) < own {
-			place++
+			index++
 		}
 		n++
 	}
-	return place, n + 1
+	return index, n + 1
 }
 
 // ShuffledOrder returns names in the order of a round of a task, for example in which recovered offices or regions
--- a/internal/fleet/rotation/rotation_test.go
+++ b/internal/fleet/rotation/rotation_test.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// TestRandomClocksAndFailures drives gateways with clocks off true time, some of them dead, in one view or two, and
-// holds claims 9 and 10. The plays without a guard have to break claim 9.
+// TestRandomClocksAndFailures runs gateways with clocks off true time, some of them dead, in one view or two,
+// and checks rules 1 and 2 of the package comment (claims 9 and 10 of the design). Runs without a clock margin
+// must break rule 1, which shows that the check works.
 func TestRandomClocksAndFailures(t *testing.T) {
-	var broken int
+	var violations int
 	for seed := range uint64(60) {
 		for _, guarded := range []bool{true, false} {
 			rng := rand.New(rand.NewPCG(seed, 1))
@@ -30,17 +31,17 @@
 			}
 			views, of := [][]string{names}, make([]int, len(names))
 			if seed%2 == 1 {
-				// The second view lacks some; each gateway is in the view that it has.
+				// The second view lacks some gateways; each gateway is in the view that it has.
 				less := slices.Clone(names[:1+rng.IntN(len(names))])
 				views = append(views, less)
 				for i := range less {
 					of[i] = rng.IntN(2)
 				}
 			}
-			off, dead, done := make([]Time, len(names)), make([]bool, len(names)), make([]int64, len(names))
+			clockError, dead, done := make([]Time, len(names)), make([]bool, len(names)), make([]int64, len(names))
 			alive := 0
 			for i := range names {
-				off[i] = Time(rng.Int64N(int64(2*task.MaxClockError)+1)) - task.MaxClockError
+				clockError[i] = Time(rng.Int64N(int64(2*task.MaxClockError)+1)) - task.MaxClockError
 				if dead[i] = rng.IntN(3) == 0; !dead[i] {
 					alive++
 				}
@@ -51,15 +52,15 @@
 			for now := begin; now < begin+60*time.Second; now += step {
 				hold := make([]int, len(views))
 				for i, name := range names {
-					h := used.AssignmentAt(now+off[i], views[of[i]], 0, name, done[i])
-					if h.NextCheck <= now+off[i] && !h.Mine {
+					h := used.AssignmentAt(now+clockError[i], views[of[i]], 0, name, done[i])
+					if h.NextCheck <= now+clockError[i] && !h.Mine {
 						t.Fatalf("seed %d: %s is told to ask again in the past: %+v", seed, name, h)
 					}
 					if !h.Mine {
 						continue
 					}
 					if hold[of[i]]++; !dead[i] && acted[h.Slot] == 0 && len(views) == 1 {
-						// It acts, and some hear of it at once.
+						// It does the task, and some gateways hear of it at once.
 						acted[h.Slot] = now - Time(h.Slot)*task.SlotLength
 						for k := range names {
 							if k == i || rng.IntN(4) > 0 {
@@ -70,9 +71,9 @@
 				}
 				for w, n := range hold {
 					if n > 1 && guarded {
-						t.Fatalf("seed %d at %v: %d of view %d hold the turn", seed, now, n, w)
+						t.Fatalf("seed %d at %v: %d gateways of view %d are selected", seed, now, n, w)
 					} else if n > 1 {
-						broken++
+						violations++
 					}
 				}
 			}
@@ -80,18 +81,19 @@
 				for slot := int64((begin + task.SlotLength) / task.SlotLength); slot < int64((begin+50*time.Second)/task.SlotLength); slot++ {
 					late, was := acted[slot], len(names)-alive
 					if late == 0 || late > Time(was)*task.WindowLength+2*task.MaxClockError+step {
-						t.Fatalf("seed %d slot %d: %d dead, acted after %v", seed, slot, was, late)
+						t.Fatalf("seed %d slot %d: %d gateways dead, the task was done after %v", seed, slot, was, late)
 					}
 				}
 			}
 		}
 	}
-	if broken == 0 {
-		t.Error("no play without the guard had two holders")
+	if violations == 0 {
+		t.Error("no run without a clock margin selected two gateways")
 	}
 }
 
-// TestEvenDistribution holds that first windows are shared evenly, and that those cut off each by itself act no more in all.
+// TestEvenDistribution checks that first windows are spread evenly, and that gateways that are each cut off
+// together act no more often.
 func TestEvenDistribution(t *testing.T) {
 	task := Task{Name: "trial", SlotLength: time.Second, WindowLength: time.Second}
 	names := ShuffledOrder("any", 1, []string{"a", "b", "c", "d", "e", "f", "g", "h", "b"})
@@ -112,14 +114,14 @@
 			}
 		}
 		if mine < slots/8*8/10 || mine > slots/8*12/10 {
-			t.Errorf("%s had %d of %d turns", me, mine, slots)
+			t.Errorf("%s was selected in %d of %d slots", me, mine, slots)
 		}
 	}
 	if alone < slots*9/10 || alone > slots*11/10 {
-		t.Errorf("8 that are alone acted %d times in %d slots", alone, slots)
+		t.Errorf("8 gateways that are cut off were selected %d times in %d slots", alone, slots)
 	}
 	var unfit *InvalidTask
 	if err := (Task{SlotLength: 1, WindowLength: 2}).Check(); !errors.As(err, &unfit) {
-		t.Errorf("%v for a pass longer than its slot", err)
+		t.Errorf("error %v for a window longer than its slot", err)
 	}
 }
--- a/internal/fleet/subscribe/permit.go
+++ b/internal/fleet/subscribe/permit.go
@@ -132,13 +132,13 @@
 }
 
 // since returns what was counted after an earlier count of the same start.
-func (c *Counts) since(was *Counts) (d Counts) {
+func (c *Counts) since(earlier *Counts) (d Counts) {
 	for i := range c.Classes {
-		x, y := &c.Classes[i], &was.Classes[i]
+		x, y := &c.Classes[i], &earlier.Classes[i]
 		d.Classes[i] = agreed.Served{Requests: saturatingSub(x.Requests, y.Requests), Refused: saturatingSub(x.Refused, y.Refused), Late: saturatingSub(x.Late, y.Late)}
 	}
 	for i := range c.Latency {
-		d.Latency[i] = uint32(saturatingSub(uint64(c.Latency[i]), uint64(was.Latency[i])))
+		d.Latency[i] = uint32(saturatingSub(uint64(c.Latency[i]), uint64(earlier.Latency[i])))
 	}
 	return d
 }
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -180,41 +180,41 @@
 }
 
 // HandleReport handles a report. Malformed reports and those of an older start or number are dropped.
-func (b *Registry) HandleReport(now Time, raw []byte) (r Report, ok bool) {
+func (reg *Registry) HandleReport(now Time, raw []byte) (r Report, ok bool) {
 	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > maxTextBytes || len(r.Zone) > maxTextBytes || len(r.Addr) > maxTextBytes {
 		return r, false
 	}
-	h := b.gateways[r.Name]
+	h := reg.gateways[r.Name]
 	if h == nil {
-		if len(b.gateways) >= MaxGateways {
+		if len(reg.gateways) >= MaxGateways {
 			return r, false
 		}
 		h = &gatewayState{}
-		b.gateways[r.Name] = h
+		reg.gateways[r.Name] = h
 	} else if r.Epoch < h.Epoch || r.Epoch == h.Epoch && r.Number <= h.Number {
 		return r, false
 	}
-	b.addCounts(h, &r)
-	b.addZoneAttempts(h, &r)
+	reg.addCounts(h, &r)
+	reg.addZoneAttempts(h, &r)
 	if h.Epoch != r.Epoch {
 		h.returned = h.Epoch != 0 && (h.Drain || h.Leaving)
 	}
 	h.Report, h.receivedAt = r, now
 	for _, m := range r.Members {
-		b.recordMember(now, r.Zone, m)
+		reg.recordMember(now, r.Zone, m)
 	}
 	return r, true
 }
 
 // addCounts adds what a gateway counted since its last report to the totals of its version.
-func (b *Registry) addCounts(h *gatewayState, r *Report) {
-	v := b.versions[r.Version]
+func (reg *Registry) addCounts(h *gatewayState, r *Report) {
+	v := reg.versions[r.Version]
 	if v == nil {
-		if len(b.versions) >= 16 {
+		if len(reg.versions) >= 16 {
 			return
 		}
 		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketsCount)}
-		b.versions[r.Version] = v
+		reg.versions[r.Version] = v
 	}
 	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaving {
 		v.Restarts++ // the earlier start did not announce its stop
@@ -237,19 +237,19 @@
 }
 
 // zoneRecord returns the record of what the gateways of one zone observed of another since the last evaluation.
-func (b *Registry) zoneRecord(witness, of string) *zoneplan.Seen {
-	z := b.zones[[2]string{witness, of}]
+func (reg *Registry) zoneRecord(witness, of string) *zoneplan.Seen {
+	z := reg.zones[[2]string{witness, of}]
 	if z == nil {
 		z = &zoneplan.Seen{Witness: witness, Of: of}
-		if len(b.zones) < agreed.ZonesMost*agreed.ZonesMost {
-			b.zones[[2]string{witness, of}] = z
+		if len(reg.zones) < agreed.ZonesMost*agreed.ZonesMost {
+			reg.zones[[2]string{witness, of}] = z
 		}
 	}
 	return z
 }
 
 // addZoneAttempts adds a gateway's attempts since its last report, and its clients' requests.
-func (b *Registry) addZoneAttempts(h *gatewayState, r *Report) {
+func (reg *Registry) addZoneAttempts(h *gatewayState, r *Report) {
 	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.ZonesMost {
 		return
 	}
@@ -264,9 +264,9 @@
 			continue
 		}
 		n, bad := saturatingSub(t.Attempts, was[t.Zone].Attempts), saturatingSub(t.Failed, was[t.Zone].Failed)
-		z := b.zoneRecord(r.Zone, t.Zone)
+		z := reg.zoneRecord(r.Zone, t.Zone)
 		z.Attempts, z.Failed = z.Attempts+float64(n), z.Failed+float64(min(bad, n))
-		b.zoneRecord(t.Zone, t.Zone).Done += float64(n - min(bad, n))
+		reg.zoneRecord(t.Zone, t.Zone).Done += float64(n - min(bad, n))
 	}
 	if r.Counts != nil && r.Zone != "" {
 		old := &Counts{}
@@ -275,29 +275,29 @@
 		}
 		d := r.Counts.since(old)
 		for _, c := range d.Classes {
-			b.zoneRecord(r.Zone, r.Zone).Offered += float64(c.Requests)
+			reg.zoneRecord(r.Zone, r.Zone).Offered += float64(c.Requests)
 		}
 	}
 }
 
 // TakeZoneCounts returns and resets what was observed of zones since the last call: offered and completed work per
 // second, attempts as totals.
-func (b *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
-	span := max(now-b.zonesAt, time.Millisecond).Seconds()
-	b.zonesAt = now
-	for _, z := range b.zones {
+func (reg *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
+	span := max(now-reg.zonesAt, time.Millisecond).Seconds()
+	reg.zonesAt = now
+	for _, z := range reg.zones {
 		z.Offered, z.Done = z.Offered/span, z.Done/span
 		all = append(all, *z)
 	}
-	clear(b.zones)
+	clear(reg.zones)
 	return all
 }
 
 // TakeHealth returns and resets what was counted since the last call, by version, without versions that served no
 // request and had no restart.
-func (b *Registry) TakeHealth() (all []agreed.VersionHealth) {
-	for _, name := range slices.Sorted(maps.Keys(b.versions)) {
-		v := b.versions[name]
+func (reg *Registry) TakeHealth() (all []agreed.VersionHealth) {
+	for _, name := range slices.Sorted(maps.Keys(reg.versions)) {
+		v := reg.versions[name]
 		n := uint64(v.Restarts)
 		for i := range v.Classes {
 			n += v.Classes[i].Requests
@@ -306,21 +306,21 @@
 			all = append(all, *v)
 		}
 	}
-	clear(b.versions)
+	clear(reg.versions)
 	return all
 }
 
-func (b *Registry) recordMember(now Time, zone string, m MemberReport) {
+func (reg *Registry) recordMember(now Time, zone string, m MemberReport) {
 	if m.Member == "" || len(m.Member) > maxTextBytes || len(m.Zone) > maxTextBytes {
 		return
 	}
-	by := b.members[m.Member]
+	by := reg.members[m.Member]
 	if by == nil {
-		if len(b.members) >= maxMembers {
+		if len(reg.members) >= maxMembers {
 			return
 		}
 		by = map[string]memberState{}
-		b.members[m.Member] = by
+		reg.members[m.Member] = by
 	}
 	if len(by) < 64 || by[zone].receivedAt > 0 {
 		by[zone] = memberState{m, now}
@@ -329,16 +329,16 @@
 
 // memberTargets returns the members as gateways report them: out if most zones that reported recently say so, primary if
 // most say so. A replica's position is the highest reported, as positions only grow.
-func (b *Registry) memberTargets(now Time) (all []agreed.Target) {
-	type one struct {
-		t        agreed.Target
+func (reg *Registry) memberTargets(now Time) (all []agreed.Target) {
+	type candidate struct {
+		target   agreed.Target
 		position int64
 	}
-	groups := map[string][]*one{}
-	for _, name := range slices.Sorted(maps.Keys(b.members)) {
-		by := b.members[name]
+	groups := map[string][]*candidate{}
+	for _, name := range slices.Sorted(maps.Keys(reg.members)) {
+		by := reg.members[name]
 		zones, out, primary := 0, 0, 0
-		o := &one{t: agreed.Target{Name: "db/" + name}}
+		o := &candidate{target: agreed.Target{Name: "db/" + name}}
 		for z, w := range by {
 			if now-w.receivedAt > reportValidity {
 				delete(by, z)
@@ -352,63 +352,63 @@
 				primary++
 			}
 			o.position = max(o.position, w.Position)
-			o.t.Group, o.t.Zone = fmt.Sprint(w.Group), w.Zone
+			o.target.Group, o.target.Zone = fmt.Sprint(w.Group), w.Zone
 		}
 		if zones == 0 {
-			delete(b.members, name)
+			delete(reg.members, name)
 			continue
 		}
-		o.t.Out, o.t.Primary = 2*out > zones, 2*primary > zones
-		groups[o.t.Group] = append(groups[o.t.Group], o)
+		o.target.Out, o.target.Primary = 2*out > zones, 2*primary > zones
+		groups[o.target.Group] = append(groups[o.target.Group], o)
 	}
 	for _, g := range slices.Sorted(maps.Keys(groups)) {
 		newest := int64(0)
-		var best *one
+		var best *candidate
 		for _, o := range groups[g] {
 			newest = max(newest, o.position)
-			if !o.t.Primary && !o.t.Out && o.position > 0 && (best == nil || o.position > best.position) {
+			if !o.target.Primary && !o.target.Out && o.position > 0 && (best == nil || o.position > best.position) {
 				best = o
 			}
 		}
 		for _, o := range groups[g] {
-			o.t.Caught = !o.t.Primary && o.position > 0 && newest-o.position <= caughtUpDistance.Milliseconds()
-			o.t.Best = o == best
-			all = append(all, o.t)
+			o.target.Caught = !o.target.Primary && o.position > 0 && newest-o.position <= caughtUpDistance.Milliseconds()
+			o.target.Best = o == best
+			all = append(all, o.target)
 		}
 	}
 	return all
 }
 
 // SetLeading records whether this voter leads.
-func (b *Registry) SetLeading(now Time, leads bool) {
-	if leads && !b.leading {
-		b.observingSince = now
+func (reg *Registry) SetLeading(now Time, leads bool) {
+	if leads && !reg.leading {
+		reg.observingSince = now
 	}
-	b.leading = leads
+	reg.leading = leads
 }
 
 // Targets returns all gateways and members, whether each is out, and whether that differs from the known set.
 // A leader that has led for less than SilentTimeout counts nobody as out that the council did not: it may not have
 // received the reports yet. With full it includes versions, starts and members.
-func (b *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
+func (reg *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
 	was := map[string]agreed.Target{}
 	for _, t := range known {
 		if name, ok := strings.CutPrefix(t.Name, "gateway/"); ok {
 			was[name] = t
-			if b.gateways[name] == nil && len(b.gateways) < MaxGateways { // agreed before this voter received a report of it
-				b.gateways[name] = &gatewayState{Report: Report{Name: name, Zone: t.Zone}, receivedAt: b.observingSince}
+			if reg.gateways[name] == nil && len(reg.gateways) < MaxGateways { // agreed before this voter received a report of it
+				reg.gateways[name] = &gatewayState{Report: Report{Name: name, Zone: t.Zone}, receivedAt: reg.observingSince}
 			}
-		} else if !full || now-b.observingSince < reportValidity { // a new leader first waits for reports on all members
+		} else if !full || now-reg.observingSince < reportValidity { // a new leader first waits for reports on all members
 			all = append(all, t)
 		}
 	}
-	if full && now-b.observingSince >= reportValidity {
-		all = b.memberTargets(now)
+	if full && now-reg.observingSince >= reportValidity {
+		all = reg.memberTargets(now)
 	}
-	for name, h := range b.gateways {
-		silent := now - max(h.receivedAt, b.observingSince)
+	for name, h := range reg.gateways {
+		silent := now - max(h.receivedAt, reg.observingSince)
 		if silent > forgetDelay || h.Leaving && silent > leftRetention {
-			delete(b.gateways, name)
+			delete(reg.gateways, name)
 			continue
 		}
 		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaving || silent > SilentTimeout || was[name].Out && now-h.receivedAt > ServingWindow}
@@ -426,15 +426,15 @@
 }
 
 // Serving reports whether a gateway recently reported that it serves.
-func (b *Registry) Serving(now Time, target string) bool {
+func (reg *Registry) Serving(now Time, target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
-	h := b.gateways[name]
+	h := reg.gateways[name]
 	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaving && now-h.receivedAt < ServingWindow
 }
 
 // ReturnedAfterDrain reports whether a gateway whose last start drained or left has started again.
-func (b *Registry) ReturnedAfterDrain(target string) bool {
+func (reg *Registry) ReturnedAfterDrain(target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
-	h := b.gateways[name]
+	h := reg.gateways[name]
 	return ok && h != nil && h.returned
 }
--- a/internal/fleet/subscribe/subscribe_test.go
+++ b/internal/fleet/subscribe/subscribe_test.go
@@ -14,7 +14,7 @@
 	b := NewRegistry()
 	b.SetLeading(0, true)
 	now, number := Time(0), uint64(0)
-	say := func(name, zone, version string, epoch, requests, refused uint64, more func(*Report)) {
+	report := func(name, zone, version string, epoch, requests, refused uint64, more func(*Report)) {
 		number++
 		r := Report{Name: name, Zone: zone, Version: version, Epoch: epoch, Number: number, Counts: &Counts{}}
 		r.Counts.Classes[0] = agreed.Served{Requests: requests, Refused: refused}
@@ -23,14 +23,14 @@
 			more(&r)
 		}
 		if _, ok := b.HandleReport(now, encode(&r)); !ok {
-			t.Fatalf("the report of %s is not taken", name)
+			t.Fatalf("the report of %s is not accepted", name)
 		}
 	}
 	health := func(want ...agreed.Served) {
 		t.Helper()
 		all := b.TakeHealth()
 		if len(all) != len(want) {
-			t.Fatalf("%d versions are told, want %d: %+v", len(all), len(want), all)
+			t.Fatalf("%d versions reported, want %d: %+v", len(all), len(want), all)
 		}
 		for i, w := range want {
 			if all[i].Classes[0] != w {
@@ -38,30 +38,30 @@
 			}
 		}
 	}
-	say("g1", "a", "1", 1, 1000, 0, nil) // requests served before this voter's first report do not count
+	report("g1", "a", "1", 1, 1000, 0, nil) // requests served before this voter's first report do not count
 	health()
-	say("g1", "a", "1", 1, 1010, 2, nil)
-	say("g2", "b", "2", 1, 5, 0, nil)
-	say("g2", "b", "2", 1, 25, 5, nil)
+	report("g1", "a", "1", 1, 1010, 2, nil)
+	report("g2", "b", "2", 1, 5, 0, nil)
+	report("g2", "b", "2", 1, 25, 5, nil)
 	health(agreed.Served{Requests: 10, Refused: 2}, agreed.Served{Requests: 20, Refused: 5})
-	say("g2", "b", "2", 2, 7, 1, nil) // an unannounced restart
+	report("g2", "b", "2", 2, 7, 1, nil) // an unannounced restart
 	if all := b.TakeHealth(); len(all) != 1 || all[0].Restarts != 1 || all[0].Classes[0].Requests != 7 {
 		t.Errorf("after a restart: %+v", all)
 	}
 	if b.ReturnedAfterDrain("gateway/g1") {
-		t.Error("who never left is told as back")
+		t.Error("a gateway that never left is reported as returned")
 	}
-	say("g1", "a", "1", 1, 1010, 2, func(r *Report) { r.Drain, r.Leaving = true, true })
+	report("g1", "a", "1", 1, 1010, 2, func(r *Report) { r.Drain, r.Leaving = true, true })
 	if b.Serving(now, "gateway/g1") {
-		t.Error("who leaves is told as serving")
+		t.Error("a gateway that leaves is reported as serving")
 	}
-	say("g1", "a", "1", 5, 1, 0, nil)
+	report("g1", "a", "1", 5, 1, 0, nil)
 	if !b.ReturnedAfterDrain("gateway/g1") || !b.Serving(now, "gateway/g1") {
-		t.Error("who is back is not told as back")
+		t.Error("a gateway that returned is not reported as returned and serving")
 	}
 	if r := (Report{Name: "g1", Epoch: 1, Number: 99}); true {
 		if _, ok := b.HandleReport(now, encode(&r)); ok {
-			t.Error("a report of an older start is taken")
+			t.Error("a report of an older start is accepted")
 		}
 	}
 	now = 30 * time.Second
@@ -71,10 +71,10 @@
 		}
 	}
 	for i := range 5 { // five gateways behind one broken link count as one witness
-		say("a"+string(rune('0'+i)), "a", "1", 1, 0, 0, seen(true, true, 10_000))
+		report("a"+string(rune('0'+i)), "a", "1", 1, 0, 0, seen(true, true, 10_000))
 	}
-	say("b0", "b", "1", 1, 0, 0, seen(false, true, 10_000))
-	say("c0", "c", "1", 1, 0, 0, seen(false, true, 9_900))
+	report("b0", "b", "1", 1, 0, 0, seen(false, true, 10_000))
+	report("c0", "c", "1", 1, 0, 0, seen(false, true, 9_900))
 	all, changed := b.Targets(now, nil, true)
 	by := map[string]agreed.Target{}
 	for _, x := range all {
@@ -90,12 +90,12 @@
 		t.Errorf("m3 is %+v: want one that lags", m)
 	}
 	if _, changed := b.Targets(now, all, true); changed {
-		t.Error("the same targets are told as changed")
+		t.Error("unchanged targets are reported as changed")
 	}
 	all, _ = b.Targets(now+25*time.Second, all, true)
 	for _, x := range all {
 		if x.Name == "db/m1" {
-			t.Error("what nobody told of for 25 s is told still")
+			t.Error("a member that nobody reported for 25 s is still listed")
 		}
 	}
 }
@@ -107,24 +107,24 @@
 	k.Start(time.Second, PermitRequest{Name: "g", Op: "acquire"})
 	first := k.DueMessage(time.Second)
 	if first == nil || k.DueMessage(time.Second+ResendInterval/2) != nil || k.DueMessage(time.Second+ResendInterval) == nil {
-		t.Error("an ask is sent too often or not again")
+		t.Error("a request is sent too often or not again")
 	}
 	a, ok := DecodePermitRequest(first)
 	if !ok || a.Number != 1 {
-		t.Errorf("read as %+v, %v", a, ok)
+		t.Errorf("decoded as %+v, %v", a, ok)
 	}
 	if _, _, _, ok := k.HandleAnswer((&PermitAnswer{Number: 9, OK: true}).Encode()); ok {
-		t.Error("the answer to another ask is taken")
+		t.Error("the answer to another request is accepted")
 	}
 	if _, g, at, ok := k.HandleAnswer((&PermitAnswer{Number: 1, OK: true, Fence: 7}).Encode()); !ok || g.Fence != 7 || at != time.Second || k.Pending() {
-		t.Errorf("taken as %+v, asked at %v, %v", g, at, ok)
+		t.Errorf("accepted as %+v, first sent at %v, %v", g, at, ok)
 	}
 	if _, _, _, ok := k.HandleAnswer((&PermitAnswer{Number: 1, OK: true}).Encode()); ok {
-		t.Error("an answer is taken twice")
+		t.Error("an answer is accepted twice")
 	}
 	for _, b := range [][]byte{nil, {0xff}, encode(&PermitRequest{})} {
 		if _, ok := DecodePermitRequest(b); ok {
-			t.Errorf("%x is read as an ask", b)
+			t.Errorf("%x is decoded as a request", b)
 		}
 	}
 }
--- a/internal/fleet/subset/plan.go
+++ b/internal/fleet/subset/plan.go
@@ -30,7 +30,7 @@
 // gateways alone. So if an entry goes, only those that had picked it pick another, one each; if one comes, it
 // replaces at most one pick of each that picks it. Members pick without regard to zones, so that the loss of a
 // zone leaves its gateways with members.
-func (p *Plan) pickPairs(picks, asks int) {
+func (p *Plan) pickPairs(gatewayPicks, memberPicks int) {
 	gs, ms := len(p.gateways), len(p.members)
 	seed := seededhash.Chain(0, p.group)
 	names := make([]uint64, ms)
@@ -39,22 +39,22 @@
 	}
 	byMember := make([][]scored, ms) // the lowest scores of each member
 	for m := range byMember {
-		byMember[m] = make([]scored, 0, asks+2)
+		byMember[m] = make([]scored, 0, memberPicks+2)
 	}
-	mine := make([]scored, 0, picks+2)
+	mine := make([]scored, 0, gatewayPicks+2)
 	for g, gw := range p.gateways {
 		mine = mine[:0]
 		own := seededhash.Chain(seed, gw.Name)
 		for m := range names {
-			mine = insertScored(mine, picks+1, m, seededhash.Mix(own^names[m]), p.preference(g, m))
-			byMember[m] = insertScored(byMember[m], asks+1, g, seededhash.Mix(own+names[m]), gw.Demand)
+			mine = insertScored(mine, gatewayPicks+1, m, seededhash.Mix(own^names[m]), p.preference(g, m))
+			byMember[m] = insertScored(byMember[m], memberPicks+1, g, seededhash.Mix(own+names[m]), gw.Demand)
 		}
-		for k, w := range taperedWeights(mine, picks) {
+		for k, w := range taperedWeights(mine, gatewayPicks) {
 			p.pairs = append(p.pairs, pair{g, mine[k].index, w})
 		}
 	}
 	for m, all := range byMember {
-		for k, w := range taperedWeights(all, asks) {
+		for k, w := range taperedWeights(all, memberPicks) {
 			p.pairs = append(p.pairs, pair{all[k].index, m, w})
 		}
 	}
@@ -126,9 +126,9 @@
 		return
 	}
 	gs, ms := len(p.gateways), len(p.members)
-	var carried, capacity float64
+	var demand, capacity float64
 	for _, g := range p.gateways {
-		carried += g.Demand
+		demand += g.Demand
 	}
 	for _, m := range p.members {
 		capacity += m.Capacity
@@ -148,7 +148,7 @@
 			for i := p.firstPair[g]; i < p.firstPair[g+1]; i++ {
 				sum += float64(kernel[i] * column[p.pairs[i].member])
 			}
-			row[g] = p.gateways[g].Demand / carried / sum
+			row[g] = p.gateways[g].Demand / demand / sum
 			for i := p.firstPair[g]; i < p.firstPair[g+1]; i++ {
 				load[p.pairs[i].member] += float64(row[g] * kernel[i] * column[p.pairs[i].member])
 			}
@@ -168,7 +168,7 @@
 		column, load = load, column
 	}
 	for i, e := range p.pairs {
-		p.pairs[i].weight = row[e.gateway] * kernel[i] * column[e.member] / (p.gateways[e.gateway].Demand / carried)
+		p.pairs[i].weight = row[e.gateway] * kernel[i] * column[e.member] / (p.gateways[e.gateway].Demand / demand)
 	}
 }
 
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -119,16 +119,16 @@
 	all := slices.Clone(v.Gateways)
 	slices.SortStableFunc(all, func(a, b Gateway) int { return cmp.Compare(a.Name, b.Name) })
 	all = slices.CompactFunc(all, func(a, b Gateway) bool { return a.Name == b.Name })
-	var told []float64
+	var reported []float64
 	for _, g := range all {
 		if g.Demand > 0 && !math.IsInf(g.Demand, 0) {
-			told = append(told, g.Demand)
+			reported = append(reported, g.Demand)
 		}
 	}
 	median := 1.0
-	if len(told) > 0 {
-		slices.Sort(told)
-		median = told[len(told)/2]
+	if len(reported) > 0 {
+		slices.Sort(reported)
+		median = reported[len(reported)/2]
 	}
 	for i := range all {
 		// A reported demand far from the others' moves only a bounded part of the plan, whichever gateway
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -56,14 +56,14 @@
 					sum += w
 				}
 				if pairs += len(part); math.Abs(sum-1) > 1e-9 {
-					t.Fatalf("seed %d step %d: %s sends %v in all", seed, step, g, sum)
+					t.Fatalf("seed %d step %d: the weights of %s add up to %v", seed, step, g, sum)
 				}
 			}
 			if most := DefaultConfig.GatewayPicks*len(next.Gateways) + DefaultConfig.MemberPicks*len(next.Members); pairs > most {
 				t.Fatalf("seed %d step %d: %d pairs, at most %d", seed, step, pairs, most)
 			}
 			if _, opened := movedLoad(next, was, now); kind < 2 && opened > own {
-				t.Fatalf("seed %d step %d: %d new pairs after one went that had %d", seed, step, opened, own)
+				t.Fatalf("seed %d step %d: %d new pairs after the removal of an entry with %d", seed, step, opened, own)
 			}
 			v, was = next, now
 		}
@@ -99,12 +99,12 @@
 			for _, m := range v.Members {
 				worst = max(worst, sums[m.Name]/carried/(m.Capacity/capacity))
 				if sums[m.Name] > both[m.Name]+1e-9 {
-					t.Errorf("%s: %s has more than by both views", what, m.Name)
+					t.Errorf("%s: %s has more load than both views give it together", what, m.Name)
 				}
 			}
-			t.Logf("uneven=%v, views apart by %s: worst member %.2f", uneven, what, worst)
+			t.Logf("uneven=%v, views differ by %s: highest relative load %.2f", uneven, what, worst)
 			if limit := map[string]float64{"half the members": 3.3}[what]; worst > max(limit, 2.2) {
-				t.Errorf("%s: worst member %.2f", what, worst)
+				t.Errorf("%s: highest relative load %.2f", what, worst)
 			}
 		}
 	}
@@ -123,9 +123,9 @@
 		}
 		_, pairs := maxLoad(v, whole)
 		most, alone := maxLoad(v, each)
-		t.Logf("100 alone, expected %d: load %.2f, %d pairs; whole %d pairs", expected, most, alone, pairs)
+		t.Logf("100 gateways cut off, %d expected: highest load %.2f, %d pairs; %d pairs in one group", expected, most, alone, pairs)
 		if expected > 0 && (alone > pairs*3/2 || most > 2.2) {
-			t.Errorf("load %.2f, pairs %d of %d", most, alone, pairs)
+			t.Errorf("highest load %.2f, %d pairs, %d in one group", most, alone, pairs)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		for i := range n {
 			m, ok := part.Pick((float64(i)+0.5)/n, func(m string) State { return states[m] })
 			if ok != (fit[true] > 0 || fit[false] > 0) || ok && states[m] != Fit {
-				t.Fatalf("picked %q %v which is %v; fit %v", m, ok, states[m], fit)
+				t.Fatalf("picked %q, %v, whose state is %v; fit %v", m, ok, states[m], fit)
 			}
 			got[m] += 1.0 / n
 		}
@@ -170,26 +170,26 @@
 			left += part.Counts.Inside[c] + part.Counts.Outside[c]
 		}
 		if want := (1 - fit[true]) * n; math.Abs(float64(left+part.Counts.NoneFit)-want) > 15 || left > 0 && part.Counts.Inside[Fit]+part.Counts.Outside[Fit] > 0 {
-			t.Fatalf("%d reads counted as having left, want %.0f: %+v", left, want, part.Counts)
+			t.Fatalf("%d reads counted as sent elsewhere, want %.0f: %+v", left, want, part.Counts)
 		}
 		for m, w := range got {
 			if was, in := shares[m]; in && fit[false] > 0 && w > 2*was+0.01 {
 				t.Fatalf("%s has %.3f, its share is %.3f, fit %v", m, w, was, fit)
 			} else if !in && m != "" && fit[true] >= minFitWeight {
-				t.Fatalf("%s stands in though %.2f of the part is fit", m, fit[true])
+				t.Fatalf("%s substitutes although %.2f of the subset is fit", m, fit[true])
 			}
 		}
 	}
 	part := p.Subset("gw-0007")
 	if n := testing.AllocsPerRun(100, func() { part.Pick(0.5, func(string) State { return Full }) }); n > 0 {
-		t.Errorf("a pick allocates %v times", n)
+		t.Errorf("Pick allocates %v times", n)
 	}
 }
 
 func TestLimits(t *testing.T) {
 	var many *TooManyError
 	if _, err := New(DefaultConfig, View{Members: make([]Member, MaxMembers+1)}); !errors.As(err, &many) {
-		t.Errorf("%v for too many members", err)
+		t.Errorf("error %v for too many members", err)
 	}
 	for _, v := range []View{{}, {Gateways: []Gateway{{Name: "a"}, {Name: "a"}}}, {Members: []Member{{Name: "m"}}},
 		{Gateways: []Gateway{{Name: "a"}}, Members: []Member{{Name: "m", Out: true}}}} {
@@ -199,7 +199,7 @@
 		}
 		if part := p.Subset("a"); part != nil {
 			if _, ok := part.Pick(0, func(string) State { return Fit }); ok {
-				t.Error("picked a member of none")
+				t.Error("picked a member although there is none")
 			}
 		}
 	}
@@ -226,16 +226,16 @@
 		told.Gateways[i].Demand = max(math.Round(g.Demand*0.8), 1) / 0.8
 	}
 	most, _ := maxLoad(v, planOf(told))
-	t.Logf("told in eighths: load %.3f", most)
+	t.Logf("demand in eighths: highest load %.3f", most)
 	if most > 1.25 {
-		t.Errorf("load %.3f", most)
+		t.Errorf("highest load %.3f", most)
 	}
 	was, half := planOf(v), without(v, -1, -1)
 	half.Gateways = slices.DeleteFunc(half.Gateways, func(g Gateway) bool { return seededhash.Chain(0, g.Name)%2 == 0 })
 	s, opened := movedLoad(half, was, planOf(half))
-	t.Logf("half the gateways go: %.2f of the others' load moves, %d new pairs of %d gateways", s, opened, len(half.Gateways))
+	t.Logf("half the gateways leave: %.2f of the others' load moves, %d new pairs of %d gateways", s, opened, len(half.Gateways))
 	half = without(v, -1, -1)
 	half.Members = slices.DeleteFunc(half.Members, func(m Member) bool { return seededhash.Chain(0, m.Name)%2 == 0 })
 	s, opened = movedLoad(v, was, planOf(half))
-	t.Logf("half the members go: %.2f of the load moves, %d new pairs of %d gateways", s, opened, len(v.Gateways))
+	t.Logf("half the members leave: %.2f of the load moves, %d new pairs of %d gateways", s, opened, len(v.Gateways))
 }
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -161,18 +161,18 @@
 	pingOrder     []string         // ping order, reshuffled each round
 	updates       []*Peer          // peers whose latest claim is still passed on
 	notAlive      map[string]*Peer // peers that are suspect, failed or left
-	nextPing      int
+	pingIndex     int
 	probes        map[uint32]*probe
 	pendingHellos map[uint32]string // outstanding Hellos by sequence number: the address sent to
 	seedOwners    map[string]string // name of the peer that answered at each seed address
 	seq           uint32
 	doubt         int
 
-	lastStep, pingAt, gossipAt, retryAt, lastUpdate, lastSync, helloAt Time
-	displaced, hasLeft                                                 bool
-	selfTransmitsLeft                                                  int // remaining transmissions of this node's own claim
-	digest                                                             uint64
-	Dropped                                                            DropCounts
+	lastStep, nextPingAt, nextGossipAt, nextRetryAt, lastUpdate, lastSync, nextJoinAt Time
+	displaced, hasLeft                                                                bool
+	selfTransmitsLeft                                                                 int // remaining transmissions of this node's own claim
+	digest                                                                            uint64
+	Dropped                                                                           DropCounts
 }
 
 // DropCounts counts messages, claims and requests that were dropped, by reason.
@@ -186,7 +186,7 @@
 		c.KeepFailed = 24 * time.Hour
 	}
 	n := &Node{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0x7377696d)), meta: c.Meta, seeds: c.Seeds, peers: map[string]*Peer{},
-		notAlive: map[string]*Peer{}, probes: map[uint32]*probe{}, pendingHellos: map[uint32]string{}, seedOwners: map[string]string{}, lastStep: distantPast, lastUpdate: distantPast, lastSync: distantPast, helloAt: distantPast}
+		notAlive: map[string]*Peer{}, probes: map[uint32]*probe{}, pendingHellos: map[uint32]string{}, seedOwners: map[string]string{}, lastStep: distantPast, lastUpdate: distantPast, lastSync: distantPast, nextJoinAt: distantPast}
 	n.selfTransmitsLeft = n.transmitLimit()
 	return n
 }
@@ -274,7 +274,7 @@
 		n.extendTimeouts(now - n.lastStep)
 	}
 	if n.lastStep == distantPast { // spreads the first pings of a group that was restarted as a whole
-		n.pingAt = now + Time(n.rng.Float64()*float64(probePeriod))
+		n.nextPingAt = now + Time(n.rng.Float64()*float64(probePeriod))
 	}
 	n.now, n.lastStep = now, now
 	if n.incarnation > maxIncarnation/2 {
@@ -287,19 +287,19 @@
 	return n.actions
 }
 
-// extendTimeouts extends all timeouts that wait for peers by span: their messages of that time were not lost by them.
-func (n *Node) extendTimeouts(span Time) {
+// extendTimeouts extends all timeouts that wait for peers by the length of a pause: their messages of that time were not lost by them.
+func (n *Node) extendTimeouts(pause Time) {
 	for _, p := range n.probes {
-		p.sentAt, p.indirectAt, p.failAt = p.sentAt+span, p.indirectAt+span, p.failAt+span
+		p.sentAt, p.indirectAt, p.failAt = p.sentAt+pause, p.indirectAt+pause, p.failAt+pause
 	}
 	for _, p := range n.peers {
 		if p.State == Suspect {
-			p.failAt += span
-			p.suspectedAt += span // further witnesses shorten the timeout from this point
+			p.failAt += pause
+			p.suspectedAt += pause // further witnesses shorten the timeout from this point
 		}
 	}
 	n.doubt = min(n.doubt+1, maxDoubt)
-	n.actions = append(n.actions, Action{Change: &Change{PausedFor: span}})
+	n.actions = append(n.actions, Action{Change: &Change{PausedFor: pause}})
 }
 
 func (n *Node) handleEvent(e *Event) {
@@ -354,30 +354,30 @@
 	return int(math.Ceil(retransmitMultiple * math.Log2(float64(len(n.peers)+2))))
 }
 
-// randomLive returns up to k live peers chosen at random, without those that not selects.
-func (n *Node) randomLive(k int, not func(*Peer) bool) (drawn []*Peer) {
-	fits := func(p *Peer) bool {
-		return p.State <= Suspect && (not == nil || !not(p)) && !slices.Contains(drawn, p)
+// randomLive returns up to k live peers chosen at random, without those that exclude selects.
+func (n *Node) randomLive(k int, exclude func(*Peer) bool) (chosen []*Peer) {
+	eligible := func(p *Peer) bool {
+		return p.State <= Suspect && (exclude == nil || !exclude(p)) && !slices.Contains(chosen, p)
 	}
 	for range 4 * k { // most peers are live, so a few draws normally suffice
-		if len(n.pingOrder) < 8*k || len(drawn) == k {
+		if len(n.pingOrder) < 8*k || len(chosen) == k {
 			break
 		}
-		if p := n.peers[n.pingOrder[n.rng.IntN(len(n.pingOrder))]]; fits(p) {
-			drawn = append(drawn, p)
+		if p := n.peers[n.pingOrder[n.rng.IntN(len(n.pingOrder))]]; eligible(p) {
+			chosen = append(chosen, p)
 		}
 	}
-	if len(drawn) == k {
-		return drawn
+	if len(chosen) == k {
+		return chosen
 	}
 	var rest []*Peer
 	for _, name := range n.pingOrder {
-		if p := n.peers[name]; fits(p) {
+		if p := n.peers[name]; eligible(p) {
 			rest = append(rest, p)
 		}
 	}
 	n.rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	return append(drawn, rest[:min(k-len(drawn), len(rest))]...)
+	return append(chosen, rest[:min(k-len(chosen), len(rest))]...)
 }
 
 // enqueueUpdate schedules p's latest claim to be passed on.
@@ -390,9 +390,9 @@
 
 // addUpdates adds claims to m until the datagram is full, those passed on the fewest times first.
 func (n *Node) addUpdates(m *Message, to *Peer) *Message {
-	room := MaxDatagramBytes - 200
+	spaceLeft := MaxDatagramBytes - 200
 	add := func(c Claim) bool {
-		if room -= c.encodedSize(); room < 0 {
+		if spaceLeft -= c.encodedSize(); spaceLeft < 0 {
 			return false
 		}
 		m.Claims = append(m.Claims, c)
@@ -674,8 +674,8 @@
 		at = n.rng.IntN(len(n.pingOrder) + 1)
 	}
 	n.pingOrder = slices.Insert(n.pingOrder, at, c.Name)
-	if at < n.nextPing {
-		n.nextPing++
+	if at < n.pingIndex {
+		n.pingIndex++
 	}
 	n.applyClaim(p, *c)
 	if c.State == Suspect {
@@ -690,16 +690,16 @@
 // evict frees a table entry: the peer that left longest ago, or if none left, the one that failed longest ago.
 // It returns false if there is none.
 func (n *Node) evict() bool {
-	var worst *Peer
+	var oldest *Peer
 	for _, p := range n.peers {
-		if p.State >= Failed && (worst == nil || p.State > worst.State || p.State == worst.State && p.Since < worst.Since) {
-			worst = p
+		if p.State >= Failed && (oldest == nil || p.State > oldest.State || p.State == oldest.State && p.Since < oldest.Since) {
+			oldest = p
 		}
 	}
-	if worst != nil {
-		n.removePeer(worst)
+	if oldest != nil {
+		n.removePeer(oldest)
 	}
-	return worst != nil
+	return oldest != nil
 }
 
 func (n *Node) removePeer(p *Peer) {
@@ -708,7 +708,7 @@
 	delete(n.notAlive, p.Name)
 	n.updates = slices.DeleteFunc(n.updates, func(o *Peer) bool { return o == p })
 	n.pingOrder = slices.DeleteFunc(n.pingOrder, func(s string) bool { return s == p.Name })
-	n.nextPing = min(n.nextPing, len(n.pingOrder))
+	n.pingIndex = min(n.pingIndex, len(n.pingOrder))
 }
 
 // applyClaim applies a claim to a peer, schedules it to be passed on and reports the change.
@@ -751,13 +751,13 @@
 	if p.suspectedAt == 0 || p.State != Suspect || len(p.witnesses) <= 1 {
 		p.suspectedAt = n.now
 	}
-	least := minSuspicionPeriods * math.Max(1, math.Log10(float64(len(n.peers)+1))) * float64(probePeriod)
-	most := maxSuspicionMultiple * least
+	shortest := minSuspicionPeriods * math.Max(1, math.Log10(float64(len(n.peers)+1))) * float64(probePeriod)
+	longest := maxSuspicionMultiple * shortest
 	k := math.Min(1, math.Log(float64(len(p.witnesses)))/math.Log(maxWitnesses))
 	if p.ProcessGone {
 		k = 1
 	}
-	p.failAt = p.suspectedAt + Time(most-k*(most-least))
+	p.failAt = p.suspectedAt + Time(longest-k*(longest-shortest))
 }
 
 // Timers.
@@ -780,30 +780,30 @@
 	if n.hasLeft {
 		return
 	}
-	if n.now >= n.helloAt && (n.displaced || len(n.notAlive) == len(n.peers) && len(n.randomLive(1, nil)) == 0) {
-		n.helloAt = n.now + joinInterval + Time(n.rng.Float64()*float64(joinInterval))
+	if n.now >= n.nextJoinAt && (n.displaced || len(n.notAlive) == len(n.peers) && len(n.randomLive(1, nil)) == 0) {
+		n.nextJoinAt = n.now + joinInterval + Time(n.rng.Float64()*float64(joinInterval))
 		n.sendHellos(2)
 	}
 	if n.displaced {
 		return
 	}
-	if n.now >= n.pingAt {
-		n.pingAt += probePeriod
-		if n.pingAt <= n.now {
-			n.pingAt = n.now + probePeriod
+	if n.now >= n.nextPingAt {
+		n.nextPingAt += probePeriod
+		if n.nextPingAt <= n.now {
+			n.nextPingAt = n.now + probePeriod
 		}
 		n.pingNext()
 	}
-	if n.now >= n.gossipAt {
-		n.gossipAt = n.now + gossipInterval
+	if n.now >= n.nextGossipAt {
+		n.nextGossipAt = n.now + gossipInterval
 		for _, p := range n.randomLive(gossipFanout, nil) {
 			if m := n.addUpdates(&Message{Kind: Gossip, To: p.id()}, p); len(m.Claims) > 0 {
 				n.send(p.Addr, m)
 			}
 		}
 	}
-	if n.now >= n.retryAt && n.enabled(GuardRetry) {
-		n.retryAt = n.now + reconnectInterval/2 + Time(n.rng.Float64()*float64(reconnectInterval))
+	if n.now >= n.nextRetryAt && n.enabled(GuardRetry) {
+		n.nextRetryAt = n.now + reconnectInterval/2 + Time(n.rng.Float64()*float64(reconnectInterval))
 		n.sendHellos(1)
 	}
 }
@@ -846,18 +846,18 @@
 // pingNext pings the next live peer of the round.
 func (n *Node) pingNext() {
 	for range n.pingOrder {
-		if n.nextPing >= len(n.pingOrder) {
-			n.nextPing = 0
+		if n.pingIndex >= len(n.pingOrder) {
+			n.pingIndex = 0
 			n.rng.Shuffle(len(n.pingOrder), func(i, j int) { n.pingOrder[i], n.pingOrder[j] = n.pingOrder[j], n.pingOrder[i] })
 		}
-		p := n.peers[n.pingOrder[n.nextPing]]
-		n.nextPing++
+		p := n.peers[n.pingOrder[n.pingIndex]]
+		n.pingIndex++
 		if p.State != Alive && p.State != Suspect {
 			continue
 		}
-		wait := n.ackTimeout(p)
+		timeout := n.ackTimeout(p)
 		n.seq++
-		n.probes[n.seq] = &probe{target: p.id(), addr: p.Addr, sentAt: n.now, indirectAt: n.now + wait, failAt: n.now + max(probePeriod, (1+indirectAckMultiple)*wait)}
+		n.probes[n.seq] = &probe{target: p.id(), addr: p.Addr, sentAt: n.now, indirectAt: n.now + timeout, failAt: n.now + max(probePeriod, (1+indirectAckMultiple)*timeout)}
 		n.send(p.Addr, n.addUpdates(&Message{Kind: Ping, Seq: n.seq, To: p.id()}, p))
 		return
 	}
@@ -866,11 +866,11 @@
 // ackTimeout returns the timeout for a direct answer of p: based on its round-trip times, and longer the more
 // this node doubts itself.
 func (n *Node) ackTimeout(p *Peer) Time {
-	wait := initialAckTimeout
+	timeout := initialAckTimeout
 	if p.RTT > 0 {
-		wait = max(minAckTimeout, p.RTT+4*p.variance)
+		timeout = max(minAckTimeout, p.RTT+4*p.variance)
 	}
-	return min(wait, maxAckTimeout) * Time(1+n.doubt)
+	return min(timeout, maxAckTimeout) * Time(1+n.doubt)
 }
 
 // checkProbe sends indirect pings for a probe whose direct answer is late, and suspects the peer if they bring no
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -146,52 +146,52 @@
 		t.ended++
 		return
 	}
-	in := &t.otherZones
+	zoneCount := &t.otherZones
 	if zone == v.zone {
-		in = &t.ownZone
+		zoneCount = &t.ownZone
 	}
-	in.expected++
+	zoneCount.expected++
 	if p.State == swim.Alive { // a suspect may be running, but is not reached
-		in.reached++
+		zoneCount.reached++
 	}
 }
 
 // Evaluate updates the verdict from a tally and reports whether it changed. It must be called at least once a
 // second. displaced tells that a later start has this gateway's name.
 func (v *View) Evaluate(now Time, t Tally, displaced bool, e Evidence) bool {
-	total, own, other, gone := t.total(), t.ownZone, t.otherZones, t.ended
-	want := Minority
+	total, own, other, ended := t.total(), t.ownZone, t.otherZones, t.ended
+	latest := Minority
 	switch {
 	case displaced:
-		want = Alone
+		latest = Alone
 	case total.reached == 1 && (total.expected > 1 || v.expectsPeers):
-		want = Alone
+		latest = Alone
 	case 2*total.reached > total.expected:
-		want = Majority
+		latest = Majority
 	}
-	if want != v.candidate {
-		v.candidate, v.candidateSince = want, now
+	if latest != v.candidate {
+		v.candidate, v.candidateSince = latest, now
 	}
 	if now-v.changedAt > stableTime && v.recoveryDelay > minRecoveryDelay {
 		v.recoveryDelay, v.changedAt = max(minRecoveryDelay, v.recoveryDelay/2), now
 	}
-	wait := degradeDelay
-	if want > v.status.Verdict {
-		wait = v.recoveryDelay
+	delay := degradeDelay
+	if latest > v.status.Verdict {
+		delay = v.recoveryDelay
 	}
-	if want == v.status.Verdict || now-v.candidateSince < wait {
+	if latest == v.status.Verdict || now-v.candidateSince < delay {
 		return false
 	}
-	if want > v.status.Verdict && now-v.changedAt < stableTime {
+	if latest > v.status.Verdict && now-v.changedAt < stableTime {
 		v.recoveryDelay = min(2*v.recoveryDelay, maxRecoveryDelay)
 	}
 	v.changedAt = now
-	v.status = Status{Verdict: want, Number: v.status.Number + 1, Since: now,
-		Reasons: reasons(now, total, own, other, gone, displaced, want, e)}
+	v.status = Status{Verdict: latest, Number: v.status.Number + 1, Since: now,
+		Reasons: verdictReasons(now, total, own, other, ended, displaced, latest, e)}
 	return true
 }
 
-func reasons(now Time, total, own, other count, gone int, displaced bool, want Verdict, e Evidence) []string {
+func verdictReasons(now Time, total, own, other count, gone int, displaced bool, want Verdict, e Evidence) []string {
 	if displaced {
 		return []string{"a later start with this gateway's name is alive"}
 	}
@@ -221,26 +221,26 @@
 // Confidence returns the confidence in a peer's recorded state, from 0 to 1: lower if it rests on others' claims,
 // and much lower while this gateway itself may be missing messages.
 func (v *View) Confidence(now Time, p *swim.Peer, e Evidence) float64 {
-	sure := 0.5
+	confidence := 0.5
 	switch p.State {
 	case swim.Left:
 		return 1
 	case swim.Alive:
-		if sure = 0.99; now-p.LastHeard > directContactValidity {
-			sure = 0.8
+		if confidence = 0.99; now-p.LastHeard > directContactValidity {
+			confidence = 0.8
 		}
 	case swim.Failed:
-		if sure = 0.8; p.ProcessGone {
+		if confidence = 0.8; p.ProcessGone {
 			return 0.99
 		}
 		if v.status.Verdict != Majority || v.candidate != Majority {
-			sure = 0.4
+			confidence = 0.4
 		}
 	}
 	if p.State != swim.Alive && (e.Doubt > 1 || now-e.Paused < pauseReasonTime) {
-		sure = min(sure, 0.4)
+		confidence = min(confidence, 0.4)
 	}
-	return sure
+	return confidence
 }
 
 // Operations that depend on the verdicts.
@@ -258,7 +258,7 @@
 	StartDrain
 )
 
-// OperationNames lists the names of all operations as printed in tables, by Act.
+// OperationNames lists the names of all operations as printed in tables, indexed by Operation.
 var OperationNames = []string{"serve reads", "serve writes", "use told beliefs", "take larger budgets", "probe for others", "start a drain"}
 
 // Rule is one cell of the table of rules.
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -10,10 +10,10 @@
 
 // zonePlan is the agreed zone plan as this gateway applies it.
 type zonePlan struct {
-	number    uint64
-	planUntil time.Duration
-	away      map[string]float64
-	nextUndo  time.Duration
+	number   uint64
+	until    time.Duration
+	away     map[string]float64
+	nextUndo time.Duration
 }
 
 // A plan that is not renewed is undone in steps, so that the gateway's own observations take effect again
@@ -30,7 +30,7 @@
 	if t.Plan == 0 || t.Plan < z.number || len(t.Zones) > 64 {
 		return
 	}
-	z.planUntil = now + time.Duration(t.PlanLeftMs)*time.Millisecond
+	z.until = now + time.Duration(t.PlanLeftMs)*time.Millisecond
 	z.number = t.Plan
 	away := map[string]float64{}
 	for _, a := range t.Zones {
@@ -42,7 +42,7 @@
 // expirePlan undoes a plan whose term has ended, in steps.
 func (f *Fleet) expirePlan(now time.Duration) {
 	z := &f.zones
-	if len(z.away) == 0 || now < z.planUntil || now < z.nextUndo {
+	if len(z.away) == 0 || now < z.until || now < z.nextUndo {
 		return
 	}
 	z.nextUndo = now + undoInterval
