--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -44,8 +44,8 @@
 )
 
 // NewEpoch returns the epoch of a start at a wall time in Unix milliseconds. It is later than all earlier ones
-// as long as the clock goes forward, and later than last, the epoch that a folder kept. luck is random and
-// separates two starts within one millisecond.
+// as long as the clock goes forward, and later than last, the epoch that a folder kept. random separates two
+// starts within one millisecond.
 func NewEpoch(ms int64, random uint16, last uint64) uint64 {
 	return max(uint64(max(ms, 0))*epochsPerMs+uint64(random)%epochsPerMs, last+1)
 }
