--- a/internal/fleet/loadsignal/loadsignal.go
+++ b/internal/fleet/loadsignal/loadsignal.go
@@ -97,8 +97,8 @@
 
 // HandleDigest handles a digest and returns whether it was newer than the one held.
 func (e *Estimator) HandleDigest(now Time, d Digest) bool {
-	was, known := e.digests[d.Gateway]
-	if d.Gateway == e.own.Gateway || len(d.Gateway) > MaxNameBytes || known && cmp.Or(cmp.Compare(d.Epoch, was.Epoch), cmp.Compare(d.Number, was.Number)) <= 0 {
+	previous, known := e.digests[d.Gateway]
+	if d.Gateway == e.own.Gateway || len(d.Gateway) > MaxNameBytes || known && cmp.Or(cmp.Compare(d.Epoch, previous.Epoch), cmp.Compare(d.Number, previous.Number)) <= 0 {
 		e.Dropped.Old++
 		return false
 	}
@@ -114,8 +114,8 @@
 	}
 	lines := make([]Line, 0, min(len(d.Lines), MaxLines))
 	for _, l := range d.Lines {
-		twice := slices.ContainsFunc(lines, func(o Line) bool { return o.Member == l.Member })
-		if twice || len(lines) == MaxLines || len(l.Member) > MaxNameBytes || l.Outstanding > MaxOutstanding || l.Latency < 0 || l.Latency > MaxLatency {
+		duplicate := slices.ContainsFunc(lines, func(o Line) bool { return o.Member == l.Member })
+		if duplicate || len(lines) == MaxLines || len(l.Member) > MaxNameBytes || l.Outstanding > MaxOutstanding || l.Latency < 0 || l.Latency > MaxLatency {
 			e.Dropped.Lines++
 			continue
 		}
@@ -133,54 +133,54 @@
 		return
 	}
 	e.movedAt = now
-	type seen struct {
+	type memberReports struct {
 		out     []float64 // as reported, reduced by age
 		latency []float64
 	}
-	at := map[string]*seen{}
+	at := map[string]*memberReports{}
 	for _, m := range members {
-		at[m.Name] = &seen{}
+		at[m.Name] = &memberReports{}
 	}
-	take := func(lines []Line, part float64) {
+	collect := func(lines []Line, weight float64) {
 		for _, l := range lines {
 			if s := at[l.Member]; s != nil {
-				if s.out = append(s.out, float64(l.Outstanding)*part); l.Latency > 0 {
+				if s.out = append(s.out, float64(l.Outstanding)*weight); l.Latency > 0 {
 					s.latency = append(s.latency, l.Latency.Seconds())
 				}
 			}
 		}
 	}
-	take(e.own.Lines, 1)
+	collect(e.own.Lines, 1)
 	for name, t := range e.digests {
 		if now-t.at >= MaxAge {
 			delete(e.digests, name)
 			continue
 		}
-		take(t.Lines, 1-float64(now-t.at)/float64(MaxAge))
+		collect(t.Lines, 1-float64(now-t.at)/float64(MaxAge))
 	}
-	busy, mean := map[string]float64{}, 0.0
+	busyness, mean := map[string]float64{}, 0.0
 	for _, m := range members {
 		s, capacity := at[m.Name], m.Capacity
 		if !(capacity > 0) || math.IsInf(capacity, 0) {
 			capacity = 1
 		}
 		slices.Sort(s.out) // sums of floats depend on their order, and maps have none
-		sum, most := 1.0, max(1, median(s.out))*e.reportLimit
+		sum, limit := 1.0, max(1, median(s.out))*e.reportLimit
 		for _, o := range s.out {
-			sum += min(o, most)
+			sum += min(o, limit)
 		}
 		slices.Sort(s.latency)
 		// The number of outstanding requests already grows with latency, so measured latency counts by its
 		// square root.
-		busy[m.Name] = sum / capacity * math.Sqrt(max(median(s.latency), 0.001))
+		busyness[m.Name] = sum / capacity * math.Sqrt(max(median(s.latency), 0.001))
 	}
 	for _, m := range members {
-		mean += math.Log(busy[m.Name]) / float64(len(members))
+		mean += math.Log(busyness[m.Name]) / float64(len(members))
 	}
 	next := make(map[string]float64, len(members))
 	for _, m := range members {
 		was := e.Weight(m.Name)
-		next[m.Name] = was + (min(max(math.Exp(mean)/busy[m.Name], MinWeight), MaxWeight)-was)*e.maxStep
+		next[m.Name] = was + (min(max(math.Exp(mean)/busyness[m.Name], MinWeight), MaxWeight)-was)*e.maxStep
 	}
 	e.weights = next
 }
--- a/internal/fleet/loadsignal/loadsignal_test.go
+++ b/internal/fleet/loadsignal/loadsignal_test.go
@@ -11,7 +11,7 @@
 // simulate runs 12 gateways that choose among 12 members by weight, one member at half its speed from the
 // fifth second on. Digests take half a second to arrive. It returns how far one member's intake varies about
 // its mean, and the requests that wait at the slow member, both after 15 s.
-func simulate(seed uint64, prepare func(*Estimator)) (swing, slow float64) {
+func simulate(seed uint64, prepare func(*Estimator)) (variation, waitingAtSlow float64) {
 	const gateways, members, ticks, late = 12, 12, 300, 5
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var ms []Member
@@ -87,21 +87,21 @@
 		for i := m; i < len(in); i += members {
 			dev += (in[i] - mean/n) * (in[i] - mean/n)
 		}
-		swing = max(swing, math.Sqrt(dev/n)/(mean/n))
+		variation = max(variation, math.Sqrt(dev/n)/(mean/n))
 	}
 	for _, w := range waits {
-		slow += w / float64(len(waits))
+		waitingAtSlow += w / float64(len(waits))
 	}
-	return swing, slow
+	return variation, waitingAtSlow
 }
 
 func TestWeightOscillation(t *testing.T) {
-	damped, slow := simulate(1, func(*Estimator) {})
-	wild, slowWild := simulate(1, func(b *Estimator) { b.maxStep = 1 })
+	damped, slowDamped := simulate(1, func(*Estimator) {})
+	undamped, slowUndamped := simulate(1, func(b *Estimator) { b.maxStep = 1 })
 	without, slowWithout := simulate(1, func(b *Estimator) { b.maxStep = 0 })
-	t.Logf("variation %.2f damped, %.2f undamped, %.2f without the signal; requests waiting at the slow member: %.0f, %.0f, %.0f", damped, wild, without, slow, slowWild, slowWithout)
-	if damped > wild/1.5 || slow > slowWithout/2 {
-		t.Errorf("variation %.2f damped, %.2f undamped; waiting %.0f, without the signal %.0f", damped, wild, slow, slowWithout)
+	t.Logf("variation %.2f damped, %.2f undamped, %.2f without the signal; requests waiting at the slow member: %.0f, %.0f, %.0f", damped, undamped, without, slowDamped, slowUndamped, slowWithout)
+	if damped > undamped/1.5 || slowDamped > slowWithout/2 {
+		t.Errorf("variation %.2f damped, %.2f undamped; waiting %.0f, without the signal %.0f", damped, undamped, slowDamped, slowWithout)
 	}
 }
 
@@ -110,20 +110,20 @@
 	for seed := range uint64(2) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		b, ms, now := New("me", 1), []Member{{"a", 1}, {"b", math.NaN()}, {"c", -2}, {"d", 4}}, Time(0)
-		numbers := map[string][2]uint64{}
+		latest := map[string][2]uint64{}
 		for range 3000 {
 			now += Time(rng.Int64N(int64(Tick)))
 			d := Digest{Gateway: fmt.Sprint("g", rng.IntN(1200)), Epoch: rng.Uint64N(3), Number: rng.Uint64N(100)}
 			for range rng.IntN(80) {
 				d.Lines = append(d.Lines, Line{ms[rng.IntN(4)].Name + []string{"", "x"}[rng.IntN(2)], rng.Uint32() >> rng.IntN(32), Time(rng.Int64()) >> rng.IntN(60)})
 			}
-			was, known := numbers[d.Gateway]
+			was, known := latest[d.Gateway]
 			if _, held := b.digests[d.Gateway]; held && known && (d.Epoch < was[0] || d.Epoch == was[0] && d.Number <= was[1]) == b.HandleDigest(now, d) {
 				t.Fatalf("seed %d: digest %v after epoch and number %v is wrongly accepted or refused", seed, d, was)
 			} else if !held && !b.HandleDigest(now, d) {
 				t.Fatalf("seed %d: digest %v was not accepted", seed, d)
 			}
-			numbers[d.Gateway] = [2]uint64{b.digests[d.Gateway].Epoch, b.digests[d.Gateway].Number}
+			latest[d.Gateway] = [2]uint64{b.digests[d.Gateway].Epoch, b.digests[d.Gateway].Number}
 			var before [4]float64
 			for i, m := range ms {
 				before[i] = b.Weight(m.Name)
--- a/internal/fleet/observation/observation.go
+++ b/internal/fleet/observation/observation.go
@@ -267,7 +267,7 @@
 func (s *Store) Weigh(member string) Weight {
 	var w Weight
 	out, up := map[string]float64{}, map[string]float64{}
-	own := s.lastAnswer[member]
+	lastAnswer := s.lastAnswer[member]
 	for name, o := range s.members[member] {
 		if name == s.name || s.now-o.observedAt > retention {
 			continue
@@ -283,7 +283,7 @@
 			up[zone] = max(up[zone], weight)
 		case o.Kind == Answers:
 			up[zone] = max(up[zone], weight)
-		case o.observedAt <= own: // this gateway has had an answer since
+		case o.observedAt <= lastAnswer: // this gateway has had an answer since
 		default:
 			out[zone] = max(out[zone], weight)
 		}
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -312,14 +312,14 @@
 	buf := make([]byte, 64<<10)
 	unauthentic, windowStart := 0, time.Now()
 	for {
-		n, _, err := s.udp.ReadFromUDP(buf)
+		size, _, err := s.udp.ReadFromUDP(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue // an ICMP error for a datagram sent earlier
 		}
-		if s.receive(buf[:n], 0) {
+		if s.receive(buf[:size], 0) {
 			continue
 		}
 		if time.Since(windowStart) > time.Second {
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -222,11 +222,11 @@
 	if r.Counts == nil || h.Epoch == 0 { // the counts of a gateway that is new to this voter precede this period
 		return
 	}
-	was := &Counts{}
+	earlier := &Counts{}
 	if h.Epoch == r.Epoch && h.Counts != nil {
-		was = h.Counts
+		earlier = h.Counts
 	}
-	d := r.Counts.since(was)
+	d := r.Counts.since(earlier)
 	for i := range d.Classes {
 		x, y := &v.Classes[i], &d.Classes[i]
 		x.Requests, x.Refused, x.Late = x.Requests+y.Requests, x.Refused+y.Refused, x.Late+y.Late
@@ -263,17 +263,17 @@
 		if t.Zone == "" || len(t.Zone) > maxTextBytes || t.Failed > t.Attempts {
 			continue
 		}
-		n, bad := saturatingSub(t.Attempts, was[t.Zone].Attempts), saturatingSub(t.Failed, was[t.Zone].Failed)
+		attempts, failed := saturatingSub(t.Attempts, was[t.Zone].Attempts), saturatingSub(t.Failed, was[t.Zone].Failed)
 		z := reg.zoneRecord(r.Zone, t.Zone)
-		z.Attempts, z.Failed = z.Attempts+float64(n), z.Failed+float64(min(bad, n))
-		reg.zoneRecord(t.Zone, t.Zone).Done += float64(n - min(bad, n))
+		z.Attempts, z.Failed = z.Attempts+float64(attempts), z.Failed+float64(min(failed, attempts))
+		reg.zoneRecord(t.Zone, t.Zone).Done += float64(attempts - min(failed, attempts))
 	}
 	if r.Counts != nil && r.Zone != "" {
-		old := &Counts{}
+		earlier := &Counts{}
 		if h.Epoch == r.Epoch && h.Counts != nil {
-			old = h.Counts
+			earlier = h.Counts
 		}
-		d := r.Counts.since(old)
+		d := r.Counts.since(earlier)
 		for _, c := range d.Classes {
 			reg.zoneRecord(r.Zone, r.Zone).Offered += float64(c.Requests)
 		}
@@ -314,16 +314,16 @@
 	if m.Member == "" || len(m.Member) > maxTextBytes || len(m.Zone) > maxTextBytes {
 		return
 	}
-	by := reg.members[m.Member]
-	if by == nil {
+	byZone := reg.members[m.Member]
+	if byZone == nil {
 		if len(reg.members) >= maxMembers {
 			return
 		}
-		by = map[string]memberState{}
-		reg.members[m.Member] = by
+		byZone = map[string]memberState{}
+		reg.members[m.Member] = byZone
 	}
-	if len(by) < 64 || by[zone].receivedAt > 0 {
-		by[zone] = memberState{m, now}
+	if len(byZone) < 64 || byZone[zone].receivedAt > 0 {
+		byZone[zone] = memberState{m, now}
 	}
 }
 
@@ -336,15 +336,15 @@
 	}
 	groups := map[string][]*candidate{}
 	for _, name := range slices.Sorted(maps.Keys(reg.members)) {
-		by := reg.members[name]
-		zones, out, primary := 0, 0, 0
+		byZone := reg.members[name]
+		zonesHeard, out, primary := 0, 0, 0
 		o := &candidate{target: agreed.Target{Name: "db/" + name}}
-		for z, w := range by {
+		for z, w := range byZone {
 			if now-w.receivedAt > reportValidity {
-				delete(by, z)
+				delete(byZone, z)
 				continue
 			}
-			zones++
+			zonesHeard++
 			if w.Out {
 				out++
 			}
@@ -354,11 +354,11 @@
 			o.position = max(o.position, w.Position)
 			o.target.Group, o.target.Zone = fmt.Sprint(w.Group), w.Zone
 		}
-		if zones == 0 {
+		if zonesHeard == 0 {
 			delete(reg.members, name)
 			continue
 		}
-		o.target.Out, o.target.Primary = 2*out > zones, 2*primary > zones
+		o.target.Out, o.target.Primary = 2*out > zonesHeard, 2*primary > zonesHeard
 		groups[o.target.Group] = append(groups[o.target.Group], o)
 	}
 	for _, g := range slices.Sorted(maps.Keys(groups)) {
--- a/internal/fleet/subset/algorithms_test.go
+++ b/internal/fleet/subset/algorithms_test.go
@@ -218,10 +218,10 @@
 	}
 	low, high := 1.0, 1.0+1/4096.0
 	fits := func(most float64) bool {
-		room := make([]float64, len(v.Members))
+		spare := make([]float64, len(v.Members))
 		flow := make([]map[int]float64, len(v.Gateways))
 		for i, m := range v.Members {
-			room[i] = m.Capacity / capacity * most
+			spare[i] = m.Capacity / capacity * most
 		}
 		for g, gw := range v.Gateways {
 			flow[g] = map[int]float64{}
@@ -239,7 +239,7 @@
 						if _, known := from[m]; known {
 							continue
 						}
-						if from[m] = h; room[m] > 1e-12 {
+						if from[m] = h; spare[m] > 1e-12 {
 							end = m
 							break
 						}
@@ -254,11 +254,11 @@
 				if end < 0 {
 					return false
 				}
-				push := min(left, room[end])
+				push := min(left, spare[end])
 				for m := end; from[m] != g; m = via[from[m]] {
 					push = min(push, flow[from[m]][via[from[m]]])
 				}
-				room[end] -= push
+				spare[end] -= push
 				for m := end; ; m = via[from[m]] {
 					flow[from[m]][m] += push
 					if from[m] == g {
@@ -296,43 +296,43 @@
 			v := randomView(rand.New(rand.NewPCG(1, 2)), size[0], size[1], uneven)
 			_, pairs := maxLoad(v, planOf(v))
 			each := (pairs + size[0] - 1) / size[0]
-			for i, way := range algorithms {
+			for i, algorithm := range algorithms {
 				if i > 0 && !*all {
 					break
 				}
-				was := way.make(v, each)
-				most, pairs := maxLoad(v, was)
-				least := math.NaN()
+				before := algorithm.make(v, each)
+				highest, pairs := maxLoad(v, before)
+				lowerBound := math.NaN()
 				if i == 0 && size[0] <= 300 && size[1] <= 120 {
-					least = loadLowerBound(v, was)
+					lowerBound = loadLowerBound(v, before)
 				}
-				var gone, light, member, opens, opensM float64
+				var gatewayMoves, boundedMoves, memberMoves, gatewayOpens, memberOpens float64
 				tries := min(8, size[0], size[1])
 				for k := range tries {
 					g, m := k*size[0]/tries, k*size[1]/tries
-					less := without(v, g, -1)
-					var carried, capacity, had float64
+					smaller := without(v, g, -1)
+					var demand, capacity, had float64
 					for _, gw := range v.Gateways {
-						carried += gw.Demand
-						if _, has := was[gw.Name][v.Members[m].Name]; has {
+						demand += gw.Demand
+						if _, has := before[gw.Name][v.Members[m].Name]; has {
 							had++
 						}
 					}
 					for _, one := range v.Members {
 						capacity += one.Capacity
 					}
-					s, o := movedLoad(less, was, way.make(less, each))
-					gone = max(gone, s/(v.Gateways[g].Demand/carried))
-					light = max(light, s/max(v.Gateways[g].Demand/carried, 1/float64(size[0])))
-					opens = max(opens, float64(o)/float64(len(was[v.Gateways[g].Name])))
-					s, o = movedLoad(v, was, way.make(without(v, -1, m), each))
-					member = max(member, s/(v.Members[m].Capacity/capacity))
-					opensM = max(opensM, float64(o)/had)
+					s, o := movedLoad(smaller, before, algorithm.make(smaller, each))
+					gatewayMoves = max(gatewayMoves, s/(v.Gateways[g].Demand/demand))
+					boundedMoves = max(boundedMoves, s/max(v.Gateways[g].Demand/demand, 1/float64(size[0])))
+					gatewayOpens = max(gatewayOpens, float64(o)/float64(len(before[v.Gateways[g].Name])))
+					s, o = movedLoad(v, before, algorithm.make(without(v, -1, m), each))
+					memberMoves = max(memberMoves, s/(v.Members[m].Capacity/capacity))
+					memberOpens = max(memberOpens, float64(o)/had)
 				}
 				t.Logf("| %d x %d | %s | %s | %d | %.3f | %.3f | %.2f | %.2f | %.2f | %.2f |", size[0], size[1], map[bool]string{true: "uneven", false: "even"}[uneven],
-					way.name, pairs, most, least, gone, opens, member, opensM)
-				if i == 0 && (most > 1.1 || pairs > DefaultConfig.GatewayPicks*size[0]+DefaultConfig.MemberPicks*size[1] || opens > 1 || opensM > 1 || light > 2 || member > 2) {
-					t.Errorf("%v uneven=%v: most %.3f, pairs %d, moved %.2f %.2f, opened %.2f %.2f", size, uneven, most, pairs, light, member, opens, opensM)
+					algorithm.name, pairs, highest, lowerBound, gatewayMoves, gatewayOpens, memberMoves, memberOpens)
+				if i == 0 && (highest > 1.1 || pairs > DefaultConfig.GatewayPicks*size[0]+DefaultConfig.MemberPicks*size[1] || gatewayOpens > 1 || memberOpens > 1 || boundedMoves > 2 || memberMoves > 2) {
+					t.Errorf("%v uneven=%v: most %.3f, pairs %d, moved %.2f %.2f, opened %.2f %.2f", size, uneven, highest, pairs, boundedMoves, memberMoves, gatewayOpens, memberOpens)
 				}
 			}
 		}
--- a/internal/fleet/subset/pick.go
+++ b/internal/fleet/subset/pick.go
@@ -46,35 +46,35 @@
 // of its weight. If they have less, none of them gets more than twice its share, and the rest goes to the
 // first four fit members outside the subset.
 func (p *Subset) Pick(draw float64, state func(member string) State) (member string, ok bool) {
-	var fit float64
-	meant, cause, rest := -1, Fit, draw
+	var fitWeight float64
+	planned, cause, rest := -1, Fit, draw
 	for i, s := range p.shares {
 		st := state(s.Member)
 		if st == Fit {
-			fit += s.Weight
+			fitWeight += s.Weight
 		}
-		if meant < 0 && (rest < s.Weight || i == len(p.shares)-1) {
+		if planned < 0 && (rest < s.Weight || i == len(p.shares)-1) {
 			if st == Fit {
 				return s.Member, true
 			}
 			// The remainder of the random number within this member's share is uniform again.
-			meant, cause, rest = i, st, min(rest/max(s.Weight, 1e-12), 1-1e-9)
-		} else if meant < 0 {
+			planned, cause, rest = i, st, min(rest/max(s.Weight, 1e-12), 1-1e-9)
+		} else if planned < 0 {
 			rest -= s.Weight
 		}
 	}
-	stay := 1.0
-	if fit < minFitWeight {
-		stay = fit / (1 - fit)
+	insideFraction := 1.0
+	if fitWeight < minFitWeight {
+		insideFraction = fitWeight / (1 - fitWeight)
 	}
-	if rest >= stay {
-		if m := p.substitute((rest-stay)/(1-stay), state); m != "" {
+	if rest >= insideFraction {
+		if m := p.substitute((rest-insideFraction)/(1-insideFraction), state); m != "" {
 			p.Counts.Outside[cause]++
 			return m, true
 		}
-		rest, stay = (rest-stay)/(1-stay), 1
+		rest, insideFraction = (rest-insideFraction)/(1-insideFraction), 1
 	}
-	if m := p.fitMember(rest/stay*fit, state); m != "" {
+	if m := p.fitMember(rest/insideFraction*fitWeight, state); m != "" {
 		p.Counts.Inside[cause]++
 		return m, true
 	}
--- a/internal/fleet/subset/plan.go
+++ b/internal/fleet/subset/plan.go
@@ -41,16 +41,16 @@
 	for m := range byMember {
 		byMember[m] = make([]scored, 0, memberPicks+2)
 	}
-	mine := make([]scored, 0, gatewayPicks+2)
+	gatewayList := make([]scored, 0, gatewayPicks+2)
 	for g, gw := range p.gateways {
-		mine = mine[:0]
+		gatewayList = gatewayList[:0]
 		own := seededhash.Chain(seed, gw.Name)
 		for m := range names {
-			mine = insertScored(mine, gatewayPicks+1, m, seededhash.Mix(own^names[m]), p.preference(g, m))
+			gatewayList = insertScored(gatewayList, gatewayPicks+1, m, seededhash.Mix(own^names[m]), p.preference(g, m))
 			byMember[m] = insertScored(byMember[m], memberPicks+1, g, seededhash.Mix(own+names[m]), gw.Demand)
 		}
-		for k, w := range taperedWeights(mine, gatewayPicks) {
-			p.pairs = append(p.pairs, pair{g, mine[k].index, w})
+		for k, w := range taperedWeights(gatewayList, gatewayPicks) {
+			p.pairs = append(p.pairs, pair{g, gatewayList[k].index, w})
 		}
 	}
 	for m, all := range byMember {
@@ -156,9 +156,9 @@
 		p.MaxExcess = 0
 		change := 0.0
 		for m := range load {
-			part := p.members[m].Capacity / capacity
-			p.MaxExcess = max(p.MaxExcess, load[m]/part-1)
-			next := min(max(math.Pow(column[m]*part/load[m], balanceFirmness), 1e-60), 1e60)
+			fraction := p.members[m].Capacity / capacity
+			p.MaxExcess = max(p.MaxExcess, load[m]/fraction-1)
+			next := min(max(math.Pow(column[m]*fraction/load[m], balanceFirmness), 1e-60), 1e60)
 			change = max(change, math.Abs(next/column[m]-1))
 			load[m] = next
 		}
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -18,18 +18,18 @@
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		v := randomView(rng, 2+rng.IntN(30), 3+rng.IntN(40), seed%2 == 1)
-		was := planOf(v)
+		before := planOf(v)
 		for step := range 40 {
 			next := without(v, -1, -1)
-			own, kind := 0, rng.IntN(5)
+			ownPairs, kind := 0, rng.IntN(5)
 			switch g, m := rng.IntN(len(v.Gateways)), rng.IntN(len(v.Members)); {
 			case kind == 0 && len(v.Gateways) > 2:
-				next, own = without(v, g, -1), len(was[v.Gateways[g].Name])
+				next, ownPairs = without(v, g, -1), len(before[v.Gateways[g].Name])
 			case kind == 1 && len(v.Members) > 3:
 				next = without(v, -1, m)
-				for _, part := range was {
+				for _, part := range before {
 					if _, has := part[v.Members[m].Name]; has {
-						own++
+						ownPairs++
 					}
 				}
 			case kind == 2:
@@ -62,10 +62,10 @@
 			if most := DefaultConfig.GatewayPicks*len(next.Gateways) + DefaultConfig.MemberPicks*len(next.Members); pairs > most {
 				t.Fatalf("seed %d step %d: %d pairs, at most %d", seed, step, pairs, most)
 			}
-			if _, opened := movedLoad(next, was, now); kind < 2 && opened > own {
-				t.Fatalf("seed %d step %d: %d new pairs after the removal of an entry with %d", seed, step, opened, own)
+			if _, opened := movedLoad(next, before, now); kind < 2 && opened > ownPairs {
+				t.Fatalf("seed %d step %d: %d new pairs after the removal of an entry with %d", seed, step, opened, ownPairs)
 			}
-			v, was = next, now
+			v, before = next, now
 		}
 	}
 }
@@ -139,10 +139,10 @@
 	}
 	for range 60 {
 		part := p.Subset("gw-0007")
-		sick, states := rng.Float64(), map[string]State{}
+		unfitRate, states := rng.Float64(), map[string]State{}
 		fit := map[bool]float64{} // true: weight of the fit members in the subset; false: number of fit members outside
 		for _, m := range p.members {
-			if rng.Float64() < sick*1.2 {
+			if rng.Float64() < unfitRate*1.2 {
 				states[m.Name] = State(1 + rng.IntN(States-1))
 			}
 		}
