--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,23 +41,24 @@
 
 // Gateway is what the fleet component needs of the gateway. Its methods must not block.
 type Gateway interface {
-	// ApplyAdvice applies advice on a member: look asks for a probe, try tells that others had answers from it, guess
-	// that it may be its group's primary.
+	// ApplyAdvice applies advice on a member: look asks for a probe, try tells that others had answers from
+	// it, guess that it may be its group's primary.
 	ApplyAdvice(member string, look, try, guess bool)
-	// SetQuotas sets what this gateway may use of each shared budget, 1 being its base share, and returns by done,
-	// which may be called later, how much it used recently, in base shares.
+	// SetQuotas sets what this gateway may use of each shared budget, 1 being its base share, and returns by
+	// done, which may be called later, how much it used recently, in base shares.
 	SetQuotas(quotas [quota.BudgetCount]float64, done func(used [quota.BudgetCount]float64))
-	// CollectCounts returns by done, which may be called later, the final answers since the start and what is known
-	// of some members, covering all members in rotation.
+	// CollectCounts returns by done, which may be called later, the final answers since the start and what
+	// is known of some members, covering all members in rotation.
 	CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts))
-	// SetZonesAway sets the fraction of each zone's load that goes elsewhere; zones that are not named keep theirs.
+	// SetZonesAway sets the fraction of each zone's load that goes elsewhere; zones that are not named keep
+	// theirs.
 	SetZonesAway(away map[string]float64)
 	// ProbeZonesAway probes some members of zones that load is moved away from. It is called every second.
 	ProbeZonesAway()
 	// SetDrainingMembers sets the members that the council permits to go out now.
 	SetDrainingMembers(members []string)
-	// SetConnectionFraction sets the fraction of the permitted client connections that may be open. At 0 no connections are
-	// accepted and open ones end.
+	// SetConnectionFraction sets the fraction of the permitted client connections that may be open. At 0 no
+	// connections are accepted and open ones end.
 	SetConnectionFraction(fraction float64)
 	// OpenConnections returns the number of open client connections.
 	OpenConnections() int
@@ -267,7 +268,8 @@
 	})
 }
 
-// updateReportedMembers updates the set of members that have reports: answers of other members need not be recorded.
+// updateReportedMembers updates the set of members that have reports: answers of other members need not be
+// recorded.
 func (f *Fleet) updateReportedMembers() {
 	reported := map[string]bool{}
 	for _, m := range f.group.Book.Members() {
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -360,8 +360,8 @@
 	return m
 }
 
-// currentTally counts the peers. The result is cached while nothing changed, but only for a short time, as the state
-// of failed peers also depends on time.
+// currentTally counts the peers. The result is cached while nothing changed, but only for a short time, as
+// the state of failed peers also depends on time.
 func (g *Group) currentTally() view.Tally {
 	if !g.tallyStale && g.now < g.talliedAt+tallyValidity {
 		return g.tallied
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// handleUpdate handles a voter's message. What it says about this gateway's own permit counts by its fence; what it
-// says about members holds for the terms it states.
+// handleUpdate handles a voter's message. What it says about this gateway's own permit counts by its fence;
+// what it says about members holds for the terms it states.
 func (f *Fleet) handleUpdate(b []byte) {
 	now := f.now()
 	if !f.subscription.HandleUpdate(now, b) {
@@ -167,8 +167,8 @@
 	})
 }
 
-// AwaitStopPermit requests a permit of the council to stop, and waits for it at most as long as configured. It returns
-// how long it waited. By then the peers know that this gateway is leaving.
+// AwaitStopPermit requests a permit of the council to stop, and waits for it at most as long as configured.
+// It returns how long it waited. By then the peers know that this gateway is leaving.
 func (f *Fleet) AwaitStopPermit(ctx context.Context) time.Duration {
 	begin := time.Now()
 	if len(f.config.Council) == 0 {
--- a/internal/fleet/loadsignal/loadsignal.go
+++ b/internal/fleet/loadsignal/loadsignal.go
@@ -126,8 +126,8 @@
 	return true
 }
 
-// UpdateWeights adjusts the weights of members; members that are not listed are dropped. It must be called every Tick:
-// an earlier call does nothing, a late one adjusts by one Tick only.
+// UpdateWeights adjusts the weights of members; members that are not listed are dropped. It must be called
+// every Tick: an earlier call does nothing, a late one adjusts by one Tick only.
 func (e *Estimator) UpdateWeights(now Time, members []Member) {
 	if now < e.movedAt+Tick {
 		return
--- a/internal/fleet/loadsignal/loadsignal_test.go
+++ b/internal/fleet/loadsignal/loadsignal_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestFalseReports measures how far one of 20 gateways with false reports moves the weight of a member, with the limit
-// on each report and without.
+// TestFalseReports measures how far one of 20 gateways with false reports moves the weight of a member, with
+// the limit on each report and without.
 func TestFalseReports(t *testing.T) {
 	weight := func(lie uint32, share float64) float64 {
 		b, ms := New("me", 1), []Member{{"a", 1}, {"b", 1}, {"c", 1}, {"d", 1}}
--- a/internal/fleet/observation/observation.go
+++ b/internal/fleet/observation/observation.go
@@ -132,7 +132,8 @@
 		lastAnswer: map[string]Time{}, probeAdvised: map[string]Time{}, probeTokens: maxProbesPerSecond, trust: map[string]float64{}}
 }
 
-// RecordOwn records an observation of this gateway itself, to be passed on to others. peers is the number of peers.
+// RecordOwn records an observation of this gateway itself, to be passed on to others. peers is the number of
+// peers.
 func (s *Store) RecordOwn(now Time, member string, k Kind, position int64, peers int) {
 	s.now = now
 	if k == Answers || k == Primary {
@@ -155,8 +156,8 @@
 	}
 }
 
-// penalizeWitnesses compares reports about a member with the answer that just came: witnesses that reported it silent, no
-// later than the advised probe, are trusted less.
+// penalizeWitnesses compares reports about a member with the answer that just came: witnesses that reported
+// it silent, no later than the advised probe, are trusted less.
 func (s *Store) penalizeWitnesses(member string) {
 	at, ok := s.probeAdvised[member]
 	if !ok {
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -147,8 +147,8 @@
 	s.goroutines.Wait()
 }
 
-// sealKey returns the key to seal with for an address: the last one that its owner used, so that a key rotation in
-// progress divides nobody. Until the owner was heard the keys are tried in turn.
+// sealKey returns the key to seal with for an address: the last one that its owner used, so that a key
+// rotation in progress divides nobody. Until the owner was heard the keys are tried in turn.
 func (s *Sockets) sealKey(addr string) *key {
 	s.sendCount++
 	if id, ok := s.lastKeys[addr]; ok && s.sendCount%firstKeyInterval != 0 {
@@ -171,8 +171,8 @@
 	return &s.keys.list[(s.sendsUnanswered[addr]-1)%len(s.keys.list)]
 }
 
-// takeBudget takes n bytes from the send budget, or counts the message as throttled and returns false. Spare frames
-// may not use the reserve.
+// takeBudget takes n bytes from the send budget, or counts the message as throttled and returns false. Spare
+// frames may not use the reserve.
 func (s *Sockets) takeBudget(n int, spare bool) bool {
 	now := time.Now()
 	s.sendBudget = min(s.sendBudget+now.Sub(s.budgetAt).Seconds()*float64(s.config.BytesPerSecond), burstSeconds*float64(s.config.BytesPerSecond))
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -46,7 +46,8 @@
 	LoanTerm = 10 * time.Second
 	// ClockMargin is how much longer a lender waits: clock rates differ by less than one in a hundred.
 	ClockMargin = LoanTerm / 100
-	// LendableFraction is the fraction of its base share that a gateway may lend. The rest is its own at any time.
+	// LendableFraction is the fraction of its base share that a gateway may lend. The rest is its own at any
+	// time.
 	LendableFraction = 0.5
 	requestInterval  = time.Second
 	maxAnswerAge     = 2 * time.Second // a loan for an older request is refused: too little of its term may be left
@@ -213,8 +214,8 @@
 	Message Message
 }
 
-// RequestLoans returns loan requests for what this gateway lacks. lenders returns the peers that it may borrow from
-// now.
+// RequestLoans returns loan requests for what this gateway lacks. lenders returns the peers that it may
+// borrow from now.
 func (l *Ledger) RequestLoans(now Time, lenders func(i int) []Lender) (out []Outgoing) {
 	l.now = max(l.now, now)
 	for i := range l.budgets {
@@ -239,8 +240,8 @@
 	return out
 }
 
-// HandleMessage handles a message of a peer and returns the loan that answers it, or nil. mayLend tells whether the
-// peer may be given a loan now.
+// HandleMessage handles a message of a peer and returns the loan that answers it, or nil. mayLend tells
+// whether the peer may be given a loan now.
 func (l *Ledger) HandleMessage(now Time, from string, m *Message, mayLend bool) *Message {
 	if m.Budget >= BudgetCount || math.IsNaN(m.Part) || m.Part <= 0 {
 		l.Refused++
--- a/internal/fleet/rotation/rotation.go
+++ b/internal/fleet/rotation/rotation.go
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("rotation: task %q has slot length %v, window length %v, clock error %v: want 0 <= 2 x clock error < window length <= slot length", e.Task.Name, e.Task.SlotLength, e.Task.WindowLength, e.Task.MaxClockError)
 }
 
-// Check returns an *Unfit if the task's durations are inconsistent. The other methods need a task that passes
-// it.
+// Check returns an *InvalidTask if the task's durations are inconsistent. The other methods need a task that
+// passes it.
 func (t Task) Check() error {
 	if t.MaxClockError < 0 || 2*t.MaxClockError >= t.WindowLength || t.WindowLength > t.SlotLength {
 		return &InvalidTask{t}
@@ -62,10 +62,10 @@
 	NextCheck Time // if not Mine: when to ask again
 }
 
-// AssignmentAt tells whether gateway me may do the task now. names are the gateways of the view, me among them, in any
-// order and each once. missing is how many more gateways there should be that the view lacks: their windows
-// stay unused, so that many gateways that are each cut off do not all act in each slot. done is the last slot
-// for which this gateway did the task or heard that it was done.
+// AssignmentAt tells whether gateway me may do the task now. names are the gateways of the view, me among
+// them, in any order and each once. missing is how many more gateways there should be that the view lacks:
+// their windows stay unused, so that many gateways that are each cut off do not all act in each slot. done
+// is the last slot for which this gateway did the task or heard that it was done.
 func (t Task) AssignmentAt(now Time, names []string, missing int, me string, done int64) Assignment {
 	slot := int64(now / t.SlotLength)
 	start := Time(slot) * t.SlotLength
@@ -112,8 +112,8 @@
 	return index, n + 1
 }
 
-// ShuffledOrder returns names in the order of a round of a task, for example in which recovered offices or regions
-// return. It is the same for all that know the names and the round.
+// ShuffledOrder returns names in the order of a round of a task, for example in which recovered offices or
+// regions return. It is the same for all that know the names and the round.
 func ShuffledOrder(task string, round int64, names []string) []string {
 	seed := seededhash.Mix(seededhash.Chain(0, task) ^ seededhash.Mix(uint64(round)))
 	all := slices.Clone(names)
--- a/internal/fleet/subscribe/permit.go
+++ b/internal/fleet/subscribe/permit.go
@@ -78,8 +78,8 @@
 	return encode(k.request)
 }
 
-// HandleAnswer handles an answer. ok is false unless it answers the request in progress, which is returned with the
-// time at which it was first sent: a term counts from there.
+// HandleAnswer handles an answer. ok is false unless it answers the request in progress, which is returned
+// with the time at which it was first sent: a term counts from there.
 func (k *PermitRequester) HandleAnswer(b []byte) (a PermitRequest, g PermitAnswer, at Time, ok bool) {
 	if cbor.Unmarshal(b, &g) != nil || k.request == nil || g.Number != k.request.Number {
 		return a, g, 0, false
@@ -111,8 +111,8 @@
 // MaxMembersPerReport is the number of members per report; a gateway reports all members in rotation.
 const MaxMembersPerReport = 8
 
-// ZoneAttempts counts a gateway's attempts at the members of a zone since its start, including the probes that zone
-// plans lead to.
+// ZoneAttempts counts a gateway's attempts at the members of a zone since its start, including the probes
+// that zone plans lead to.
 type ZoneAttempts struct {
 	Zone     string `cbor:"1,keyasint"`
 	Attempts uint64 `cbor:"2,keyasint"`
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -110,9 +110,9 @@
 	return encode(&r)
 }
 
-// HandleUpdate handles a voter's message and returns whether it became the current one. The message of the highest
-// index counts, dated from when the report that it answers was sent. One that answers no report announces a
-// change that was just made; it is dated as the one before.
+// HandleUpdate handles a voter's message and returns whether it became the current one. The message of the
+// highest index counts, dated from when the report that it answers was sent. One that answers no report
+// announces a change that was just made; it is dated as the one before.
 func (s *Subscription) HandleUpdate(now Time, b []byte) bool {
 	var t Update
 	if cbor.Unmarshal(b, &t) != nil {
@@ -280,8 +280,8 @@
 	}
 }
 
-// TakeZoneCounts returns and resets what was observed of zones since the last call: offered and completed work per
-// second, attempts as totals.
+// TakeZoneCounts returns and resets what was observed of zones since the last call: offered and completed
+// work per second, attempts as totals.
 func (reg *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
 	span := max(now-reg.zonesAt, time.Millisecond).Seconds()
 	reg.zonesAt = now
@@ -327,8 +327,8 @@
 	}
 }
 
-// memberTargets returns the members as gateways report them: out if most zones that reported recently say so, primary if
-// most say so. A replica's position is the highest reported, as positions only grow.
+// memberTargets returns the members as gateways report them: out if most zones that reported recently say
+// so, primary if most say so. A replica's position is the highest reported, as positions only grow.
 func (reg *Registry) memberTargets(now Time) (all []agreed.Target) {
 	type candidate struct {
 		target   agreed.Target
@@ -387,9 +387,9 @@
 	reg.leading = leads
 }
 
-// Targets returns all gateways and members, whether each is out, and whether that differs from the known set.
-// A leader that has led for less than SilentTimeout counts nobody as out that the council did not: it may not have
-// received the reports yet. With full it includes versions, starts and members.
+// Targets returns all gateways and members, whether each is out, and whether that differs from the known
+// set. A leader that has led for less than SilentTimeout counts nobody as out that the council did not: it
+// may not have received the reports yet. With full it includes versions, starts and members.
 func (reg *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
 	was := map[string]agreed.Target{}
 	for _, t := range known {
--- a/internal/fleet/subscribe/subscribe_test.go
+++ b/internal/fleet/subscribe/subscribe_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestPermitRequester checks that one request at a time is resent until it is answered, that other answers are dropped,
-// and that the time returned is that of the first transmission.
+// TestPermitRequester checks that one request at a time is resent until it is answered, that other answers
+// are dropped, and that the time returned is that of the first transmission.
 func TestPermitRequester(t *testing.T) {
 	var k PermitRequester
 	k.Start(time.Second, PermitRequest{Name: "g", Op: "acquire"})
--- a/internal/fleet/subset/algorithms_test.go
+++ b/internal/fleet/subset/algorithms_test.go
@@ -61,7 +61,8 @@
 	return out
 }
 
-// chosenSubsets returns the subsets that result if choose selects the members of each gateway, weighted by capacity.
+// chosenSubsets returns the subsets that result if choose selects the members of each gateway, weighted by
+// capacity.
 func chosenSubsets(v View, choose func(at int, g Gateway) []Member) assignment {
 	out := assignment{}
 	for at, g := range v.Gateways {
@@ -204,8 +205,8 @@
 	return v
 }
 
-// loadLowerBound returns a lower limit for the highest relative load of any assignment over the given pairs, by maximum
-// flow: the lowest limit at which the demand of all gateways can be placed.
+// loadLowerBound returns a lower limit for the highest relative load of any assignment over the given pairs,
+// by maximum flow: the lowest limit at which the demand of all gateways can be placed.
 func loadLowerBound(v View, p assignment) float64 {
 	var carried, capacity float64
 	at := map[string]int{}
--- a/internal/fleet/subset/plan.go
+++ b/internal/fleet/subset/plan.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// insertScored inserts an entry's score like insertLowest, but skips the logarithm if the score can't be among the lowest.
+// insertScored inserts an entry's score like insertLowest, but skips the logarithm if the score can't be
+// among the lowest.
 func insertScored(list []scored, n, at int, h uint64, weight float64) []scored {
 	if len(list) == n && 1-uniform(h) > list[n-1].score*weight { // -log(x) is never below 1 - x
 		return list
@@ -116,11 +117,11 @@
 	return list[:min(len(list), n)]
 }
 
-// scaleWeights computes the weights of the pairs: each gateway's sum is 1, each member's load is near its fraction of
-// the capacity, and within that the weights are as close as possible to those of the picks. Rows and columns
-// are scaled in turn until nothing changes, columns a little less than would fit: that has a single result,
-// whatever the start, and it changes little if the view does. If the pairs allow no even load, gateways' sums
-// hold and members are as near as the rounds allow.
+// scaleWeights computes the weights of the pairs: each gateway's sum is 1, each member's load is near its
+// fraction of the capacity, and within that the weights are as close as possible to those of the picks. Rows
+// and columns are scaled in turn until nothing changes, columns a little less than would fit: that has a
+// single result, whatever the start, and it changes little if the view does. If the pairs allow no even
+// load, gateways' sums hold and members are as near as the rounds allow.
 func (p *Plan) scaleWeights() {
 	if len(p.pairs) == 0 {
 		return
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -101,7 +101,7 @@
 }
 
 // New makes the plan of a view. Views with the same entries give the same plan, whatever their order; of
-// entries with the same name the first counts. Its error is a *TooMany.
+// entries with the same name the first counts. Its error is a *TooManyError.
 func New(c Config, v View) (*Plan, error) {
 	if n := max(len(v.Gateways), v.Expected); n > MaxGateways {
 		return nil, &TooManyError{"gateways", n, MaxGateways}
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestCoarseDemand checks claim 3 if gateways report their demand in eighths of the maximum, as view.Meta does, and
-// prints what moves if half of the gateways or members go at once.
+// TestCoarseDemand checks claim 3 if gateways report their demand in eighths of the maximum, as view.Meta
+// does, and prints what moves if half of the gateways or members go at once.
 func TestCoarseDemand(t *testing.T) {
 	v := randomView(rand.New(rand.NewPCG(1, 2)), 300, 120, true)
 	told := without(v, -1, -1)
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -287,7 +287,8 @@
 	return n.actions
 }
 
-// extendTimeouts extends all timeouts that wait for peers by the length of a pause: their messages of that time were not lost by them.
+// extendTimeouts extends all timeouts that wait for peers by the length of a pause: their messages of that
+// time were not lost by them.
 func (n *Node) extendTimeouts(pause Time) {
 	for _, p := range n.probes {
 		p.sentAt, p.indirectAt, p.failAt = p.sentAt+pause, p.indirectAt+pause, p.failAt+pause
@@ -745,8 +746,8 @@
 	n.actions = append(n.actions, Action{Change: &Change{Peer: *p, PreviousState: was}})
 }
 
-// setFailTime sets the time by which a suspect must have refuted the suspicion: the more independent witnesses, the
-// sooner.
+// setFailTime sets the time by which a suspect must have refuted the suspicion: the more independent
+// witnesses, the sooner.
 func (n *Node) setFailTime(p *Peer) {
 	if p.suspectedAt == 0 || p.State != Suspect || len(p.witnesses) <= 1 {
 		p.suspectedAt = n.now
@@ -808,8 +809,8 @@
 	}
 }
 
-// sendHellos sends a Hello to up to k addresses chosen at random from failed peers and from seeds that belong to no
-// live peer.
+// sendHellos sends a Hello to up to k addresses chosen at random from failed peers and from seeds that
+// belong to no live peer.
 func (n *Node) sendHellos(k int) {
 	var addrs []string
 	names := map[string]string{}
