--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -45,7 +45,7 @@
 	// it, guess that it may be its group's primary.
 	ApplyAdvice(member string, look, try, guess bool)
 	// SetQuotas sets what this gateway may use of each shared budget, 1 being its base share, and returns by
-	// done, which may be called later, how much it used recently, in base shares.
+	// done, which may be called later, how much it asked for recently, in base shares.
 	SetQuotas(quotas [quota.BudgetCount]float64, done func(used [quota.BudgetCount]float64))
 	// CollectCounts returns by done, which may be called later, the final answers since the start and what
 	// is known of some members, covering all members in rotation.
