--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,8 +10,8 @@
 	"reachwind/internal/edgeconf"
 )
 
-// TestBlock: the block as fixed is read, faults are told with their lines.
-func TestBlock(t *testing.T) {
+// TestReadConfig checks that a valid block is read, and that faults are reported with their lines.
+func TestReadConfig(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
@@ -49,12 +49,13 @@
 	for _, want := range []string{`:4:22: admin is "10.1.2.3:7100", want a loopback`, `:5:22: seeds is "nowhere", want host:port`, `:6:22: `, `:7:3: unknown setting "zoen"`,
 		`short.keys:1: no key found, want 32 bytes`, `:11:22: bytes_per_second is "1KB"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in %v", want, err)
+			t.Errorf("no %q in the error %v", want, err)
 		}
 	}
 }
 
-// TestEpochFile: an epoch is kept whole or not at all; what is torn, flipped or missing is told from it.
+// TestEpochFile checks that an epoch is read back as written or not at all: truncated and altered files are
+// detected.
 func TestEpochFile(t *testing.T) {
 	dir := t.TempDir()
 	if e, err := readEpoch(dir); e != 0 || err != nil {
@@ -74,7 +75,7 @@
 				t.Fatal(err)
 			}
 			if e, err := readEpoch(dir); err == nil && e != 1<<50 {
-				t.Errorf("%q read as %d", b, e)
+				t.Errorf("epoch file %q is read as %d", b, e)
 			}
 		}
 	}
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -1,8 +1,7 @@
-// Package group is one gateway's part in the group, whole: who is there, what this
-// gateway takes for true of itself, what others saw of members, and shared budgets.
-// Like the parts that it is made of it does no I/O, starts no goroutine and reads
-// no clock: frames and the time go in, frames and changes come out. Sockets, the
-// simulated net and the checker drive the same code.
+// Package group combines the state of one gateway in the group: membership, its verdict on its own
+// connectivity, observations of members, and shared budgets. Like the packages that it combines it does no
+// I/O, starts no goroutine and reads no clock: frames and the current time go in, frames and changes come out.
+// Real sockets, the simulated network and the tests drive the same code.
 package group
 
 import (
@@ -18,48 +17,49 @@
 	"reachwind/internal/fleet/view"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// FrameVersions are the least and the newest form of frames that this program knows.
+// FrameVersions are the oldest and newest frame versions that this program supports.
 var FrameVersions = [2]uint8{1, 1}
 
-// frame kinds; a receiver drops those it does not know.
+// Frame kinds, part of the wire format. Receivers drop kinds that they do not know.
 const (
-	frameSwim    = 1
-	frameBeliefs = 2
-	frameShare   = 3
+	frameSwim         = 1
+	frameObservations = 2
+	frameQuota        = 3
 )
 
 const (
-	judgeEvery  = 500 * time.Millisecond
-	tellEvery   = 200 * time.Millisecond
-	tellTo      = 3
-	metaEvery   = 20 * time.Second // so often at most news of itself, but for verdicts and drains
-	shareEvery  = time.Second
-	forgetEvery = time.Second
-	askTo       = 3
-	tallyFor    = 2 * time.Second
-	loadStep    = 2       // eighths by which the load must change to be told
-	epochs      = 1 << 10 // drawn within a millisecond of start
+	verdictInterval     = 500 * time.Millisecond
+	observationInterval = 200 * time.Millisecond
+	observationFanout   = 3
+	metaInterval        = 20 * time.Second // minimum interval between metadata updates, except for verdicts and drains
+	loanInterval        = time.Second
+	expiryInterval      = time.Second
+	lendersPerRequest   = 3
+	tallyValidity       = 2 * time.Second
+	loadStep            = 2       // eighths by which the load must change to be published
+	epochsPerMs         = 1 << 10 // distinct epochs within one millisecond of start time
 )
 
-// NewEpoch is the epoch of a start at a wall time in Unix milliseconds: later than any before it on a clock that goes
-// forward, and than last, the one that a folder kept. luck tells two starts within a millisecond apart.
-func NewEpoch(ms int64, luck uint16, last uint64) uint64 {
-	return max(uint64(max(ms, 0))*epochs+uint64(luck)%epochs, last+1)
+// NewEpoch returns the epoch of a start at a wall time in Unix milliseconds. It is later than all earlier ones
+// as long as the clock goes forward, and later than last, the epoch that a folder kept. random separates two
+// starts within one millisecond.
+func NewEpoch(ms int64, random uint16, last uint64) uint64 {
+	return max(uint64(max(ms, 0))*epochsPerMs+uint64(random)%epochsPerMs, last+1)
 }
 
-// Config is what a group's part is told.
+// Config is the configuration of a Group.
 type Config struct {
 	Swim    swim.Config
 	Region  string
 	Version string
-	Started Time // now, on the owner's clock
+	Started Time // present time on the owner's clock
 	Lend    quota.Guard
 }
 
-// envelope carries what is not swim's.
+// envelope carries messages of all frame kinds but swim's.
 type envelope struct {
 	_    struct{} `cbor:",toarray"`
 	From swim.ID
@@ -67,10 +67,10 @@
 	Body []byte
 }
 
-// Event is what happened; its first field that is set counts.
+// Event is an input to Step; only its first field that is set is used.
 type Event struct {
-	Frame   []byte // opened and authentic
-	Stream  uint64 // that Frame came by and may be answered on, 0 = none
+	Frame   []byte // decrypted and authenticated
+	Stream  uint64 // stream that Frame came by and may be answered on, 0 if none
 	Refused string // address that refused a connection
 	Saw     *MemberObservation
 	Seeds   []string
@@ -78,109 +78,110 @@
 	Leave   bool
 }
 
-// MemberObservation is what this gateway saw of a member.
+// MemberObservation is an observation of a member by this gateway.
 type MemberObservation struct {
 	Member   string
 	Kind     observation.Kind
 	Position int64
-	Quiet    bool // it answers as usual: not told to others
-	Looked   bool // this ends a look that claims led to
+	Quiet    bool // it answers as usual: not reported to others
+	Looked   bool // this is the result of a probe that reports led to
 }
 
-// Action is what must be done; its first field that is set counts.
+// Action is an output of Step that the caller has to carry out; only its first field that is set counts. To,
+// Name, Stream, Dial and Spare belong to Frame.
 type Action struct {
-	Frame   []byte // to be sealed and sent to To, or on Stream
+	Frame   []byte // to be sealed and sent to To, or as the answer on Stream
 	To      string
-	Name    string // of the peer there, empty: not known
+	Name    string // peer at To, empty if unknown
 	Stream  uint64
-	Dial    bool // by a stream of its own
-	Spare   bool // may be dropped first where the bytes a second are used up
+	Dial    bool // send by a new stream
+	Spare   bool // may be dropped first when the bandwidth budget runs short
 	Change  *swim.Change
 	Verdict bool // the verdict changed
 	Advice  *observation.Advice
 }
 
-// Group is one gateway's part. It is its owner's alone.
+// Group is one gateway's state in the group. It is not safe for concurrent use.
 type Group struct {
-	cfg    Config
+	config Config
 	Swim   *swim.Node
 	View   *view.View
 	Book   *observation.Store
 	Ledger *quota.Ledger
 
-	now                                        Time
-	member, discovery, pausedAt                Time
-	drain                                      bool
-	load                                       uint8
-	meta                                       view.Meta
-	tallied                                    view.Tally
-	talliedAt                                  Time
-	stale                                      bool
-	metas                                      map[string]*view.Meta // of peers
-	judgeAt, tellAt, metaAt, shareAt, forgetAt Time
-	out                                        []Action
-	acts                                       []swim.Action
-	Unknown, Garbled                           int // frames dropped: of kinds not known, and not read
+	now                                                            Time
+	memberAnswered, discoveryAnswered, pausedAt                    Time
+	draining                                                       bool
+	load                                                           uint8
+	ownMeta                                                        view.Meta
+	tallied                                                        view.Tally
+	talliedAt                                                      Time
+	tallyStale                                                     bool
+	peerMetas                                                      map[string]*view.Meta // metadata of peers by name
+	nextVerdict, nextObservations, nextMeta, nextLoans, nextExpiry Time
+	actions                                                        []Action
+	swimActions                                                    []swim.Action
+	Unknown, Garbled                                               int // frames dropped: of unknown kinds, and not decodable
 }
 
-// New returns the part of a gateway that knows nobody.
+// New returns the state of a gateway that knows no peers.
 func New(c Config) *Group {
 	s := c.Swim
-	g := &Group{cfg: c, View: view.New(s.Name, s.Zone, len(s.Seeds) > 0), Book: observation.New(s.Name, s.Zone, s.Epoch, s.Seed),
-		Ledger: quota.New(c.Started, s.Epoch, c.Lend), metas: map[string]*view.Meta{}, now: c.Started, member: view.DistantPast, discovery: view.DistantPast, pausedAt: view.DistantPast}
-	g.meta = g.tells()
-	c.Swim.Meta = g.meta.Encode()
+	g := &Group{config: c, View: view.New(s.Name, s.Zone, len(s.Seeds) > 0), Book: observation.New(s.Name, s.Zone, s.Epoch, s.Seed),
+		Ledger: quota.New(c.Started, s.Epoch, c.Lend), peerMetas: map[string]*view.Meta{}, now: c.Started, memberAnswered: view.DistantPast, discoveryAnswered: view.DistantPast, pausedAt: view.DistantPast}
+	g.ownMeta = g.currentMeta()
+	c.Swim.Meta = g.ownMeta.Encode()
 	g.Swim = swim.New(c.Swim)
 	return g
 }
 
-// tells is what this gateway tells of itself now.
-func (g *Group) tells() view.Meta {
-	load := g.meta.Load
+// currentMeta returns the metadata that this gateway publishes about itself now.
+func (g *Group) currentMeta() view.Meta {
+	load := g.ownMeta.Load
 	if g.load > load+loadStep-1 || g.load+loadStep-1 < load {
 		load = g.load
 	}
-	m := view.Meta{Zone: g.cfg.Swim.Zone, Region: g.cfg.Region, Version: g.cfg.Version, Load: load, Drain: g.drain,
+	m := view.Meta{Zone: g.config.Swim.Zone, Region: g.config.Region, Version: g.config.Version, Load: load, Drain: g.draining,
 		Verdict: g.View.Status().Verdict, FrameVersions: FrameVersions}
 	return m
 }
 
-// Evidence is what this gateway saw of the world lately.
+// Evidence returns what this gateway observed besides its peers.
 func (g *Group) Evidence() view.Evidence {
-	return view.Evidence{Member: g.member, Discovery: g.discovery, Paused: g.pausedAt, Doubt: g.Swim.Doubt()}
+	return view.Evidence{Member: g.memberAnswered, Discovery: g.discoveryAnswered, Paused: g.pausedAt, Doubt: g.Swim.Doubt()}
 }
 
-// SetLoad tells how busy this gateway is, from 0 to 1.
+// SetLoad sets this gateway's load, from 0 to 1.
 func (g *Group) SetLoad(part float64) { g.load = uint8(8 * max(0, min(1, part))) }
 
-// RecordDiscovery notes an answer of discovery.
-func (g *Group) RecordDiscovery(now Time) { g.discovery = now }
+// RecordDiscovery records an answer of discovery.
+func (g *Group) RecordDiscovery(now Time) { g.discoveryAnswered = now }
 
-// RecordAnswer notes that a member answered as usual.
+// RecordAnswer records that a member answered as usual.
 func (g *Group) RecordAnswer(now Time, member string) {
-	g.member = now
+	g.memberAnswered = now
 	g.Book.RecordAnswer(now, member)
 }
 
-// Step takes what happened by now and returns what must be done; the slice holds until the next Step. It is to be
-// called each 100 ms at the least.
+// Step applies events at time now and returns the resulting actions; the slice is valid until the next Step.
+// It must be called at least every 100 ms.
 func (g *Group) Step(now Time, events ...Event) []Action {
-	g.now, g.out = now, g.out[:0]
+	g.now, g.actions = now, g.actions[:0]
 	if len(events) == 0 {
-		g.swim()
+		g.stepSwim()
 	}
 	for i := range events {
-		g.take(&events[i])
+		g.handleEvent(&events[i])
 	}
-	g.timers()
-	return g.out
+	g.runTimers()
+	return g.actions
 }
 
-// swim has the lower layer take an event and passes its actions on.
-func (g *Group) swim(events ...swim.Event) {
-	g.acts = g.Swim.Step(g.now, events, g.acts[:0])
-	for i := range g.acts {
-		a := &g.acts[i]
+// stepSwim passes events to the membership protocol and converts its actions.
+func (g *Group) stepSwim(events ...swim.Event) {
+	g.swimActions = g.Swim.Step(g.now, events, g.swimActions[:0])
+	for i := range g.swimActions {
+		a := &g.swimActions[i]
 		if a.Change != nil {
 			if a.Change.PausedFor > 0 {
 				g.pausedAt = g.now
@@ -191,33 +192,33 @@
 			}
 			if p := &a.Change.Peer; p.Name != "" && !a.Change.Displaced {
 				m := view.DecodeMeta(p.Meta)
-				g.metas[p.Name] = &m
-				if len(g.metas) > 2*swim.MaxPeers { // those forgotten are read anew
-					clear(g.metas)
+				g.peerMetas[p.Name] = &m
+				if len(g.peerMetas) > 2*swim.MaxPeers { // peers still known are decoded again when needed
+					clear(g.peerMetas)
 				}
 			}
-			g.stale = true
-			g.out = append(g.out, Action{Change: a.Change})
+			g.tallyStale = true
+			g.actions = append(g.actions, Action{Change: a.Change})
 			continue
 		}
 		k := a.Message.Kind
-		g.out = append(g.out, Action{Frame: append([]byte{frameSwim}, swim.Encode(a.Message)...), To: a.To, Name: a.Name, Stream: a.Stream, Dial: a.Dial,
+		g.actions = append(g.actions, Action{Frame: append([]byte{frameSwim}, swim.Encode(a.Message)...), To: a.To, Name: a.Name, Stream: a.Stream, Dial: a.Dial,
 			Spare: k == swim.Gossip || k == swim.Sync || k == swim.SyncReply})
 	}
 }
 
-func (g *Group) take(e *Event) {
+func (g *Group) handleEvent(e *Event) {
 	switch {
 	case e.Frame != nil:
-		if err := g.frame(e.Frame, e.Stream); err != nil {
+		if err := g.handleFrame(e.Frame, e.Stream); err != nil {
 			g.Garbled++
 		}
 	case e.Refused != "":
-		g.swim(swim.Event{RefusedAddr: e.Refused})
+		g.stepSwim(swim.Event{RefusedAddr: e.Refused})
 	case e.Saw != nil:
 		s := e.Saw
 		if s.Kind == observation.Answers || s.Kind == observation.Primary {
-			g.member = g.now
+			g.memberAnswered = g.now
 		}
 		switch {
 		case s.Looked && (s.Kind == observation.Silent || s.Kind == observation.Refused):
@@ -228,20 +229,20 @@
 			g.Book.RecordOwn(g.now, s.Member, s.Kind, s.Position, g.Swim.Len())
 		}
 	case e.Seeds != nil:
-		g.swim(swim.Event{Seeds: e.Seeds})
+		g.stepSwim(swim.Event{Seeds: e.Seeds})
 	case e.Drain != nil:
-		g.drain = *e.Drain
+		g.draining = *e.Drain
 	case e.Leave:
-		g.swim(swim.Event{Leave: true})
+		g.stepSwim(swim.Event{Leave: true})
 	}
 }
 
-var errFrame = errors.New("group: empty frame")
+var errEmptyFrame = errors.New("group: empty frame")
 
-// frame takes a frame from a peer.
-func (g *Group) frame(b []byte, stream uint64) error {
+// handleFrame handles a frame from a peer.
+func (g *Group) handleFrame(b []byte, stream uint64) error {
 	if len(b) < 2 {
-		return errFrame
+		return errEmptyFrame
 	}
 	kind, b := b[0], b[1:]
 	if kind == frameSwim {
@@ -249,10 +250,10 @@
 		if err != nil {
 			return err
 		}
-		g.swim(swim.Event{Message: m, Stream: stream})
+		g.stepSwim(swim.Event{Message: m, Stream: stream})
 		return nil
 	}
-	if kind != frameBeliefs && kind != frameShare {
+	if kind != frameObservations && kind != frameQuota {
 		g.Unknown++
 		return nil
 	}
@@ -263,18 +264,18 @@
 	self := g.Swim.Self()
 	p, ok := g.Swim.Peer(e.From.Name)
 	if e.To.Name != self.Name || e.To.Epoch != self.Epoch || !ok || p.Epoch != e.From.Epoch || g.Swim.Displaced() {
-		g.Swim.Dropped.Address++ // not for this start, or not from a peer's present one
+		g.Swim.Dropped.Address++ // not for this start, or not from the peer's present start
 		return nil
 	}
 	theirs, mine := g.PeerMeta(&p).Verdict, g.View.Status().Verdict
-	if kind == frameShare {
+	if kind == frameQuota {
 		m, err := quota.Decode(e.Body)
 		if err != nil {
 			return err
 		}
 		may, _ := view.Allowed(view.BorrowQuota, mine, theirs)
 		if reply := g.Ledger.HandleMessage(g.now, p.Name, m, may); reply != nil {
-			g.send(&p, frameShare, reply.Encode(), false)
+			g.send(&p, frameQuota, reply.Encode(), false)
 		}
 		return nil
 	}
@@ -284,63 +285,63 @@
 	}
 	if ok, _ := view.Allowed(view.UseObservations, mine, theirs); ok {
 		for _, a := range g.Book.Merge(g.now, batch, g.Swim.Len()) {
-			g.out = append(g.out, Action{Advice: &a})
+			g.actions = append(g.actions, Action{Advice: &a})
 		}
 	}
 	return nil
 }
 
-// send sends what is not swim's to a peer.
+// send queues a frame of any kind but swim's for a peer.
 func (g *Group) send(p *swim.Peer, kind byte, body []byte, spare bool) {
 	self := g.Swim.Self()
 	b, err := cbor.Marshal(&envelope{From: swim.ID{Name: self.Name, Epoch: self.Epoch}, To: swim.ID{Name: p.Name, Epoch: p.Epoch}, Body: body})
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
-	g.out = append(g.out, Action{Frame: append([]byte{kind}, b...), To: p.Addr, Name: p.Name, Spare: spare})
+	g.actions = append(g.actions, Action{Frame: append([]byte{kind}, b...), To: p.Addr, Name: p.Name, Spare: spare})
 }
 
-func (g *Group) timers() {
-	if g.now >= g.judgeAt {
-		g.judgeAt = g.now + judgeEvery
-		if g.View.Evaluate(g.now, g.tally(), g.Swim.Displaced(), g.Evidence()) {
-			g.out = append(g.out, Action{Verdict: true})
+func (g *Group) runTimers() {
+	if g.now >= g.nextVerdict {
+		g.nextVerdict = g.now + verdictInterval
+		if g.View.Evaluate(g.now, g.currentTally(), g.Swim.Displaced(), g.Evidence()) {
+			g.actions = append(g.actions, Action{Verdict: true})
 		}
 	}
-	if g.now >= g.tellAt {
-		g.tellAt = g.now + tellEvery
+	if g.now >= g.nextObservations {
+		g.nextObservations = g.now + observationInterval
 		if batch := g.Book.NextBatch(g.now); len(batch) > 0 {
 			body := observation.Encode(batch)
-			for _, p := range g.Swim.RandomPeers(tellTo) {
-				g.send(&p, frameBeliefs, body, true)
+			for _, p := range g.Swim.RandomPeers(observationFanout) {
+				g.send(&p, frameObservations, body, true)
 			}
 		}
 	}
-	if g.now >= g.shareAt {
-		g.shareAt = g.now + shareEvery
+	if g.now >= g.nextLoans {
+		g.nextLoans = g.now + loanInterval
 		for _, s := range g.Ledger.RequestLoans(g.now, g.lenders) {
 			if p, ok := g.Swim.Peer(s.To); ok {
-				g.send(&p, frameShare, s.Message.Encode(), true)
+				g.send(&p, frameQuota, s.Message.Encode(), true)
 			}
 		}
 	}
-	if g.now >= g.forgetAt {
-		g.forgetAt = g.now + forgetEvery
+	if g.now >= g.nextExpiry {
+		g.nextExpiry = g.now + expiryInterval
 		g.Book.Expire(g.now)
-		m := g.tells()
-		urgent := m.Verdict != g.meta.Verdict || m.Drain != g.meta.Drain
-		if (urgent || g.now >= g.metaAt) && !bytes.Equal(m.Encode(), g.meta.Encode()) {
-			g.metaAt, g.meta = g.now+metaEvery, m
-			g.swim(swim.Event{Meta: m.Encode()})
+		m := g.currentMeta()
+		urgent := m.Verdict != g.ownMeta.Verdict || m.Drain != g.ownMeta.Drain
+		if (urgent || g.now >= g.nextMeta) && !bytes.Equal(m.Encode(), g.ownMeta.Encode()) {
+			g.nextMeta, g.ownMeta = g.now+metaInterval, m
+			g.stepSwim(swim.Event{Meta: m.Encode()})
 		}
 	}
 }
 
-// lenders are some peers that this gateway may borrow from now. What each can spare is not told around: it changes
-// too often; they are asked.
+// lenders returns some peers that this gateway may borrow from now. How much each can spare changes too often
+// to be published, so they are asked.
 func (g *Group) lenders(int) (all []quota.Lender) {
 	mine := g.View.Status().Verdict
-	for _, p := range g.Swim.RandomPeers(askTo) {
+	for _, p := range g.Swim.RandomPeers(lendersPerRequest) {
 		if ok, _ := view.Allowed(view.BorrowQuota, mine, g.PeerMeta(&p).Verdict); ok {
 			all = append(all, quota.Lender{Name: p.Name, Spare: quota.LendableFraction})
 		}
@@ -348,28 +349,29 @@
 	return all
 }
 
-// PeerMeta is what a peer last told of itself.
+// PeerMeta returns what a peer last published about itself.
 func (g *Group) PeerMeta(p *swim.Peer) *view.Meta {
-	m := g.metas[p.Name]
+	m := g.peerMetas[p.Name]
 	if m == nil {
 		read := view.DecodeMeta(p.Meta)
 		m = &read
-		g.metas[p.Name] = m
+		g.peerMetas[p.Name] = m
 	}
 	return m
 }
 
-// tally counts the peers. It is kept while nothing changed, but not for long, as who is gone counts by time.
-func (g *Group) tally() view.Tally {
-	if !g.stale && g.now < g.talliedAt+tallyFor {
+// currentTally counts the peers. The result is cached while nothing changed, but only for a short time, as
+// the state of failed peers also depends on time.
+func (g *Group) currentTally() view.Tally {
+	if !g.tallyStale && g.now < g.talliedAt+tallyValidity {
 		return g.tallied
 	}
-	g.tallied, g.stale, g.talliedAt = view.NewTally(), false, g.now
+	g.tallied, g.tallyStale, g.talliedAt = view.NewTally(), false, g.now
 	g.Swim.ForEach(func(p *swim.Peer) { g.View.Count(&g.tallied, g.now, p, g.PeerMeta(p).Zone) })
 	return g.tallied
 }
 
-// SetLastAnswers takes when members and discovery last answered, on the owner's clock.
+// SetLastAnswers sets when members and discovery last answered, on the owner's clock.
 func (g *Group) SetLastAnswers(member, discovery Time) {
-	g.member, g.discovery = max(g.member, member), max(g.discovery, discovery)
+	g.memberAnswered, g.discoveryAnswered = max(g.memberAnswered, member), max(g.discoveryAnswered, discovery)
 }
--- a/internal/fleet/leave.go
+++ b/internal/fleet/leave.go
@@ -15,199 +15,198 @@
 	"reachwind/internal/fleet/view"
 )
 
-// report tells the council that this gateway is there and how it serves, and hears what was agreed. Nothing waits for
-// the answer.
+// report reports to the council that this gateway is running and how it serves. Nothing waits for the answer.
 func (f *Fleet) report(now time.Duration) {
-	if len(f.conf.Council) == 0 {
+	if len(f.config.Council) == 0 {
 		return
 	}
 	self := f.group.Swim.Self()
-	r := subscribe.Report{Name: self.Name, Zone: f.conf.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.conf.Version, Drain: f.drain.Away(), Leaving: f.leaves,
-		Counts: &f.counts, Members: f.seen, ZoneAttempts: f.tried}
-	f.seen = nil
-	f.toCouncil(subscribe.FrameReport, f.subscribed.NextReport(now, r))
-	if f.deps.Gateway != nil && !f.leaves {
+	r := subscribe.Report{Name: self.Name, Zone: f.config.Zone, Epoch: self.Epoch, Addr: self.Addr, Version: f.config.Version, Drain: f.drain.ShouldDivert(), Leaving: f.leaving,
+		Counts: &f.counts, Members: f.memberReports, ZoneAttempts: f.zoneAttempts}
+	f.memberReports = nil
+	f.sendToCouncil(subscribe.FrameReport, f.subscription.NextReport(now, r))
+	if f.deps.Gateway != nil && !f.leaving {
 		if len(f.zones.away) > 0 {
 			f.deps.Gateway.ProbeZonesAway()
 		}
 		f.deps.Gateway.CollectCounts(func(c subscribe.Counts, seen []subscribe.MemberReport, tried []subscribe.ZoneAttempts) {
 			select {
-			case f.asks <- func() { f.counts, f.seen, f.tried = c, seen, tried }:
-			default: // the next time
+			case f.calls <- func() { f.counts, f.memberReports, f.zoneAttempts = c, seen, tried }:
+			default: // dropped; the next report asks again
 			}
 		})
 	}
 }
 
-func (f *Fleet) toCouncil(kind byte, b []byte) {
-	for _, a := range f.conf.Council {
-		f.net.Send("", a, append([]byte{kind}, b...), false, false)
+func (f *Fleet) sendToCouncil(kind byte, b []byte) {
+	for _, a := range f.config.Council {
+		f.sockets.Send("", a, append([]byte{kind}, b...), false, false)
 	}
 }
 
-// told takes what a voter says is agreed. What it says of this gateway's own permit counts by fence; what it says of
-// members holds for the terms it names.
-func (f *Fleet) told(b []byte) {
+// handleUpdate handles a voter's message. What it says about this gateway's own permit counts by its fence;
+// what it says about members holds for the terms it states.
+func (f *Fleet) handleUpdate(b []byte) {
 	now := f.now()
-	if !f.subscribed.HandleUpdate(now, b) {
+	if !f.subscription.HandleUpdate(now, b) {
 		return
 	}
-	t, _, _ := f.subscribed.LastUpdate()
+	t, _, _ := f.subscription.LastUpdate()
 	e := drain.Event{Recall: t.Recall && t.Fence != 0 && t.Fence == f.drain.Fence()}
-	e.Fenced = f.drain.Fence() != 0 && t.Fence != f.drain.Fence() && t.Index >= f.grantedAt
+	e.Fenced = f.drain.Fence() != 0 && t.Fence != f.drain.Fence() && t.Index >= f.grantIndex
 	until := map[string]time.Duration{}
 	for _, d := range t.Drains {
 		until[d.Member] = now + time.Duration(d.LeftMs)*time.Millisecond
 	}
-	f.drainMembers(until)
-	f.zonesTold(now, &t)
-	f.drained(now, e)
+	f.setMemberDrains(until)
+	f.applyPlan(now, &t)
+	f.stepDrain(now, e)
 }
 
-// drainMembers has members listed as draining while their permits last.
-func (f *Fleet) drainMembers(until map[string]time.Duration) {
-	was, is := slices.Sorted(maps.Keys(f.drains)), slices.Sorted(maps.Keys(until))
-	f.drains = until
-	if slices.Equal(was, is) || f.deps.Gateway == nil {
+// setMemberDrains lists members as draining while their permits last.
+func (f *Fleet) setMemberDrains(until map[string]time.Duration) {
+	before, after := slices.Sorted(maps.Keys(f.memberDrains)), slices.Sorted(maps.Keys(until))
+	f.memberDrains = until
+	if slices.Equal(before, after) || f.deps.Gateway == nil {
 		return
 	}
-	f.log.Info("fleet members permitted to go out", "members", is)
-	f.event(Event{Kind: "drains", Reasons: is})
-	f.deps.Gateway.SetDrainingMembers(is)
+	f.log.Info("fleet members permitted to go out", "members", after)
+	f.logEvent(Event{Kind: "drains", Reasons: after})
+	f.deps.Gateway.SetDrainingMembers(after)
 }
 
-// got takes what the council decided about a wish of this gateway.
-func (f *Fleet) got(b []byte) {
-	a, g, at, ok := f.asker.Take(b)
+// handlePermitAnswer handles the council's answer to a request of this gateway.
+func (f *Fleet) handlePermitAnswer(b []byte) {
+	a, g, at, ok := f.permitRequester.HandleAnswer(b)
 	if !ok {
 		return
 	}
 	if a.Op == "give_back" {
-		f.drain.Given()
+		f.drain.PermitReturned()
 		return
 	}
 	e := drain.Event{Refused: g.Refused}
 	if g.OK {
-		e = drain.Event{Granted: true, Asked: at, Fence: g.Fence}
-		f.grantedAt = g.Index // what was told up to here may not know of it
+		e = drain.Event{Granted: true, RequestedAt: at, Fence: g.Fence}
+		f.grantIndex = g.Index // updates up to this index may not reflect the grant
 	}
-	f.drained(f.now(), e)
+	f.stepDrain(f.now(), e)
 }
 
-// drained has the drain take what happened, and carries out what it wants. It is called each tick too.
-func (f *Fleet) drained(now time.Duration, e drain.Event) {
-	busy := 0
+// stepDrain passes an event to the drain machine and carries out its actions. It is also called on each tick.
+func (f *Fleet) stepDrain(now time.Duration, e drain.Event) {
+	open := 0
 	if g := f.deps.Gateway; g != nil {
-		busy = g.OpenConnections()
+		open = g.OpenConnections()
 	}
-	a := f.drain.Step(now, e, busy)
-	ask := func(op string, term time.Duration) {
+	a := f.drain.Step(now, e, open)
+	request := func(op string, term time.Duration) {
 		self := f.group.Swim.Self()
-		f.asker.Begin(now, subscribe.PermitRequest{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
+		f.permitRequester.Start(now, subscribe.PermitRequest{Name: self.Name, Epoch: self.Epoch, Addr: self.Addr, Op: op, TermMs: term.Milliseconds(), Fence: f.drain.Fence(),
 			Reason: f.drain.Status(now).Reason})
 	}
-	if a.Stop {
-		f.asker.Stop()
+	if a.CancelRequest {
+		f.permitRequester.Cancel()
 	}
 	switch {
-	case a.Acquire > 0 && (!f.asker.Busy() || e.Want != nil):
+	case a.Acquire > 0 && (!f.permitRequester.Pending() || e.Request != nil):
 		op := "acquire"
 		if f.drain.Signalled() {
 			op = "leave"
 		}
-		ask(op, a.Acquire)
+		request(op, a.Acquire)
 	case a.Renew > 0:
-		ask("renew", a.Renew)
+		request("renew", a.Renew)
 	case a.GiveBack:
-		ask("give_back", 0)
+		request("give_back", 0)
 	}
-	if b := f.asker.Send(now); b != nil {
-		f.toCouncil(subscribe.FramePermitRequest, b)
+	if b := f.permitRequester.DueMessage(now); b != nil {
+		f.sendToCouncil(subscribe.FramePermitRequest, b)
 	}
-	if a.Part >= 0 {
-		f.part = a.Part
+	if a.ConnectionFraction >= 0 {
+		f.connectionFraction = a.ConnectionFraction
 	}
-	if f.deps.Gateway != nil && (a.Part >= 0 || f.part < 1 && !f.leaves) { // by steps the door depends on how many there are
-		f.deps.Gateway.SetConnectionFraction(f.part)
+	if f.deps.Gateway != nil && (a.ConnectionFraction >= 0 || f.connectionFraction < 1 && !f.leaving) { // while connections return in steps, the limit depends on how many are open
+		f.deps.Gateway.SetConnectionFraction(f.connectionFraction)
 	}
 	if a.Changed {
 		s := f.drain.Status(now)
 		f.log.Info("fleet drain", "state", s.State, "fence", s.Fence, "reason", s.Reason)
-		f.event(Event{Kind: "drain", State: s.State, For: int64(s.Fence)})
+		f.logEvent(Event{Kind: "drain", State: s.State, For: int64(s.Fence)})
 	}
-	if a.Tell {
-		yes := f.drain.Away()
+	if a.Announce {
+		divert := f.drain.ShouldDivert()
 		f.report(now)
-		f.carry(f.group.Step(now, group.Event{Drain: &yes}))
+		f.perform(f.group.Step(now, group.Event{Drain: &divert}))
 	}
-	if a.Failed != "" {
-		f.log.Warn("fleet drain not granted", "why", a.Failed)
+	if a.Failure != "" {
+		f.log.Warn("fleet drain not granted", "why", a.Failure)
 	}
-	if s := f.drain.State(); a.Failed != "" || a.Changed && (s == drain.Out || s == drain.Serving || s == drain.Leaving) {
-		waits := f.waits
-		f.waits = nil
-		for _, w := range waits {
-			w(f.drain.Status(now), a.Failed)
+	if s := f.drain.State(); a.Failure != "" || a.Changed && (s == drain.Out || s == drain.Serving || s == drain.Leaving) {
+		waiters := f.drainWaiters
+		f.drainWaiters = nil
+		for _, w := range waiters {
+			w(f.drain.Status(now), a.Failure)
 		}
 	}
-	for m, until := range f.drains {
-		if now >= until { // nobody says any more that it may be out
-			left := maps.Clone(f.drains)
+	for m, until := range f.memberDrains {
+		if now >= until { // no update confirmed the permit in time
+			left := maps.Clone(f.memberDrains)
 			delete(left, m)
-			f.drainMembers(left)
+			f.setMemberDrains(left)
 			break
 		}
 	}
 }
 
-// AnnounceDrain tells the peers that this gateway takes nothing new.
+// AnnounceDrain announces to the peers that this gateway accepts no new work.
 func (f *Fleet) AnnounceDrain() {
-	_ = f.ask(func() {
-		yes := true
-		f.carry(f.group.Step(f.now(), group.Event{Drain: &yes}))
+	_ = f.runOnOwner(func() {
+		divert := true
+		f.perform(f.group.Step(f.now(), group.Event{Drain: &divert}))
 	})
 }
 
-// AwaitStopPermit asks the council for a permit to end, and waits for it as long as configured at the most. It returns how long
-// it waited. Peers know by then that this gateway goes.
+// AwaitStopPermit requests a permit of the council to stop, and waits for it at most as long as configured.
+// It returns how long it waited. By then the peers know that this gateway is leaving.
 func (f *Fleet) AwaitStopPermit(ctx context.Context) time.Duration {
 	begin := time.Now()
-	if len(f.conf.Council) == 0 {
+	if len(f.config.Council) == 0 {
 		return 0
 	}
 	done := make(chan struct{})
-	_ = f.ask(func() {
-		was := f.drain.Unasked
-		if f.drain.Away() {
-			f.drained(f.now(), drain.Event{Want: &drain.Want{Reason: "stopped by signal", Term: signalTerm, Signal: true}})
+	_ = f.runOnOwner(func() {
+		stopsBefore := f.drain.StopsWithoutPermit
+		if f.drain.ShouldDivert() {
+			f.stepDrain(f.now(), drain.Event{Request: &drain.Request{Reason: "stopped by signal", Term: signalPermitTerm, Signal: true}})
 			close(done)
 			return
 		}
-		f.waits = append(f.waits, func(s drain.Status, _ string) {
-			if s.StopsWithoutPermit > was {
+		f.drainWaiters = append(f.drainWaiters, func(s drain.Status, _ string) {
+			if s.StopsWithoutPermit > stopsBefore {
 				f.log.Warn("this gateway ends without a permit", "why", s.LastRefusal)
-				f.event(Event{Kind: "unasked", Reasons: []string{s.LastRefusal}})
+				f.logEvent(Event{Kind: "unasked", Reasons: []string{s.LastRefusal}})
 			}
 			close(done)
 		})
-		f.drained(f.now(), drain.Event{Want: &drain.Want{Reason: "stopped by signal", Term: signalTerm, Signal: true}})
+		f.stepDrain(f.now(), drain.Event{Request: &drain.Request{Reason: "stopped by signal", Term: signalPermitTerm, Signal: true}})
 	})
 	select {
 	case <-done:
-	case <-f.ended:
-	case <-time.After(f.conf.SignalWait + time.Second):
+	case <-f.stopped:
+	case <-time.After(f.config.SignalWait + time.Second):
 	case <-ctx.Done():
 	}
 	return time.Since(begin)
 }
 
-// signalTerm is the term of a permit of a gateway that ends: it must be back by then.
-const signalTerm = 2 * time.Minute
+// signalPermitTerm is the term of the permit of a gateway that stops after a signal: it must be back by then.
+const signalPermitTerm = 2 * time.Minute
 
-// drainAskMost is how long a caller may wait for a drain to be granted and over.
-const drainAskMost = 2 * time.Minute
+// maxDrainWait is the longest that a caller may wait until a drain is granted and done.
+const maxDrainWait = 2 * time.Minute
 
-// DrainRequest is what `reachwind fleet drain` and `undrain` ask a gateway for.
+// DrainRequest is the request of `reachwind fleet drain` and `undrain` to a gateway.
 type DrainRequest struct {
 	Back   bool   `json:"back,omitempty"`
 	TermMs int64  `json:"term_ms,omitempty"`
@@ -215,70 +214,71 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// DrainResponse is what came of it.
+// DrainResponse is the answer to it.
 type DrainResponse struct {
 	drain.Status
 	Refused string `json:"refused,omitempty"`
 }
 
-// askDrain serves an operator's wish that this gateway goes out or comes back. It answers once it is out, or serves.
-func (f *Fleet) askDrain(w http.ResponseWriter, r *http.Request) {
+// serveDrain serves an operator's request that this gateway goes out of service or returns. It answers once the
+// gateway is out, or serves.
+func (f *Fleet) serveDrain(w http.ResponseWriter, r *http.Request) {
 	var q DrainRequest
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&q)
 	if q.TermMs == 0 {
-		q.TermMs = drain.TermUsual.Milliseconds()
+		q.TermMs = drain.DefaultTerm.Milliseconds()
 	}
 	term, wait := time.Duration(q.TermMs)*time.Millisecond, time.Duration(q.WaitMs)*time.Millisecond
-	if err != nil || term < drain.TermLeast || term > 24*time.Hour || wait < 0 || wait > drainAskMost/2 || len(q.Reason) > 200 {
-		http.Error(w, fmt.Sprintf("no drain: %v, term %v, want from %v, wait %v, want up to %v", err, term, drain.TermLeast, wait, drainAskMost/2), http.StatusBadRequest)
+	if err != nil || term < drain.MinTerm || term > 24*time.Hour || wait < 0 || wait > maxDrainWait/2 || len(q.Reason) > 200 {
+		http.Error(w, fmt.Sprintf("invalid drain request: error %v; term is %v, want at least %v; wait is %v, want at most %v", err, term, drain.MinTerm, wait, maxDrainWait/2), http.StatusBadRequest)
 		return
 	}
-	type end struct {
-		s   drain.Status
-		why string
+	type outcome struct {
+		status  drain.Status
+		refused string
 	}
-	over := make(chan end, 1)
-	err = f.ask(func() {
+	result := make(chan outcome, 1)
+	err = f.runOnOwner(func() {
 		now := f.now()
-		if !q.Back && len(f.conf.Council) == 0 {
-			over <- end{f.drain.Status(now), "this gateway has no council, and asks nobody for a permit"}
+		if !q.Back && len(f.config.Council) == 0 {
+			result <- outcome{f.drain.Status(now), "this gateway has no council configured that could grant a permit"}
 			return
 		}
 		if mine := f.group.View.Status().Verdict; !q.Back {
 			if ok, why := view.Allowed(view.StartDrain, mine, view.Majority); !ok {
-				over <- end{f.drain.Status(now), "its verdict is " + mine.String() + ": " + why}
+				result <- outcome{f.drain.Status(now), "this gateway's verdict is " + mine.String() + ": " + why}
 				return
 			}
 		}
 		if q.Back && f.drain.State() == drain.Serving {
-			over <- end{f.drain.Status(now), ""}
+			result <- outcome{f.drain.Status(now), ""}
 			return
 		}
-		var wake func(drain.Status, string)
-		wake = func(s drain.Status, why string) {
-			if s.State == drain.Leaving.String() || q.Back && s.State == drain.Out.String() { // on its way
-				f.waits = append(f.waits, wake)
+		var notify func(drain.Status, string)
+		notify = func(s drain.Status, why string) {
+			if s.State == drain.Leaving.String() || q.Back && s.State == drain.Out.String() { // still in transition
+				f.drainWaiters = append(f.drainWaiters, notify)
 				return
 			}
-			over <- end{s, why}
+			result <- outcome{s, why}
 		}
-		f.waits = append(f.waits, wake)
+		f.drainWaiters = append(f.drainWaiters, notify)
 		e := drain.Event{Back: q.Back}
 		if !q.Back {
-			e.Want = &drain.Want{Reason: q.Reason, Term: term, Wait: wait}
+			e.Request = &drain.Request{Reason: q.Reason, Term: term, Wait: wait}
 		}
-		f.drained(now, e)
+		f.stepDrain(now, e)
 	})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	select {
-	case e := <-over:
+	case e := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(DrainResponse{e.s, e.why})
+		_ = json.NewEncoder(w).Encode(DrainResponse{e.status, e.refused})
 	case <-r.Context().Done():
-	case <-time.After(drainAskMost):
-		http.Error(w, "not over in time: see `reachwind fleet view`", http.StatusServiceUnavailable)
+	case <-time.After(maxDrainWait):
+		http.Error(w, "the drain did not finish in time: see its state in `reachwind fleet view`", http.StatusServiceUnavailable)
 	}
 }
--- a/internal/fleet/peers/keys_test.go
+++ b/internal/fleet/peers/keys_test.go
@@ -28,9 +28,10 @@
 	return k
 }
 
-// TestSeals: what is sealed opens once, in any order within the window, under any key of the file; a change of any
-// byte, another key, a repeat, or its own message is refused, whatever came before.
-func TestSeals(t *testing.T) {
+// TestSealAndOpen checks that a sealed message opens once, in any order within the window, under any key of the
+// file, and that a message with any changed byte, under another key, repeated, or of this process itself is
+// refused.
+func TestSealAndOpen(t *testing.T) {
 	both, old := keyFile(t, 'n', 'o'), keyFile(t, 'o')
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSealer()
@@ -50,7 +51,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "harm") == 0 {
 				b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 				if _, err := o.open(both, b); err == nil {
-					t.Fatal("a changed message was opened")
+					t.Fatal("a changed message was accepted")
 				}
 				continue
 			}
@@ -61,34 +62,34 @@
 			}
 			switch {
 			case err == nil && taken[i]:
-				t.Fatal("a message was opened twice")
+				t.Fatal("a message was accepted twice")
 			case err == nil && (m.addr != "127.0.0.1:7" || m.frame[0] != byte(i)):
 				t.Fatalf("opened as %+v", m)
-			case err != nil && !taken[i] && (w == nil || w.top-uint64(b[28])-uint64(b[27])<<8 < windowLen):
-				t.Fatalf("a fresh message was refused: %v", err)
+			case err != nil && !taken[i] && (w == nil || w.top-uint64(b[28])-uint64(b[27])<<8 < windowSize):
+				t.Fatalf("a new message was refused: %v", err)
 			}
 			taken[i] = taken[i] || err == nil
 		}
 	})
 	s := newSealer()
 	o := &opener{own: s.own, windows: map[instance]*window{}}
-	if _, err := o.open(both, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errOwn) {
-		t.Errorf("its own message: %v", err)
+	if _, err := o.open(both, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errReflected) {
+		t.Errorf("own message reflected: %v", err)
 	}
 	o.own = instance{}
-	if _, err := o.open(old, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errKey) {
-		t.Errorf("under a key that it lacks: %v", err)
+	if _, err := o.open(old, s.seal(&both.list[0], "a", []byte("x"))); !errors.Is(err, errUnknownKey) {
+		t.Errorf("message under an unknown key: %v", err)
 	}
 	if len(o.windows) > 0 {
-		t.Error("what was not authentic left a trace")
+		t.Error("a message that failed authentication created state")
 	}
-	for i := range windowsMax + 10 { // instances are bounded, the newest are kept
+	for i := range maxWindows + 10 { // the number of instances is bounded
 		one := newSealer()
 		if _, err := o.open(both, one.seal(&both.list[0], "a", []byte("x"))); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	if len(o.windows) > windowsMax {
-		t.Errorf("%d instances are followed", len(o.windows))
+	if len(o.windows) > maxWindows {
+		t.Errorf("%d instances are tracked", len(o.windows))
 	}
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,7 +1,6 @@
-// Package peers is the group's sockets: one UDP and one TCP address, messages that
-// are sealed under the group's keys, and bounds on what is sent and taken. Peers are
-// known by what they say under a key, never by where a datagram comes from, so
-// relays and changes of address do no harm.
+// Package peers provides the transport between gateways: one UDP and one TCP address, messages sealed under
+// the group's keys, and limits on what is sent and received. Peers are identified by what they send under a
+// key, never by the source address of a datagram, so relays and address changes do no harm.
 package peers
 
 import (
@@ -20,73 +19,75 @@
 	"reachwind/internal/logthrottle"
 )
 
-// Config is what the sockets are told.
+// Config is the configuration of Sockets.
 type Config struct {
 	Listen         string
 	Advertise      string
 	Keys           *Keys
-	BytesPerSecond int               // a second, sent in all
-	Routes         map[string]string // peers that are reached by another address than the one they tell
+	BytesPerSecond int               // bytes per second sent in total
+	Routes         map[string]string // peers by name that are reached at another address than the one they publish
 }
 
 const (
-	datagramMost = 1472
-	streamMost   = 1<<20 + 4096
-	streamWait   = 3 * time.Second // for all of an exchange
-	streamsIn    = 16              // taken at once
-	streamsOut   = 8
-	queueMost    = 1024 // messages that wait for the owner; more are dropped
-	junkMost     = 2000 // datagrams that are not authentic taken a second, then the reader rests: the socket's buffer drops
-	burst        = 2    // seconds' worth of bytes
-	firstEach    = 16   // of so many messages one is sealed under the first key, whatever the peer was heard to use
-	reserve      = 0.25 // of it that only pings and their answers may use
+	maxDatagramBytes        = 1472
+	maxStreamBytes          = 1<<20 + 4096
+	streamTimeout           = 3 * time.Second // for a whole request and answer
+	maxStreamsIn            = 16              // concurrent inbound streams
+	maxStreamsOut           = 8
+	maxQueued               = 1024 // messages waiting for the owner; further ones are dropped
+	maxUnauthenticPerSecond = 2000 // datagrams per second that fail authentication before the reader slows down and lets the socket's buffer drop them
+	burstSeconds            = 2    // send burst, in seconds of the byte rate
+	firstKeyInterval        = 16   // one in this many messages is sealed under the first key, whatever key the peer uses
+	reservedFraction        = 0.25 // fraction of the burst reserved for frames that are not spare, such as pings and their answers
 )
 
-// Incoming is an authentic frame, or an address that refused a connection.
+// Incoming is an authenticated frame, or an address that refused a connection.
 type Incoming struct {
 	Frame       []byte
 	Stream      uint64
 	RefusedAddr string
 }
 
-// Counts are what went and came, and what was dropped for which reason. They may be read at any time.
+// Counts counts messages and bytes sent and received, and those dropped by reason. They may be read at any
+// time.
 type Counts struct {
 	Sent, SentBytes, Received, ReceivedBytes                         atomic.Int64
 	Unauthentic, Repeated, UnknownKey, Oversize, Overflow, Throttled atomic.Int64
 	StreamsRefused                                                   atomic.Int64
 }
 
-// Sockets carry frames. Send and Answer are the owner's; the rest is safe for concurrent use.
+// Sockets send and receive frames. Send and Reply must be called by one owner; the other methods are safe for
+// concurrent use.
 type Sockets struct {
-	Counts Counts
-	conf   Config
-	log    *slog.Logger
-	udp    *net.UDPConn
-	tcp    net.Listener
-	in     chan Incoming
-	ctx    context.Context
-	cancel func()
-	done   sync.WaitGroup
-	out    chan struct{} // a place for each stream being dialled
+	Counts     Counts
+	config     Config
+	log        *slog.Logger
+	udp        *net.UDPConn
+	tcp        net.Listener
+	received   chan Incoming
+	ctx        context.Context
+	cancel     func()
+	goroutines sync.WaitGroup
+	dialSlots  chan struct{} // a slot for each stream being dialled
 
-	mu      sync.Mutex // held for what follows
-	keys    *Keys
-	routes  map[string]string
-	sealer  *sealer
-	opener  *opener
-	heard   map[string][4]byte // key last heard of from an address as its owner tells it
-	tried   map[string]int     // messages to addresses never heard from: keys are tried in turn
-	addrs   map[string]*net.UDPAddr
-	streams map[uint64]*inbound
-	sends   uint64
-	last    uint64
-	room    float64
-	roomAt  time.Time
+	mu              sync.Mutex // guards the fields below
+	keys            *Keys
+	routes          map[string]string
+	sealer          *sealer
+	opener          *opener
+	lastKeys        map[string][4]byte // last key received from the peer that publishes the address
+	sendsUnanswered map[string]int     // messages sent to an address since one was received from it; keys are tried in turn
+	addrs           map[string]*net.UDPAddr
+	inboundStreams  map[uint64]*inbound
+	sendCount       uint64
+	lastStream      uint64
+	sendBudget      float64
+	budgetAt        time.Time
 
-	badKey, junk, failing logthrottle.Line
+	unknownKeyLog, unauthenticLog, addressLog logthrottle.Line
 }
 
-// Listen opens the sockets. Both have one port; port 0 is any.
+// Listen opens the sockets. Both use the same port; port 0 selects a free one.
 func Listen(conf Config, log *slog.Logger) (*Sockets, error) {
 	tcp, err := net.Listen("tcp", conf.Listen)
 	if err != nil {
@@ -98,33 +99,33 @@
 		_ = tcp.Close()
 		return nil, err
 	}
-	s := &Sockets{conf: conf, log: log, udp: udp, tcp: tcp, in: make(chan Incoming, queueMost), out: make(chan struct{}, streamsOut), keys: conf.Keys,
-		routes: conf.Routes, sealer: newSealer(), heard: map[string][4]byte{}, tried: map[string]int{}, addrs: map[string]*net.UDPAddr{},
-		streams: map[uint64]*inbound{}, room: burst * float64(conf.BytesPerSecond), roomAt: time.Now()}
+	s := &Sockets{config: conf, log: log, udp: udp, tcp: tcp, received: make(chan Incoming, maxQueued), dialSlots: make(chan struct{}, maxStreamsOut), keys: conf.Keys,
+		routes: conf.Routes, sealer: newSealer(), lastKeys: map[string][4]byte{}, sendsUnanswered: map[string]int{}, addrs: map[string]*net.UDPAddr{},
+		inboundStreams: map[uint64]*inbound{}, sendBudget: burstSeconds * float64(conf.BytesPerSecond), budgetAt: time.Now()}
 	s.opener = &opener{own: s.sealer.own, windows: map[instance]*window{}}
-	if s.conf.Advertise == "" {
-		s.conf.Advertise = tcp.Addr().String()
+	if s.config.Advertise == "" {
+		s.config.Advertise = tcp.Addr().String()
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Add(2)
-	go s.datagrams()
-	go s.accept()
+	s.goroutines.Add(2)
+	go s.readDatagrams()
+	go s.acceptStreams()
 	return s, nil
 }
 
 // inbound is a stream that waits for its answer.
 type inbound struct {
-	c    net.Conn
-	over chan struct{} // closed when it has had it
+	conn net.Conn
+	done chan struct{} // closed when the answer was sent
 }
 
-// AdvertisedAddr is what peers are told.
-func (s *Sockets) AdvertisedAddr() string { return s.conf.Advertise }
+// AdvertisedAddr returns the address that peers are told.
+func (s *Sockets) AdvertisedAddr() string { return s.config.Advertise }
 
-// Received is what came.
-func (s *Sockets) Received() <-chan Incoming { return s.in }
+// Received returns the channel of received frames and refused addresses.
+func (s *Sockets) Received() <-chan Incoming { return s.received }
 
-// SetKeys takes over other keys and routes.
+// SetKeys replaces keys and routes.
 func (s *Sockets) SetKeys(k *Keys, routes map[string]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,65 +138,66 @@
 	_ = s.udp.Close()
 	_ = s.tcp.Close()
 	s.mu.Lock()
-	for id, in := range s.streams {
-		delete(s.streams, id)
-		_ = in.c.Close()
-		close(in.over)
+	for id, in := range s.inboundStreams {
+		delete(s.inboundStreams, id)
+		_ = in.conn.Close()
+		close(in.done)
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.goroutines.Wait()
 }
 
-// key is the key to seal with for an address: the one that its owner was heard to use, so that a change of keys that
-// is half done divides nobody; in turn while it was not heard of.
-func (s *Sockets) key(addr string) *key {
-	s.sends++
-	if id, ok := s.heard[addr]; ok && s.sends%firstEach != 0 {
+// sealKey returns the key to seal with for an address: the last one that its owner used, so that a key
+// rotation in progress divides nobody. Until the owner was heard the keys are tried in turn.
+func (s *Sockets) sealKey(addr string) *key {
+	s.sendCount++
+	if id, ok := s.lastKeys[addr]; ok && s.sendCount%firstKeyInterval != 0 {
 		for i := range s.keys.list {
 			if s.keys.list[i].id == id {
-				if n := s.tried[addr]; n < 3 { // it answers: no need to try others
-					s.tried[addr]++
+				if n := s.sendsUnanswered[addr]; n < 3 { // it answers: no need to try other keys
+					s.sendsUnanswered[addr]++
 					return &s.keys.list[i]
 				}
 			}
 		}
 	}
-	if len(s.tried) > windowsMax {
-		clear(s.tried)
+	if len(s.sendsUnanswered) > maxWindows {
+		clear(s.sendsUnanswered)
 	}
-	s.tried[addr]++
-	if _, ok := s.heard[addr]; ok && s.tried[addr] < 3 { // once in a while the first, so that the old one goes out of use
+	s.sendsUnanswered[addr]++
+	if _, ok := s.lastKeys[addr]; ok && s.sendsUnanswered[addr] < 3 { // occasionally the first key, so that the old one goes out of use
 		return &s.keys.list[0]
 	}
-	return &s.keys.list[(s.tried[addr]-1)%len(s.keys.list)]
+	return &s.keys.list[(s.sendsUnanswered[addr]-1)%len(s.keys.list)]
 }
 
-// spend takes n bytes of what may be sent, or counts that they may not.
-func (s *Sockets) spend(n int, spare bool) bool {
+// takeBudget takes n bytes from the send budget, or counts the message as throttled and returns false. Spare
+// frames may not use the reserve.
+func (s *Sockets) takeBudget(n int, spare bool) bool {
 	now := time.Now()
-	s.room = min(s.room+now.Sub(s.roomAt).Seconds()*float64(s.conf.BytesPerSecond), burst*float64(s.conf.BytesPerSecond))
-	s.roomAt = now
-	left := s.room - float64(n)
-	if left < 0 || spare && left < reserve*burst*float64(s.conf.BytesPerSecond) {
+	s.sendBudget = min(s.sendBudget+now.Sub(s.budgetAt).Seconds()*float64(s.config.BytesPerSecond), burstSeconds*float64(s.config.BytesPerSecond))
+	s.budgetAt = now
+	left := s.sendBudget - float64(n)
+	if left < 0 || spare && left < reservedFraction*burstSeconds*float64(s.config.BytesPerSecond) {
 		s.Counts.Throttled.Add(1)
 		return false
 	}
-	s.room = left
+	s.sendBudget = left
 	s.Counts.Sent.Add(1)
 	s.Counts.SentBytes.Add(int64(n))
 	return true
 }
 
-// sealed is a frame as it goes out, nil if it may not.
-func (s *Sockets) sealed(addr string, frame []byte, spare bool) []byte {
-	if !s.spend(headLen+1+len(s.conf.Advertise)+len(frame)+tagLen+28, spare) {
+// sealFrame returns the sealed frame, or nil if the send budget is exhausted.
+func (s *Sockets) sealFrame(addr string, frame []byte, spare bool) []byte {
+	if !s.takeBudget(headerLen+1+len(s.config.Advertise)+len(frame)+tagLen+28, spare) {
 		return nil
 	}
-	return s.sealer.seal(s.key(addr), s.conf.Advertise, frame)
+	return s.sealer.seal(s.sealKey(addr), s.config.Advertise, frame)
 }
 
-// Send sends a frame to a peer: by datagram, or by a stream of its own whose answer comes in. Name may be empty. It
-// does not block; what can't be sent now is dropped, as on any bad day of the net.
+// Send sends a frame to a peer: by datagram, or by a new stream whose answer is received as a frame. Name may
+// be empty. It does not block; what can't be sent now is dropped, as if lost by the network.
 func (s *Sockets) Send(name, addr string, frame []byte, stream, spare bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,8 +205,8 @@
 	if r, ok := s.routes[name]; ok && name != "" {
 		to = r
 	}
-	if stream || len(frame) > datagramMost-headLen-tagLen-1-len(s.conf.Advertise) {
-		if b := s.sealed(addr, frame, spare); b != nil {
+	if stream || len(frame) > maxDatagramBytes-headerLen-tagLen-1-len(s.config.Advertise) {
+		if b := s.sealFrame(addr, frame, spare); b != nil {
 			s.dial(addr, to, b)
 		}
 		return
@@ -213,76 +215,76 @@
 	if at == nil {
 		a, err := net.ResolveUDPAddr("udp", to)
 		if err != nil || a.IP == nil {
-			s.failing.Warn(s.log, "peer address not usable", "peer", name, "address", to, "err", err)
+			s.addressLog.Warn(s.log, "peer address not usable", "peer", name, "address", to, "err", err)
 			return
 		}
-		if len(s.addrs) > windowsMax {
+		if len(s.addrs) > maxWindows {
 			clear(s.addrs)
 		}
 		at = a
 		s.addrs[to] = at
 	}
-	if b := s.sealed(addr, frame, spare); b != nil {
-		_, _ = s.udp.WriteToUDP(b, at) // as good as lost on the way
+	if b := s.sealFrame(addr, frame, spare); b != nil {
+		_, _ = s.udp.WriteToUDP(b, at) // an error counts as loss on the way
 	}
 }
 
-// Reply sends a frame on a stream that a message came by.
+// Reply sends a frame on the stream that a message came by.
 func (s *Sockets) Reply(stream uint64, addr string, frame []byte, spare bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	in := s.streams[stream]
+	in := s.inboundStreams[stream]
 	if in == nil {
 		return
 	}
-	delete(s.streams, stream)
-	b := s.sealed(addr, frame, spare)
-	s.done.Add(1)
+	delete(s.inboundStreams, stream)
+	b := s.sealFrame(addr, frame, spare)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.done.Done()
+		defer s.goroutines.Done()
 		if b != nil {
-			_ = writeFrame(in.c, b)
+			_ = writeFrame(in.conn, b)
 		}
-		_ = in.c.Close()
-		close(in.over)
+		_ = in.conn.Close()
+		close(in.done)
 	}()
 }
 
-// dial sends by a stream of its own. The caller holds the lock.
+// dial sends a message by a new stream. The caller holds the lock.
 func (s *Sockets) dial(addr, to string, b []byte) {
 	select {
-	case s.out <- struct{}{}:
+	case s.dialSlots <- struct{}{}:
 	default:
 		s.Counts.StreamsRefused.Add(1)
 		return
 	}
-	s.done.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.done.Done()
-		defer func() { <-s.out }()
-		d := net.Dialer{Timeout: streamWait / 2}
+		defer s.goroutines.Done()
+		defer func() { <-s.dialSlots }()
+		d := net.Dialer{Timeout: streamTimeout / 2}
 		c, err := d.DialContext(s.ctx, "tcp", to)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				s.post(Incoming{RefusedAddr: addr})
+				s.enqueue(Incoming{RefusedAddr: addr})
 			}
 			return
 		}
 		defer func() { _ = c.Close() }()
 		stop := context.AfterFunc(s.ctx, func() { _ = c.Close() })
 		defer stop()
-		_ = c.SetDeadline(time.Now().Add(streamWait))
+		_ = c.SetDeadline(time.Now().Add(streamTimeout))
 		if writeFrame(c, b) != nil {
 			return
 		}
 		if answer, err := readFrame(c); err == nil {
-			s.take(answer, 0)
+			s.receive(answer, 0)
 		}
 	}()
 }
 
 func writeFrame(c net.Conn, b []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(streamWait))
+	_ = c.SetWriteDeadline(time.Now().Add(streamTimeout))
 	_, err := c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 	return err
 }
@@ -293,10 +295,10 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > streamMost {
-		return nil, errShort
+	if n > maxStreamBytes {
+		return nil, errFormat
 	}
-	// What is announced is not taken at once: memory grows with what comes.
+	// The buffer is not allocated from the announced length: memory grows with what arrives.
 	b, err := io.ReadAll(io.LimitReader(c, int64(n)))
 	if err == nil && len(b) < int(n) {
 		err = io.ErrUnexpectedEOF
@@ -304,76 +306,76 @@
 	return b, err
 }
 
-// datagrams reads them, and rests where too many are junk.
-func (s *Sockets) datagrams() {
-	defer s.done.Done()
+// readDatagrams reads datagrams, and slows down while too many fail authentication.
+func (s *Sockets) readDatagrams() {
+	defer s.goroutines.Done()
 	buf := make([]byte, 64<<10)
-	junk, since := 0, time.Now()
+	unauthentic, windowStart := 0, time.Now()
 	for {
-		n, _, err := s.udp.ReadFromUDP(buf)
+		size, _, err := s.udp.ReadFromUDP(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an earlier datagram of ours was refused
+			continue // an ICMP error for a datagram sent earlier
 		}
-		if s.take(buf[:n], 0) {
+		if s.receive(buf[:size], 0) {
 			continue
 		}
-		if time.Since(since) > time.Second {
-			junk, since = 0, time.Now()
+		if time.Since(windowStart) > time.Second {
+			unauthentic, windowStart = 0, time.Now()
 		}
-		if junk++; junk > junkMost {
+		if unauthentic++; unauthentic > maxUnauthenticPerSecond {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// take opens a message and queues its frame, and tells whether it was authentic.
-func (s *Sockets) take(b []byte, stream uint64) bool {
+// receive decrypts a message and queues its frame. It returns whether the message was authentic.
+func (s *Sockets) receive(b []byte, stream uint64) bool {
 	s.mu.Lock()
 	m, err := s.opener.open(s.keys, b)
 	if err == nil {
-		if len(s.heard) > windowsMax {
-			clear(s.heard)
+		if len(s.lastKeys) > maxWindows {
+			clear(s.lastKeys)
 		}
-		s.heard[m.addr] = m.key
-		s.tried[m.addr] = 0
+		s.lastKeys[m.addr] = m.key
+		s.sendsUnanswered[m.addr] = 0
 	}
 	s.mu.Unlock()
 	c := &s.Counts
 	switch {
 	case err == nil:
-	case errors.Is(err, errRepeated), errors.Is(err, errOwn):
+	case errors.Is(err, errRepeated), errors.Is(err, errReflected):
 		c.Repeated.Add(1)
 		return false
-	case errors.Is(err, errKey):
+	case errors.Is(err, errUnknownKey):
 		c.UnknownKey.Add(1)
-		s.badKey.Warn(s.log, "fleet message under an unknown key")
+		s.unknownKeyLog.Warn(s.log, "fleet message under an unknown key")
 		return false
 	default:
 		c.Unauthentic.Add(1)
-		s.junk.Warn(s.log, "fleet message not authentic", "err", err)
+		s.unauthenticLog.Warn(s.log, "fleet message not authentic", "err", err)
 		return false
 	}
 	c.Received.Add(1)
 	c.ReceivedBytes.Add(int64(len(b)))
-	s.post(Incoming{Frame: m.frame, Stream: stream})
+	s.enqueue(Incoming{Frame: m.frame, Stream: stream})
 	return true
 }
 
-func (s *Sockets) post(m Incoming) {
+func (s *Sockets) enqueue(m Incoming) {
 	select {
-	case s.in <- m:
+	case s.received <- m:
 	default:
 		s.Counts.Overflow.Add(1)
 	}
 }
 
-// accept takes streams: one message each, answered on the stream within streamWait or not at all.
-func (s *Sockets) accept() {
-	defer s.done.Done()
-	room := make(chan struct{}, streamsIn)
+// acceptStreams accepts streams: one message each, answered on the stream within streamTimeout or not at all.
+func (s *Sockets) acceptStreams() {
+	defer s.goroutines.Done()
+	slots := make(chan struct{}, maxStreamsIn)
 	for {
 		c, err := s.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -384,25 +386,25 @@
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			s.Counts.StreamsRefused.Add(1)
 			_ = c.Close()
 			continue
 		}
-		s.done.Add(1)
+		s.goroutines.Add(1)
 		go func() {
-			defer s.done.Done()
-			defer func() { <-room }()
-			s.serve(c)
+			defer s.goroutines.Done()
+			defer func() { <-slots }()
+			s.serveStream(c)
 		}()
 	}
 }
 
-func (s *Sockets) serve(c net.Conn) {
+func (s *Sockets) serveStream(c net.Conn) {
 	stop := context.AfterFunc(s.ctx, func() { _ = c.Close() })
 	defer stop()
-	_ = c.SetDeadline(time.Now().Add(streamWait))
+	_ = c.SetDeadline(time.Now().Add(streamTimeout))
 	b, err := readFrame(c)
 	if err != nil {
 		if !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed) {
@@ -412,32 +414,32 @@
 		return
 	}
 	s.mu.Lock()
-	s.last++
-	id := s.last
+	s.lastStream++
+	id := s.lastStream
 	in := &inbound{c, make(chan struct{})}
-	s.streams[id] = in
+	s.inboundStreams[id] = in
 	s.mu.Unlock()
-	if !s.take(b, id) {
-		s.drop(id)
+	if !s.receive(b, id) {
+		s.dropStream(id)
 		return
 	}
-	t := time.NewTimer(streamWait)
+	t := time.NewTimer(streamTimeout)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-in.over:
+	case <-in.done:
 	case <-s.ctx.Done():
 	}
-	s.drop(id)
+	s.dropStream(id)
 }
 
-// drop ends a stream that has had no answer.
-func (s *Sockets) drop(id uint64) {
+// dropStream closes a stream that was not answered.
+func (s *Sockets) dropStream(id uint64) {
 	s.mu.Lock()
-	in := s.streams[id]
-	delete(s.streams, id)
+	in := s.inboundStreams[id]
+	delete(s.inboundStreams, id)
 	s.mu.Unlock()
 	if in != nil {
-		_ = in.c.Close()
+		_ = in.conn.Close()
 	}
 }
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -1,6 +1,6 @@
-// Package subscribe is what gateways and the council tell each other: gateways that
-// they are there, voters what is agreed. Gateways serve whether or not anything comes
-// back. It does no I/O, starts no goroutine and reads no clock.
+// Package subscribe defines the messages between gateways and the council: gateways report that they are
+// running and how they serve, voters send what is agreed. Gateways serve whether or not answers arrive. The
+// package does no I/O, starts no goroutine and reads no clock.
 package subscribe
 
 import (
@@ -16,37 +16,37 @@
 	"reachwind/internal/fleet/zoneplan"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// Frames between gateways and voters. Numbers are on the wire: they are never used anew.
+// Frames between gateways and voters. Their numbers are part of the wire format and are never reused.
 const (
 	FrameReport = 21
 	FrameUpdate = 22
 )
 
 const (
-	// ReportInterval is how often a gateway reports, and the leader looks through the reports.
+	// ReportInterval is the interval at which gateways report and the leader evaluates the reports.
 	ReportInterval = time.Second
-	// SilentTimeout is after which a gateway that does not report counts as out by itself.
+	// SilentTimeout is the time after which a gateway that does not report counts as out of service.
 	SilentTimeout = 10 * time.Second
-	// ServingWindow is within which one must have reported to be seen serving.
-	ServingWindow = 3 * time.Second
-	forgetAfter   = 24 * time.Hour
-	leftCounts    = 10 * time.Minute // one that was told to stop is out, whoever told it; later it is taken for gone for good
-	MaxGateways   = 4096
-	membersMost   = 4096
-	seenFor       = 20 * time.Second // a gateway's word on a member counts for so long
-	caughtUp      = 2 * time.Second  // a replica that lacks no more of its group's log is caught up
-	textMost      = 80
+	// ServingWindow is the time within which a gateway must have reported to count as serving.
+	ServingWindow    = 3 * time.Second
+	forgetDelay      = 24 * time.Hour
+	leftRetention    = 10 * time.Minute // a gateway that announced its stop counts as out for this long; later it is forgotten as gone for good
+	MaxGateways      = 4096
+	maxMembers       = 4096
+	reportValidity   = 20 * time.Second // a gateway's report on a member counts for this long
+	caughtUpDistance = 2 * time.Second  // a replica within this distance of its group's newest log position is caught up
+	maxTextBytes     = 80
 )
 
-// Report is a gateway's word that it is there. Fields are added, never changed.
+// Report is a gateway's periodic report to the voters. Fields are added, never changed.
 type Report struct {
 	Name    string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint,omitempty"`
 	Epoch   uint64 `cbor:"3,keyasint"`
-	Number  uint64 `cbor:"4,keyasint"` // of this epoch, growing
+	Number  uint64 `cbor:"4,keyasint"` // grows within an epoch
 	Addr    string `cbor:"5,keyasint"`
 	Version string `cbor:"6,keyasint,omitempty"`
 	Drain   bool   `cbor:"7,keyasint,omitempty"`
@@ -57,173 +57,176 @@
 	ZoneAttempts []ZoneAttempts `cbor:"11,keyasint,omitempty"`
 }
 
-// Update is a voter's answer.
+// Update is what a voter sends a gateway: the answer to a report, or a change.
 type Update struct {
-	Number uint64 `cbor:"1,keyasint"` // of the report
+	Number uint64 `cbor:"1,keyasint"` // number of the report that it answers, 0 if none
 	Leader string `cbor:"2,keyasint,omitempty"`
 	Term   uint64 `cbor:"3,keyasint"`
 	Index  uint64 `cbor:"4,keyasint"`
-	Fence  uint64 `cbor:"5,keyasint,omitempty"` // of the permit to be out that this gateway is under, 0 = none
-	LeftMs int64  `cbor:"6,keyasint,omitempty"` // of its term
+	Fence  uint64 `cbor:"5,keyasint,omitempty"` // fence of this gateway's permit to be out of service, 0 if none
+	LeftMs int64  `cbor:"6,keyasint,omitempty"` // remaining term of the permit
 
-	Name   string        `cbor:"9,keyasint,omitempty"` // of the gateway that is told
-	Recall bool          `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: it had better come back
+	Name   string        `cbor:"9,keyasint,omitempty"` // name of the gateway addressed
+	Recall bool          `cbor:"7,keyasint,omitempty"` // more is out than the budgets allow: the gateway should return
 	Drains []MemberDrain `cbor:"8,keyasint,omitempty"` // members that are permitted to go out
 
-	Plan       uint64     `cbor:"10,keyasint,omitempty"` // number of the plan of zones, 0 = none
-	PlanLeftMs int64      `cbor:"11,keyasint,omitempty"` // of its term
-	Zones      []ZoneAway `cbor:"12,keyasint,omitempty"` // those from which load goes away
+	Plan       uint64     `cbor:"10,keyasint,omitempty"` // number of the zone plan, 0 if none
+	PlanLeftMs int64      `cbor:"11,keyasint,omitempty"` // remaining term of the plan
+	Zones      []ZoneAway `cbor:"12,keyasint,omitempty"` // zones whose load goes elsewhere, in part or whole
 }
 
-// Encode is the answer's bytes.
+// Encode returns the wire form of the message.
 func (t *Update) Encode() []byte { return encode(t) }
 
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // a struct of plain fields always encodes
 	}
 	return b
 }
 
-// Subscription is what a gateway knows of the council. It is its owner's alone.
+// Subscription is what a gateway knows of the council. It is not safe for concurrent use.
 type Subscription struct {
-	number uint64
-	last   Update
-	at     Time // when the report that it answers was sent
-	sent   map[uint64]Time
-	heard  bool
-	tookAt Time
+	number       uint64
+	current      Update
+	reportSentAt Time // when the report that it answers was sent
+	sentAt       map[uint64]Time
+	received     bool
+	receivedAt   Time
 }
 
-// New returns a subscription that has heard nothing.
-func New() *Subscription { return &Subscription{sent: map[uint64]Time{}} }
+// New returns a subscription that has received nothing.
+func New() *Subscription { return &Subscription{sentAt: map[uint64]Time{}} }
 
-// NextReport numbers a report.
+// NextReport numbers a report and returns its wire form.
 func (s *Subscription) NextReport(now Time, r Report) []byte {
 	s.number++
 	r.Number = s.number
-	if len(s.sent) > 16 {
-		clear(s.sent)
+	if len(s.sentAt) > 16 {
+		clear(s.sentAt)
 	}
-	s.sent[s.number] = now
+	s.sentAt[s.number] = now
 	return encode(&r)
 }
 
-// HandleUpdate takes a voter's word: the one of the highest index counts, dated from when the report that it answers was sent.
-// One that answers no report is what changed just now; it is dated as the last one was. It tells whether it counts.
+// HandleUpdate handles a voter's message and returns whether it became the current one. The message of the
+// highest index counts, dated from when the report that it answers was sent. One that answers no report
+// announces a change that was just made; it is dated as the one before.
 func (s *Subscription) HandleUpdate(now Time, b []byte) bool {
 	var t Update
 	if cbor.Unmarshal(b, &t) != nil {
 		return false
 	}
-	at, ok := s.sent[t.Number]
-	if t.Number == 0 && s.heard && t.Index > s.last.Index {
-		at, ok, t.Leader = s.at, true, s.last.Leader
+	at, ok := s.sentAt[t.Number]
+	if t.Number == 0 && s.received && t.Index > s.current.Index {
+		at, ok, t.Leader = s.reportSentAt, true, s.current.Leader
 	}
-	if !ok || s.heard && (t.Index < s.last.Index || t.Index == s.last.Index && at < s.at) {
+	if !ok || s.received && (t.Index < s.current.Index || t.Index == s.current.Index && at < s.reportSentAt) {
 		return false
 	}
-	s.last, s.at, s.heard, s.tookAt = t, at, true, now
+	s.current, s.reportSentAt, s.received, s.receivedAt = t, at, true, now
 	return true
 }
 
-// LastUpdate is what was heard last and when it came; ok is false if nothing ever was.
-func (s *Subscription) LastUpdate() (t Update, at Time, ok bool) { return s.last, s.tookAt, s.heard }
+// LastUpdate returns the current message and when it arrived; ok is false if none ever did.
+func (s *Subscription) LastUpdate() (t Update, at Time, ok bool) {
+	return s.current, s.receivedAt, s.received
+}
 
-// State is what is known of the council, for tables and JSON.
+// State describes what is known of the council, for tables and JSON.
 type State struct {
 	Leader string `json:"leader"`
 	Index  uint64 `json:"index"`
-	AgeMs  int64  `json:"age_ms"` // -1 = never heard
+	AgeMs  int64  `json:"age_ms"` // -1 if nothing was ever received
 	Fence  uint64 `json:"fence"`
 }
 
-// State tells what was heard last, and how old it is.
+// State returns the current message's content and its age.
 func (s *Subscription) State(now Time) State {
-	if !s.heard {
+	if !s.received {
 		return State{AgeMs: -1}
 	}
-	return State{s.last.Leader, s.last.Index, (now - s.at).Milliseconds(), s.last.Fence}
+	return State{s.current.Leader, s.current.Index, (now - s.reportSentAt).Milliseconds(), s.current.Fence}
 }
 
-// Registry is a voter's: who reported when. It is its owner's alone.
+// Registry is a voter's record of the gateways' reports. It is not safe for concurrent use.
 type Registry struct {
-	seen  map[string]*heard
-	since Time // this voter has led, or heard reports without a gap, since then
-	leads bool
+	gateways       map[string]*gatewayState
+	observingSince Time // this voter has led, or received reports without a gap, since then
+	leading        bool
 
-	members  map[string]map[string]word // by member, by zone of the witness
+	members  map[string]map[string]memberState // by member, then by zone of the witness
 	versions map[string]*agreed.VersionHealth
 	zones    map[[2]string]*zoneplan.Seen // by witness zone and zone
 	zonesAt  Time
 }
 
-type heard struct {
+type gatewayState struct {
 	Report
-	at    Time
-	again bool // the start before it drained or left
+	receivedAt Time
+	returned   bool // the start before the present one drained or left
 }
 
-// word is the last word on a member of the gateways of a zone.
-type word struct {
+// memberState is the latest report on a member by the gateways of a zone.
+type memberState struct {
 	MemberReport
-	at Time
+	receivedAt Time
 }
 
-// NewRegistry returns an empty book.
+// NewRegistry returns an empty record.
 func NewRegistry() *Registry {
-	return &Registry{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
+	return &Registry{gateways: map[string]*gatewayState{}, members: map[string]map[string]memberState{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
 }
 
-// HandleReport takes a report. One of an older start or number is dropped.
-func (b *Registry) HandleReport(now Time, raw []byte) (r Report, ok bool) {
-	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > textMost || len(r.Zone) > textMost || len(r.Addr) > textMost {
+// HandleReport handles a report. Malformed reports and those of an older start or number are dropped.
+func (reg *Registry) HandleReport(now Time, raw []byte) (r Report, ok bool) {
+	if cbor.Unmarshal(raw, &r) != nil || r.Name == "" || len(r.Name) > maxTextBytes || len(r.Zone) > maxTextBytes || len(r.Addr) > maxTextBytes {
 		return r, false
 	}
-	h := b.seen[r.Name]
+	h := reg.gateways[r.Name]
 	if h == nil {
-		if len(b.seen) >= MaxGateways {
+		if len(reg.gateways) >= MaxGateways {
 			return r, false
 		}
-		h = &heard{}
-		b.seen[r.Name] = h
+		h = &gatewayState{}
+		reg.gateways[r.Name] = h
 	} else if r.Epoch < h.Epoch || r.Epoch == h.Epoch && r.Number <= h.Number {
 		return r, false
 	}
-	b.count(h, &r)
-	b.tried(h, &r)
+	reg.addCounts(h, &r)
+	reg.addZoneAttempts(h, &r)
 	if h.Epoch != r.Epoch {
-		h.again = h.Epoch != 0 && (h.Drain || h.Leaving)
+		h.returned = h.Epoch != 0 && (h.Drain || h.Leaving)
 	}
-	h.Report, h.at = r, now
+	h.Report, h.receivedAt = r, now
 	for _, m := range r.Members {
-		b.word(now, r.Zone, m)
+		reg.recordMember(now, r.Zone, m)
 	}
 	return r, true
 }
 
-// count adds what a gateway counted since its last report to its version.
-func (b *Registry) count(h *heard, r *Report) {
-	v := b.versions[r.Version]
+// addCounts adds what a gateway counted since its last report to the totals of its version.
+func (reg *Registry) addCounts(h *gatewayState, r *Report) {
+	v := reg.versions[r.Version]
 	if v == nil {
-		if len(b.versions) >= 16 {
+		if len(reg.versions) >= 16 {
 			return
 		}
 		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketsCount)}
-		b.versions[r.Version] = v
+		reg.versions[r.Version] = v
 	}
 	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaving {
-		v.Restarts++ // it did not say that it leaves
+		v.Restarts++ // the earlier start did not announce its stop
 	}
-	if r.Counts == nil || h.Epoch == 0 { // of who is new to this voter, all before is not of this while
+	if r.Counts == nil || h.Epoch == 0 { // the counts of a gateway that is new to this voter precede this period
 		return
 	}
-	was := &Counts{}
+	earlier := &Counts{}
 	if h.Epoch == r.Epoch && h.Counts != nil {
-		was = h.Counts
+		earlier = h.Counts
 	}
-	d := r.Counts.since(was)
+	d := r.Counts.since(earlier)
 	for i := range d.Classes {
 		x, y := &v.Classes[i], &d.Classes[i]
 		x.Requests, x.Refused, x.Late = x.Requests+y.Requests, x.Refused+y.Refused, x.Late+y.Late
@@ -233,20 +236,20 @@
 	}
 }
 
-// zone is what the gateways of one zone saw of another since the last look.
-func (b *Registry) zone(witness, of string) *zoneplan.Seen {
-	z := b.zones[[2]string{witness, of}]
+// zoneRecord returns the record of what the gateways of one zone observed of another since the last evaluation.
+func (reg *Registry) zoneRecord(witness, of string) *zoneplan.Seen {
+	z := reg.zones[[2]string{witness, of}]
 	if z == nil {
 		z = &zoneplan.Seen{Witness: witness, Of: of}
-		if len(b.zones) < agreed.ZonesMost*agreed.ZonesMost {
-			b.zones[[2]string{witness, of}] = z
+		if len(reg.zones) < agreed.ZonesMost*agreed.ZonesMost {
+			reg.zones[[2]string{witness, of}] = z
 		}
 	}
 	return z
 }
 
-// tried adds what a gateway tried since its last report, and what its clients asked.
-func (b *Registry) tried(h *heard, r *Report) {
+// addZoneAttempts adds a gateway's attempts since its last report, and its clients' requests.
+func (reg *Registry) addZoneAttempts(h *gatewayState, r *Report) {
 	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.ZonesMost {
 		return
 	}
@@ -257,42 +260,44 @@
 		}
 	}
 	for _, t := range r.ZoneAttempts {
-		if t.Zone == "" || len(t.Zone) > textMost || t.Failed > t.Attempts {
+		if t.Zone == "" || len(t.Zone) > maxTextBytes || t.Failed > t.Attempts {
 			continue
 		}
-		n, bad := less(t.Attempts, was[t.Zone].Attempts), less(t.Failed, was[t.Zone].Failed)
-		z := b.zone(r.Zone, t.Zone)
-		z.Attempts, z.Failed = z.Attempts+float64(n), z.Failed+float64(min(bad, n))
-		b.zone(t.Zone, t.Zone).Done += float64(n - min(bad, n))
+		attempts, failed := saturatingSub(t.Attempts, was[t.Zone].Attempts), saturatingSub(t.Failed, was[t.Zone].Failed)
+		z := reg.zoneRecord(r.Zone, t.Zone)
+		z.Attempts, z.Failed = z.Attempts+float64(attempts), z.Failed+float64(min(failed, attempts))
+		reg.zoneRecord(t.Zone, t.Zone).Done += float64(attempts - min(failed, attempts))
 	}
 	if r.Counts != nil && r.Zone != "" {
-		old := &Counts{}
+		earlier := &Counts{}
 		if h.Epoch == r.Epoch && h.Counts != nil {
-			old = h.Counts
+			earlier = h.Counts
 		}
-		d := r.Counts.since(old)
+		d := r.Counts.since(earlier)
 		for _, c := range d.Classes {
-			b.zone(r.Zone, r.Zone).Offered += float64(c.Requests)
+			reg.zoneRecord(r.Zone, r.Zone).Offered += float64(c.Requests)
 		}
 	}
 }
 
-// TakeZoneCounts is what was seen of zones since the last call: work a second, attempts in all.
-func (b *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
-	span := max(now-b.zonesAt, time.Millisecond).Seconds()
-	b.zonesAt = now
-	for _, z := range b.zones {
+// TakeZoneCounts returns and resets what was observed of zones since the last call: offered and completed
+// work per second, attempts as totals.
+func (reg *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
+	span := max(now-reg.zonesAt, time.Millisecond).Seconds()
+	reg.zonesAt = now
+	for _, z := range reg.zones {
 		z.Offered, z.Done = z.Offered/span, z.Done/span
 		all = append(all, *z)
 	}
-	clear(b.zones)
+	clear(reg.zones)
 	return all
 }
 
-// TakeHealth is what was counted since the last call, by version; those that nothing came of are left out.
-func (b *Registry) TakeHealth() (all []agreed.VersionHealth) {
-	for _, name := range slices.Sorted(maps.Keys(b.versions)) {
-		v := b.versions[name]
+// TakeHealth returns and resets what was counted since the last call, by version, without versions that served no
+// request and had no restart.
+func (reg *Registry) TakeHealth() (all []agreed.VersionHealth) {
+	for _, name := range slices.Sorted(maps.Keys(reg.versions)) {
+		v := reg.versions[name]
 		n := uint64(v.Restarts)
 		for i := range v.Classes {
 			n += v.Classes[i].Requests
@@ -301,45 +306,45 @@
 			all = append(all, *v)
 		}
 	}
-	clear(b.versions)
+	clear(reg.versions)
 	return all
 }
 
-func (b *Registry) word(now Time, zone string, m MemberReport) {
-	if m.Member == "" || len(m.Member) > textMost || len(m.Zone) > textMost {
+func (reg *Registry) recordMember(now Time, zone string, m MemberReport) {
+	if m.Member == "" || len(m.Member) > maxTextBytes || len(m.Zone) > maxTextBytes {
 		return
 	}
-	by := b.members[m.Member]
-	if by == nil {
-		if len(b.members) >= membersMost {
+	byZone := reg.members[m.Member]
+	if byZone == nil {
+		if len(reg.members) >= maxMembers {
 			return
 		}
-		by = map[string]word{}
-		b.members[m.Member] = by
+		byZone = map[string]memberState{}
+		reg.members[m.Member] = byZone
 	}
-	if len(by) < 64 || by[zone].at > 0 {
-		by[zone] = word{m, now}
+	if len(byZone) < 64 || byZone[zone].receivedAt > 0 {
+		byZone[zone] = memberState{m, now}
 	}
 }
 
-// dbs are the members as gateways tell of them: out if most zones that tell of it lately say so, primary if most say so.
-// A replica's position is the highest told, as positions only grow.
-func (b *Registry) dbs(now Time) (all []agreed.Target) {
-	type one struct {
-		t        agreed.Target
+// memberTargets returns the members as gateways report them: out if most zones that reported recently say
+// so, primary if most say so. A replica's position is the highest reported, as positions only grow.
+func (reg *Registry) memberTargets(now Time) (all []agreed.Target) {
+	type candidate struct {
+		target   agreed.Target
 		position int64
 	}
-	groups := map[string][]*one{}
-	for _, name := range slices.Sorted(maps.Keys(b.members)) {
-		by := b.members[name]
-		zones, out, primary := 0, 0, 0
-		o := &one{t: agreed.Target{Name: "db/" + name}}
-		for z, w := range by {
-			if now-w.at > seenFor {
-				delete(by, z)
+	groups := map[string][]*candidate{}
+	for _, name := range slices.Sorted(maps.Keys(reg.members)) {
+		byZone := reg.members[name]
+		zonesHeard, out, primary := 0, 0, 0
+		o := &candidate{target: agreed.Target{Name: "db/" + name}}
+		for z, w := range byZone {
+			if now-w.receivedAt > reportValidity {
+				delete(byZone, z)
 				continue
 			}
-			zones++
+			zonesHeard++
 			if w.Out {
 				out++
 			}
@@ -347,69 +352,69 @@
 				primary++
 			}
 			o.position = max(o.position, w.Position)
-			o.t.Group, o.t.Zone = fmt.Sprint(w.Group), w.Zone
+			o.target.Group, o.target.Zone = fmt.Sprint(w.Group), w.Zone
 		}
-		if zones == 0 {
-			delete(b.members, name)
+		if zonesHeard == 0 {
+			delete(reg.members, name)
 			continue
 		}
-		o.t.Out, o.t.Primary = 2*out > zones, 2*primary > zones
-		groups[o.t.Group] = append(groups[o.t.Group], o)
+		o.target.Out, o.target.Primary = 2*out > zonesHeard, 2*primary > zonesHeard
+		groups[o.target.Group] = append(groups[o.target.Group], o)
 	}
 	for _, g := range slices.Sorted(maps.Keys(groups)) {
 		newest := int64(0)
-		var best *one
+		var best *candidate
 		for _, o := range groups[g] {
 			newest = max(newest, o.position)
-			if !o.t.Primary && !o.t.Out && o.position > 0 && (best == nil || o.position > best.position) {
+			if !o.target.Primary && !o.target.Out && o.position > 0 && (best == nil || o.position > best.position) {
 				best = o
 			}
 		}
 		for _, o := range groups[g] {
-			o.t.Caught = !o.t.Primary && o.position > 0 && newest-o.position <= caughtUp.Milliseconds()
-			o.t.Best = o == best
-			all = append(all, o.t)
+			o.target.Caught = !o.target.Primary && o.position > 0 && newest-o.position <= caughtUpDistance.Milliseconds()
+			o.target.Best = o == best
+			all = append(all, o.target)
 		}
 	}
 	return all
 }
 
-// SetLeading notes whether this voter leads.
-func (b *Registry) SetLeading(now Time, leads bool) {
-	if leads && !b.leads {
-		b.since = now
+// SetLeading records whether this voter leads.
+func (reg *Registry) SetLeading(now Time, leads bool) {
+	if leads && !reg.leading {
+		reg.observingSince = now
 	}
-	b.leads = leads
+	reg.leading = leads
 }
 
-// Targets is who is there and who is out by itself, and whether that is another set than the one known. A leader that has
-// led for less than SilentFor takes nobody for out whom the council did not: it may just not have heard of it yet.
-// With full it tells of versions, starts and members too.
-func (b *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
+// Targets returns all gateways and members, whether each is out, and whether that differs from the known
+// set. A leader that has led for less than SilentTimeout counts nobody as out that the council did not: it
+// may not have received the reports yet. With full it includes versions, starts and members.
+func (reg *Registry) Targets(now Time, known []agreed.Target, full bool) (all []agreed.Target, changed bool) {
 	was := map[string]agreed.Target{}
 	for _, t := range known {
 		if name, ok := strings.CutPrefix(t.Name, "gateway/"); ok {
 			was[name] = t
-			if b.seen[name] == nil && len(b.seen) < MaxGateways { // agreed before this voter heard of it
-				b.seen[name] = &heard{Report: Report{Name: name, Zone: t.Zone}, at: b.since}
+			if reg.gateways[name] == nil && len(reg.gateways) < MaxGateways { // agreed before this voter received a report of it
+				reg.gateways[name] = &gatewayState{Report: Report{Name: name, Zone: t.Zone}, receivedAt: reg.observingSince}
 			}
-		} else if !full || now-b.since < seenFor { // a new leader hears of all members first
+		} else if !full || now-reg.observingSince < reportValidity { // a new leader first waits for reports on all members
 			all = append(all, t)
 		}
 	}
-	if full && now-b.since >= seenFor {
-		all = b.dbs(now)
+	if full && now-reg.observingSince >= reportValidity {
+		all = reg.memberTargets(now)
 	}
-	for name, h := range b.seen {
-		silent := now - max(h.at, b.since)
-		if silent > forgetAfter || h.Leaving && silent > leftCounts {
-			delete(b.seen, name)
+	for name, h := range reg.gateways {
+		silent := now - max(h.receivedAt, reg.observingSince)
+		if silent > forgetDelay || h.Leaving && silent > leftRetention {
+			delete(reg.gateways, name)
 			continue
 		}
-		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaving || silent > SilentTimeout || was[name].Out && now-h.at > ServingWindow}
+		t := agreed.Target{Name: "gateway/" + name, Zone: h.Zone, Out: h.Leaving || silent > SilentTimeout || was[name].Out && now-h.receivedAt > ServingWindow}
 		if full {
 			t.Version, t.Epoch = h.Version, h.Epoch
-			if h.Epoch == 0 { // not heard of since this voter began
+			if h.Epoch == 0 { // not heard since this voter began
 				t.Version, t.Epoch = was[name].Version, was[name].Epoch
 			}
 		}
@@ -420,16 +425,16 @@
 	return all, !slices.Equal(all, slices.SortedFunc(slices.Values(known), byName))
 }
 
-// Serving tells whether a gateway reported lately that it serves.
-func (b *Registry) Serving(now Time, target string) bool {
+// Serving reports whether a gateway recently reported that it serves.
+func (reg *Registry) Serving(now Time, target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
-	h := b.seen[name]
-	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaving && now-h.at < ServingWindow
+	h := reg.gateways[name]
+	return ok && h != nil && h.Epoch > 0 && !h.Drain && !h.Leaving && now-h.receivedAt < ServingWindow
 }
 
-// ReturnedAfterDrain tells that a gateway whose last start drained or left has begun another one.
-func (b *Registry) ReturnedAfterDrain(target string) bool {
+// ReturnedAfterDrain reports whether a gateway whose last start drained or left has started again.
+func (reg *Registry) ReturnedAfterDrain(target string) bool {
 	name, ok := strings.CutPrefix(target, "gateway/")
-	h := b.seen[name]
-	return ok && h != nil && h.again
+	h := reg.gateways[name]
+	return ok && h != nil && h.returned
 }
