--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -2,42 +2,44 @@
 
 import "sync"
 
-// BufSize holds the largest message that is held whole: a value of 64 KiB as hex digits, with its statement.
+// BufSize is the size, in bytes, of a large buffer. It fits the largest message that is buffered whole: a value of 64 KiB as
+// hex digits, with its statement.
 const BufSize = 132 << 10
 
-// SmallSize holds the usual statement or small answer. Many are held by slow peers at once, and few need more.
+// SmallSize is the size, in bytes, of a small buffer. It fits a typical statement or a small answer. Slow peers keep many
+// buffers in use at once, and few of these messages need more.
 const SmallSize = 4 << 10
 
-// Buf is a buffer from a Pool. B is empty when it comes and may grow up to its capacity only.
+// Buf is a buffer from a Pool. B is empty at first and must not grow beyond its capacity.
 type Buf struct {
 	B    []byte
 	pool *Pool
 }
 
-// Release gives the buffer back; the holder must not use it afterwards.
+// Release returns the buffer to its pool; the caller must not use it afterwards.
 func (b *Buf) Release() { b.pool.put(b) }
 
-// Pool hands out buffers of two sizes, up to a fixed number of each.
+// Pool hands out buffers of two sizes, up to a limit for each. It is safe for concurrent use.
 type Pool struct {
 	mu         sync.Mutex
 	full, tiny shelf
 }
 
-// shelf holds buffers of one size.
+// shelf holds the buffers of one size.
 type shelf struct {
 	size int
 	free []*Buf
-	left int // not made yet; below 0 more are in use than Limit allows
+	left int // buffers that may still be allocated; negative if more are in use than the limit allows
 	most int
 }
 
-// NewPool returns a pool of at most full buffers of BufSize and small ones of SmallSize, which are made as needed.
+// NewPool returns a pool of at most full buffers of BufSize and small buffers of SmallSize. They are allocated on demand.
 func NewPool(full, small int) *Pool {
 	return &Pool{full: shelf{size: BufSize, left: full, most: full}, tiny: shelf{size: SmallSize, left: small, most: small}}
 }
 
-// Limit has the pool hold so many buffers of each size at most from now on. Those in use above that are dropped as they
-// come back.
+// Limit sets the limits for the numbers of buffers. Buffers in use beyond the new limits are discarded when they are
+// released.
 func (p *Pool) Limit(full, small int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,7 +53,7 @@
 	s.trim()
 }
 
-// trim drops free buffers while there are more than may be.
+// trim discards free buffers while the limit is exceeded.
 func (s *shelf) trim() {
 	for s.left < 0 && len(s.free) > 0 {
 		s.free[len(s.free)-1] = nil
@@ -60,8 +62,8 @@
 	}
 }
 
-// Get returns a buffer that holds n bytes, a small one if that will do and there is one; nil when it would leave keep
-// full ones or fewer.
+// Get returns a buffer for n bytes, preferably a small one. It returns nil if n is larger than a large buffer, or if no
+// more than keep large buffers are available: those are reserved for other uses.
 func (p *Pool) Get(n, keep int) *Buf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,14 +105,14 @@
 	s.trim()
 }
 
-// Free returns how many full buffers may still be had.
+// Free returns the number of large buffers that are available.
 func (p *Pool) Free() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.full.count()
 }
 
-// FreeSmall returns how many small buffers may still be had.
+// FreeSmall returns the number of small buffers that are available.
 func (p *Pool) FreeSmall() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pgwire/call.go
+++ b/internal/pgwire/call.go
@@ -10,8 +10,8 @@
 	"reachwind/internal/call"
 )
 
-// Form returns the parts of a Query for a call that came by another protocol: the statement that a client of
-// PostgreSQL would have sent for it, as the protocol page has it. Values go as bytea in hexadecimal.
+// Form returns the parts of a Query message for a call that arrived by another protocol: the statement that a PostgreSQL
+// client would have sent for it. wait is the value of field d, in milliseconds. Values are written as bytea in hexadecimal.
 func Form(c *call.Request, wait int64) [][]byte {
 	b := make([]byte, 5, 256+2*len(c.Value))
 	b = append(append(b, "/* id="...), c.ID...)
@@ -43,14 +43,14 @@
 	return [][]byte{b}
 }
 
-// A page is asked of PostgreSQL as one row of a relation "pages", whose id says which page: "p", the limit, and in
-// hexadecimal the id that it begins after and the prefix, with ":" between. Its doc is a call.Page in JSON. Members
-// of the platform never see this form.
+// pageID returns the id under which a page is requested from PostgreSQL: a page is one row of the relation "pages", with
+// the id "p", the limit, and in hexadecimal the id after which the page begins and the prefix, separated by ":". Its doc is
+// a call.Page in JSON. Members of the platform never see this form.
 func pageID(c *call.Request) string {
 	return "p:" + strconv.Itoa(c.Limit) + ":" + hex.EncodeToString([]byte(c.After)) + ":" + hex.EncodeToString([]byte(c.Prefix))
 }
 
-// ParsePage reads the id of a page.
+// ParsePage parses the id of a page, as pageID writes it.
 func ParsePage(id string) (prefix, after string, limit int, ok bool) {
 	f := strings.Split(id, ":")
 	if len(f) != 4 || f[0] != "p" {
@@ -65,7 +65,7 @@
 	return string(p), string(a), limit, true
 }
 
-// Plain tells whether a text can stand in a statement's comment.
+// Plain reports whether s can be the value of a field in a statement's comment.
 func Plain(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 0x7f || c == ',' || c == '*' || c == '/' || c == '=' {
@@ -77,8 +77,7 @@
 
 var errNoRow = errors.New("the answer holds no row")
 
-// Value implements call.Answer for a buffer with a member's whole answer. A bytea in its text form is given as the
-// bytes it stands for.
+// Value implements call.Answer for a buffer with a complete answer of a member. A bytea in its text form is decoded.
 func (b *Buf) Value() ([]byte, error) {
 	for at := 0; at+5 <= len(b.B); {
 		typ, n, err := Header(b.B[at : at+5])
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,6 +1,6 @@
-// Package pgwire knows version 3 of PostgreSQL's wire protocol as far as a
-// gateway for simple queries needs it: framing, the codes of errors, and the
-// comment that heads each statement. It has no sockets.
+// Package pgwire implements the parts of version 3 of PostgreSQL's wire
+// protocol that a gateway for simple queries needs: framing, error codes, and
+// the comment at the head of each statement. It does no I/O on sockets.
 package pgwire
 
 import (
@@ -13,7 +13,7 @@
 	"unicode/utf8"
 )
 
-// Requests that stand in place of a startup message's version.
+// Protocol versions and request codes in the first field of a startup message.
 const (
 	Version3      = 3 << 16
 	CancelRequest = 80877102
@@ -25,8 +25,8 @@
 const (
 	TooManyConnections = "53300"
 	CannotConnectNow   = "57P03"
-	ReadOnly           = "25006" // a write at a member that is no primary
-	TooFarBehind       = "72000" // a read at a member that lags too far
+	ReadOnly           = "25006" // a write was sent to a member that is not the primary
+	TooFarBehind       = "72000" // a read was sent to a member whose replication lag is too large
 	ProtocolViolation  = "08P01"
 	Unsupported        = "0A000"
 	SyntaxError        = "42601"
@@ -35,23 +35,23 @@
 	SystemError        = "58000"
 )
 
-// The largest messages taken.
+// Size limits of messages, in bytes.
 const (
 	MaxStartup = 8 << 10
-	MaxMessage = BufSize - 64 // room for a frame around the statement
+	MaxMessage = BufSize - 64 // leaves room for the frame around the statement
 )
 
-// MaxSmall bounds a message that carries no value: errors, parameters and the like.
+// MaxSmall is the size limit, in bytes, of a message that carries no value, such as an error or a parameter status.
 const MaxSmall = 8 << 10
 
-// ErrTooLong says that a message announces an impossible length, ErrMalformed
-// that a message is not what its type says.
+// ErrTooLong reports a message whose announced length is outside the limits;
+// ErrMalformed reports a message whose body does not match its type.
 var (
 	ErrTooLong   = errors.New("message of impossible length")
 	ErrMalformed = errors.New("malformed message")
 )
 
-// Header splits the five bytes before a message's body into type and body length.
+// Header splits the five-byte message header into the type and the length of the body. The error wraps ErrTooLong.
 func Header(h []byte) (typ byte, n int, err error) {
 	l := binary.BigEndian.Uint32(h[1:5])
 	if l < 4 || l > MaxMessage {
@@ -60,7 +60,7 @@
 	return h[0], int(l) - 4, nil
 }
 
-// StartupLen reads the length of a startup message's rest from its first four bytes.
+// StartupLen returns the number of bytes that follow the first four of a startup message. The error wraps ErrTooLong.
 func StartupLen(h []byte) (int, error) {
 	l := binary.BigEndian.Uint32(h)
 	if l < 8 || l > MaxStartup {
@@ -69,12 +69,12 @@
 	return int(l) - 4, nil
 }
 
-// Unusable tells that a code finds fault with the statement itself.
+// Unusable reports whether an error code blames the statement itself.
 func Unusable(code string) bool {
 	return strings.HasPrefix(code, syntaxClass) || code == ProtocolViolation
 }
 
-// Append appends a message.
+// Append appends a message of the given type whose body is the concatenation of parts.
 func Append(b []byte, typ byte, parts ...string) []byte {
 	n := 4
 	for _, p := range parts {
@@ -95,15 +95,15 @@
 	return append(b, body...)
 }
 
-// AppendStatus appends a ParameterStatus.
+// AppendStatus appends a ParameterStatus message.
 func AppendStatus(b []byte, name, value string) []byte {
 	return Append(b, 'S', name, "\x00", value, "\x00")
 }
 
-// AppendReady appends ReadyForQuery, outside a transaction.
+// AppendReady appends a ReadyForQuery message with the status "idle, not in a transaction".
 func AppendReady(b []byte) []byte { return Append(b, 'Z', "I") }
 
-// AppendError appends an ErrorResponse; an empty detail is left out.
+// AppendError appends an ErrorResponse; an empty detail is omitted.
 func AppendError(b []byte, severity, code, text, detail string) []byte {
 	body := "S" + severity + "\x00V" + severity + "\x00C" + code + "\x00M" + text + "\x00"
 	if detail != "" {
@@ -112,7 +112,7 @@
 	return Append(b, 'E', body, "\x00")
 }
 
-// ErrorField returns a field of an ErrorResponse's body, empty if absent.
+// ErrorField returns a field of the body of an ErrorResponse, or "" if it is absent.
 func ErrorField(body []byte, field byte) string {
 	for len(body) > 0 && body[0] != 0 {
 		value, rest, ok := bytes.Cut(body[1:], []byte{0})
@@ -127,23 +127,23 @@
 	return ""
 }
 
-// Status splits a ParameterStatus's body.
+// Status splits the body of a ParameterStatus into name and value.
 func Status(body []byte) (name, value string) {
 	n, rest, _ := bytes.Cut(body, []byte{0})
 	v, _, _ := bytes.Cut(rest, []byte{0})
 	return string(n), string(v)
 }
 
-// OneColumn checks a RowDescription's body: one column, and nothing else.
+// OneColumn checks that the body of a RowDescription describes exactly one column and has no trailing bytes.
 func OneColumn(body []byte) error {
-	const after = 18 // bytes of numbers after a column's name
+	const after = 18 // bytes of numeric fields after the name of a column
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 || bytes.IndexByte(body[2:], 0)+1+after != len(body)-2 {
 		return fmt.Errorf("%w: row description", ErrMalformed)
 	}
 	return nil
 }
 
-// Column returns the value in a DataRow's body, which must hold one that is not null, and nothing else.
+// Column returns the value in the body of a DataRow, which must hold exactly one non-null column and no trailing bytes.
 func Column(body []byte) ([]byte, error) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 || int64(binary.BigEndian.Uint32(body[2:])) != int64(len(body)-6) {
 		return nil, fmt.Errorf("%w: row", ErrMalformed)
@@ -151,7 +151,7 @@
 	return body[6:], nil
 }
 
-// Tag checks a CommandComplete's body: a line of text.
+// Tag checks that the body of a CommandComplete is a zero-terminated line of printable ASCII.
 func Tag(body []byte) error {
 	n := len(body) - 1
 	if n < 1 || body[n] != 0 || bytes.ContainsFunc(body[:n], func(r rune) bool { return r < ' ' || r > '~' }) {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// ErrorCode returns the code of an ErrorResponse's body, which must hold one.
+// ErrorCode returns the SQLSTATE in the body of an ErrorResponse, or an error if it has none that is well-formed.
 func ErrorCode(body []byte) (string, error) {
 	code := ErrorField(body, 'C')
 	if len(code) != 5 || strings.ContainsFunc(code, func(r rune) bool { return (r < '0' || r > '9') && (r < 'A' || r > 'Z') }) {
@@ -169,7 +169,7 @@
 	return code, nil
 }
 
-// Pairs calls each for every name=value of a load report.
+// Pairs calls each for every name=value pair of a load report. Pairs without a finite number below 1e18 are skipped.
 func Pairs(s []byte, each func(name string, v float64)) {
 	for more := true; more; {
 		var pair []byte
@@ -181,25 +181,25 @@
 	}
 }
 
-// Statement is a client's statement with what its comment says.
+// Statement is a client's statement with the parsed fields of its comment.
 type Statement struct {
-	Buf     *Buf   // the text, without its final zero
-	ID      string // id
-	Class   string // c
-	Tenant  string // t
-	Wait    int64  // d, in milliseconds
+	Buf     *Buf   // the text, without the terminating zero
+	ID      string // field id
+	Class   string // field c
+	Tenant  string // field t
+	Wait    int64  // field d: milliseconds that the client waits
 	Cluster int64
 	After   int64 // Unix time in ms of the session's last write, 0 = none
 	Retry   bool
-	Keyed   bool   // k is there
-	Key     string // the quoted key
+	Keyed   bool   // field k, the idempotency key, is present
+	Key     string // the quoted key of the item
 	Read    bool   // a SELECT
 	Done    func() // called on Release, if set
 
-	dFrom, dTo int // where the digits of d stand in the text
+	dFrom, dTo int // byte range of the value of field d in the text
 }
 
-// Release gives the text's buffer back.
+// Release returns the buffer to its pool and calls Done.
 func (s *Statement) Release() {
 	s.Buf.Release()
 	if s.Done != nil {
@@ -207,12 +207,12 @@
 	}
 }
 
-// Empty tells that a query's text holds no statement.
+// Empty reports whether the text of a query holds no statement.
 func Empty(text []byte) bool {
 	return len(bytes.Trim(text, " \t\r\n;")) == 0
 }
 
-// Verb returns the first word of a statement in capitals, at most 16 letters of it.
+// Verb returns the first word of a statement in upper case, cut to 16 letters.
 func Verb(text []byte) string {
 	text = bytes.TrimLeft(text, " \t\r\n")
 	n := 0
@@ -222,8 +222,9 @@
 	return string(bytes.ToUpper(text[:n]))
 }
 
-// Parse reads the comment and the key of the text in buf. What it takes a member
-// can read: one that cannot closes the connection, which would look like its fault.
+// Parse parses the comment and the item's key of the text in buf. It accepts only
+// statements that a member can read: a member closes the connection on any other,
+// which would count as a failure of the member. The texts of its errors go to clients.
 func Parse(buf *Buf) (*Statement, error) {
 	text := buf.B
 	if !utf8.Valid(text) || bytes.IndexByte(text, 0) >= 0 {
@@ -273,17 +274,18 @@
 	return s, nil
 }
 
-// page tells whether the statement asks for a page, whose name may be longer as no table keeps it.
+// page reports whether the statement requests a page of items. The id of a page may be longer than a key because no table
+// stores it.
 func (s *Statement) page(rest []byte) bool {
 	_, _, _, ok := ParsePage(s.Key)
 	return ok && s.Read && len(s.Key) <= 5*maxName && bytes.Contains(rest, []byte(" FROM pages "))
 }
 
-const maxFields = 32 // in a comment
+const maxFields = 32 // fields in a comment
 
-const maxName = 256 // bytes of an id or a key; both are kept in tables
+const maxName = 256 // bytes of an id or a key; both are stored in tables
 
-// field takes the name=value at text[from:to]; seen are the names that came.
+// field parses the name=value pair at text[from:to] and adds its name to seen.
 func (s *Statement) field(text []byte, from, to int, seen map[string]bool) (err error) {
 	name, value, ok := bytes.Cut(text[from:to], []byte{'='})
 	if !ok {
@@ -327,7 +329,7 @@
 	return err
 }
 
-// quoted returns the first quoted string of a statement, its doubled quotes undone.
+// quoted returns the first quoted string of a statement, with doubled quotes unescaped.
 func quoted(text []byte) string {
 	at := bytes.IndexByte(text, '\'')
 	if at < 0 {
@@ -346,8 +348,8 @@
 	return ""
 }
 
-// Query returns the parts of a Query with the statement, which says how many
-// milliseconds its sender will wait. The large part is the statement's own memory.
+// Query returns the parts of a Query message with the statement, in which field d is replaced by wait, in milliseconds.
+// The large part aliases the statement's buffer.
 func (s *Statement) Query(wait int64) [][]byte {
 	text := s.Buf.B
 	digits := strconv.AppendInt(make([]byte, 0, 20), wait, 10)
--- a/internal/pgwire/stream.go
+++ b/internal/pgwire/stream.go
@@ -6,21 +6,20 @@
 	"io"
 )
 
-// A value of more than WholeMost bytes passes through as it comes; a row of more than RowMost bytes is none: a value
-// of 4 MiB as hex digits.
+// Sizes of DataRow messages, in bytes.
 const (
-	WholeMost = 64 << 10
-	RowMost   = 8<<20 + 64
-	RowHead   = 11 // bytes of a DataRow before its value: type, length, one column, the value's length
+	WholeMost = 64 << 10   // a larger value is streamed, not buffered
+	RowMost   = 8<<20 + 64 // largest row that is accepted: a value of 4 MiB as hex digits
+	RowHead   = 11         // header of a DataRow up to the value: type, length, number of columns, length of the value
 )
 
-// Large tells whether five bytes head a DataRow whose value is too large to be held whole.
+// Large reports whether a five-byte message header belongs to a DataRow whose value is too large to be buffered.
 func Large(h []byte) bool {
 	return h[0] == 'D' && binary.BigEndian.Uint32(h[1:5]) > RowHead-1+WholeMost
 }
 
-// RowLen returns the length of the value that the RowHead bytes of a large DataRow announce, which must be its only
-// column, not null, and fill it.
+// RowLen returns the length of the value that the first RowHead bytes of a large DataRow announce. The value must be the
+// only column, not null, and fill the rest of the message; else the error wraps ErrTooLong or ErrMalformed.
 func RowLen(h []byte) (int, error) {
 	n, cols, value := int64(binary.BigEndian.Uint32(h[1:5])), binary.BigEndian.Uint16(h[5:7]), int64(binary.BigEndian.Uint32(h[7:11]))
 	switch {
@@ -32,8 +31,9 @@
 	return int(value), nil
 }
 
-// Stream is an answer that passes through: its member's side writes it to where the client's side says. Exactly one
-// of Start and Release comes first; both are the client's side's, or the owner's while nobody has it.
+// Stream is an answer that is streamed: the member's connection writes it to the writer that the client's connection
+// provides. The first call of Start or Release decides. Both are called by the client's connection, or by the owner of the
+// stream before a client's connection has it.
 type Stream struct{ taken chan taker }
 
 type taker struct {
@@ -41,14 +41,14 @@
 	done func(tail []byte)
 }
 
-// NewStream returns a stream that nobody has taken.
+// NewStream returns a stream that is neither started nor released.
 func NewStream() *Stream { return &Stream{make(chan taker, 1)} }
 
-// Start has the answer written to w, from another goroutine. done is called once at the end: with the messages that are
-// still to be written before ReadyForQuery, or with nil if what was written is not whole and never will be.
+// Start has the answer written to w, from another goroutine. done is called once at the end: with the messages that remain
+// to be written before ReadyForQuery, or with nil if the answer was cut short.
 func (s *Stream) Start(w io.Writer, done func(tail []byte)) { s.give(taker{w, done}) }
 
-// Release tells that nobody takes the stream; after Start it does nothing.
+// Release says that nobody will start the stream; after Start it does nothing.
 func (s *Stream) Release() { s.give(taker{}) }
 
 func (s *Stream) give(t taker) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Taken waits until the stream is taken or released; w is nil if nobody takes it. It is the member's side's, to be called once.
+// Taken waits until the stream is started or released; w is nil if it was released. The member's connection calls it, once.
 func (s *Stream) Taken() (w io.Writer, done func(tail []byte)) {
 	t := <-s.taken
 	return t.w, t.done
