--- a/internal/handover/board.go
+++ b/internal/handover/board.go
@@ -1,6 +1,6 @@
-// Package handover is what two processes of one gateway share while one replaces the other: a board in shared memory,
-// state files, and locks that tell who lives. All of it is in a folder that both reach. No process ever waits for
-// another here for longer than a stated bound, and one that is killed at any step leaves what it wrote whole.
+// Package handover holds what two processes of one gateway share while one replaces the other: a block of shared memory,
+// state files, and file locks that show which processes are alive. All of them are in one folder. No process waits
+// for another longer than a documented bound, and a process that is killed at any step leaves the files consistent.
 package handover
 
 import (
@@ -24,7 +24,7 @@
 
 	magic    = 0x72776264
 	version  = 1
-	slots    = 4 // processes of one gateway at once: the one in service, its successor, and such as are ending
+	slots    = 4 // processes of one gateway at a time: the one in service, its successor, and those that are shutting down
 	sessions = 1 << 13
 
 	wordMagic, wordSize, wordSum, wordBirths, wordBans = 0, 1, 2, 3, 4
@@ -35,60 +35,61 @@
 	sessionsAt = slotAt + slots*slotWords
 	words      = sessionsAt + sessions
 
-	lockMaking = slots     // byte of the lock file that is held while the board is made
-	lockFiles  = slots + 1 // and while a state file is changed
+	lockMaking = slots     // byte of the lock file that is locked while the shared state is created
+	lockFiles  = slots + 1 // byte of the lock file that is locked while a state file is changed
 
-	lockWait = 300 * time.Millisecond // for another that makes the board or changes a file
+	lockWait = 300 * time.Millisecond // bound on the wait for another process that holds one of these two locks
 )
 
-// Errors of a board or a state file that can't be used.
+// Errors of shared memory or a state file that cannot be used.
 var (
 	ErrMissing = errors.New("is missing")
 	ErrTorn    = errors.New("is not whole")
 	ErrVersion = errors.New("is of another version")
 	ErrHuge    = errors.New("is larger than any that this program writes")
 	ErrBusy    = errors.New("is held by another process that does not go on")
-	ErrCrowd   = errors.New("too many processes of this gateway live at once")
+	ErrCrowd   = errors.New("too many processes of this gateway are alive at once")
 )
 
-// StateError tells of a shared file that can't be used, and what an operator can do.
+// StateError reports a shared file that cannot be used, and what an operator can do about it.
 type StateError struct {
 	File string
-	Err  error // one of the above, or the system's
+	Err  error // one of the errors above, or one of the operating system
 	Do   string
 }
 
 func (e *StateError) Error() string { return fmt.Sprintf("%s %v; %s", e.File, e.Err, e.Do) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *StateError) Unwrap() error { return e.Err }
 
-// Board is the shared memory of a gateway's processes. Its methods may be called from any goroutine; none blocks.
+// Board is the state that the processes of a gateway share. Its methods are safe for concurrent use; those that use the
+// shared memory only do not block.
 type Board struct {
 	dir   string
 	lock  *os.File
 	slot  int
 	birth uint64
-	file  uint64                               // which file the board is, as the lock file has it for each place
-	at    atomic.Pointer[[words]atomic.Uint64] // nil: this process runs without a board, and only knows who lives
+	file  uint64                               // inode of the shared memory's file; the lock file holds it for each slot
+	at    atomic.Pointer[[words]atomic.Uint64] // nil: no shared memory; this process only knows which others are alive
 }
 
-// Other is what a process of the same gateway says of itself.
+// Other describes another process of the same gateway.
 type Other struct {
-	Shares bool // it uses the board; else nothing more is known of it
+	Shares bool // it uses the same shared memory; else nothing more is known about it
 	Birth  uint64
 	Older  bool
 	Ready  bool
-	Used   int    // descriptors
-	Saw    uint64 // count of state changes that it has taken over
+	Used   int    // file descriptors that it holds
+	Saw    uint64 // number of state changes that it has applied
 }
 
-// Open takes a place among the processes of the gateway whose folder is dir. Where the board can't be used an error
-// comes with a Board that knows who lives, or with none if not even that can be told.
+// Open claims a slot among the processes of the gateway whose folder is dir. If the shared memory cannot be used, it
+// returns an error together with a Board that knows which processes are alive, or nil if not even that can be known.
 func Open(dir string) (*Board, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, &StateError{lockName, err, "give the gateway a folder that it may write to, as TMPDIR"}
+		return nil, &StateError{lockName, err, "set TMPDIR to a folder that the gateway can write to"}
 	}
 	b := &Board{dir: dir, lock: f, slot: -1}
 	for i := range slots {
@@ -105,29 +106,30 @@
 	return b, b.Share()
 }
 
-// Share takes part in the board, if this process does not yet and if it can.
+// Share maps the shared memory and registers this process in it, unless that is done already. It creates the shared memory
+// if it is missing, and replaces it if it is unusable and no other process is alive.
 func (b *Board) Share() error {
 	if b.Shared() {
 		return nil
 	}
 	release, err := b.claim(lockMaking)
 	if err != nil {
-		return &StateError{boardName, err, "end the process that was stopped while it started"}
+		return &StateError{boardName, err, "end the process that was suspended during its start"}
 	}
 	defer release()
 	err = b.attach()
 	if err != nil && !b.Alone() && !errors.Is(err, ErrMissing) {
-		return &StateError{boardName, err, "nothing: it is replaced once the other process has ended"}
+		return &StateError{boardName, err, "no action needed: it is replaced once the other process has ended"}
 	}
 	if err != nil {
 		if err = b.make(); err == nil {
 			err = b.attach()
 		}
 		if err != nil {
-			return &StateError{boardName, err, "give the folder room for 64 KB"}
+			return &StateError{boardName, err, "free 64 KB of disk space in the folder"}
 		}
 	}
-	b.own(slotBirth).Store(0) // the place's former holder's words count no more
+	b.own(slotBirth).Store(0) // invalidates what the former process of this slot stored
 	for i := slotBirth + 1; i < slotWords; i++ {
 		b.own(i).Store(0)
 	}
@@ -137,12 +139,13 @@
 	return nil
 }
 
-// tell notes in the lock file which board this process uses, 0 = none: one that was put in its place is another.
+// tell writes the inode of the shared memory that this process uses to the lock file, 0 = none. A file that replaced it has
+// another inode.
 func (b *Board) tell(file uint64) {
 	_, _ = b.lock.WriteAt(binary.LittleEndian.AppendUint64(nil, file), int64(b.slot*8))
 }
 
-// uses is the board that the process at a place uses.
+// uses returns the inode of the shared memory that the process in a slot uses.
 func (b *Board) uses(slot int) uint64 {
 	var w [8]byte
 	if _, err := b.lock.ReadAt(w[:], int64(slot*8)); err != nil {
@@ -151,7 +154,7 @@
 	return binary.LittleEndian.Uint64(w[:])
 }
 
-// make writes a whole new board and puts it in place of what is there.
+// make creates new shared memory and atomically replaces the existing file by it.
 func (b *Board) make() error {
 	f, err := os.CreateTemp(b.dir, boardName+".*")
 	if err != nil {
@@ -162,7 +165,7 @@
 	binary.NativeEndian.PutUint64(head, magic<<32|version)
 	binary.NativeEndian.PutUint64(head[8:], words)
 	binary.NativeEndian.PutUint64(head[16:], uint64(crc32.Checksum(head[:16], castagnoli)))
-	// The room is taken now: a page that can't be had later would end the process.
+	// Disk space is allocated now: a page that cannot be allocated later would kill the process.
 	if err = unix.Fallocate(int(f.Fd()), 0, 0, words*8); err == nil {
 		_, err = f.WriteAt(head, 0)
 	}
@@ -175,7 +178,7 @@
 	return err
 }
 
-// attach maps the board that is there, if it is whole and of this version.
+// attach maps the existing shared memory if it is intact and of this version.
 func (b *Board) attach() error {
 	f, err := os.OpenFile(filepath.Join(b.dir, boardName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
@@ -217,18 +220,18 @@
 	return nil
 }
 
-// Close gives up the place. The board stays for others, and mapped: some goroutine may still look at it.
+// Close releases the slot. The shared memory remains for other processes, and mapped: a goroutine may still read it.
 func (b *Board) Close() { _ = b.lock.Close() }
 
-// Shared tells whether the board can be used.
+// Shared reports whether this process uses the shared memory.
 func (b *Board) Shared() bool { return b.at.Load() != nil }
 
-// hold takes a byte of the lock file, for as long as this process lives or until it is dropped.
+// hold locks a byte of the lock file until the lock is released or the process ends. It does not wait.
 func (b *Board) hold(at int) error {
 	return unix.FcntlFlock(b.lock.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: int64(at), Len: 1})
 }
 
-// claim takes a byte for a moment; another that does not let go of it is waited for a bounded time.
+// claim locks a byte of the lock file for a short time. It waits for another holder up to lockWait, then returns ErrBusy.
 func (b *Board) claim(at int) (release func(), err error) {
 	for until := time.Now().Add(lockWait); ; time.Sleep(2 * time.Millisecond) {
 		if err = b.hold(at); err == nil {
@@ -242,14 +245,14 @@
 	}
 }
 
-// lives tells whether another process holds a place.
+// lives reports whether another process holds a slot.
 func (b *Board) lives(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(slot), Len: 1}
 	err := unix.FcntlFlock(b.lock.Fd(), unix.F_OFD_GETLK, &l)
 	return err == nil && l.Type != unix.F_UNLCK
 }
 
-// Alone tells whether no other process of the gateway lives.
+// Alone reports whether no other process of the gateway is alive.
 func (b *Board) Alone() bool {
 	for i := range slots {
 		if i != b.slot && b.lives(i) {
@@ -259,7 +262,7 @@
 	return true
 }
 
-// Others are the processes beside this one.
+// Others returns the other live processes of the gateway.
 func (b *Board) Others() (all []Other) {
 	for i := range slots {
 		if i == b.slot || !b.lives(i) {
@@ -280,7 +283,7 @@
 
 func (b *Board) own(word int) *atomic.Uint64 { return &b.at.Load()[slotAt+b.slot*slotWords+word] }
 
-// Ready says whether this process can serve.
+// Ready publishes whether this process can serve.
 func (b *Board) Ready(yes bool) {
 	if b.Shared() {
 		n := uint64(0)
@@ -291,13 +294,14 @@
 	}
 }
 
-// Used says how many descriptors this process holds.
+// Used publishes how many file descriptors this process holds.
 func (b *Board) Used(n int) {
 	if b.Shared() {
 		b.own(slotUsed).Store(uint64(n))
 	}
 }
 
+// word returns the index of the word that holds the last commit of a session. Sessions whose hashes collide share a word.
 func word(group int64, session string) int {
 	var h xxhash.Digest
 	h.Reset()
@@ -306,8 +310,8 @@
 	return sessionsAt + int(h.Sum64()%sessions)
 }
 
-// Commit notes that a session's write was committed at p, as time since the start of Unix time. It must be called
-// before the write is answered.
+// Commit records that a write of a session was committed at p, a time since the Unix epoch. It must be called before the
+// write is answered.
 func (b *Board) Commit(group int64, session string, p time.Duration) {
 	at := b.at.Load()
 	if at == nil || p <= 0 {
@@ -322,8 +326,8 @@
 	}
 }
 
-// Committed is a time up to which a session's reads must see: that of its last commit in any process, or later.
-// 0 = it has none.
+// Committed returns the time, since the Unix epoch, up to which the reads of a session must see all writes: that of its last
+// commit in any process, or later. 0 means that it has none.
 func (b *Board) Committed(group int64, session string) time.Duration {
 	at := b.at.Load()
 	if at == nil {
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// A state file is a head of 24 bytes and a payload: magic, version, length, CRC-32C of the payload and of the head.
+// A state file is a header of 24 bytes and a payload. The header holds the magic, the version, the length of the payload,
+// the CRC-32C of the payload and the CRC-32C of the header.
 const (
 	fileMagic   = "rwst"
 	fileVersion = 1
 	fileHead    = 24
-	fileMost    = 1 << 20 // bytes of payload; the list of a thousand members takes 200 KB
+	fileMost    = 1 << 20 // size limit of the payload in bytes; a list of a thousand members takes 200 KB
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -46,14 +47,14 @@
 	return payload, nil
 }
 
-// Load reads a state file whole, or tells why it can't be used.
+// Load returns the payload of a state file, or a *StateError that says why it cannot be used.
 func (b *Board) Load(name string) ([]byte, error) { return Load(b.dir, name) }
 
-// Load is Board.Load for a process that has not taken its place yet.
+// Load is the method Load for a process that has not claimed its slot yet.
 func Load(dir, name string) ([]byte, error) {
 	f, err := os.Open(filepath.Join(dir, name))
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, &StateError{name, ErrMissing, "nothing, where no process has run here before"}
+		return nil, &StateError{name, ErrMissing, "no action needed if no process has run here before"}
 	}
 	var all []byte
 	if err == nil {
@@ -67,12 +68,12 @@
 		all, err = unseal(all)
 	}
 	if err != nil {
-		return nil, &StateError{name, err, "nothing: it is written anew with the next change"}
+		return nil, &StateError{name, err, "no action needed: it is rewritten with the next change"}
 	}
 	return all, nil
 }
 
-// Save puts a state file in place, whole: a reader sees the former or the new one.
+// Save replaces a state file atomically: a reader sees either the former or the new one. An error is a *StateError.
 func (b *Board) Save(name string, payload []byte) error {
 	if len(payload) > fileMost {
 		return &StateError{name, ErrHuge, "take fewer machines out, or lists of fewer members"}
@@ -97,8 +98,9 @@
 	return nil
 }
 
-// Change reads a state file, has edit make the next payload of it and saves that, while no other process does the
-// same. A file that can't be used is given to edit as nil. The change is counted on the board, and the count given.
+// Change replaces the payload of a state file by what edit returns for the current one, which is nil if the file cannot be
+// used. A lock keeps other processes from changing a state file meanwhile. It returns the number of changes so far, which
+// it counts in the shared memory; 0 without shared memory.
 func (b *Board) Change(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
 	release, err := b.claim(lockFiles)
 	if err != nil {
@@ -123,7 +125,7 @@
 	return at[wordBans].Add(1), nil
 }
 
-// Changes is the count of changes that any process made.
+// Changes returns the number of changes that all processes have made; 0 without shared memory.
 func (b *Board) Changes() uint64 {
 	at := b.at.Load()
 	if at == nil {
@@ -132,14 +134,14 @@
 	return at[wordBans].Load()
 }
 
-// Saw says that this process has taken over all changes up to count.
+// Saw publishes that this process has applied the first count changes.
 func (b *Board) Saw(count uint64) {
 	if b.Shared() {
 		b.own(slotSaw).Store(count)
 	}
 }
 
-// Await returns true once all others that live have said that they saw count, false if they have not after wait.
+// Await returns true once all other live processes have published that they applied count changes, or false after wait.
 func (b *Board) Await(count uint64, wait time.Duration) bool {
 	for until := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
 		all := true
--- a/internal/handover/pass.go
+++ b/internal/handover/pass.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	passWait  = 200 * time.Millisecond // for room on the way to the successor
-	takenWait = 2 * time.Second        // for its word that it took a connection over
-	passRoom  = 16                     // bytes; a message is one
-	linkTries = 2                      // successors that are tried: one may be ending, with another one ready
-	lastIn    = 3 * time.Millisecond   // nobody must have come for so long before the socket is closed
-	endWait   = 500 * time.Millisecond // for connections that were passed on when this process begins to end
+	passWait  = 200 * time.Millisecond // write timeout of a message on the socket between the processes
+	takenWait = 2 * time.Second        // wait for the successor's acknowledgement of a connection
+	passRoom  = 16                     // read buffer in bytes; a message is one byte
+	linkTries = 2                      // successors that are tried: one may be shutting down while another is ready
+	lastIn    = 3 * time.Millisecond   // no process must have connected for so long before the socket is closed
+	endWait   = 500 * time.Millisecond // wait for connections that were already sent when this process begins to shut down
 )
 
 func (b *Board) socket(birth uint64) string {
 	return filepath.Join(b.dir, fmt.Sprintf("reachwind.%d.sock", birth))
 }
 
-// Receive takes over the connections that a former process passes on, until stop is called. A connection that began
-// is one whose startup is over and that stands before a command; else nothing of it was read.
+// Receive accepts the client connections that former processes hand over, and calls take for each, until stop is called. A
+// connection that began has completed its startup and is between commands; of any other nothing has been read. take may be
+// called from many goroutines. stop returns once all connections that were sent have been accepted, or after endWait.
 func (b *Board) Receive(take func(nc net.Conn, began bool)) (stop func(), err error) {
 	if !b.Shared() {
-		return func() {}, &StateError{boardName, ErrMissing, "nothing: clients' connections are closed when they are idle"}
+		return func() {}, &StateError{boardName, ErrMissing, "no action needed: client connections are closed when they are idle"}
 	}
 	path := b.socket(b.birth)
-	_ = os.Remove(path) // of a process of an earlier board
+	_ = os.Remove(path) // left by a process that used earlier shared memory
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
-		return func() {}, &StateError{filepath.Base(path), err, "give the gateway a shorter path as TMPDIR, one that it may write to"}
+		return func() {}, &StateError{filepath.Base(path), err, "set TMPDIR to a shorter path that the gateway can write to"}
 	}
 	r := &receiver{take: take, from: map[*net.UnixConn]bool{}, done: make(chan struct{})}
 	go func() {
@@ -50,7 +51,7 @@
 		}
 	}()
 	return func() {
-		_ = l.SetDeadline(time.Now().Add(lastIn)) // who has come is let in
+		_ = l.SetDeadline(time.Now().Add(lastIn)) // processes that have already connected are still accepted
 		select {
 		case <-r.done:
 		case <-time.After(endWait):
@@ -59,10 +60,10 @@
 	}, nil
 }
 
-// receiver takes connections over from any number of former processes.
+// receiver accepts connections from any number of former processes.
 type receiver struct {
 	take func(net.Conn, bool)
-	done chan struct{} // closed when all that was passed on has been taken over
+	done chan struct{} // closed once all connections that were sent have been accepted
 
 	mu   sync.Mutex
 	from map[*net.UnixConn]bool
@@ -83,17 +84,17 @@
 	}()
 }
 
-// end has the former processes keep what they did not pass on yet, and takes over what is on its way.
+// end accepts the connections that are in transit and prevents the former processes from sending more.
 func (r *receiver) end() {
 	r.mu.Lock()
 	for from := range r.from {
-		_ = from.CloseRead() // what was written is still read, no more can be written
+		_ = from.CloseRead() // what was written can still be read, but no more can be written
 	}
 	r.mu.Unlock()
 	r.busy.Wait()
 }
 
-// receive takes over what comes from one process, and tells it of each connection.
+// receive accepts the connections of one former process, and acknowledges each.
 func receive(from *net.UnixConn, take func(net.Conn, bool)) {
 	defer func() { _ = from.Close() }()
 	kind, rights := make([]byte, passRoom), make([]byte, syscall.CmsgSpace(4*passRoom))
@@ -120,10 +121,10 @@
 				}
 			}
 		}
-		if !taken { // for want of descriptors, most likely: the former process goes on with it, and with what follows
+		if !taken { // most likely out of descriptors: the former process keeps this connection and those behind it
 			return
 		}
-		if tell { // a process of an earlier version does not listen: its room fills
+		if tell { // a process of an earlier version does not read acknowledgements: its socket buffer fills up
 			_ = from.SetWriteDeadline(time.Now().Add(passWait))
 			_, err := from.Write(kind[:1])
 			tell = err == nil
@@ -131,36 +132,36 @@
 	}
 }
 
-// errNobody says that no process takes connections over.
-var errNobody = errors.New("no process of this gateway is ready to take it over")
+// errNobody reports that no process accepts connections.
+var errNobody = errors.New("no process of this gateway is ready to accept it")
 
-// errDied says that the other process ended before it took a connection over.
-var errDied = errors.New("the other process has not taken it over")
+// errDied reports that the other process ended before it acknowledged a connection.
+var errDied = errors.New("the other process ended before it accepted the connection")
 
-// Passer passes connections on to the successor.
+// Passer hands client connections over to the successor. It is safe for concurrent use.
 type Passer struct {
 	b    *Board
-	wait time.Duration // for word that a connection is taken over
+	wait time.Duration // for the acknowledgement of a connection
 
 	mu sync.Mutex
-	to *link // nil: none, or one that takes no more
+	to *link // nil: none yet, or the last one accepts no more
 }
 
-// link is a connection to a successor, which tells of each that it takes over, in turn.
+// link is a connection to a successor, which acknowledges the client connections that it accepts in the order sent.
 type link struct {
 	*net.UnixConn
 
 	mu      sync.Mutex
-	waiting []chan error // of what was passed on, the oldest first
+	waiting []chan error // one for each connection without an acknowledgement yet, oldest first
 	dead    bool
 }
 
-// Passer returns a passer; nothing is opened yet.
+// Passer returns a Passer. It connects to the successor when the first connection is sent.
 func (b *Board) Passer() *Passer { return &Passer{b: b, wait: takenWait} }
 
-// Pass gives a connection to the youngest process that is ready. Without an error the caller may only close its own
-// side of it; with one it still has it, also where the other process died before it took it over. Where neither is known
-// in time the other may still take it, so it counts as taken. It may be called from many goroutines.
+// Pass hands a connection over to the most recently started process that is ready. If it returns nil, the caller may only
+// close its copy of the connection; with an error the caller still owns the connection, also if the other process died
+// before it accepted it. Without an acknowledgement in time the other process may still accept it, so Pass returns nil.
 func (p *Passer) Pass(nc net.Conn, began bool) error {
 	taken, err := p.pass(nc, began)
 	if err != nil {
@@ -175,7 +176,7 @@
 	return err
 }
 
-// pass passes a connection on, and returns where word of it comes.
+// pass sends a connection, and returns the channel that receives nil or an error once it is acknowledged or lost.
 func (p *Passer) pass(nc net.Conn, began bool) (<-chan error, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -206,12 +207,12 @@
 			return taken, nil
 		}
 		to.forget(taken)
-		p.to = nil // what it was given before is still heard of
+		p.to = nil // acknowledgements of what was sent on it before are still received
 	}
 	return nil, err
 }
 
-// link connects to the youngest process that is ready.
+// link connects to the most recently started process that is ready.
 func (b *Board) link() (*link, error) {
 	birth := uint64(0)
 	for _, o := range b.Others() {
@@ -231,7 +232,7 @@
 	return l, nil
 }
 
-// hear takes word of what is taken over, until the other process ends the link or dies.
+// hear receives acknowledgements until the other process closes the link or dies.
 func (l *link) hear() {
 	defer func() { _ = l.Close() }()
 	for word := make([]byte, passRoom); ; {
@@ -254,7 +255,7 @@
 	}
 }
 
-// await returns where word comes of what is written next.
+// await returns the channel for the acknowledgement of what is written next.
 func (l *link) await() chan error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -267,7 +268,7 @@
 	return w
 }
 
-// forget takes back await, as nothing was written.
+// forget undoes await after a write that failed.
 func (l *link) forget(w chan error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/handover/split.go
+++ b/internal/handover/split.go
@@ -1,14 +1,15 @@
 package handover
 
 const (
-	leastPart = 0.25 // of a limit, that either process may always count on
-	otherPart = 0.3  // of it, that is kept free for a process that has only just come
-	margin    = 0.05 // of it, for what the other took since it last said so
+	leastPart = 0.25 // fraction of a limit that each process may always use
+	otherPart = 0.3  // fraction of a limit that the older process leaves free for one that has just started
+	margin    = 0.05 // fraction of a limit for what the other process acquired since it last published its use
 )
 
-// Split is how much of a limit a process may use while others live that say they use so much of it; ending are those
-// that are told to stop and take nothing new. Alone it is the whole. Two that keep to it stay under the limit
-// together: each leaves free what the other says it holds, and at least what a newcomer needs.
+// Split returns how much of a limit a process may use while others are alive, given what they publish to use of it. older
+// says that this process is the older one. Without others it is the whole limit. Two processes that follow it stay within
+// the limit together: each leaves free what the other publishes to hold, and the older one at least what a new process
+// needs.
 func Split(limit int, others []Other, older bool) int {
 	if len(others) == 0 {
 		return limit
@@ -17,7 +18,7 @@
 	for _, o := range others {
 		used += o.Used
 	}
-	if older { // the newcomer's need goes first: the older one ends soon
+	if older { // the need of the new process takes precedence: the older one ends soon
 		used = max(used, int(otherPart*float64(limit)))
 	}
 	return max(limit-used-int(margin*float64(limit)), int(leastPart*float64(limit)))
--- a/internal/opsdoor/opsdoor.go
+++ b/internal/opsdoor/opsdoor.go
@@ -1,6 +1,6 @@
-// Package opsdoor is where operators call the gateway: HTTP/1.1 on an address of its own, one call to a connection.
-// It has its own goroutines and its own bound on connections, so that neither clients nor callers that hold
-// connections keep an operator from an answer.
+// Package opsdoor is the admin API of the gateway: HTTP/1.1 on its own address, one call per connection. It has its own
+// goroutines and its own limit of connections, so that neither clients nor callers that keep connections open prevent an
+// operator from getting an answer.
 package opsdoor
 
 import (
@@ -27,44 +27,44 @@
 	"reachwind/internal/suspend"
 )
 
-// Chosen for operators' calls, which are short, on links of any kind; no request and no setting is in them.
+// Limits for calls, which are short but may arrive over slow links.
 const (
-	callMost   = 8 << 10                // bytes of a whole call
-	idMost     = 256                    // bytes of a db machine's id
-	wholeWait  = 10 * time.Second       // for a whole call, from the connection's start
-	answerWait = 600 * time.Millisecond // for what the operator's call does
-	writeWait  = time.Second
-	lingerWait = 300 * time.Millisecond // of silence, for the caller to close, so that its answer is not lost by a reset,
-	lingerMost = 3 * time.Second        // for as long in all
-	lingerRead = 1 << 20                // and so many bytes
-	retryPause = 20 * time.Millisecond  // after an accept that failed
-	roomWait   = 200 * time.Millisecond // for a connection that was told to make room
-	lastWait   = 50 * time.Millisecond  // for the rest of a call, of a connection that was told so with bytes unread
-	lastIn     = 3 * time.Millisecond   // nobody must have come for so long before the listener is closed
-	refusePart = 8                      // of the connections there is one of so many, and one at least, for callers being refused
-	// closeWait is for calls that are being answered when the door is closed, and for those who asked to take their answers.
+	callMost   = 8 << 10                // size limit of a call in bytes
+	idMost     = 256                    // size limit of the id of a db machine in bytes
+	wholeWait  = 10 * time.Second       // timeout for reading a call, from the start of the connection
+	answerWait = 600 * time.Millisecond // timeout for carrying out a call
+	writeWait  = time.Second            // timeout for writing an answer
+	lingerWait = 300 * time.Millisecond // a lingering connection is closed after so long without bytes; a reset could lose its answer
+	lingerMost = 3 * time.Second        // a lingering connection is closed after so long at the latest,
+	lingerRead = 1 << 20                // or after so many bytes
+	retryPause = 20 * time.Millisecond  // pause after a failed accept
+	roomWait   = 200 * time.Millisecond // wait of a new connection for another to end
+	lastWait   = 50 * time.Millisecond  // for the rest of a call on a connection that is to end while bytes of it are unread
+	lastIn     = 3 * time.Millisecond   // no caller must have connected for so long before the listener is closed
+	refusePart = 8                      // one connection of so many, and at least one, is allowed for callers being refused
+	// closeWait bounds Close: calls in progress are finished, and callers read their answers.
 	closeWait = answerWait + lingerWait + 2*lastWait
-	// A connection costs its goroutine, a small buffer and what the parser holds meanwhile.
+	// connMemory is the memory of a connection in bytes: its goroutine, a small buffer and the state of the parser.
 	connMemory = 16 << 10
 )
 
-// Config holds what the door is told.
+// Config is the configuration of the admin API.
 type Config struct {
-	Addr string // to listen on
-	Most int    // connections at a time, half as many that are about to end, and some being refused; 0: DefaultMost
+	Addr string // address to listen on
+	Most int    // connections at a time; half as many may be closing in addition, and some being refused; 0: DefaultMost
 }
 
-// DefaultMost are the connections at a time where nothing else is said.
+// DefaultMost is the default limit of connections.
 const DefaultMost = 64
 
-// Footprint is the most that the door holds: bytes, and descriptors with its listener.
+// Footprint returns the maximum use of memory, in bytes, and of file descriptors, the listener included.
 func (c Config) Footprint() (memory int64, files int) {
 	n := c.most()
 	n += n/2 + c.refusals()
 	return int64(n) * connMemory, n + 2
 }
 
-// refusals is how many callers may be told at a time that there is no room.
+// refusals is the limit for callers that are being refused at a time.
 func (c Config) refusals() int { return max(1, c.most()/refusePart) }
 
 func (c Config) most() int {
@@ -74,17 +74,17 @@
 	return c.Most
 }
 
-// Operator does what is asked for. Its methods return by the end of their context, where they have one, or at once.
+// Operator carries out the calls. Its methods return by the end of their context, or immediately if they have none.
 type Operator interface {
-	// Ready tells whether this process can serve: nil is yes.
+	// Ready returns nil if this process can serve.
 	Ready() error
-	// Suspend takes a db machine out: nil means that it is in force.
+	// Suspend takes a db machine out of use; nil means that this is in force.
 	Suspend(ctx context.Context, id string) error
-	// Resume has it used again.
+	// Resume puts a db machine back into use; nil means that this is in force.
 	Resume(ctx context.Context, id string) error
 }
 
-// NotReady is the error for a process that can't serve.
+// NotReady is the error of a process that cannot serve.
 type NotReady struct {
 	Found string
 	Do    string
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("not ready: %s; want a process that accepts clients and has a list of db machines; %s", e.Found, e.Do)
 }
 
-// NotDone is the error for a call that was not done in time, and will not be.
+// NotDone is the error of a call that was not begun in time and will not be carried out.
 type NotDone struct {
 	ID     string
 	Waited time.Duration
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("db machine %q: the gateway did not come to it within %v, want an answer in that time; nothing was changed, call again", e.ID, e.Waited)
 }
 
-// Unconfirmed is the error for a call that was begun and not seen to be in force in time.
+// Unconfirmed is the error of a call that was begun but not confirmed to be in force in time.
 type Unconfirmed struct{ NotDone }
 
 func (e Unconfirmed) Error() string {
@@ -112,7 +112,7 @@
 		"call again until the answer is yes", e.ID, e.Waited)
 }
 
-// badCall is the error for a call whose form is wrong.
+// badCall is the error of a call that is malformed, or refused before the backend has it.
 type badCall struct {
 	status           int
 	found, want, fix string
@@ -120,10 +120,10 @@
 
 func (e badCall) Error() string { return fmt.Sprintf("%s; want %s; %s", e.found, e.want, e.fix) }
 
-// Calls are the calls there are, as errors name them.
+// Calls lists the calls of the API, as it stands in errors.
 const Calls = "GET /v1/readyz, POST /v1/db-machines/ID/suspend or POST /v1/db-machines/ID/resume"
 
-// status is the HTTP status that an answer comes with.
+// status returns the HTTP status of the answer for err.
 func status(err error) int {
 	var bad badCall
 	switch {
@@ -137,7 +137,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// Door is the listener with its connections.
+// Door is the listener of the admin API with its connections.
 type Door struct {
 	conf Config
 	op   Operator
@@ -145,23 +145,24 @@
 	l    net.Listener
 
 	mu     sync.Mutex
-	conns  []*conn // the oldest first
+	conns  []*conn // oldest first
 	turned []*conn // callers being refused
 	closed bool
 	done   sync.WaitGroup
-	freed  chan struct{} // a connection ended
+	freed  chan struct{} // signalled when a connection ended
 
 	failing, room, refused often.Line
 }
 
-// conn is one connection. Its stage is changed under the door's lock.
+// conn is one connection. stage is guarded by the lock of the server.
 type conn struct {
 	net.Conn
 	stage stage
-	last  bool // its reader's: it was past its time once
+	last  bool // the deadline was extended once for unread bytes; owned by the reading goroutine
 }
 
-// Read implements io.Reader. A deadline that is past hides what has come: that is read first.
+// Read implements io.Reader. A read after its deadline fails even if bytes have arrived, so the deadline is extended once
+// to read these.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !c.last && unread(c.Conn) {
@@ -172,23 +173,23 @@
 	return n, err
 }
 
-// stage is how far a connection has come.
+// stage is the stage of a connection.
 type stage int
 
 const (
-	incomplete stage = iota // without a whole call
-	leaving                 // told to make room, unless its call proves whole
-	working                 // its call is being answered
-	answered                // nothing is owed: it lingers
-	hurried                 // the same, and it is to end
+	incomplete stage = iota // no complete call has been read
+	leaving                 // asked to end for another connection, unless its call turns out to be complete
+	working                 // its call is being carried out
+	answered                // it has its answer and lingers
+	hurried                 // it has its answer and must end now
 )
 
-// New returns a door that asks op. It does nothing before Start.
+// New returns a server that passes calls to op. It does nothing before Start.
 func New(conf Config, op Operator, log *slog.Logger) *Door {
 	return &Door{conf: conf, op: op, log: log, freed: make(chan struct{}, 1)}
 }
 
-// Start listens and begins to answer.
+// Start listens and begins to serve in the background.
 func (d *Door) Start() error {
 	l, err := net.Listen("tcp", d.conf.Addr)
 	if err != nil {
@@ -200,11 +201,11 @@
 	return nil
 }
 
-// Addr is where the door listens, once started.
+// Addr returns the address of the listener. It must not be called before Start.
 func (d *Door) Addr() net.Addr { return d.l.Addr() }
 
-// Close ends the door: who has connected is let in, whole calls are answered, callers take their answers, and what is
-// open after closeWait is cut.
+// Close stops the server: callers that have already connected are accepted, complete calls are answered, callers may read
+// their answers, and connections that are still open after closeWait are closed.
 func (d *Door) Close() {
 	d.mu.Lock()
 	d.closed = true
@@ -246,14 +247,14 @@
 		if closed || errors.Is(err, net.ErrClosed) {
 			return
 		}
-		d.failing.Warn(d.log, "operators' accept failed", "err", err) // out of descriptors, most likely
+		d.failing.Warn(d.log, "operators' accept failed", "err", err) // most likely out of file descriptors
 		time.Sleep(retryPause)
 	}
 }
 
-// admit takes a connection in and serves it. At the bound the one that has been longest without a whole call is told to
-// make room; its goroutine ends it, unless it finds a whole call in what it has read by then. Where too many are about
-// to end, or all are being answered, the new one waits for a moment, and is then told to come again.
+// admit accepts a connection and serves it. At the limit, the connection that has been open longest without a complete call
+// is asked to end; its goroutine ends it unless what it has read by then is a complete call. If too many connections are
+// ending, or all have calls in progress, the new one waits up to roomWait, and is then refused.
 func (d *Door) admit(nc net.Conn) {
 	c := &conn{Conn: nc}
 	most := d.conf.most()
@@ -292,8 +293,8 @@
 	}
 }
 
-// refuse tells a caller that there is no room. One that comes while too many are told so is closed with no word. The
-// caller holds the lock.
+// refuse answers a caller that there are too many calls, or closes its connection without an answer while too many callers
+// are being refused. The lock must be held.
 func (d *Door) refuse(c *conn) {
 	n := len(d.conns)
 	d.room.Warn(d.log, "operators' call refused: too many at a time", "open", n)
@@ -315,9 +316,9 @@
 	}()
 }
 
-// makeRoom has so many connections about to end: those that have their answer, and then the one that has been longest
-// without a whole call. One with bytes that nobody has read yet is told last: they may make its call whole. The
-// caller holds the lock.
+// makeRoom asks connections to end until want are ending: those that have their answer, then the one that has been open
+// longest without a complete call. A connection with unread bytes comes last, as they may complete its call. The lock must
+// be held.
 func (d *Door) makeRoom(want int) {
 	var late *conn
 	for _, c := range d.conns {
@@ -344,7 +345,7 @@
 	}
 }
 
-// unread tells that bytes have come which nobody has read yet: they may make the call whole.
+// unread reports whether the socket holds bytes that have not been read.
 func unread(c net.Conn) (some bool) {
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
@@ -357,7 +358,7 @@
 	return some
 }
 
-// move notes how far a connection has come, and returns how far it had.
+// move sets the stage of a connection and returns the former one.
 func (d *Door) move(c *conn, s stage) stage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -381,9 +382,9 @@
 	}()
 	call, err := read(c)
 	if err != nil && !errors.As(err, new(badCall)) {
-		return // it left
+		return // the caller closed the connection
 	}
-	if was := d.move(c, working); was == leaving && err != nil { // also where its call came in the moment that it was told so
+	if was := d.move(c, working); was == leaving && err != nil { // a call that was complete by then is carried out
 		err = badCall{http.StatusServiceUnavailable, "no whole call has come, and another caller needs the room", "the call right after connecting", "call again"}
 	}
 	if err == nil {
@@ -400,9 +401,9 @@
 	}
 }
 
-// answer writes an answer and ends the connection by a lingering close: the sending side is closed, and what the caller
-// still sends is read, as a close over unread bytes would reset the connection and take the answer with it. Silence, time
-// and bytes bound it, and makeRoom ends it sooner.
+// answer writes an answer and closes the connection by a lingering close: it closes the sending side and reads what the
+// caller still sends, because closing a socket with unread bytes resets the connection, and the caller could lose the
+// answer. lingerWait, lingerMost and lingerRead bound it, and makeRoom ends it earlier.
 func (d *Door) answer(c *conn, err error, head bool) {
 	_ = c.SetWriteDeadline(time.Now().Add(writeWait))
 	if _, err := c.Write(answer(err, head)); err != nil {
@@ -424,7 +425,7 @@
 	}
 }
 
-// await bounds the next read of a lingering connection, unless it is to end.
+// await sets the deadline of the next read of a lingering connection, unless that must end now.
 func (d *Door) await(c *conn, end time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -435,7 +436,7 @@
 	}
 }
 
-// do has the operator do what a call asks for.
+// do carries out a call.
 func (d *Door) do(call *http.Request) error {
 	verb, id, err := route(call.Method, call.URL)
 	if err != nil {
@@ -452,7 +453,7 @@
 	return d.op.Ready()
 }
 
-// route finds what a call asks for: readyz, or suspend or resume with a db machine's id.
+// route parses method and path of a call: readyz, or suspend or resume with the id of a db machine.
 func route(method string, u *url.URL) (verb, id string, err error) {
 	path := u.EscapedPath()
 	want := http.MethodPost
@@ -477,7 +478,7 @@
 	return verb, id, nil
 }
 
-// read reads one whole call, with a body where it has one, which is not looked at.
+// read reads one complete call. A body is read and ignored.
 func read(c net.Conn) (*http.Request, error) {
 	in := &io.LimitedReader{R: c, N: callMost}
 	call, err := http.ReadRequest(bufio.NewReaderSize(in, 1024))
@@ -504,7 +505,7 @@
 	return nil, badCall{http.StatusBadRequest, fmt.Sprintf("this is no HTTP/1.1 call (%.100s)", err), Calls, "mend the caller"}
 }
 
-// answer is a whole answer, a yes for nil.
+// answer returns a complete HTTP response: "yes" for nil, else the error.
 func answer(err error, head bool) []byte {
 	text := "yes\n"
 	if err != nil {
