--- a/internal/pgfront/cancel.go
+++ b/internal/pgfront/cancel.go
@@ -17,28 +17,28 @@
 	"reachwind/internal/wake"
 )
 
-// How clients end a request before it has its answer: by a cancel request on a connection of its own, with the key that
-// was given at the startup, or by leaving.
+// This file handles the ways in which a client ends a request before its answer: by a cancel request on a separate
+// connection, with the key that the connection was given at startup, or by closing the connection.
 
-// key is a connection's BackendKeyData; a pid of 0 is none.
+// key is the BackendKeyData of a connection; a pid of 0 means none.
 type key struct{ pid, secret uint32 }
 
-// cancels is what the server keeps of cancel requests. The keys themselves stand with their connections.
+// cancels is the state of the server for cancel requests. The keys are stored in their connections.
 type cancels struct {
-	lastPID uint32 // under the server's lock
+	lastPID uint32 // guarded by Server.mu
 
 	taken, unknown, ahead often.Line
 }
 
-// newKey gives a connection its key and returns it as BackendKeyData has it. A connection that another process passed on
-// has none here, and the key that its client holds names nothing: its cancel requests come to nothing, as the protocol
-// lets them.
+// newKey assigns a key to a connection and returns it in the form of BackendKeyData. A connection that another process
+// handed over has no key here, and the key that its client holds is unknown: its cancel requests have no effect, which the
+// protocol allows.
 func (s *Server) newKey(c *conn) string {
 	var b [8]byte
 	_, _ = rand.Read(b[4:])
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cancels.lastPID++; s.cancels.lastPID == 0 { // all numbers were given, and those who had the first have long gone
+	if s.cancels.lastPID++; s.cancels.lastPID == 0 { // wrapped around: the first numbers have long been free again
 		s.cancels.lastPID = 1
 	}
 	c.key = key{s.cancels.lastPID, binary.BigEndian.Uint32(b[4:])}
@@ -46,9 +46,9 @@
 	return string(b[:])
 }
 
-// cancel carries out a cancel request: what the connection with its key has in work counts as gone, and is answered as
-// cancelled. With a wrong key, or nothing in work, nothing is done. As in PostgreSQL its client is told nothing, and a
-// request that is read meanwhile may be met by it.
+// cancel carries out a cancel request: the request in progress on the connection with that key is abandoned and answered as
+// cancelled. With a wrong key, or no request in progress, it does nothing. As in PostgreSQL, the sender of the cancel
+// request gets no answer, and a request that is read at the same time may be cancelled instead.
 func (s *Server) cancel(body []byte) {
 	if len(body) != 12 {
 		s.cancels.unknown.Info(s.log, "cancel request names no connection")
@@ -64,7 +64,7 @@
 	}
 }
 
-// keyed is the connection with a key, nil if there is none.
+// keyed returns the connection with a key, or nil if there is none.
 func (s *Server) keyed(want key) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// cancelled answers a request that its client cancelled.
+// cancelled writes the answer to a request that its client cancelled.
 func (c *conn) cancelled() error {
 	out := pgwire.AppendError(c.out[:0], "ERROR", queryCanceled, "canceling statement due to user request", "")
 	c.out = pgwire.AppendReady(out)
@@ -84,13 +84,13 @@
 }
 
 const (
-	aheadEach = 64 << 10  // read ahead on one connection at most,
-	aheadMost = 512 << 10 // and on all together: a 64th of the least memory that the deployment page gives
+	aheadEach = 64 << 10  // limit in bytes of the read-ahead on one connection
+	aheadMost = 512 << 10 // limit in bytes on all connections: 1/64 of the smallest memory that a deployment may have
 )
 
-// await waits for the answer to q. Commands that follow may come meanwhile and stay in the reader; the read also sees
-// the client leave. A client that is so far ahead that they fill the reader is read further, within a bound; beyond that
-// the socket is asked from time to time whether the client has ended its side.
+// await waits for the answer to q. Commands that follow may arrive meanwhile and stay in the reader; the read also detects
+// that the client closes the connection. If they fill the reader, it is enlarged within limits; beyond these, the socket is
+// polled for the end of the client's side.
 func (c *conn) await(q *core.Request) (message, error) {
 	c.work.Store(q)
 	defer c.work.Store(nil)
@@ -120,11 +120,11 @@
 }
 
 const (
-	never         = -1      // an expiry that is no read's
+	never         = -1      // an expiry that belongs to no read
 	queryCanceled = "57014" // SQLSTATE
 )
 
-// widen has the reader hold twice as much, and tells whether it may.
+// widen doubles the size of the reader if the limits allow it, and reports whether they do.
 func (c *conn) widen() bool {
 	more := c.R.Size()
 	if 2*more > aheadEach {
@@ -139,7 +139,7 @@
 	return true
 }
 
-// narrow gives back what widen took, as far as what is in the reader allows it.
+// narrow undoes widen as far as the buffered bytes allow.
 func (c *conn) narrow() {
 	size := readSize
 	for size < c.R.Buffered() {
@@ -151,15 +151,15 @@
 	}
 }
 
-// resize gives the connection another reader with what the old one holds.
+// resize replaces the reader by one of the given size, with the bytes that the old one has buffered.
 func (c *conn) resize(size int) {
 	have, _ := c.R.Peek(c.R.Buffered())
 	r := bufio.NewReaderSize(&rest{have: bytes.Clone(have), next: c.Conn}, size)
-	_, _ = r.Peek(len(have)) // all that was held is held again: Buffered must tell
+	_, _ = r.Peek(len(have)) // fills the buffer, so that Buffered counts these bytes
 	c.R = r
 }
 
-// rest reads what another reader held, and goes on from there.
+// rest reads the bytes that another reader had buffered, then continues with next.
 type rest struct {
 	have []byte
 	next io.Reader
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -19,16 +19,16 @@
 	"reachwind/internal/wake"
 )
 
-const readSize = 4 << 10
+const readSize = 4 << 10 // initial size of a read buffer in bytes
 
-// message is what others leave a connection: an answer, or word to stop.
+// message is a message that other goroutines post to a connection: an answer, an expired timeout or a request to stop.
 type message struct {
 	request *core.Request
 	answer  core.Answer
 	stop    bool // close once idle
-	last    bool // and do not wait for the rest of a message
-	expire  int  // the time for this read is up
-	passed  bool // the answer has passed through; tail is what is left of it, nil: it is not whole
+	last    bool // with stop: do not wait for the rest of a partial message
+	expire  int  // number of the read whose timeout expired
+	passed  bool // the answer was streamed; tail is the rest of it, nil: it was cut short
 	tail    []byte
 }
 
@@ -36,27 +36,27 @@
 type conn struct {
 	*wake.Conn[message]
 	s        *Server
-	refuse   bool // too many connections: say so and close
-	reads    int  // counts reads with a time limit; odd while one is on
+	refuse   bool // too many connections: answer with an error and close
+	reads    int  // counts the starts and ends of reads with a timeout; odd during such a read
 	stopping bool
-	last     bool // the process ends very soon: what is whole is answered, half a message is not waited for
-	skipping bool // an extended query was refused: skip to its Sync
+	last     bool // the process ends very soon: complete messages are answered, partial ones are not waited for
+	skipping bool // an extended query was refused: skip messages up to its Sync
 	answered []message
-	arrivals arrivals      // of what is in the reader
-	out      []byte        // small answers are put together here
-	timer    *time.Timer   // of the read with a time limit,
-	wait     time.Duration // which ends after such a silence,
-	until    time.Time     // and then at the latest
-	due      time.Time     // the startup, then the first command, must have begun by then; zero once that is whole
-
-	// Under the server's lock.
-	spoke     bool      // some byte has come
-	asked     bool      // its first command has come
-	leaving   bool      // told to stop, to make room
-	idleSince time.Time // zero with a command in work
-	key       key       // names it in cancel requests
-
-	work atomic.Pointer[core.Request] // what a cancel request would cancel; set before the request arrives
+	arrivals arrivals      // arrival times of the bytes in the reader
+	out      []byte        // buffer for small answers
+	timer    *time.Timer   // of the read with a timeout
+	wait     time.Duration // that read ends after so long without bytes,
+	until    time.Time     // and at this time at the latest
+	due      time.Time     // deadline for the start of the startup, then of the first command; zero once that is complete
+
+	// Guarded by Server.mu.
+	spoke     bool      // a byte has been received
+	asked     bool      // the first command has been received
+	leaving   bool      // asked to stop, to make room
+	idleSince time.Time // zero while a command is in progress
+	key       key       // identifies the connection in cancel requests
+
+	work atomic.Pointer[core.Request] // the request that a cancel request would cancel; set before it is passed to the core
 }
 
 var (
@@ -77,23 +77,23 @@
 	return c
 }
 
-// client takes the answer to one request of a connection.
+// client receives the answer to one request of a connection.
 type client struct {
 	c       *conn
 	request *core.Request
 }
 
-// Answer leaves the answer for the connection's goroutine.
+// Answer posts the answer to the connection's goroutine.
 func (k client) Answer(a core.Answer) {
 	if !k.c.Leave(message{request: k.request, answer: a}) && a.Body != nil {
 		a.Body.Release()
 	}
 }
 
-// serve runs the connection to its end.
+// serve runs the connection until it is closed.
 func (c *conn) serve() { c.serveFrom(c.startup()) }
 
-// serveFrom goes on after the startup, which ended with err.
+// serveFrom runs the connection after the startup, which returned err.
 func (c *conn) serveFrom(err error) {
 	defer func() { c.s.ahead.Add(-int64(c.R.Size() - readSize)) }()
 	for err == nil {
@@ -115,7 +115,8 @@
 	c.s.linger(c)
 }
 
-// hasLeft tells by what ended a connection that its client has closed it: nobody reads what a close could take along.
+// hasLeft reports whether err, which ended a connection, means that the client has closed it. No lingering close is needed
+// then, as the client no longer reads answers that a reset could lose.
 func hasLeft(err error) bool {
 	for _, e := range []error{errGone, io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, e) {
@@ -125,7 +126,7 @@
 	return false
 }
 
-// woken looks into the mailbox.
+// woken handles the messages in the mailbox.
 func (c *conn) woken() error {
 	for _, m := range c.Take() {
 		switch {
@@ -152,8 +153,8 @@
 	return nil
 }
 
-// limit bounds a read until stop is called, so that a client that says nothing does not keep a connection, nor one
-// that stalls halfway through a message a buffer: it ends once nothing has come for wait, and after most in any case.
+// limit sets timeouts for reads until stop is called: they fail once no byte has arrived for wait, and after most in any
+// case. So a silent client cannot keep a connection, and one that stalls within a message cannot keep a buffer.
 func (c *conn) limit(wait, most time.Duration) (stop func()) {
 	c.reads++
 	c.wait, c.until = wait, time.Now().Add(most)
@@ -167,13 +168,14 @@
 	}
 }
 
-// look has the goroutine look after so long whether its read is over its limit.
+// look has the connection's goroutine check the timeouts of the current read after the given time.
 func (c *conn) look(after time.Duration) {
 	read := c.reads
 	c.timer = time.AfterFunc(after, func() { c.Leave(message{expire: read}) })
 }
 
-// limitMessage limits the read of a message that has begun: its client may pause for the time to start, four times that in all.
+// limitMessage sets the timeouts for the rest of a message that has begun: StartupTimeout without bytes, four times that in
+// total.
 func (c *conn) limitMessage() (stop func()) {
 	wait := c.s.conf.StartWait
 	if c.last {
@@ -182,9 +184,9 @@
 	return c.limit(wait, 4*c.s.conf.StartWait)
 }
 
-const lastWait = 10 * time.Millisecond // a message that has begun may pause so long when the process ends
+const lastWait = 10 * time.Millisecond // timeout without bytes for the rest of a message when the process ends
 
-// hurry shortens the limit of the read that is on, if it has one.
+// hurry shortens the timeout of the current read, if it has one.
 func (c *conn) hurry() {
 	if c.reads%2 == 1 && c.wait > lastWait {
 		c.timer.Stop()
@@ -193,10 +195,10 @@
 	}
 }
 
-// idle is woken, for when nothing of a message has come: a stopping connection
-// ends there. A command may wait in the socket, unseen for the deadline that
-// woke the read: it is served first, as to close on it would reset the
-// connection, and with it perhaps the answer before.
+// idle handles the mailbox between messages, where a stopping connection ends.
+// A command may be unread in the socket because the deadline that interrupted the
+// read hides it. It is served first: closing the connection over unread bytes would
+// reset it, and the client could lose the previous answer.
 func (c *conn) idle() error {
 	if err := c.woken(); err != nil {
 		return err
@@ -204,9 +206,9 @@
 	return c.parts(true)
 }
 
-// parts tells whether a stopping connection can be let go here: errPassed if another process has taken it over, with
-// whatever comes on it; errSevered if nothing has come. What comes after that look is not served: its client finds
-// the connection ended and asks again. Nil: it is served on.
+// parts decides whether a stopping connection ends here: errPassed means that another process has accepted it, with whatever
+// arrives on it; errSevered that no bytes wait to be read; nil that it is still served. A command that arrives after this
+// check is not served: its client finds the connection closed and retries.
 func (c *conn) parts(began bool) error {
 	switch {
 	case !c.stopping:
@@ -219,7 +221,7 @@
 	return nil
 }
 
-// startup reads the startup message and welcomes the client.
+// startup reads the startup message and answers it up to the first ReadyForQuery.
 func (c *conn) startup() error {
 	wait := time.Until(c.due)
 	if c.refuse {
@@ -238,7 +240,7 @@
 		return err
 	}
 	c.s.heard(c)
-	woken = c.woken // what it has begun to send is read here
+	woken = c.woken // a startup message that has begun is read by this process
 	if c.refuse {
 		defer c.limit(wait, wait)()
 	} else {
@@ -297,7 +299,7 @@
 	c.s.idle(c)
 	c.arrivals.forget(c.R.Buffered())
 	stop := func() {}
-	if !c.due.IsZero() { // guards against clients that connect and never ask
+	if !c.due.IsZero() { // guards against clients that connect and never send a command
 		left := time.Until(c.due)
 		stop = c.limit(left, left)
 	}
@@ -332,7 +334,7 @@
 	case 'S':
 		c.skipping = false
 		return c.write(pgwire.AppendReady(c.out[:0]))
-	case 'H': // flush: all is flushed
+	case 'H': // Flush: every answer is already flushed
 		return nil
 	case 'P', 'B', 'D', 'E', 'C', 'F':
 		if c.skipping {
@@ -348,7 +350,7 @@
 	return fmt.Errorf("%w: message type %q", errProtocol, typ)
 }
 
-// skip passes over n bytes.
+// skip discards n bytes.
 func (c *conn) skip(n int) error {
 	defer c.limitMessage()()
 	for n > 0 {
@@ -380,7 +382,7 @@
 		return c.full(n)
 	}
 	c.due = time.Time{}
-	came := c.arrivals.last(c.R.Buffered(), c.s.core.Now()) // its time counts from its last byte
+	came := c.arrivals.last(c.R.Buffered(), c.s.core.Now()) // the deadline counts from the arrival of the last byte
 	if buf.B[n-1] != 0 {
 		buf.Release()
 		return fmt.Errorf("%w: query without end", errProtocol)
@@ -420,8 +422,8 @@
 	return c.answer(m.answer)
 }
 
-// pass has an answer pass through. The connection's sending side is lent to the member's goroutine meanwhile; the read
-// goes on, and sees the client leave.
+// pass streams an answer. Meanwhile the member's goroutine owns the sending side of the connection; this one continues to
+// read, and detects that the client closes the connection.
 func (c *conn) pass(q *core.Request, s *pgwire.Stream) error {
 	s.Start(&lent{c: c, end: time.Now().Add(passMost)}, func(tail []byte) {
 		c.Leave(message{request: q, passed: true, tail: tail})
@@ -431,21 +433,21 @@
 	case err != nil:
 		c.s.core.Gone(q)
 		return err
-	case m.tail == nil: // the client sees that it is not whole by the connection's end
+	case m.tail == nil: // the client detects the truncated answer by the end of the connection
 		return errCut
 	}
 	return c.write(pgwire.AppendReady(m.tail))
 }
 
-const passMost = time.Minute // that an answer may take to pass through, whatever the pace of the client and the member
+const passMost = time.Minute // timeout for streaming an answer, however fast the client and the member are
 
-// lent is the sending side of a client's connection while an answer passes through.
+// lent is the sending side of a client connection while an answer is streamed.
 type lent struct {
 	c   *conn
 	end time.Time
 }
 
-// Write writes all of b, or fails: the client must take some of it within the time for an answer, and the whole by end.
+// Write writes all of b or fails: the client must read some bytes within WriteTimeout, and all of them by end.
 func (l *lent) Write(b []byte) (done int, err error) {
 	for done < len(b) && err == nil {
 		until := time.Now().Add(l.c.s.conf.WriteWait)
@@ -463,9 +465,9 @@
 	return done, err
 }
 
-// text reads the n bytes of a query into a buffer; there may be none left for it.
+// text reads the n bytes of a query into a buffer; it returns nil if none is available.
 func (c *conn) text(n int) (*pgwire.Buf, error) {
-	if n <= c.R.Size() { // guards against clients that send half a statement and so keep a buffer
+	if n <= c.R.Size() { // guards against clients that send part of a statement and thus keep a buffer
 		if _, err := c.Peek(n, c.woken); err != nil {
 			return nil, err
 		}
@@ -482,7 +484,7 @@
 	return buf, nil
 }
 
-// full refuses a query that there is no buffer for.
+// full refuses a query of n bytes for which no buffer is available.
 func (c *conn) full(n int) error {
 	if err := c.skip(n); err != nil {
 		return err
@@ -493,7 +495,7 @@
 	return c.write(pgwire.AppendReady(c.out))
 }
 
-// local answers what needs no member: empty queries, and settings of the session, which have no effect.
+// local answers statements that need no member: empty queries, and session settings, which have no effect.
 func local(out, text []byte) ([]byte, bool) {
 	if pgwire.Empty(text) {
 		return pgwire.Append(out, 'I'), true
@@ -505,7 +507,7 @@
 	return out, false
 }
 
-// request makes a request of the statement in buf.
+// request makes a request from the statement in buf. came is the arrival time of its last byte.
 func (c *conn) request(buf *pgwire.Buf, came core.Time) (*core.Request, error) {
 	st, err := pgwire.Parse(buf)
 	if err != nil {
@@ -521,7 +523,7 @@
 		return nil, fmt.Errorf("class %q takes no such statement", st.Class)
 	case k.Effect == decide.Keyed && !st.Keyed:
 		return nil, fmt.Errorf("class %q needs k", st.Class)
-	case !c.s.conf.Claims.Claim(st.ID): // under one id two requests would look to members like copies of one
+	case !c.s.conf.Claims.Claim(st.ID): // members would take two requests with the same id for copies of one
 		return nil, errInUse
 	}
 	st.Done = func() { c.s.conf.Claims.Disclaim(st.ID) }
@@ -534,9 +536,9 @@
 	return q, nil
 }
 
-const maxWait = 60_000 // ms; no client waits longer
+const maxWait = 60_000 // limit in milliseconds for the time that a client says it waits
 
-// answer writes a final answer.
+// answer writes the final answer to a request.
 func (c *conn) answer(a core.Answer) error {
 	switch a.Verdict {
 	case core.Served:
@@ -571,7 +573,7 @@
 	return err
 }
 
-// fatal says why the connection ends.
+// fatal writes a FATAL error that says why the connection is closed.
 func (c *conn) fatal(code, text, detail string) error {
 	return c.write(pgwire.AppendError(c.out[:0], "FATAL", code, text, detail))
 }
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -1,6 +1,6 @@
-// Package pgfront is the clients' side of the gateway for clients that speak
-// PostgreSQL. Each connection has a goroutine of its own, which reads a
-// statement, hands it to the core and writes the one answer.
+// Package pgfront is the front for clients that speak the PostgreSQL protocol.
+// Each connection has its own goroutine, which reads a statement, passes it to
+// the core and writes the one answer.
 package pgfront
 
 import (
@@ -22,26 +22,26 @@
 	"reachwind/internal/wake"
 )
 
-// Config holds what the front is told.
+// Config is the configuration of the front.
 type Config struct {
 	Terms      *terms.Book
-	Max        int           // client connections; for more, idle ones are ended
-	Spare      int           // connections above Max, half for those being ended, half for those being refused; those that linger have what is left
-	Keep       int           // buffers left to the members when statements take the rest
-	StartWait  time.Duration // the startup and the first command must begin by then; no message may pause for longer
-	WriteWait  time.Duration // an answer must have been taken by then
-	RefuseWait time.Duration // how long a connection may linger once its last word is written, or wait to be refused
-	IdleMost   time.Duration // a connection idle for longer is ended,
-	IdleKeep   int           // and the longest idle where so many are
-	Pass       Pass          // nil: no other process takes connections over
-	Claims     *call.Claims  // ids in work, shared with other fronts; nil: none are
+	Max        int           // client connections at a time; idle ones are closed to make room for new ones
+	Spare      int           // connections above Max: half for those being closed, half for those being refused; lingering ones may use the rest
+	Keep       int           // buffers that statements leave to the members
+	StartWait  time.Duration // timeout for the startup and the first command to begin, and for pauses within a message
+	WriteWait  time.Duration // timeout for the client to read an answer
+	RefuseWait time.Duration // timeout of a lingering connection, and of one that waits to be refused
+	IdleMost   time.Duration // a connection is closed once it has been idle for so long,
+	IdleKeep   int           // or is the longest idle one of more than so many
+	Pass       Pass          // hands connections over to another process; nil: not possible
+	Claims     *call.Claims  // ids of requests in progress, shared with other fronts; nil: not shared
 }
 
-// Pass gives a client's connection to another process that goes on with it, and tells whether it has. The connection
-// began if its startup is over; it stands before a command then. It may be called from many goroutines.
+// Pass hands a client connection over to another process that continues to serve it, and reports whether that succeeded. A
+// connection that began has completed its startup and is between commands. It must be safe for concurrent use.
 type Pass func(nc net.Conn, began bool) bool
 
-// Core is the part of the core that a front uses.
+// Core is the part of the core that the front uses.
 type Core interface {
 	Now() core.Time
 	Arrive(*core.Request)
@@ -50,7 +50,7 @@
 	Turned(front string, o record.Outcome, why record.Cause)
 }
 
-const front = "pg" // as records have it
+const front = "pg" // name of this front in records
 
 // Server accepts client connections.
 type Server struct {
@@ -62,31 +62,34 @@
 	mu       sync.Mutex
 	conns    map[*conn]bool
 	refusing int
-	lingered []net.Conn // ended but for what their clients may still send, longest first
-	most     int        // conf.Max, or what Limit said
+	lingered []net.Conn // closed for sending, waiting for their clients to close, longest first
+	most     int        // conf.Max, or the limit set since
 	closing  bool
-	passing  bool // closing for good,
-	last     bool // and in its last moments
-	working  int  // goroutines of connections,
-	lingers  int  // those among them that only wait for their client
+	passing  bool // Shutdown was called
+	last     bool // AbandonPartialMessages was called
+	working  int  // goroutines of connections
+	lingers  int  // those of them that only wait for their client
 	ended    sync.Cond
 
 	cancels cancels
-	ahead   atomic.Int64 // bytes that readers hold beyond their usual size
+	ahead   atomic.Int64 // bytes of read buffers beyond their initial size, of all connections
 
 	refused, closed, broken, full, short, failing often.Line
 }
 
-// silentLeast is how long a connection that has sent nothing is left alone: clients send their startup at once.
-// idleLeast is how long one is that has just been welcomed, as its first command takes a way there and back. Where clients
-// come faster than that, they would else push each other out before any has asked, however often it tries.
 const (
+	// silentLeast is the time for which a new connection that has sent nothing is not closed: clients send their startup
+	// at once.
 	silentLeast = 50 * time.Millisecond
-	sweepEvery  = 100 * time.Millisecond
-	idleLeast   = 200 * time.Millisecond // one that has just had its answer may be about to ask again, too
+	// sweepEvery is the interval at which idle connections are closed.
+	sweepEvery = 100 * time.Millisecond
+	// idleLeast is the time for which a connection is not closed after its startup, as its first command takes a round
+	// trip, or after an answer, as its client may be about to send the next command. Without it, clients that connect
+	// faster than that would displace each other before any has sent a command, however often they retry.
+	idleLeast = 200 * time.Millisecond
 )
 
-// New returns a server that hands its requests to c.
+// New returns a server that passes its requests to c.
 func New(c Core, conf Config, bufs *pgwire.Pool, log *slog.Logger) *Server {
 	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, most: conf.Max}
 	s.ended.L = &s.mu
@@ -96,7 +99,7 @@
 	return s
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed; it returns nil then.
 func (s *Server) Serve(l net.Listener) error {
 	sweep := time.NewTicker(sweepEvery)
 	done := make(chan struct{})
@@ -117,7 +120,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, most likely: clients wait in the backlog meanwhile
+		if err != nil { // most likely out of file descriptors: clients wait in the backlog meanwhile
 			s.failing.Warn(s.log, "accept failed", "err", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -126,10 +129,10 @@
 	}
 }
 
-// Handle serves one connection in the background. At the limit the clients that
-// ask once and keep their connection, or never ask, make room for those that ask now.
+// Handle serves one connection in the background. At the limit, idle connections are
+// closed to make room for the new one.
 func (s *Server) Handle(nc net.Conn) {
-	runtime.Gosched() // hundreds may come at once: what those before have sent is read first, and they count as asking
+	runtime.Gosched() // hundreds may connect at once: lets the goroutines of earlier ones read first, so that they count as active
 	c := newConn(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +141,7 @@
 	case s.refusing < (s.conf.Spare+1)/2:
 		s.refusing++
 		c.refuse = true
-		stay := 0 // where another process passed on more than may be, the idle ones make room for the next
+		stay := 0 // another process may have handed over more than the limit: idle ones make room for the next client
 		for c := range s.conns {
 			if !c.leaving {
 				stay++
@@ -155,8 +158,8 @@
 	s.serve(c, false)
 }
 
-// turnAway ends a connection that there is no room for. One whose startup is not over is told so without having been
-// read: a client that hears nothing at all may take its request for lost. The caller holds the lock.
+// turnAway closes a connection that exceeds the limits. One whose startup is not complete gets an error without being read,
+// because a client that gets no answer may assume that its request was lost. The lock must be held.
 func (s *Server) turnAway(c *conn, began bool) {
 	s.closed.Warn(s.log, "client closed: too many connections", "open", len(s.conns))
 	if !s.evict() {
@@ -172,8 +175,8 @@
 	})
 }
 
-// evict makes room for one connection more, if there is none, by closing the one that has lingered longest. It tells
-// whether there is room. The caller holds the lock.
+// evict makes room for one more connection, if there is none, by closing the one that has lingered longest. It reports
+// whether there is room. The lock must be held.
 func (s *Server) evict() bool {
 	if len(s.conns)+s.refusing+len(s.lingered) < s.most+s.conf.Spare {
 		return true
@@ -187,7 +190,7 @@
 	return true
 }
 
-// linger is the end of a connection whose client is still there. It counts no longer as one of the clients'.
+// linger closes a connection whose client has not closed it. It no longer counts as a client connection.
 func (s *Server) linger(c *conn) {
 	s.mu.Lock()
 	s.drop(c)
@@ -196,7 +199,7 @@
 	s.seeOff(c)
 }
 
-// seeOff closes a connection that is among the lingered.
+// seeOff runs the lingering close of a connection in s.lingered.
 func (s *Server) seeOff(c *conn) {
 	s.mu.Lock()
 	s.lingers++
@@ -209,9 +212,9 @@
 	s.lingered = slices.DeleteFunc(s.lingered, func(nc net.Conn) bool { return nc == c.Conn.Conn })
 }
 
-const lingerMost = 1 << 20 // bytes that are read of a client whose connection has ended: some of its largest requests
+const lingerMost = 1 << 20 // bytes that a lingering connection reads at most: several requests of the largest size
 
-// drop has a connection count no longer. The caller holds the lock.
+// drop removes a connection from the counts. The lock must be held.
 func (s *Server) drop(c *conn) {
 	delete(s.conns, c)
 	if c.refuse {
@@ -220,7 +223,7 @@
 	}
 }
 
-// start runs f in the background; Shutdown waits for it. The caller holds the lock.
+// start runs f in the background; Shutdown waits for it. The lock must be held.
 func (s *Server) start(f func()) {
 	s.working++
 	go func() {
@@ -232,7 +235,7 @@
 	}()
 }
 
-// pass gives a connection to another process, if this one ends and there is one.
+// pass hands a connection over to another process, if this one is shutting down and there is one.
 func (s *Server) pass(nc net.Conn, began bool) bool {
 	s.mu.Lock()
 	passing := s.passing && s.conf.Pass != nil
@@ -240,8 +243,8 @@
 	return passing && s.conf.Pass(nc, began)
 }
 
-// Adopt serves a connection that another process passed on. It was within the limits there, which both keep
-// together; it counts here from now on.
+// Adopt serves a connection that another process handed over. It was within the limits there, which both processes share;
+// from now on it counts here. began says that its startup is complete.
 func (s *Server) Adopt(nc net.Conn, began bool) {
 	c := newConn(s, nc)
 	s.mu.Lock()
@@ -257,7 +260,7 @@
 	s.serve(c, began)
 }
 
-// serve runs a connection in the background. The caller holds the lock.
+// serve runs a connection in the background. The lock must be held.
 func (s *Server) serve(c *conn, began bool) {
 	if !c.refuse {
 		s.conns[c] = true
@@ -277,13 +280,14 @@
 	})
 }
 
-// makeRoom ends the connection that has been silent longest without a byte,
-// else the one idle longest, and tells whether there was one. None is ended
-// that has only just connected or been welcomed. A request that
-// crosses the end is served first, or was not read: its client asks again.
+// makeRoom closes the connection that has been open longest without sending a
+// byte, else the one that has been idle longest, and reports whether there was
+// one. It spares connections that have only just connected or completed their
+// startup. A request that arrives at the same time is either served first or not
+// read at all, so that its client can retry.
 func (s *Server) makeRoom() bool {
 	var oldest *conn
-	rank := func(c *conn) int { // 0: it stays
+	rank := func(c *conn) int { // 0: must not be closed
 		switch {
 		case c.leaving, c.idleSince.IsZero(),
 			!c.spoke && time.Since(c.idleSince) < silentLeast, c.spoke && !c.asked && time.Since(c.idleSince) < idleLeast:
@@ -309,9 +313,9 @@
 	return true
 }
 
-// endIdle ends connections that have been idle for long, and the longest idle
-// of more than IdleKeep. Clients that ask once and keep their connection would
-// else take up all those that clients may hold, and none could ask.
+// endIdle closes connections that have been idle for IdleTimeout, and the longest
+// idle ones beyond MaxIdleConnections. Otherwise clients that send one request and
+// keep their connection could use up the limit and block all others.
 func (s *Server) endIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -331,7 +335,7 @@
 	}
 }
 
-// idle notes that a connection waits for a command, busy that it has one.
+// idle records that a connection waits for a command, busy that it has one.
 func (s *Server) idle(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -345,23 +349,22 @@
 	c.idleSince = time.Time{}
 }
 
-// heard notes that a connection has sent something.
+// heard records that a connection has received bytes.
 func (s *Server) heard(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.spoke = true
 }
 
-// Limit has the server hold so many client connections at most from now on. Those that are open stay until they are
-// idle.
+// Limit sets the limit of client connections. Open connections beyond it stay until they are idle.
 func (s *Server) Limit(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.most = most
 }
 
-// Quiesce has connections end as they fall idle, what was taken answered, and new ones after one answer; or has the
-// server go on as ever. Unlike Shutdown it can be taken back; a Shutdown can't.
+// Quiesce(true) closes connections as they become idle, after answering the requests they have sent, and new connections
+// after one answer. Quiesce(false) reverts to normal operation, unless Shutdown was called.
 func (s *Server) Quiesce(yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -371,16 +374,16 @@
 	}
 }
 
-// Open is how many connections are open, those being refused among them, those that linger not.
+// Open returns the number of open connections, including those being refused, but not those that linger.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) + s.refusing
 }
 
-// Shutdown ends connections as they fall idle, answers what was taken, and
-// returns when none is left. For those that linger it waits lastLinger: what was under way when they were ended has come
-// by then, and clients that do not look at a connection at rest for long would hold up the next process.
+// Shutdown closes connections as they become idle, answers the requests that were read, and returns when no connection is
+// left. It waits for lingering connections for lastLinger only: what was in transit when they were closed has arrived by
+// then, and clients that do not look at an idle connection for a long time would delay the next process.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -405,10 +408,10 @@
 	}
 }
 
-const lastLinger = 50 * time.Millisecond // more than a request is under way to the gateway
+const lastLinger = 50 * time.Millisecond // longer than a request is in transit to the gateway
 
-// LastCall is for the last moments of a Shutdown: commands that are whole are answered, but the rest of one that has
-// begun is not waited for any longer. Whoever sends it then finds the connection ended.
+// LastCall is for the end of a Shutdown: complete commands are still answered, but the server no longer waits for the rest
+// of a command that has begun. The client that sends it finds the connection closed.
 func (s *Server) LastCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -416,7 +419,7 @@
 	s.tell(message{stop: true, last: true})
 }
 
-// tell leaves all connections a message. The caller holds the lock.
+// tell posts a message to all connections. The lock must be held.
 func (s *Server) tell(m message) {
 	for c := range s.conns {
 		c.Leave(m)
