--- a/internal/restfront/edge.go
+++ b/internal/restfront/edge.go
@@ -7,19 +7,19 @@
 	"reachwind/internal/edgeconf"
 )
 
-// The defaults.
+// Defaults of the rest block.
 const (
 	maxUsual    = 256
-	bodyUsual   = 64 << 10 // the longest value that members take
+	bodyUsual   = 64 << 10 // bytes; the longest value that members accept
 	headerUsual = 2500 * time.Millisecond
 	readUsual   = 5 * time.Second
 	writeUsual  = 5 * time.Second
 	idleUsual   = 30 * time.Second
 	lifeUsual   = time.Hour
-	perConn     = 48 << 10 // bytes that a connection holds, about: buffers, header and goroutines
+	perConn     = 48 << 10 // bytes that a connection uses, approximately: buffers, header and goroutines
 )
 
-// Read reads the rest block.
+// Read reads the rest block of the configuration and reports its faults to b.
 func Read(b *edgeconf.Block) Config {
 	c := Config{Listen: b.Text("listen", ""), Max: int(b.Int("connections", maxUsual, 1, 100_000)), Body: b.Size("body", bodyUsual, 1, bodyUsual),
 		Header: b.Span("header_wait", headerUsual, 10*time.Millisecond, time.Minute), Read: b.Span("read_wait", readUsual, 10*time.Millisecond, time.Minute),
@@ -34,7 +34,7 @@
 	return c
 }
 
-// Footprint is what the front holds at most: bytes of memory, and descriptors.
+// Footprint returns the maximum use of memory, in bytes, and of file descriptors, the listener included.
 func (c *Config) Footprint() (memory int64, files int) {
-	return int64(c.Max) * (perConn + c.Body), c.Max + refusedMost + 1 // and the listener
+	return int64(c.Max) * (perConn + c.Body), c.Max + refusedMost + 1 // one for the listener
 }
--- a/internal/restfront/list.go
+++ b/internal/restfront/list.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	limitUsual = 100
-	skew       = 5 * time.Second // by which the clocks of gateways that share keys may differ
+	limitUsual = 100             // items of a page, unless the client names a limit
+	skew       = 5 * time.Second // allowed difference between the clocks of gateways that share keys
 )
 
-// listing is a listing that a request goes on with.
+// listing is a listing that a request begins or continues.
 type listing struct {
-	from  cursor.Cursor // where it stands; its position is the first page's, 0 for the first
+	from  cursor.Cursor // where the page begins; its position is that of the first page, 0 while that is requested
 	class string
 	limit int
-	text  string // the query's prefix
+	text  string // the prefix of the query
 }
 
-// ring reads the keys of cursors.
+// ring reads the keys of cursors, or makes a random one if no file is configured.
 func (c *Config) ring() (*cursor.Ring, error) {
 	if c.Keys == "" {
 		k := cursor.Key{ID: 1, Issue: skew, End: 1 << 62}
@@ -55,7 +55,7 @@
 	return ring, nil
 }
 
-// cursorProblems are the kinds of what may be wrong with a cursor.
+// cursorProblems maps the errors of a cursor to kinds and statuses of problems.
 var cursorProblems = []struct {
 	err    error
 	kind   string
@@ -63,7 +63,7 @@
 }{{cursor.ErrFormat, "cursor-format", 400}, {cursor.ErrVersion, "cursor-version", 400}, {cursor.ErrKey, "cursor-key", 410}, {cursor.ErrForged, "cursor-forged", 400},
 	{cursor.ErrExpired, "cursor-expired", 410}, {cursor.ErrFuture, "cursor-future", 400}, {cursor.ErrQuery, "cursor-query", 400}}
 
-// listing reads what a page is asked for by, and fills it in.
+// listing parses the query of a page and fills it into c.
 func (s *Server) listing(r *http.Request, c *call.Request, now core.Time) (*listing, *problem) {
 	bad := func(kind string, status int, format string, args ...any) (*listing, *problem) {
 		return nil, &problem{kind: kind, status: status, detail: fmt.Sprintf(format, args...), outcome: record.Failed, cause: record.Invalid}
@@ -86,7 +86,7 @@
 			return bad("limit", 400, "the limit is %.40q, want 1 to %d", f.Get("limit"), call.LimitMost)
 		}
 	}
-	// the limit is not of the query: a client may take smaller pages as it goes
+	// The limit is not part of the fingerprint: a client may change the size of pages during a listing.
 	l.from.Query = cursor.Fingerprint(c.Class, c.Tenant, r.Header.Get("Reachwind-Session"), l.text, c.Cluster)
 	if f.Has("cursor") {
 		from, err := s.ring.Load().Open(f.Get("cursor"), l.from.Query, now)
@@ -104,16 +104,16 @@
 	return l, nil
 }
 
-// page makes the answer of a member's page: its items, and the cursor of the next where there are more.
+// page makes the answer from a member's page: its items, and the cursor of the next page if there are more.
 func (s *Server) page(h http.Header, r *http.Request, l *listing, value []byte, position core.Time) ([]byte, error) {
 	var p call.Page
 	if err := json.Unmarshal(value, &p); err != nil {
 		return nil, err
 	}
 	last := l.from.After
-	for _, it := range p.Items { // a member that repeats or skips back would break what the cursor promises
+	for _, it := range p.Items { // a cursor guarantees ascending ids: a member must not repeat items or go back
 		if it.ID <= last && last != "" || len(p.Items) > l.limit {
-			return nil, errors.New("a page out of order")
+			return nil, errors.New("the member's page is not in ascending order of ids or longer than the limit")
 		}
 		last = it.ID
 	}
--- a/internal/restfront/problem.go
+++ b/internal/restfront/problem.go
@@ -9,26 +9,26 @@
 	"reachwind/internal/record"
 )
 
-// problem is an answer by RFC 9457. Types are stable: tools may rely on them.
+// problem is an answer by RFC 9457. Its types are stable: tools may rely on them.
 type problem struct {
-	kind    string
+	kind    string // the type, without problemBase
 	status  int
 	detail  string
-	after   time.Duration
-	ran     *bool // whether it may have run, where that is known
+	after   time.Duration // time until a retry, 0 = none given
+	ran     *bool         // whether the request may have run; nil: not stated
 	outcome record.Outcome
 	cause   record.Cause
 }
 
 const problemBase = "urn:reachwind:problem:"
 
-// refused is the answer to a request that was turned away: trying again is harmless.
+// refused returns the answer to a request that was refused without running, so that a retry is harmless.
 func refused(after time.Duration) *problem {
 	ran := false
 	return &problem{kind: "refused", status: http.StatusServiceUnavailable, detail: "refused, trying again is harmless", after: after, ran: &ran, outcome: record.Refused}
 }
 
-// failed is the answer to a request that promises nothing.
+// failed returns the answer to a request that failed; ran says whether it may have run.
 func failed(ran bool) *problem {
 	return &problem{kind: "failed", status: http.StatusBadGateway, detail: "failed", ran: &ran, outcome: record.Failed}
 }
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -1,7 +1,7 @@
-// Package restfront is the clients' side for REST: HTTP/1.1 requests for single
-// values, through the same core and rules as every other front. Each request gets
-// one answer. What it refuses before the core has it, it refuses by a problem
-// document (RFC 9457) with a type of its own.
+// Package restfront is the front for REST clients: HTTP/1.1 requests for single
+// values and pages of items, through the same core and rules as every other front.
+// Each request gets one answer. A request that is refused before it reaches the core
+// gets a problem document (RFC 9457) whose type names the reason.
 package restfront
 
 import (
@@ -35,27 +35,27 @@
 	"reachwind/internal/wake"
 )
 
-// Config holds what the front is told.
+// Config is the configuration of the front.
 type Config struct {
-	Listen string
-	Max    int           // connections
-	Body   int64         // bytes of a value
-	Header time.Duration // a request's header must have come by then
-	Read   time.Duration // and all of it by then
-	Write  time.Duration // an answer must have been taken by then, on top of what the client waits
-	Idle   time.Duration // a connection idle for longer ends
+	Listen string        // address to listen on
+	Max    int           // connections at a time
+	Body   int64         // size limit of a value in bytes
+	Header time.Duration // timeout for reading the header of a request
+	Read   time.Duration // timeout for reading a whole request
+	Write  time.Duration // timeout for the client to read an answer, in addition to the time that it waits for one
+	Idle   time.Duration // a connection is closed once it has been idle for so long
 	Terms  *terms.Book
-	Keys   string        // file with the keys of cursors; empty: a key of this process alone
-	Life   time.Duration // of a cursor
+	Keys   string        // file with the keys of cursors; empty: a random key of this process
+	Life   time.Duration // validity of a cursor
 }
 
 const (
-	headerMost  = 16 << 10
-	defaultWait = 5 * time.Second
-	front       = "rest" // as records have it
+	headerMost  = 16 << 10        // size limit of a header in bytes
+	defaultWait = 5 * time.Second // deadline of a request that names none
+	front       = "rest"          // name of this front in records
 )
 
-// Core is the part of the core that a front uses.
+// Core is the part of the core that the front uses.
 type Core interface {
 	Now() core.Time
 	Arrive(*core.Request)
@@ -63,28 +63,29 @@
 	Turned(front string, o record.Outcome, why record.Cause)
 }
 
-// Server accepts clients.
+// Server accepts client connections.
 type Server struct {
 	core   Core
 	conf   Config
 	log    *slog.Logger
 	claims *call.Claims
 	ring   atomic.Pointer[cursor.Ring]
-	prefix string // of ids that it gives
+	prefix string // of the ids that it assigns to requests without one
 	last   atomic.Uint64
 	http   http.Server
 	l      net.Listener
 	done   sync.WaitGroup
 
 	mu       sync.Mutex
-	open     int        // connections, those that linger among them
-	refusing int        // beyond them
-	lingered []net.Conn // ended but for what their clients may still send, longest first
-	working  int        // goroutines that end connections
+	open     int        // admitted connections, including those that linger
+	refusing int        // connections that are being refused, not counted in open
+	lingered []net.Conn // closed for sending, waiting for their clients to close, longest first
+	working  int        // goroutines that close connections
 	ended    sync.Cond
 }
 
-// New returns a server that hands its requests to c. Ids in work are shared with the other fronts by claims.
+// New returns a server that passes its requests to c. claims holds the ids of requests in progress of all fronts. It fails
+// if the keys of cursors cannot be read.
 func New(c Core, conf Config, claims *call.Claims, log *slog.Logger) (*Server, error) {
 	s := &Server{core: c, conf: conf, log: log, claims: claims}
 	s.ended.L = &s.mu
@@ -114,10 +115,10 @@
 	return s, nil
 }
 
-// Prepare checks a new configuration. apply takes over its keys, from the same file or another: cursors sealed by
-// keys that both hold go on.
+// Prepare checks a new configuration. apply puts its cursor keys into use, from the same file or another; cursors sealed
+// with a key that is in both remain valid. The other fields are not applied.
 func (s *Server) Prepare(conf Config) (apply func(), err error) {
-	if conf.Keys == "" && s.conf.Keys == "" { // the process keeps its own key
+	if conf.Keys == "" && s.conf.Keys == "" { // the process keeps its random key
 		return func() {}, nil
 	}
 	ring, err := conf.ring()
@@ -127,7 +128,7 @@
 	return func() { s.ring.Store(ring) }, nil
 }
 
-// Start listens and serves until Shutdown.
+// Start listens and serves in the background until Shutdown.
 func (s *Server) Start() error {
 	l, err := net.Listen("tcp", s.conf.Listen)
 	if err != nil {
@@ -143,11 +144,11 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener. It must not be called before Start.
 func (s *Server) Addr() string { return s.l.Addr().String() }
 
-// Shutdown takes no more connections, answers what was taken for as long as ctx lasts, and ends. It waits a moment for
-// connections that linger.
+// Shutdown stops accepting connections, answers the requests that were read until ctx ends, and closes all connections. It
+// waits for lingering connections for lastLinger at most.
 func (s *Server) Shutdown(ctx context.Context) {
 	if s.http.Shutdown(ctx) != nil {
 		_ = s.http.Close()
@@ -167,7 +168,7 @@
 	}
 }
 
-// start runs f in the background and then, under the lock, then; Shutdown waits for both. The caller holds the lock.
+// start runs f in the background, and after it then with the lock held; Shutdown waits for both. The lock must be held.
 func (s *Server) start(f, then func()) {
 	s.working++
 	go func() {
@@ -181,14 +182,14 @@
 }
 
 const (
-	lingerWait  = time.Second           // for a client whose connection has ended to close it
-	lingerMost  = 1 << 20               // bytes that are read of it meanwhile
-	lastLinger  = 50 * time.Millisecond // for all of them at a shutdown: more than a request is under way
-	refusedMost = 4                     // connections beyond the limit that are being refused, and linger
+	lingerWait  = time.Second           // timeout of a lingering connection
+	lingerMost  = 1 << 20               // bytes that a lingering connection reads at most
+	lastLinger  = 50 * time.Millisecond // wait for lingering connections at a shutdown: longer than a request is in transit
+	refusedMost = 4                     // connections beyond the limit that may be refused and linger at a time
 	refusal     = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// limited ends connections beyond the limit at once, so that those within it are served.
+// limited is a listener that refuses connections beyond the limit at once.
 type limited struct {
 	net.Listener
 	s *Server
@@ -208,7 +209,8 @@
 	}
 }
 
-// admit counts a connection in, if there is room. Those that linger give way, the one that has lingered longest first.
+// admit counts a new connection if the limit allows it, and reports whether it does. At the limit it closes the connection
+// that has lingered longest, if there is one.
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,13 +226,13 @@
 	return true
 }
 
-// refuse tells a client that there is no room for it.
+// refuse answers a connection beyond the limit with status 503 and closes it.
 func (s *Server) refuse(c net.Conn) {
 	_ = c.SetWriteDeadline(time.Now().Add(10 * time.Millisecond))
 	_, _ = io.WriteString(c, refusal)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refusing >= refusedMost { // its client may see a reset
+	if s.refusing >= refusedMost { // without a lingering close its client may see a reset
 		_ = c.Close()
 		return
 	}
@@ -238,24 +240,25 @@
 	s.start(func() { wake.Linger(c, time.Now().Add(lingerWait), lingerMost) }, func() { s.refusing-- })
 }
 
-// linger closes a connection that was admitted, in the background.
+// linger runs the lingering close of an admitted connection in the background.
 func (s *Server) linger(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lingered = append(s.lingered, c)
 	s.start(func() {
-		late := time.AfterFunc(lingerWait, func() { _ = c.Close() }) // net/http may have unset the deadline
+		late := time.AfterFunc(lingerWait, func() { _ = c.Close() }) // net/http may have cleared the deadline
 		wake.Linger(c, time.Now().Add(lingerWait), lingerMost)
 		late.Stop()
 	}, func() {
-		if i := slices.Index(s.lingered, c); i >= 0 { // else it gave way
+		if i := slices.Index(s.lingered, c); i >= 0 { // else admit has closed it and uncounted it
 			s.lingered = slices.Delete(s.lingered, i, i+1)
 			s.open--
 		}
 	})
 }
 
-// tracked is a connection that was admitted. Its close lingers and does not wait; nothing that is read later is served.
+// tracked is an admitted connection. Close starts a lingering close and does not wait for it; no request that is read later
+// is served.
 type tracked struct {
 	net.Conn
 	s      *Server
@@ -278,17 +281,17 @@
 	return nil
 }
 
-// client takes the answer to one request.
+// client receives the answer to one request.
 type client struct{ answers chan core.Answer }
 
-// Answer never blocks: there is one answer, and room for it.
+// Answer never blocks: there is one answer, and the channel has capacity for it.
 func (c client) Answer(a core.Answer) { c.answers <- a }
 
 // serve carries out one request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, op call.Op) {
 	came := s.core.Now()
 	q, list, p := s.request(r, op, came)
-	if len(r.TransferEncoding) > 0 { // whose end another server before us might see elsewhere
+	if len(r.TransferEncoding) > 0 { // a proxy in front might disagree about where the body ends
 		w.Header().Set("Connection", "close")
 	}
 	if p != nil {
@@ -304,18 +307,18 @@
 		return
 	}
 	s.core.Gone(q)
-	select { // it may have been answered meanwhile
+	select { // an answer may have arrived meanwhile
 	case a := <-k.answers:
 		if a.Body != nil {
 			a.Body.Release()
 		}
 	default:
 	}
-	panic(http.ErrAbortHandler) // else a client that ended only its sending would get an empty answer that says 200
+	panic(http.ErrAbortHandler) // else a client that closed only its sending side would get an empty answer with status 200
 }
 
-// await waits for the answer to a request, and tells whether it came before the client left. Behind bytes of a next
-// request net/http does not see that, so the socket is asked from time to time.
+// await waits for the answer to a request, and reports whether it arrived before the client closed the connection. net/http
+// does not detect the close behind unread bytes of a next request, so the socket is polled.
 func await(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
 	look := time.NewTicker(hangup.Every)
 	defer look.Stop()
@@ -333,10 +336,10 @@
 	}
 }
 
-// connection is under what a request's context holds the connection that it came on.
+// connection is the context key of the connection that a request arrived on.
 type connection struct{}
 
-// request makes a request of what came, or the problem with it.
+// request makes a core request from an HTTP request that arrived at came, or returns the problem with it.
 func (s *Server) request(r *http.Request, op call.Op, came core.Time) (*core.Request, *listing, *problem) {
 	bad := func(kind, format string, args ...any) (*core.Request, *listing, *problem) {
 		return nil, nil, &problem{kind: kind, status: http.StatusBadRequest, detail: fmt.Sprintf(format, args...), outcome: record.Failed, cause: record.Invalid}
@@ -411,13 +414,13 @@
 	q := &core.Request{Class: k.Class, Place: k.Place, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, AtLeast: atLeast, Until: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
 	if k.HasSession() {
 		if q.Session = h.Get("Reachwind-Session"); q.Session == "" {
-			q.Session = c.Item // as in PostgreSQL, where the quoted key names it
+			q.Session = c.Item // as with PostgreSQL, where the quoted key identifies the session
 		}
 	}
 	return q, list, nil
 }
 
-// answer writes a final answer.
+// answer writes the final answer to a request.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, op call.Op, list *listing, a *core.Answer) {
 	h := w.Header()
 	switch a.Verdict {
@@ -456,7 +459,7 @@
 	_, _ = w.Write(value)
 }
 
-// matches tells whether an If-None-Match names a tag, RFC 9110 section 13.1.2.
+// matches reports whether an If-None-Match field matches a tag, by RFC 9110 section 13.1.2.
 func matches(field, tag string) bool {
 	for one := range strings.SplitSeq(field, ",") {
 		if one = strings.TrimSpace(one); one == "*" || strings.TrimPrefix(one, "W/") == tag {
