--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,7 +18,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain plays a process of the gateway where the test starts one: it does what it reads, a line each, and says so.
+// TestMain runs as a process of the gateway if a test has started it as one: it executes the commands on stdin, one per
+// line, and reports each on stdout.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("HANDOVER_PLAY")
 	if dir == "" {
@@ -79,8 +80,8 @@
 	_ = p.Wait()
 }
 
-// TestProcesses has processes come, commit, change a file and be killed in the middle of it, by seed. What one was
-// told done is seen by all, in any order of deaths, and the file is always whole.
+// TestProcesses starts processes that commit, change a file and are killed at random moments. Whatever a process has
+// reported as done must be visible to all, and the file must always be intact.
 func TestProcesses(t *testing.T) {
 	const steps = 200
 	seed := uint64(time.Now().UnixNano())
@@ -105,7 +106,7 @@
 		} else {
 			p.tell("add x %d", i)
 		}
-		if rng.IntN(10) == 0 { // at whatever it is doing
+		if rng.IntN(10) == 0 { // killed at any point of the command
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
 			p.kill()
 			live = append(live[:0:0], live...)
@@ -148,8 +149,8 @@
 	return -1
 }
 
-// TestBroken: a board or a file that was cut, flipped, made longer or is of another version is told from a whole one,
-// is replaced where nobody lives, and is left alone where somebody does.
+// TestBroken: shared memory or a state file that is truncated, has flipped bits, is too long or has another version is
+// detected. Damaged shared memory is replaced if no other process is alive, and left alone if one is.
 func TestBroken(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp("", "handover")
@@ -186,7 +187,7 @@
 			}
 			return
 		}
-		second, err := Open(dir) // where the first lives
+		second, err := Open(dir) // while the first is alive
 		if second == nil || second.Shared() || !errors.As(err, new(*StateError)) {
 			rt.Fatalf("a broken board was taken beside another process: %v", err)
 		}
@@ -203,7 +204,7 @@
 	})
 }
 
-// TestSplit: what two processes may use together stays under the limit once each has seen what the other holds.
+// TestSplit: two processes together stay within the limit once each has seen what the other holds.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(64, 4096).Draw(rt, "limit")
--- a/internal/handover/pass_test.go
+++ b/internal/handover/pass_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// client is a client's connection, and the gateway's side of it.
+// client returns the client's and the gateway's end of a client connection.
 func client(t *testing.T) (far, near net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	return far, near
 }
 
-// board takes a place in dir.
+// board opens the shared state in dir.
 func board(t *testing.T, dir string) *Board {
 	t.Helper()
 	b, err := Open(dir)
@@ -53,8 +53,9 @@
 	return p
 }
 
-// TestPassToTheDying: a successor that is killed after a connection was written to it, and before it took it over, takes
-// none with it: the former process still has it. One that took it over has it, and the former one's close ends nothing.
+// TestPassToTheDying: if a successor is killed after a connection was sent to it and before it accepted it, the connection
+// is not lost: the former process still owns it. Once the successor has accepted a connection, the former process may
+// close its copy without ending it.
 func TestPassToTheDying(t *testing.T) {
 	dir := t.TempDir()
 	p := patient(board(t, dir))
@@ -78,7 +79,7 @@
 	passed := make(chan error, 1)
 	go func() { passed <- p.Pass(near, true) }()
 	for written := false; !written; time.Sleep(time.Millisecond) {
-		p.mu.Lock() // held until it is written
+		p.mu.Lock() // pass holds it until the message is written
 		p.to.mu.Lock()
 		written = len(p.to.waiting) == 1
 		p.to.mu.Unlock()
@@ -94,7 +95,7 @@
 	read(t, far, "still")
 }
 
-// stopped tells whether all threads of a process are stopped.
+// stopped reports whether all threads of a process are stopped.
 func stopped(pid int) bool {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, task := range tasks {
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestPassToTheEnding: a process that begins to end takes over all that was on its way to it before its end is done; what
-// comes later goes to another that is ready, or stays.
+// TestPassToTheEnding: a process that shuts down accepts all connections that were already sent to it before its stop
+// returns; later ones go to another process that is ready, or stay with the sender.
 func TestPassToTheEnding(t *testing.T) {
 	dir := t.TempDir()
 	p := patient(board(t, dir))
@@ -147,7 +148,7 @@
 		close(stopped)
 	}()
 	_, near := client(t)
-	for late := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) { // until its end has come to the link
+	for late := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) { // until the sender's link is closed for writing
 		p.mu.Lock()
 		p.to = first
 		p.mu.Unlock()
@@ -189,8 +190,8 @@
 	}
 }
 
-// TestPassWithoutRoom: a connection whose descriptor did not arrive, as the successor has none left, is not told to be
-// taken over, nor is what was written behind it: the former process has them all.
+// TestPassWithoutRoom: if the descriptor of a connection does not arrive, because the successor is out of descriptors,
+// neither that connection nor any sent behind it is acknowledged: the former process still owns them all.
 func TestPassWithoutRoom(t *testing.T) {
 	dir := t.TempDir()
 	p := patient(board(t, dir))
@@ -206,7 +207,7 @@
 	p.mu.Lock()
 	to := p.to
 	word := to.await()
-	_, _, err := to.WriteMsgUnix([]byte{1}, nil, nil) // as it comes where the system cut the descriptor off
+	_, _, err := to.WriteMsgUnix([]byte{1}, nil, nil) // what arrives if the system discards the descriptor
 	p.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/opsdoor/linger_test.go
+++ b/internal/opsdoor/linger_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// caller is one end of a connection that the test holds at each line.
+// caller returns the caller's end of a new connection, over which the test has full control.
 func caller(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -28,8 +28,8 @@
 	}
 }
 
-// whole reads an answer through the connection's end, which must be none by a reset: that would take an answer with it
-// which the caller has not read yet.
+// whole reads an answer up to the end of the connection. That must not be a reset, by which a caller could lose an answer
+// that it has not read yet.
 func whole(t *testing.T, nc net.Conn, want ...string) {
 	t.Helper()
 	text, err := io.ReadAll(nc)
@@ -43,7 +43,7 @@
 	}
 }
 
-// stages waits until so many connections are at a stage.
+// stages waits until exactly many connections are in a stage.
 func stages(t *testing.T, d *Door, want stage, many int) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestLongCall: who sends far more than a call may have, and goes on after it was answered, still gets its no.
+// TestLongCall: a caller that exceeds the size limit, and continues to send after the answer, still receives the error.
 func TestLongCall(t *testing.T) {
 	d, addr := open(t, 4, new(operator))
 	nc := caller(t, addr)
@@ -76,7 +76,8 @@
 	whole(t, nc, "HTTP/1.1 400 ", "longer than")
 }
 
-// TestCrossingCalls: a second call that comes as the first one is answered is not done, and takes no answer away.
+// TestCrossingCalls: a second call that arrives while the first one is answered is not carried out, and the first answer is
+// not lost.
 func TestCrossingCalls(t *testing.T) {
 	op := new(operator)
 	d, addr := open(t, 4, op)
@@ -90,7 +91,8 @@
 	}
 }
 
-// TestHalfClose: who ends its sending behind a call gets the answer; who ends it within one gets none, and keeps nothing.
+// TestHalfClose: a caller that closes its sending side after a call gets the answer; one that does so within a call gets
+// none, and its connection is closed.
 func TestHalfClose(t *testing.T) {
 	d, addr := open(t, 4, new(operator))
 	for _, text := range []string{yes, yes[:len(yes)-3], ""} {
@@ -108,7 +110,7 @@
 	gone(t, d)
 }
 
-// gone waits until the door holds no connection.
+// gone waits until the server has no connection.
 func gone(t *testing.T, d *Door) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -124,12 +126,12 @@
 	}
 }
 
-// TestRefusals: where all connections wait for answers, a caller whose call nobody has read gets its no whole; of many
-// such the door holds a bounded number; and those that wait are answered.
+// TestRefusals: while all connections wait for answers, a caller gets a complete refusal although its call is never read,
+// and the number of callers being refused is bounded.
 func TestRefusals(t *testing.T) {
 	op := &operator{stall: make(chan struct{})}
 	d := New(Config{Addr: "127.0.0.1:0", Most: 2}, op, slog.New(slog.DiscardHandler))
-	for range 3 { // by hand, so that none is served: they hold all the room there is
+	for range 3 { // added without being served: they use up the limit
 		d.conns = append(d.conns, &conn{Conn: new(script), stage: working})
 	}
 	if err := d.Start(); err != nil {
@@ -147,7 +149,7 @@
 		}
 	}
 	var all []net.Conn
-	for range 8 { // they stay
+	for range 8 { // they do not close
 		all = append(all, caller(t, d.Addr().String()))
 	}
 	answered, silent := 0, 0
@@ -174,13 +176,14 @@
 	gone(t, d)
 }
 
-// TestLeavingCall: a call that comes as its connection makes room for another is answered, yes or come again.
+// TestLeavingCall: a call that arrives while its connection is asked to make room for another gets an answer, the result or
+// a refusal.
 func TestLeavingCall(t *testing.T) {
 	d, addr := open(t, 2, new(operator))
 	first, second := caller(t, addr), caller(t, addr)
 	send(t, first, yes[:20])
 	stages(t, d, incomplete, 2)
-	third := caller(t, addr) // the first or the second, whose bytes are read, makes room for it
+	third := caller(t, addr) // the first or the second, which has no unread bytes, makes room for it
 	send(t, first, yes[20:])
 	send(t, second, yes)
 	send(t, third, yes)
@@ -190,8 +193,8 @@
 	gone(t, d)
 }
 
-// TestClose: a door that is closed answers what it is at, and whole calls that it has not read; who only holds a
-// connection does not hold it up.
+// TestClose: Close lets calls in progress and complete calls that were not read yet be answered; a caller that only holds a
+// connection does not delay it.
 func TestClose(t *testing.T) {
 	op := &operator{stall: make(chan struct{})}
 	d, addr := open(t, 8, op)
@@ -219,7 +222,8 @@
 	gone(t, d)
 }
 
-// TestMuchAndGone: callers that send much at once and go, by an end or a reset, keep nothing, and others are answered.
+// TestMuchAndGone: callers that send much at once and leave, by a close or a reset, leave no connection behind, and others
+// are answered.
 func TestMuchAndGone(t *testing.T) {
 	d, addr := open(t, 4, new(operator))
 	text := []byte("POST /v1/db-machines/m/suspend HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n" + strings.Repeat("a", 200<<10))
--- a/internal/opsdoor/opsdoor_test.go
+++ b/internal/opsdoor/opsdoor_test.go
@@ -19,7 +19,7 @@
 	"reachwind/internal/suspend"
 )
 
-// operator knows one db machine, "m 1", and counts what it was asked.
+// operator is a backend that knows one db machine, "m 1", and counts the calls to it.
 type operator struct {
 	calls atomic.Int64
 	stall chan struct{} // nil: no stall
@@ -54,7 +54,7 @@
 	return d, d.Addr().String()
 }
 
-// ask sends a whole call in the pieces given and returns the answer.
+// ask sends a complete call in the given pieces and returns the answer.
 func ask(addr string, pieces ...string) (int, string, error) {
 	nc, err := net.DialTimeout("tcp", addr, 20*time.Second)
 	if err != nil {
@@ -80,8 +80,8 @@
 
 const yes = "POST /v1/db-machines/m%201/suspend HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
 
-// TestHolders: many callers hold connections, send nothing or a byte at a time, and come again when they are closed.
-// Each whole call is answered all the same, and the door's connections stay within their bound.
+// TestHolders: many callers keep connections open, send nothing or a byte at a time, and reconnect when they are closed.
+// Complete calls are answered nevertheless, and the number of connections stays within its limit.
 func TestHolders(t *testing.T) {
 	d, addr := open(t, 16, new(operator))
 	hold, end := context.WithCancel(t.Context())
@@ -119,7 +119,7 @@
 	}
 	for range 50 {
 		code, text, err := ask(addr, yes)
-		for n := 0; err != nil && n < 5; n++ { // on a loaded machine more may come than there is room for, before its first byte does
+		for n := 0; err != nil && n < 5; n++ { // on a loaded machine more callers than the limit may connect before its first byte arrives
 			code, text, err = ask(addr, yes)
 		}
 		if code != 200 || err != nil {
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestCallers: a slow caller is answered once its call is whole; a caller whose operator is stalled gets its no; where all
-// connections wait for answers a newcomer is told so.
+// TestCallers: a slow caller is answered once its call is complete; a caller whose call stalls in the backend gets an error;
+// while all connections wait for answers, a new caller is told so.
 func TestCallers(t *testing.T) {
 	op := &operator{stall: make(chan struct{})}
 	d, addr := open(t, 2, op)
@@ -165,7 +165,7 @@
 		}
 		d.mu.Unlock()
 		if len(answers) > 0 {
-			break // they were not at it at one time, on a loaded machine
+			break // on a loaded machine the two calls may not overlap
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -203,7 +203,7 @@
 	}
 }
 
-// script is a connection that brings a text, then its end, and keeps what is written.
+// script is a connection from which a text can be read, then EOF, and that records what is written.
 type script struct {
 	net.Conn
 	in  *strings.Reader
@@ -217,8 +217,8 @@
 func (s *script) SetReadDeadline(time.Time) error  { return nil }
 func (s *script) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzCall: whatever comes gets one whole answer or, unless it was whole, none; only a POST of the right form gets to
-// the operator, and each no has words.
+// FuzzCall: any input gets exactly one complete answer, or none if it is incomplete; only a well-formed POST reaches the
+// backend, and each error has a text.
 func FuzzCall(f *testing.F) {
 	for _, s := range []string{yes, "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /v1/readyz HTTP/1.0\r\n\r\n", "HEAD /v1/readyz HTTP/1.1\r\n\r\n",
 		"POST /v1/db-machines/m%201/resume HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n",
@@ -244,7 +244,7 @@
 			return
 		}
 		q := &http.Request{Method: "POST"}
-		if bytes.HasSuffix(s.out.Bytes(), []byte("\r\n\r\n")) { // an answer to HEAD
+		if bytes.HasSuffix(s.out.Bytes(), []byte("\r\n\r\n")) { // the answer to a HEAD
 			q.Method = "HEAD"
 		}
 		a, err := http.ReadResponse(out, q)
--- a/internal/pgfront/adopt_test.go
+++ b/internal/pgfront/adopt_test.go
@@ -13,8 +13,8 @@
 	"reachwind/internal/pgwire"
 )
 
-// TestAdoptWhileClosing: a connection that another process passes on as this one begins to end may carry a command: it is
-// answered before the connection ends.
+// TestAdoptWhileClosing: a connection that another process hands over while this one begins to shut down may carry a
+// command, which must be answered before the connection is closed.
 func TestAdoptWhileClosing(t *testing.T) {
 	s, _ := newServer(&fakeCore{}, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = raw.Read(func(fd uintptr) bool { // until the command has come
+	_ = raw.Read(func(fd uintptr) bool { // waits until the command has arrived
 		n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return n > 0
 	})
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestAdoptedMakeRoom: connections that another process passed on and that are idle make room for clients that come,
-// also where they are as many as may be adopted.
+// TestAdoptedMakeRoom: idle connections that another process handed over are closed to make room for new clients, also if
+// as many were adopted as the limit allows.
 func TestAdoptedMakeRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 2)
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(time.Second)
 		ask := append(pgwire.AppendStartup(nil, "app", "shop"), query("")...)
-		first := dial(s, ask) // may be refused, while room is being made
+		first := dial(s, ask) // may be refused while the idle ones are still being closed
 		time.Sleep(2 * time.Second)
 		second := dial(s, ask)
 		if got := second.replies(t); !slices.Contains(got, "I") {
--- a/internal/pgfront/arrivals_test.go
+++ b/internal/pgfront/arrivals_test.go
@@ -10,8 +10,9 @@
 	"reachwind/internal/pgwire"
 )
 
-// TestBehind: a command that waits behind others has its client's time from when it came, not from its turn, however
-// often the reader grew meanwhile; one that came alone has all of it, also after messages that are no queries.
+// TestBehind: the deadline of a command that waits behind others counts from its arrival, not from the start of its
+// execution, however often the reader grew meanwhile; one that arrives alone has its full time, also after messages that
+// are not queries.
 func TestBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
@@ -26,7 +27,7 @@
 		p.write <- query(read)
 		synctest.Wait()
 		var sent []core.Time
-		for i := range 80 { // more than a reader holds at first
+		for i := range 80 { // more than the initial reader holds
 			if i%8 == 0 {
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -60,8 +61,8 @@
 	})
 }
 
-// TestDeepBacklog: where a client keeps very many pieces ahead, and reading is as fast as it sends, a byte may count as come
-// earlier than it did, but by no more than the backlog takes to be read twice: what is known goes on with it.
+// TestDeepBacklog: if a client keeps very many pieces ahead and they are read as fast as it sends, a byte may count as
+// arrived earlier than it did, but by no more than twice the time in which the backlog is read.
 func TestDeepBacklog(t *testing.T) {
 	for _, deep := range []int{10, 100, 200, 400} {
 		var a arrivals
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestArrivals plays drawn pieces against a model that knows when each byte came: no byte counts as come later than it
-// did, the newest counts by itself, few pieces are told apart, and the marks are bounded.
+// TestArrivals compares random pieces with a model that knows the arrival time of each byte: no byte counts as arrived later
+// than it did, the time of the newest is exact, few pieces are kept apart, and the number of marks is bounded.
 func TestArrivals(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/pgfront/cancel_test.go
+++ b/internal/pgfront/cancel_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// counts returns how many requests came, are open, and whose clients had gone.
+// counts returns the numbers of requests that arrived, that are open, and whose clients left.
 func (f *fakeCore) counts() (arrived, open, gone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -43,7 +43,7 @@
 	t.Fatal("it never came to pass")
 }
 
-// sock connects a client over a real socket.
+// sock connects a client over a TCP socket.
 func sock(t *testing.T, s *Server) (*net.TCPConn, *bufio.Reader) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -64,7 +64,7 @@
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
 
-// reads reads one message of the server's.
+// reads reads one message from the server.
 func reads(t *testing.T, r *bufio.Reader) (typ byte, body []byte) {
 	t.Helper()
 	head := make([]byte, 5)
@@ -78,7 +78,7 @@
 	return head[0], body
 }
 
-// welcomed reads up to the first ReadyForQuery and returns the key; the order of what comes is the protocol's.
+// welcomed reads up to the first ReadyForQuery, checks the order of the messages, and returns the key.
 func welcomed(t *testing.T, r *bufio.Reader) (k key) {
 	t.Helper()
 	order := ""
@@ -103,13 +103,12 @@
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, k.pid), k.secret)
 }
 
-// TestLeavesBehindBytes: a client is seen to leave at once, by the end of its side or by a reset, however much it sent
-// after its request: with the reader full, with it grown as far as it may, and with no room to grow; also while a large
-// answer passes.
+// TestLeavesBehindBytes: a client that closes its side or resets the connection is detected at once, however much it sent
+// after its request: with the reader full, enlarged to its limit, or unable to grow; also while a large answer is streamed.
 func TestLeavesBehindBytes(t *testing.T) {
 	for _, tc := range []struct {
 		bytes int
-		taken bool // others read as far ahead as may be
+		taken bool // other connections use up the limit for reading ahead
 		reset bool
 	}{{0, false, false}, {0, false, true}, {3000, false, false}, {5000, false, false}, {5000, false, true}, {60_000, false, false},
 		{90_000, false, false}, {5000, true, false}, {5000, true, true}, {20_000, true, false}, {1 << 20, false, true}} {
@@ -139,7 +138,7 @@
 					more = nil
 				}
 				if tc.reset {
-					go func() { _, _ = c.Write(more) }() // it may never be taken whole
+					go func() { _, _ = c.Write(more) }() // may never be read completely
 					if len(more) > 0 {
 						until(t, func() bool { return s.ahead.Load() > 0 })
 					}
@@ -166,7 +165,8 @@
 	}
 }
 
-// TestReadAhead: what is read ahead of an answer is served afterwards, whole and in order, and the room is given back.
+// TestReadAhead: commands that are read ahead of an answer are served afterwards, complete and in order, and the memory is
+// returned.
 func TestReadAhead(t *testing.T) {
 	for _, size := range []int{10, 3000, 50_000} {
 		f := &fakeCore{}
@@ -213,8 +213,9 @@
 	}
 }
 
-// TestCancel: a cancel request with a connection's key ends what that has in work, and nothing else; its client gets
-// 57014 and may go on. With another key, half of one, or nothing in work, nothing happens.
+// TestCancel: a cancel request with the key of a connection cancels the request in progress on it and nothing else; its
+// client gets 57014 and can use the connection further. With another key, part of one, or no request in progress, nothing
+// happens.
 func TestCancel(t *testing.T) {
 	f := &fakeCore{}
 	s, _ := newServer(f, 8)
@@ -232,7 +233,7 @@
 		n := s.Open()
 		cc, cr := sock(t, s)
 		_, _ = cc.Write(b)
-		if got, err := io.ReadAll(cr); len(got) != 0 || err != nil { // all is done when it ends
+		if got, err := io.ReadAll(cr); len(got) != 0 || err != nil { // the request has been carried out once the connection ends
 			t.Errorf("told %q, %v", got, err)
 		}
 		until(t, func() bool { return s.Open() == n })
@@ -266,8 +267,8 @@
 	}
 }
 
-// TestCancelAtLimit: a cancel request is carried out also where its connection is one too many, as it is what frees the
-// gateway of work.
+// TestCancelAtLimit: a cancel request is carried out also if its connection exceeds the limit, because it reduces the load of
+// the gateway.
 func TestCancelAtLimit(t *testing.T) {
 	f := &fakeCore{}
 	s, _ := newServer(f, 1)
@@ -275,7 +276,7 @@
 	_, _ = c.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query(read)...))
 	k := welcomed(t, r)
 	until(t, func() bool { _, open, _ := f.counts(); return open == 1 })
-	cc, cr := sock(t, s) // above the limit: it is there to be refused
+	cc, cr := sock(t, s) // above the limit, so it would be refused
 	_, _ = cc.Write(cancelOf(k))
 	if got, err := io.ReadAll(cr); len(got) != 0 || err != nil {
 		t.Errorf("told %q, %v", got, err)
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -15,8 +15,8 @@
 	"reachwind/internal/wake"
 )
 
-// crossed is the gateway's end of a connection. When that is about to be ended, by whatever call, its client sends
-// something first, which has come by the time the call is carried out.
+// crossed is the gateway's end of a connection. When the gateway is about to close it, by whatever call, the client first
+// sends bytes, which have arrived by the time the call is carried out.
 type crossed struct {
 	*net.TCPConn
 	once  sync.Once
@@ -33,7 +33,7 @@
 	return c.TCPConn.Close()
 }
 
-// pair is both ends of a connection over TCP.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,11 +53,11 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// TestCloseCrossed: whyever the gateway ends a connection, a request that comes between its last look and the end
-// neither resets the connection, which would take the last answer along, nor is it sent on.
+// TestCloseCrossed: for whatever reason the gateway closes a connection, a request that arrives between its last read and
+// the close neither resets the connection, by which the client could lose the last answer, nor reaches the core.
 func TestCloseCrossed(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
-	ask := append(slices.Clone(hello), query("")...) // answered here
+	ask := append(slices.Clone(hello), query("")...) // the front itself answers it
 	for name, tc := range map[string]struct {
 		most  int
 		text  []byte
@@ -109,7 +109,7 @@
 				if _, err := near.Write(query(read)); err != nil {
 					t.Error(err)
 				}
-				for looks.Quiet() { // the test's own limit ends a wait for nothing
+				for looks.Quiet() { // if they never arrive, the test's timeout ends the wait
 					runtime.Gosched()
 				}
 			}}
@@ -151,7 +151,7 @@
 			s.refusing = 0
 			s.mu.Unlock()
 			s.Shutdown()
-			until(t, func() bool { // it waits for those that linger only shortly; the client's close ends them
+			until(t, func() bool { // Shutdown waits for lingering connections only shortly; the client's close ends them
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				return len(s.lingered) == 0
@@ -163,11 +163,11 @@
 	}
 }
 
-// TestLingerBounds: connections that linger give way to clients that come, the one that has lingered longest first; one
-// whose client sends on and on, or stays, is closed all the same.
+// TestLingerBounds: lingering connections are closed in favour of new clients, the one that has lingered longest first; one
+// whose client sends without end, or does not close, is closed as well.
 func TestLingerBounds(t *testing.T) {
 	f := new(fakeCore)
-	s, _ := newServer(f, 1) // with two to spare: three in all
+	s, _ := newServer(f, 1) // and two spare connections: three in total
 	s.conf.RefuseWait = time.Hour
 	ended := func(near net.Conn) {
 		t.Helper()
@@ -203,14 +203,14 @@
 		}
 	}
 	_ = near.Close()
-	go func() { // a flood
+	go func() { // sends without end
 		for junk := make([]byte, 64<<10); ; {
 			if _, err := clients[1].Write(junk); err != nil {
 				return
 			}
 		}
 	}()
-	for len(lingers()) > 1 { // the test's own limit ends a wait for nothing
+	for len(lingers()) > 1 { // if it never is closed, the test's timeout ends the wait
 		runtime.Gosched()
 	}
 	_ = clients[2].Close()
@@ -224,10 +224,10 @@
 	s.Handle(far)
 	_, _ = near.Write(pgwire.Append(pgwire.AppendStartup(nil, "app", "shop"), 'X'))
 	ended(near)
-	for len(lingers()) > 0 { // its client stays
+	for len(lingers()) > 0 { // its client does not close
 		runtime.Gosched()
 	}
-	// Nor does one that stays hold up a shutdown.
+	// Nor does a client that does not close delay a shutdown.
 	s, _ = newServer(f, 1)
 	s.conf.RefuseWait = time.Hour
 	near, far = pair(t)
@@ -240,9 +240,8 @@
 	ended(near)
 }
 
-// TestLastCall: in the last moments of a shutdown a command that has begun is not waited for, wherever its client
-// stopped, and its client finds the connection ended in order; a request in work has its answer first, and what came
-// whole behind it as well.
+// TestLastCall: at the end of a shutdown the server does not wait for the rest of a command, wherever its client stopped, and
+// closes the connection without a reset; a request in progress is answered first, and so are complete commands behind it.
 func TestLastCall(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
 	after := func(text []byte) []byte { return append(slices.Clone(hello), text...) }
@@ -267,7 +266,7 @@
 				t.Fatal(err)
 			}
 			looks := wake.New[int](far, 16)
-			busy := func() bool { // all of it has been read, and what was to be done with it has begun
+			busy := func() bool { // all bytes have been read, and the request, if there is one, has reached the core
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				f.mu.Lock()
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -77,7 +77,7 @@
 	return p
 }
 
-// replies returns what came since, one letter a message, errors as their code and detail.
+// replies returns the messages since the last call, each as its type; errors also with their code and detail.
 func (p *peer) replies(t *testing.T) (list []string) {
 	for b := p.got.Bytes(); len(b) > 0; b = p.got.Bytes() {
 		if len(b) < 5 || len(b) < 1+int(binary.BigEndian.Uint32(b[1:])) {
@@ -110,7 +110,7 @@
 
 const read = "/* id=1,c=r,t=t,d=400,cluster=2 */ SELECT doc FROM items WHERE id = 'k'"
 
-// TestLimit: at its limit of connections the gateway says so, and says when to come back.
+// TestLimit: at the limit of connections a client gets an error with the time after which to retry.
 func TestLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 0)
@@ -128,7 +128,7 @@
 	})
 }
 
-// dial connects a client that writes what is given.
+// dial connects a client that writes text.
 func dial(s *Server, text []byte) *peer {
 	a, b := net.Pipe()
 	s.Handle(b)
@@ -138,8 +138,8 @@
 	return p
 }
 
-// TestMakeRoom: at the limit, clients that keep a connection without asking make room: first those that
-// sent nothing, then the one idle longest, but none with a request open.
+// TestMakeRoom: at the limit, connections without a request in progress are closed for new clients: first those that have
+// sent nothing, then the one idle longest, but none with an open request.
 func TestMakeRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
@@ -159,7 +159,7 @@
 		if !idle.ended() || open.ended() {
 			t.Errorf("idle ended %v, one with a request open %v", idle.ended(), open.ended())
 		}
-		for _, id := range []string{"id=2", "id=3"} { // those idle for a moment go as well, then nobody is left to go
+		for _, id := range []string{"id=2", "id=3"} { // those idle for a short time are closed as well, then none is left
 			peers = append(peers, dial(s, append(slices.Clone(hello), query(strings.Replace(read, "id=1", id, 1))...)))
 		}
 		last := dial(s, ask)
@@ -175,8 +175,8 @@
 	})
 }
 
-// TestFloodLeavesBeginners: clients that come by the hundred, faster than one that has only just connected or been welcomed
-// can send the rest, do not push it out: it is served. Once it has had its time, it makes room.
+// TestFloodLeavesBeginners: hundreds of new clients do not displace one that has only just connected or completed its startup,
+// even if they connect faster than it can send the rest: it is served. After idleLeast it may be closed for another.
 func TestFloodLeavesBeginners(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
 	ask := append(slices.Clone(hello), query(read)...)
@@ -185,7 +185,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeCore{}
 				s, _ := newServer(f, 2)
-				peers := []*peer{dial(s, append(slices.Clone(hello), query("")...))} // has had its turn
+				peers := []*peer{dial(s, append(slices.Clone(hello), query("")...))} // has been served
 				honest := dial(s, ask[:begun])
 				for range 100 { // at one instant
 					for _, text := range [][]byte{nil, hello, append(slices.Clone(hello), query("")...)} {
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestEndIdle: connections idle for long end, and the longest idle where many are, but none that has only just
-// had its answer or has a request open.
+// TestEndIdle: connections idle for long are closed, and the longest idle ones beyond the limit, but none that has only just
+// had its answer or has an open request.
 func TestEndIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 9)
@@ -253,9 +253,9 @@
 	})
 }
 
-// TestStopCrosses: a command that has come when its connection is told to end, and was not read, is answered.
+// TestStopCrosses: a command that has arrived but was not read when its connection is asked to end is answered.
 func TestStopCrosses(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // as only a socket holds what was not read
+	l, err := net.Listen("tcp", "127.0.0.1:0") // only a socket buffers unread bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,7 +288,7 @@
 	}
 }
 
-// TestSilent: a client that never sends a whole command is told so, wherever it stops.
+// TestSilent: a client that never sends a complete command gets an error, wherever it stops.
 func TestSilent(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
 	for name, text := range map[string][]byte{"nothing": nil, "half a startup": hello[:9], "startup": hello,
@@ -308,7 +308,8 @@
 	}
 }
 
-// TestSlow: a client that needs long for its startup and for each piece of a statement is served, one that never ends is not.
+// TestSlow: a client that takes long for its startup and for each piece of a statement is served; one that never completes a
+// statement is not.
 func TestSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
@@ -337,7 +338,7 @@
 	})
 }
 
-// TestStartup: what comes in place of a startup message is answered plainly or closed, in time.
+// TestStartup: anything in place of a startup message gets a valid answer or a close, in time.
 func TestStartup(t *testing.T) {
 	ssl := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 8}, pgwire.SSLRequest)
 	for name, tc := range map[string]struct {
@@ -372,7 +373,7 @@
 	}
 }
 
-// TestStall: a client that stalls halfway through a statement loses its connection, and no buffer is kept.
+// TestStall: a client that stalls within a statement loses its connection, and its buffer is released.
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
@@ -400,8 +401,8 @@
 	})
 }
 
-// TestUnusable: a statement that would mislead members is answered with an error and never handed over: one
-// under the id of an open request, or a write without its key. The id is free once its request is done with.
+// TestUnusable: a statement that members would misinterpret gets an error and never reaches the core: one with the id of an
+// open request, or a write without its idempotency key. The id is free again once its request has ended.
 func TestUnusable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
@@ -416,7 +417,7 @@
 			t.Errorf("replies %q, %d handed over", got, f.arrived)
 		}
 		close(first.write)
-		_ = first.Close() // the request is done with when its client has left
+		_ = first.Close() // the request ends when its client leaves
 		synctest.Wait()
 		second.write <- query(read)
 		synctest.Wait()
@@ -429,12 +430,12 @@
 	})
 }
 
-// model is what the connection should do: the replies it owes, in the order of
-// the commands, up to the first request that has no answer yet.
+// model is the expected behaviour of a connection: the replies that are due, in the
+// order of the commands, up to the first request that has no answer yet.
 type model struct {
-	commands []string // replies owed to each command; "" for a request still open
+	commands []string // replies due to each command; "" for an open request
 	skipping bool
-	ended    bool // the connection must end once all before is answered
+	ended    bool // the connection must end once the commands before are answered
 }
 
 // step adds a command and returns its bytes.
@@ -484,9 +485,9 @@
 	return []byte{'Q', 0xff, 0xff, 0xff, 0xff}
 }
 
-// FuzzConn plays random commands, answers, departures and shutdowns against a
-// connection and holds its replies against the model. Guards: one answer a
-// request and in order, none for a client that left, no buffer lost.
+// FuzzConn runs random commands, answers, disconnects and shutdowns on a connection
+// and compares its replies with the model: one answer for each request and in order,
+// none for a client that left, no buffer leaked.
 func FuzzConn(f *testing.F) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 150 {
@@ -496,8 +497,8 @@
 		}
 		f.Add(steps)
 	}
-	f.Add([]byte{0, 0, 0, 200, 200, 200, 251}) // three ahead, answered in order, then shutdown
-	f.Add([]byte{0, 240})                      // a client that leaves with a request open
+	f.Add([]byte{0, 0, 0, 200, 200, 200, 251}) // three commands ahead, answered in order, then shutdown
+	f.Add([]byte{0, 240})                      // a client that leaves with an open request
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		synctest.Test(t, func(t *testing.T) { playConn(t, steps[:min(len(steps), 60)]) })
 	})
@@ -580,7 +581,7 @@
 	}
 }
 
-// TestBuffers: with no buffer to spare a query is refused, with a time to come back, and the connection goes on.
+// TestBuffers: without a free buffer a query is refused with the time after which to retry, and the connection remains usable.
 func TestBuffers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
--- a/internal/pgwire/call_test.go
+++ b/internal/pgwire/call_test.go
@@ -9,8 +9,8 @@
 	"reachwind/internal/call"
 )
 
-// TestForm: a call that came by another protocol reads, as a statement, as what it was, whatever stands in its item
-// and value; and the value comes back out of an answer.
+// TestForm: the statement for a call that arrived by another protocol parses back to the same fields, whatever its item and
+// value contain; and a value can be decoded from an answer.
 func TestForm(t *testing.T) {
 	plain := rapid.StringMatching(`[!-)+.0-<>-~]{1,40}`)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -57,7 +57,7 @@
 	return s
 }
 
-// FuzzParse: whatever a client sends there is no panic, and what is passed on differs in d alone.
+// FuzzParse: no input causes a panic, and the statement that is sent to a member differs from the input only in field d.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"/* id=1,c=a,d=1,cluster=0 */ SELECT 'x'", "/*d=,c=a*/ SELECT",
 		"/* id=1,c=a,d= 5 ,cluster=2 */ INSERT 'a'''", "/*/", "/*c=a,,d=1*/select'"} {
@@ -121,7 +121,7 @@
 func TestPool(t *testing.T) {
 	p := NewPool(2, 1)
 	a, s := p.Get(BufSize, 0), p.Get(SmallSize, 0)
-	b := p.Get(1, 0) // there is no small one left
+	b := p.Get(1, 0) // no small one is left, so this is a large one
 	if a == nil || b == nil || s == nil || cap(s.B) != SmallSize || p.Get(1, 0) != nil || p.Free()+p.FreeSmall() != 0 {
 		t.Fatal("the pool has no limit")
 	}
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -22,7 +22,7 @@
 	"reachwind/internal/wake"
 )
 
-// noCore is a core that nothing may come to.
+// noCore is a core that must not receive a request.
 type noCore struct{ t *testing.T }
 
 func (n noCore) Now() core.Time                              { return core.Time(time.Now().UnixNano()) }
@@ -30,8 +30,8 @@
 func (n noCore) Gone(*core.Request)                          {}
 func (n noCore) Turned(string, record.Outcome, record.Cause) {}
 
-// crossed is the server's end of a connection. When that is about to be ended, its client sends something first, which
-// has come by the time the call is carried out.
+// crossed is the server's end of a connection. When the server is about to close it, the client first sends bytes, which
+// have arrived by the time the close is carried out.
 type crossed struct {
 	*net.TCPConn
 	once  sync.Once
@@ -55,7 +55,7 @@
 	return c.TCPConn.Close()
 }
 
-// crossing is a listener of such connections.
+// crossing is a listener that returns such connections.
 type crossing struct {
 	net.Listener
 	cross func(*crossed)
@@ -69,7 +69,7 @@
 	return &crossed{TCPConn: c.(*net.TCPConn), cross: l.cross}, nil
 }
 
-// crossedFront runs a server of connections that are crossed by a client's bytes as they end.
+// crossedFront runs a server on a listener of crossed connections.
 func crossedFront(t *testing.T, conf Config, cross func(*crossed)) *Server {
 	t.Helper()
 	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
@@ -94,15 +94,16 @@
 	return s
 }
 
-const get = "GET /v1/clusters/0/items/x HTTP/1.1\r\nHost: h\r\n" // of no class: answered here
+const get = "GET /v1/clusters/0/items/x HTTP/1.1\r\nHost: h\r\n" // without a class: the front itself answers it
 
-// TestCloseCrossed: whyever a connection ends, a request that comes in that moment neither resets it nor is served.
+// TestCloseCrossed: for whatever reason a connection is closed, a request that arrives at that moment neither causes a reset,
+// by which the client could lose an answer, nor is it served.
 func TestCloseCrossed(t *testing.T) {
 	for name, tc := range map[string]struct {
 		most    int
 		text    string
 		want    string // statuses
-		ends    bool   // by Shutdown
+		ends    bool   // the connection ends by Shutdown
 		idleFor time.Duration
 	}{
 		"idle":          {1, get + "\r\n", "400", false, 50 * time.Millisecond},
@@ -119,7 +120,7 @@
 				<-dialled
 				was := far.read.Load()
 				_, _ = near.Write([]byte(get + "\r\n"))
-				// A read of net/http that was on may have them; the test's own limit ends a wait for nothing.
+				// A pending read of net/http may have them; if they never arrive, the test's timeout ends the wait.
 				for looks := wake.New[int](far.TCPConn, 16); looks.Quiet() && far.read.Load() == was; {
 					runtime.Gosched()
 				}
@@ -163,8 +164,8 @@
 	}
 }
 
-// TestLingerBounds: a connection that lingers gives way to a client that comes, and does not hold up a shutdown for
-// longer than that may last.
+// TestLingerBounds: a lingering connection is closed in favour of a new client, and delays a shutdown only until the
+// context of that ends.
 func TestLingerBounds(t *testing.T) {
 	s := crossedFront(t, Config{Max: 1, Idle: time.Hour}, func(*crossed) {})
 	var all []net.Conn
@@ -179,7 +180,7 @@
 		if err != nil || !strings.HasPrefix(string(text), fmt.Sprint("HTTP/1.1 ", http.StatusBadRequest)) {
 			t.Fatalf("client %d heard %q, %v", i, text, err)
 		}
-		all = append(all, nc) // and stays
+		all = append(all, nc) // the client does not close
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -17,7 +17,7 @@
 	"reachwind/internal/terms"
 )
 
-// fakeCore holds requests and notes whose clients have gone.
+// fakeCore is a core that never answers; it counts the requests and those whose clients have left.
 type fakeCore struct {
 	mu   sync.Mutex
 	open int
@@ -49,8 +49,8 @@
 	t.Fatal("it never came to pass")
 }
 
-// TestClientLeaves: a client that ends its side while its request waits has gone, also behind bytes of a next request.
-// It is told nothing: an empty answer would be one that no member made.
+// TestClientLeaves: a client that closes its side while its request waits is detected as gone, also behind bytes of a next
+// request. It must get no answer: an empty one with status 200 would claim a result that no member gave.
 func TestClientLeaves(t *testing.T) {
 	for name, tc := range map[string]struct {
 		more  string // sent after the request
