--- a/internal/handover/board.go
+++ b/internal/handover/board.go
@@ -19,26 +19,26 @@
 )
 
 const (
-	boardName = "reachwind.board"
-	lockName  = "reachwind.lock"
+	sharedStateName = "reachwind.board"
+	lockFileName    = "reachwind.lock"
 
-	magic    = 0x72776264
-	version  = 1
-	slots    = 4 // processes of one gateway at a time: the one in service, its successor, and those that are shutting down
-	sessions = 1 << 13
+	magic        = 0x72776264
+	version      = 1
+	slots        = 4 // processes of one gateway at a time: the one in service, its successor, and those that are shutting down
+	sessionWords = 1 << 13
 
-	wordMagic, wordSize, wordSum, wordBirths, wordBans = 0, 1, 2, 3, 4
+	wordMagic, wordSize, wordSum, wordStarts, wordChanges = 0, 1, 2, 3, 4
 
-	slotAt, slotWords                       = 8, 8
-	slotBirth, slotReady, slotUsed, slotSaw = 0, 1, 2, 3
+	slotsStart, wordsPerSlot                                        = 8, 8
+	slotStartNumber, slotReady, slotDescriptors, slotAppliedChanges = 0, 1, 2, 3
 
-	sessionsAt = slotAt + slots*slotWords
-	words      = sessionsAt + sessions
+	sessionsStart = slotsStart + slots*wordsPerSlot
+	totalWords    = sessionsStart + sessionWords
 
-	lockMaking = slots     // byte of the lock file that is locked while the shared state is created
+	lockCreate = slots     // byte of the lock file that is locked while the shared state is created
 	lockFiles  = slots + 1 // byte of the lock file that is locked while a state file is changed
 
-	lockWait = 300 * time.Millisecond // bound on the wait for another process that holds one of these two locks
+	lockTimeout = 300 * time.Millisecond // bound on the wait for another process that holds one of these two locks
 )
 
 // Errors of shared memory or a state file that cannot be used.
@@ -66,12 +66,12 @@
 // Board is the state that the processes of a gateway share. Its methods are safe for concurrent use; those that use the
 // shared memory only do not block.
 type Board struct {
-	dir   string
-	lock  *os.File
-	slot  int
-	birth uint64
-	file  uint64                               // inode of the shared memory's file; the lock file holds it for each slot
-	at    atomic.Pointer[[words]atomic.Uint64] // nil: no shared memory; this process only knows which others are alive
+	dir         string
+	lockFile    *os.File
+	slot        int
+	startNumber uint64
+	inode       uint64                                    // inode of the shared memory's file; the lock file holds it for each slot
+	memory      atomic.Pointer[[totalWords]atomic.Uint64] // nil: no shared memory; this process only knows which others are alive
 }
 
 // Other describes another process of the same gateway.
@@ -87,22 +87,22 @@
 // Open claims a slot among the processes of the gateway whose folder is dir. If the shared memory cannot be used, it
 // returns an error together with a Board that knows which processes are alive, or nil if not even that can be known.
 func Open(dir string) (*Board, error) {
-	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, &StateError{lockName, err, "set TMPDIR to a folder that the gateway can write to"}
+		return nil, &StateError{lockFileName, err, "set TMPDIR to a folder that the gateway can write to"}
 	}
-	b := &Board{dir: dir, lock: f, slot: -1}
+	b := &Board{dir: dir, lockFile: f, slot: -1}
 	for i := range slots {
-		if b.hold(i) == nil {
+		if b.tryLock(i) == nil {
 			b.slot = i
 			break
 		}
 	}
 	if b.slot < 0 {
 		_ = f.Close()
-		return nil, &StateError{lockName, ErrCrowd, "end processes of former upgrades that were left running"}
+		return nil, &StateError{lockFileName, ErrCrowd, "end processes of former upgrades that were left running"}
 	}
-	b.tell(0)
+	b.publishInode(0)
 	return b, b.Share()
 }
 
@@ -112,65 +112,65 @@
 	if b.Shared() {
 		return nil
 	}
-	release, err := b.claim(lockMaking)
+	release, err := b.acquireLock(lockCreate)
 	if err != nil {
-		return &StateError{boardName, err, "end the process that was suspended during its start"}
+		return &StateError{sharedStateName, err, "end the process that was suspended during its start"}
 	}
 	defer release()
 	err = b.attach()
 	if err != nil && !b.Alone() && !errors.Is(err, ErrMissing) {
-		return &StateError{boardName, err, "no action needed: it is replaced once the other process has ended"}
+		return &StateError{sharedStateName, err, "no action needed: it is replaced once the other process has ended"}
 	}
 	if err != nil {
-		if err = b.make(); err == nil {
+		if err = b.create(); err == nil {
 			err = b.attach()
 		}
 		if err != nil {
-			return &StateError{boardName, err, "free 64 KB of disk space in the folder"}
+			return &StateError{sharedStateName, err, "free 64 KB of disk space in the folder"}
 		}
 	}
-	b.own(slotBirth).Store(0) // invalidates what the former process of this slot stored
-	for i := slotBirth + 1; i < slotWords; i++ {
-		b.own(i).Store(0)
+	b.ownWord(slotStartNumber).Store(0) // invalidates what the former process of this slot stored
+	for i := slotStartNumber + 1; i < wordsPerSlot; i++ {
+		b.ownWord(i).Store(0)
 	}
-	b.birth = b.at.Load()[wordBirths].Add(1)
-	b.own(slotBirth).Store(b.birth)
-	b.tell(b.file)
+	b.startNumber = b.memory.Load()[wordStarts].Add(1)
+	b.ownWord(slotStartNumber).Store(b.startNumber)
+	b.publishInode(b.inode)
 	return nil
 }
 
-// tell writes the inode of the shared memory that this process uses to the lock file, 0 = none. A file that replaced it has
+// publishInode writes the inode of the shared memory that this process uses to the lock file, 0 = none. A file that replaced it has
 // another inode.
-func (b *Board) tell(file uint64) {
-	_, _ = b.lock.WriteAt(binary.LittleEndian.AppendUint64(nil, file), int64(b.slot*8))
+func (b *Board) publishInode(file uint64) {
+	_, _ = b.lockFile.WriteAt(binary.LittleEndian.AppendUint64(nil, file), int64(b.slot*8))
 }
 
-// uses returns the inode of the shared memory that the process in a slot uses.
-func (b *Board) uses(slot int) uint64 {
+// inodeOf returns the inode of the shared memory that the process in a slot uses.
+func (b *Board) inodeOf(slot int) uint64 {
 	var w [8]byte
-	if _, err := b.lock.ReadAt(w[:], int64(slot*8)); err != nil {
+	if _, err := b.lockFile.ReadAt(w[:], int64(slot*8)); err != nil {
 		return 0
 	}
 	return binary.LittleEndian.Uint64(w[:])
 }
 
-// make creates new shared memory and atomically replaces the existing file by it.
-func (b *Board) make() error {
-	f, err := os.CreateTemp(b.dir, boardName+".*")
+// create creates new shared memory and atomically replaces the existing file by it.
+func (b *Board) create() error {
+	f, err := os.CreateTemp(b.dir, sharedStateName+".*")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Close() }()
 	head := make([]byte, 24)
 	binary.NativeEndian.PutUint64(head, magic<<32|version)
-	binary.NativeEndian.PutUint64(head[8:], words)
+	binary.NativeEndian.PutUint64(head[8:], totalWords)
 	binary.NativeEndian.PutUint64(head[16:], uint64(crc32.Checksum(head[:16], castagnoli)))
 	// Disk space is allocated now: a page that cannot be allocated later would kill the process.
-	if err = unix.Fallocate(int(f.Fd()), 0, 0, words*8); err == nil {
+	if err = unix.Fallocate(int(f.Fd()), 0, 0, totalWords*8); err == nil {
 		_, err = f.WriteAt(head, 0)
 	}
 	if err == nil {
-		err = os.Rename(f.Name(), filepath.Join(b.dir, boardName))
+		err = os.Rename(f.Name(), filepath.Join(b.dir, sharedStateName))
 	}
 	if err != nil {
 		_ = os.Remove(f.Name())
@@ -180,7 +180,7 @@
 
 // attach maps the existing shared memory if it is intact and of this version.
 func (b *Board) attach() error {
-	f, err := os.OpenFile(filepath.Join(b.dir, boardName), os.O_RDWR, 0)
+	f, err := os.OpenFile(filepath.Join(b.dir, sharedStateName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return ErrMissing
 	}
@@ -200,43 +200,43 @@
 	switch {
 	case first>>32 != magic || binary.NativeEndian.Uint64(head[16:]) != uint64(crc32.Checksum(head[:16], castagnoli)):
 		return ErrTorn
-	case first&0xffffffff != version || size != words:
+	case first&0xffffffff != version || size != totalWords:
 		return ErrVersion
-	case info.Size() > words*8:
+	case info.Size() > totalWords*8:
 		return ErrHuge
-	case info.Size() < words*8:
+	case info.Size() < totalWords*8:
 		return ErrTorn
 	}
 	var stat unix.Stat_t
 	if err := unix.Fstat(int(f.Fd()), &stat); err != nil {
 		return err
 	}
-	mem, err := unix.Mmap(int(f.Fd()), 0, words*8, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
+	mem, err := unix.Mmap(int(f.Fd()), 0, totalWords*8, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
 		return err
 	}
-	b.file = stat.Ino
-	b.at.Store((*[words]atomic.Uint64)(unsafe.Pointer(&mem[0])))
+	b.inode = stat.Ino
+	b.memory.Store((*[totalWords]atomic.Uint64)(unsafe.Pointer(&mem[0])))
 	return nil
 }
 
 // Close releases the slot. The shared memory remains for other processes, and mapped: a goroutine may still read it.
-func (b *Board) Close() { _ = b.lock.Close() }
+func (b *Board) Close() { _ = b.lockFile.Close() }
 
 // Shared reports whether this process uses the shared memory.
-func (b *Board) Shared() bool { return b.at.Load() != nil }
+func (b *Board) Shared() bool { return b.memory.Load() != nil }
 
-// hold locks a byte of the lock file until the lock is released or the process ends. It does not wait.
-func (b *Board) hold(at int) error {
-	return unix.FcntlFlock(b.lock.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: int64(at), Len: 1})
+// tryLock locks a byte of the lock file until the lock is released or the process ends. It does not wait.
+func (b *Board) tryLock(at int) error {
+	return unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: int64(at), Len: 1})
 }
 
-// claim locks a byte of the lock file for a short time. It waits for another holder up to lockWait, then returns ErrBusy.
-func (b *Board) claim(at int) (release func(), err error) {
-	for until := time.Now().Add(lockWait); ; time.Sleep(2 * time.Millisecond) {
-		if err = b.hold(at); err == nil {
+// acquireLock locks a byte of the lock file for a short time. It waits for another holder up to lockWait, then returns ErrBusy.
+func (b *Board) acquireLock(at int) (release func(), err error) {
+	for until := time.Now().Add(lockTimeout); ; time.Sleep(2 * time.Millisecond) {
+		if err = b.tryLock(at); err == nil {
 			return func() {
-				_ = unix.FcntlFlock(b.lock.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_UNLCK, Start: int64(at), Len: 1})
+				_ = unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_UNLCK, Start: int64(at), Len: 1})
 			}, nil
 		}
 		if !time.Now().Before(until) {
@@ -245,17 +245,17 @@
 	}
 }
 
-// lives reports whether another process holds a slot.
-func (b *Board) lives(slot int) bool {
+// isAlive reports whether another process holds a slot.
+func (b *Board) isAlive(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(slot), Len: 1}
-	err := unix.FcntlFlock(b.lock.Fd(), unix.F_OFD_GETLK, &l)
+	err := unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_GETLK, &l)
 	return err == nil && l.Type != unix.F_UNLCK
 }
 
 // Alone reports whether no other process of the gateway is alive.
 func (b *Board) Alone() bool {
 	for i := range slots {
-		if i != b.slot && b.lives(i) {
+		if i != b.slot && b.isAlive(i) {
 			return false
 		}
 	}
@@ -265,15 +265,15 @@
 // Others returns the other live processes of the gateway.
 func (b *Board) Others() (all []Other) {
 	for i := range slots {
-		if i == b.slot || !b.lives(i) {
+		if i == b.slot || !b.isAlive(i) {
 			continue
 		}
-		at := b.at.Load()
+		at := b.memory.Load()
 		o := Other{Older: at == nil}
-		if at != nil && b.uses(i) == b.file {
-			s := at[slotAt+i*slotWords:]
-			if birth := s[slotBirth].Load(); birth != 0 {
-				o = Other{true, birth, birth < b.birth, s[slotReady].Load() != 0, int(s[slotUsed].Load()), s[slotSaw].Load()}
+		if at != nil && b.inodeOf(i) == b.inode {
+			s := at[slotsStart+i*wordsPerSlot:]
+			if birth := s[slotStartNumber].Load(); birth != 0 {
+				o = Other{true, birth, birth < b.startNumber, s[slotReady].Load() != 0, int(s[slotDescriptors].Load()), s[slotAppliedChanges].Load()}
 			}
 		}
 		all = append(all, o)
@@ -281,7 +281,9 @@
 	return all
 }
 
-func (b *Board) own(word int) *atomic.Uint64 { return &b.at.Load()[slotAt+b.slot*slotWords+word] }
+func (b *Board) ownWord(word int) *atomic.Uint64 {
+	return &b.memory.Load()[slotsStart+b.slot*wordsPerSlot+word]
+}
 
 // Ready publishes whether this process can serve.
 func (b *Board) Ready(yes bool) {
@@ -290,34 +292,34 @@
 		if yes {
 			n = 1
 		}
-		b.own(slotReady).Store(n)
+		b.ownWord(slotReady).Store(n)
 	}
 }
 
 // Used publishes how many file descriptors this process holds.
 func (b *Board) Used(n int) {
 	if b.Shared() {
-		b.own(slotUsed).Store(uint64(n))
+		b.ownWord(slotDescriptors).Store(uint64(n))
 	}
 }
 
-// word returns the index of the word that holds the last commit of a session. Sessions whose hashes collide share a word.
-func word(group int64, session string) int {
+// sessionWord returns the index of the word that holds the last commit of a session. Sessions whose hashes collide share a word.
+func sessionWord(group int64, session string) int {
 	var h xxhash.Digest
 	h.Reset()
 	_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(group)))
 	_, _ = h.WriteString(session)
-	return sessionsAt + int(h.Sum64()%sessions)
+	return sessionsStart + int(h.Sum64()%sessionWords)
 }
 
 // Commit records that a write of a session was committed at p, a time since the Unix epoch. It must be called before the
 // write is answered.
 func (b *Board) Commit(group int64, session string, p time.Duration) {
-	at := b.at.Load()
+	at := b.memory.Load()
 	if at == nil || p <= 0 {
 		return
 	}
-	w := &at[word(group, session)]
+	w := &at[sessionWord(group, session)]
 	for {
 		was := w.Load()
 		if was >= uint64(p) || w.CompareAndSwap(was, uint64(p)) {
@@ -329,9 +331,9 @@
 // Committed returns the time, since the Unix epoch, up to which the reads of a session must see all writes: that of its last
 // commit in any process, or later. 0 means that it has none.
 func (b *Board) Committed(group int64, session string) time.Duration {
-	at := b.at.Load()
+	at := b.memory.Load()
 	if at == nil {
 		return 0
 	}
-	return time.Duration(at[word(group, session)].Load())
+	return time.Duration(at[sessionWord(group, session)].Load())
 }
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -13,16 +13,16 @@
 // A state file is a header of 24 bytes and a payload. The header holds the magic, the version, the length of the payload,
 // the CRC-32C of the payload and the CRC-32C of the header.
 const (
-	fileMagic   = "rwst"
-	fileVersion = 1
-	fileHead    = 24
-	fileMost    = 1 << 20 // size limit of the payload in bytes; a list of a thousand members takes 200 KB
+	fileMagic      = "rwst"
+	fileVersion    = 1
+	fileHeaderSize = 24
+	maxFilePayload = 1 << 20 // size limit of the payload in bytes; a list of a thousand members takes 200 KB
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func seal(payload []byte) []byte {
-	b := make([]byte, fileHead, fileHead+len(payload))
+func encodeStateFile(payload []byte) []byte {
+	b := make([]byte, fileHeaderSize, fileHeaderSize+len(payload))
 	copy(b, fileMagic)
 	binary.LittleEndian.PutUint32(b[4:], fileVersion)
 	binary.LittleEndian.PutUint64(b[8:], uint64(len(payload)))
@@ -31,15 +31,15 @@
 	return append(b, payload...)
 }
 
-func unseal(b []byte) ([]byte, error) {
-	if len(b) < fileHead || string(b[:4]) != fileMagic ||
+func decodeStateFile(b []byte) ([]byte, error) {
+	if len(b) < fileHeaderSize || string(b[:4]) != fileMagic ||
 		binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli) {
 		return nil, ErrTorn
 	}
 	if binary.LittleEndian.Uint32(b[4:]) != fileVersion {
 		return nil, ErrVersion
 	}
-	payload := b[fileHead:]
+	payload := b[fileHeaderSize:]
 	if binary.LittleEndian.Uint64(b[8:]) != uint64(len(payload)) ||
 		binary.LittleEndian.Uint32(b[16:]) != crc32.Checksum(payload, castagnoli) {
 		return nil, ErrTorn
@@ -59,13 +59,13 @@
 	var all []byte
 	if err == nil {
 		defer func() { _ = f.Close() }()
-		all, err = io.ReadAll(io.LimitReader(f, fileHead+fileMost+1))
+		all, err = io.ReadAll(io.LimitReader(f, fileHeaderSize+maxFilePayload+1))
 	}
-	if err == nil && len(all) > fileHead+fileMost {
+	if err == nil && len(all) > fileHeaderSize+maxFilePayload {
 		err = ErrHuge
 	}
 	if err == nil {
-		all, err = unseal(all)
+		all, err = decodeStateFile(all)
 	}
 	if err != nil {
 		return nil, &StateError{name, err, "no action needed: it is rewritten with the next change"}
@@ -75,12 +75,12 @@
 
 // Save replaces a state file atomically: a reader sees either the former or the new one. An error is a *StateError.
 func (b *Board) Save(name string, payload []byte) error {
-	if len(payload) > fileMost {
+	if len(payload) > maxFilePayload {
 		return &StateError{name, ErrHuge, "take fewer machines out, or lists of fewer members"}
 	}
 	f, err := os.CreateTemp(b.dir, name+".*")
 	if err == nil {
-		if _, err = f.Write(seal(payload)); err == nil {
+		if _, err = f.Write(encodeStateFile(payload)); err == nil {
 			err = f.Close()
 		} else {
 			_ = f.Close()
@@ -102,7 +102,7 @@
 // used. A lock keeps other processes from changing a state file meanwhile. It returns the number of changes so far, which
 // it counts in the shared memory; 0 without shared memory.
 func (b *Board) Change(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
-	release, err := b.claim(lockFiles)
+	release, err := b.acquireLock(lockFiles)
 	if err != nil {
 		return 0, &StateError{name, err, "end the process that was stopped, or resume it"}
 	}
@@ -118,26 +118,26 @@
 	if err := b.Save(name, next); err != nil {
 		return 0, err
 	}
-	at := b.at.Load()
+	at := b.memory.Load()
 	if at == nil {
 		return 0, nil
 	}
-	return at[wordBans].Add(1), nil
+	return at[wordChanges].Add(1), nil
 }
 
 // Changes returns the number of changes that all processes have made; 0 without shared memory.
 func (b *Board) Changes() uint64 {
-	at := b.at.Load()
+	at := b.memory.Load()
 	if at == nil {
 		return 0
 	}
-	return at[wordBans].Load()
+	return at[wordChanges].Load()
 }
 
 // Saw publishes that this process has applied the first count changes.
 func (b *Board) Saw(count uint64) {
 	if b.Shared() {
-		b.own(slotSaw).Store(count)
+		b.ownWord(slotAppliedChanges).Store(count)
 	}
 }
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -56,7 +56,7 @@
 	out *bufio.Scanner
 }
 
-func start(t *testing.T, dir string) *process {
+func startProcess(t *testing.T, dir string) *process {
 	t.Helper()
 	p := &process{Cmd: exec.Command(os.Args[0])}
 	p.Env = append(os.Environ(), "HANDOVER_PLAY="+dir)
@@ -73,16 +73,16 @@
 	return p
 }
 
-func (p *process) tell(format string, a ...any) { _, _ = fmt.Fprintf(p.in, format+"\n", a...) }
+func (p *process) command(format string, a ...any) { _, _ = fmt.Fprintf(p.in, format+"\n", a...) }
 
 func (p *process) kill() {
 	_ = p.Process.Kill()
 	_ = p.Wait()
 }
 
-// TestProcesses starts processes that commit, change a file and are killed at random moments. Whatever a process has
+// TestProcessesKilledAtRandom starts processes that commit, change a file and are killed at random moments. Whatever a process has
 // reported as done must be visible to all, and the file must always be intact.
-func TestProcesses(t *testing.T) {
+func TestProcessesKilledAtRandom(t *testing.T) {
 	const steps = 200
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -96,15 +96,15 @@
 	var live []*process
 	for i := 1; i <= steps; i++ {
 		if len(live) < 2 {
-			live = append(live, start(t, dir))
+			live = append(live, startProcess(t, dir))
 		}
 		p := live[rng.IntN(len(live))]
 		s := "s" + strconv.Itoa(rng.IntN(20))
 		commit := rng.IntN(2) == 0
 		if commit {
-			p.tell("commit %s %d", s, i)
+			p.command("commit %s %d", s, i)
 		} else {
-			p.tell("add x %d", i)
+			p.command("add x %d", i)
 		}
 		if rng.IntN(10) == 0 { // killed at any point of the command
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
@@ -149,9 +149,9 @@
 	return -1
 }
 
-// TestBroken: shared memory or a state file that is truncated, has flipped bits, is too long or has another version is
+// TestDamagedFiles: shared memory or a state file that is truncated, has flipped bits, is too long or has another version is
 // detected. Damaged shared memory is replaced if no other process is alive, and left alone if one is.
-func TestBroken(t *testing.T) {
+func TestDamagedFiles(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp("", "handover")
 		if err != nil {
@@ -166,7 +166,7 @@
 		if err := b.Save("set", payload); err != nil {
 			rt.Fatal(err)
 		}
-		name := rapid.SampledFrom([]string{"set", boardName}).Draw(rt, "file")
+		name := rapid.SampledFrom([]string{"set", sharedStateName}).Draw(rt, "file")
 		path := filepath.Join(dir, name)
 		whole, _ := os.ReadFile(path)
 		text := append([]byte(nil), whole...)
@@ -176,7 +176,7 @@
 		case 1:
 			text[rapid.IntRange(0, 23).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "flip"))
 		case 2:
-			text = append(text, make([]byte, rapid.IntRange(1, fileMost+100).Draw(rt, "more"))...)
+			text = append(text, make([]byte, rapid.IntRange(1, maxFilePayload+100).Draw(rt, "more"))...)
 		}
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			rt.Fatal(err)
@@ -204,16 +204,16 @@
 	})
 }
 
-// TestSplit: two processes together stay within the limit once each has seen what the other holds.
-func TestSplit(t *testing.T) {
+// TestAllowedShare: two processes together stay within the limit once each has seen what the other holds.
+func TestAllowedShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(64, 4096).Draw(rt, "limit")
 		held := rapid.IntRange(0, limit).Draw(rt, "held")
 		may := Split(limit, []Other{{Used: held, Older: true}}, false)
-		if may > limit-held && may > int(leastPart*float64(limit)) {
+		if may > limit-held && may > int(minFraction*float64(limit)) {
 			rt.Fatalf("limit %d, the other holds %d: may use %d", limit, held, may)
 		}
-		if older := Split(limit, []Other{{Used: may}}, true); older+may > limit && may > int(leastPart*float64(limit)) && older > int(leastPart*float64(limit)) {
+		if older := Split(limit, []Other{{Used: may}}, true); older+may > limit && may > int(minFraction*float64(limit)) && older > int(minFraction*float64(limit)) {
 			rt.Fatalf("limit %d: %d and %d", limit, may, older)
 		}
 		if Split(limit, nil, false) != limit {
--- a/internal/handover/pass.go
+++ b/internal/handover/pass.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	passWait  = 200 * time.Millisecond // write timeout of a message on the socket between the processes
-	takenWait = 2 * time.Second        // wait for the successor's acknowledgement of a connection
-	passRoom  = 16                     // read buffer in bytes; a message is one byte
-	linkTries = 2                      // successors that are tried: one may be shutting down while another is ready
-	lastIn    = 3 * time.Millisecond   // no process must have connected for so long before the socket is closed
-	endWait   = 500 * time.Millisecond // wait for connections that were already sent when this process begins to shut down
+	sendTimeout     = 200 * time.Millisecond // write timeout of a message on the socket between the processes
+	ackTimeout      = 2 * time.Second        // wait for the successor's acknowledgement of a connection
+	messageBufSize  = 16                     // read buffer in bytes; a message is one byte
+	maxLinkAttempts = 2                      // successors that are tried: one may be shutting down while another is ready
+	acceptGrace     = 3 * time.Millisecond   // no process must have connected for so long before the socket is closed
+	stopTimeout     = 500 * time.Millisecond // wait for connections that were already sent when this process begins to shut down
 )
 
-func (b *Board) socket(birth uint64) string {
+func (b *Board) socketPath(birth uint64) string {
 	return filepath.Join(b.dir, fmt.Sprintf("reachwind.%d.sock", birth))
 }
 
 // Receive accepts the client connections that former processes hand over, and calls take for each, until stop is called. A
 // connection that began has completed its startup and is between commands; of any other nothing has been read. take may be
-// called from many goroutines. stop returns once all connections that were sent have been accepted, or after endWait.
+// called from many goroutines. stop returns once all connections that were sent have been accepted, or after stopTimeout.
 func (b *Board) Receive(take func(nc net.Conn, began bool)) (stop func(), err error) {
 	if !b.Shared() {
-		return func() {}, &StateError{boardName, ErrMissing, "no action needed: client connections are closed when they are idle"}
+		return func() {}, &StateError{sharedStateName, ErrMissing, "no action needed: client connections are closed when they are idle"}
 	}
-	path := b.socket(b.birth)
+	path := b.socketPath(b.startNumber)
 	_ = os.Remove(path) // left by a process that used earlier shared memory
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		return func() {}, &StateError{filepath.Base(path), err, "set TMPDIR to a shorter path that the gateway can write to"}
 	}
-	r := &receiver{take: take, from: map[*net.UnixConn]bool{}, done: make(chan struct{})}
+	r := &receiver{accept: take, senders: map[*net.UnixConn]bool{}, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		for {
 			from, err := l.AcceptUnix()
 			if err != nil {
-				r.end()
+				r.drain()
 				return
 			}
-			r.add(from)
+			r.addSender(from)
 		}
 	}()
 	return func() {
-		_ = l.SetDeadline(time.Now().Add(lastIn)) // processes that have already connected are still accepted
+		_ = l.SetDeadline(time.Now().Add(acceptGrace)) // processes that have already connected are still accepted
 		select {
 		case <-r.done:
-		case <-time.After(endWait):
+		case <-time.After(stopTimeout):
 		}
 		_ = l.Close()
 	}, nil
@@ -62,42 +62,42 @@
 
 // receiver accepts connections from any number of former processes.
 type receiver struct {
-	take func(net.Conn, bool)
-	done chan struct{} // closed once all connections that were sent have been accepted
+	accept func(net.Conn, bool)
+	done   chan struct{} // closed once all connections that were sent have been accepted
 
-	mu   sync.Mutex
-	from map[*net.UnixConn]bool
-	busy sync.WaitGroup
+	mu      sync.Mutex
+	senders map[*net.UnixConn]bool
+	active  sync.WaitGroup
 }
 
-func (r *receiver) add(from *net.UnixConn) {
+func (r *receiver) addSender(from *net.UnixConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.from[from] = true
-	r.busy.Add(1)
+	r.senders[from] = true
+	r.active.Add(1)
 	go func() {
-		defer r.busy.Done()
-		receive(from, r.take)
+		defer r.active.Done()
+		receiveFrom(from, r.accept)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.from, from)
+		delete(r.senders, from)
 	}()
 }
 
-// end accepts the connections that are in transit and prevents the former processes from sending more.
-func (r *receiver) end() {
+// drain accepts the connections that are in transit and prevents the former processes from sending more.
+func (r *receiver) drain() {
 	r.mu.Lock()
-	for from := range r.from {
+	for from := range r.senders {
 		_ = from.CloseRead() // what was written can still be read, but no more can be written
 	}
 	r.mu.Unlock()
-	r.busy.Wait()
+	r.active.Wait()
 }
 
-// receive accepts the connections of one former process, and acknowledges each.
-func receive(from *net.UnixConn, take func(net.Conn, bool)) {
+// receiveFrom accepts the connections of one former process, and acknowledges each.
+func receiveFrom(from *net.UnixConn, take func(net.Conn, bool)) {
 	defer func() { _ = from.Close() }()
-	kind, rights := make([]byte, passRoom), make([]byte, syscall.CmsgSpace(4*passRoom))
+	kind, rights := make([]byte, messageBufSize), make([]byte, syscall.CmsgSpace(4*messageBufSize))
 	tell := true
 	for {
 		n, rn, _, _, err := from.ReadMsgUnix(kind, rights)
@@ -125,26 +125,26 @@
 			return
 		}
 		if tell { // a process of an earlier version does not read acknowledgements: its socket buffer fills up
-			_ = from.SetWriteDeadline(time.Now().Add(passWait))
+			_ = from.SetWriteDeadline(time.Now().Add(sendTimeout))
 			_, err := from.Write(kind[:1])
 			tell = err == nil
 		}
 	}
 }
 
-// errNobody reports that no process accepts connections.
-var errNobody = errors.New("no process of this gateway is ready to accept it")
+// errNoSuccessor reports that no process accepts connections.
+var errNoSuccessor = errors.New("no process of this gateway is ready to accept it")
 
-// errDied reports that the other process ended before it acknowledged a connection.
-var errDied = errors.New("the other process ended before it accepted the connection")
+// errNotAccepted reports that the other process closed the link or died before it acknowledged a connection.
+var errNotAccepted = errors.New("the other process did not accept the connection")
 
 // Passer hands client connections over to the successor. It is safe for concurrent use.
 type Passer struct {
-	b    *Board
-	wait time.Duration // for the acknowledgement of a connection
+	b          *Board
+	ackTimeout time.Duration // for the acknowledgement of a connection
 
-	mu sync.Mutex
-	to *link // nil: none yet, or the last one accepts no more
+	mu        sync.Mutex
+	successor *link // nil: none yet, or the last one accepts no more
 }
 
 // link is a connection to a successor, which acknowledges the client connections that it accepts in the order sent.
@@ -152,22 +152,22 @@
 	*net.UnixConn
 
 	mu      sync.Mutex
-	waiting []chan error // one for each connection without an acknowledgement yet, oldest first
-	dead    bool
+	pending []chan error // one for each connection without an acknowledgement yet, oldest first
+	closed  bool
 }
 
 // Passer returns a Passer. It connects to the successor when the first connection is sent.
-func (b *Board) Passer() *Passer { return &Passer{b: b, wait: takenWait} }
+func (b *Board) Passer() *Passer { return &Passer{b: b, ackTimeout: ackTimeout} }
 
 // Pass hands a connection over to the most recently started process that is ready. If it returns nil, the caller may only
 // close its copy of the connection; with an error the caller still owns the connection, also if the other process died
 // before it accepted it. Without an acknowledgement in time the other process may still accept it, so Pass returns nil.
 func (p *Passer) Pass(nc net.Conn, began bool) error {
-	taken, err := p.pass(nc, began)
+	taken, err := p.send(nc, began)
 	if err != nil {
 		return err
 	}
-	late := time.NewTimer(p.wait)
+	late := time.NewTimer(p.ackTimeout)
 	defer late.Stop()
 	select {
 	case err = <-taken:
@@ -176,11 +176,11 @@
 	return err
 }
 
-// pass sends a connection, and returns the channel that receives nil or an error once it is acknowledged or lost.
-func (p *Passer) pass(nc net.Conn, began bool) (<-chan error, error) {
+// send sends a connection, and returns the channel that receives nil or an error once it is acknowledged or lost.
+func (p *Passer) send(nc net.Conn, began bool) (<-chan error, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return nil, errNobody
+		return nil, errNoSuccessor
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -192,28 +192,28 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for range linkTries {
-		if p.to == nil {
-			if p.to, err = p.b.link(); err != nil {
+	for range maxLinkAttempts {
+		if p.successor == nil {
+			if p.successor, err = p.b.connectSuccessor(); err != nil {
 				return nil, err
 			}
 		}
-		to, taken := p.to, p.to.await()
-		_ = to.SetWriteDeadline(time.Now().Add(passWait))
+		to, taken := p.successor, p.successor.expectAck()
+		_ = to.SetWriteDeadline(time.Now().Add(sendTimeout))
 		if e := raw.Control(func(fd uintptr) { _, _, err = to.WriteMsgUnix(kind, syscall.UnixRights(int(fd)), nil) }); e != nil {
 			err = e
 		}
 		if err == nil {
 			return taken, nil
 		}
-		to.forget(taken)
-		p.to = nil // acknowledgements of what was sent on it before are still received
+		to.cancelAck(taken)
+		p.successor = nil // acknowledgements of what was sent on it before are still received
 	}
 	return nil, err
 }
 
-// link connects to the most recently started process that is ready.
-func (b *Board) link() (*link, error) {
+// connectSuccessor connects to the most recently started process that is ready.
+func (b *Board) connectSuccessor() (*link, error) {
 	birth := uint64(0)
 	for _, o := range b.Others() {
 		if o.Ready && !o.Older {
@@ -221,56 +221,56 @@
 		}
 	}
 	if birth == 0 {
-		return nil, errNobody
+		return nil, errNoSuccessor
 	}
-	to, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: b.socket(birth), Net: "unixpacket"})
+	to, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: b.socketPath(birth), Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
 	l := &link{UnixConn: to}
-	go l.hear()
+	go l.readAcks()
 	return l, nil
 }
 
-// hear receives acknowledgements until the other process closes the link or dies.
-func (l *link) hear() {
+// readAcks receives acknowledgements until the other process closes the link or dies.
+func (l *link) readAcks() {
 	defer func() { _ = l.Close() }()
-	for word := make([]byte, passRoom); ; {
+	for word := make([]byte, messageBufSize); ; {
 		n, err := l.Read(word)
 		l.mu.Lock()
 		if n == 0 || err != nil {
-			l.dead = true
-			for _, w := range l.waiting {
-				w <- errDied
+			l.closed = true
+			for _, w := range l.pending {
+				w <- errNotAccepted
 			}
-			l.waiting = nil
+			l.pending = nil
 			l.mu.Unlock()
 			return
 		}
-		if len(l.waiting) > 0 {
-			l.waiting[0] <- nil
-			l.waiting = l.waiting[1:]
+		if len(l.pending) > 0 {
+			l.pending[0] <- nil
+			l.pending = l.pending[1:]
 		}
 		l.mu.Unlock()
 	}
 }
 
-// await returns the channel for the acknowledgement of what is written next.
-func (l *link) await() chan error {
+// expectAck returns the channel for the acknowledgement of what is written next.
+func (l *link) expectAck() chan error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := make(chan error, 1)
-	if l.dead {
-		w <- errDied
+	if l.closed {
+		w <- errNotAccepted
 	} else {
-		l.waiting = append(l.waiting, w)
+		l.pending = append(l.pending, w)
 	}
 	return w
 }
 
-// forget undoes await after a write that failed.
-func (l *link) forget(w chan error) {
+// cancelAck undoes expectAck after a write that failed.
+func (l *link) cancelAck(w chan error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = slices.DeleteFunc(l.waiting, func(o chan error) bool { return o == w })
+	l.pending = slices.DeleteFunc(l.pending, func(o chan error) bool { return o == w })
 }
--- a/internal/handover/pass_test.go
+++ b/internal/handover/pass_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// client returns the client's and the gateway's end of a client connection.
-func client(t *testing.T) (far, near net.Conn) {
+// clientConn returns the client's and the gateway's end of a client connection.
+func clientConn(t *testing.T) (far, near net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,8 +36,8 @@
 	return far, near
 }
 
-// board opens the shared state in dir.
-func board(t *testing.T, dir string) *Board {
+// openSharedState opens the shared state in dir.
+func openSharedState(t *testing.T, dir string) *Board {
 	t.Helper()
 	b, err := Open(dir)
 	if err != nil {
@@ -47,52 +47,52 @@
 	return b
 }
 
-func patient(b *Board) *Passer {
+func patientSender(b *Board) *Passer {
 	p := b.Passer()
-	p.wait = time.Minute
+	p.ackTimeout = time.Minute
 	return p
 }
 
-// TestPassToTheDying: if a successor is killed after a connection was sent to it and before it accepted it, the connection
+// TestSendToKilledProcess: if a successor is killed after a connection was sent to it and before it accepted it, the connection
 // is not lost: the former process still owns it. Once the successor has accepted a connection, the former process may
 // close its copy without ending it.
-func TestPassToTheDying(t *testing.T) {
+func TestSendToKilledProcess(t *testing.T) {
 	dir := t.TempDir()
-	p := patient(board(t, dir))
-	next := start(t, dir)
-	next.tell("take x 0")
+	p := patientSender(openSharedState(t, dir))
+	next := startProcess(t, dir)
+	next.command("take x 0")
 	if !next.out.Scan() || next.out.Text() != "done <nil>" {
 		t.Fatal(next.out.Text())
 	}
-	far, near := client(t)
+	far, near := clientConn(t)
 	if err := p.Pass(near, true); err != nil {
 		t.Fatal(err)
 	}
 	_ = near.Close()
-	read(t, far, "taken")
+	expectRead(t, far, "taken")
 
 	_ = next.Process.Signal(syscall.SIGSTOP)
 	for !stopped(next.Process.Pid) {
 		time.Sleep(time.Millisecond)
 	}
-	far, near = client(t)
+	far, near = clientConn(t)
 	passed := make(chan error, 1)
 	go func() { passed <- p.Pass(near, true) }()
 	for written := false; !written; time.Sleep(time.Millisecond) {
 		p.mu.Lock() // pass holds it until the message is written
-		p.to.mu.Lock()
-		written = len(p.to.waiting) == 1
-		p.to.mu.Unlock()
+		p.successor.mu.Lock()
+		written = len(p.successor.pending) == 1
+		p.successor.mu.Unlock()
 		p.mu.Unlock()
 	}
 	next.kill()
-	if err := <-passed; !errors.Is(err, errDied) {
+	if err := <-passed; !errors.Is(err, errNotAccepted) {
 		t.Errorf("passed on to a process that died: %v", err)
 	}
 	if _, err := near.Write([]byte("still")); err != nil {
 		t.Fatal(err)
 	}
-	read(t, far, "still")
+	expectRead(t, far, "still")
 }
 
 // stopped reports whether all threads of a process are stopped.
@@ -107,7 +107,7 @@
 	return len(tasks) > 0
 }
 
-func read(t *testing.T, nc net.Conn, want string) {
+func expectRead(t *testing.T, nc net.Conn, want string) {
 	t.Helper()
 	b := make([]byte, len(want))
 	if _, err := io.ReadFull(nc, b); err != nil || string(b) != want {
@@ -115,12 +115,12 @@
 	}
 }
 
-// TestPassToTheEnding: a process that shuts down accepts all connections that were already sent to it before its stop
+// TestSendToStoppingProcess: a process that shuts down accepts all connections that were already sent to it before its stop
 // returns; later ones go to another process that is ready, or stay with the sender.
-func TestPassToTheEnding(t *testing.T) {
+func TestSendToStoppingProcess(t *testing.T) {
 	dir := t.TempDir()
-	p := patient(board(t, dir))
-	ending := board(t, dir)
+	p := patientSender(openSharedState(t, dir))
+	ending := openSharedState(t, dir)
 	gate, taken := make(chan struct{}), new(atomic.Int64)
 	stop, err := ending.Receive(func(net.Conn, bool) {
 		<-gate
@@ -133,29 +133,29 @@
 	const many = 5
 	var words []<-chan error
 	for range many {
-		_, near := client(t)
-		word, err := p.pass(near, true)
+		_, near := clientConn(t)
+		word, err := p.send(near, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		words = append(words, word)
 	}
-	first := p.to
+	first := p.successor
 	ending.Ready(false)
 	stopped := make(chan struct{})
 	go func() {
 		stop()
 		close(stopped)
 	}()
-	_, near := client(t)
+	_, near := clientConn(t)
 	for late := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) { // until the sender's link is closed for writing
 		p.mu.Lock()
-		p.to = first
+		p.successor = first
 		p.mu.Unlock()
-		word, err := p.pass(near, true)
+		word, err := p.send(near, true)
 		if err != nil {
 			_ = first.SetWriteDeadline(time.Now().Add(time.Second))
-			if _, e := first.Write([]byte{0}); !errors.Is(err, errNobody) || !errors.Is(e, syscall.EPIPE) {
+			if _, e := first.Write([]byte{0}); !errors.Is(err, errNoSuccessor) || !errors.Is(e, syscall.EPIPE) {
 				t.Errorf("not passed on: %v; the link: %v", err, e)
 			}
 			break
@@ -165,19 +165,19 @@
 			t.Fatal("a process that ends goes on taking connections over")
 		}
 	}
-	next := board(t, dir)
+	next := openSharedState(t, dir)
 	if _, err := next.Receive(func(nc net.Conn, _ bool) { _, _ = fmt.Fprint(nc, "next") }); err != nil {
 		t.Fatal(err)
 	}
 	next.Ready(true)
-	far, near := client(t)
+	far, near := clientConn(t)
 	p.mu.Lock()
-	p.to = first
+	p.successor = first
 	p.mu.Unlock()
 	if err := p.Pass(near, true); err != nil {
 		t.Error(err)
 	}
-	read(t, far, "next")
+	expectRead(t, far, "next")
 	close(gate)
 	for _, w := range words {
 		if err := <-w; err != nil {
@@ -190,29 +190,29 @@
 	}
 }
 
-// TestPassWithoutRoom: if the descriptor of a connection does not arrive, because the successor is out of descriptors,
+// TestSendWithoutDescriptors: if the descriptor of a connection does not arrive, because the successor is out of descriptors,
 // neither that connection nor any sent behind it is acknowledged: the former process still owns them all.
-func TestPassWithoutRoom(t *testing.T) {
+func TestSendWithoutDescriptors(t *testing.T) {
 	dir := t.TempDir()
-	p := patient(board(t, dir))
-	next := board(t, dir)
+	p := patientSender(openSharedState(t, dir))
+	next := openSharedState(t, dir)
 	if _, err := next.Receive(func(net.Conn, bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	next.Ready(true)
-	_, near := client(t)
+	_, near := clientConn(t)
 	if err := p.Pass(near, true); err != nil {
 		t.Fatal(err)
 	}
 	p.mu.Lock()
-	to := p.to
-	word := to.await()
+	to := p.successor
+	word := to.expectAck()
 	_, _, err := to.WriteMsgUnix([]byte{1}, nil, nil) // what arrives if the system discards the descriptor
 	p.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := <-word; !errors.Is(err, errDied) {
+	if err := <-word; !errors.Is(err, errNotAccepted) {
 		t.Errorf("a connection that did not arrive: %v", err)
 	}
 }
--- a/internal/handover/split.go
+++ b/internal/handover/split.go
@@ -1,9 +1,9 @@
 package handover
 
 const (
-	leastPart = 0.25 // fraction of a limit that each process may always use
-	otherPart = 0.3  // fraction of a limit that the older process leaves free for one that has just started
-	margin    = 0.05 // fraction of a limit for what the other process acquired since it last published its use
+	minFraction        = 0.25 // fraction of a limit that each process may always use
+	newProcessFraction = 0.3  // fraction of a limit that the older process leaves free for one that has just started
+	marginFraction     = 0.05 // fraction of a limit for what the other process acquired since it last published its use
 )
 
 // Split returns how much of a limit a process may use while others are alive, given what they publish to use of it. older
@@ -19,7 +19,7 @@
 		used += o.Used
 	}
 	if older { // the need of the new process takes precedence: the older one ends soon
-		used = max(used, int(otherPart*float64(limit)))
+		used = max(used, int(newProcessFraction*float64(limit)))
 	}
-	return max(limit-used-int(margin*float64(limit)), int(leastPart*float64(limit)))
+	return max(limit-used-int(marginFraction*float64(limit)), int(minFraction*float64(limit)))
 }
--- a/internal/opsdoor/opsdoor.go
+++ b/internal/opsdoor/opsdoor.go
@@ -29,23 +29,23 @@
 
 // Limits for calls, which are short but may arrive over slow links.
 const (
-	callMost   = 8 << 10                // size limit of a call in bytes
-	idMost     = 256                    // size limit of the id of a db machine in bytes
-	wholeWait  = 10 * time.Second       // timeout for reading a call, from the start of the connection
-	answerWait = 600 * time.Millisecond // timeout for carrying out a call
-	writeWait  = time.Second            // timeout for writing an answer
-	lingerWait = 300 * time.Millisecond // a lingering connection is closed after so long without bytes; a reset could lose its answer
-	lingerMost = 3 * time.Second        // a lingering connection is closed after so long at the latest,
-	lingerRead = 1 << 20                // or after so many bytes
-	retryPause = 20 * time.Millisecond  // pause after a failed accept
-	roomWait   = 200 * time.Millisecond // wait of a new connection for another to end
-	lastWait   = 50 * time.Millisecond  // for the rest of a call on a connection that is to end while bytes of it are unread
-	lastIn     = 3 * time.Millisecond   // no caller must have connected for so long before the listener is closed
-	refusePart = 8                      // one connection of so many, and at least one, is allowed for callers being refused
-	// closeWait bounds Close: calls in progress are finished, and callers read their answers.
-	closeWait = answerWait + lingerWait + 2*lastWait
-	// connMemory is the memory of a connection in bytes: its goroutine, a small buffer and the state of the parser.
-	connMemory = 16 << 10
+	maxCallSize           = 8 << 10                // size limit of a call in bytes
+	maxIDLen              = 256                    // size limit of the id of a db machine in bytes
+	readTimeout           = 10 * time.Second       // timeout for reading a call, from the start of the connection
+	callTimeout           = 600 * time.Millisecond // timeout for carrying out a call
+	writeTimeout          = time.Second            // timeout for writing an answer
+	lingerIdleTimeout     = 300 * time.Millisecond // a lingering connection is closed after so long without bytes; a reset could lose its answer
+	lingerTimeout         = 3 * time.Second        // a lingering connection is closed after so long at the latest,
+	maxLingerBytes        = 1 << 20                // or after so many bytes
+	acceptRetryPause      = 20 * time.Millisecond  // pause after a failed accept
+	capacityTimeout       = 200 * time.Millisecond // wait of a new connection for another to end
+	unreadGrace           = 50 * time.Millisecond  // for the rest of a call on a connection that is to end while bytes of it are unread
+	acceptGrace           = 3 * time.Millisecond   // no caller must have connected for so long before the listener is closed
+	connectionsPerRefusal = 8                      // one connection of so many, and at least one, is allowed for callers being refused
+	// closeTimeout bounds Close: calls in progress are finished, and callers read their answers.
+	closeTimeout = callTimeout + lingerIdleTimeout + 2*unreadGrace
+	// connMemoryBytes is the memory of a connection in bytes: its goroutine, a small buffer and the state of the parser.
+	connMemoryBytes = 16 << 10
 )
 
 // Config is the configuration of the admin API.
@@ -59,15 +59,15 @@
 
 // Footprint returns the maximum use of memory, in bytes, and of file descriptors, the listener included.
 func (c Config) Footprint() (memory int64, files int) {
-	n := c.most()
-	n += n/2 + c.refusals()
-	return int64(n) * connMemory, n + 2
+	n := c.maxConnections()
+	n += n/2 + c.maxRefusals()
+	return int64(n) * connMemoryBytes, n + 2
 }
 
-// refusals is the limit for callers that are being refused at a time.
-func (c Config) refusals() int { return max(1, c.most()/refusePart) }
+// maxRefusals is the limit for callers that are being refused at a time.
+func (c Config) maxRefusals() int { return max(1, c.maxConnections()/connectionsPerRefusal) }
 
-func (c Config) most() int {
+func (c Config) maxConnections() int {
 	if c.Most <= 0 {
 		return DefaultMost
 	}
@@ -112,20 +112,20 @@
 		"call again until the answer is yes", e.ID, e.Waited)
 }
 
-// badCall is the error of a call that is malformed, or refused before the backend has it.
-type badCall struct {
+// callError is the error of a call that is malformed, or refused before the backend has it.
+type callError struct {
 	status           int
 	found, want, fix string
 }
 
-func (e badCall) Error() string { return fmt.Sprintf("%s; want %s; %s", e.found, e.want, e.fix) }
+func (e callError) Error() string { return fmt.Sprintf("%s; want %s; %s", e.found, e.want, e.fix) }
 
 // Calls lists the calls of the API, as it stands in errors.
 const Calls = "GET /v1/readyz, POST /v1/db-machines/ID/suspend or POST /v1/db-machines/ID/resume"
 
-// status returns the HTTP status of the answer for err.
-func status(err error) int {
-	var bad badCall
+// httpStatus returns the HTTP status of the answer for err.
+func httpStatus(err error) int {
+	var bad callError
 	switch {
 	case err == nil:
 		return http.StatusOK
@@ -139,35 +139,35 @@
 
 // Door is the listener of the admin API with its connections.
 type Door struct {
-	conf Config
-	op   Operator
-	log  *slog.Logger
-	l    net.Listener
-
-	mu     sync.Mutex
-	conns  []*conn // oldest first
-	turned []*conn // callers being refused
-	closed bool
-	done   sync.WaitGroup
-	freed  chan struct{} // signalled when a connection ended
-
-	failing, room, refused often.Line
+	conf     Config
+	backend  Operator
+	log      *slog.Logger
+	listener net.Listener
+
+	mu       sync.Mutex
+	conns    []*conn // oldest first
+	refusing []*conn // callers being refused
+	closed   bool
+	active   sync.WaitGroup
+	freed    chan struct{} // signalled when a connection ended
+
+	acceptErrorLog, capacityLog, failedCallLog often.Line
 }
 
 // conn is one connection. stage is guarded by the lock of the server.
 type conn struct {
 	net.Conn
-	stage stage
-	last  bool // the deadline was extended once for unread bytes; owned by the reading goroutine
+	stage    stage
+	extended bool // the deadline was extended once for unread bytes; owned by the reading goroutine
 }
 
 // Read implements io.Reader. A read after its deadline fails even if bytes have arrived, so the deadline is extended once
 // to read these.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !c.last && unread(c.Conn) {
-		c.last = true
-		_ = c.SetReadDeadline(time.Now().Add(lastWait))
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !c.extended && hasUnread(c.Conn) {
+		c.extended = true
+		_ = c.SetReadDeadline(time.Now().Add(unreadGrace))
 		n, err = c.Conn.Read(b)
 	}
 	return n, err
@@ -178,15 +178,15 @@
 
 const (
 	incomplete stage = iota // no complete call has been read
-	leaving                 // asked to end for another connection, unless its call turns out to be complete
-	working                 // its call is being carried out
-	answered                // it has its answer and lingers
-	hurried                 // it has its answer and must end now
+	evicting                // asked to end for another connection, unless its call turns out to be complete
+	executing               // its call is being carried out
+	lingering               // it has its answer and lingers
+	closing                 // it has its answer and must end now
 )
 
 // New returns a server that passes calls to op. It does nothing before Start.
 func New(conf Config, op Operator, log *slog.Logger) *Door {
-	return &Door{conf: conf, op: op, log: log, freed: make(chan struct{}, 1)}
+	return &Door{conf: conf, backend: op, log: log, freed: make(chan struct{}, 1)}
 }
 
 // Start listens and begins to serve in the background.
@@ -195,48 +195,48 @@
 	if err != nil {
 		return fmt.Errorf("admin_addr: can't listen on %q: %w; want a free address of this machine; name another one or end who has it", d.conf.Addr, err)
 	}
-	d.l = l
-	d.done.Add(1)
+	d.listener = l
+	d.active.Add(1)
 	go d.accept()
 	return nil
 }
 
 // Addr returns the address of the listener. It must not be called before Start.
-func (d *Door) Addr() net.Addr { return d.l.Addr() }
+func (d *Door) Addr() net.Addr { return d.listener.Addr() }
 
 // Close stops the server: callers that have already connected are accepted, complete calls are answered, callers may read
 // their answers, and connections that are still open after closeWait are closed.
 func (d *Door) Close() {
 	d.mu.Lock()
 	d.closed = true
-	if l, ok := d.l.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = l.SetDeadline(time.Now().Add(lastIn))
+	if l, ok := d.listener.(interface{ SetDeadline(time.Time) error }); ok {
+		_ = l.SetDeadline(time.Now().Add(acceptGrace))
 	} else {
-		_ = d.l.Close()
+		_ = d.listener.Close()
 	}
 	for _, c := range d.conns {
 		if c.stage == incomplete {
-			c.stage = leaving
+			c.stage = evicting
 			_ = c.SetReadDeadline(time.Now())
 		}
 	}
 	d.mu.Unlock()
-	late := time.AfterFunc(closeWait, func() {
+	late := time.AfterFunc(closeTimeout, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		for _, c := range slices.Concat(d.conns, d.turned) {
+		for _, c := range slices.Concat(d.conns, d.refusing) {
 			_ = c.Close()
 		}
 	})
-	d.done.Wait()
+	d.active.Wait()
 	late.Stop()
-	_ = d.l.Close()
+	_ = d.listener.Close()
 }
 
 func (d *Door) accept() {
-	defer d.done.Done()
+	defer d.active.Done()
 	for {
-		nc, err := d.l.Accept()
+		nc, err := d.listener.Accept()
 		if err == nil {
 			d.admit(nc)
 			continue
@@ -247,8 +247,8 @@
 		if closed || errors.Is(err, net.ErrClosed) {
 			return
 		}
-		d.failing.Warn(d.log, "operators' accept failed", "err", err) // most likely out of file descriptors
-		time.Sleep(retryPause)
+		d.acceptErrorLog.Warn(d.log, "operators' accept failed", "err", err) // most likely out of file descriptors
+		time.Sleep(acceptRetryPause)
 	}
 }
 
@@ -257,22 +257,22 @@
 // ending, or all have calls in progress, the new one waits up to roomWait, and is then refused.
 func (d *Door) admit(nc net.Conn) {
 	c := &conn{Conn: nc}
-	most := d.conf.most()
-	for late := time.Now().Add(roomWait); ; {
+	most := d.conf.maxConnections()
+	for late := time.Now().Add(capacityTimeout); ; {
 		d.mu.Lock()
 		n := len(d.conns)
 		if n >= most {
-			d.makeRoom(n - most + 1)
+			d.evict(n - most + 1)
 		}
 		if n < most+most/2 {
 			if d.closed {
-				c.stage = leaving
-				_ = c.SetReadDeadline(time.Now().Add(lastWait))
+				c.stage = evicting
+				_ = c.SetReadDeadline(time.Now().Add(unreadGrace))
 			} else {
-				_ = c.SetReadDeadline(time.Now().Add(wholeWait))
+				_ = c.SetReadDeadline(time.Now().Add(readTimeout))
 			}
 			d.conns = append(d.conns, c)
-			d.done.Add(1)
+			d.active.Add(1)
 			d.mu.Unlock()
 			go d.serve(c)
 			return
@@ -297,39 +297,39 @@
 // are being refused. The lock must be held.
 func (d *Door) refuse(c *conn) {
 	n := len(d.conns)
-	d.room.Warn(d.log, "operators' call refused: too many at a time", "open", n)
-	if len(d.turned) >= d.conf.refusals() {
+	d.capacityLog.Warn(d.log, "operators' call refused: too many at a time", "open", n)
+	if len(d.refusing) >= d.conf.maxRefusals() {
 		_ = c.Close()
 		return
 	}
-	d.turned = append(d.turned, c)
-	d.done.Add(1)
+	d.refusing = append(d.refusing, c)
+	d.active.Add(1)
 	go func() {
-		defer d.done.Done()
+		defer d.active.Done()
 		defer func() {
 			_ = c.Close()
 			d.mu.Lock()
-			d.turned = slices.DeleteFunc(d.turned, func(o *conn) bool { return o == c })
+			d.refusing = slices.DeleteFunc(d.refusing, func(o *conn) bool { return o == c })
 			d.mu.Unlock()
 		}()
-		d.answer(c, badCall{http.StatusServiceUnavailable, fmt.Sprintf("%d calls are being answered", n), "fewer at a time", "call again"}, false)
+		d.respond(c, callError{http.StatusServiceUnavailable, fmt.Sprintf("%d calls are being answered", n), "fewer at a time", "call again"}, false)
 	}()
 }
 
-// makeRoom asks connections to end until want are ending: those that have their answer, then the one that has been open
+// evict asks connections to end until want are ending: those that have their answer, then the one that has been open
 // longest without a complete call. A connection with unread bytes comes last, as they may complete its call. The lock must
 // be held.
-func (d *Door) makeRoom(want int) {
+func (d *Door) evict(want int) {
 	var late *conn
 	for _, c := range d.conns {
 		switch {
-		case c.stage == answered:
-			c.stage = hurried
+		case c.stage == lingering:
+			c.stage = closing
 			_ = c.SetReadDeadline(time.Now())
 			want--
-		case c.stage == hurried, c.stage == leaving:
+		case c.stage == closing, c.stage == evicting:
 			want--
-		case c.stage == incomplete && late == nil && !unread(c.Conn):
+		case c.stage == incomplete && late == nil && !hasUnread(c.Conn):
 			late = c
 		}
 	}
@@ -339,14 +339,14 @@
 		}
 	}
 	if late != nil && want > 0 {
-		late.stage = leaving
+		late.stage = evicting
 		_ = late.SetReadDeadline(time.Now())
-		d.room.Warn(d.log, "operators' connection closed: no whole call, and another needs the room", "open", len(d.conns), "remote", late.RemoteAddr())
+		d.capacityLog.Warn(d.log, "operators' connection closed: no whole call, and another needs the room", "open", len(d.conns), "remote", late.RemoteAddr())
 	}
 }
 
-// unread reports whether the socket holds bytes that have not been read.
-func unread(c net.Conn) (some bool) {
+// hasUnread reports whether the socket holds bytes that have not been read.
+func hasUnread(c net.Conn) (some bool) {
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			_ = raw.Control(func(fd uintptr) {
@@ -358,8 +358,8 @@
 	return some
 }
 
-// move sets the stage of a connection and returns the former one.
-func (d *Door) move(c *conn, s stage) stage {
+// setStage sets the stage of a connection and returns the former one.
+func (d *Door) setStage(c *conn, s stage) stage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	was := c.stage
@@ -369,7 +369,7 @@
 
 // serve reads one call and answers it.
 func (d *Door) serve(c *conn) {
-	defer d.done.Done()
+	defer d.active.Done()
 	defer func() {
 		_ = c.Close()
 		d.mu.Lock()
@@ -380,44 +380,44 @@
 		default:
 		}
 	}()
-	call, err := read(c)
-	if err != nil && !errors.As(err, new(badCall)) {
+	call, err := readCall(c)
+	if err != nil && !errors.As(err, new(callError)) {
 		return // the caller closed the connection
 	}
-	if was := d.move(c, working); was == leaving && err != nil { // a call that was complete by then is carried out
-		err = badCall{http.StatusServiceUnavailable, "no whole call has come, and another caller needs the room", "the call right after connecting", "call again"}
+	if was := d.setStage(c, executing); was == evicting && err != nil { // a call that was complete by then is carried out
+		err = callError{http.StatusServiceUnavailable, "no whole call has come, and another caller needs the room", "the call right after connecting", "call again"}
 	}
 	if err == nil {
-		err = d.do(call)
+		err = d.execute(call)
 	}
 	head := call != nil && call.Method == http.MethodHead
-	d.answer(c, err, head)
+	d.respond(c, err, head)
 	if err != nil {
-		args := []any{"remote", c.RemoteAddr(), "status", status(err), "err", err}
+		args := []any{"remote", c.RemoteAddr(), "status", httpStatus(err), "err", err}
 		if call != nil {
 			args = append(args, "method", call.Method, "path", call.URL.Path)
 		}
-		d.refused.Info(d.log, "operator's call answered no", args...)
+		d.failedCallLog.Info(d.log, "operator's call answered no", args...)
 	}
 }
 
-// answer writes an answer and closes the connection by a lingering close: it closes the sending side and reads what the
+// respond writes an answer and closes the connection by a lingering close: it closes the sending side and reads what the
 // caller still sends, because closing a socket with unread bytes resets the connection, and the caller could lose the
 // answer. lingerWait, lingerMost and lingerRead bound it, and makeRoom ends it earlier.
-func (d *Door) answer(c *conn, err error, head bool) {
-	_ = c.SetWriteDeadline(time.Now().Add(writeWait))
-	if _, err := c.Write(answer(err, head)); err != nil {
+func (d *Door) respond(c *conn, err error, head bool) {
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := c.Write(response(err, head)); err != nil {
 		return
 	}
 	w, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || w.CloseWrite() != nil {
 		return
 	}
-	c.last = false
-	d.move(c, answered)
-	end, b := time.Now().Add(lingerMost), make([]byte, 4<<10)
-	for left := lingerRead; left > 0; {
-		d.await(c, end)
+	c.extended = false
+	d.setStage(c, lingering)
+	end, b := time.Now().Add(lingerTimeout), make([]byte, 4<<10)
+	for left := maxLingerBytes; left > 0; {
+		d.setLingerDeadline(c, end)
 		n, err := c.Read(b)
 		if left -= n; err != nil {
 			return
@@ -425,36 +425,36 @@
 	}
 }
 
-// await sets the deadline of the next read of a lingering connection, unless that must end now.
-func (d *Door) await(c *conn, end time.Time) {
+// setLingerDeadline sets the deadline of the next read of a lingering connection, unless that must end now.
+func (d *Door) setLingerDeadline(c *conn, end time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if until := time.Now().Add(lingerWait); c.stage == answered && until.Before(end) {
+	if until := time.Now().Add(lingerIdleTimeout); c.stage == lingering && until.Before(end) {
 		_ = c.SetReadDeadline(until)
-	} else if c.stage == answered {
+	} else if c.stage == lingering {
 		_ = c.SetReadDeadline(end)
 	}
 }
 
-// do carries out a call.
-func (d *Door) do(call *http.Request) error {
-	verb, id, err := route(call.Method, call.URL)
+// execute carries out a call.
+func (d *Door) execute(call *http.Request) error {
+	verb, id, err := parseRoute(call.Method, call.URL)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), answerWait)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	switch verb {
 	case "suspend":
-		return d.op.Suspend(ctx, id)
+		return d.backend.Suspend(ctx, id)
 	case "resume":
-		return d.op.Resume(ctx, id)
+		return d.backend.Resume(ctx, id)
 	}
-	return d.op.Ready()
+	return d.backend.Ready()
 }
 
-// route parses method and path of a call: readyz, or suspend or resume with the id of a db machine.
-func route(method string, u *url.URL) (verb, id string, err error) {
+// parseRoute parses method and path of a call: readyz, or suspend or resume with the id of a db machine.
+func parseRoute(method string, u *url.URL) (verb, id string, err error) {
 	path := u.EscapedPath()
 	want := http.MethodPost
 	if path == "/v1/readyz" {
@@ -463,28 +463,28 @@
 		rest, ok := strings.CutPrefix(path, "/v1/db-machines/")
 		id, verb, _ = strings.Cut(rest, "/")
 		if !ok || verb != "suspend" && verb != "resume" {
-			return "", "", badCall{http.StatusNotFound, fmt.Sprintf("there is no %.100q", path), Calls, "mend the path"}
+			return "", "", callError{http.StatusNotFound, fmt.Sprintf("there is no %.100q", path), Calls, "mend the path"}
 		}
 		plain, err := url.PathUnescape(id)
-		if err != nil || plain == "" || len(plain) > idMost {
-			return "", "", badCall{http.StatusBadRequest, fmt.Sprintf("the id %.100q is no id of a db machine", id),
-				fmt.Sprintf("1 to %d bytes as discovery lists them", idMost), "mend the id"}
+		if err != nil || plain == "" || len(plain) > maxIDLen {
+			return "", "", callError{http.StatusBadRequest, fmt.Sprintf("the id %.100q is no id of a db machine", id),
+				fmt.Sprintf("1 to %d bytes as discovery lists them", maxIDLen), "mend the id"}
 		}
 		id = plain
 	}
 	if method != want {
-		return "", "", badCall{http.StatusMethodNotAllowed, fmt.Sprintf("the method is %.20q", method), want, "call it with " + want}
+		return "", "", callError{http.StatusMethodNotAllowed, fmt.Sprintf("the method is %.20q", method), want, "call it with " + want}
 	}
 	return verb, id, nil
 }
 
-// read reads one complete call. A body is read and ignored.
-func read(c net.Conn) (*http.Request, error) {
-	in := &io.LimitedReader{R: c, N: callMost}
+// readCall reads one complete call. A body is read and ignored.
+func readCall(c net.Conn) (*http.Request, error) {
+	in := &io.LimitedReader{R: c, N: maxCallSize}
 	call, err := http.ReadRequest(bufio.NewReaderSize(in, 1024))
 	if err == nil {
 		if strings.EqualFold(call.Header.Get("Expect"), "100-continue") {
-			_ = c.SetWriteDeadline(time.Now().Add(writeWait))
+			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 		}
 		_, err = io.Copy(io.Discard, call.Body)
@@ -496,25 +496,25 @@
 	case err == nil:
 		err = errors.New("version " + call.Proto)
 	case in.N <= 0:
-		return nil, badCall{http.StatusBadRequest, fmt.Sprintf("the call is longer than %d bytes", callMost), "a shorter one", "leave out headers and body"}
+		return nil, callError{http.StatusBadRequest, fmt.Sprintf("the call is longer than %d bytes", maxCallSize), "a shorter one", "leave out headers and body"}
 	case errors.As(err, &late) && late.Timeout():
-		return nil, badCall{http.StatusRequestTimeout, fmt.Sprintf("no whole call in %v", wholeWait), "one call at once", "look at the caller"}
+		return nil, callError{http.StatusRequestTimeout, fmt.Sprintf("no whole call in %v", readTimeout), "one call at once", "look at the caller"}
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &late):
 		return nil, err
 	}
-	return nil, badCall{http.StatusBadRequest, fmt.Sprintf("this is no HTTP/1.1 call (%.100s)", err), Calls, "mend the caller"}
+	return nil, callError{http.StatusBadRequest, fmt.Sprintf("this is no HTTP/1.1 call (%.100s)", err), Calls, "mend the caller"}
 }
 
-// answer returns a complete HTTP response: "yes" for nil, else the error.
-func answer(err error, head bool) []byte {
+// response returns a complete HTTP response: "yes" for nil, else the error.
+func response(err error, head bool) []byte {
 	text := "yes\n"
 	if err != nil {
 		text = err.Error() + "\n"
 	}
-	code := status(err)
+	code := httpStatus(err)
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\nConnection: close\r\n", code, http.StatusText(code), len(text))
-	var bad badCall
+	var bad callError
 	if errors.As(err, &bad) && code == http.StatusMethodNotAllowed {
 		fmt.Fprintf(&b, "Allow: %s\r\n", bad.want)
 	}
--- a/internal/opsdoor/opsdoor_test.go
+++ b/internal/opsdoor/opsdoor_test.go
@@ -19,20 +19,20 @@
 	"reachwind/internal/suspend"
 )
 
-// operator is a backend that knows one db machine, "m 1", and counts the calls to it.
-type operator struct {
+// fakeBackend is a backend that knows one db machine, "m 1", and counts the calls to it.
+type fakeBackend struct {
 	calls atomic.Int64
 	stall chan struct{} // nil: no stall
 }
 
-func (o *operator) Ready() error { return nil }
+func (o *fakeBackend) Ready() error { return nil }
 
-func (o *operator) Suspend(ctx context.Context, id string) error {
+func (o *fakeBackend) Suspend(ctx context.Context, id string) error {
 	o.calls.Add(1)
 	if o.stall != nil {
 		select {
 		case <-ctx.Done():
-			return NotDone{id, answerWait}
+			return NotDone{id, callTimeout}
 		case <-o.stall:
 		}
 	}
@@ -42,9 +42,9 @@
 	return nil
 }
 
-func (o *operator) Resume(ctx context.Context, id string) error { return o.Suspend(ctx, id) }
+func (o *fakeBackend) Resume(ctx context.Context, id string) error { return o.Suspend(ctx, id) }
 
-func open(t *testing.T, most int, op Operator) (*Door, string) {
+func startServer(t *testing.T, most int, op Operator) (*Door, string) {
 	t.Helper()
 	d := New(Config{Addr: "127.0.0.1:0", Most: most}, op, slog.New(slog.DiscardHandler))
 	if err := d.Start(); err != nil {
@@ -54,8 +54,8 @@
 	return d, d.Addr().String()
 }
 
-// ask sends a complete call in the given pieces and returns the answer.
-func ask(addr string, pieces ...string) (int, string, error) {
+// callOnce sends a complete call in the given pieces and returns the answer.
+func callOnce(addr string, pieces ...string) (int, string, error) {
 	nc, err := net.DialTimeout("tcp", addr, 20*time.Second)
 	if err != nil {
 		return 0, "", err
@@ -78,12 +78,12 @@
 	return a.StatusCode, string(text), err
 }
 
-const yes = "POST /v1/db-machines/m%201/suspend HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
+const suspendCall = "POST /v1/db-machines/m%201/suspend HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
 
-// TestHolders: many callers keep connections open, send nothing or a byte at a time, and reconnect when they are closed.
+// TestIdleHolders: many callers keep connections open, send nothing or a byte at a time, and reconnect when they are closed.
 // Complete calls are answered nevertheless, and the number of connections stays within its limit.
-func TestHolders(t *testing.T) {
-	d, addr := open(t, 16, new(operator))
+func TestIdleHolders(t *testing.T) {
+	d, addr := startServer(t, 16, new(fakeBackend))
 	hold, end := context.WithCancel(t.Context())
 	var holders sync.WaitGroup
 	defer holders.Wait()
@@ -101,8 +101,8 @@
 				}
 				up.Add(1)
 				stop := context.AfterFunc(hold, func() { _ = nc.Close() })
-				for k := 0; i%2 == 0 && k < len(yes)-1; k++ {
-					if _, err := io.WriteString(nc, yes[k:k+1]); err != nil {
+				for k := 0; i%2 == 0 && k < len(suspendCall)-1; k++ {
+					if _, err := io.WriteString(nc, suspendCall[k:k+1]); err != nil {
 						break
 					}
 					time.Sleep(50 * time.Millisecond)
@@ -118,9 +118,9 @@
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
-		code, text, err := ask(addr, yes)
+		code, text, err := callOnce(addr, suspendCall)
 		for n := 0; err != nil && n < 5; n++ { // on a loaded machine more callers than the limit may connect before its first byte arrives
-			code, text, err = ask(addr, yes)
+			code, text, err = callOnce(addr, suspendCall)
 		}
 		if code != 200 || err != nil {
 			t.Fatal("a whole call among holders:", code, text, err)
@@ -133,13 +133,13 @@
 	}
 }
 
-// TestCallers: a slow caller is answered once its call is complete; a caller whose call stalls in the backend gets an error;
+// TestSlowAndStalledCallers: a slow caller is answered once its call is complete; a caller whose call stalls in the backend gets an error;
 // while all connections wait for answers, a new caller is told so.
-func TestCallers(t *testing.T) {
-	op := &operator{stall: make(chan struct{})}
-	d, addr := open(t, 2, op)
+func TestSlowAndStalledCallers(t *testing.T) {
+	op := &fakeBackend{stall: make(chan struct{})}
+	d, addr := startServer(t, 2, op)
 	for range 2 {
-		if code, text, err := ask(addr, yes); code != 503 || !strings.Contains(text, "nothing was changed, call again") || err != nil {
+		if code, text, err := callOnce(addr, suspendCall); code != 503 || !strings.Contains(text, "nothing was changed, call again") || err != nil {
 			t.Fatal(code, text, err)
 		}
 	}
@@ -151,7 +151,7 @@
 	answers := make(chan int, 2)
 	for range 2 {
 		go func() {
-			code, _, _ := ask(addr, yes)
+			code, _, _ := callOnce(addr, suspendCall)
 			answers <- code
 		}()
 	}
@@ -159,7 +159,7 @@
 		n = 0
 		d.mu.Lock()
 		for _, c := range d.conns {
-			if c.stage == working {
+			if c.stage == executing {
 				n++
 			}
 		}
@@ -169,7 +169,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if code, text, err := ask(addr, "GET /v1/readyz HTTP/1.1\r\n\r\n"); err == nil && code != 200 && (code != 503 || !strings.Contains(text, "are being answered")) {
+	if code, text, err := callOnce(addr, "GET /v1/readyz HTTP/1.1\r\n\r\n"); err == nil && code != 200 && (code != 503 || !strings.Contains(text, "are being answered")) {
 		t.Error(code, text)
 	}
 	close(op.stall)
@@ -193,8 +193,8 @@
 		text, err := io.ReadAll(nc)
 		done <- fmt.Sprint(string(text), err)
 	}()
-	for i := range yes {
-		pieces <- yes[i : i+1]
+	for i := range suspendCall {
+		pieces <- suspendCall[i : i+1]
 		time.Sleep(time.Millisecond)
 	}
 	close(pieces)
@@ -203,36 +203,36 @@
 	}
 }
 
-// script is a connection from which a text can be read, then EOF, and that records what is written.
-type script struct {
+// scriptedConn is a connection from which a text can be read, then EOF, and that records what is written.
+type scriptedConn struct {
 	net.Conn
 	in  *strings.Reader
 	out bytes.Buffer
 }
 
-func (s *script) Read(b []byte) (int, error)       { return s.in.Read(b) }
-func (s *script) Write(b []byte) (int, error)      { return s.out.Write(b) }
-func (s *script) Close() error                     { return nil }
-func (s *script) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (s *script) SetReadDeadline(time.Time) error  { return nil }
-func (s *script) SetWriteDeadline(time.Time) error { return nil }
+func (s *scriptedConn) Read(b []byte) (int, error)       { return s.in.Read(b) }
+func (s *scriptedConn) Write(b []byte) (int, error)      { return s.out.Write(b) }
+func (s *scriptedConn) Close() error                     { return nil }
+func (s *scriptedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (s *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
 // FuzzCall: any input gets exactly one complete answer, or none if it is incomplete; only a well-formed POST reaches the
 // backend, and each error has a text.
 func FuzzCall(f *testing.F) {
-	for _, s := range []string{yes, "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /v1/readyz HTTP/1.0\r\n\r\n", "HEAD /v1/readyz HTTP/1.1\r\n\r\n",
+	for _, s := range []string{suspendCall, "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /v1/readyz HTTP/1.0\r\n\r\n", "HEAD /v1/readyz HTTP/1.1\r\n\r\n",
 		"POST /v1/db-machines/m%201/resume HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n",
 		"POST http://a/v1/db-machines/%zz/resume HTTP/1.1\r\n\r\n", "POST /v1/db-machines//suspend HTTP/1.1\r\n\r\n",
 		"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "GET / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n", "\x16\x03\x01\x00", "\n\n\n",
-		"POST /v1/db-machines/m/suspend/ HTTP/1.1\r\n\r\n", "GET /" + strings.Repeat("a", callMost) + " HTTP/1.1\r\n\r\n", "CONNECT a:1 HTTP/1.1\r\n\r\n"} {
+		"POST /v1/db-machines/m/suspend/ HTTP/1.1\r\n\r\n", "GET /" + strings.Repeat("a", maxCallSize) + " HTTP/1.1\r\n\r\n", "CONNECT a:1 HTTP/1.1\r\n\r\n"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		op := new(operator)
+		op := new(fakeBackend)
 		d := New(Config{}, op, slog.New(slog.DiscardHandler))
-		s := &script{in: strings.NewReader(text)}
+		s := &scriptedConn{in: strings.NewReader(text)}
 		d.admit(s)
-		d.done.Wait()
+		d.active.Wait()
 		if len(d.conns) != 0 {
 			t.Fatal("kept")
 		}
--- a/internal/pgfront/adopt_test.go
+++ b/internal/pgfront/adopt_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := far.Write(query("")); err != nil {
+	if _, err := far.Write(queryMessage("")); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := near.(*net.TCPConn).SyscallConn()
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestAdoptedMakeRoom: idle connections that another process handed over are closed to make room for new clients, also if
+// TestAdoptedAreEvicted: idle connections that another process handed over are closed to make room for new clients, also if
 // as many were adopted as the limit allows.
-func TestAdoptedMakeRoom(t *testing.T) {
+func TestAdoptedAreEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 2)
 		var peers []*peer
@@ -63,7 +63,7 @@
 			peers = append(peers, newPeer(a))
 		}
 		time.Sleep(time.Second)
-		ask := append(pgwire.AppendStartup(nil, "app", "shop"), query("")...)
+		ask := append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...)
 		first := dial(s, ask) // may be refused while the idle ones are still being closed
 		time.Sleep(2 * time.Second)
 		second := dial(s, ask)
--- a/internal/pgfront/arrivals.go
+++ b/internal/pgfront/arrivals.go
@@ -13,7 +13,7 @@
 // If bytes arrive in very many pieces, pieces are merged. A byte then counts as arrived with an earlier one, so that the
 // deadline of its request is earlier, never later, than it should be; the newest piece is never merged into an older one.
 type arrivals struct {
-	all   int64     // bytes that have arrived
+	total int64     // bytes that have arrived
 	marks []arrival // in ascending order of end, of bytes that may still be asked for
 }
 
@@ -24,38 +24,38 @@
 }
 
 const (
-	arrivalsMost = 65                   // limit for the marks of a connection; odd, see came
-	arrivalsEach = 2 * time.Millisecond // bytes that arrive within this time after a mark was made are added to it
+	maxMarks      = 65                   // limit for the marks of a connection; odd, see came
+	mergeInterval = 2 * time.Millisecond // bytes that arrive within this time after a mark was made are added to it
 )
 
-// came records that n more bytes have arrived at the given time.
-func (a *arrivals) came(n int, at core.Time) {
-	a.all += int64(n)
-	if last := len(a.marks) - 1; last >= 0 && at-a.marks[last].at < arrivalsEach {
-		a.marks[last].end = a.all
+// record records that n more bytes have arrived at the given time.
+func (a *arrivals) record(n int, at core.Time) {
+	a.total += int64(n)
+	if last := len(a.marks) - 1; last >= 0 && at-a.marks[last].at < mergeInterval {
+		a.marks[last].end = a.total
 		return
 	}
-	if len(a.marks) >= arrivalsMost { // merges pairs; the first mark stays, as it would else grow each time and never be read to its end
+	if len(a.marks) >= maxMarks { // merges pairs; the first mark stays, as it would else grow each time and never be read to its end
 		half := a.marks[:1]
 		for i := 1; i+1 < len(a.marks); i += 2 {
 			half = append(half, arrival{a.marks[i+1].end, a.marks[i].at})
 		}
 		a.marks = half
 	}
-	a.marks = append(a.marks, arrival{a.all, at})
+	a.marks = append(a.marks, arrival{a.total, at})
 }
 
-// last returns when the byte arrived that has left more bytes behind it, or now if that is not known.
-func (a *arrivals) last(left int, now core.Time) core.Time {
+// arrivalTime returns when the byte arrived that has left more bytes behind it, or now if that is not known.
+func (a *arrivals) arrivalTime(left int, now core.Time) core.Time {
 	for _, m := range a.marks {
-		if m.end >= a.all-int64(left) {
+		if m.end >= a.total-int64(left) {
 			return m.at
 		}
 	}
 	return now
 }
 
-// forget drops the marks of bytes that were read: all but the newest left bytes.
-func (a *arrivals) forget(left int) {
-	a.marks = slices.DeleteFunc(a.marks, func(m arrival) bool { return m.end <= a.all-int64(left) })
+// discard drops the marks of bytes that were read: all but the newest left bytes.
+func (a *arrivals) discard(left int) {
+	a.marks = slices.DeleteFunc(a.marks, func(m arrival) bool { return m.end <= a.total-int64(left) })
 }
--- a/internal/pgfront/arrivals_test.go
+++ b/internal/pgfront/arrivals_test.go
@@ -10,21 +10,21 @@
 	"reachwind/internal/pgwire"
 )
 
-// TestBehind: the deadline of a command that waits behind others counts from its arrival, not from the start of its
+// TestDeadlineOfQueuedCommand: the deadline of a command that waits behind others counts from its arrival, not from the start of its
 // execution, however often the reader grew meanwhile; one that arrives alone has its full time, also after messages that
 // are not queries.
-func TestBehind(t *testing.T) {
+func TestDeadlineOfQueuedCommand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
 		s, _ := newServer(f, 4)
 		p := dial(s, pgwire.AppendStartup(nil, "app", "shop"))
 		sync := pgwire.Append(nil, 'S')
-		for range 3 * arrivalsMost {
+		for range 3 * maxMarks {
 			p.write <- sync
-			time.Sleep(arrivalsEach)
+			time.Sleep(mergeInterval)
 		}
 		alone := f.Now()
-		p.write <- query(read)
+		p.write <- queryMessage(selectStatement)
 		synctest.Wait()
 		var sent []core.Time
 		for i := range 80 { // more than the initial reader holds
@@ -32,7 +32,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			sent = append(sent, f.Now())
-			p.write <- query(read)
+			p.write <- queryMessage(selectStatement)
 			synctest.Wait()
 		}
 		for i := -1; i < len(sent); i++ {
@@ -48,7 +48,7 @@
 			if i >= 0 {
 				want = sent[i]
 			}
-			if got := q.Until - 400*time.Millisecond; got > want || got < want-arrivalsEach || q.Came != got {
+			if got := q.Until - 400*time.Millisecond; got > want || got < want-mergeInterval || q.Came != got {
 				t.Fatalf("command %d counts from %v after it came, said to be %v", i, got-want, q.Came-want)
 			}
 			time.Sleep(3 * time.Millisecond)
@@ -68,16 +68,16 @@
 		var a arrivals
 		var waits []core.Time
 		for i := range 20 * deep {
-			now := core.Time(i+1) * arrivalsEach
-			a.came(3, now)
+			now := core.Time(i+1) * mergeInterval
+			a.record(3, now)
 			waits = append(waits, now)
 			if len(waits) <= deep {
 				continue
 			}
 			waits = waits[1:]
-			a.forget(3 * len(waits))
-			span := 2 * core.Time(deep) * arrivalsEach
-			if got := a.last(3*len(waits)-3, now); got > waits[0] || waits[0]-got > span {
+			a.discard(3 * len(waits))
+			span := 2 * core.Time(deep) * mergeInterval
+			if got := a.arrivalTime(3*len(waits)-3, now); got > waits[0] || waits[0]-got > span {
 				t.Fatalf("%d deep, piece %d: came at %v, not %v", deep, i, got, waits[0])
 			}
 		}
@@ -94,25 +94,25 @@
 		now := core.Time(0)
 		few := seed%2 == 0
 		for range 200 {
-			now += core.Time(rng.Int64N(int64(3 * arrivalsEach)))
-			if n := 1 + rng.IntN(5); !few || len(bytes) < arrivalsMost {
-				a.came(n, now)
+			now += core.Time(rng.Int64N(int64(3 * mergeInterval)))
+			if n := 1 + rng.IntN(5); !few || len(bytes) < maxMarks {
+				a.record(n, now)
 				for range n {
 					bytes = append(bytes, now)
 				}
 			}
-			if len(a.marks) > arrivalsMost {
+			if len(a.marks) > maxMarks {
 				t.Fatalf("seed %d: %d marks", seed, len(a.marks))
 			}
 			for i, at := range bytes {
-				got := a.last(len(bytes)-1-i, -1)
-				if got > at || got < 0 || (few || i == len(bytes)-1) && at-got >= arrivalsEach {
+				got := a.arrivalTime(len(bytes)-1-i, -1)
+				if got > at || got < 0 || (few || i == len(bytes)-1) && at-got >= mergeInterval {
 					t.Fatalf("seed %d: byte %d of %d came at %v, not %v", seed, i, len(bytes), at, got)
 				}
 			}
 			if k := rng.IntN(8); (few || rng.IntN(20) == 0) && k <= len(bytes) {
 				bytes = bytes[k:]
-				a.forget(len(bytes))
+				a.discard(len(bytes))
 			}
 		}
 	}
--- a/internal/pgfront/cancel.go
+++ b/internal/pgfront/cancel.go
@@ -23,11 +23,11 @@
 // key is the BackendKeyData of a connection; a pid of 0 means none.
 type key struct{ pid, secret uint32 }
 
-// cancels is the state of the server for cancel requests. The keys are stored in their connections.
-type cancels struct {
+// cancelState is the state of the server for cancel requests. The keys are stored in their connections.
+type cancelState struct {
 	lastPID uint32 // guarded by Server.mu
 
-	taken, unknown, ahead often.Line
+	cancelledLog, unknownKeyLog, readAheadLog often.Line
 }
 
 // newKey assigns a key to a connection and returns it in the form of BackendKeyData. A connection that another process
@@ -51,21 +51,21 @@
 // request gets no answer, and a request that is read at the same time may be cancelled instead.
 func (s *Server) cancel(body []byte) {
 	if len(body) != 12 {
-		s.cancels.unknown.Info(s.log, "cancel request names no connection")
+		s.cancels.unknownKeyLog.Info(s.log, "cancel request names no connection")
 		return
 	}
 	want := key{binary.BigEndian.Uint32(body[4:]), binary.BigEndian.Uint32(body[8:])}
-	c := s.keyed(want)
+	c := s.connByKey(want)
 	if c == nil {
-		s.cancels.unknown.Info(s.log, "cancel request names no connection")
-	} else if q := c.work.Load(); q != nil {
-		s.cancels.taken.Info(s.log, "client cancelled its request")
+		s.cancels.unknownKeyLog.Info(s.log, "cancel request names no connection")
+	} else if q := c.current.Load(); q != nil {
+		s.cancels.cancelledLog.Info(s.log, "client cancelled its request")
 		s.core.Cancel(q)
 	}
 }
 
-// keyed returns the connection with a key, or nil if there is none.
-func (s *Server) keyed(want key) *conn {
+// connByKey returns the connection with a key, or nil if there is none.
+func (s *Server) connByKey(want key) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -76,102 +76,102 @@
 	return nil
 }
 
-// cancelled writes the answer to a request that its client cancelled.
-func (c *conn) cancelled() error {
-	out := pgwire.AppendError(c.out[:0], "ERROR", queryCanceled, "canceling statement due to user request", "")
-	c.out = pgwire.AppendReady(out)
-	return c.write(c.out)
+// writeCancelled writes the answer to a request that its client cancelled.
+func (c *conn) writeCancelled() error {
+	out := pgwire.AppendError(c.scratch[:0], "ERROR", queryCanceled, "canceling statement due to user request", "")
+	c.scratch = pgwire.AppendReady(out)
+	return c.write(c.scratch)
 }
 
 const (
-	aheadEach = 64 << 10  // limit in bytes of the read-ahead on one connection
-	aheadMost = 512 << 10 // limit in bytes on all connections: 1/64 of the smallest memory that a deployment may have
+	maxReadAheadPerConn = 64 << 10  // limit in bytes of the read-ahead on one connection
+	maxReadAhead        = 512 << 10 // limit in bytes on all connections: 1/64 of the smallest memory that a deployment may have
 )
 
-// await waits for the answer to q. Commands that follow may arrive meanwhile and stay in the reader; the read also detects
+// awaitAnswer waits for the answer to q. Commands that follow may arrive meanwhile and stay in the reader; the read also detects
 // that the client closes the connection. If they fill the reader, it is enlarged within limits; beyond these, the socket is
 // polled for the end of the client's side.
-func (c *conn) await(q *core.Request) (message, error) {
-	c.work.Store(q)
-	defer c.work.Store(nil)
-	c.narrow()
+func (c *conn) awaitAnswer(q *core.Request) (message, error) {
+	c.current.Store(q)
+	defer c.current.Store(nil)
+	c.shrinkReader()
 	for {
-		for i, m := range c.answered {
+		for i, m := range c.answers {
 			if m.request == q {
-				c.answered = append(c.answered[:i], c.answered[i+1:]...)
+				c.answers = append(c.answers[:i], c.answers[i+1:]...)
 				return m, nil
 			}
 		}
 		n := c.R.Buffered()
-		if n == c.R.Size() && !c.widen() {
+		if n == c.R.Size() && !c.growReader() {
 			if hangup.Seen(c.Conn.Conn) {
-				return message{}, errGone
+				return message{}, errClientGone
 			}
-			look := time.AfterFunc(hangup.Every, func() { c.Leave(message{expire: never}) })
+			look := time.AfterFunc(hangup.Every, func() { c.Leave(message{expiredRead: noRead}) })
 			c.Wait()
 			look.Stop()
 		} else if _, err := c.R.Peek(n + 1); err != nil && !errors.Is(err, wake.ErrWoken) {
-			return message{}, errGone
+			return message{}, errClientGone
 		}
-		if err := c.woken(); err != nil {
+		if err := c.handleMessages(); err != nil {
 			return message{}, err
 		}
 	}
 }
 
 const (
-	never         = -1      // an expiry that belongs to no read
+	noRead        = -1      // an expiry that belongs to no read
 	queryCanceled = "57014" // SQLSTATE
 )
 
-// widen doubles the size of the reader if the limits allow it, and reports whether they do.
-func (c *conn) widen() bool {
+// growReader doubles the size of the reader if the limits allow it, and reports whether they do.
+func (c *conn) growReader() bool {
 	more := c.R.Size()
-	if 2*more > aheadEach {
+	if 2*more > maxReadAheadPerConn {
 		return false
 	}
-	if c.s.ahead.Add(int64(more)) > aheadMost {
-		c.s.ahead.Add(-int64(more))
-		c.s.cancels.ahead.Info(c.s.log, "clients send far ahead: no room to read on")
+	if c.s.readAheadBytes.Add(int64(more)) > maxReadAhead {
+		c.s.readAheadBytes.Add(-int64(more))
+		c.s.cancels.readAheadLog.Info(c.s.log, "clients send far ahead: no room to read on")
 		return false
 	}
-	c.resize(2 * more)
+	c.resizeReader(2 * more)
 	return true
 }
 
-// narrow undoes widen as far as the buffered bytes allow.
-func (c *conn) narrow() {
-	size := readSize
+// shrinkReader undoes widen as far as the buffered bytes allow.
+func (c *conn) shrinkReader() {
+	size := initialReadSize
 	for size < c.R.Buffered() {
 		size *= 2
 	}
 	if less := c.R.Size() - size; less > 0 {
-		c.resize(size)
-		c.s.ahead.Add(-int64(less))
+		c.resizeReader(size)
+		c.s.readAheadBytes.Add(-int64(less))
 	}
 }
 
-// resize replaces the reader by one of the given size, with the bytes that the old one has buffered.
-func (c *conn) resize(size int) {
+// resizeReader replaces the reader by one of the given size, with the bytes that the old one has buffered.
+func (c *conn) resizeReader(size int) {
 	have, _ := c.R.Peek(c.R.Buffered())
-	r := bufio.NewReaderSize(&rest{have: bytes.Clone(have), next: c.Conn}, size)
+	r := bufio.NewReaderSize(&prefixedReader{prefix: bytes.Clone(have), next: c.Conn}, size)
 	_, _ = r.Peek(len(have)) // fills the buffer, so that Buffered counts these bytes
 	c.R = r
 }
 
-// rest reads the bytes that another reader had buffered, then continues with next.
-type rest struct {
-	have []byte
-	next io.Reader
+// prefixedReader reads the bytes that another reader had buffered, then continues with next.
+type prefixedReader struct {
+	prefix []byte
+	next   io.Reader
 }
 
-func (r *rest) Read(p []byte) (int, error) {
-	if len(r.have) == 0 {
+func (r *prefixedReader) Read(p []byte) (int, error) {
+	if len(r.prefix) == 0 {
 		return r.next.Read(p)
 	}
-	n := copy(p, r.have)
-	if r.have = r.have[n:]; len(r.have) == 0 {
-		r.have = nil
+	n := copy(p, r.prefix)
+	if r.prefix = r.prefix[n:]; len(r.prefix) == 0 {
+		r.prefix = nil
 	}
 	return n, nil
 }
--- a/internal/pgfront/cancel_test.go
+++ b/internal/pgfront/cancel_test.go
@@ -32,7 +32,7 @@
 	return f.arrived, len(f.open), f.gone
 }
 
-func until(t *testing.T, f func() bool) {
+func waitFor(t *testing.T, f func() bool) {
 	t.Helper()
 	for range 20_000 {
 		if f() {
@@ -43,8 +43,8 @@
 	t.Fatal("it never came to pass")
 }
 
-// sock connects a client over a TCP socket.
-func sock(t *testing.T, s *Server) (*net.TCPConn, *bufio.Reader) {
+// dialTCP connects a client over a TCP socket.
+func dialTCP(t *testing.T, s *Server) (*net.TCPConn, *bufio.Reader) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -64,8 +64,8 @@
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
 
-// reads reads one message from the server.
-func reads(t *testing.T, r *bufio.Reader) (typ byte, body []byte) {
+// readMessage reads one message from the server.
+func readMessage(t *testing.T, r *bufio.Reader) (typ byte, body []byte) {
 	t.Helper()
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(r, head); err != nil {
@@ -78,12 +78,12 @@
 	return head[0], body
 }
 
-// welcomed reads up to the first ReadyForQuery, checks the order of the messages, and returns the key.
-func welcomed(t *testing.T, r *bufio.Reader) (k key) {
+// readStartup reads up to the first ReadyForQuery, checks the order of the messages, and returns the key.
+func readStartup(t *testing.T, r *bufio.Reader) (k key) {
 	t.Helper()
 	order := ""
 	for {
-		typ, body := reads(t, r)
+		typ, body := readMessage(t, r)
 		if order += string(typ); typ == 'K' {
 			k = key{binary.BigEndian.Uint32(body), binary.BigEndian.Uint32(body[4:])}
 		}
@@ -97,15 +97,15 @@
 	return k
 }
 
-func cancelOf(k key) []byte {
+func cancelRequest(k key) []byte {
 	b := binary.BigEndian.AppendUint32(nil, 16)
 	b = binary.BigEndian.AppendUint32(b, pgwire.CancelRequest)
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, k.pid), k.secret)
 }
 
-// TestLeavesBehindBytes: a client that closes its side or resets the connection is detected at once, however much it sent
+// TestDisconnectBehindUnreadBytes: a client that closes its side or resets the connection is detected at once, however much it sent
 // after its request: with the reader full, enlarged to its limit, or unable to grow; also while a large answer is streamed.
-func TestLeavesBehindBytes(t *testing.T) {
+func TestDisconnectBehindUnreadBytes(t *testing.T) {
 	for _, tc := range []struct {
 		bytes int
 		taken bool // other connections use up the limit for reading ahead
@@ -117,12 +117,12 @@
 				f := &fakeCore{}
 				s, _ := newServer(f, 4)
 				if tc.taken {
-					s.ahead.Store(aheadMost)
+					s.readAheadBytes.Store(maxReadAhead)
 				}
-				c, r := sock(t, s)
-				_, _ = c.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query(read)...))
-				welcomed(t, r)
-				until(t, func() bool { _, open, _ := f.counts(); return open == 1 })
+				c, r := dialTCP(t, s)
+				_, _ = c.Write(append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage(selectStatement)...))
+				readStartup(t, r)
+				waitFor(t, func() bool { _, open, _ := f.counts(); return open == 1 })
 				if passing {
 					f.mu.Lock()
 					stream := pgwire.NewStream()
@@ -140,7 +140,7 @@
 				if tc.reset {
 					go func() { _, _ = c.Write(more) }() // may never be read completely
 					if len(more) > 0 {
-						until(t, func() bool { return s.ahead.Load() > 0 })
+						waitFor(t, func() bool { return s.readAheadBytes.Load() > 0 })
 					}
 					_ = c.SetLinger(0)
 					_ = c.Close()
@@ -150,13 +150,13 @@
 					}
 					_ = c.CloseWrite()
 				}
-				until(t, func() bool { _, _, gone := f.counts(); return gone == 1 })
-				until(t, func() bool { return s.Open() == 0 })
+				waitFor(t, func() bool { _, _, gone := f.counts(); return gone == 1 })
+				waitFor(t, func() bool { return s.Open() == 0 })
 				want := int64(0)
 				if tc.taken {
-					want = aheadMost
+					want = maxReadAhead
 				}
-				until(t, func() bool { return s.ahead.Load() == want })
+				waitFor(t, func() bool { return s.readAheadBytes.Load() == want })
 				if arrived, _, _ := f.counts(); arrived != 1 {
 					t.Errorf("%d requests were taken, want the one before it left", arrived)
 				}
@@ -171,20 +171,20 @@
 	for _, size := range []int{10, 3000, 50_000} {
 		f := &fakeCore{}
 		s, bufs := newServer(f, 4)
-		c, r := sock(t, s)
+		c, r := dialTCP(t, s)
 		const n = 40
 		go func() {
 			out := pgwire.AppendStartup(nil, "app", "shop")
 			for i := range n {
-				out = append(out, query(strings.Replace(read, "id=1", fmt.Sprintf("id=%d", i), 1)+" -- "+strings.Repeat("x", size))...)
-				out = append(out, query("")...)
+				out = append(out, queryMessage(strings.Replace(selectStatement, "id=1", fmt.Sprintf("id=%d", i), 1)+" -- "+strings.Repeat("x", size))...)
+				out = append(out, queryMessage("")...)
 			}
 			_, _ = c.Write(out)
 		}()
-		welcomed(t, r)
+		readStartup(t, r)
 		for i := range n {
 			var q *core.Request
-			until(t, func() bool {
+			waitFor(t, func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				if len(f.open) == 0 {
@@ -201,7 +201,7 @@
 			q.Client.Answer(core.Answer{Verdict: core.Refused})
 			got := ""
 			for range 4 {
-				typ, _ := reads(t, r)
+				typ, _ := readMessage(t, r)
 				got += string(typ)
 			}
 			if got != "EZIZ" {
@@ -209,7 +209,7 @@
 			}
 		}
 		_ = c.Close()
-		until(t, func() bool { return s.Open() == 0 && s.ahead.Load() == 0 && bufs.Free() == buffers })
+		waitFor(t, func() bool { return s.Open() == 0 && s.readAheadBytes.Load() == 0 && bufs.Free() == totalBuffers })
 	}
 }
 
@@ -220,46 +220,46 @@
 	f := &fakeCore{}
 	s, _ := newServer(f, 8)
 	hello := pgwire.AppendStartup(nil, "app", "shop")
-	c, r := sock(t, s)
+	c, r := dialTCP(t, s)
 	_, _ = c.Write(hello)
-	mine := welcomed(t, r)
-	other, or := sock(t, s)
-	_, _ = other.Write(append(slices.Clone(hello), query(strings.Replace(read, "id=1", "id=2", 1))...))
-	theirs := welcomed(t, or)
+	mine := readStartup(t, r)
+	other, or := dialTCP(t, s)
+	_, _ = other.Write(append(slices.Clone(hello), queryMessage(strings.Replace(selectStatement, "id=1", "id=2", 1))...))
+	theirs := readStartup(t, or)
 	if mine.pid == 0 || mine.pid == theirs.pid {
 		t.Errorf("keys %+v and %+v", mine, theirs)
 	}
 	cancel := func(b []byte) {
 		n := s.Open()
-		cc, cr := sock(t, s)
+		cc, cr := dialTCP(t, s)
 		_, _ = cc.Write(b)
 		if got, err := io.ReadAll(cr); len(got) != 0 || err != nil { // the request has been carried out once the connection ends
 			t.Errorf("told %q, %v", got, err)
 		}
-		until(t, func() bool { return s.Open() == n })
+		waitFor(t, func() bool { return s.Open() == n })
 	}
-	until(t, func() bool { _, open, _ := f.counts(); return open == 1 })
-	cancel(cancelOf(mine)) // idle
-	cancel(cancelOf(key{theirs.pid, theirs.secret + 1}))
-	cancel(cancelOf(key{theirs.pid + 1000, theirs.secret}))
-	cancel(cancelOf(key{0, 0}))
-	half := cancelOf(theirs)[:12]
+	waitFor(t, func() bool { _, open, _ := f.counts(); return open == 1 })
+	cancel(cancelRequest(mine)) // idle
+	cancel(cancelRequest(key{theirs.pid, theirs.secret + 1}))
+	cancel(cancelRequest(key{theirs.pid + 1000, theirs.secret}))
+	cancel(cancelRequest(key{0, 0}))
+	half := cancelRequest(theirs)[:12]
 	binary.BigEndian.PutUint32(half, 12)
 	cancel(half)
 	for range 3 {
-		_, _ = c.Write(query(read))
-		until(t, func() bool { _, open, _ := f.counts(); return open == 2 })
-		cancel(cancelOf(mine))
-		typ, body := reads(t, r)
+		_, _ = c.Write(queryMessage(selectStatement))
+		waitFor(t, func() bool { _, open, _ := f.counts(); return open == 2 })
+		cancel(cancelRequest(mine))
+		typ, body := readMessage(t, r)
 		if code := pgwire.ErrorField(body, 'C'); typ != 'E' || code != queryCanceled || pgwire.ErrorField(body, 'S') != "ERROR" {
 			t.Errorf("%c %q", typ, body)
 		}
-		if typ, _ := reads(t, r); typ != 'Z' {
+		if typ, _ := readMessage(t, r); typ != 'Z' {
 			t.Errorf("%c after the answer", typ)
 		}
 	}
-	_, _ = c.Write(query(""))
-	if typ, _ := reads(t, r); typ != 'I' {
+	_, _ = c.Write(queryMessage(""))
+	if typ, _ := readMessage(t, r); typ != 'I' {
 		t.Errorf("the connection does not go on: %c", typ)
 	}
 	if _, open, gone := f.counts(); open != 1 || gone != 0 {
@@ -272,16 +272,16 @@
 func TestCancelAtLimit(t *testing.T) {
 	f := &fakeCore{}
 	s, _ := newServer(f, 1)
-	c, r := sock(t, s)
-	_, _ = c.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query(read)...))
-	k := welcomed(t, r)
-	until(t, func() bool { _, open, _ := f.counts(); return open == 1 })
-	cc, cr := sock(t, s) // above the limit, so it would be refused
-	_, _ = cc.Write(cancelOf(k))
+	c, r := dialTCP(t, s)
+	_, _ = c.Write(append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage(selectStatement)...))
+	k := readStartup(t, r)
+	waitFor(t, func() bool { _, open, _ := f.counts(); return open == 1 })
+	cc, cr := dialTCP(t, s) // above the limit, so it would be refused
+	_, _ = cc.Write(cancelRequest(k))
 	if got, err := io.ReadAll(cr); len(got) != 0 || err != nil {
 		t.Errorf("told %q, %v", got, err)
 	}
-	if typ, body := reads(t, r); typ != 'E' || pgwire.ErrorField(body, 'C') != queryCanceled {
+	if typ, body := readMessage(t, r); typ != 'E' || pgwire.ErrorField(body, 'C') != queryCanceled {
 		t.Errorf("%c %q", typ, body)
 	}
 }
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -15,26 +15,26 @@
 	"reachwind/internal/wake"
 )
 
-// crossed is the gateway's end of a connection. When the gateway is about to close it, by whatever call, the client first
+// interceptedConn is the gateway's end of a connection. When the gateway is about to close it, by whatever call, the client first
 // sends bytes, which have arrived by the time the call is carried out.
-type crossed struct {
+type interceptedConn struct {
 	*net.TCPConn
-	once  sync.Once
-	cross func()
+	once        sync.Once
+	beforeClose func()
 }
 
-func (c *crossed) CloseWrite() error {
-	c.once.Do(c.cross)
+func (c *interceptedConn) CloseWrite() error {
+	c.once.Do(c.beforeClose)
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossed) Close() error {
-	c.once.Do(c.cross)
+func (c *interceptedConn) Close() error {
+	c.once.Do(c.beforeClose)
 	return c.TCPConn.Close()
 }
 
-// pair returns both ends of a TCP connection.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,11 +53,11 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// TestCloseCrossed: for whatever reason the gateway closes a connection, a request that arrives between its last read and
+// TestRequestDuringClose: for whatever reason the gateway closes a connection, a request that arrives between its last read and
 // the close neither resets the connection, by which the client could lose the last answer, nor reaches the core.
-func TestCloseCrossed(t *testing.T) {
+func TestRequestDuringClose(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
-	ask := append(slices.Clone(hello), query("")...) // the front itself answers it
+	ask := append(slices.Clone(hello), queryMessage("")...) // the front itself answers it
 	for name, tc := range map[string]struct {
 		most  int
 		text  []byte
@@ -66,13 +66,13 @@
 		then  func(s *Server) // once the connection is idle
 	}{
 		"idle": {1, ask, "IZ", (*Server).Handle, func(s *Server) {
-			time.Sleep(idleLeast)
-			s.endIdle()
+			time.Sleep(minIdleAge)
+			s.closeIdle()
 		}},
 		"room": {1, ask, "IZ", (*Server).Handle, func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.makeRoom()
+			s.evictIdle()
 		}},
 		"quiesce":  {1, ask, "IZ", (*Server).Handle, func(s *Server) { s.Quiesce(true) }},
 		"shutdown": {1, ask, "IZ", (*Server).Handle, func(s *Server) { go s.Shutdown() }},
@@ -95,7 +95,7 @@
 		"cut": {1, nil, "", func(s *Server, nc net.Conn) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.start(func() { newConn(s, nc).serveFrom(errCut) })
+			s.startTracked(func() { newConn(s, nc).serveFrom(errTruncated) })
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -103,10 +103,10 @@
 			s, _ := newServer(f, tc.most)
 			s.conf.StartWait, s.conf.RefuseWait = 200*time.Millisecond, time.Hour
 			s.conf.Spare = max(s.conf.Spare, 4)
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			looks := wake.New[int](far, 16)
-			nc := &crossed{TCPConn: far, cross: func() {
-				if _, err := near.Write(query(read)); err != nil {
+			nc := &interceptedConn{TCPConn: far, beforeClose: func() {
+				if _, err := near.Write(queryMessage(selectStatement)); err != nil {
 					t.Error(err)
 				}
 				for looks.Quiet() { // if they never arrive, the test's timeout ends the wait
@@ -151,13 +151,13 @@
 			s.refusing = 0
 			s.mu.Unlock()
 			s.Shutdown()
-			until(t, func() bool { // Shutdown waits for lingering connections only shortly; the client's close ends them
+			waitFor(t, func() bool { // Shutdown waits for lingering connections only shortly; the client's close ends them
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				return len(s.lingered) == 0
+				return len(s.lingering) == 0
 			})
-			if f.arrived > 0 || len(s.lingered) > 0 || s.Open() > 0 {
-				t.Errorf("%d requests sent on, %d connections linger, %d open", f.arrived, len(s.lingered), s.Open())
+			if f.arrived > 0 || len(s.lingering) > 0 || s.Open() > 0 {
+				t.Errorf("%d requests sent on, %d connections linger, %d open", f.arrived, len(s.lingering), s.Open())
 			}
 		})
 	}
@@ -178,11 +178,11 @@
 	lingers := func() (list []net.Conn) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return slices.Clone(s.lingered)
+		return slices.Clone(s.lingering)
 	}
 	var clients, ends []net.Conn
 	for range 3 {
-		near, far := pair(t)
+		near, far := tcpPair(t)
 		s.Handle(far)
 		_, _ = near.Write(pgwire.Append(pgwire.AppendStartup(nil, "app", "shop"), 'X'))
 		ended(near)
@@ -191,12 +191,12 @@
 	if got := lingers(); !slices.Equal(got, ends) {
 		t.Fatalf("%d linger, want 3 in order", len(got))
 	}
-	near, far := pair(t)
+	near, far := tcpPair(t)
 	s.Handle(far)
 	if got := lingers(); !slices.Equal(got, ends[1:]) {
 		t.Errorf("with one more client %d linger, want the two last", len(got))
 	}
-	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query("")...))
+	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...))
 	for b := []byte{0}; b[0] != 'I'; {
 		if _, err := near.Read(b); err != nil {
 			t.Fatal("the new client is not served:", err)
@@ -220,7 +220,7 @@
 	}
 	s, _ = newServer(f, 1)
 	s.conf.RefuseWait = 50 * time.Millisecond
-	near, far = pair(t)
+	near, far = tcpPair(t)
 	s.Handle(far)
 	_, _ = near.Write(pgwire.Append(pgwire.AppendStartup(nil, "app", "shop"), 'X'))
 	ended(near)
@@ -230,9 +230,9 @@
 	// Nor does a client that does not close delay a shutdown.
 	s, _ = newServer(f, 1)
 	s.conf.RefuseWait = time.Hour
-	near, far = pair(t)
+	near, far = tcpPair(t)
 	s.Handle(far)
-	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query("")...))
+	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...))
 	s.Shutdown()
 	if n := len(lingers()); n != 1 || s.Open() > 0 {
 		t.Errorf("%d linger, %d open", n, s.Open())
@@ -240,27 +240,27 @@
 	ended(near)
 }
 
-// TestLastCall: at the end of a shutdown the server does not wait for the rest of a command, wherever its client stopped, and
+// TestAbandonPartialMessages: at the end of a shutdown the server does not wait for the rest of a command, wherever its client stopped, and
 // closes the connection without a reset; a request in progress is answered first, and so are complete commands behind it.
-func TestLastCall(t *testing.T) {
+func TestAbandonPartialMessages(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
 	after := func(text []byte) []byte { return append(slices.Clone(hello), text...) }
 	for name, tc := range map[string]struct {
 		text []byte
 		want string
 	}{
-		"half a startup": {hello[:9], ""}, "half a header": {after([]byte{'Q', 0}), ""}, "half a command": {after(query(read)[:40]), ""},
-		"half a long command": {after(query(read + string(make([]byte, 2*readSize)))[:readSize+100]), ""},
+		"half a startup": {hello[:9], ""}, "half a header": {after([]byte{'Q', 0}), ""}, "half a command": {after(queryMessage(selectStatement)[:40]), ""},
+		"half a long command": {after(queryMessage(selectStatement + string(make([]byte, 2*initialReadSize)))[:initialReadSize+100]), ""},
 		"half an unknown one": {after([]byte{'P', 0, 0, 1, 0, 'x'}), ""},
-		"in work":             {after(query(read)), "EZ"},
-		"in work, more whole": {after(append(query(read), query("")...)), "EZIZ"},
-		"in work, more half":  {after(append(query(read), query("")[:3]...)), "EZ"},
+		"in work":             {after(queryMessage(selectStatement)), "EZ"},
+		"in work, more whole": {after(append(queryMessage(selectStatement), queryMessage("")...)), "EZIZ"},
+		"in work, more half":  {after(append(queryMessage(selectStatement), queryMessage("")[:3]...)), "EZ"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := new(fakeCore)
 			s, _ := newServer(f, 1)
 			s.conf.StartWait, s.conf.RefuseWait = time.Hour, time.Hour
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			s.Handle(far)
 			if _, err := near.Write(tc.text); err != nil {
 				t.Fatal(err)
@@ -272,7 +272,7 @@
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				for c := range s.conns {
-					return looks.Quiet() && c.spoke && (tc.want == "" || f.arrived > 0)
+					return looks.Quiet() && c.received && (tc.want == "" || f.arrived > 0)
 				}
 				return false
 			}
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -24,7 +24,7 @@
 	"reachwind/internal/terms"
 )
 
-const buffers = 6
+const totalBuffers = 6
 
 // fakeCore holds requests until the test answers them.
 type fakeCore struct {
@@ -56,12 +56,12 @@
 // peer is the client's end of a connection in a test.
 type peer struct {
 	net.Conn
-	write chan []byte
-	got   bytes.Buffer
-	over  atomic.Bool
+	write  chan []byte
+	got    bytes.Buffer
+	closed atomic.Bool
 }
 
-func (p *peer) ended() bool { return p.over.Load() }
+func (p *peer) ended() bool { return p.closed.Load() }
 
 func newPeer(nc net.Conn) *peer {
 	p := &peer{Conn: nc, write: make(chan []byte, 1000)}
@@ -72,7 +72,7 @@
 	}()
 	go func() {
 		_, _ = io.Copy(&p.got, nc)
-		p.over.Store(true)
+		p.closed.Store(true)
 	}()
 	return p
 }
@@ -94,7 +94,7 @@
 }
 
 func newServer(f *fakeCore, most int) (*Server, *pgwire.Pool) {
-	bufs := pgwire.NewPool(buffers, 0)
+	bufs := pgwire.NewPool(totalBuffers, 0)
 	book, err := terms.NewBook(&decide.Config{MaxRetryAfter: 500 * time.Millisecond,
 		Classes: []decide.Class{{Name: "r", Deadline: time.Second},
 			{Name: "w", Consistency: decide.Write, Effect: decide.Keyed, Deadline: time.Second}},
@@ -106,18 +106,18 @@
 		StartWait: time.Second, WriteWait: time.Second, RefuseWait: time.Second}, bufs, slog.New(slog.DiscardHandler)), bufs
 }
 
-func query(text string) []byte { return pgwire.Append(nil, 'Q', text, "\x00") }
+func queryMessage(text string) []byte { return pgwire.Append(nil, 'Q', text, "\x00") }
 
-const read = "/* id=1,c=r,t=t,d=400,cluster=2 */ SELECT doc FROM items WHERE id = 'k'"
+const selectStatement = "/* id=1,c=r,t=t,d=400,cluster=2 */ SELECT doc FROM items WHERE id = 'k'"
 
-// TestLimit: at the limit of connections a client gets an error with the time after which to retry.
-func TestLimit(t *testing.T) {
+// TestConnectionLimit: at the limit of connections a client gets an error with the time after which to retry.
+func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 0)
 		a, b := net.Pipe()
 		s.Handle(b)
 		p := newPeer(a)
-		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), query(read)...)
+		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage(selectStatement)...)
 		synctest.Wait()
 		if got := p.replies(t); !slices.Equal(got, []string{"E53300500"}) || !p.ended() {
 			t.Errorf("replies %q, ended %v", got, p.ended())
@@ -138,17 +138,17 @@
 	return p
 }
 
-// TestMakeRoom: at the limit, connections without a request in progress are closed for new clients: first those that have
+// TestEvictIdle: at the limit, connections without a request in progress are closed for new clients: first those that have
 // sent nothing, then the one idle longest, but none with an open request.
-func TestMakeRoom(t *testing.T) {
+func TestEvictIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
 		s, _ := newServer(f, 3)
 		hello := pgwire.AppendStartup(nil, "app", "shop")
-		ask := append(slices.Clone(hello), query("")...)
+		ask := append(slices.Clone(hello), queryMessage("")...)
 		idle := dial(s, ask)
 		time.Sleep(2 * time.Second)
-		open := dial(s, append(slices.Clone(hello), query(read)...))
+		open := dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))
 		silent := dial(s, nil)
 		time.Sleep(100 * time.Millisecond)
 		peers := []*peer{idle, open, silent, dial(s, ask)}
@@ -160,7 +160,7 @@
 			t.Errorf("idle ended %v, one with a request open %v", idle.ended(), open.ended())
 		}
 		for _, id := range []string{"id=2", "id=3"} { // those idle for a short time are closed as well, then none is left
-			peers = append(peers, dial(s, append(slices.Clone(hello), query(strings.Replace(read, "id=1", id, 1))...)))
+			peers = append(peers, dial(s, append(slices.Clone(hello), queryMessage(strings.Replace(selectStatement, "id=1", id, 1))...)))
 		}
 		last := dial(s, ask)
 		if got := last.replies(t); !slices.Equal(got, []string{"E53300500"}) || open.ended() {
@@ -175,20 +175,20 @@
 	})
 }
 
-// TestFloodLeavesBeginners: hundreds of new clients do not displace one that has only just connected or completed its startup,
+// TestFloodSparesNewConnections: hundreds of new clients do not displace one that has only just connected or completed its startup,
 // even if they connect faster than it can send the rest: it is served. After idleLeast it may be closed for another.
-func TestFloodLeavesBeginners(t *testing.T) {
+func TestFloodSparesNewConnections(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
-	ask := append(slices.Clone(hello), query(read)...)
+	ask := append(slices.Clone(hello), queryMessage(selectStatement)...)
 	for name, begun := range map[string]int{"connected": 0, "half a startup": 6, "welcomed": len(hello), "half a command": len(hello) + 7} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeCore{}
 				s, _ := newServer(f, 2)
-				peers := []*peer{dial(s, append(slices.Clone(hello), query("")...))} // has been served
+				peers := []*peer{dial(s, append(slices.Clone(hello), queryMessage("")...))} // has been served
 				honest := dial(s, ask[:begun])
 				for range 100 { // at one instant
-					for _, text := range [][]byte{nil, hello, append(slices.Clone(hello), query("")...)} {
+					for _, text := range [][]byte{nil, hello, append(slices.Clone(hello), queryMessage("")...)} {
 						peers = append(peers, dial(s, text))
 					}
 				}
@@ -200,7 +200,7 @@
 				if f.arrived != 1 {
 					t.Errorf("%d requests came through the flood", f.arrived)
 				}
-				time.Sleep(idleLeast)
+				time.Sleep(minIdleAge)
 				next := dial(s, bytes.Replace(ask, []byte("id=1"), []byte("id=2"), 1))
 				if f.arrived != 2 {
 					t.Errorf("no room for the next one, which is told %q", next.replies(t))
@@ -216,16 +216,16 @@
 	}
 }
 
-// TestEndIdle: connections idle for long are closed, and the longest idle ones beyond the limit, but none that has only just
+// TestCloseIdle: connections idle for long are closed, and the longest idle ones beyond the limit, but none that has only just
 // had its answer or has an open request.
-func TestEndIdle(t *testing.T) {
+func TestCloseIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 9)
 		s.conf.IdleKeep, s.conf.IdleMost = 2, 2*time.Second
 		hello := pgwire.AppendStartup(nil, "app", "shop")
-		peers := []*peer{dial(s, append(slices.Clone(hello), query(read)...))}
+		peers := []*peer{dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))}
 		ended := func() (n int) {
-			s.endIdle()
+			s.closeIdle()
 			synctest.Wait()
 			for _, p := range peers {
 				if p.ended() {
@@ -236,7 +236,7 @@
 		}
 		for i, want := range []int{0, 0, 1, 2, 3} { // two are kept
 			time.Sleep(150 * time.Millisecond)
-			peers = append(peers, dial(s, append(slices.Clone(hello), query("")...)))
+			peers = append(peers, dial(s, append(slices.Clone(hello), queryMessage("")...)))
 			if n := ended(); n != want {
 				t.Errorf("after %d idle ones %d ended, want %d", i+1, n, want)
 			}
@@ -253,8 +253,8 @@
 	})
 }
 
-// TestStopCrosses: a command that has arrived but was not read when its connection is asked to end is answered.
-func TestStopCrosses(t *testing.T) {
+// TestCommandDuringStop: a command that has arrived but was not read when its connection is asked to end is answered.
+func TestCommandDuringStop(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // only a socket buffers unread bytes
 	if err != nil {
 		t.Fatal(err)
@@ -271,8 +271,8 @@
 			t.Fatal(err)
 		}
 		c := newConn(s, b)
-		c.due = time.Time{}
-		if _, err := a.Write(query("")); err != nil {
+		c.startDeadline = time.Time{}
+		if _, err := a.Write(queryMessage("")); err != nil {
 			t.Fatal(err)
 		}
 		for c.Quiet() {
@@ -292,13 +292,13 @@
 func TestSilent(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "app", "shop")
 	for name, text := range map[string][]byte{"nothing": nil, "half a startup": hello[:9], "startup": hello,
-		"half a header": append(slices.Clone(hello), 'Q', 0), "half a command": append(slices.Clone(hello), query(read)[:40]...)} {
+		"half a header": append(slices.Clone(hello), 'Q', 0), "half a command": append(slices.Clone(hello), queryMessage(selectStatement)[:40]...)} {
 		synctest.Test(t, func(t *testing.T) {
 			s, bufs := newServer(&fakeCore{}, 1)
 			p := dial(s, text)
 			time.Sleep(1100 * time.Millisecond)
 			synctest.Wait()
-			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.Free() != buffers {
+			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.Free() != totalBuffers {
 				t.Errorf("%s: replies %q, ended %v", name, got, p.ended())
 			}
 			close(p.write)
@@ -323,13 +323,13 @@
 		}
 		trickle(pgwire.AppendStartup(nil, "app", "shop"), 3)
 		for range 3 {
-			trickle(query("SET a = 1; -- "+strings.Repeat(" ", readSize)), 4)
+			trickle(queryMessage("SET a = 1; -- "+strings.Repeat(" ", initialReadSize)), 4)
 		}
 		if got := p.replies(t); strings.Join(got[len(got)-6:], "") != "CZCZCZ" {
 			t.Errorf("replies %q", got)
 		}
-		trickle(query(read + strings.Repeat(" ", readSize))[:readSize], 9)
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != buffers {
+		trickle(queryMessage(selectStatement + strings.Repeat(" ", initialReadSize))[:initialReadSize], 9)
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != totalBuffers {
 			t.Errorf("replies %q, ended %v", got, p.ended())
 		}
 		close(p.write)
@@ -344,7 +344,7 @@
 	for name, tc := range map[string]struct {
 		in, out string
 	}{
-		"ssl first": {string(ssl) + string(pgwire.AppendStartup(nil, "a", "b")) + string(query("")), "NR"},
+		"ssl first": {string(ssl) + string(pgwire.AppendStartup(nil, "a", "b")) + string(queryMessage("")), "NR"},
 		"version 2": {"\x00\x00\x00\x08\x00\x02\x00\x00", "E"},
 		"cancel":    {"\x00\x00\x00\x08\x04\xd2\x16\x2e", ""},
 		"too long":  {"\xff\xff\xff\xff", "E"},
@@ -381,19 +381,19 @@
 		a, b := net.Pipe()
 		s.Handle(b)
 		p := newPeer(a)
-		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), query("")...)
+		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...)
 		synctest.Wait()
 		p.replies(t)
 		time.Sleep(time.Minute) // idle clients may stay
-		p.write <- query(read + strings.Repeat(" ", readSize))[:readSize]
+		p.write <- queryMessage(selectStatement + strings.Repeat(" ", initialReadSize))[:initialReadSize]
 		synctest.Wait()
-		if p.ended() || bufs.Free() != buffers-1 {
-			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.Free(), buffers)
+		if p.ended() || bufs.Free() != totalBuffers-1 {
+			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.Free(), totalBuffers)
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != buffers || f.arrived != 0 {
-			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.Free(), buffers)
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != totalBuffers || f.arrived != 0 {
+			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.Free(), totalBuffers)
 		}
 		close(p.write)
 		_ = a.Close()
@@ -401,16 +401,16 @@
 	})
 }
 
-// TestUnusable: a statement that members would misinterpret gets an error and never reaches the core: one with the id of an
+// TestMisleadingStatements: a statement that members would misinterpret gets an error and never reaches the core: one with the id of an
 // open request, or a write without its idempotency key. The id is free again once its request has ended.
-func TestUnusable(t *testing.T) {
+func TestMisleadingStatements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
 		s, _ := newServer(f, 2)
 		hello := pgwire.AppendStartup(nil, "app", "shop")
-		first := dial(s, append(slices.Clone(hello), query(read)...))
-		second := dial(s, append(slices.Clone(hello), query(read)...))
-		second.write <- query("/* id=2,c=w,d=400,cluster=2 */ INSERT INTO items (id, doc) VALUES ('a', 'b')")
+		first := dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))
+		second := dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))
+		second.write <- queryMessage("/* id=2,c=w,d=400,cluster=2 */ INSERT INTO items (id, doc) VALUES ('a', 'b')")
 		synctest.Wait()
 		got := second.replies(t)
 		if !slices.Equal(got[len(got)-4:], []string{"E42710", "Z", "E42601", "Z"}) || f.arrived != 1 {
@@ -419,7 +419,7 @@
 		close(first.write)
 		_ = first.Close() // the request ends when its client leaves
 		synctest.Wait()
-		second.write <- query(read)
+		second.write <- queryMessage(selectStatement)
 		synctest.Wait()
 		if f.arrived != 2 {
 			t.Error("the id is still taken")
@@ -451,19 +451,19 @@
 	switch b % 12 {
 	case 0, 1, 2:
 		add("")
-		return query(read)
+		return queryMessage(selectStatement)
 	case 3:
 		add("I Z")
-		return query(" ;\n")
+		return queryMessage(" ;\n")
 	case 4:
 		add("C Z")
-		return query("set x = 1")
+		return queryMessage("set x = 1")
 	case 5:
 		add("E42601 Z")
-		return query("SELECT 1")
+		return queryMessage("SELECT 1")
 	case 6:
 		add("E42601 Z")
-		return query("/* c=w,d=1 */ SELECT 'a'")
+		return queryMessage("/* c=w,d=1 */ SELECT 'a'")
 	case 7:
 		return extended('P')
 	case 8:
@@ -500,11 +500,11 @@
 	f.Add([]byte{0, 0, 0, 200, 200, 200, 251}) // three commands ahead, answered in order, then shutdown
 	f.Add([]byte{0, 240})                      // a client that leaves with an open request
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		synctest.Test(t, func(t *testing.T) { playConn(t, steps[:min(len(steps), 60)]) })
+		synctest.Test(t, func(t *testing.T) { runConn(t, steps[:min(len(steps), 60)]) })
 	})
 }
 
-func playConn(t *testing.T, steps []byte) {
+func runConn(t *testing.T, steps []byte) {
 	f := &fakeCore{}
 	s, bufs := newServer(f, 1)
 	a, b := net.Pipe()
@@ -576,16 +576,16 @@
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 	s.Shutdown()
-	if len(f.open) > 0 || bufs.Free() != buffers {
-		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.Free(), buffers)
+	if len(f.open) > 0 || bufs.Free() != totalBuffers {
+		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.Free(), totalBuffers)
 	}
 }
 
-// TestBuffers: without a free buffer a query is refused with the time after which to retry, and the connection remains usable.
-func TestBuffers(t *testing.T) {
+// TestOutOfBuffers: without a free buffer a query is refused with the time after which to retry, and the connection remains usable.
+func TestOutOfBuffers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
-		for range buffers - 1 {
+		for range totalBuffers - 1 {
 			bufs.Get(pgwire.BufSize, 0)
 		}
 		a, b := net.Pipe()
@@ -594,7 +594,7 @@
 		p.write <- pgwire.AppendStartup(nil, "app", "shop")
 		synctest.Wait()
 		p.replies(t)
-		p.write <- append(query(read), query("")...)
+		p.write <- append(queryMessage(selectStatement), queryMessage("")...)
 		synctest.Wait()
 		if got := fmt.Sprint(p.replies(t)); got != "[E53300500 Z E53300500 Z]" {
 			t.Errorf("replies %s", got)
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -59,40 +59,40 @@
 	conf Config
 	bufs *pgwire.Pool
 
-	mu       sync.Mutex
-	conns    map[*conn]bool
-	refusing int
-	lingered []net.Conn // closed for sending, waiting for their clients to close, longest first
-	most     int        // conf.Max, or the limit set since
-	closing  bool
-	passing  bool // Shutdown was called
-	last     bool // AbandonPartialMessages was called
-	working  int  // goroutines of connections
-	lingers  int  // those of them that only wait for their client
-	ended    sync.Cond
-
-	cancels cancels
-	ahead   atomic.Int64 // bytes of read buffers beyond their initial size, of all connections
-
-	refused, closed, broken, full, short, failing often.Line
+	mu               sync.Mutex
+	conns            map[*conn]bool
+	refusing         int
+	lingering        []net.Conn // closed for sending, waiting for their clients to close, longest first
+	maxConns         int        // conf.Max, or the limit set since
+	closing          bool
+	shuttingDown     bool // Shutdown was called
+	abandonPartial   bool // AbandonPartialMessages was called
+	goroutines       int  // goroutines of connections
+	lingerGoroutines int  // those of them that only wait for their client
+	changed          sync.Cond
+
+	cancels        cancelState
+	readAheadBytes atomic.Int64 // bytes of read buffers beyond their initial size, of all connections
+
+	refusedLog, rejectedLog, protocolErrorLog, noBufferLog, evictedLog, acceptErrorLog often.Line
 }
 
 const (
-	// silentLeast is the time for which a new connection that has sent nothing is not closed: clients send their startup
+	// minSilentAge is the time for which a new connection that has sent nothing is not closed: clients send their startup
 	// at once.
-	silentLeast = 50 * time.Millisecond
-	// sweepEvery is the interval at which idle connections are closed.
-	sweepEvery = 100 * time.Millisecond
-	// idleLeast is the time for which a connection is not closed after its startup, as its first command takes a round
+	minSilentAge = 50 * time.Millisecond
+	// sweepInterval is the interval at which idle connections are closed.
+	sweepInterval = 100 * time.Millisecond
+	// minIdleAge is the time for which a connection is not closed after its startup, as its first command takes a round
 	// trip, or after an answer, as its client may be about to send the next command. Without it, clients that connect
 	// faster than that would displace each other before any has sent a command, however often they retry.
-	idleLeast = 200 * time.Millisecond
+	minIdleAge = 200 * time.Millisecond
 )
 
 // New returns a server that passes its requests to c.
 func New(c Core, conf Config, bufs *pgwire.Pool, log *slog.Logger) *Server {
-	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, most: conf.Max}
-	s.ended.L = &s.mu
+	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, maxConns: conf.Max}
+	s.changed.L = &s.mu
 	if s.conf.Claims == nil {
 		s.conf.Claims = call.NewClaims()
 	}
@@ -101,7 +101,7 @@
 
 // Serve accepts connections until the listener is closed; it returns nil then.
 func (s *Server) Serve(l net.Listener) error {
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	done := make(chan struct{})
 	defer close(done)
 	defer sweep.Stop()
@@ -109,7 +109,7 @@
 		for {
 			select {
 			case <-sweep.C:
-				s.endIdle()
+				s.closeIdle()
 			case <-done:
 				return
 			}
@@ -121,7 +121,7 @@
 			return nil
 		}
 		if err != nil { // most likely out of file descriptors: clients wait in the backlog meanwhile
-			s.failing.Warn(s.log, "accept failed", "err", err)
+			s.acceptErrorLog.Warn(s.log, "accept failed", "err", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -137,108 +137,108 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case len(s.conns) < s.most, len(s.conns) < s.most+s.conf.Spare/2 && s.makeRoom():
+	case len(s.conns) < s.maxConns, len(s.conns) < s.maxConns+s.conf.Spare/2 && s.evictIdle():
 	case s.refusing < (s.conf.Spare+1)/2:
 		s.refusing++
-		c.refuse = true
+		c.refusing = true
 		stay := 0 // another process may have handed over more than the limit: idle ones make room for the next client
 		for c := range s.conns {
-			if !c.leaving {
+			if !c.evicted {
 				stay++
 			}
 		}
-		for ; stay >= s.most && s.makeRoom(); stay-- {
+		for ; stay >= s.maxConns && s.evictIdle(); stay-- {
 		}
-		s.refused.Warn(s.log, "client refused: too many connections", "open", len(s.conns))
+		s.refusedLog.Warn(s.log, "client refused: too many connections", "open", len(s.conns))
 	default:
-		s.turnAway(c, false)
+		s.reject(c, false)
 		return
 	}
-	s.evict()
+	s.evictLingering()
 	s.serve(c, false)
 }
 
-// turnAway closes a connection that exceeds the limits. One whose startup is not complete gets an error without being read,
+// reject closes a connection that exceeds the limits. One whose startup is not complete gets an error without being read,
 // because a client that gets no answer may assume that its request was lost. The lock must be held.
-func (s *Server) turnAway(c *conn, began bool) {
-	s.closed.Warn(s.log, "client closed: too many connections", "open", len(s.conns))
-	if !s.evict() {
+func (s *Server) reject(c *conn, began bool) {
+	s.rejectedLog.Warn(s.log, "client closed: too many connections", "open", len(s.conns))
+	if !s.evictLingering() {
 		_ = c.Conn.Close()
 		return
 	}
-	s.lingered = append(s.lingered, c.Conn.Conn)
-	s.start(func() {
+	s.lingering = append(s.lingering, c.Conn.Conn)
+	s.startTracked(func() {
 		if !began {
-			_ = c.fatal(pgwire.TooManyConnections, "too many connections", c.comeBack())
+			_ = c.writeFatal(pgwire.TooManyConnections, "too many connections", c.retryAfterMs())
 		}
-		s.seeOff(c)
+		s.runLinger(c)
 	})
 }
 
-// evict makes room for one more connection, if there is none, by closing the one that has lingered longest. It reports
+// evictLingering makes room for one more connection, if there is none, by closing the one that has lingered longest. It reports
 // whether there is room. The lock must be held.
-func (s *Server) evict() bool {
-	if len(s.conns)+s.refusing+len(s.lingered) < s.most+s.conf.Spare {
+func (s *Server) evictLingering() bool {
+	if len(s.conns)+s.refusing+len(s.lingering) < s.maxConns+s.conf.Spare {
 		return true
 	}
-	if len(s.lingered) == 0 {
+	if len(s.lingering) == 0 {
 		return false
 	}
-	s.short.Info(s.log, "client closed before it had ended: too many connections", "lingering", len(s.lingered))
-	_ = s.lingered[0].Close()
-	s.lingered = s.lingered[1:]
+	s.evictedLog.Info(s.log, "client closed before it had ended: too many connections", "lingering", len(s.lingering))
+	_ = s.lingering[0].Close()
+	s.lingering = s.lingering[1:]
 	return true
 }
 
 // linger closes a connection whose client has not closed it. It no longer counts as a client connection.
 func (s *Server) linger(c *conn) {
 	s.mu.Lock()
-	s.drop(c)
-	s.lingered = append(s.lingered, c.Conn.Conn)
+	s.remove(c)
+	s.lingering = append(s.lingering, c.Conn.Conn)
 	s.mu.Unlock()
-	s.seeOff(c)
+	s.runLinger(c)
 }
 
-// seeOff runs the lingering close of a connection in s.lingered.
-func (s *Server) seeOff(c *conn) {
+// runLinger runs the lingering close of a connection in s.lingered.
+func (s *Server) runLinger(c *conn) {
 	s.mu.Lock()
-	s.lingers++
-	s.ended.Broadcast()
+	s.lingerGoroutines++
+	s.changed.Broadcast()
 	s.mu.Unlock()
-	wake.Linger(c.Conn.Conn, time.Now().Add(s.conf.RefuseWait), lingerMost)
+	wake.Linger(c.Conn.Conn, time.Now().Add(s.conf.RefuseWait), maxLingerBytes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lingers--
-	s.lingered = slices.DeleteFunc(s.lingered, func(nc net.Conn) bool { return nc == c.Conn.Conn })
+	s.lingerGoroutines--
+	s.lingering = slices.DeleteFunc(s.lingering, func(nc net.Conn) bool { return nc == c.Conn.Conn })
 }
 
-const lingerMost = 1 << 20 // bytes that a lingering connection reads at most: several requests of the largest size
+const maxLingerBytes = 1 << 20 // bytes that a lingering connection reads at most: several requests of the largest size
 
-// drop removes a connection from the counts. The lock must be held.
-func (s *Server) drop(c *conn) {
+// remove removes a connection from the counts. The lock must be held.
+func (s *Server) remove(c *conn) {
 	delete(s.conns, c)
-	if c.refuse {
-		c.refuse = false
+	if c.refusing {
+		c.refusing = false
 		s.refusing--
 	}
 }
 
-// start runs f in the background; Shutdown waits for it. The lock must be held.
-func (s *Server) start(f func()) {
-	s.working++
+// startTracked runs f in the background; Shutdown waits for it. The lock must be held.
+func (s *Server) startTracked(f func()) {
+	s.goroutines++
 	go func() {
 		f()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.working--
-		s.ended.Broadcast()
+		s.goroutines--
+		s.changed.Broadcast()
 	}()
 }
 
-// pass hands a connection over to another process, if this one is shutting down and there is one.
-func (s *Server) pass(nc net.Conn, began bool) bool {
+// transfer hands a connection over to another process, if this one is shutting down and there is one.
+func (s *Server) transfer(nc net.Conn, began bool) bool {
 	s.mu.Lock()
-	passing := s.passing && s.conf.Pass != nil
+	passing := s.shuttingDown && s.conf.Pass != nil
 	s.mu.Unlock()
 	return passing && s.conf.Pass(nc, began)
 }
@@ -250,25 +250,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.conf.Max+s.conf.Spare {
-		s.turnAway(c, began)
+		s.reject(c, began)
 		return
 	}
-	s.evict()
+	s.evictLingering()
 	if began {
-		c.spoke, c.asked, c.due = true, true, time.Time{}
+		c.received, c.hadCommand, c.startDeadline = true, true, time.Time{}
 	}
 	s.serve(c, began)
 }
 
 // serve runs a connection in the background. The lock must be held.
 func (s *Server) serve(c *conn, began bool) {
-	if !c.refuse {
+	if !c.refusing {
 		s.conns[c] = true
 	}
 	if s.closing {
-		c.Leave(message{stop: true, last: s.last})
+		c.Leave(message{stop: true, abandonPartial: s.abandonPartial})
 	}
-	s.start(func() {
+	s.startTracked(func() {
 		if began {
 			c.serveFrom(nil)
 		} else {
@@ -276,23 +276,23 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.drop(c)
+		s.remove(c)
 	})
 }
 
-// makeRoom closes the connection that has been open longest without sending a
+// evictIdle closes the connection that has been open longest without sending a
 // byte, else the one that has been idle longest, and reports whether there was
 // one. It spares connections that have only just connected or completed their
 // startup. A request that arrives at the same time is either served first or not
 // read at all, so that its client can retry.
-func (s *Server) makeRoom() bool {
+func (s *Server) evictIdle() bool {
 	var oldest *conn
 	rank := func(c *conn) int { // 0: must not be closed
 		switch {
-		case c.leaving, c.idleSince.IsZero(),
-			!c.spoke && time.Since(c.idleSince) < silentLeast, c.spoke && !c.asked && time.Since(c.idleSince) < idleLeast:
+		case c.evicted, c.idleSince.IsZero(),
+			!c.received && time.Since(c.idleSince) < minSilentAge, c.received && !c.hadCommand && time.Since(c.idleSince) < minIdleAge:
 			return 0
-		case c.spoke:
+		case c.received:
 			return 1
 		}
 		return 2
@@ -308,59 +308,59 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.leaving = true
+	oldest.evicted = true
 	oldest.Leave(message{stop: true})
 	return true
 }
 
-// endIdle closes connections that have been idle for IdleTimeout, and the longest
+// closeIdle closes connections that have been idle for IdleTimeout, and the longest
 // idle ones beyond MaxIdleConnections. Otherwise clients that send one request and
 // keep their connection could use up the limit and block all others.
-func (s *Server) endIdle() {
+func (s *Server) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var idle []*conn
 	for c := range s.conns {
-		if c.spoke && !c.leaving && !c.idleSince.IsZero() {
+		if c.received && !c.evicted && !c.idleSince.IsZero() {
 			idle = append(idle, c)
 		}
 	}
 	slices.SortFunc(idle, func(a, b *conn) int { return a.idleSince.Compare(b.idleSince) })
 	for i, c := range idle {
-		if age := time.Since(c.idleSince); age < idleLeast || age < s.conf.IdleMost && len(idle)-i <= s.conf.IdleKeep {
+		if age := time.Since(c.idleSince); age < minIdleAge || age < s.conf.IdleMost && len(idle)-i <= s.conf.IdleKeep {
 			break
 		}
-		c.leaving = true
+		c.evicted = true
 		c.Leave(message{stop: true})
 	}
 }
 
-// idle records that a connection waits for a command, busy that it has one.
-func (s *Server) idle(c *conn) {
+// markIdle records that a connection waits for a command, busy that it has one.
+func (s *Server) markIdle(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.idleSince = time.Now()
-	c.asked = c.due.IsZero()
+	c.hadCommand = c.startDeadline.IsZero()
 }
 
-func (s *Server) busy(c *conn) {
+func (s *Server) markBusy(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.idleSince = time.Time{}
 }
 
-// heard records that a connection has received bytes.
-func (s *Server) heard(c *conn) {
+// markReceived records that a connection has received bytes.
+func (s *Server) markReceived(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.spoke = true
+	c.received = true
 }
 
 // Limit sets the limit of client connections. Open connections beyond it stay until they are idle.
 func (s *Server) Limit(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
+	s.maxConns = most
 }
 
 // Quiesce(true) closes connections as they become idle, after answering the requests they have sent, and new connections
@@ -368,9 +368,9 @@
 func (s *Server) Quiesce(yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing = yes || s.passing
+	s.closing = yes || s.shuttingDown
 	if yes {
-		s.tell(message{stop: true})
+		s.broadcast(message{stop: true})
 	}
 }
 
@@ -387,40 +387,40 @@
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing, s.passing = true, true
-	s.tell(message{stop: true})
+	s.closing, s.shuttingDown = true, true
+	s.broadcast(message{stop: true})
 	over := false
-	for s.working > s.lingers || s.lingers > 0 && !over {
-		if s.working > s.lingers {
-			s.ended.Wait()
+	for s.goroutines > s.lingerGoroutines || s.lingerGoroutines > 0 && !over {
+		if s.goroutines > s.lingerGoroutines {
+			s.changed.Wait()
 			continue
 		}
-		late := time.AfterFunc(lastLinger, func() {
+		late := time.AfterFunc(shutdownLinger, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			over = true
-			s.ended.Broadcast()
+			s.changed.Broadcast()
 		})
-		for s.working == s.lingers && s.lingers > 0 && !over {
-			s.ended.Wait()
+		for s.goroutines == s.lingerGoroutines && s.lingerGoroutines > 0 && !over {
+			s.changed.Wait()
 		}
 		late.Stop()
 	}
 }
 
-const lastLinger = 50 * time.Millisecond // longer than a request is in transit to the gateway
+const shutdownLinger = 50 * time.Millisecond // longer than a request is in transit to the gateway
 
 // LastCall is for the end of a Shutdown: complete commands are still answered, but the server no longer waits for the rest
 // of a command that has begun. The client that sends it finds the connection closed.
 func (s *Server) LastCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = true
-	s.tell(message{stop: true, last: true})
+	s.abandonPartial = true
+	s.broadcast(message{stop: true, abandonPartial: true})
 }
 
-// tell posts a message to all connections. The lock must be held.
-func (s *Server) tell(m message) {
+// broadcast posts a message to all connections. The lock must be held.
+func (s *Server) broadcast(m message) {
 	for c := range s.conns {
 		c.Leave(m)
 	}
--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -21,21 +21,21 @@
 
 // Pool hands out buffers of two sizes, up to a limit for each. It is safe for concurrent use.
 type Pool struct {
-	mu         sync.Mutex
-	full, tiny shelf
+	mu           sync.Mutex
+	large, small sizeClass
 }
 
-// shelf holds the buffers of one size.
-type shelf struct {
-	size int
-	free []*Buf
-	left int // buffers that may still be allocated; negative if more are in use than the limit allows
-	most int
+// sizeClass holds the buffers of one size.
+type sizeClass struct {
+	size      int
+	free      []*Buf
+	remaining int // buffers that may still be allocated; negative if more are in use than the limit allows
+	limit     int
 }
 
 // NewPool returns a pool of at most full buffers of BufSize and small buffers of SmallSize. They are allocated on demand.
 func NewPool(full, small int) *Pool {
-	return &Pool{full: shelf{size: BufSize, left: full, most: full}, tiny: shelf{size: SmallSize, left: small, most: small}}
+	return &Pool{large: sizeClass{size: BufSize, remaining: full, limit: full}, small: sizeClass{size: SmallSize, remaining: small, limit: small}}
 }
 
 // Limit sets the limits for the numbers of buffers. Buffers in use beyond the new limits are discarded when they are
@@ -43,22 +43,22 @@
 func (p *Pool) Limit(full, small int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.full.limit(full)
-	p.tiny.limit(small)
+	p.large.setLimit(full)
+	p.small.setLimit(small)
 }
 
-func (s *shelf) limit(n int) {
-	s.left += n - s.most
-	s.most = n
+func (s *sizeClass) setLimit(n int) {
+	s.remaining += n - s.limit
+	s.limit = n
 	s.trim()
 }
 
 // trim discards free buffers while the limit is exceeded.
-func (s *shelf) trim() {
-	for s.left < 0 && len(s.free) > 0 {
+func (s *sizeClass) trim() {
+	for s.remaining < 0 && len(s.free) > 0 {
 		s.free[len(s.free)-1] = nil
 		s.free = s.free[:len(s.free)-1]
-		s.left++
+		s.remaining++
 	}
 }
 
@@ -68,28 +68,28 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n <= SmallSize {
-		if b := p.tiny.get(p); b != nil {
+		if b := p.small.get(p); b != nil {
 			return b
 		}
 	}
-	if n > BufSize || p.full.count() <= keep {
+	if n > BufSize || p.large.available() <= keep {
 		return nil
 	}
-	return p.full.get(p)
+	return p.large.get(p)
 }
 
-func (s *shelf) count() int { return s.left + len(s.free) }
+func (s *sizeClass) available() int { return s.remaining + len(s.free) }
 
-func (s *shelf) get(p *Pool) *Buf {
+func (s *sizeClass) get(p *Pool) *Buf {
 	if n := len(s.free); n > 0 {
 		b := s.free[n-1]
 		s.free = s.free[:n-1]
 		return b
 	}
-	if s.left <= 0 {
+	if s.remaining <= 0 {
 		return nil
 	}
-	s.left--
+	s.remaining--
 	return &Buf{B: make([]byte, 0, s.size), pool: p}
 }
 
@@ -97,9 +97,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b.B = b.B[:0]
-	s := &p.full
-	if cap(b.B) == p.tiny.size {
-		s = &p.tiny
+	s := &p.large
+	if cap(b.B) == p.small.size {
+		s = &p.small
 	}
 	s.free = append(s.free, b)
 	s.trim()
@@ -109,12 +109,12 @@
 func (p *Pool) Free() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.full.count()
+	return p.large.available()
 }
 
 // FreeSmall returns the number of small buffers that are available.
 func (p *Pool) FreeSmall() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tiny.count()
+	return p.small.available()
 }
--- a/internal/pgwire/call.go
+++ b/internal/pgwire/call.go
@@ -72,7 +72,7 @@
 			return false
 		}
 	}
-	return len(s) > 0 && len(s) <= maxName
+	return len(s) > 0 && len(s) <= maxNameLen
 }
 
 var errNoRow = errors.New("the answer holds no row")
--- a/internal/pgwire/call_test.go
+++ b/internal/pgwire/call_test.go
@@ -9,9 +9,9 @@
 	"reachwind/internal/call"
 )
 
-// TestForm: the statement for a call that arrived by another protocol parses back to the same fields, whatever its item and
+// TestEncodeCall: the statement for a call that arrived by another protocol parses back to the same fields, whatever its item and
 // value contain; and a value can be decoded from an answer.
-func TestForm(t *testing.T) {
+func TestEncodeCall(t *testing.T) {
 	plain := rapid.StringMatching(`[!-)+.0-<>-~]{1,40}`)
 	rapid.Check(t, func(t *rapid.T) {
 		c := &call.Request{Op: call.Op(rapid.IntRange(0, 1).Draw(t, "op")), ID: plain.Draw(t, "id"), Class: plain.Draw(t, "class"), Tenant: plain.Draw(t, "tenant"),
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -196,7 +196,7 @@
 	Read    bool   // a SELECT
 	Done    func() // called on Release, if set
 
-	dFrom, dTo int // byte range of the value of field d in the text
+	waitFrom, waitTo int // byte range of the value of field d in the text
 }
 
 // Release returns the buffer to its pool and calls Done.
@@ -247,7 +247,7 @@
 		if i := bytes.IndexByte(text[at:end], ','); i >= 0 {
 			to = at + i
 		}
-		if err := s.field(text, at, to, seen); err != nil {
+		if err := s.parseField(text, at, to, seen); err != nil {
 			return nil, err
 		}
 		at = to + 1
@@ -268,25 +268,25 @@
 	if bytes.Count(rest, []byte{'\''})%2 != 0 {
 		return nil, errors.New("quote without end")
 	}
-	if s.Key = quoted(rest); s.Key == "" || len(s.Key) > maxName && !s.page(rest) {
+	if s.Key = quotedString(rest); s.Key == "" || len(s.Key) > maxNameLen && !s.isPage(rest) {
 		return nil, errors.New("no key, or one of impossible length")
 	}
 	return s, nil
 }
 
-// page reports whether the statement requests a page of items. The id of a page may be longer than a key because no table
+// isPage reports whether the statement requests a page of items. The id of a page may be longer than a key because no table
 // stores it.
-func (s *Statement) page(rest []byte) bool {
+func (s *Statement) isPage(rest []byte) bool {
 	_, _, _, ok := ParsePage(s.Key)
-	return ok && s.Read && len(s.Key) <= 5*maxName && bytes.Contains(rest, []byte(" FROM pages "))
+	return ok && s.Read && len(s.Key) <= 5*maxNameLen && bytes.Contains(rest, []byte(" FROM pages "))
 }
 
 const maxFields = 32 // fields in a comment
 
-const maxName = 256 // bytes of an id or a key; both are stored in tables
+const maxNameLen = 256 // bytes of an id or a key; both are stored in tables
 
-// field parses the name=value pair at text[from:to] and adds its name to seen.
-func (s *Statement) field(text []byte, from, to int, seen map[string]bool) (err error) {
+// parseField parses the name=value pair at text[from:to] and adds its name to seen.
+func (s *Statement) parseField(text []byte, from, to int, seen map[string]bool) (err error) {
 	name, value, ok := bytes.Cut(text[from:to], []byte{'='})
 	if !ok {
 		return nil
@@ -307,7 +307,7 @@
 	}
 	switch v := string(bytes.TrimSpace(value)); string(bytes.TrimSpace(name)) {
 	case "id":
-		if s.ID = v; len(v) > maxName {
+		if s.ID = v; len(v) > maxNameLen {
 			err = errors.New("comment: id of impossible length")
 		}
 	case "k":
@@ -324,13 +324,13 @@
 		s.After = number()
 	case "d":
 		s.Wait = number()
-		s.dFrom, s.dTo = to-len(value), to
+		s.waitFrom, s.waitTo = to-len(value), to
 	}
 	return err
 }
 
-// quoted returns the first quoted string of a statement, with doubled quotes unescaped.
-func quoted(text []byte) string {
+// quotedString returns the first quoted string of a statement, with doubled quotes unescaped.
+func quotedString(text []byte) string {
 	at := bytes.IndexByte(text, '\'')
 	if at < 0 {
 		return ""
@@ -353,9 +353,9 @@
 func (s *Statement) Query(wait int64) [][]byte {
 	text := s.Buf.B
 	digits := strconv.AppendInt(make([]byte, 0, 20), wait, 10)
-	n := 4 + s.dFrom + len(digits) + len(text) - s.dTo + 1
-	head := append(make([]byte, 0, 5+s.dFrom+len(digits)), 'Q')
+	n := 4 + s.waitFrom + len(digits) + len(text) - s.waitTo + 1
+	head := append(make([]byte, 0, 5+s.waitFrom+len(digits)), 'Q')
 	head = binary.BigEndian.AppendUint32(head, uint32(n))
-	head = append(append(head, text[:s.dFrom]...), digits...)
-	return [][]byte{head, text[s.dTo:], {0}}
+	head = append(append(head, text[:s.waitFrom]...), digits...)
+	return [][]byte{head, text[s.waitTo:], {0}}
 }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -69,8 +69,8 @@
 			return
 		}
 		q := bytes.Join(s.Query(12345), nil)
-		want := string(s.Buf.B[:s.dFrom]) + "12345" + string(s.Buf.B[s.dTo:]) + "\x00"
-		if string(q[5:]) != want || strings.Contains(string(s.Buf.B[s.dFrom:s.dTo]), ",") {
+		want := string(s.Buf.B[:s.waitFrom]) + "12345" + string(s.Buf.B[s.waitTo:]) + "\x00"
+		if string(q[5:]) != want || strings.Contains(string(s.Buf.B[s.waitFrom:s.waitTo]), ",") {
 			t.Errorf("%q became %q", text, q)
 		}
 	})
--- a/internal/pgwire/stream.go
+++ b/internal/pgwire/stream.go
@@ -34,7 +34,7 @@
 // Stream is an answer that is streamed: the member's connection writes it to the writer that the client's connection
 // provides. The first call of Start or Release decides. Both are called by the client's connection, or by the owner of the
 // stream before a client's connection has it.
-type Stream struct{ taken chan taker }
+type Stream struct{ takers chan taker }
 
 type taker struct {
 	w    io.Writer
@@ -46,20 +46,20 @@
 
 // Start has the answer written to w, from another goroutine. done is called once at the end: with the messages that remain
 // to be written before ReadyForQuery, or with nil if the answer was cut short.
-func (s *Stream) Start(w io.Writer, done func(tail []byte)) { s.give(taker{w, done}) }
+func (s *Stream) Start(w io.Writer, done func(tail []byte)) { s.resolve(taker{w, done}) }
 
 // Release says that nobody will start the stream; after Start it does nothing.
-func (s *Stream) Release() { s.give(taker{}) }
+func (s *Stream) Release() { s.resolve(taker{}) }
 
-func (s *Stream) give(t taker) {
+func (s *Stream) resolve(t taker) {
 	select {
-	case s.taken <- t:
+	case s.takers <- t:
 	default:
 	}
 }
 
 // Taken waits until the stream is started or released; w is nil if it was released. The member's connection calls it, once.
 func (s *Stream) Taken() (w io.Writer, done func(tail []byte)) {
-	t := <-s.taken
+	t := <-s.takers
 	return t.w, t.done
 }
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -30,47 +30,47 @@
 func (n noCore) Gone(*core.Request)                          {}
 func (n noCore) Turned(string, record.Outcome, record.Cause) {}
 
-// crossed is the server's end of a connection. When the server is about to close it, the client first sends bytes, which
+// interceptedConn is the server's end of a connection. When the server is about to close it, the client first sends bytes, which
 // have arrived by the time the close is carried out.
-type crossed struct {
+type interceptedConn struct {
 	*net.TCPConn
-	once  sync.Once
-	cross func(*crossed)
-	read  atomic.Int64 // bytes
+	once        sync.Once
+	beforeClose func(*interceptedConn)
+	read        atomic.Int64 // bytes
 }
 
-func (c *crossed) Read(p []byte) (int, error) {
+func (c *interceptedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	c.read.Add(int64(n))
 	return n, err
 }
 
-func (c *crossed) CloseWrite() error {
-	c.once.Do(func() { c.cross(c) })
+func (c *interceptedConn) CloseWrite() error {
+	c.once.Do(func() { c.beforeClose(c) })
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossed) Close() error {
-	c.once.Do(func() { c.cross(c) })
+func (c *interceptedConn) Close() error {
+	c.once.Do(func() { c.beforeClose(c) })
 	return c.TCPConn.Close()
 }
 
-// crossing is a listener that returns such connections.
-type crossing struct {
+// interceptingListener is a listener that returns such connections.
+type interceptingListener struct {
 	net.Listener
-	cross func(*crossed)
+	beforeClose func(*interceptedConn)
 }
 
-func (l crossing) Accept() (net.Conn, error) {
+func (l interceptingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &crossed{TCPConn: c.(*net.TCPConn), cross: l.cross}, nil
+	return &interceptedConn{TCPConn: c.(*net.TCPConn), beforeClose: l.beforeClose}, nil
 }
 
-// crossedFront runs a server on a listener of crossed connections.
-func crossedFront(t *testing.T, conf Config, cross func(*crossed)) *Server {
+// startIntercepted runs a server on a listener of crossed connections.
+func startIntercepted(t *testing.T, conf Config, cross func(*interceptedConn)) *Server {
 	t.Helper()
 	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
 	if err != nil {
@@ -85,20 +85,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.l = &limited{Listener: crossing{l, cross}, s: s}
-	s.done.Add(1)
+	s.listener = &limitedListener{Listener: interceptingListener{l, cross}, s: s}
+	s.serving.Add(1)
 	go func() {
-		defer s.done.Done()
-		_ = s.http.Serve(s.l)
+		defer s.serving.Done()
+		_ = s.http.Serve(s.listener)
 	}()
 	return s
 }
 
-const get = "GET /v1/clusters/0/items/x HTTP/1.1\r\nHost: h\r\n" // without a class: the front itself answers it
+const requestHead = "GET /v1/clusters/0/items/x HTTP/1.1\r\nHost: h\r\n" // without a class: the front itself answers it
 
-// TestCloseCrossed: for whatever reason a connection is closed, a request that arrives at that moment neither causes a reset,
+// TestRequestDuringClose: for whatever reason a connection is closed, a request that arrives at that moment neither causes a reset,
 // by which the client could lose an answer, nor is it served.
-func TestCloseCrossed(t *testing.T) {
+func TestRequestDuringClose(t *testing.T) {
 	for name, tc := range map[string]struct {
 		most    int
 		text    string
@@ -106,20 +106,20 @@
 		ends    bool   // the connection ends by Shutdown
 		idleFor time.Duration
 	}{
-		"idle":          {1, get + "\r\n", "400", false, 50 * time.Millisecond},
-		"shutdown":      {1, get + "\r\n", "400", true, time.Hour},
-		"close asked":   {1, get + "Connection: close\r\n\r\n", "400", false, time.Hour},
-		"half a header": {1, get, "", false, time.Hour},
+		"idle":          {1, requestHead + "\r\n", "400", false, 50 * time.Millisecond},
+		"shutdown":      {1, requestHead + "\r\n", "400", true, time.Hour},
+		"close asked":   {1, requestHead + "Connection: close\r\n\r\n", "400", false, time.Hour},
+		"half a header": {1, requestHead, "", false, time.Hour},
 		"no request":    {1, "nonsense\r\n\r\n", "400", false, time.Hour},
-		"no room":       {0, get + "\r\n", "503", false, time.Hour},
+		"no room":       {0, requestHead + "\r\n", "503", false, time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var near net.Conn
 			dialled := make(chan struct{})
-			s := crossedFront(t, Config{Max: tc.most, Idle: tc.idleFor}, func(far *crossed) {
+			s := startIntercepted(t, Config{Max: tc.most, Idle: tc.idleFor}, func(far *interceptedConn) {
 				<-dialled
 				was := far.read.Load()
-				_, _ = near.Write([]byte(get + "\r\n"))
+				_, _ = near.Write([]byte(requestHead + "\r\n"))
 				// A pending read of net/http may have them; if they never arrive, the test's timeout ends the wait.
 				for looks := wake.New[int](far.TCPConn, 16); looks.Quiet() && far.read.Load() == was; {
 					runtime.Gosched()
@@ -157,8 +157,8 @@
 			}
 			_ = near.Close()
 			s.Shutdown(t.Context())
-			if s.open != 0 || s.refusing != 0 || len(s.lingered) > 0 {
-				t.Errorf("%d open, %d being refused, %d linger", s.open, s.refusing, len(s.lingered))
+			if s.openConns != 0 || s.refusing != 0 || len(s.lingering) > 0 {
+				t.Errorf("%d open, %d being refused, %d linger", s.openConns, s.refusing, len(s.lingering))
 			}
 		})
 	}
@@ -167,7 +167,7 @@
 // TestLingerBounds: a lingering connection is closed in favour of a new client, and delays a shutdown only until the
 // context of that ends.
 func TestLingerBounds(t *testing.T) {
-	s := crossedFront(t, Config{Max: 1, Idle: time.Hour}, func(*crossed) {})
+	s := startIntercepted(t, Config{Max: 1, Idle: time.Hour}, func(*interceptedConn) {})
 	var all []net.Conn
 	for i := range 5 {
 		nc, err := net.Dial("tcp", s.Addr())
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = nc.Close() }()
-		_, _ = nc.Write([]byte(get + "Connection: close\r\n\r\n"))
+		_, _ = nc.Write([]byte(requestHead + "Connection: close\r\n\r\n"))
 		text, err := io.ReadAll(nc)
 		if err != nil || !strings.HasPrefix(string(text), fmt.Sprint("HTTP/1.1 ", http.StatusBadRequest)) {
 			t.Fatalf("client %d heard %q, %v", i, text, err)
@@ -189,7 +189,7 @@
 		_ = nc.Close()
 	}
 	s.Shutdown(t.Context())
-	if s.open != 0 || len(s.lingered) > 0 {
-		t.Errorf("%d open, %d linger", s.open, len(s.lingered))
+	if s.openConns != 0 || len(s.lingering) > 0 {
+		t.Errorf("%d open, %d linger", s.openConns, len(s.lingering))
 	}
 }
--- a/internal/restfront/edge.go
+++ b/internal/restfront/edge.go
@@ -9,23 +9,23 @@
 
 // Defaults of the rest block.
 const (
-	maxUsual    = 256
-	bodyUsual   = 64 << 10 // bytes; the longest value that members accept
-	headerUsual = 2500 * time.Millisecond
-	readUsual   = 5 * time.Second
-	writeUsual  = 5 * time.Second
-	idleUsual   = 30 * time.Second
-	lifeUsual   = time.Hour
-	perConn     = 48 << 10 // bytes that a connection uses, approximately: buffers, header and goroutines
+	defaultMaxConnections = 256
+	maxValueBytes         = 64 << 10 // bytes; the longest value that members accept
+	defaultHeaderTimeout  = 2500 * time.Millisecond
+	defaultReadTimeout    = 5 * time.Second
+	defaultWriteTimeout   = 5 * time.Second
+	defaultIdleTimeout    = 30 * time.Second
+	defaultCursorLifetime = time.Hour
+	connMemoryBytes       = 48 << 10 // bytes that a connection uses, approximately: buffers, header and goroutines
 )
 
 // Read reads the rest block of the configuration and reports its faults to b.
 func Read(b *edgeconf.Block) Config {
-	c := Config{Listen: b.Text("listen", ""), Max: int(b.Int("connections", maxUsual, 1, 100_000)), Body: b.Size("body", bodyUsual, 1, bodyUsual),
-		Header: b.Span("header_wait", headerUsual, 10*time.Millisecond, time.Minute), Read: b.Span("read_wait", readUsual, 10*time.Millisecond, time.Minute),
-		Write: b.Span("write_wait", writeUsual, 10*time.Millisecond, time.Minute), Idle: b.Span("idle", idleUsual, 100*time.Millisecond, time.Hour),
-		Keys: b.File("cursor_keys"), Life: b.Span("cursor_life", lifeUsual, time.Second, 30*24*time.Hour)}
-	if _, err := c.ring(); err != nil {
+	c := Config{Listen: b.Text("listen", ""), Max: int(b.Int("connections", defaultMaxConnections, 1, 100_000)), Body: b.Size("body", maxValueBytes, 1, maxValueBytes),
+		Header: b.Span("header_wait", defaultHeaderTimeout, 10*time.Millisecond, time.Minute), Read: b.Span("read_wait", defaultReadTimeout, 10*time.Millisecond, time.Minute),
+		Write: b.Span("write_wait", defaultWriteTimeout, 10*time.Millisecond, time.Minute), Idle: b.Span("idle", defaultIdleTimeout, 100*time.Millisecond, time.Hour),
+		Keys: b.File("cursor_keys"), Life: b.Span("cursor_life", defaultCursorLifetime, time.Second, 30*24*time.Hour)}
+	if _, err := c.newCursorRing(); err != nil {
 		b.FaultAt("cursor_keys", "cursor_keys: %v", err)
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
@@ -36,5 +36,5 @@
 
 // Footprint returns the maximum use of memory, in bytes, and of file descriptors, the listener included.
 func (c *Config) Footprint() (memory int64, files int) {
-	return int64(c.Max) * (perConn + c.Body), c.Max + refusedMost + 1 // one for the listener
+	return int64(c.Max) * (connMemoryBytes + c.Body), c.Max + maxRefusing + 1 // one for the listener
 }
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -38,7 +38,7 @@
 	q.Call.Release()
 }
 
-func until(t *testing.T, f func() bool) {
+func waitFor(t *testing.T, f func() bool) {
 	t.Helper()
 	for range 20_000 {
 		if f() {
@@ -80,7 +80,7 @@
 			defer func() { _ = nc.Close() }()
 			c := nc.(*net.TCPConn)
 			_, _ = io.WriteString(c, "GET /v1/clusters/1/items/k HTTP/1.1\r\nHost: x\r\nReachwind-Class: r\r\n\r\n")
-			until(t, func() bool {
+			waitFor(t, func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return f.open == 1
@@ -95,15 +95,15 @@
 					t.Errorf("told %.100q", got)
 				}
 			}
-			until(t, func() bool {
+			waitFor(t, func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return f.gone == 1
 			})
-			until(t, func() bool {
+			waitFor(t, func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				return s.open == 0
+				return s.openConns == 0
 			})
 		})
 	}
--- a/internal/restfront/list.go
+++ b/internal/restfront/list.go
@@ -19,26 +19,26 @@
 )
 
 const (
-	limitUsual = 100             // items of a page, unless the client names a limit
-	skew       = 5 * time.Second // allowed difference between the clocks of gateways that share keys
+	defaultPageSize = 100             // items of a page, unless the client names a limit
+	clockSkew       = 5 * time.Second // allowed difference between the clocks of gateways that share keys
 )
 
 // listing is a listing that a request begins or continues.
 type listing struct {
-	from  cursor.Cursor // where the page begins; its position is that of the first page, 0 while that is requested
-	class string
-	limit int
-	text  string // the prefix of the query
+	from   cursor.Cursor // where the page begins; its position is that of the first page, 0 while that is requested
+	class  string
+	limit  int
+	prefix string // the prefix of the query
 }
 
-// ring reads the keys of cursors, or makes a random one if no file is configured.
-func (c *Config) ring() (*cursor.Ring, error) {
+// newCursorRing reads the keys of cursors, or makes a random one if no file is configured.
+func (c *Config) newCursorRing() (*cursor.Ring, error) {
 	if c.Keys == "" {
-		k := cursor.Key{ID: 1, Issue: skew, End: 1 << 62}
+		k := cursor.Key{ID: 1, Issue: clockSkew, End: 1 << 62}
 		if _, err := rand.Read(k.Secret[:]); err != nil {
 			return nil, err
 		}
-		return cursor.NewRing([]cursor.Key{k}, c.Life, skew)
+		return cursor.NewRing([]cursor.Key{k}, c.Life, clockSkew)
 	}
 	text, err := os.ReadFile(c.Keys)
 	if err != nil {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Keys, err)
 	}
-	ring, err := cursor.NewRing(keys, c.Life, skew)
+	ring, err := cursor.NewRing(keys, c.Life, clockSkew)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Keys, err)
 	}
@@ -63,8 +63,8 @@
 }{{cursor.ErrFormat, "cursor-format", 400}, {cursor.ErrVersion, "cursor-version", 400}, {cursor.ErrKey, "cursor-key", 410}, {cursor.ErrForged, "cursor-forged", 400},
 	{cursor.ErrExpired, "cursor-expired", 410}, {cursor.ErrFuture, "cursor-future", 400}, {cursor.ErrQuery, "cursor-query", 400}}
 
-// listing parses the query of a page and fills it into c.
-func (s *Server) listing(r *http.Request, c *call.Request, now core.Time) (*listing, *problem) {
+// parseListing parses the query of a page and fills it into c.
+func (s *Server) parseListing(r *http.Request, c *call.Request, now core.Time) (*listing, *problem) {
 	bad := func(kind string, status int, format string, args ...any) (*listing, *problem) {
 		return nil, &problem{kind: kind, status: status, detail: fmt.Sprintf(format, args...), outcome: record.Failed, cause: record.Invalid}
 	}
@@ -77,9 +77,9 @@
 			return bad("query", 400, "the query holds %.40q %d times, want prefix, limit and cursor once", name, len(values))
 		}
 	}
-	l := &listing{class: c.Class, limit: limitUsual, text: f.Get("prefix")}
-	if len(l.text) > cursor.IDMost || !utf8.ValidString(l.text) {
-		return bad("prefix", 400, "the prefix has %d bytes, want at most %d of UTF-8", len(l.text), cursor.IDMost)
+	l := &listing{class: c.Class, limit: defaultPageSize, prefix: f.Get("prefix")}
+	if len(l.prefix) > cursor.IDMost || !utf8.ValidString(l.prefix) {
+		return bad("prefix", 400, "the prefix has %d bytes, want at most %d of UTF-8", len(l.prefix), cursor.IDMost)
 	}
 	if f.Has("limit") {
 		if l.limit, err = strconv.Atoi(f.Get("limit")); err != nil || l.limit < 1 || l.limit > call.LimitMost {
@@ -87,9 +87,9 @@
 		}
 	}
 	// The limit is not part of the fingerprint: a client may change the size of pages during a listing.
-	l.from.Query = cursor.Fingerprint(c.Class, c.Tenant, r.Header.Get("Reachwind-Session"), l.text, c.Cluster)
+	l.from.Query = cursor.Fingerprint(c.Class, c.Tenant, r.Header.Get("Reachwind-Session"), l.prefix, c.Cluster)
 	if f.Has("cursor") {
-		from, err := s.ring.Load().Open(f.Get("cursor"), l.from.Query, now)
+		from, err := s.cursorRing.Load().Open(f.Get("cursor"), l.from.Query, now)
 		if err != nil {
 			for _, p := range cursorProblems {
 				if errors.Is(err, p.err) {
@@ -100,12 +100,12 @@
 		}
 		l.from = from
 	}
-	c.Prefix, c.After, c.Limit = l.text, l.from.After, l.limit
+	c.Prefix, c.After, c.Limit = l.prefix, l.from.After, l.limit
 	return l, nil
 }
 
-// page makes the answer from a member's page: its items, and the cursor of the next page if there are more.
-func (s *Server) page(h http.Header, r *http.Request, l *listing, value []byte, position core.Time) ([]byte, error) {
+// encodePage makes the answer from a member's page: its items, and the cursor of the next page if there are more.
+func (s *Server) encodePage(h http.Header, r *http.Request, l *listing, value []byte, position core.Time) ([]byte, error) {
 	var p call.Page
 	if err := json.Unmarshal(value, &p); err != nil {
 		return nil, err
@@ -128,14 +128,14 @@
 		}
 		next.Page++
 		next.After = last
-		text, err := s.ring.Load().Seal(next, s.core.Now(), rand.Reader)
+		text, err := s.cursorRing.Load().Seal(next, s.core.Now(), rand.Reader)
 		if err != nil {
 			return nil, err
 		}
 		out.Cursor = text
 		q := url.Values{"cursor": {text}, "limit": {strconv.Itoa(l.limit)}}
-		if l.text != "" {
-			q.Set("prefix", l.text)
+		if l.prefix != "" {
+			q.Set("prefix", l.prefix)
 		}
 		h.Set("Link", "<"+r.URL.EscapedPath()+"?"+q.Encode()+`>; rel="next"`) // RFC 8288
 	}
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -50,9 +50,9 @@
 }
 
 const (
-	headerMost  = 16 << 10        // size limit of a header in bytes
-	defaultWait = 5 * time.Second // deadline of a request that names none
-	front       = "rest"          // name of this front in records
+	maxHeaderBytes = 16 << 10        // size limit of a header in bytes
+	defaultWait    = 5 * time.Second // deadline of a request that names none
+	front          = "rest"          // name of this front in records
 )
 
 // Core is the part of the core that the front uses.
@@ -65,38 +65,38 @@
 
 // Server accepts client connections.
 type Server struct {
-	core   Core
-	conf   Config
-	log    *slog.Logger
-	claims *call.Claims
-	ring   atomic.Pointer[cursor.Ring]
-	prefix string // of the ids that it assigns to requests without one
-	last   atomic.Uint64
-	http   http.Server
-	l      net.Listener
-	done   sync.WaitGroup
+	core       Core
+	conf       Config
+	log        *slog.Logger
+	claims     *call.Claims
+	cursorRing atomic.Pointer[cursor.Ring]
+	idPrefix   string // of the ids that it assigns to requests without one
+	lastID     atomic.Uint64
+	http       http.Server
+	listener   net.Listener
+	serving    sync.WaitGroup
 
-	mu       sync.Mutex
-	open     int        // admitted connections, including those that linger
-	refusing int        // connections that are being refused, not counted in open
-	lingered []net.Conn // closed for sending, waiting for their clients to close, longest first
-	working  int        // goroutines that close connections
-	ended    sync.Cond
+	mu        sync.Mutex
+	openConns int        // admitted connections, including those that linger
+	refusing  int        // connections that are being refused, not counted in open
+	lingering []net.Conn // closed for sending, waiting for their clients to close, longest first
+	closers   int        // goroutines that close connections
+	changed   sync.Cond
 }
 
 // New returns a server that passes its requests to c. claims holds the ids of requests in progress of all fronts. It fails
 // if the keys of cursors cannot be read.
 func New(c Core, conf Config, claims *call.Claims, log *slog.Logger) (*Server, error) {
 	s := &Server{core: c, conf: conf, log: log, claims: claims}
-	s.ended.L = &s.mu
-	ring, err := conf.ring()
+	s.changed.L = &s.mu
+	ring, err := conf.newCursorRing()
 	if err != nil {
 		return nil, err
 	}
-	s.ring.Store(ring)
+	s.cursorRing.Store(ring)
 	var b [6]byte
 	_, _ = rand.Read(b[:])
-	s.prefix = "rest-" + hex.EncodeToString(b[:]) + "-"
+	s.idPrefix = "rest-" + hex.EncodeToString(b[:]) + "-"
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/clusters/{cluster}/items/{id}", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, call.Read) })
 	mux.HandleFunc("PUT /v1/clusters/{cluster}/items/{id}", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, call.Write) })
@@ -104,13 +104,13 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		(&problem{kind: "not-found", status: http.StatusNotFound, detail: "there is no such resource; want /v1/clusters/{n}/items or an item of it"}).write(w)
 	})
-	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.Header, ReadTimeout: conf.Read, IdleTimeout: conf.Idle, MaxHeaderBytes: headerMost,
+	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.Header, ReadTimeout: conf.Read, IdleTimeout: conf.Idle, MaxHeaderBytes: maxHeaderBytes,
 		WriteTimeout: conf.Read + call.MaxWait + conf.Write, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-			if t, ok := nc.(*tracked); ok {
+			if t, ok := nc.(*trackedConn); ok {
 				nc = t.Conn
 			}
-			return context.WithValue(ctx, connection{}, nc)
+			return context.WithValue(ctx, connectionKey{}, nc)
 		}}
 	return s, nil
 }
@@ -121,11 +121,11 @@
 	if conf.Keys == "" && s.conf.Keys == "" { // the process keeps its random key
 		return func() {}, nil
 	}
-	ring, err := conf.ring()
+	ring, err := conf.newCursorRing()
 	if err != nil {
 		return nil, err
 	}
-	return func() { s.ring.Store(ring) }, nil
+	return func() { s.cursorRing.Store(ring) }, nil
 }
 
 // Start listens and serves in the background until Shutdown.
@@ -134,18 +134,18 @@
 	if err != nil {
 		return err
 	}
-	s.l = &limited{Listener: l, s: s}
-	s.done.Add(1)
+	s.listener = &limitedListener{Listener: l, s: s}
+	s.serving.Add(1)
 	go func() {
-		defer s.done.Done()
-		_ = s.http.Serve(s.l)
+		defer s.serving.Done()
+		_ = s.http.Serve(s.listener)
 	}()
 	s.log.Info("serving REST", "listen", l.Addr().String())
 	return nil
 }
 
 // Addr returns the address of the listener. It must not be called before Start.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Shutdown stops accepting connections, answers the requests that were read until ctx ends, and closes all connections. It
 // waits for lingering connections for lastLinger at most.
@@ -153,56 +153,56 @@
 	if s.http.Shutdown(ctx) != nil {
 		_ = s.http.Close()
 	}
-	s.done.Wait()
-	ctx, cancel := context.WithTimeout(ctx, lastLinger)
+	s.serving.Wait()
+	ctx, cancel := context.WithTimeout(ctx, shutdownLinger)
 	defer cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.ended.Broadcast()
+		s.changed.Broadcast()
 	})()
-	for s.working > 0 && ctx.Err() == nil {
-		s.ended.Wait()
+	for s.closers > 0 && ctx.Err() == nil {
+		s.changed.Wait()
 	}
 }
 
-// start runs f in the background, and after it then with the lock held; Shutdown waits for both. The lock must be held.
-func (s *Server) start(f, then func()) {
-	s.working++
+// startTracked runs f in the background, and after it then with the lock held; Shutdown waits for both. The lock must be held.
+func (s *Server) startTracked(f, then func()) {
+	s.closers++
 	go func() {
 		f()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		then()
-		s.working--
-		s.ended.Broadcast()
+		s.closers--
+		s.changed.Broadcast()
 	}()
 }
 
 const (
-	lingerWait  = time.Second           // timeout of a lingering connection
-	lingerMost  = 1 << 20               // bytes that a lingering connection reads at most
-	lastLinger  = 50 * time.Millisecond // wait for lingering connections at a shutdown: longer than a request is in transit
-	refusedMost = 4                     // connections beyond the limit that may be refused and linger at a time
-	refusal     = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+	lingerTimeout   = time.Second           // timeout of a lingering connection
+	maxLingerBytes  = 1 << 20               // bytes that a lingering connection reads at most
+	shutdownLinger  = 50 * time.Millisecond // wait for lingering connections at a shutdown: longer than a request is in transit
+	maxRefusing     = 4                     // connections beyond the limit that may be refused and linger at a time
+	refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// limited is a listener that refuses connections beyond the limit at once.
-type limited struct {
+// limitedListener is a listener that refuses connections beyond the limit at once.
+type limitedListener struct {
 	net.Listener
 	s *Server
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		if l.s.admit() {
-			return &tracked{Conn: c, s: l.s}, nil
+			return &trackedConn{Conn: c, s: l.s}, nil
 		}
 		l.s.core.Turned(front, record.Refused, record.Buffers)
 		l.s.refuse(c)
@@ -214,58 +214,58 @@
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= s.conf.Max {
-		if len(s.lingered) == 0 {
+	if s.openConns >= s.conf.Max {
+		if len(s.lingering) == 0 {
 			return false
 		}
-		_ = s.lingered[0].Close()
-		s.lingered = s.lingered[1:]
-		s.open--
+		_ = s.lingering[0].Close()
+		s.lingering = s.lingering[1:]
+		s.openConns--
 	}
-	s.open++
+	s.openConns++
 	return true
 }
 
 // refuse answers a connection beyond the limit with status 503 and closes it.
 func (s *Server) refuse(c net.Conn) {
 	_ = c.SetWriteDeadline(time.Now().Add(10 * time.Millisecond))
-	_, _ = io.WriteString(c, refusal)
+	_, _ = io.WriteString(c, refusalResponse)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refusing >= refusedMost { // without a lingering close its client may see a reset
+	if s.refusing >= maxRefusing { // without a lingering close its client may see a reset
 		_ = c.Close()
 		return
 	}
 	s.refusing++
-	s.start(func() { wake.Linger(c, time.Now().Add(lingerWait), lingerMost) }, func() { s.refusing-- })
+	s.startTracked(func() { wake.Linger(c, time.Now().Add(lingerTimeout), maxLingerBytes) }, func() { s.refusing-- })
 }
 
 // linger runs the lingering close of an admitted connection in the background.
 func (s *Server) linger(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lingered = append(s.lingered, c)
-	s.start(func() {
-		late := time.AfterFunc(lingerWait, func() { _ = c.Close() }) // net/http may have cleared the deadline
-		wake.Linger(c, time.Now().Add(lingerWait), lingerMost)
+	s.lingering = append(s.lingering, c)
+	s.startTracked(func() {
+		late := time.AfterFunc(lingerTimeout, func() { _ = c.Close() }) // net/http may have cleared the deadline
+		wake.Linger(c, time.Now().Add(lingerTimeout), maxLingerBytes)
 		late.Stop()
 	}, func() {
-		if i := slices.Index(s.lingered, c); i >= 0 { // else admit has closed it and uncounted it
-			s.lingered = slices.Delete(s.lingered, i, i+1)
-			s.open--
+		if i := slices.Index(s.lingering, c); i >= 0 { // else admit has closed it and uncounted it
+			s.lingering = slices.Delete(s.lingering, i, i+1)
+			s.openConns--
 		}
 	})
 }
 
-// tracked is an admitted connection. Close starts a lingering close and does not wait for it; no request that is read later
+// trackedConn is an admitted connection. Close starts a lingering close and does not wait for it; no request that is read later
 // is served.
-type tracked struct {
+type trackedConn struct {
 	net.Conn
 	s      *Server
 	closed atomic.Bool
 }
 
-func (c *tracked) Read(p []byte) (int, error) {
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.closed.Load() {
 		return 0, net.ErrClosed
@@ -273,7 +273,7 @@
 	return n, err
 }
 
-func (c *tracked) Close() error {
+func (c *trackedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // a read that is on ends
 		c.s.linger(c.Conn)
@@ -290,7 +290,7 @@
 // serve carries out one request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, op call.Op) {
 	came := s.core.Now()
-	q, list, p := s.request(r, op, came)
+	q, list, p := s.newRequest(r, op, came)
 	if len(r.TransferEncoding) > 0 { // a proxy in front might disagree about where the body ends
 		w.Header().Set("Connection", "close")
 	}
@@ -302,8 +302,8 @@
 	k := client{make(chan core.Answer, 1)}
 	q.Client = k
 	s.core.Arrive(q)
-	if a, ok := await(r, k.answers); ok {
-		s.answer(w, r, op, list, &a)
+	if a, ok := awaitAnswer(r, k.answers); ok {
+		s.writeAnswer(w, r, op, list, &a)
 		return
 	}
 	s.core.Gone(q)
@@ -317,9 +317,9 @@
 	panic(http.ErrAbortHandler) // else a client that closed only its sending side would get an empty answer with status 200
 }
 
-// await waits for the answer to a request, and reports whether it arrived before the client closed the connection. net/http
+// awaitAnswer waits for the answer to a request, and reports whether it arrived before the client closed the connection. net/http
 // does not detect the close behind unread bytes of a next request, so the socket is polled.
-func await(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
+func awaitAnswer(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
 	look := time.NewTicker(hangup.Every)
 	defer look.Stop()
 	for {
@@ -329,18 +329,18 @@
 		case <-r.Context().Done():
 			return core.Answer{}, false
 		case <-look.C:
-			if hangup.Seen(r.Context().Value(connection{})) {
+			if hangup.Seen(r.Context().Value(connectionKey{})) {
 				return core.Answer{}, false
 			}
 		}
 	}
 }
 
-// connection is the context key of the connection that a request arrived on.
-type connection struct{}
+// connectionKey is the context key of the connection that a request arrived on.
+type connectionKey struct{}
 
-// request makes a core request from an HTTP request that arrived at came, or returns the problem with it.
-func (s *Server) request(r *http.Request, op call.Op, came core.Time) (*core.Request, *listing, *problem) {
+// newRequest makes a core request from an HTTP request that arrived at came, or returns the problem with it.
+func (s *Server) newRequest(r *http.Request, op call.Op, came core.Time) (*core.Request, *listing, *problem) {
 	bad := func(kind, format string, args ...any) (*core.Request, *listing, *problem) {
 		return nil, nil, &problem{kind: kind, status: http.StatusBadRequest, detail: fmt.Sprintf(format, args...), outcome: record.Failed, cause: record.Invalid}
 	}
@@ -382,7 +382,7 @@
 	c := &call.Request{Op: op, ID: h.Get("Reachwind-Request-Id"), Class: k.Name, Tenant: h.Get("Reachwind-Tenant"), Cluster: cluster, Item: item,
 		Key: h.Get("Idempotency-Key"), Retry: h.Get("Reachwind-Retry") == "1"}
 	if c.ID == "" {
-		c.ID = s.prefix + strconv.FormatUint(s.last.Add(1), 10)
+		c.ID = s.idPrefix + strconv.FormatUint(s.lastID.Add(1), 10)
 	} else if !pgwire.Plain(c.ID) {
 		return bad("request-id", "the request id is %.40q, want a plain name", c.ID)
 	}
@@ -402,7 +402,7 @@
 	atLeast := core.Time(0)
 	if op == call.List {
 		var p *problem
-		if list, p = s.listing(r, c, came); p != nil {
+		if list, p = s.parseListing(r, c, came); p != nil {
 			return nil, nil, p
 		}
 		atLeast = list.from.Position
@@ -420,21 +420,21 @@
 	return q, list, nil
 }
 
-// answer writes the final answer to a request.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, op call.Op, list *listing, a *core.Answer) {
+// writeAnswer writes the final answer to a request.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, op call.Op, list *listing, a *core.Answer) {
 	h := w.Header()
 	switch a.Verdict {
 	case core.Refused:
-		refused(a.After).write(w)
+		refusedProblem(a.After).write(w)
 		return
 	case core.Failed:
-		failed(a.MayHaveRun).write(w)
+		failedProblem(a.MayHaveRun).write(w)
 		return
 	}
 	defer a.Body.Release()
 	value, err := a.Body.(call.Answer).Value()
 	if err != nil {
-		failed(true).write(w)
+		failedProblem(true).write(w)
 		return
 	}
 	if a.Position > 0 {
@@ -442,15 +442,15 @@
 	}
 	h.Set("Content-Type", "application/octet-stream")
 	if op == call.List {
-		if value, err = s.page(h, r, list, value, a.Position); err != nil {
-			failed(true).write(w)
+		if value, err = s.encodePage(h, r, list, value, a.Position); err != nil {
+			failedProblem(true).write(w)
 			return
 		}
 		h.Set("Content-Type", "application/json")
 	}
 	tag := `"` + strconv.FormatUint(xxhash.Sum64(value), 16) + `"`
 	h.Set("ETag", tag)
-	if op != call.Write && matches(r.Header.Get("If-None-Match"), tag) {
+	if op != call.Write && matchesETag(r.Header.Get("If-None-Match"), tag) {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
@@ -459,8 +459,8 @@
 	_, _ = w.Write(value)
 }
 
-// matches reports whether an If-None-Match field matches a tag, by RFC 9110 section 13.1.2.
-func matches(field, tag string) bool {
+// matchesETag reports whether an If-None-Match field matches a tag, by RFC 9110 section 13.1.2.
+func matchesETag(field, tag string) bool {
 	for one := range strings.SplitSeq(field, ",") {
 		if one = strings.TrimSpace(one); one == "*" || strings.TrimPrefix(one, "W/") == tag {
 			return true
