--- a/internal/opsdoor/linger_test.go
+++ b/internal/adminapi/linger_test.go
@@ -1,4 +1,4 @@
-package opsdoor
+package adminapi
 
 import (
 	"io"
@@ -44,7 +44,7 @@
 }
 
 // awaitStage waits until exactly many connections are in a stage.
-func awaitStage(t *testing.T, d *Door, want stage, many int) {
+func awaitStage(t *testing.T, d *Server, want stage, many int) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		n := 0
@@ -111,7 +111,7 @@
 }
 
 // awaitNoConnections waits until the server has no connection.
-func awaitNoConnections(t *testing.T, d *Door) {
+func awaitNoConnections(t *testing.T, d *Server) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		d.mu.Lock()
@@ -130,7 +130,7 @@
 // and the number of callers being refused is bounded.
 func TestRefusals(t *testing.T) {
 	op := &fakeBackend{stall: make(chan struct{})}
-	d := New(Config{Addr: "127.0.0.1:0", Most: 2}, op, slog.New(slog.DiscardHandler))
+	d := New(Config{Addr: "127.0.0.1:0", MaxConnections: 2}, op, slog.New(slog.DiscardHandler))
 	for range 3 { // added without being served: they use up the limit
 		d.conns = append(d.conns, &conn{Conn: new(scriptedConn), stage: executing})
 	}
--- a/internal/opsdoor/opsdoor.go
+++ b/internal/adminapi/opsdoor.go
@@ -1,7 +1,7 @@
-// Package opsdoor is the admin API of the gateway: HTTP/1.1 on its own address, one call per connection. It has its own
+// Package adminapi is the admin API of the gateway: HTTP/1.1 on its own address, one call per connection. It has its own
 // goroutines and its own limit of connections, so that neither clients nor callers that keep connections open prevent an
 // operator from getting an answer.
-package opsdoor
+package adminapi
 
 import (
 	"bufio"
@@ -23,7 +23,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/suspend"
 )
 
@@ -50,12 +50,12 @@
 
 // Config is the configuration of the admin API.
 type Config struct {
-	Addr string // address to listen on
-	Most int    // connections at a time; half as many may be closing in addition, and some being refused; 0: DefaultMost
+	Addr           string // address to listen on
+	MaxConnections int    // connections at a time; half as many may be closing in addition, and some being refused; 0: DefaultMost
 }
 
-// DefaultMost is the default limit of connections.
-const DefaultMost = 64
+// DefaultMaxConnections is the default limit of connections.
+const DefaultMaxConnections = 64
 
 // Footprint returns the maximum use of memory, in bytes, and of file descriptors, the listener included.
 func (c Config) Footprint() (memory int64, files int) {
@@ -68,14 +68,14 @@
 func (c Config) maxRefusals() int { return max(1, c.maxConnections()/connectionsPerRefusal) }
 
 func (c Config) maxConnections() int {
-	if c.Most <= 0 {
-		return DefaultMost
+	if c.MaxConnections <= 0 {
+		return DefaultMaxConnections
 	}
-	return c.Most
+	return c.MaxConnections
 }
 
-// Operator carries out the calls. Its methods return by the end of their context, or immediately if they have none.
-type Operator interface {
+// Backend carries out the calls. Its methods return by the end of their context, or immediately if they have none.
+type Backend interface {
 	// Ready returns nil if this process can serve.
 	Ready() error
 	// Suspend takes a db machine out of use; nil means that this is in force.
@@ -84,30 +84,30 @@
 	Resume(ctx context.Context, id string) error
 }
 
-// NotReady is the error of a process that cannot serve.
-type NotReady struct {
-	Found string
-	Do    string
+// NotReadyError is the error of a process that cannot serve.
+type NotReadyError struct {
+	Found  string
+	Remedy string
 }
 
-func (e NotReady) Error() string {
-	return fmt.Sprintf("not ready: %s; want a process that accepts clients and has a list of db machines; %s", e.Found, e.Do)
+func (e NotReadyError) Error() string {
+	return fmt.Sprintf("not ready: %s; want a process that accepts clients and has a list of db machines; %s", e.Found, e.Remedy)
 }
 
-// NotDone is the error of a call that was not begun in time and will not be carried out.
-type NotDone struct {
+// NotDoneError is the error of a call that was not begun in time and will not be carried out.
+type NotDoneError struct {
 	ID     string
 	Waited time.Duration
 }
 
-func (e NotDone) Error() string {
+func (e NotDoneError) Error() string {
 	return fmt.Sprintf("db machine %q: the gateway did not come to it within %v, want an answer in that time; nothing was changed, call again", e.ID, e.Waited)
 }
 
-// Unconfirmed is the error of a call that was begun but not confirmed to be in force in time.
-type Unconfirmed struct{ NotDone }
+// UnconfirmedError is the error of a call that was begun but not confirmed to be in force in time.
+type UnconfirmedError struct{ NotDoneError }
 
-func (e Unconfirmed) Error() string {
+func (e UnconfirmedError) Error() string {
 	return fmt.Sprintf("db machine %q: the gateway began with it, and it was not in force within %v, want it to be in that time; it will be soon, "+
 		"call again until the answer is yes", e.ID, e.Waited)
 }
@@ -120,8 +120,8 @@
 
 func (e callError) Error() string { return fmt.Sprintf("%s; want %s; %s", e.found, e.want, e.fix) }
 
-// Calls lists the calls of the API, as it stands in errors.
-const Calls = "GET /v1/readyz, POST /v1/db-machines/ID/suspend or POST /v1/db-machines/ID/resume"
+// Endpoints lists the calls of the API, as it stands in errors.
+const Endpoints = "GET /v1/readyz, POST /v1/db-machines/ID/suspend or POST /v1/db-machines/ID/resume"
 
 // httpStatus returns the HTTP status of the answer for err.
 func httpStatus(err error) int {
@@ -131,16 +131,16 @@
 		return http.StatusOK
 	case errors.As(err, &bad):
 		return bad.status
-	case errors.As(err, new(suspend.UnknownMachine)):
+	case errors.As(err, new(suspend.UnknownMemberError)):
 		return http.StatusNotFound
 	}
 	return http.StatusServiceUnavailable
 }
 
-// Door is the listener of the admin API with its connections.
-type Door struct {
+// Server is the listener of the admin API with its connections.
+type Server struct {
 	conf     Config
-	backend  Operator
+	backend  Backend
 	log      *slog.Logger
 	listener net.Listener
 
@@ -151,7 +151,7 @@
 	active   sync.WaitGroup
 	freed    chan struct{} // signalled when a connection ended
 
-	acceptErrorLog, capacityLog, failedCallLog often.Line
+	acceptErrorLog, capacityLog, failedCallLog logthrottle.Line
 }
 
 // conn is one connection. stage is guarded by the lock of the server.
@@ -185,12 +185,12 @@
 )
 
 // New returns a server that passes calls to op. It does nothing before Start.
-func New(conf Config, op Operator, log *slog.Logger) *Door {
-	return &Door{conf: conf, backend: op, log: log, freed: make(chan struct{}, 1)}
+func New(conf Config, op Backend, log *slog.Logger) *Server {
+	return &Server{conf: conf, backend: op, log: log, freed: make(chan struct{}, 1)}
 }
 
 // Start listens and begins to serve in the background.
-func (d *Door) Start() error {
+func (d *Server) Start() error {
 	l, err := net.Listen("tcp", d.conf.Addr)
 	if err != nil {
 		return fmt.Errorf("admin_addr: can't listen on %q: %w; want a free address of this machine; name another one or end who has it", d.conf.Addr, err)
@@ -202,11 +202,11 @@
 }
 
 // Addr returns the address of the listener. It must not be called before Start.
-func (d *Door) Addr() net.Addr { return d.listener.Addr() }
+func (d *Server) Addr() net.Addr { return d.listener.Addr() }
 
 // Close stops the server: callers that have already connected are accepted, complete calls are answered, callers may read
 // their answers, and connections that are still open after closeWait are closed.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.mu.Lock()
 	d.closed = true
 	if l, ok := d.listener.(interface{ SetDeadline(time.Time) error }); ok {
@@ -233,7 +233,7 @@
 	_ = d.listener.Close()
 }
 
-func (d *Door) accept() {
+func (d *Server) accept() {
 	defer d.active.Done()
 	for {
 		nc, err := d.listener.Accept()
@@ -255,7 +255,7 @@
 // admit accepts a connection and serves it. At the limit, the connection that has been open longest without a complete call
 // is asked to end; its goroutine ends it unless what it has read by then is a complete call. If too many connections are
 // ending, or all have calls in progress, the new one waits up to roomWait, and is then refused.
-func (d *Door) admit(nc net.Conn) {
+func (d *Server) admit(nc net.Conn) {
 	c := &conn{Conn: nc}
 	most := d.conf.maxConnections()
 	for late := time.Now().Add(capacityTimeout); ; {
@@ -295,7 +295,7 @@
 
 // refuse answers a caller that there are too many calls, or closes its connection without an answer while too many callers
 // are being refused. The lock must be held.
-func (d *Door) refuse(c *conn) {
+func (d *Server) refuse(c *conn) {
 	n := len(d.conns)
 	d.capacityLog.Warn(d.log, "operators' call refused: too many at a time", "open", n)
 	if len(d.refusing) >= d.conf.maxRefusals() {
@@ -319,7 +319,7 @@
 // evict asks connections to end until want are ending: those that have their answer, then the one that has been open
 // longest without a complete call. A connection with unread bytes comes last, as they may complete its call. The lock must
 // be held.
-func (d *Door) evict(want int) {
+func (d *Server) evict(want int) {
 	var late *conn
 	for _, c := range d.conns {
 		switch {
@@ -359,7 +359,7 @@
 }
 
 // setStage sets the stage of a connection and returns the former one.
-func (d *Door) setStage(c *conn, s stage) stage {
+func (d *Server) setStage(c *conn, s stage) stage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	was := c.stage
@@ -368,7 +368,7 @@
 }
 
 // serve reads one call and answers it.
-func (d *Door) serve(c *conn) {
+func (d *Server) serve(c *conn) {
 	defer d.active.Done()
 	defer func() {
 		_ = c.Close()
@@ -404,7 +404,7 @@
 // respond writes an answer and closes the connection by a lingering close: it closes the sending side and reads what the
 // caller still sends, because closing a socket with unread bytes resets the connection, and the caller could lose the
 // answer. lingerWait, lingerMost and lingerRead bound it, and makeRoom ends it earlier.
-func (d *Door) respond(c *conn, err error, head bool) {
+func (d *Server) respond(c *conn, err error, head bool) {
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(response(err, head)); err != nil {
 		return
@@ -426,7 +426,7 @@
 }
 
 // setLingerDeadline sets the deadline of the next read of a lingering connection, unless that must end now.
-func (d *Door) setLingerDeadline(c *conn, end time.Time) {
+func (d *Server) setLingerDeadline(c *conn, end time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if until := time.Now().Add(lingerIdleTimeout); c.stage == lingering && until.Before(end) {
@@ -437,7 +437,7 @@
 }
 
 // execute carries out a call.
-func (d *Door) execute(call *http.Request) error {
+func (d *Server) execute(call *http.Request) error {
 	verb, id, err := parseRoute(call.Method, call.URL)
 	if err != nil {
 		return err
@@ -463,7 +463,7 @@
 		rest, ok := strings.CutPrefix(path, "/v1/db-machines/")
 		id, verb, _ = strings.Cut(rest, "/")
 		if !ok || verb != "suspend" && verb != "resume" {
-			return "", "", callError{http.StatusNotFound, fmt.Sprintf("there is no %.100q", path), Calls, "mend the path"}
+			return "", "", callError{http.StatusNotFound, fmt.Sprintf("there is no %.100q", path), Endpoints, "mend the path"}
 		}
 		plain, err := url.PathUnescape(id)
 		if err != nil || plain == "" || len(plain) > maxIDLen {
@@ -502,7 +502,7 @@
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &late):
 		return nil, err
 	}
-	return nil, callError{http.StatusBadRequest, fmt.Sprintf("this is no HTTP/1.1 call (%.100s)", err), Calls, "mend the caller"}
+	return nil, callError{http.StatusBadRequest, fmt.Sprintf("this is no HTTP/1.1 call (%.100s)", err), Endpoints, "mend the caller"}
 }
 
 // response returns a complete HTTP response: "yes" for nil, else the error.
--- a/internal/handover/board.go
+++ b/internal/handover/board.go
@@ -43,29 +43,29 @@
 
 // Errors of shared memory or a state file that cannot be used.
 var (
-	ErrMissing = errors.New("is missing")
-	ErrTorn    = errors.New("is not whole")
-	ErrVersion = errors.New("is of another version")
-	ErrHuge    = errors.New("is larger than any that this program writes")
-	ErrBusy    = errors.New("is held by another process that does not go on")
-	ErrCrowd   = errors.New("too many processes of this gateway are alive at once")
+	ErrMissing          = errors.New("is missing")
+	ErrDamaged          = errors.New("is not whole")
+	ErrVersion          = errors.New("is of another version")
+	ErrTooLarge         = errors.New("is larger than any that this program writes")
+	ErrBusy             = errors.New("is held by another process that does not go on")
+	ErrTooManyProcesses = errors.New("too many processes of this gateway are alive at once")
 )
 
 // StateError reports a shared file that cannot be used, and what an operator can do about it.
 type StateError struct {
-	File string
-	Err  error // one of the errors above, or one of the operating system
-	Do   string
+	File   string
+	Err    error // one of the errors above, or one of the operating system
+	Remedy string
 }
 
-func (e *StateError) Error() string { return fmt.Sprintf("%s %v; %s", e.File, e.Err, e.Do) }
+func (e *StateError) Error() string { return fmt.Sprintf("%s %v; %s", e.File, e.Err, e.Remedy) }
 
 // Unwrap returns the cause.
 func (e *StateError) Unwrap() error { return e.Err }
 
-// Board is the state that the processes of a gateway share. Its methods are safe for concurrent use; those that use the
+// SharedState is the state that the processes of a gateway share. Its methods are safe for concurrent use; those that use the
 // shared memory only do not block.
-type Board struct {
+type SharedState struct {
 	dir         string
 	lockFile    *os.File
 	slot        int
@@ -74,24 +74,24 @@
 	memory      atomic.Pointer[[totalWords]atomic.Uint64] // nil: no shared memory; this process only knows which others are alive
 }
 
-// Other describes another process of the same gateway.
-type Other struct {
-	Shares bool // it uses the same shared memory; else nothing more is known about it
-	Birth  uint64
-	Older  bool
-	Ready  bool
-	Used   int    // file descriptors that it holds
-	Saw    uint64 // number of state changes that it has applied
+// Peer describes another process of the same gateway.
+type Peer struct {
+	Joined         bool // it uses the same shared memory; else nothing more is known about it
+	StartNumber    uint64
+	Older          bool
+	Ready          bool
+	Descriptors    int    // file descriptors that it holds
+	AppliedChanges uint64 // number of state changes that it has applied
 }
 
 // Open claims a slot among the processes of the gateway whose folder is dir. If the shared memory cannot be used, it
 // returns an error together with a Board that knows which processes are alive, or nil if not even that can be known.
-func Open(dir string) (*Board, error) {
+func Open(dir string) (*SharedState, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, &StateError{lockFileName, err, "set TMPDIR to a folder that the gateway can write to"}
 	}
-	b := &Board{dir: dir, lockFile: f, slot: -1}
+	b := &SharedState{dir: dir, lockFile: f, slot: -1}
 	for i := range slots {
 		if b.tryLock(i) == nil {
 			b.slot = i
@@ -100,16 +100,16 @@
 	}
 	if b.slot < 0 {
 		_ = f.Close()
-		return nil, &StateError{lockFileName, ErrCrowd, "end processes of former upgrades that were left running"}
+		return nil, &StateError{lockFileName, ErrTooManyProcesses, "end processes of former upgrades that were left running"}
 	}
 	b.publishInode(0)
-	return b, b.Share()
+	return b, b.Join()
 }
 
-// Share maps the shared memory and registers this process in it, unless that is done already. It creates the shared memory
+// Join maps the shared memory and registers this process in it, unless that is done already. It creates the shared memory
 // if it is missing, and replaces it if it is unusable and no other process is alive.
-func (b *Board) Share() error {
-	if b.Shared() {
+func (b *SharedState) Join() error {
+	if b.Joined() {
 		return nil
 	}
 	release, err := b.acquireLock(lockCreate)
@@ -141,12 +141,12 @@
 
 // publishInode writes the inode of the shared memory that this process uses to the lock file, 0 = none. A file that replaced it has
 // another inode.
-func (b *Board) publishInode(file uint64) {
+func (b *SharedState) publishInode(file uint64) {
 	_, _ = b.lockFile.WriteAt(binary.LittleEndian.AppendUint64(nil, file), int64(b.slot*8))
 }
 
 // inodeOf returns the inode of the shared memory that the process in a slot uses.
-func (b *Board) inodeOf(slot int) uint64 {
+func (b *SharedState) inodeOf(slot int) uint64 {
 	var w [8]byte
 	if _, err := b.lockFile.ReadAt(w[:], int64(slot*8)); err != nil {
 		return 0
@@ -155,7 +155,7 @@
 }
 
 // create creates new shared memory and atomically replaces the existing file by it.
-func (b *Board) create() error {
+func (b *SharedState) create() error {
 	f, err := os.CreateTemp(b.dir, sharedStateName+".*")
 	if err != nil {
 		return err
@@ -179,7 +179,7 @@
 }
 
 // attach maps the existing shared memory if it is intact and of this version.
-func (b *Board) attach() error {
+func (b *SharedState) attach() error {
 	f, err := os.OpenFile(filepath.Join(b.dir, sharedStateName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return ErrMissing
@@ -194,18 +194,18 @@
 	}
 	head := make([]byte, 24)
 	if _, err := f.ReadAt(head, 0); err != nil || !info.Mode().IsRegular() {
-		return ErrTorn
+		return ErrDamaged
 	}
 	first, size := binary.NativeEndian.Uint64(head), binary.NativeEndian.Uint64(head[8:])
 	switch {
 	case first>>32 != magic || binary.NativeEndian.Uint64(head[16:]) != uint64(crc32.Checksum(head[:16], castagnoli)):
-		return ErrTorn
+		return ErrDamaged
 	case first&0xffffffff != version || size != totalWords:
 		return ErrVersion
 	case info.Size() > totalWords*8:
-		return ErrHuge
+		return ErrTooLarge
 	case info.Size() < totalWords*8:
-		return ErrTorn
+		return ErrDamaged
 	}
 	var stat unix.Stat_t
 	if err := unix.Fstat(int(f.Fd()), &stat); err != nil {
@@ -221,18 +221,18 @@
 }
 
 // Close releases the slot. The shared memory remains for other processes, and mapped: a goroutine may still read it.
-func (b *Board) Close() { _ = b.lockFile.Close() }
+func (b *SharedState) Close() { _ = b.lockFile.Close() }
 
-// Shared reports whether this process uses the shared memory.
-func (b *Board) Shared() bool { return b.memory.Load() != nil }
+// Joined reports whether this process uses the shared memory.
+func (b *SharedState) Joined() bool { return b.memory.Load() != nil }
 
 // tryLock locks a byte of the lock file until the lock is released or the process ends. It does not wait.
-func (b *Board) tryLock(at int) error {
+func (b *SharedState) tryLock(at int) error {
 	return unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: int64(at), Len: 1})
 }
 
 // acquireLock locks a byte of the lock file for a short time. It waits for another holder up to lockWait, then returns ErrBusy.
-func (b *Board) acquireLock(at int) (release func(), err error) {
+func (b *SharedState) acquireLock(at int) (release func(), err error) {
 	for until := time.Now().Add(lockTimeout); ; time.Sleep(2 * time.Millisecond) {
 		if err = b.tryLock(at); err == nil {
 			return func() {
@@ -246,14 +246,14 @@
 }
 
 // isAlive reports whether another process holds a slot.
-func (b *Board) isAlive(slot int) bool {
+func (b *SharedState) isAlive(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(slot), Len: 1}
 	err := unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_GETLK, &l)
 	return err == nil && l.Type != unix.F_UNLCK
 }
 
 // Alone reports whether no other process of the gateway is alive.
-func (b *Board) Alone() bool {
+func (b *SharedState) Alone() bool {
 	for i := range slots {
 		if i != b.slot && b.isAlive(i) {
 			return false
@@ -262,18 +262,18 @@
 	return true
 }
 
-// Others returns the other live processes of the gateway.
-func (b *Board) Others() (all []Other) {
+// Peers returns the other live processes of the gateway.
+func (b *SharedState) Peers() (all []Peer) {
 	for i := range slots {
 		if i == b.slot || !b.isAlive(i) {
 			continue
 		}
 		at := b.memory.Load()
-		o := Other{Older: at == nil}
+		o := Peer{Older: at == nil}
 		if at != nil && b.inodeOf(i) == b.inode {
 			s := at[slotsStart+i*wordsPerSlot:]
 			if birth := s[slotStartNumber].Load(); birth != 0 {
-				o = Other{true, birth, birth < b.startNumber, s[slotReady].Load() != 0, int(s[slotDescriptors].Load()), s[slotAppliedChanges].Load()}
+				o = Peer{true, birth, birth < b.startNumber, s[slotReady].Load() != 0, int(s[slotDescriptors].Load()), s[slotAppliedChanges].Load()}
 			}
 		}
 		all = append(all, o)
@@ -281,13 +281,13 @@
 	return all
 }
 
-func (b *Board) ownWord(word int) *atomic.Uint64 {
+func (b *SharedState) ownWord(word int) *atomic.Uint64 {
 	return &b.memory.Load()[slotsStart+b.slot*wordsPerSlot+word]
 }
 
-// Ready publishes whether this process can serve.
-func (b *Board) Ready(yes bool) {
-	if b.Shared() {
+// SetReady publishes whether this process can serve.
+func (b *SharedState) SetReady(yes bool) {
+	if b.Joined() {
 		n := uint64(0)
 		if yes {
 			n = 1
@@ -296,9 +296,9 @@
 	}
 }
 
-// Used publishes how many file descriptors this process holds.
-func (b *Board) Used(n int) {
-	if b.Shared() {
+// SetDescriptors publishes how many file descriptors this process holds.
+func (b *SharedState) SetDescriptors(n int) {
+	if b.Joined() {
 		b.ownWord(slotDescriptors).Store(uint64(n))
 	}
 }
@@ -312,9 +312,9 @@
 	return sessionsStart + int(h.Sum64()%sessionWords)
 }
 
-// Commit records that a write of a session was committed at p, a time since the Unix epoch. It must be called before the
+// RecordCommit records that a write of a session was committed at p, a time since the Unix epoch. It must be called before the
 // write is answered.
-func (b *Board) Commit(group int64, session string, p time.Duration) {
+func (b *SharedState) RecordCommit(group int64, session string, p time.Duration) {
 	at := b.memory.Load()
 	if at == nil || p <= 0 {
 		return
@@ -328,9 +328,9 @@
 	}
 }
 
-// Committed returns the time, since the Unix epoch, up to which the reads of a session must see all writes: that of its last
+// LastCommit returns the time, since the Unix epoch, up to which the reads of a session must see all writes: that of its last
 // commit in any process, or later. 0 means that it has none.
-func (b *Board) Committed(group int64, session string) time.Duration {
+func (b *SharedState) LastCommit(group int64, session string) time.Duration {
 	at := b.memory.Load()
 	if at == nil {
 		return 0
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -34,7 +34,7 @@
 func decodeStateFile(b []byte) ([]byte, error) {
 	if len(b) < fileHeaderSize || string(b[:4]) != fileMagic ||
 		binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli) {
-		return nil, ErrTorn
+		return nil, ErrDamaged
 	}
 	if binary.LittleEndian.Uint32(b[4:]) != fileVersion {
 		return nil, ErrVersion
@@ -42,13 +42,13 @@
 	payload := b[fileHeaderSize:]
 	if binary.LittleEndian.Uint64(b[8:]) != uint64(len(payload)) ||
 		binary.LittleEndian.Uint32(b[16:]) != crc32.Checksum(payload, castagnoli) {
-		return nil, ErrTorn
+		return nil, ErrDamaged
 	}
 	return payload, nil
 }
 
 // Load returns the payload of a state file, or a *StateError that says why it cannot be used.
-func (b *Board) Load(name string) ([]byte, error) { return Load(b.dir, name) }
+func (b *SharedState) Load(name string) ([]byte, error) { return Load(b.dir, name) }
 
 // Load is the method Load for a process that has not claimed its slot yet.
 func Load(dir, name string) ([]byte, error) {
@@ -62,7 +62,7 @@
 		all, err = io.ReadAll(io.LimitReader(f, fileHeaderSize+maxFilePayload+1))
 	}
 	if err == nil && len(all) > fileHeaderSize+maxFilePayload {
-		err = ErrHuge
+		err = ErrTooLarge
 	}
 	if err == nil {
 		all, err = decodeStateFile(all)
@@ -74,9 +74,9 @@
 }
 
 // Save replaces a state file atomically: a reader sees either the former or the new one. An error is a *StateError.
-func (b *Board) Save(name string, payload []byte) error {
+func (b *SharedState) Save(name string, payload []byte) error {
 	if len(payload) > maxFilePayload {
-		return &StateError{name, ErrHuge, "take fewer machines out, or lists of fewer members"}
+		return &StateError{name, ErrTooLarge, "take fewer machines out, or lists of fewer members"}
 	}
 	f, err := os.CreateTemp(b.dir, name+".*")
 	if err == nil {
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// Change replaces the payload of a state file by what edit returns for the current one, which is nil if the file cannot be
+// Update replaces the payload of a state file by what edit returns for the current one, which is nil if the file cannot be
 // used. A lock keeps other processes from changing a state file meanwhile. It returns the number of changes so far, which
 // it counts in the shared memory; 0 without shared memory.
-func (b *Board) Change(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
+func (b *SharedState) Update(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
 	release, err := b.acquireLock(lockFiles)
 	if err != nil {
 		return 0, &StateError{name, err, "end the process that was stopped, or resume it"}
@@ -125,8 +125,8 @@
 	return at[wordChanges].Add(1), nil
 }
 
-// Changes returns the number of changes that all processes have made; 0 without shared memory.
-func (b *Board) Changes() uint64 {
+// ChangeCount returns the number of changes that all processes have made; 0 without shared memory.
+func (b *SharedState) ChangeCount() uint64 {
 	at := b.memory.Load()
 	if at == nil {
 		return 0
@@ -134,19 +134,19 @@
 	return at[wordChanges].Load()
 }
 
-// Saw publishes that this process has applied the first count changes.
-func (b *Board) Saw(count uint64) {
-	if b.Shared() {
+// SetAppliedChanges publishes that this process has applied the first count changes.
+func (b *SharedState) SetAppliedChanges(count uint64) {
+	if b.Joined() {
 		b.ownWord(slotAppliedChanges).Store(count)
 	}
 }
 
-// Await returns true once all other live processes have published that they applied count changes, or false after wait.
-func (b *Board) Await(count uint64, wait time.Duration) bool {
+// AwaitApplied returns true once all other live processes have published that they applied count changes, or false after wait.
+func (b *SharedState) AwaitApplied(count uint64, wait time.Duration) bool {
 	for until := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
 		all := true
-		for _, o := range b.Others() {
-			all = all && o.Saw >= count
+		for _, o := range b.Peers() {
+			all = all && o.AppliedChanges >= count
 		}
 		if all || !time.Now().Before(until) {
 			return all
--- a/internal/handover/pass.go
+++ b/internal/handover/pass.go
@@ -21,15 +21,15 @@
 	stopTimeout     = 500 * time.Millisecond // wait for connections that were already sent when this process begins to shut down
 )
 
-func (b *Board) socketPath(birth uint64) string {
+func (b *SharedState) socketPath(birth uint64) string {
 	return filepath.Join(b.dir, fmt.Sprintf("reachwind.%d.sock", birth))
 }
 
-// Receive accepts the client connections that former processes hand over, and calls take for each, until stop is called. A
+// ReceiveConns accepts the client connections that former processes hand over, and calls take for each, until stop is called. A
 // connection that began has completed its startup and is between commands; of any other nothing has been read. take may be
 // called from many goroutines. stop returns once all connections that were sent have been accepted, or after stopTimeout.
-func (b *Board) Receive(take func(nc net.Conn, began bool)) (stop func(), err error) {
-	if !b.Shared() {
+func (b *SharedState) ReceiveConns(take func(nc net.Conn, began bool)) (stop func(), err error) {
+	if !b.Joined() {
 		return func() {}, &StateError{sharedStateName, ErrMissing, "no action needed: client connections are closed when they are idle"}
 	}
 	path := b.socketPath(b.startNumber)
@@ -138,9 +138,9 @@
 // errNotAccepted reports that the other process closed the link or died before it acknowledged a connection.
 var errNotAccepted = errors.New("the other process did not accept the connection")
 
-// Passer hands client connections over to the successor. It is safe for concurrent use.
-type Passer struct {
-	b          *Board
+// ConnSender hands client connections over to the successor. It is safe for concurrent use.
+type ConnSender struct {
+	b          *SharedState
 	ackTimeout time.Duration // for the acknowledgement of a connection
 
 	mu        sync.Mutex
@@ -156,13 +156,13 @@
 	closed  bool
 }
 
-// Passer returns a Passer. It connects to the successor when the first connection is sent.
-func (b *Board) Passer() *Passer { return &Passer{b: b, ackTimeout: ackTimeout} }
+// NewConnSender returns a Passer. It connects to the successor when the first connection is sent.
+func (b *SharedState) NewConnSender() *ConnSender { return &ConnSender{b: b, ackTimeout: ackTimeout} }
 
-// Pass hands a connection over to the most recently started process that is ready. If it returns nil, the caller may only
+// Send hands a connection over to the most recently started process that is ready. If it returns nil, the caller may only
 // close its copy of the connection; with an error the caller still owns the connection, also if the other process died
 // before it accepted it. Without an acknowledgement in time the other process may still accept it, so Pass returns nil.
-func (p *Passer) Pass(nc net.Conn, began bool) error {
+func (p *ConnSender) Send(nc net.Conn, began bool) error {
 	taken, err := p.send(nc, began)
 	if err != nil {
 		return err
@@ -177,7 +177,7 @@
 }
 
 // send sends a connection, and returns the channel that receives nil or an error once it is acknowledged or lost.
-func (p *Passer) send(nc net.Conn, began bool) (<-chan error, error) {
+func (p *ConnSender) send(nc net.Conn, began bool) (<-chan error, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return nil, errNoSuccessor
@@ -213,11 +213,11 @@
 }
 
 // connectSuccessor connects to the most recently started process that is ready.
-func (b *Board) connectSuccessor() (*link, error) {
+func (b *SharedState) connectSuccessor() (*link, error) {
 	birth := uint64(0)
-	for _, o := range b.Others() {
+	for _, o := range b.Peers() {
 		if o.Ready && !o.Older {
-			birth = max(birth, o.Birth)
+			birth = max(birth, o.StartNumber)
 		}
 	}
 	if birth == 0 {
--- a/internal/handover/pass_test.go
+++ b/internal/handover/pass_test.go
@@ -37,7 +37,7 @@
 }
 
 // openSharedState opens the shared state in dir.
-func openSharedState(t *testing.T, dir string) *Board {
+func openSharedState(t *testing.T, dir string) *SharedState {
 	t.Helper()
 	b, err := Open(dir)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return b
 }
 
-func patientSender(b *Board) *Passer {
-	p := b.Passer()
+func patientSender(b *SharedState) *ConnSender {
+	p := b.NewConnSender()
 	p.ackTimeout = time.Minute
 	return p
 }
@@ -65,7 +65,7 @@
 		t.Fatal(next.out.Text())
 	}
 	far, near := clientConn(t)
-	if err := p.Pass(near, true); err != nil {
+	if err := p.Send(near, true); err != nil {
 		t.Fatal(err)
 	}
 	_ = near.Close()
@@ -77,7 +77,7 @@
 	}
 	far, near = clientConn(t)
 	passed := make(chan error, 1)
-	go func() { passed <- p.Pass(near, true) }()
+	go func() { passed <- p.Send(near, true) }()
 	for written := false; !written; time.Sleep(time.Millisecond) {
 		p.mu.Lock() // pass holds it until the message is written
 		p.successor.mu.Lock()
@@ -122,14 +122,14 @@
 	p := patientSender(openSharedState(t, dir))
 	ending := openSharedState(t, dir)
 	gate, taken := make(chan struct{}), new(atomic.Int64)
-	stop, err := ending.Receive(func(net.Conn, bool) {
+	stop, err := ending.ReceiveConns(func(net.Conn, bool) {
 		<-gate
 		taken.Add(1)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ending.Ready(true)
+	ending.SetReady(true)
 	const many = 5
 	var words []<-chan error
 	for range many {
@@ -141,7 +141,7 @@
 		words = append(words, word)
 	}
 	first := p.successor
-	ending.Ready(false)
+	ending.SetReady(false)
 	stopped := make(chan struct{})
 	go func() {
 		stop()
@@ -166,15 +166,15 @@
 		}
 	}
 	next := openSharedState(t, dir)
-	if _, err := next.Receive(func(nc net.Conn, _ bool) { _, _ = fmt.Fprint(nc, "next") }); err != nil {
+	if _, err := next.ReceiveConns(func(nc net.Conn, _ bool) { _, _ = fmt.Fprint(nc, "next") }); err != nil {
 		t.Fatal(err)
 	}
-	next.Ready(true)
+	next.SetReady(true)
 	far, near := clientConn(t)
 	p.mu.Lock()
 	p.successor = first
 	p.mu.Unlock()
-	if err := p.Pass(near, true); err != nil {
+	if err := p.Send(near, true); err != nil {
 		t.Error(err)
 	}
 	expectRead(t, far, "next")
@@ -196,12 +196,12 @@
 	dir := t.TempDir()
 	p := patientSender(openSharedState(t, dir))
 	next := openSharedState(t, dir)
-	if _, err := next.Receive(func(net.Conn, bool) {}); err != nil {
+	if _, err := next.ReceiveConns(func(net.Conn, bool) {}); err != nil {
 		t.Fatal(err)
 	}
-	next.Ready(true)
+	next.SetReady(true)
 	_, near := clientConn(t)
-	if err := p.Pass(near, true); err != nil {
+	if err := p.Send(near, true); err != nil {
 		t.Fatal(err)
 	}
 	p.mu.Lock()
--- a/internal/handover/split.go
+++ b/internal/handover/split.go
@@ -6,17 +6,17 @@
 	marginFraction     = 0.05 // fraction of a limit for what the other process acquired since it last published its use
 )
 
-// Split returns how much of a limit a process may use while others are alive, given what they publish to use of it. older
+// AllowedShare returns how much of a limit a process may use while others are alive, given what they publish to use of it. older
 // says that this process is the older one. Without others it is the whole limit. Two processes that follow it stay within
 // the limit together: each leaves free what the other publishes to hold, and the older one at least what a new process
 // needs.
-func Split(limit int, others []Other, older bool) int {
+func AllowedShare(limit int, others []Peer, older bool) int {
 	if len(others) == 0 {
 		return limit
 	}
 	used := 0
 	for _, o := range others {
-		used += o.Used
+		used += o.Descriptors
 	}
 	if older { // the need of the new process takes precedence: the older one ends soon
 		used = max(used, int(newProcessFraction*float64(limit)))
--- a/internal/pgfront/cancel.go
+++ b/internal/pgfront/cancel.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"reachwind/internal/core"
-	"reachwind/internal/hangup"
-	"reachwind/internal/often"
+	"reachwind/internal/interruptible"
+	"reachwind/internal/logthrottle"
+	"reachwind/internal/peerclose"
 	"reachwind/internal/pgwire"
-	"reachwind/internal/wake"
 )
 
 // This file handles the ways in which a client ends a request before its answer: by a cancel request on a separate
@@ -27,7 +27,7 @@
 type cancelState struct {
 	lastPID uint32 // guarded by Server.mu
 
-	cancelledLog, unknownKeyLog, readAheadLog often.Line
+	cancelledLog, unknownKeyLog, readAheadLog logthrottle.Line
 }
 
 // newKey assigns a key to a connection and returns it in the form of BackendKeyData. A connection that another process
@@ -79,7 +79,7 @@
 // writeCancelled writes the answer to a request that its client cancelled.
 func (c *conn) writeCancelled() error {
 	out := pgwire.AppendError(c.scratch[:0], "ERROR", queryCanceled, "canceling statement due to user request", "")
-	c.scratch = pgwire.AppendReady(out)
+	c.scratch = pgwire.AppendReadyForQuery(out)
 	return c.write(c.scratch)
 }
 
@@ -102,15 +102,15 @@
 				return m, nil
 			}
 		}
-		n := c.R.Buffered()
-		if n == c.R.Size() && !c.growReader() {
-			if hangup.Seen(c.Conn.Conn) {
+		n := c.Reader.Buffered()
+		if n == c.Reader.Size() && !c.growReader() {
+			if peerclose.Detected(c.Conn.Conn) {
 				return message{}, errClientGone
 			}
-			look := time.AfterFunc(hangup.Every, func() { c.Leave(message{expiredRead: noRead}) })
-			c.Wait()
+			look := time.AfterFunc(peerclose.CheckInterval, func() { c.Post(message{expiredRead: noRead}) })
+			c.WaitForMessage()
 			look.Stop()
-		} else if _, err := c.R.Peek(n + 1); err != nil && !errors.Is(err, wake.ErrWoken) {
+		} else if _, err := c.Reader.Peek(n + 1); err != nil && !errors.Is(err, interruptible.ErrInterrupted) {
 			return message{}, errClientGone
 		}
 		if err := c.handleMessages(); err != nil {
@@ -126,7 +126,7 @@
 
 // growReader doubles the size of the reader if the limits allow it, and reports whether they do.
 func (c *conn) growReader() bool {
-	more := c.R.Size()
+	more := c.Reader.Size()
 	if 2*more > maxReadAheadPerConn {
 		return false
 	}
@@ -142,10 +142,10 @@
 // shrinkReader undoes widen as far as the buffered bytes allow.
 func (c *conn) shrinkReader() {
 	size := initialReadSize
-	for size < c.R.Buffered() {
+	for size < c.Reader.Buffered() {
 		size *= 2
 	}
-	if less := c.R.Size() - size; less > 0 {
+	if less := c.Reader.Size() - size; less > 0 {
 		c.resizeReader(size)
 		c.s.readAheadBytes.Add(-int64(less))
 	}
@@ -153,10 +153,10 @@
 
 // resizeReader replaces the reader by one of the given size, with the bytes that the old one has buffered.
 func (c *conn) resizeReader(size int) {
-	have, _ := c.R.Peek(c.R.Buffered())
+	have, _ := c.Reader.Peek(c.Reader.Buffered())
 	r := bufio.NewReaderSize(&prefixedReader{prefix: bytes.Clone(have), next: c.Conn}, size)
 	_, _ = r.Peek(len(have)) // fills the buffer, so that Buffered counts these bytes
-	c.R = r
+	c.Reader = r
 }
 
 // prefixedReader reads the bytes that another reader had buffered, then continues with next.
--- a/internal/pgfront/cancel_test.go
+++ b/internal/pgfront/cancel_test.go
@@ -128,7 +128,7 @@
 					stream := pgwire.NewStream()
 					f.open[0].Client.Answer(core.Answer{Body: stream})
 					f.mu.Unlock()
-					w, _ := stream.Taken()
+					w, _ := stream.AwaitTaker()
 					if _, err := w.Write([]byte("T")); err != nil {
 						t.Fatal(err)
 					}
@@ -151,7 +151,7 @@
 					_ = c.CloseWrite()
 				}
 				waitFor(t, func() bool { _, _, gone := f.counts(); return gone == 1 })
-				waitFor(t, func() bool { return s.Open() == 0 })
+				waitFor(t, func() bool { return s.OpenConnections() == 0 })
 				want := int64(0)
 				if tc.taken {
 					want = maxReadAhead
@@ -209,7 +209,9 @@
 			}
 		}
 		_ = c.Close()
-		waitFor(t, func() bool { return s.Open() == 0 && s.readAheadBytes.Load() == 0 && bufs.Free() == totalBuffers })
+		waitFor(t, func() bool {
+			return s.OpenConnections() == 0 && s.readAheadBytes.Load() == 0 && bufs.FreeLarge() == totalBuffers
+		})
 	}
 }
 
@@ -230,13 +232,13 @@
 		t.Errorf("keys %+v and %+v", mine, theirs)
 	}
 	cancel := func(b []byte) {
-		n := s.Open()
+		n := s.OpenConnections()
 		cc, cr := dialTCP(t, s)
 		_, _ = cc.Write(b)
 		if got, err := io.ReadAll(cr); len(got) != 0 || err != nil { // the request has been carried out once the connection ends
 			t.Errorf("told %q, %v", got, err)
 		}
-		waitFor(t, func() bool { return s.Open() == n })
+		waitFor(t, func() bool { return s.OpenConnections() == n })
 	}
 	waitFor(t, func() bool { _, open, _ := f.counts(); return open == 1 })
 	cancel(cancelRequest(mine)) // idle
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -14,9 +14,9 @@
 
 	"reachwind/decide"
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/wake"
 )
 
 const initialReadSize = 4 << 10 // initial size of a read buffer in bytes
@@ -34,7 +34,7 @@
 
 // conn is one client connection.
 type conn struct {
-	*wake.Conn[message]
+	*interruptible.Conn[message]
 	s              *Server
 	refusing       bool // too many connections: answer with an error and close
 	readNumber     int  // counts the starts and ends of reads with a timeout; odd during such a read
@@ -72,8 +72,8 @@
 
 func newConn(s *Server, nc net.Conn) *conn {
 	now := time.Now()
-	c := &conn{Conn: wake.New[message](nc, initialReadSize), s: s, idleSince: now, startDeadline: now.Add(s.conf.StartWait)}
-	c.Came = func(n int) { c.arrivals.record(n, s.core.Now()) }
+	c := &conn{Conn: interruptible.New[message](nc, initialReadSize), s: s, idleSince: now, startDeadline: now.Add(s.conf.StartupTimeout)}
+	c.OnRead = func(n int) { c.arrivals.record(n, s.core.Now()) }
 	return c
 }
 
@@ -85,7 +85,7 @@
 
 // Answer posts the answer to the connection's goroutine.
 func (k client) Answer(a core.Answer) {
-	if !k.c.Leave(message{request: k.request, answer: a}) && a.Body != nil {
+	if !k.c.Post(message{request: k.request, answer: a}) && a.Body != nil {
 		a.Body.Release()
 	}
 }
@@ -95,7 +95,7 @@
 
 // serveFrom runs the connection after the startup, which returned err.
 func (c *conn) serveFrom(err error) {
-	defer func() { c.s.readAheadBytes.Add(-int64(c.R.Size() - initialReadSize)) }()
+	defer func() { c.s.readAheadBytes.Add(-int64(c.Reader.Size() - initialReadSize)) }()
 	for err == nil {
 		err = c.next()
 	}
@@ -103,7 +103,7 @@
 		c.s.protocolErrorLog.Info(c.s.log, "client broke the protocol", "err", err)
 		_ = c.writeFatal(pgwire.ProtocolViolation, err.Error(), "")
 	}
-	for _, m := range append(c.answers, c.Shut()...) {
+	for _, m := range append(c.answers, c.CloseMailbox()...) {
 		if m.answer.Body != nil {
 			m.answer.Body.Release()
 		}
@@ -128,7 +128,7 @@
 
 // handleMessages handles the messages in the mailbox.
 func (c *conn) handleMessages() error {
-	for _, m := range c.Take() {
+	for _, m := range c.TakeMessages() {
 		switch {
 		case m.request != nil:
 			c.answers = append(c.answers, m)
@@ -139,7 +139,7 @@
 				c.shortenTimeout()
 			}
 		case m.expiredRead == c.readNumber:
-			left := min(c.silenceTimeout-c.Silent(), time.Until(c.readDeadline))
+			left := min(c.silenceTimeout-c.SilentFor(), time.Until(c.readDeadline))
 			switch {
 			case left > 0:
 				c.scheduleTimeoutCheck(left)
@@ -171,17 +171,17 @@
 // scheduleTimeoutCheck has the connection's goroutine check the timeouts of the current read after the given time.
 func (c *conn) scheduleTimeoutCheck(after time.Duration) {
 	read := c.readNumber
-	c.readTimer = time.AfterFunc(after, func() { c.Leave(message{expiredRead: read}) })
+	c.readTimer = time.AfterFunc(after, func() { c.Post(message{expiredRead: read}) })
 }
 
 // setMessageTimeouts sets the timeouts for the rest of a message that has begun: StartupTimeout without bytes, four times that in
 // total.
 func (c *conn) setMessageTimeouts() (stop func()) {
-	wait := c.s.conf.StartWait
+	wait := c.s.conf.StartupTimeout
 	if c.abandonPartial {
 		wait = min(wait, shutdownSilenceTimeout)
 	}
-	return c.setTimeouts(wait, 4*c.s.conf.StartWait)
+	return c.setTimeouts(wait, 4*c.s.conf.StartupTimeout)
 }
 
 const shutdownSilenceTimeout = 10 * time.Millisecond // timeout without bytes for the rest of a message when the process ends
@@ -213,9 +213,9 @@
 	switch {
 	case !c.stopping:
 		return nil
-	case c.R.Buffered() == 0 && c.s.transfer(c.Conn.Conn, began):
+	case c.Reader.Buffered() == 0 && c.s.transfer(c.Conn.Conn, began):
 		return errTransferred
-	case c.Quiet():
+	case c.NoPendingInput():
 		return errStopped
 	}
 	return nil
@@ -225,7 +225,7 @@
 func (c *conn) startup() error {
 	wait := time.Until(c.startDeadline)
 	if c.refusing {
-		wait = c.s.conf.RefuseWait
+		wait = c.s.conf.LingerTimeout
 	}
 	stop := c.setTimeouts(wait, wait)
 	woken := func() error {
@@ -256,8 +256,8 @@
 			return err
 		}
 		body := make([]byte, n)
-		_, _ = c.R.Discard(4)
-		if err := c.Fill(body, woken); err != nil {
+		_, _ = c.Reader.Discard(4)
+		if err := c.ReadFull(body, woken); err != nil {
 			return err
 		}
 		switch version := binary.BigEndian.Uint32(body); {
@@ -283,11 +283,11 @@
 	out := pgwire.Append(c.scratch[:0], 'R', "\x00\x00\x00\x00")
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"standard_conforming_strings", "on"}, {"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}} {
-		out = pgwire.AppendStatus(out, p[0], p[1])
+		out = pgwire.AppendParameterStatus(out, p[0], p[1])
 	}
 	out = pgwire.Append(out, 'K', c.s.newKey(c))
-	c.scratch = pgwire.AppendReady(out)
-	c.startDeadline = time.Now().Add(c.s.conf.StartWait)
+	c.scratch = pgwire.AppendReadyForQuery(out)
+	c.startDeadline = time.Now().Add(c.s.conf.StartupTimeout)
 	return c.write(c.scratch)
 }
 
@@ -297,7 +297,7 @@
 		return err
 	}
 	c.s.markIdle(c)
-	c.arrivals.discard(c.R.Buffered())
+	c.arrivals.discard(c.Reader.Buffered())
 	stop := func() {}
 	if !c.startDeadline.IsZero() { // guards against clients that connect and never send a command
 		left := time.Until(c.startDeadline)
@@ -309,7 +309,7 @@
 		return err
 	}
 	c.s.markBusy(c)
-	if c.R.Buffered() < 5 {
+	if c.Reader.Buffered() < 5 {
 		stop = c.setMessageTimeouts()
 	}
 	head, err := c.Peek(5, c.handleMessages)
@@ -321,7 +321,7 @@
 	if err != nil {
 		return err
 	}
-	_, _ = c.R.Discard(5)
+	_, _ = c.Reader.Discard(5)
 	if typ == 'Q' {
 		return c.query(n)
 	}
@@ -333,7 +333,7 @@
 		return errConnectionEnd
 	case 'S':
 		c.skipping = false
-		return c.write(pgwire.AppendReady(c.scratch[:0]))
+		return c.write(pgwire.AppendReadyForQuery(c.scratch[:0]))
 	case 'H': // Flush: every answer is already flushed
 		return nil
 	case 'P', 'B', 'D', 'E', 'C', 'F':
@@ -343,7 +343,7 @@
 		c.skipping = typ != 'F'
 		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.Unsupported, "only simple queries are served", "")
 		if typ == 'F' {
-			c.scratch = pgwire.AppendReady(c.scratch)
+			c.scratch = pgwire.AppendReadyForQuery(c.scratch)
 		}
 		return c.write(c.scratch)
 	}
@@ -357,7 +357,7 @@
 		if _, err := c.Peek(1, c.handleMessages); err != nil {
 			return err
 		}
-		m, _ := c.R.Discard(min(n, c.R.Buffered()))
+		m, _ := c.Reader.Discard(min(n, c.Reader.Buffered()))
 		n -= m
 	}
 	c.startDeadline = time.Time{}
@@ -370,7 +370,7 @@
 		return fmt.Errorf("%w: query without end", errProtocol)
 	}
 	stop := func() {}
-	if c.R.Buffered() < n {
+	if c.Reader.Buffered() < n {
 		stop = c.setMessageTimeouts()
 	}
 	buf, err := c.readStatement(n)
@@ -382,7 +382,7 @@
 		return c.refuseWithoutBuffer(n)
 	}
 	c.startDeadline = time.Time{}
-	came := c.arrivals.arrivalTime(c.R.Buffered(), c.s.core.Now()) // the deadline counts from the arrival of the last byte
+	came := c.arrivals.arrivalTime(c.Reader.Buffered(), c.s.core.Now()) // the deadline counts from the arrival of the last byte
 	if buf.B[n-1] != 0 {
 		buf.Release()
 		return fmt.Errorf("%w: query without end", errProtocol)
@@ -390,7 +390,7 @@
 	buf.B = buf.B[:n-1]
 	if out, ok := answerLocally(c.scratch[:0], buf.B); ok {
 		buf.Release()
-		c.scratch = pgwire.AppendReady(out)
+		c.scratch = pgwire.AppendReadyForQuery(out)
 		return c.write(c.scratch)
 	}
 	q, err := c.newRequest(buf, came)
@@ -400,9 +400,9 @@
 		if errors.Is(err, errIDInUse) {
 			code, why = pgwire.DuplicateObject, record.InUse
 		}
-		c.s.core.Turned(front, record.Failed, why)
+		c.s.core.RecordFrontOutcome(front, record.Failed, why)
 		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", code, err.Error(), "")
-		c.scratch = pgwire.AppendReady(c.scratch)
+		c.scratch = pgwire.AppendReadyForQuery(c.scratch)
 		return c.write(c.scratch)
 	}
 	q.Client = client{c, q}
@@ -426,7 +426,7 @@
 // read, and detects that the client closes the connection.
 func (c *conn) streamAnswer(q *core.Request, s *pgwire.Stream) error {
 	s.Start(&streamWriter{c: c, deadline: time.Now().Add(maxStreamDuration)}, func(tail []byte) {
-		c.Leave(message{request: q, streamed: true, tail: tail})
+		c.Post(message{request: q, streamed: true, tail: tail})
 	})
 	m, err := c.awaitAnswer(q)
 	switch {
@@ -436,7 +436,7 @@
 	case m.tail == nil: // the client detects the truncated answer by the end of the connection
 		return errTruncated
 	}
-	return c.write(pgwire.AppendReady(m.tail))
+	return c.write(pgwire.AppendReadyForQuery(m.tail))
 }
 
 const maxStreamDuration = time.Minute // timeout for streaming an answer, however fast the client and the member are
@@ -450,7 +450,7 @@
 // Write writes all of b or fails: the client must read some bytes within WriteTimeout, and all of them by end.
 func (l *streamWriter) Write(b []byte) (done int, err error) {
 	for done < len(b) && err == nil {
-		until := time.Now().Add(l.c.s.conf.WriteWait)
+		until := time.Now().Add(l.c.s.conf.WriteTimeout)
 		if until.After(l.deadline) {
 			until = l.deadline
 		}
@@ -467,17 +467,17 @@
 
 // readStatement reads the n bytes of a query into a buffer; it returns nil if none is available.
 func (c *conn) readStatement(n int) (*pgwire.Buf, error) {
-	if n <= c.R.Size() { // guards against clients that send part of a statement and thus keep a buffer
+	if n <= c.Reader.Size() { // guards against clients that send part of a statement and thus keep a buffer
 		if _, err := c.Peek(n, c.handleMessages); err != nil {
 			return nil, err
 		}
 	}
-	buf := c.s.bufs.Get(n, c.s.conf.Keep)
+	buf := c.s.bufs.Get(n, c.s.conf.ReservedBuffers)
 	if buf == nil {
 		return nil, nil
 	}
 	buf.B = buf.B[:n]
-	if err := c.Fill(buf.B, c.handleMessages); err != nil {
+	if err := c.ReadFull(buf.B, c.handleMessages); err != nil {
 		buf.Release()
 		return nil, err
 	}
@@ -489,10 +489,10 @@
 	if err := c.discard(n); err != nil {
 		return err
 	}
-	c.s.core.Turned(front, record.Refused, record.Buffers)
+	c.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
 	c.s.noBufferLog.Warn(c.s.log, "request refused: out of buffers")
 	c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.TooManyConnections, "too many requests", c.retryAfterMs())
-	return c.write(pgwire.AppendReady(c.scratch))
+	return c.write(pgwire.AppendReadyForQuery(c.scratch))
 }
 
 // answerLocally answers statements that need no member: empty queries, and session settings, which have no effect.
@@ -513,25 +513,25 @@
 	if err != nil {
 		return nil, err
 	}
-	t := c.s.conf.Terms.Now()
+	t := c.s.conf.Settings.Current()
 	k, ok := t.Class(st.Class, came)
 	if !ok {
 		return nil, fmt.Errorf("unknown class %.40q", st.Class)
 	}
 	switch {
-	case st.Read == k.Writes():
+	case st.IsRead == k.Writes():
 		return nil, fmt.Errorf("class %q takes no such statement", st.Class)
-	case k.Effect == decide.Keyed && !st.Keyed:
+	case k.Effect == decide.Keyed && !st.HasIdempotencyKey:
 		return nil, fmt.Errorf("class %q needs k", st.Class)
 	case !c.s.conf.Claims.Claim(st.ID): // members would take two requests with the same id for copies of one
 		return nil, errIDInUse
 	}
-	st.Done = func() { c.s.conf.Claims.Disclaim(st.ID) }
-	q := &core.Request{Class: k.Class, Place: k.Place, Tenant: t.Tenant(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, Came: came,
-		Written: core.Time(st.After) * time.Millisecond, Call: st,
-		Until: came + min(core.Time(min(st.Wait, maxWaitMs))*time.Millisecond, k.Deadline)}
+	st.Done = func() { c.s.conf.Claims.Release(st.ID) }
+	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: t.TenantIndex(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: came,
+		LastWrite: core.Time(st.LastWriteUnixMs) * time.Millisecond, Call: st,
+		Deadline: came + min(core.Time(min(st.WaitMs, maxWaitMs))*time.Millisecond, k.Deadline)}
 	if k.HasSession() {
-		q.Session = st.Key
+		q.Session = st.ItemKey
 	}
 	return q, nil
 }
@@ -544,23 +544,23 @@
 	case core.Served:
 		body := a.Body.(*pgwire.Buf)
 		defer body.Release()
-		body.B = pgwire.AppendReady(body.B)
+		body.B = pgwire.AppendReadyForQuery(body.B)
 		return c.write(body.B)
 	case core.Refused:
 		detail := ""
-		if a.After > 0 {
-			detail = strconv.FormatInt(a.After.Milliseconds(), 10)
+		if a.RetryAfter > 0 {
+			detail = strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)
 		}
 		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.TooManyConnections, "refused, try again later", detail)
 	case core.Failed:
 		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.SystemError, "failed, it may or may not have run", "")
 	}
-	c.scratch = pgwire.AppendReady(c.scratch)
+	c.scratch = pgwire.AppendReadyForQuery(c.scratch)
 	return c.write(c.scratch)
 }
 
 func (c *conn) retryAfterMs() string {
-	after := c.s.conf.Terms.Now().ComeBack
+	after := c.s.conf.Settings.Current().RetryAfter
 	if after <= 0 {
 		return ""
 	}
@@ -568,7 +568,7 @@
 }
 
 func (c *conn) write(b []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(c.s.conf.WriteWait))
+	_ = c.SetWriteDeadline(time.Now().Add(c.s.conf.WriteTimeout))
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/core"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
 )
 
 const totalBuffers = 6
@@ -41,7 +41,7 @@
 	f.open = append(f.open, q)
 	f.arrived++
 }
-func (f *fakeCore) Turned(string, record.Outcome, record.Cause) {}
+func (f *fakeCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
 func (f *fakeCore) Gone(q *core.Request) {
 	f.mu.Lock()
@@ -95,15 +95,15 @@
 
 func newServer(f *fakeCore, most int) (*Server, *pgwire.Pool) {
 	bufs := pgwire.NewPool(totalBuffers, 0)
-	book, err := terms.NewBook(&decide.Config{MaxRetryAfter: 500 * time.Millisecond,
+	book, err := activesettings.NewHolder(&decide.Config{MaxRetryAfter: 500 * time.Millisecond,
 		Classes: []decide.Class{{Name: "r", Deadline: time.Second},
 			{Name: "w", Consistency: decide.Write, Effect: decide.Keyed, Deadline: time.Second}},
 		Tenants: []decide.Tenant{{Name: "t"}}})
 	if err != nil {
 		panic(err)
 	}
-	return New(f, Config{Terms: book, Max: most, Spare: 2, Keep: 1,
-		StartWait: time.Second, WriteWait: time.Second, RefuseWait: time.Second}, bufs, slog.New(slog.DiscardHandler)), bufs
+	return New(f, Config{Settings: book, MaxConnections: most, SpareConnections: 2, ReservedBuffers: 1,
+		StartupTimeout: time.Second, WriteTimeout: time.Second, LingerTimeout: time.Second}, bufs, slog.New(slog.DiscardHandler)), bufs
 }
 
 func queryMessage(text string) []byte { return pgwire.Append(nil, 'Q', text, "\x00") }
@@ -221,7 +221,7 @@
 func TestCloseIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 9)
-		s.conf.IdleKeep, s.conf.IdleMost = 2, 2*time.Second
+		s.conf.MaxIdleConnections, s.conf.IdleTimeout = 2, 2*time.Second
 		hello := pgwire.AppendStartup(nil, "app", "shop")
 		peers := []*peer{dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))}
 		ended := func() (n int) {
@@ -275,10 +275,10 @@
 		if _, err := a.Write(queryMessage("")); err != nil {
 			t.Fatal(err)
 		}
-		for c.Quiet() {
+		for c.NoPendingInput() {
 			runtime.Gosched()
 		}
-		c.Leave(message{stop: true})
+		c.Post(message{stop: true})
 		go c.serveFrom(nil)
 		got, _ := io.ReadAll(a)
 		if len(got) < 5 || got[0] != 'I' {
@@ -298,7 +298,7 @@
 			p := dial(s, text)
 			time.Sleep(1100 * time.Millisecond)
 			synctest.Wait()
-			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.Free() != totalBuffers {
+			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.FreeLarge() != totalBuffers {
 				t.Errorf("%s: replies %q, ended %v", name, got, p.ended())
 			}
 			close(p.write)
@@ -329,7 +329,7 @@
 			t.Errorf("replies %q", got)
 		}
 		trickle(queryMessage(selectStatement + strings.Repeat(" ", initialReadSize))[:initialReadSize], 9)
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != totalBuffers {
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != totalBuffers {
 			t.Errorf("replies %q, ended %v", got, p.ended())
 		}
 		close(p.write)
@@ -387,13 +387,13 @@
 		time.Sleep(time.Minute) // idle clients may stay
 		p.write <- queryMessage(selectStatement + strings.Repeat(" ", initialReadSize))[:initialReadSize]
 		synctest.Wait()
-		if p.ended() || bufs.Free() != totalBuffers-1 {
-			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.Free(), totalBuffers)
+		if p.ended() || bufs.FreeLarge() != totalBuffers-1 {
+			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.FreeLarge(), totalBuffers)
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.Free() != totalBuffers || f.arrived != 0 {
-			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.Free(), totalBuffers)
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != totalBuffers || f.arrived != 0 {
+			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.FreeLarge(), totalBuffers)
 		}
 		close(p.write)
 		_ = a.Close()
@@ -527,9 +527,9 @@
 		case b >= 240 && i > 0:
 			left = true
 		case b >= 150 && open >= 0 && len(f.open) > 0:
-			answer := core.Answer{Verdict: core.Verdict(b % 3), After: 70 * time.Millisecond}
+			answer := core.Answer{Verdict: core.Verdict(b % 3), RetryAfter: 70 * time.Millisecond}
 			if answer.Verdict == core.Served {
-				body := bufs.Get(pgwire.BufSize, 0)
+				body := bufs.Get(pgwire.LargeBufSize, 0)
 				body.B = pgwire.Append(body.B, 'D', "\x00\x01\x00\x00\x00\x01v")
 				answer.Body = body
 			}
@@ -576,8 +576,8 @@
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 	s.Shutdown()
-	if len(f.open) > 0 || bufs.Free() != totalBuffers {
-		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.Free(), totalBuffers)
+	if len(f.open) > 0 || bufs.FreeLarge() != totalBuffers {
+		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.FreeLarge(), totalBuffers)
 	}
 }
 
@@ -586,7 +586,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
 		for range totalBuffers - 1 {
-			bufs.Get(pgwire.BufSize, 0)
+			bufs.Get(pgwire.LargeBufSize, 0)
 		}
 		a, b := net.Pipe()
 		s.Handle(b)
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -13,33 +13,33 @@
 	"sync/atomic"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
-	"reachwind/internal/often"
+	"reachwind/internal/interruptible"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // Config is the configuration of the front.
 type Config struct {
-	Terms      *terms.Book
-	Max        int           // client connections at a time; idle ones are closed to make room for new ones
-	Spare      int           // connections above Max: half for those being closed, half for those being refused; lingering ones may use the rest
-	Keep       int           // buffers that statements leave to the members
-	StartWait  time.Duration // timeout for the startup and the first command to begin, and for pauses within a message
-	WriteWait  time.Duration // timeout for the client to read an answer
-	RefuseWait time.Duration // timeout of a lingering connection, and of one that waits to be refused
-	IdleMost   time.Duration // a connection is closed once it has been idle for so long,
-	IdleKeep   int           // or is the longest idle one of more than so many
-	Pass       Pass          // hands connections over to another process; nil: not possible
-	Claims     *call.Claims  // ids of requests in progress, shared with other fronts; nil: not shared
+	Settings           *activesettings.Holder
+	MaxConnections     int             // client connections at a time; idle ones are closed to make room for new ones
+	SpareConnections   int             // connections above Max: half for those being closed, half for those being refused; lingering ones may use the rest
+	ReservedBuffers    int             // buffers that statements leave to the members
+	StartupTimeout     time.Duration   // timeout for the startup and the first command to begin, and for pauses within a message
+	WriteTimeout       time.Duration   // timeout for the client to read an answer
+	LingerTimeout      time.Duration   // timeout of a lingering connection, and of one that waits to be refused
+	IdleTimeout        time.Duration   // a connection is closed once it has been idle for so long,
+	MaxIdleConnections int             // or is the longest idle one of more than so many
+	Transfer           TransferFunc    // hands connections over to another process; nil: not possible
+	Claims             *call.ActiveIDs // ids of requests in progress, shared with other fronts; nil: not shared
 }
 
-// Pass hands a client connection over to another process that continues to serve it, and reports whether that succeeded. A
+// TransferFunc hands a client connection over to another process that continues to serve it, and reports whether that succeeded. A
 // connection that began has completed its startup and is between commands. It must be safe for concurrent use.
-type Pass func(nc net.Conn, began bool) bool
+type TransferFunc func(nc net.Conn, began bool) bool
 
 // Core is the part of the core that the front uses.
 type Core interface {
@@ -47,7 +47,7 @@
 	Arrive(*core.Request)
 	Gone(*core.Request)
 	Cancel(*core.Request)
-	Turned(front string, o record.Outcome, why record.Cause)
+	RecordFrontOutcome(front string, o record.Outcome, why record.Cause)
 }
 
 const front = "pg" // name of this front in records
@@ -74,7 +74,7 @@
 	cancels        cancelState
 	readAheadBytes atomic.Int64 // bytes of read buffers beyond their initial size, of all connections
 
-	refusedLog, rejectedLog, protocolErrorLog, noBufferLog, evictedLog, acceptErrorLog often.Line
+	refusedLog, rejectedLog, protocolErrorLog, noBufferLog, evictedLog, acceptErrorLog logthrottle.Line
 }
 
 const (
@@ -91,10 +91,10 @@
 
 // New returns a server that passes its requests to c.
 func New(c Core, conf Config, bufs *pgwire.Pool, log *slog.Logger) *Server {
-	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, maxConns: conf.Max}
+	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, maxConns: conf.MaxConnections}
 	s.changed.L = &s.mu
 	if s.conf.Claims == nil {
-		s.conf.Claims = call.NewClaims()
+		s.conf.Claims = call.NewActiveIDs()
 	}
 	return s
 }
@@ -137,8 +137,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case len(s.conns) < s.maxConns, len(s.conns) < s.maxConns+s.conf.Spare/2 && s.evictIdle():
-	case s.refusing < (s.conf.Spare+1)/2:
+	case len(s.conns) < s.maxConns, len(s.conns) < s.maxConns+s.conf.SpareConnections/2 && s.evictIdle():
+	case s.refusing < (s.conf.SpareConnections+1)/2:
 		s.refusing++
 		c.refusing = true
 		stay := 0 // another process may have handed over more than the limit: idle ones make room for the next client
@@ -178,7 +178,7 @@
 // evictLingering makes room for one more connection, if there is none, by closing the one that has lingered longest. It reports
 // whether there is room. The lock must be held.
 func (s *Server) evictLingering() bool {
-	if len(s.conns)+s.refusing+len(s.lingering) < s.maxConns+s.conf.Spare {
+	if len(s.conns)+s.refusing+len(s.lingering) < s.maxConns+s.conf.SpareConnections {
 		return true
 	}
 	if len(s.lingering) == 0 {
@@ -205,7 +205,7 @@
 	s.lingerGoroutines++
 	s.changed.Broadcast()
 	s.mu.Unlock()
-	wake.Linger(c.Conn.Conn, time.Now().Add(s.conf.RefuseWait), maxLingerBytes)
+	interruptible.LingeringClose(c.Conn.Conn, time.Now().Add(s.conf.LingerTimeout), maxLingerBytes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lingerGoroutines--
@@ -238,9 +238,9 @@
 // transfer hands a connection over to another process, if this one is shutting down and there is one.
 func (s *Server) transfer(nc net.Conn, began bool) bool {
 	s.mu.Lock()
-	passing := s.shuttingDown && s.conf.Pass != nil
+	passing := s.shuttingDown && s.conf.Transfer != nil
 	s.mu.Unlock()
-	return passing && s.conf.Pass(nc, began)
+	return passing && s.conf.Transfer(nc, began)
 }
 
 // Adopt serves a connection that another process handed over. It was within the limits there, which both processes share;
@@ -249,7 +249,7 @@
 	c := newConn(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= s.conf.Max+s.conf.Spare {
+	if len(s.conns) >= s.conf.MaxConnections+s.conf.SpareConnections {
 		s.reject(c, began)
 		return
 	}
@@ -266,7 +266,7 @@
 		s.conns[c] = true
 	}
 	if s.closing {
-		c.Leave(message{stop: true, abandonPartial: s.abandonPartial})
+		c.Post(message{stop: true, abandonPartial: s.abandonPartial})
 	}
 	s.startTracked(func() {
 		if began {
@@ -309,7 +309,7 @@
 		return false
 	}
 	oldest.evicted = true
-	oldest.Leave(message{stop: true})
+	oldest.Post(message{stop: true})
 	return true
 }
 
@@ -327,11 +327,11 @@
 	}
 	slices.SortFunc(idle, func(a, b *conn) int { return a.idleSince.Compare(b.idleSince) })
 	for i, c := range idle {
-		if age := time.Since(c.idleSince); age < minIdleAge || age < s.conf.IdleMost && len(idle)-i <= s.conf.IdleKeep {
+		if age := time.Since(c.idleSince); age < minIdleAge || age < s.conf.IdleTimeout && len(idle)-i <= s.conf.MaxIdleConnections {
 			break
 		}
 		c.evicted = true
-		c.Leave(message{stop: true})
+		c.Post(message{stop: true})
 	}
 }
 
@@ -356,8 +356,8 @@
 	c.received = true
 }
 
-// Limit sets the limit of client connections. Open connections beyond it stay until they are idle.
-func (s *Server) Limit(most int) {
+// SetMaxConnections sets the limit of client connections. Open connections beyond it stay until they are idle.
+func (s *Server) SetMaxConnections(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxConns = most
@@ -374,8 +374,8 @@
 	}
 }
 
-// Open returns the number of open connections, including those being refused, but not those that linger.
-func (s *Server) Open() int {
+// OpenConnections returns the number of open connections, including those being refused, but not those that linger.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) + s.refusing
@@ -410,9 +410,9 @@
 
 const shutdownLinger = 50 * time.Millisecond // longer than a request is in transit to the gateway
 
-// LastCall is for the end of a Shutdown: complete commands are still answered, but the server no longer waits for the rest
+// AbandonPartialMessages is for the end of a Shutdown: complete commands are still answered, but the server no longer waits for the rest
 // of a command that has begun. The client that sends it finds the connection closed.
-func (s *Server) LastCall() {
+func (s *Server) AbandonPartialMessages() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abandonPartial = true
@@ -422,6 +422,6 @@
 // broadcast posts a message to all connections. The lock must be held.
 func (s *Server) broadcast(m message) {
 	for c := range s.conns {
-		c.Leave(m)
+		c.Post(m)
 	}
 }
--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// BufSize is the size, in bytes, of a large buffer. It fits the largest message that is buffered whole: a value of 64 KiB as
+// LargeBufSize is the size, in bytes, of a large buffer. It fits the largest message that is buffered whole: a value of 64 KiB as
 // hex digits, with its statement.
-const BufSize = 132 << 10
+const LargeBufSize = 132 << 10
 
-// SmallSize is the size, in bytes, of a small buffer. It fits a typical statement or a small answer. Slow peers keep many
+// SmallBufSize is the size, in bytes, of a small buffer. It fits a typical statement or a small answer. Slow peers keep many
 // buffers in use at once, and few of these messages need more.
-const SmallSize = 4 << 10
+const SmallBufSize = 4 << 10
 
 // Buf is a buffer from a Pool. B is empty at first and must not grow beyond its capacity.
 type Buf struct {
@@ -35,12 +35,12 @@
 
 // NewPool returns a pool of at most full buffers of BufSize and small buffers of SmallSize. They are allocated on demand.
 func NewPool(full, small int) *Pool {
-	return &Pool{large: sizeClass{size: BufSize, remaining: full, limit: full}, small: sizeClass{size: SmallSize, remaining: small, limit: small}}
+	return &Pool{large: sizeClass{size: LargeBufSize, remaining: full, limit: full}, small: sizeClass{size: SmallBufSize, remaining: small, limit: small}}
 }
 
-// Limit sets the limits for the numbers of buffers. Buffers in use beyond the new limits are discarded when they are
+// SetLimits sets the limits for the numbers of buffers. Buffers in use beyond the new limits are discarded when they are
 // released.
-func (p *Pool) Limit(full, small int) {
+func (p *Pool) SetLimits(full, small int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.large.setLimit(full)
@@ -67,12 +67,12 @@
 func (p *Pool) Get(n, keep int) *Buf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n <= SmallSize {
+	if n <= SmallBufSize {
 		if b := p.small.get(p); b != nil {
 			return b
 		}
 	}
-	if n > BufSize || p.large.available() <= keep {
+	if n > LargeBufSize || p.large.available() <= keep {
 		return nil
 	}
 	return p.large.get(p)
@@ -105,8 +105,8 @@
 	s.trim()
 }
 
-// Free returns the number of large buffers that are available.
-func (p *Pool) Free() int {
+// FreeLarge returns the number of large buffers that are available.
+func (p *Pool) FreeLarge() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.large.available()
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -38,11 +38,11 @@
 // Size limits of messages, in bytes.
 const (
 	MaxStartup = 8 << 10
-	MaxMessage = BufSize - 64 // leaves room for the frame around the statement
+	MaxMessage = LargeBufSize - 64 // leaves room for the frame around the statement
 )
 
-// MaxSmall is the size limit, in bytes, of a message that carries no value, such as an error or a parameter status.
-const MaxSmall = 8 << 10
+// MaxSmallMessage is the size limit, in bytes, of a message that carries no value, such as an error or a parameter status.
+const MaxSmallMessage = 8 << 10
 
 // ErrTooLong reports a message whose announced length is outside the limits;
 // ErrMalformed reports a message whose body does not match its type.
@@ -69,8 +69,8 @@
 	return int(l) - 4, nil
 }
 
-// Unusable reports whether an error code blames the statement itself.
-func Unusable(code string) bool {
+// IsStatementError reports whether an error code blames the statement itself.
+func IsStatementError(code string) bool {
 	return strings.HasPrefix(code, syntaxClass) || code == ProtocolViolation
 }
 
@@ -95,13 +95,13 @@
 	return append(b, body...)
 }
 
-// AppendStatus appends a ParameterStatus message.
-func AppendStatus(b []byte, name, value string) []byte {
+// AppendParameterStatus appends a ParameterStatus message.
+func AppendParameterStatus(b []byte, name, value string) []byte {
 	return Append(b, 'S', name, "\x00", value, "\x00")
 }
 
-// AppendReady appends a ReadyForQuery message with the status "idle, not in a transaction".
-func AppendReady(b []byte) []byte { return Append(b, 'Z', "I") }
+// AppendReadyForQuery appends a ReadyForQuery message with the status "idle, not in a transaction".
+func AppendReadyForQuery(b []byte) []byte { return Append(b, 'Z', "I") }
 
 // AppendError appends an ErrorResponse; an empty detail is omitted.
 func AppendError(b []byte, severity, code, text, detail string) []byte {
@@ -127,15 +127,15 @@
 	return ""
 }
 
-// Status splits the body of a ParameterStatus into name and value.
-func Status(body []byte) (name, value string) {
+// ParseParameterStatus splits the body of a ParameterStatus into name and value.
+func ParseParameterStatus(body []byte) (name, value string) {
 	n, rest, _ := bytes.Cut(body, []byte{0})
 	v, _, _ := bytes.Cut(rest, []byte{0})
 	return string(n), string(v)
 }
 
-// OneColumn checks that the body of a RowDescription describes exactly one column and has no trailing bytes.
-func OneColumn(body []byte) error {
+// CheckRowDescription checks that the body of a RowDescription describes exactly one column and has no trailing bytes.
+func CheckRowDescription(body []byte) error {
 	const after = 18 // bytes of numeric fields after the name of a column
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 || bytes.IndexByte(body[2:], 0)+1+after != len(body)-2 {
 		return fmt.Errorf("%w: row description", ErrMalformed)
@@ -143,16 +143,16 @@
 	return nil
 }
 
-// Column returns the value in the body of a DataRow, which must hold exactly one non-null column and no trailing bytes.
-func Column(body []byte) ([]byte, error) {
+// DataRowValue returns the value in the body of a DataRow, which must hold exactly one non-null column and no trailing bytes.
+func DataRowValue(body []byte) ([]byte, error) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 || int64(binary.BigEndian.Uint32(body[2:])) != int64(len(body)-6) {
 		return nil, fmt.Errorf("%w: row", ErrMalformed)
 	}
 	return body[6:], nil
 }
 
-// Tag checks that the body of a CommandComplete is a zero-terminated line of printable ASCII.
-func Tag(body []byte) error {
+// CheckCommandTag checks that the body of a CommandComplete is a zero-terminated line of printable ASCII.
+func CheckCommandTag(body []byte) error {
 	n := len(body) - 1
 	if n < 1 || body[n] != 0 || bytes.ContainsFunc(body[:n], func(r rune) bool { return r < ' ' || r > '~' }) {
 		return fmt.Errorf("%w: command tag", ErrMalformed)
@@ -169,8 +169,8 @@
 	return code, nil
 }
 
-// Pairs calls each for every name=value pair of a load report. Pairs without a finite number below 1e18 are skipped.
-func Pairs(s []byte, each func(name string, v float64)) {
+// ForEachLoadValue calls each for every name=value pair of a load report. Pairs without a finite number below 1e18 are skipped.
+func ForEachLoadValue(s []byte, each func(name string, v float64)) {
 	for more := true; more; {
 		var pair []byte
 		pair, s, more = bytes.Cut(s, []byte{','})
@@ -183,18 +183,18 @@
 
 // Statement is a client's statement with the parsed fields of its comment.
 type Statement struct {
-	Buf     *Buf   // the text, without the terminating zero
-	ID      string // field id
-	Class   string // field c
-	Tenant  string // field t
-	Wait    int64  // field d: milliseconds that the client waits
-	Cluster int64
-	After   int64 // Unix time in ms of the session's last write, 0 = none
-	Retry   bool
-	Keyed   bool   // field k, the idempotency key, is present
-	Key     string // the quoted key of the item
-	Read    bool   // a SELECT
-	Done    func() // called on Release, if set
+	Buf               *Buf   // the text, without the terminating zero
+	ID                string // field id
+	Class             string // field c
+	Tenant            string // field t
+	WaitMs            int64  // field d: milliseconds that the client waits
+	Cluster           int64
+	LastWriteUnixMs   int64 // Unix time in ms of the session's last write, 0 = none
+	Retry             bool
+	HasIdempotencyKey bool   // field k, the idempotency key, is present
+	ItemKey           string // the quoted key of the item
+	IsRead            bool   // a SELECT
+	Done              func() // called on Release, if set
 
 	waitFrom, waitTo int // byte range of the value of field d in the text
 }
@@ -260,7 +260,7 @@
 	rest := text[end+2:]
 	switch Verb(rest) {
 	case "SELECT":
-		s.Read = true
+		s.IsRead = true
 	case "INSERT":
 	default:
 		return nil, errors.New("neither SELECT nor INSERT")
@@ -268,7 +268,7 @@
 	if bytes.Count(rest, []byte{'\''})%2 != 0 {
 		return nil, errors.New("quote without end")
 	}
-	if s.Key = quotedString(rest); s.Key == "" || len(s.Key) > maxNameLen && !s.isPage(rest) {
+	if s.ItemKey = quotedString(rest); s.ItemKey == "" || len(s.ItemKey) > maxNameLen && !s.isPage(rest) {
 		return nil, errors.New("no key, or one of impossible length")
 	}
 	return s, nil
@@ -277,8 +277,8 @@
 // isPage reports whether the statement requests a page of items. The id of a page may be longer than a key because no table
 // stores it.
 func (s *Statement) isPage(rest []byte) bool {
-	_, _, _, ok := ParsePage(s.Key)
-	return ok && s.Read && len(s.Key) <= 5*maxNameLen && bytes.Contains(rest, []byte(" FROM pages "))
+	_, _, _, ok := ParsePage(s.ItemKey)
+	return ok && s.IsRead && len(s.ItemKey) <= 5*maxNameLen && bytes.Contains(rest, []byte(" FROM pages "))
 }
 
 const maxFields = 32 // fields in a comment
@@ -311,7 +311,7 @@
 			err = errors.New("comment: id of impossible length")
 		}
 	case "k":
-		s.Keyed = true
+		s.HasIdempotencyKey = true
 	case "c":
 		s.Class = v
 	case "t":
@@ -321,9 +321,9 @@
 	case "cluster":
 		s.Cluster = number()
 	case "after":
-		s.After = number()
+		s.LastWriteUnixMs = number()
 	case "d":
-		s.Wait = number()
+		s.WaitMs = number()
 		s.waitFrom, s.waitTo = to-len(value), to
 	}
 	return err
--- a/internal/pgwire/stream.go
+++ b/internal/pgwire/stream.go
@@ -8,24 +8,24 @@
 
 // Sizes of DataRow messages, in bytes.
 const (
-	WholeMost = 64 << 10   // a larger value is streamed, not buffered
-	RowMost   = 8<<20 + 64 // largest row that is accepted: a value of 4 MiB as hex digits
-	RowHead   = 11         // header of a DataRow up to the value: type, length, number of columns, length of the value
+	MaxBufferedValue = 64 << 10   // a larger value is streamed, not buffered
+	MaxRowSize       = 8<<20 + 64 // largest row that is accepted: a value of 4 MiB as hex digits
+	RowHeaderSize    = 11         // header of a DataRow up to the value: type, length, number of columns, length of the value
 )
 
-// Large reports whether a five-byte message header belongs to a DataRow whose value is too large to be buffered.
-func Large(h []byte) bool {
-	return h[0] == 'D' && binary.BigEndian.Uint32(h[1:5]) > RowHead-1+WholeMost
+// IsLargeRow reports whether a five-byte message header belongs to a DataRow whose value is too large to be buffered.
+func IsLargeRow(h []byte) bool {
+	return h[0] == 'D' && binary.BigEndian.Uint32(h[1:5]) > RowHeaderSize-1+MaxBufferedValue
 }
 
-// RowLen returns the length of the value that the first RowHead bytes of a large DataRow announce. The value must be the
+// LargeRowValueLen returns the length of the value that the first RowHead bytes of a large DataRow announce. The value must be the
 // only column, not null, and fill the rest of the message; else the error wraps ErrTooLong or ErrMalformed.
-func RowLen(h []byte) (int, error) {
+func LargeRowValueLen(h []byte) (int, error) {
 	n, cols, value := int64(binary.BigEndian.Uint32(h[1:5])), binary.BigEndian.Uint16(h[5:7]), int64(binary.BigEndian.Uint32(h[7:11]))
 	switch {
-	case n > RowMost:
-		return 0, fmt.Errorf("%w: row of %d bytes, want at most %d", ErrTooLong, n, RowMost)
-	case cols != 1 || value != n-(RowHead-1):
+	case n > MaxRowSize:
+		return 0, fmt.Errorf("%w: row of %d bytes, want at most %d", ErrTooLong, n, MaxRowSize)
+	case cols != 1 || value != n-(RowHeaderSize-1):
 		return 0, fmt.Errorf("%w: row of %d bytes with %d columns, the first of %d", ErrMalformed, n, cols, value)
 	}
 	return int(value), nil
@@ -58,8 +58,8 @@
 	}
 }
 
-// Taken waits until the stream is started or released; w is nil if it was released. The member's connection calls it, once.
-func (s *Stream) Taken() (w io.Writer, done func(tail []byte)) {
+// AwaitTaker waits until the stream is started or released; w is nil if it was released. The member's connection calls it, once.
+func (s *Stream) AwaitTaker() (w io.Writer, done func(tail []byte)) {
 	t := <-s.takers
 	return t.w, t.done
 }
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -15,20 +15,20 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // noCore is a core that must not receive a request.
 type noCore struct{ t *testing.T }
 
-func (n noCore) Now() core.Time                              { return core.Time(time.Now().UnixNano()) }
-func (n noCore) Arrive(*core.Request)                        { n.t.Error("a request came to the core") }
-func (n noCore) Gone(*core.Request)                          {}
-func (n noCore) Turned(string, record.Outcome, record.Cause) {}
+func (n noCore) Now() core.Time                                          { return core.Time(time.Now().UnixNano()) }
+func (n noCore) Arrive(*core.Request)                                    { n.t.Error("a request came to the core") }
+func (n noCore) Gone(*core.Request)                                      {}
+func (n noCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
 // interceptedConn is the server's end of a connection. When the server is about to close it, the client first sends bytes, which
 // have arrived by the time the close is carried out.
@@ -72,12 +72,12 @@
 // startIntercepted runs a server on a listener of crossed connections.
 func startIntercepted(t *testing.T, conf Config, cross func(*interceptedConn)) *Server {
 	t.Helper()
-	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
+	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Terms, conf.Header, conf.Read, conf.Write, conf.Life = book, 100*time.Millisecond, time.Second, time.Second, time.Hour
-	s, err := New(noCore{t}, conf, call.NewClaims(), slog.New(slog.DiscardHandler))
+	conf.Settings, conf.HeaderTimeout, conf.ReadTimeout, conf.WriteTimeout, conf.CursorLifetime = book, 100*time.Millisecond, time.Second, time.Second, time.Hour
+	s, err := New(noCore{t}, conf, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,12 +116,12 @@
 		t.Run(name, func(t *testing.T) {
 			var near net.Conn
 			dialled := make(chan struct{})
-			s := startIntercepted(t, Config{Max: tc.most, Idle: tc.idleFor}, func(far *interceptedConn) {
+			s := startIntercepted(t, Config{MaxConnections: tc.most, IdleTimeout: tc.idleFor}, func(far *interceptedConn) {
 				<-dialled
 				was := far.read.Load()
 				_, _ = near.Write([]byte(requestHead + "\r\n"))
 				// A pending read of net/http may have them; if they never arrive, the test's timeout ends the wait.
-				for looks := wake.New[int](far.TCPConn, 16); looks.Quiet() && far.read.Load() == was; {
+				for looks := interruptible.New[int](far.TCPConn, 16); looks.NoPendingInput() && far.read.Load() == was; {
 					runtime.Gosched()
 				}
 			})
@@ -167,7 +167,7 @@
 // TestLingerBounds: a lingering connection is closed in favour of a new client, and delays a shutdown only until the
 // context of that ends.
 func TestLingerBounds(t *testing.T) {
-	s := startIntercepted(t, Config{Max: 1, Idle: time.Hour}, func(*interceptedConn) {})
+	s := startIntercepted(t, Config{MaxConnections: 1, IdleTimeout: time.Hour}, func(*interceptedConn) {})
 	var all []net.Conn
 	for i := range 5 {
 		nc, err := net.Dial("tcp", s.Addr())
--- a/internal/restfront/edge.go
+++ b/internal/restfront/edge.go
@@ -19,22 +19,22 @@
 	connMemoryBytes       = 48 << 10 // bytes that a connection uses, approximately: buffers, header and goroutines
 )
 
-// Read reads the rest block of the configuration and reports its faults to b.
-func Read(b *edgeconf.Block) Config {
-	c := Config{Listen: b.Text("listen", ""), Max: int(b.Int("connections", defaultMaxConnections, 1, 100_000)), Body: b.Size("body", maxValueBytes, 1, maxValueBytes),
-		Header: b.Span("header_wait", defaultHeaderTimeout, 10*time.Millisecond, time.Minute), Read: b.Span("read_wait", defaultReadTimeout, 10*time.Millisecond, time.Minute),
-		Write: b.Span("write_wait", defaultWriteTimeout, 10*time.Millisecond, time.Minute), Idle: b.Span("idle", defaultIdleTimeout, 100*time.Millisecond, time.Hour),
-		Keys: b.File("cursor_keys"), Life: b.Span("cursor_life", defaultCursorLifetime, time.Second, 30*24*time.Hour)}
+// ReadConfig reads the rest block of the configuration and reports its faults to b.
+func ReadConfig(b *edgeconf.Block) Config {
+	c := Config{Listen: b.String("listen", ""), MaxConnections: int(b.Int("connections", defaultMaxConnections, 1, 100_000)), MaxBodyBytes: b.Size("body", maxValueBytes, 1, maxValueBytes),
+		HeaderTimeout: b.Duration("header_wait", defaultHeaderTimeout, 10*time.Millisecond, time.Minute), ReadTimeout: b.Duration("read_wait", defaultReadTimeout, 10*time.Millisecond, time.Minute),
+		WriteTimeout: b.Duration("write_wait", defaultWriteTimeout, 10*time.Millisecond, time.Minute), IdleTimeout: b.Duration("idle", defaultIdleTimeout, 100*time.Millisecond, time.Hour),
+		CursorKeysFile: b.FilePath("cursor_keys"), CursorLifetime: b.Duration("cursor_life", defaultCursorLifetime, time.Second, 30*24*time.Hour)}
 	if _, err := c.newCursorRing(); err != nil {
-		b.FaultAt("cursor_keys", "cursor_keys: %v", err)
+		b.AddFaultAt("cursor_keys", "cursor_keys: %v", err)
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		b.FaultAt("listen", "listen is %q, want an address as \"127.0.0.1:8080\"", c.Listen)
+		b.AddFaultAt("listen", "listen is %q, want an address as \"127.0.0.1:8080\"", c.Listen)
 	}
 	return c
 }
 
 // Footprint returns the maximum use of memory, in bytes, and of file descriptors, the listener included.
 func (c *Config) Footprint() (memory int64, files int) {
-	return int64(c.Max) * (connMemoryBytes + c.Body), c.Max + maxRefusing + 1 // one for the listener
+	return int64(c.MaxConnections) * (connMemoryBytes + c.MaxBodyBytes), c.MaxConnections + maxRefusing + 1 // one for the listener
 }
--- a/internal/restfront/list.go
+++ b/internal/restfront/list.go
@@ -32,25 +32,25 @@
 }
 
 // newCursorRing reads the keys of cursors, or makes a random one if no file is configured.
-func (c *Config) newCursorRing() (*cursor.Ring, error) {
-	if c.Keys == "" {
-		k := cursor.Key{ID: 1, Issue: clockSkew, End: 1 << 62}
+func (c *Config) newCursorRing() (*cursor.KeyRing, error) {
+	if c.CursorKeysFile == "" {
+		k := cursor.Key{ID: 1, IssueFrom: clockSkew, AcceptUntil: 1 << 62}
 		if _, err := rand.Read(k.Secret[:]); err != nil {
 			return nil, err
 		}
-		return cursor.NewRing([]cursor.Key{k}, c.Life, clockSkew)
+		return cursor.NewKeyRing([]cursor.Key{k}, c.CursorLifetime, clockSkew)
 	}
-	text, err := os.ReadFile(c.Keys)
+	text, err := os.ReadFile(c.CursorKeysFile)
 	if err != nil {
 		return nil, err
 	}
 	keys, err := cursor.ParseKeys(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", c.Keys, err)
+		return nil, fmt.Errorf("%s: %w", c.CursorKeysFile, err)
 	}
-	ring, err := cursor.NewRing(keys, c.Life, clockSkew)
+	ring, err := cursor.NewKeyRing(keys, c.CursorLifetime, clockSkew)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", c.Keys, err)
+		return nil, fmt.Errorf("%s: %w", c.CursorKeysFile, err)
 	}
 	return ring, nil
 }
@@ -60,8 +60,8 @@
 	err    error
 	kind   string
 	status int
-}{{cursor.ErrFormat, "cursor-format", 400}, {cursor.ErrVersion, "cursor-version", 400}, {cursor.ErrKey, "cursor-key", 410}, {cursor.ErrForged, "cursor-forged", 400},
-	{cursor.ErrExpired, "cursor-expired", 410}, {cursor.ErrFuture, "cursor-future", 400}, {cursor.ErrQuery, "cursor-query", 400}}
+}{{cursor.ErrFormat, "cursor-format", 400}, {cursor.ErrVersion, "cursor-version", 400}, {cursor.ErrUnknownKey, "cursor-key", 410}, {cursor.ErrForged, "cursor-forged", 400},
+	{cursor.ErrExpired, "cursor-expired", 410}, {cursor.ErrIssuedInFuture, "cursor-future", 400}, {cursor.ErrQueryMismatch, "cursor-query", 400}}
 
 // parseListing parses the query of a page and fills it into c.
 func (s *Server) parseListing(r *http.Request, c *call.Request, now core.Time) (*listing, *problem) {
@@ -78,12 +78,12 @@
 		}
 	}
 	l := &listing{class: c.Class, limit: defaultPageSize, prefix: f.Get("prefix")}
-	if len(l.prefix) > cursor.IDMost || !utf8.ValidString(l.prefix) {
-		return bad("prefix", 400, "the prefix has %d bytes, want at most %d of UTF-8", len(l.prefix), cursor.IDMost)
+	if len(l.prefix) > cursor.MaxIDBytes || !utf8.ValidString(l.prefix) {
+		return bad("prefix", 400, "the prefix has %d bytes, want at most %d of UTF-8", len(l.prefix), cursor.MaxIDBytes)
 	}
 	if f.Has("limit") {
-		if l.limit, err = strconv.Atoi(f.Get("limit")); err != nil || l.limit < 1 || l.limit > call.LimitMost {
-			return bad("limit", 400, "the limit is %.40q, want 1 to %d", f.Get("limit"), call.LimitMost)
+		if l.limit, err = strconv.Atoi(f.Get("limit")); err != nil || l.limit < 1 || l.limit > call.MaxPageItems {
+			return bad("limit", 400, "the limit is %.40q, want 1 to %d", f.Get("limit"), call.MaxPageItems)
 		}
 	}
 	// The limit is not part of the fingerprint: a client may change the size of pages during a listing.
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -25,28 +25,28 @@
 	"github.com/cespare/xxhash/v2"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/cursor"
-	"reachwind/internal/hangup"
+	"reachwind/internal/interruptible"
+	"reachwind/internal/peerclose"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // Config is the configuration of the front.
 type Config struct {
-	Listen string        // address to listen on
-	Max    int           // connections at a time
-	Body   int64         // size limit of a value in bytes
-	Header time.Duration // timeout for reading the header of a request
-	Read   time.Duration // timeout for reading a whole request
-	Write  time.Duration // timeout for the client to read an answer, in addition to the time that it waits for one
-	Idle   time.Duration // a connection is closed once it has been idle for so long
-	Terms  *terms.Book
-	Keys   string        // file with the keys of cursors; empty: a random key of this process
-	Life   time.Duration // validity of a cursor
+	Listen         string        // address to listen on
+	MaxConnections int           // connections at a time
+	MaxBodyBytes   int64         // size limit of a value in bytes
+	HeaderTimeout  time.Duration // timeout for reading the header of a request
+	ReadTimeout    time.Duration // timeout for reading a whole request
+	WriteTimeout   time.Duration // timeout for the client to read an answer, in addition to the time that it waits for one
+	IdleTimeout    time.Duration // a connection is closed once it has been idle for so long
+	Settings       *activesettings.Holder
+	CursorKeysFile string        // file with the keys of cursors; empty: a random key of this process
+	CursorLifetime time.Duration // validity of a cursor
 }
 
 const (
@@ -60,7 +60,7 @@
 	Now() core.Time
 	Arrive(*core.Request)
 	Gone(*core.Request)
-	Turned(front string, o record.Outcome, why record.Cause)
+	RecordFrontOutcome(front string, o record.Outcome, why record.Cause)
 }
 
 // Server accepts client connections.
@@ -68,8 +68,8 @@
 	core       Core
 	conf       Config
 	log        *slog.Logger
-	claims     *call.Claims
-	cursorRing atomic.Pointer[cursor.Ring]
+	claims     *call.ActiveIDs
+	cursorRing atomic.Pointer[cursor.KeyRing]
 	idPrefix   string // of the ids that it assigns to requests without one
 	lastID     atomic.Uint64
 	http       http.Server
@@ -86,7 +86,7 @@
 
 // New returns a server that passes its requests to c. claims holds the ids of requests in progress of all fronts. It fails
 // if the keys of cursors cannot be read.
-func New(c Core, conf Config, claims *call.Claims, log *slog.Logger) (*Server, error) {
+func New(c Core, conf Config, claims *call.ActiveIDs, log *slog.Logger) (*Server, error) {
 	s := &Server{core: c, conf: conf, log: log, claims: claims}
 	s.changed.L = &s.mu
 	ring, err := conf.newCursorRing()
@@ -104,8 +104,8 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		(&problem{kind: "not-found", status: http.StatusNotFound, detail: "there is no such resource; want /v1/clusters/{n}/items or an item of it"}).write(w)
 	})
-	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.Header, ReadTimeout: conf.Read, IdleTimeout: conf.Idle, MaxHeaderBytes: maxHeaderBytes,
-		WriteTimeout: conf.Read + call.MaxWait + conf.Write, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.HeaderTimeout, ReadTimeout: conf.ReadTimeout, IdleTimeout: conf.IdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		WriteTimeout: conf.ReadTimeout + call.MaxWait + conf.WriteTimeout, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 			if t, ok := nc.(*trackedConn); ok {
 				nc = t.Conn
@@ -118,7 +118,7 @@
 // Prepare checks a new configuration. apply puts its cursor keys into use, from the same file or another; cursors sealed
 // with a key that is in both remain valid. The other fields are not applied.
 func (s *Server) Prepare(conf Config) (apply func(), err error) {
-	if conf.Keys == "" && s.conf.Keys == "" { // the process keeps its random key
+	if conf.CursorKeysFile == "" && s.conf.CursorKeysFile == "" { // the process keeps its random key
 		return func() {}, nil
 	}
 	ring, err := conf.newCursorRing()
@@ -204,7 +204,7 @@
 		if l.s.admit() {
 			return &trackedConn{Conn: c, s: l.s}, nil
 		}
-		l.s.core.Turned(front, record.Refused, record.Buffers)
+		l.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
 		l.s.refuse(c)
 	}
 }
@@ -214,7 +214,7 @@
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.openConns >= s.conf.Max {
+	if s.openConns >= s.conf.MaxConnections {
 		if len(s.lingering) == 0 {
 			return false
 		}
@@ -237,7 +237,7 @@
 		return
 	}
 	s.refusing++
-	s.startTracked(func() { wake.Linger(c, time.Now().Add(lingerTimeout), maxLingerBytes) }, func() { s.refusing-- })
+	s.startTracked(func() { interruptible.LingeringClose(c, time.Now().Add(lingerTimeout), maxLingerBytes) }, func() { s.refusing-- })
 }
 
 // linger runs the lingering close of an admitted connection in the background.
@@ -247,7 +247,7 @@
 	s.lingering = append(s.lingering, c)
 	s.startTracked(func() {
 		late := time.AfterFunc(lingerTimeout, func() { _ = c.Close() }) // net/http may have cleared the deadline
-		wake.Linger(c, time.Now().Add(lingerTimeout), maxLingerBytes)
+		interruptible.LingeringClose(c, time.Now().Add(lingerTimeout), maxLingerBytes)
 		late.Stop()
 	}, func() {
 		if i := slices.Index(s.lingering, c); i >= 0 { // else admit has closed it and uncounted it
@@ -295,7 +295,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if p != nil {
-		s.core.Turned(front, p.outcome, p.cause)
+		s.core.RecordFrontOutcome(front, p.outcome, p.cause)
 		p.write(w)
 		return
 	}
@@ -320,7 +320,7 @@
 // awaitAnswer waits for the answer to a request, and reports whether it arrived before the client closed the connection. net/http
 // does not detect the close behind unread bytes of a next request, so the socket is polled.
 func awaitAnswer(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
-	look := time.NewTicker(hangup.Every)
+	look := time.NewTicker(peerclose.CheckInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -329,7 +329,7 @@
 		case <-r.Context().Done():
 			return core.Answer{}, false
 		case <-look.C:
-			if hangup.Seen(r.Context().Value(connectionKey{})) {
+			if peerclose.Detected(r.Context().Value(connectionKey{})) {
 				return core.Answer{}, false
 			}
 		}
@@ -359,7 +359,7 @@
 	if item == "" || len(item) > 256 || !utf8.ValidString(item) || strings.ContainsRune(item, 0) {
 		return bad("id", "the id has %d bytes, want 1 to 256 of UTF-8 without zeros", len(item))
 	}
-	t := s.conf.Terms.Now()
+	t := s.conf.Settings.Current()
 	k, ok := t.Class(h.Get("Reachwind-Class"), came)
 	if !ok {
 		return bad("class", "the class is %.40q, want one of the settings in Reachwind-Class", h.Get("Reachwind-Class"))
@@ -367,8 +367,8 @@
 	if k.Writes() != (op == call.Write) {
 		return bad("class", "class %q takes no %s", k.Name, r.Method)
 	}
-	tenant := t.Tenant(h.Get("Reachwind-Tenant"))
-	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.Plain(name) {
+	tenant := t.TenantIndex(h.Get("Reachwind-Tenant"))
+	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.ValidCommentValue(name) {
 		return bad("tenant", "the tenant is %.40q, want a plain name", name)
 	}
 	wait := defaultWait
@@ -383,17 +383,17 @@
 		Key: h.Get("Idempotency-Key"), Retry: h.Get("Reachwind-Retry") == "1"}
 	if c.ID == "" {
 		c.ID = s.idPrefix + strconv.FormatUint(s.lastID.Add(1), 10)
-	} else if !pgwire.Plain(c.ID) {
+	} else if !pgwire.ValidCommentValue(c.ID) {
 		return bad("request-id", "the request id is %.40q, want a plain name", c.ID)
 	}
-	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.Plain(c.Key) {
+	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.ValidCommentValue(c.Key) {
 		return bad("idempotency-key", "the Idempotency-Key is %.40q, want a plain name", c.Key)
 	}
 	if op == call.Write {
-		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.Body)); err != nil {
+		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.MaxBodyBytes)); err != nil {
 			var long *http.MaxBytesError
 			if errors.As(err, &long) {
-				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.Body), outcome: record.Failed, cause: record.Invalid}
+				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.MaxBodyBytes), outcome: record.Failed, cause: record.Invalid}
 			}
 			return bad("body", "the body did not come whole")
 		}
@@ -410,8 +410,8 @@
 	if !s.claims.Claim(c.ID) {
 		return nil, nil, &problem{kind: "request-id-in-use", status: http.StatusConflict, detail: "a request with this id is in work", outcome: record.Failed, cause: record.InUse}
 	}
-	c.Done = func() { s.claims.Disclaim(c.ID) }
-	q := &core.Request{Class: k.Class, Place: k.Place, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, AtLeast: atLeast, Until: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
+	c.Done = func() { s.claims.Release(c.ID) }
+	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
 	if k.HasSession() {
 		if q.Session = h.Get("Reachwind-Session"); q.Session == "" {
 			q.Session = c.Item // as with PostgreSQL, where the quoted key identifies the session
@@ -425,7 +425,7 @@
 	h := w.Header()
 	switch a.Verdict {
 	case core.Refused:
-		refusedProblem(a.After).write(w)
+		refusedProblem(a.RetryAfter).write(w)
 		return
 	case core.Failed:
 		failedProblem(a.MayHaveRun).write(w)
@@ -455,7 +455,7 @@
 		return
 	}
 	h.Set("Content-Length", strconv.Itoa(len(value)))
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.conf.Write))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.conf.WriteTimeout))
 	_, _ = w.Write(value)
 }
 
