--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -48,7 +48,7 @@
 }
 
 // Load returns the payload of a state file, or a *StateError that says why it cannot be used.
-func (b *SharedState) Load(name string) ([]byte, error) { return Load(b.dir, name) }
+func (s *SharedState) Load(name string) ([]byte, error) { return Load(s.dir, name) }
 
 // Load is the method Load for a process that has not claimed its slot yet.
 func Load(dir, name string) ([]byte, error) {
@@ -74,11 +74,11 @@
 }
 
 // Save replaces a state file atomically: a reader sees either the former or the new one. An error is a *StateError.
-func (b *SharedState) Save(name string, payload []byte) error {
+func (s *SharedState) Save(name string, payload []byte) error {
 	if len(payload) > maxFilePayload {
 		return &StateError{name, ErrTooLarge, "take fewer machines out, or lists of fewer members"}
 	}
-	f, err := os.CreateTemp(b.dir, name+".*")
+	f, err := os.CreateTemp(s.dir, name+".*")
 	if err == nil {
 		if _, err = f.Write(encodeStateFile(payload)); err == nil {
 			err = f.Close()
@@ -86,7 +86,7 @@
 			_ = f.Close()
 		}
 		if err == nil {
-			err = os.Rename(f.Name(), filepath.Join(b.dir, name))
+			err = os.Rename(f.Name(), filepath.Join(s.dir, name))
 		}
 		if err != nil {
 			_ = os.Remove(f.Name())
@@ -101,55 +101,55 @@
 // Update replaces the payload of a state file by what edit returns for the current one, which is nil if the file cannot be
 // used. A lock keeps other processes from changing a state file meanwhile. It returns the number of changes so far, which
 // it counts in the shared memory; 0 without shared memory.
-func (b *SharedState) Update(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
-	release, err := b.acquireLock(lockFiles)
+func (s *SharedState) Update(name string, edit func(payload []byte) ([]byte, error)) (count uint64, err error) {
+	release, err := s.acquireLock(lockFiles)
 	if err != nil {
 		return 0, &StateError{name, err, "end the process that was stopped, or resume it"}
 	}
 	defer release()
-	was, err := b.Load(name)
+	current, err := s.Load(name)
 	if err != nil {
-		was = nil
+		current = nil
 	}
-	next, err := edit(was)
+	next, err := edit(current)
 	if err != nil {
 		return 0, err
 	}
-	if err := b.Save(name, next); err != nil {
+	if err := s.Save(name, next); err != nil {
 		return 0, err
 	}
-	at := b.memory.Load()
-	if at == nil {
+	memory := s.memory.Load()
+	if memory == nil {
 		return 0, nil
 	}
-	return at[wordChanges].Add(1), nil
+	return memory[wordChanges].Add(1), nil
 }
 
 // ChangeCount returns the number of changes that all processes have made; 0 without shared memory.
-func (b *SharedState) ChangeCount() uint64 {
-	at := b.memory.Load()
-	if at == nil {
+func (s *SharedState) ChangeCount() uint64 {
+	memory := s.memory.Load()
+	if memory == nil {
 		return 0
 	}
-	return at[wordChanges].Load()
+	return memory[wordChanges].Load()
 }
 
 // SetAppliedChanges publishes that this process has applied the first count changes.
-func (b *SharedState) SetAppliedChanges(count uint64) {
-	if b.Joined() {
-		b.ownWord(slotAppliedChanges).Store(count)
+func (s *SharedState) SetAppliedChanges(count uint64) {
+	if s.Joined() {
+		s.ownWord(slotAppliedChanges).Store(count)
 	}
 }
 
 // AwaitApplied returns true once all other live processes have published that they applied count changes, or false after wait.
-func (b *SharedState) AwaitApplied(count uint64, wait time.Duration) bool {
+func (s *SharedState) AwaitApplied(count uint64, wait time.Duration) bool {
 	for until := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
-		all := true
-		for _, o := range b.Peers() {
-			all = all && o.AppliedChanges >= count
+		allApplied := true
+		for _, o := range s.Peers() {
+			allApplied = allApplied && o.AppliedChanges >= count
 		}
-		if all || !time.Now().Before(until) {
-			return all
+		if allApplied || !time.Now().Before(until) {
+			return allApplied
 		}
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -122,7 +122,7 @@
 		}
 		for s, n := range newest {
 			if got := b.LastCommit(1, s); got < time.Duration(n) {
-				t.Fatalf("step %d: session %s committed at %d, the board says %d", i, s, n, got)
+				t.Fatalf("step %d: session %s committed at %d, the shared state says %d", i, s, n, got)
 			}
 		}
 		all, err := b.Load("set")
@@ -135,7 +135,7 @@
 			}
 		}
 		if got := len(b.Peers()); got > len(live) {
-			t.Fatalf("step %d: %d others live, the board counts %d", i, len(live), got)
+			t.Fatalf("step %d: %d other processes are alive, the shared state counts %d", i, len(live), got)
 		}
 	}
 }
@@ -183,22 +183,22 @@
 		}
 		if name == "set" {
 			if got, err := b.Load("set"); err == nil {
-				rt.Fatalf("a broken file was read: %v", got)
+				rt.Fatalf("a damaged file was read: %v", got)
 			}
 			return
 		}
 		second, err := Open(dir) // while the first is alive
 		if second == nil || second.Joined() || !errors.As(err, new(*StateError)) {
-			rt.Fatalf("a broken board was taken beside another process: %v", err)
+			rt.Fatalf("damaged shared memory was used while another process is alive: %v", err)
 		}
 		if o := b.Peers(); len(o) != 1 || o[0].Joined {
-			rt.Fatalf("the first sees %v", o)
+			rt.Fatalf("the first process sees %v", o)
 		}
 		second.Close()
 		b.Close()
 		third, err := Open(dir)
 		if err != nil || !third.Joined() {
-			rt.Fatalf("a broken board was not replaced where nobody lives: %v", err)
+			rt.Fatalf("damaged shared memory was not replaced although no process is alive: %v", err)
 		}
 		third.Close()
 	})
@@ -211,13 +211,13 @@
 		held := rapid.IntRange(0, limit).Draw(rt, "held")
 		may := AllowedShare(limit, []Peer{{Descriptors: held, Older: true}}, false)
 		if may > limit-held && may > int(minFraction*float64(limit)) {
-			rt.Fatalf("limit %d, the other holds %d: may use %d", limit, held, may)
+			rt.Fatalf("limit %d, the other process holds %d: may use %d", limit, held, may)
 		}
 		if older := AllowedShare(limit, []Peer{{Descriptors: may}}, true); older+may > limit && may > int(minFraction*float64(limit)) && older > int(minFraction*float64(limit)) {
-			rt.Fatalf("limit %d: %d and %d", limit, may, older)
+			rt.Fatalf("limit %d: the processes may use %d and %d", limit, may, older)
 		}
 		if AllowedShare(limit, nil, false) != limit {
-			rt.Fatal("alone it is less than all")
+			rt.Fatal("without other processes it is less than the limit")
 		}
 	})
 }
--- a/internal/handover/board.go
+++ b/internal/handover/sharedstate.go
@@ -24,13 +24,15 @@
 
 	magic        = 0x72776264
 	version      = 1
-	slots        = 4 // processes of one gateway at a time: the one in service, its successor, and those that are shutting down
-	sessionWords = 1 << 13
+	slots        = 4       // processes of one gateway at a time: the one in service, its successor, and those shutting down
+	sessionWords = 1 << 13 // words for the last commits of sessions
 
+	// Words of the shared memory, 8 bytes each: a header of magic and version, size in words, checksum, number of processes
+	// that have joined and number of changes of the state files; then the slots, then one word per hash value of a session.
 	wordMagic, wordSize, wordSum, wordStarts, wordChanges = 0, 1, 2, 3, 4
 
 	slotsStart, wordsPerSlot                                        = 8, 8
-	slotStartNumber, slotReady, slotDescriptors, slotAppliedChanges = 0, 1, 2, 3
+	slotStartNumber, slotReady, slotDescriptors, slotAppliedChanges = 0, 1, 2, 3 // words of a slot
 
 	sessionsStart = slotsStart + slots*wordsPerSlot
 	totalWords    = sessionsStart + sessionWords
@@ -63,8 +65,8 @@
 // Unwrap returns the cause.
 func (e *StateError) Unwrap() error { return e.Err }
 
-// SharedState is the state that the processes of a gateway share. Its methods are safe for concurrent use; those that use the
-// shared memory only do not block.
+// SharedState is the state that the processes of a gateway share. Its methods are safe for concurrent use; those that use
+// only the shared memory do not block.
 type SharedState struct {
 	dir         string
 	lockFile    *os.File
@@ -76,16 +78,16 @@
 
 // Peer describes another process of the same gateway.
 type Peer struct {
-	Joined         bool // it uses the same shared memory; else nothing more is known about it
-	StartNumber    uint64
-	Older          bool
-	Ready          bool
+	Joined         bool   // it uses the same shared memory; else nothing more is known about it
+	StartNumber    uint64 // counts the processes that joined the shared memory; a later one has a higher number
+	Older          bool   // it joined before this process
+	Ready          bool   // it can serve
 	Descriptors    int    // file descriptors that it holds
 	AppliedChanges uint64 // number of state changes that it has applied
 }
 
 // Open claims a slot among the processes of the gateway whose folder is dir. If the shared memory cannot be used, it
-// returns an error together with a Board that knows which processes are alive, or nil if not even that can be known.
+// returns an error together with a SharedState that knows which processes are alive, or nil if not even that can be known.
 func Open(dir string) (*SharedState, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -108,55 +110,55 @@
 
 // Join maps the shared memory and registers this process in it, unless that is done already. It creates the shared memory
 // if it is missing, and replaces it if it is unusable and no other process is alive.
-func (b *SharedState) Join() error {
-	if b.Joined() {
+func (s *SharedState) Join() error {
+	if s.Joined() {
 		return nil
 	}
-	release, err := b.acquireLock(lockCreate)
+	release, err := s.acquireLock(lockCreate)
 	if err != nil {
 		return &StateError{sharedStateName, err, "end the process that was suspended during its start"}
 	}
 	defer release()
-	err = b.attach()
-	if err != nil && !b.Alone() && !errors.Is(err, ErrMissing) {
+	err = s.attach()
+	if err != nil && !s.Alone() && !errors.Is(err, ErrMissing) {
 		return &StateError{sharedStateName, err, "no action needed: it is replaced once the other process has ended"}
 	}
 	if err != nil {
-		if err = b.create(); err == nil {
-			err = b.attach()
+		if err = s.create(); err == nil {
+			err = s.attach()
 		}
 		if err != nil {
 			return &StateError{sharedStateName, err, "free 64 KB of disk space in the folder"}
 		}
 	}
-	b.ownWord(slotStartNumber).Store(0) // invalidates what the former process of this slot stored
+	s.ownWord(slotStartNumber).Store(0) // invalidates what the former process of this slot stored
 	for i := slotStartNumber + 1; i < wordsPerSlot; i++ {
-		b.ownWord(i).Store(0)
+		s.ownWord(i).Store(0)
 	}
-	b.startNumber = b.memory.Load()[wordStarts].Add(1)
-	b.ownWord(slotStartNumber).Store(b.startNumber)
-	b.publishInode(b.inode)
+	s.startNumber = s.memory.Load()[wordStarts].Add(1)
+	s.ownWord(slotStartNumber).Store(s.startNumber)
+	s.publishInode(s.inode)
 	return nil
 }
 
-// publishInode writes the inode of the shared memory that this process uses to the lock file, 0 = none. A file that replaced it has
-// another inode.
-func (b *SharedState) publishInode(file uint64) {
-	_, _ = b.lockFile.WriteAt(binary.LittleEndian.AppendUint64(nil, file), int64(b.slot*8))
+// publishInode writes the inode of the shared memory that this process uses to the lock file, 0 = none. A file that replaced
+// it has another inode.
+func (s *SharedState) publishInode(inode uint64) {
+	_, _ = s.lockFile.WriteAt(binary.LittleEndian.AppendUint64(nil, inode), int64(s.slot*8))
 }
 
 // inodeOf returns the inode of the shared memory that the process in a slot uses.
-func (b *SharedState) inodeOf(slot int) uint64 {
+func (s *SharedState) inodeOf(slot int) uint64 {
 	var w [8]byte
-	if _, err := b.lockFile.ReadAt(w[:], int64(slot*8)); err != nil {
+	if _, err := s.lockFile.ReadAt(w[:], int64(slot*8)); err != nil {
 		return 0
 	}
 	return binary.LittleEndian.Uint64(w[:])
 }
 
 // create creates new shared memory and atomically replaces the existing file by it.
-func (b *SharedState) create() error {
-	f, err := os.CreateTemp(b.dir, sharedStateName+".*")
+func (s *SharedState) create() error {
+	f, err := os.CreateTemp(s.dir, sharedStateName+".*")
 	if err != nil {
 		return err
 	}
@@ -170,7 +172,7 @@
 		_, err = f.WriteAt(head, 0)
 	}
 	if err == nil {
-		err = os.Rename(f.Name(), filepath.Join(b.dir, sharedStateName))
+		err = os.Rename(f.Name(), filepath.Join(s.dir, sharedStateName))
 	}
 	if err != nil {
 		_ = os.Remove(f.Name())
@@ -179,8 +181,8 @@
 }
 
 // attach maps the existing shared memory if it is intact and of this version.
-func (b *SharedState) attach() error {
-	f, err := os.OpenFile(filepath.Join(b.dir, sharedStateName), os.O_RDWR, 0)
+func (s *SharedState) attach() error {
+	f, err := os.OpenFile(filepath.Join(s.dir, sharedStateName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return ErrMissing
 	}
@@ -215,28 +217,29 @@
 	if err != nil {
 		return err
 	}
-	b.inode = stat.Ino
-	b.memory.Store((*[totalWords]atomic.Uint64)(unsafe.Pointer(&mem[0])))
+	s.inode = stat.Ino
+	s.memory.Store((*[totalWords]atomic.Uint64)(unsafe.Pointer(&mem[0])))
 	return nil
 }
 
 // Close releases the slot. The shared memory remains for other processes, and mapped: a goroutine may still read it.
-func (b *SharedState) Close() { _ = b.lockFile.Close() }
+func (s *SharedState) Close() { _ = s.lockFile.Close() }
 
 // Joined reports whether this process uses the shared memory.
-func (b *SharedState) Joined() bool { return b.memory.Load() != nil }
+func (s *SharedState) Joined() bool { return s.memory.Load() != nil }
 
 // tryLock locks a byte of the lock file until the lock is released or the process ends. It does not wait.
-func (b *SharedState) tryLock(at int) error {
-	return unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: int64(at), Len: 1})
+func (s *SharedState) tryLock(offset int) error {
+	return unix.FcntlFlock(s.lockFile.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_WRLCK, Start: int64(offset), Len: 1})
 }
 
-// acquireLock locks a byte of the lock file for a short time. It waits for another holder up to lockWait, then returns ErrBusy.
-func (b *SharedState) acquireLock(at int) (release func(), err error) {
+// acquireLock locks a byte of the lock file for a short time. It waits for another holder up to lockTimeout, then returns
+// ErrBusy.
+func (s *SharedState) acquireLock(offset int) (release func(), err error) {
 	for until := time.Now().Add(lockTimeout); ; time.Sleep(2 * time.Millisecond) {
-		if err = b.tryLock(at); err == nil {
+		if err = s.tryLock(offset); err == nil {
 			return func() {
-				_ = unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_UNLCK, Start: int64(at), Len: 1})
+				_ = unix.FcntlFlock(s.lockFile.Fd(), unix.F_OFD_SETLK, &unix.Flock_t{Type: unix.F_UNLCK, Start: int64(offset), Len: 1})
 			}, nil
 		}
 		if !time.Now().Before(until) {
@@ -246,16 +249,16 @@
 }
 
 // isAlive reports whether another process holds a slot.
-func (b *SharedState) isAlive(slot int) bool {
+func (s *SharedState) isAlive(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(slot), Len: 1}
-	err := unix.FcntlFlock(b.lockFile.Fd(), unix.F_OFD_GETLK, &l)
+	err := unix.FcntlFlock(s.lockFile.Fd(), unix.F_OFD_GETLK, &l)
 	return err == nil && l.Type != unix.F_UNLCK
 }
 
 // Alone reports whether no other process of the gateway is alive.
-func (b *SharedState) Alone() bool {
+func (s *SharedState) Alone() bool {
 	for i := range slots {
-		if i != b.slot && b.isAlive(i) {
+		if i != s.slot && s.isAlive(i) {
 			return false
 		}
 	}
@@ -263,47 +266,49 @@
 }
 
 // Peers returns the other live processes of the gateway.
-func (b *SharedState) Peers() (all []Peer) {
+func (s *SharedState) Peers() (all []Peer) {
 	for i := range slots {
-		if i == b.slot || !b.isAlive(i) {
+		if i == s.slot || !s.isAlive(i) {
 			continue
 		}
-		at := b.memory.Load()
-		o := Peer{Older: at == nil}
-		if at != nil && b.inodeOf(i) == b.inode {
-			s := at[slotsStart+i*wordsPerSlot:]
-			if birth := s[slotStartNumber].Load(); birth != 0 {
-				o = Peer{true, birth, birth < b.startNumber, s[slotReady].Load() != 0, int(s[slotDescriptors].Load()), s[slotAppliedChanges].Load()}
+		memory := s.memory.Load()
+		peer := Peer{Older: memory == nil}
+		if memory != nil && s.inodeOf(i) == s.inode {
+			slotMemory := memory[slotsStart+i*wordsPerSlot:]
+			if startNumber := slotMemory[slotStartNumber].Load(); startNumber != 0 {
+				peer = Peer{true, startNumber, startNumber < s.startNumber, slotMemory[slotReady].Load() != 0, int(slotMemory[slotDescriptors].Load()), slotMemory[slotAppliedChanges].Load()}
 			}
 		}
-		all = append(all, o)
+		all = append(all, peer)
 	}
 	return all
 }
 
-func (b *SharedState) ownWord(word int) *atomic.Uint64 {
-	return &b.memory.Load()[slotsStart+b.slot*wordsPerSlot+word]
+// ownWord returns a word of this process's slot.
+func (s *SharedState) ownWord(word int) *atomic.Uint64 {
+	return &s.memory.Load()[slotsStart+s.slot*wordsPerSlot+word]
 }
 
 // SetReady publishes whether this process can serve.
-func (b *SharedState) SetReady(yes bool) {
-	if b.Joined() {
+func (s *SharedState) SetReady(yes bool) {
+	if s.Joined() {
 		n := uint64(0)
 		if yes {
 			n = 1
 		}
-		b.ownWord(slotReady).Store(n)
+		s.ownWord(slotReady).Store(n)
 	}
 }
 
 // SetDescriptors publishes how many file descriptors this process holds.
-func (b *SharedState) SetDescriptors(n int) {
-	if b.Joined() {
-		b.ownWord(slotDescriptors).Store(uint64(n))
+func (s *SharedState) SetDescriptors(n int) {
+	if s.Joined() {
+		s.ownWord(slotDescriptors).Store(uint64(n))
 	}
 }
 
-// sessionWord returns the index of the word that holds the last commit of a session. Sessions whose hashes collide share a word.
+// sessionWord returns the index of the word that holds the last commit of a session. Sessions whose hashes collide share a
+// word, which then holds the later of their commits.
 func sessionWord(group int64, session string) int {
 	var h xxhash.Digest
 	h.Reset()
@@ -314,15 +319,15 @@
 
 // RecordCommit records that a write of a session was committed at p, a time since the Unix epoch. It must be called before the
 // write is answered.
-func (b *SharedState) RecordCommit(group int64, session string, p time.Duration) {
-	at := b.memory.Load()
-	if at == nil || p <= 0 {
+func (s *SharedState) RecordCommit(group int64, session string, committedAt time.Duration) {
+	memory := s.memory.Load()
+	if memory == nil || committedAt <= 0 {
 		return
 	}
-	w := &at[sessionWord(group, session)]
+	w := &memory[sessionWord(group, session)]
 	for {
 		was := w.Load()
-		if was >= uint64(p) || w.CompareAndSwap(was, uint64(p)) {
+		if was >= uint64(committedAt) || w.CompareAndSwap(was, uint64(committedAt)) {
 			return
 		}
 	}
@@ -330,10 +335,10 @@
 
 // LastCommit returns the time, since the Unix epoch, up to which the reads of a session must see all writes: that of its last
 // commit in any process, or later. 0 means that it has none.
-func (b *SharedState) LastCommit(group int64, session string) time.Duration {
-	at := b.memory.Load()
-	if at == nil {
+func (s *SharedState) LastCommit(group int64, session string) time.Duration {
+	memory := s.memory.Load()
+	if memory == nil {
 		return 0
 	}
-	return time.Duration(at[sessionWord(group, session)].Load())
+	return time.Duration(memory[sessionWord(group, session)].Load())
 }
--- a/internal/handover/pass.go
+++ b/internal/handover/transfer.go
@@ -21,24 +21,26 @@
 	stopTimeout     = 500 * time.Millisecond // wait for connections that were already sent when this process begins to shut down
 )
 
-func (b *SharedState) socketPath(birth uint64) string {
-	return filepath.Join(b.dir, fmt.Sprintf("reachwind.%d.sock", birth))
+// socketPath returns the path of the socket on which a process accepts connections.
+func (s *SharedState) socketPath(startNumber uint64) string {
+	return filepath.Join(s.dir, fmt.Sprintf("reachwind.%d.sock", startNumber))
 }
 
-// ReceiveConns accepts the client connections that former processes hand over, and calls take for each, until stop is called. A
-// connection that began has completed its startup and is between commands; of any other nothing has been read. take may be
-// called from many goroutines. stop returns once all connections that were sent have been accepted, or after stopTimeout.
-func (b *SharedState) ReceiveConns(take func(nc net.Conn, began bool)) (stop func(), err error) {
-	if !b.Joined() {
+// ReceiveConns receives the client connections that former processes hand over, and calls accept for each, until stop is
+// called. A connection that began has completed its startup and is between commands; of any other nothing has been read.
+// accept may be called from many goroutines. stop returns once all connections that were sent have been accepted, or after
+// stopTimeout.
+func (s *SharedState) ReceiveConns(accept func(nc net.Conn, began bool)) (stop func(), err error) {
+	if !s.Joined() {
 		return func() {}, &StateError{sharedStateName, ErrMissing, "no action needed: client connections are closed when they are idle"}
 	}
-	path := b.socketPath(b.startNumber)
-	_ = os.Remove(path) // left by a process that used earlier shared memory
+	path := s.socketPath(s.startNumber)
+	_ = os.Remove(path) // may be left from earlier shared memory, which counted the processes anew
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		return func() {}, &StateError{filepath.Base(path), err, "set TMPDIR to a shorter path that the gateway can write to"}
 	}
-	r := &receiver{accept: take, senders: map[*net.UnixConn]bool{}, done: make(chan struct{})}
+	r := &receiver{accept: accept, senders: map[*net.UnixConn]bool{}, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		for {
@@ -70,6 +72,7 @@
 	active  sync.WaitGroup
 }
 
+// addSender accepts connections from one former process in the background.
 func (r *receiver) addSender(from *net.UnixConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,12 +98,12 @@
 }
 
 // receiveFrom accepts the connections of one former process, and acknowledges each.
-func receiveFrom(from *net.UnixConn, take func(net.Conn, bool)) {
-	defer func() { _ = from.Close() }()
-	kind, rights := make([]byte, messageBufSize), make([]byte, syscall.CmsgSpace(4*messageBufSize))
-	tell := true
+func receiveFrom(sender *net.UnixConn, accept func(net.Conn, bool)) {
+	defer func() { _ = sender.Close() }()
+	message, rights := make([]byte, messageBufSize), make([]byte, syscall.CmsgSpace(4*messageBufSize))
+	acknowledge := true
 	for {
-		n, rn, _, _, err := from.ReadMsgUnix(kind, rights)
+		n, rn, _, _, err := sender.ReadMsgUnix(message, rights)
 		if err != nil || n == 0 {
 			return
 		}
@@ -108,7 +111,7 @@
 		if err != nil {
 			return
 		}
-		taken := false
+		accepted := false
 		for i := range all {
 			fds, _ := syscall.ParseUnixRights(&all[i])
 			for _, fd := range fds {
@@ -116,18 +119,18 @@
 				nc, err := net.FileConn(f)
 				_ = f.Close()
 				if err == nil {
-					take(nc, kind[0] == 1)
-					taken = true
+					accept(nc, message[0] == 1)
+					accepted = true
 				}
 			}
 		}
-		if !taken { // most likely out of descriptors: the former process keeps this connection and those behind it
+		if !accepted { // most likely out of descriptors: the former process keeps this connection and those behind it
 			return
 		}
-		if tell { // a process of an earlier version does not read acknowledgements: its socket buffer fills up
-			_ = from.SetWriteDeadline(time.Now().Add(sendTimeout))
-			_, err := from.Write(kind[:1])
-			tell = err == nil
+		if acknowledge { // a process of an earlier version does not read acknowledgements: its socket buffer fills up
+			_ = sender.SetWriteDeadline(time.Now().Add(sendTimeout))
+			_, err := sender.Write(message[:1])
+			acknowledge = err == nil
 		}
 	}
 }
@@ -140,7 +143,7 @@
 
 // ConnSender hands client connections over to the successor. It is safe for concurrent use.
 type ConnSender struct {
-	b          *SharedState
+	state      *SharedState
 	ackTimeout time.Duration // for the acknowledgement of a connection
 
 	mu        sync.Mutex
@@ -157,20 +160,22 @@
 }
 
 // NewConnSender returns a Passer. It connects to the successor when the first connection is sent.
-func (b *SharedState) NewConnSender() *ConnSender { return &ConnSender{b: b, ackTimeout: ackTimeout} }
+func (s *SharedState) NewConnSender() *ConnSender {
+	return &ConnSender{state: s, ackTimeout: ackTimeout}
+}
 
 // Send hands a connection over to the most recently started process that is ready. If it returns nil, the caller may only
 // close its copy of the connection; with an error the caller still owns the connection, also if the other process died
 // before it accepted it. Without an acknowledgement in time the other process may still accept it, so Pass returns nil.
 func (p *ConnSender) Send(nc net.Conn, began bool) error {
-	taken, err := p.send(nc, began)
+	ack, err := p.send(nc, began)
 	if err != nil {
 		return err
 	}
 	late := time.NewTimer(p.ackTimeout)
 	defer late.Stop()
 	select {
-	case err = <-taken:
+	case err = <-ack:
 	case <-late.C:
 	}
 	return err
@@ -186,44 +191,44 @@
 	if err != nil {
 		return nil, err
 	}
-	kind := []byte{0}
+	message := []byte{0}
 	if began {
-		kind[0] = 1
+		message[0] = 1
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for range maxLinkAttempts {
 		if p.successor == nil {
-			if p.successor, err = p.b.connectSuccessor(); err != nil {
+			if p.successor, err = p.state.connectSuccessor(); err != nil {
 				return nil, err
 			}
 		}
-		to, taken := p.successor, p.successor.expectAck()
+		to, ack := p.successor, p.successor.expectAck()
 		_ = to.SetWriteDeadline(time.Now().Add(sendTimeout))
-		if e := raw.Control(func(fd uintptr) { _, _, err = to.WriteMsgUnix(kind, syscall.UnixRights(int(fd)), nil) }); e != nil {
+		if e := raw.Control(func(fd uintptr) { _, _, err = to.WriteMsgUnix(message, syscall.UnixRights(int(fd)), nil) }); e != nil {
 			err = e
 		}
 		if err == nil {
-			return taken, nil
+			return ack, nil
 		}
-		to.cancelAck(taken)
+		to.cancelAck(ack)
 		p.successor = nil // acknowledgements of what was sent on it before are still received
 	}
 	return nil, err
 }
 
 // connectSuccessor connects to the most recently started process that is ready.
-func (b *SharedState) connectSuccessor() (*link, error) {
-	birth := uint64(0)
-	for _, o := range b.Peers() {
+func (s *SharedState) connectSuccessor() (*link, error) {
+	startNumber := uint64(0)
+	for _, o := range s.Peers() {
 		if o.Ready && !o.Older {
-			birth = max(birth, o.StartNumber)
+			startNumber = max(startNumber, o.StartNumber)
 		}
 	}
-	if birth == 0 {
+	if startNumber == 0 {
 		return nil, errNoSuccessor
 	}
-	to, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: b.socketPath(birth), Net: "unixpacket"})
+	to, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: s.socketPath(startNumber), Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
@@ -235,8 +240,8 @@
 // readAcks receives acknowledgements until the other process closes the link or dies.
 func (l *link) readAcks() {
 	defer func() { _ = l.Close() }()
-	for word := make([]byte, messageBufSize); ; {
-		n, err := l.Read(word)
+	for message := make([]byte, messageBufSize); ; {
+		n, err := l.Read(message)
 		l.mu.Lock()
 		if n == 0 || err != nil {
 			l.closed = true
--- a/internal/handover/pass_test.go
+++ b/internal/handover/transfer_test.go
@@ -47,25 +47,26 @@
 	return b
 }
 
+// patientSender returns a sender that waits long enough for acknowledgements on a loaded machine.
 func patientSender(b *SharedState) *ConnSender {
 	p := b.NewConnSender()
 	p.ackTimeout = time.Minute
 	return p
 }
 
-// TestSendToKilledProcess: if a successor is killed after a connection was sent to it and before it accepted it, the connection
-// is not lost: the former process still owns it. Once the successor has accepted a connection, the former process may
+// TestSendToKilledProcess: if a successor is killed after a connection was sent to it and before it accepted it, that
+// connection is not lost: the former process still owns it. Once the successor has accepted a connection, the former process may
 // close its copy without ending it.
 func TestSendToKilledProcess(t *testing.T) {
 	dir := t.TempDir()
-	p := patientSender(openSharedState(t, dir))
+	sender := patientSender(openSharedState(t, dir))
 	next := startProcess(t, dir)
 	next.command("take x 0")
 	if !next.out.Scan() || next.out.Text() != "done <nil>" {
 		t.Fatal(next.out.Text())
 	}
 	far, near := clientConn(t)
-	if err := p.Send(near, true); err != nil {
+	if err := sender.Send(near, true); err != nil {
 		t.Fatal(err)
 	}
 	_ = near.Close()
@@ -76,18 +77,18 @@
 		time.Sleep(time.Millisecond)
 	}
 	far, near = clientConn(t)
-	passed := make(chan error, 1)
-	go func() { passed <- p.Send(near, true) }()
+	sent := make(chan error, 1)
+	go func() { sent <- sender.Send(near, true) }()
 	for written := false; !written; time.Sleep(time.Millisecond) {
-		p.mu.Lock() // pass holds it until the message is written
-		p.successor.mu.Lock()
-		written = len(p.successor.pending) == 1
-		p.successor.mu.Unlock()
-		p.mu.Unlock()
+		sender.mu.Lock() // pass holds it until the message is written
+		sender.successor.mu.Lock()
+		written = len(sender.successor.pending) == 1
+		sender.successor.mu.Unlock()
+		sender.mu.Unlock()
 	}
 	next.kill()
-	if err := <-passed; !errors.Is(err, errNotAccepted) {
-		t.Errorf("passed on to a process that died: %v", err)
+	if err := <-sent; !errors.Is(err, errNotAccepted) {
+		t.Errorf("sending to a killed process: %v", err)
 	}
 	if _, err := near.Write([]byte("still")); err != nil {
 		t.Fatal(err)
@@ -119,7 +120,7 @@
 // returns; later ones go to another process that is ready, or stay with the sender.
 func TestSendToStoppingProcess(t *testing.T) {
 	dir := t.TempDir()
-	p := patientSender(openSharedState(t, dir))
+	sender := patientSender(openSharedState(t, dir))
 	ending := openSharedState(t, dir)
 	gate, taken := make(chan struct{}), new(atomic.Int64)
 	stop, err := ending.ReceiveConns(func(net.Conn, bool) {
@@ -131,16 +132,16 @@
 	}
 	ending.SetReady(true)
 	const many = 5
-	var words []<-chan error
+	var acks []<-chan error
 	for range many {
 		_, near := clientConn(t)
-		word, err := p.send(near, true)
+		ack, err := sender.send(near, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		words = append(words, word)
+		acks = append(acks, ack)
 	}
-	first := p.successor
+	first := sender.successor
 	ending.SetReady(false)
 	stopped := make(chan struct{})
 	go func() {
@@ -149,20 +150,20 @@
 	}()
 	_, near := clientConn(t)
 	for late := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) { // until the sender's link is closed for writing
-		p.mu.Lock()
-		p.successor = first
-		p.mu.Unlock()
-		word, err := p.send(near, true)
+		sender.mu.Lock()
+		sender.successor = first
+		sender.mu.Unlock()
+		word, err := sender.send(near, true)
 		if err != nil {
 			_ = first.SetWriteDeadline(time.Now().Add(time.Second))
 			if _, e := first.Write([]byte{0}); !errors.Is(err, errNoSuccessor) || !errors.Is(e, syscall.EPIPE) {
-				t.Errorf("not passed on: %v; the link: %v", err, e)
+				t.Errorf("connection not sent: %v; writing to the link: %v", err, e)
 			}
 			break
 		}
-		words = append(words, word)
+		acks = append(acks, word)
 		if time.Now().After(late) {
-			t.Fatal("a process that ends goes on taking connections over")
+			t.Fatal("a process that shuts down continues to accept connections")
 		}
 	}
 	next := openSharedState(t, dir)
@@ -171,22 +172,22 @@
 	}
 	next.SetReady(true)
 	far, near := clientConn(t)
-	p.mu.Lock()
-	p.successor = first
-	p.mu.Unlock()
-	if err := p.Send(near, true); err != nil {
+	sender.mu.Lock()
+	sender.successor = first
+	sender.mu.Unlock()
+	if err := sender.Send(near, true); err != nil {
 		t.Error(err)
 	}
 	expectRead(t, far, "next")
 	close(gate)
-	for _, w := range words {
+	for _, w := range acks {
 		if err := <-w; err != nil {
 			t.Error(err)
 		}
 	}
 	<-stopped
-	if n := taken.Load(); n != int64(len(words)) {
-		t.Errorf("%d of %d were taken over", n, len(words))
+	if n := taken.Load(); n != int64(len(acks)) {
+		t.Errorf("%d of %d connections were accepted", n, len(acks))
 	}
 }
 
@@ -194,25 +195,25 @@
 // neither that connection nor any sent behind it is acknowledged: the former process still owns them all.
 func TestSendWithoutDescriptors(t *testing.T) {
 	dir := t.TempDir()
-	p := patientSender(openSharedState(t, dir))
+	sender := patientSender(openSharedState(t, dir))
 	next := openSharedState(t, dir)
 	if _, err := next.ReceiveConns(func(net.Conn, bool) {}); err != nil {
 		t.Fatal(err)
 	}
 	next.SetReady(true)
 	_, near := clientConn(t)
-	if err := p.Send(near, true); err != nil {
+	if err := sender.Send(near, true); err != nil {
 		t.Fatal(err)
 	}
-	p.mu.Lock()
-	to := p.successor
-	word := to.expectAck()
-	_, _, err := to.WriteMsgUnix([]byte{1}, nil, nil) // what arrives if the system discards the descriptor
-	p.mu.Unlock()
+	sender.mu.Lock()
+	successor := sender.successor
+	ack := successor.expectAck()
+	_, _, err := successor.WriteMsgUnix([]byte{1}, nil, nil) // what arrives if the system discards the descriptor
+	sender.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := <-word; !errors.Is(err, errNotAccepted) {
-		t.Errorf("a connection that did not arrive: %v", err)
+	if err := <-ack; !errors.Is(err, errNotAccepted) {
+		t.Errorf("a connection that did not arrive was acknowledged: %v", err)
 	}
 }
