--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -51,7 +51,7 @@
 // Config is the configuration of the admin API.
 type Config struct {
 	Addr           string // address to listen on
-	MaxConnections int    // connections at a time; half as many may be closing in addition, and some being refused; 0: DefaultMost
+	MaxConnections int    // connections at a time, 0: DefaultMaxConnections; half as many more may be closing, and some being refused
 }
 
 // DefaultMaxConnections is the default limit of connections.
@@ -67,6 +67,7 @@
 // maxRefusals is the limit for callers that are being refused at a time.
 func (c Config) maxRefusals() int { return max(1, c.maxConnections()/connectionsPerRefusal) }
 
+// maxConnections is the limit of connections, with the default applied.
 func (c Config) maxConnections() int {
 	if c.MaxConnections <= 0 {
 		return DefaultMaxConnections
@@ -112,7 +113,7 @@
 		"call again until the answer is yes", e.ID, e.Waited)
 }
 
-// callError is the error of a call that is malformed, or refused before the backend has it.
+// callError is the error of a call that is malformed, or refused before it reaches the backend.
 type callError struct {
 	status           int
 	found, want, fix string
@@ -178,115 +179,116 @@
 
 const (
 	incomplete stage = iota // no complete call has been read
-	evicting                // asked to end for another connection, unless its call turns out to be complete
+	evicting                // asked to end, unless its call turns out to be complete
 	executing               // its call is being carried out
 	lingering               // it has its answer and lingers
 	closing                 // it has its answer and must end now
 )
 
-// New returns a server that passes calls to op. It does nothing before Start.
-func New(conf Config, op Backend, log *slog.Logger) *Server {
-	return &Server{conf: conf, backend: op, log: log, freed: make(chan struct{}, 1)}
+// New returns a server that passes calls to backend. It does nothing before Start.
+func New(conf Config, backend Backend, log *slog.Logger) *Server {
+	return &Server{conf: conf, backend: backend, log: log, freed: make(chan struct{}, 1)}
 }
 
 // Start listens and begins to serve in the background.
-func (d *Server) Start() error {
-	l, err := net.Listen("tcp", d.conf.Addr)
+func (s *Server) Start() error {
+	l, err := net.Listen("tcp", s.conf.Addr)
 	if err != nil {
-		return fmt.Errorf("admin_addr: can't listen on %q: %w; want a free address of this machine; name another one or end who has it", d.conf.Addr, err)
+		return fmt.Errorf("admin_addr: can't listen on %q: %w; want a free address of this machine; configure another one or stop the program that uses it", s.conf.Addr, err)
 	}
-	d.listener = l
-	d.active.Add(1)
-	go d.accept()
+	s.listener = l
+	s.active.Add(1)
+	go s.accept()
 	return nil
 }
 
 // Addr returns the address of the listener. It must not be called before Start.
-func (d *Server) Addr() net.Addr { return d.listener.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Close stops the server: callers that have already connected are accepted, complete calls are answered, callers may read
-// their answers, and connections that are still open after closeWait are closed.
-func (d *Server) Close() {
-	d.mu.Lock()
-	d.closed = true
-	if l, ok := d.listener.(interface{ SetDeadline(time.Time) error }); ok {
+// their answers, and connections that are still open after closeTimeout are closed.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.closed = true
+	if l, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok {
 		_ = l.SetDeadline(time.Now().Add(acceptGrace))
 	} else {
-		_ = d.listener.Close()
+		_ = s.listener.Close()
 	}
-	for _, c := range d.conns {
+	for _, c := range s.conns {
 		if c.stage == incomplete {
 			c.stage = evicting
 			_ = c.SetReadDeadline(time.Now())
 		}
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	late := time.AfterFunc(closeTimeout, func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		for _, c := range slices.Concat(d.conns, d.refusing) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for _, c := range slices.Concat(s.conns, s.refusing) {
 			_ = c.Close()
 		}
 	})
-	d.active.Wait()
+	s.active.Wait()
 	late.Stop()
-	_ = d.listener.Close()
+	_ = s.listener.Close()
 }
 
-func (d *Server) accept() {
-	defer d.active.Done()
+// accept accepts connections until Close.
+func (s *Server) accept() {
+	defer s.active.Done()
 	for {
-		nc, err := d.listener.Accept()
+		nc, err := s.listener.Accept()
 		if err == nil {
-			d.admit(nc)
+			s.admit(nc)
 			continue
 		}
-		d.mu.Lock()
-		closed := d.closed
-		d.mu.Unlock()
+		s.mu.Lock()
+		closed := s.closed
+		s.mu.Unlock()
 		if closed || errors.Is(err, net.ErrClosed) {
 			return
 		}
-		d.acceptErrorLog.Warn(d.log, "operators' accept failed", "err", err) // most likely out of file descriptors
+		s.acceptErrorLog.Warn(s.log, "operators' accept failed", "err", err) // most likely out of file descriptors
 		time.Sleep(acceptRetryPause)
 	}
 }
 
 // admit accepts a connection and serves it. At the limit, the connection that has been open longest without a complete call
 // is asked to end; its goroutine ends it unless what it has read by then is a complete call. If too many connections are
-// ending, or all have calls in progress, the new one waits up to roomWait, and is then refused.
-func (d *Server) admit(nc net.Conn) {
+// ending, or all have calls in progress, the new one waits up to capacityTimeout, and is then refused.
+func (s *Server) admit(nc net.Conn) {
 	c := &conn{Conn: nc}
-	most := d.conf.maxConnections()
-	for late := time.Now().Add(capacityTimeout); ; {
-		d.mu.Lock()
-		n := len(d.conns)
-		if n >= most {
-			d.evict(n - most + 1)
+	limit := s.conf.maxConnections()
+	for deadline := time.Now().Add(capacityTimeout); ; {
+		s.mu.Lock()
+		n := len(s.conns)
+		if n >= limit {
+			s.evict(n - limit + 1)
 		}
-		if n < most+most/2 {
-			if d.closed {
+		if n < limit+limit/2 {
+			if s.closed {
 				c.stage = evicting
 				_ = c.SetReadDeadline(time.Now().Add(unreadGrace))
 			} else {
 				_ = c.SetReadDeadline(time.Now().Add(readTimeout))
 			}
-			d.conns = append(d.conns, c)
-			d.active.Add(1)
-			d.mu.Unlock()
-			go d.serve(c)
+			s.conns = append(s.conns, c)
+			s.active.Add(1)
+			s.mu.Unlock()
+			go s.serve(c)
 			return
 		}
-		left := time.Until(late)
-		if left <= 0 || d.closed {
-			d.refuse(c)
-			d.mu.Unlock()
+		left := time.Until(deadline)
+		if left <= 0 || s.closed {
+			s.refuse(c)
+			s.mu.Unlock()
 			return
 		}
-		d.mu.Unlock()
+		s.mu.Unlock()
 		wait := time.NewTimer(left)
 		select {
-		case <-d.freed:
+		case <-s.freed:
 		case <-wait.C:
 		}
 		wait.Stop()
@@ -295,33 +297,33 @@
 
 // refuse answers a caller that there are too many calls, or closes its connection without an answer while too many callers
 // are being refused. The lock must be held.
-func (d *Server) refuse(c *conn) {
-	n := len(d.conns)
-	d.capacityLog.Warn(d.log, "operators' call refused: too many at a time", "open", n)
-	if len(d.refusing) >= d.conf.maxRefusals() {
+func (s *Server) refuse(c *conn) {
+	n := len(s.conns)
+	s.capacityLog.Warn(s.log, "operators' call refused: too many at a time", "open", n)
+	if len(s.refusing) >= s.conf.maxRefusals() {
 		_ = c.Close()
 		return
 	}
-	d.refusing = append(d.refusing, c)
-	d.active.Add(1)
+	s.refusing = append(s.refusing, c)
+	s.active.Add(1)
 	go func() {
-		defer d.active.Done()
+		defer s.active.Done()
 		defer func() {
 			_ = c.Close()
-			d.mu.Lock()
-			d.refusing = slices.DeleteFunc(d.refusing, func(o *conn) bool { return o == c })
-			d.mu.Unlock()
+			s.mu.Lock()
+			s.refusing = slices.DeleteFunc(s.refusing, func(o *conn) bool { return o == c })
+			s.mu.Unlock()
 		}()
-		d.respond(c, callError{http.StatusServiceUnavailable, fmt.Sprintf("%d calls are being answered", n), "fewer at a time", "call again"}, false)
+		s.respond(c, callError{http.StatusServiceUnavailable, fmt.Sprintf("%d calls are being answered", n), "fewer at a time", "call again"}, false)
 	}()
 }
 
 // evict asks connections to end until want are ending: those that have their answer, then the one that has been open
 // longest without a complete call. A connection with unread bytes comes last, as they may complete its call. The lock must
 // be held.
-func (d *Server) evict(want int) {
-	var late *conn
-	for _, c := range d.conns {
+func (s *Server) evict(want int) {
+	var victim *conn
+	for _, c := range s.conns {
 		switch {
 		case c.stage == lingering:
 			c.stage = closing
@@ -329,54 +331,54 @@
 			want--
 		case c.stage == closing, c.stage == evicting:
 			want--
-		case c.stage == incomplete && late == nil && !hasUnread(c.Conn):
-			late = c
+		case c.stage == incomplete && victim == nil && !hasUnread(c.Conn):
+			victim = c
 		}
 	}
-	for _, c := range d.conns {
-		if late == nil && c.stage == incomplete {
-			late = c
+	for _, c := range s.conns {
+		if victim == nil && c.stage == incomplete {
+			victim = c
 		}
 	}
-	if late != nil && want > 0 {
-		late.stage = evicting
-		_ = late.SetReadDeadline(time.Now())
-		d.capacityLog.Warn(d.log, "operators' connection closed: no whole call, and another needs the room", "open", len(d.conns), "remote", late.RemoteAddr())
+	if victim != nil && want > 0 {
+		victim.stage = evicting
+		_ = victim.SetReadDeadline(time.Now())
+		s.capacityLog.Warn(s.log, "operators' connection closed: no whole call, and another needs the room", "open", len(s.conns), "remote", victim.RemoteAddr())
 	}
 }
 
 // hasUnread reports whether the socket holds bytes that have not been read.
-func hasUnread(c net.Conn) (some bool) {
+func hasUnread(c net.Conn) (pending bool) {
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			_ = raw.Control(func(fd uintptr) {
 				n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
-				some = err == nil && n > 0
+				pending = err == nil && n > 0
 			})
 		}
 	}
-	return some
+	return pending
 }
 
 // setStage sets the stage of a connection and returns the former one.
-func (d *Server) setStage(c *conn, s stage) stage {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	was := c.stage
-	c.stage = s
-	return was
+func (s *Server) setStage(c *conn, to stage) stage {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	former := c.stage
+	c.stage = to
+	return former
 }
 
 // serve reads one call and answers it.
-func (d *Server) serve(c *conn) {
-	defer d.active.Done()
+func (s *Server) serve(c *conn) {
+	defer s.active.Done()
 	defer func() {
 		_ = c.Close()
-		d.mu.Lock()
-		d.conns = slices.DeleteFunc(d.conns, func(o *conn) bool { return o == c })
-		d.mu.Unlock()
+		s.mu.Lock()
+		s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
+		s.mu.Unlock()
 		select {
-		case d.freed <- struct{}{}:
+		case s.freed <- struct{}{}:
 		default:
 		}
 	}()
@@ -384,27 +386,27 @@
 	if err != nil && !errors.As(err, new(callError)) {
 		return // the caller closed the connection
 	}
-	if was := d.setStage(c, executing); was == evicting && err != nil { // a call that was complete by then is carried out
+	if former := s.setStage(c, executing); former == evicting && err != nil { // a call that was complete by then is carried out
 		err = callError{http.StatusServiceUnavailable, "no whole call has come, and another caller needs the room", "the call right after connecting", "call again"}
 	}
 	if err == nil {
-		err = d.execute(call)
+		err = s.execute(call)
 	}
 	head := call != nil && call.Method == http.MethodHead
-	d.respond(c, err, head)
+	s.respond(c, err, head)
 	if err != nil {
 		args := []any{"remote", c.RemoteAddr(), "status", httpStatus(err), "err", err}
 		if call != nil {
 			args = append(args, "method", call.Method, "path", call.URL.Path)
 		}
-		d.failedCallLog.Info(d.log, "operator's call answered no", args...)
+		s.failedCallLog.Info(s.log, "operator's call answered no", args...)
 	}
 }
 
 // respond writes an answer and closes the connection by a lingering close: it closes the sending side and reads what the
 // caller still sends, because closing a socket with unread bytes resets the connection, and the caller could lose the
-// answer. lingerWait, lingerMost and lingerRead bound it, and makeRoom ends it earlier.
-func (d *Server) respond(c *conn, err error, head bool) {
+// answer. lingerIdleTimeout, lingerTimeout and maxLingerBytes bound it, and evict ends it earlier.
+func (s *Server) respond(c *conn, err error, head bool) {
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(response(err, head)); err != nil {
 		return
@@ -414,11 +416,11 @@
 		return
 	}
 	c.extended = false
-	d.setStage(c, lingering)
-	end, b := time.Now().Add(lingerTimeout), make([]byte, 4<<10)
+	s.setStage(c, lingering)
+	deadline, buf := time.Now().Add(lingerTimeout), make([]byte, 4<<10)
 	for left := maxLingerBytes; left > 0; {
-		d.setLingerDeadline(c, end)
-		n, err := c.Read(b)
+		s.setLingerDeadline(c, deadline)
+		n, err := c.Read(buf)
 		if left -= n; err != nil {
 			return
 		}
@@ -426,18 +428,18 @@
 }
 
 // setLingerDeadline sets the deadline of the next read of a lingering connection, unless that must end now.
-func (d *Server) setLingerDeadline(c *conn, end time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if until := time.Now().Add(lingerIdleTimeout); c.stage == lingering && until.Before(end) {
+func (s *Server) setLingerDeadline(c *conn, latest time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if until := time.Now().Add(lingerIdleTimeout); c.stage == lingering && until.Before(latest) {
 		_ = c.SetReadDeadline(until)
 	} else if c.stage == lingering {
-		_ = c.SetReadDeadline(end)
+		_ = c.SetReadDeadline(latest)
 	}
 }
 
 // execute carries out a call.
-func (d *Server) execute(call *http.Request) error {
+func (s *Server) execute(call *http.Request) error {
 	verb, id, err := parseRoute(call.Method, call.URL)
 	if err != nil {
 		return err
@@ -446,11 +448,11 @@
 	defer cancel()
 	switch verb {
 	case "suspend":
-		return d.backend.Suspend(ctx, id)
+		return s.backend.Suspend(ctx, id)
 	case "resume":
-		return d.backend.Resume(ctx, id)
+		return s.backend.Resume(ctx, id)
 	}
-	return d.backend.Ready()
+	return s.backend.Ready()
 }
 
 // parseRoute parses method and path of a call: readyz, or suspend or resume with the id of a db machine.
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -44,14 +44,15 @@
 
 func (o *fakeBackend) Resume(ctx context.Context, id string) error { return o.Suspend(ctx, id) }
 
-func startServer(t *testing.T, most int, op Backend) (*Server, string) {
+// startServer starts a server with the given limit of connections and returns its address.
+func startServer(t *testing.T, maxConnections int, op Backend) (*Server, string) {
 	t.Helper()
-	d := New(Config{Addr: "127.0.0.1:0", MaxConnections: most}, op, slog.New(slog.DiscardHandler))
-	if err := d.Start(); err != nil {
+	srv := New(Config{Addr: "127.0.0.1:0", MaxConnections: maxConnections}, op, slog.New(slog.DiscardHandler))
+	if err := srv.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	return d, d.Addr().String()
+	t.Cleanup(srv.Close)
+	return srv, srv.Addr().String()
 }
 
 // callOnce sends a complete call in the given pieces and returns the answer.
@@ -78,17 +79,18 @@
 	return a.StatusCode, string(text), err
 }
 
+// suspendCall is a call that the backend answers with yes.
 const suspendCall = "POST /v1/db-machines/m%201/suspend HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
 
 // TestIdleHolders: many callers keep connections open, send nothing or a byte at a time, and reconnect when they are closed.
 // Complete calls are answered nevertheless, and the number of connections stays within its limit.
 func TestIdleHolders(t *testing.T) {
-	d, addr := startServer(t, 16, new(fakeBackend))
+	srv, addr := startServer(t, 16, new(fakeBackend))
 	hold, end := context.WithCancel(t.Context())
 	var holders sync.WaitGroup
 	defer holders.Wait()
 	defer end()
-	var up atomic.Int64
+	var connected atomic.Int64
 	for i := range 200 {
 		holders.Add(1)
 		go func() {
@@ -99,7 +101,7 @@
 					t.Error(err)
 					return
 				}
-				up.Add(1)
+				connected.Add(1)
 				stop := context.AfterFunc(hold, func() { _ = nc.Close() })
 				for k := 0; i%2 == 0 && k < len(suspendCall)-1; k++ {
 					if _, err := io.WriteString(nc, suspendCall[k:k+1]); err != nil {
@@ -114,7 +116,7 @@
 			}
 		}()
 	}
-	for up.Load() < 200 {
+	for connected.Load() < 200 {
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
@@ -125,11 +127,11 @@
 		if code != 200 || err != nil {
 			t.Fatal("a whole call among holders:", code, text, err)
 		}
-		d.mu.Lock()
-		if n := len(d.conns); n > 24 {
+		srv.mu.Lock()
+		if n := len(srv.conns); n > 24 {
 			t.Errorf("%d connections", n)
 		}
-		d.mu.Unlock()
+		srv.mu.Unlock()
 	}
 }
 
@@ -137,16 +139,16 @@
 // while all connections wait for answers, a new caller is told so.
 func TestSlowAndStalledCallers(t *testing.T) {
 	op := &fakeBackend{stall: make(chan struct{})}
-	d, addr := startServer(t, 2, op)
+	srv, addr := startServer(t, 2, op)
 	for range 2 {
 		if code, text, err := callOnce(addr, suspendCall); code != 503 || !strings.Contains(text, "nothing was changed, call again") || err != nil {
 			t.Fatal(code, text, err)
 		}
 	}
 	for left := 1; left > 0; time.Sleep(time.Millisecond) {
-		d.mu.Lock()
-		left = len(d.conns)
-		d.mu.Unlock()
+		srv.mu.Lock()
+		left = len(srv.conns)
+		srv.mu.Unlock()
 	}
 	answers := make(chan int, 2)
 	for range 2 {
@@ -157,13 +159,13 @@
 	}
 	for n := 0; n < 2; {
 		n = 0
-		d.mu.Lock()
-		for _, c := range d.conns {
+		srv.mu.Lock()
+		for _, c := range srv.conns {
 			if c.stage == executing {
 				n++
 			}
 		}
-		d.mu.Unlock()
+		srv.mu.Unlock()
 		if len(answers) > 0 {
 			break // on a loaded machine the two calls may not overlap
 		}
@@ -229,34 +231,34 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		op := new(fakeBackend)
-		d := New(Config{}, op, slog.New(slog.DiscardHandler))
-		s := &scriptedConn{in: strings.NewReader(text)}
-		d.admit(s)
-		d.active.Wait()
-		if len(d.conns) != 0 {
-			t.Fatal("kept")
+		srv := New(Config{}, op, slog.New(slog.DiscardHandler))
+		conn := &scriptedConn{in: strings.NewReader(text)}
+		srv.admit(conn)
+		srv.active.Wait()
+		if len(srv.conns) != 0 {
+			t.Fatal("a connection was not closed")
 		}
-		out := bufio.NewReader(bytes.NewReader(bytes.TrimPrefix(s.out.Bytes(), []byte("HTTP/1.1 100 Continue\r\n\r\n"))))
+		out := bufio.NewReader(bytes.NewReader(bytes.TrimPrefix(conn.out.Bytes(), []byte("HTTP/1.1 100 Continue\r\n\r\n"))))
 		if _, err := out.Peek(1); err != nil {
 			if op.calls.Load() > 0 {
-				t.Fatal("done without an answer")
+				t.Fatal("the call was carried out without an answer")
 			}
 			return
 		}
 		q := &http.Request{Method: "POST"}
-		if bytes.HasSuffix(s.out.Bytes(), []byte("\r\n\r\n")) { // the answer to a HEAD
+		if bytes.HasSuffix(conn.out.Bytes(), []byte("\r\n\r\n")) { // the answer to a HEAD
 			q.Method = "HEAD"
 		}
 		a, err := http.ReadResponse(out, q)
 		if err != nil {
-			t.Fatalf("%v in %q", err, s.out.String())
+			t.Fatalf("%v in %q", err, conn.out.String())
 		}
 		body, err := io.ReadAll(a.Body)
 		if err != nil || out.Buffered() > 0 || q.Method == "HEAD" != strings.Contains(text, "HEAD ") && len(body) < 4 || !a.Close {
-			t.Fatalf("answer %q, %v", s.out.String(), err)
+			t.Fatalf("answer %q, %v", conn.out.String(), err)
 		}
 		if post := strings.Contains(text, "POST "); op.calls.Load() > 0 && !post || a.StatusCode == 200 && !post && !strings.Contains(text, "GET ") {
-			t.Fatalf("%q was answered %q", text, s.out.String())
+			t.Fatalf("%q was answered %q", text, conn.out.String())
 		}
 	})
 }
--- a/internal/adminapi/linger_test.go
+++ b/internal/adminapi/linger_test.go
@@ -44,32 +44,32 @@
 }
 
 // awaitStage waits until exactly many connections are in a stage.
-func awaitStage(t *testing.T, d *Server, want stage, many int) {
+func awaitStage(t *testing.T, srv *Server, want stage, count int) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		n := 0
-		d.mu.Lock()
-		for _, c := range d.conns {
+		srv.mu.Lock()
+		for _, c := range srv.conns {
 			if c.stage == want {
 				n++
 			}
 		}
-		d.mu.Unlock()
-		if n == many {
+		srv.mu.Unlock()
+		if n == count {
 			return
 		}
 		if time.Now().After(late) {
-			t.Fatalf("%d connections are at stage %d, want %d", n, want, many)
+			t.Fatalf("%d connections are at stage %d, want %d", n, want, count)
 		}
 	}
 }
 
 // TestOversizedCall: a caller that exceeds the size limit, and continues to send after the answer, still receives the error.
 func TestOversizedCall(t *testing.T) {
-	d, addr := startServer(t, 4, new(fakeBackend))
+	srv, addr := startServer(t, 4, new(fakeBackend))
 	nc := dialCaller(t, addr)
 	send(t, nc, "POST /v1/db-machines/m/suspend HTTP/1.1\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("a", maxCallSize))
-	awaitStage(t, d, lingering, 1)
+	awaitStage(t, srv, lingering, 1)
 	for range 30 {
 		send(t, nc, strings.Repeat("b", 8<<10))
 	}
@@ -80,10 +80,10 @@
 // not lost.
 func TestSecondCallDuringAnswer(t *testing.T) {
 	op := new(fakeBackend)
-	d, addr := startServer(t, 4, op)
+	srv, addr := startServer(t, 4, op)
 	nc := dialCaller(t, addr)
 	send(t, nc, suspendCall)
-	awaitStage(t, d, lingering, 1)
+	awaitStage(t, srv, lingering, 1)
 	send(t, nc, suspendCall)
 	readAnswer(t, nc, "HTTP/1.1 200 ")
 	if n := op.calls.Load(); n != 1 {
@@ -94,7 +94,7 @@
 // TestHalfClose: a caller that closes its sending side after a call gets the answer; one that does so within a call gets
 // none, and its connection is closed.
 func TestHalfClose(t *testing.T) {
-	d, addr := startServer(t, 4, new(fakeBackend))
+	srv, addr := startServer(t, 4, new(fakeBackend))
 	for _, text := range []string{suspendCall, suspendCall[:len(suspendCall)-3], ""} {
 		nc := dialCaller(t, addr)
 		send(t, nc, text)
@@ -107,16 +107,16 @@
 			readAnswer(t, nc)
 		}
 	}
-	awaitNoConnections(t, d)
+	awaitNoConnections(t, srv)
 }
 
 // awaitNoConnections waits until the server has no connection.
-func awaitNoConnections(t *testing.T, d *Server) {
+func awaitNoConnections(t *testing.T, srv *Server) {
 	t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
-		d.mu.Lock()
-		n := len(d.conns) + len(d.refusing)
-		d.mu.Unlock()
+		srv.mu.Lock()
+		n := len(srv.conns) + len(srv.refusing)
+		srv.mu.Unlock()
 		if n == 0 {
 			return
 		}
@@ -130,27 +130,27 @@
 // and the number of callers being refused is bounded.
 func TestRefusals(t *testing.T) {
 	op := &fakeBackend{stall: make(chan struct{})}
-	d := New(Config{Addr: "127.0.0.1:0", MaxConnections: 2}, op, slog.New(slog.DiscardHandler))
+	srv := New(Config{Addr: "127.0.0.1:0", MaxConnections: 2}, op, slog.New(slog.DiscardHandler))
 	for range 3 { // added without being served: they use up the limit
-		d.conns = append(d.conns, &conn{Conn: new(scriptedConn), stage: executing})
+		srv.conns = append(srv.conns, &conn{Conn: new(scriptedConn), stage: executing})
 	}
-	if err := d.Start(); err != nil {
+	if err := srv.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		nc := dialCaller(t, d.Addr().String())
+		nc := dialCaller(t, srv.Addr().String())
 		send(t, nc, suspendCall)
 		readAnswer(t, nc, "HTTP/1.1 503 ", "are being answered")
 		_ = nc.Close()
 		for left := 1; left > 0; time.Sleep(time.Millisecond) {
-			d.mu.Lock()
-			left = len(d.refusing)
-			d.mu.Unlock()
+			srv.mu.Lock()
+			left = len(srv.refusing)
+			srv.mu.Unlock()
 		}
 	}
 	var all []net.Conn
 	for range 8 { // they do not close
-		all = append(all, dialCaller(t, d.Addr().String()))
+		all = append(all, dialCaller(t, srv.Addr().String()))
 	}
 	answered, silent := 0, 0
 	for _, nc := range all {
@@ -160,29 +160,29 @@
 		case strings.HasPrefix(string(text), "HTTP/1.1 503 "):
 			answered++
 		}
-		d.mu.Lock()
-		if n := len(d.refusing); n > d.conf.maxRefusals() {
+		srv.mu.Lock()
+		if n := len(srv.refusing); n > srv.conf.maxRefusals() {
 			t.Errorf("%d callers are being refused", n)
 		}
-		d.mu.Unlock()
+		srv.mu.Unlock()
 	}
 	if answered == 0 || answered+silent != len(all) {
 		t.Errorf("%d refused, %d closed", answered, silent)
 	}
-	d.mu.Lock()
-	d.conns = nil
-	d.mu.Unlock()
-	d.Close()
-	awaitNoConnections(t, d)
+	srv.mu.Lock()
+	srv.conns = nil
+	srv.mu.Unlock()
+	srv.Close()
+	awaitNoConnections(t, srv)
 }
 
 // TestCallOnEvictedConnection: a call that arrives while its connection is asked to make room for another gets an answer, the result or
 // a refusal.
 func TestCallOnEvictedConnection(t *testing.T) {
-	d, addr := startServer(t, 2, new(fakeBackend))
+	srv, addr := startServer(t, 2, new(fakeBackend))
 	first, second := dialCaller(t, addr), dialCaller(t, addr)
 	send(t, first, suspendCall[:20])
-	awaitStage(t, d, incomplete, 2)
+	awaitStage(t, srv, incomplete, 2)
 	third := dialCaller(t, addr) // the first or the second, which has no unread bytes, makes room for it
 	send(t, first, suspendCall[20:])
 	send(t, second, suspendCall)
@@ -190,42 +190,42 @@
 	readAnswer(t, first, "HTTP/1.1 ")
 	readAnswer(t, second, "HTTP/1.1 ")
 	readAnswer(t, third, "HTTP/1.1 200 ")
-	awaitNoConnections(t, d)
+	awaitNoConnections(t, srv)
 }
 
 // TestClose: Close lets calls in progress and complete calls that were not read yet be answered; a caller that only holds a
 // connection does not delay it.
 func TestClose(t *testing.T) {
 	op := &fakeBackend{stall: make(chan struct{})}
-	d, addr := startServer(t, 8, op)
-	working1, holder := dialCaller(t, addr), dialCaller(t, addr)
-	send(t, working1, suspendCall)
-	awaitStage(t, d, executing, 1)
-	awaitStage(t, d, incomplete, 1)
+	srv, addr := startServer(t, 8, op)
+	executingCaller, holder := dialCaller(t, addr), dialCaller(t, addr)
+	send(t, executingCaller, suspendCall)
+	awaitStage(t, srv, executing, 1)
+	awaitStage(t, srv, incomplete, 1)
 	late := dialCaller(t, addr)
 	send(t, late, "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n")
 	closed := make(chan struct{})
 	go func() {
-		d.Close()
+		srv.Close()
 		close(closed)
 	}()
 	for shut := false; !shut; time.Sleep(time.Millisecond) {
-		d.mu.Lock()
-		shut = d.closed
-		d.mu.Unlock()
+		srv.mu.Lock()
+		shut = srv.closed
+		srv.mu.Unlock()
 	}
 	close(op.stall)
-	readAnswer(t, working1, "HTTP/1.1 200 ", "\r\nyes\n")
+	readAnswer(t, executingCaller, "HTTP/1.1 200 ", "\r\nyes\n")
 	readAnswer(t, late, "HTTP/1.1 200 ", "\r\nyes\n")
 	<-closed
 	readAnswer(t, holder)
-	awaitNoConnections(t, d)
+	awaitNoConnections(t, srv)
 }
 
 // TestLargeInputThenDisconnect: callers that send much at once and leave, by a close or a reset, leave no connection behind, and others
 // are answered.
 func TestLargeInputThenDisconnect(t *testing.T) {
-	d, addr := startServer(t, 4, new(fakeBackend))
+	srv, addr := startServer(t, 4, new(fakeBackend))
 	text := []byte("POST /v1/db-machines/m/suspend HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n" + strings.Repeat("a", 200<<10))
 	for i := range 30 {
 		nc := dialCaller(t, addr)
@@ -239,5 +239,5 @@
 	send(t, nc, suspendCall)
 	readAnswer(t, nc, "HTTP/1.1 200 ")
 	_ = nc.Close()
-	awaitNoConnections(t, d)
+	awaitNoConnections(t, srv)
 }
