--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -159,14 +159,14 @@
 	closed  bool
 }
 
-// NewConnSender returns a Passer. It connects to the successor when the first connection is sent.
+// NewConnSender returns a ConnSender. It connects to the successor when the first connection is sent.
 func (s *SharedState) NewConnSender() *ConnSender {
 	return &ConnSender{state: s, ackTimeout: ackTimeout}
 }
 
 // Send hands a connection over to the most recently started process that is ready. If it returns nil, the caller may only
 // close its copy of the connection; with an error the caller still owns the connection, also if the other process died
-// before it accepted it. Without an acknowledgement in time the other process may still accept it, so Pass returns nil.
+// before it accepted it. Without an acknowledgement in time the other process may still accept it, so Send returns nil.
 func (p *ConnSender) Send(nc net.Conn, began bool) error {
 	ack, err := p.send(nc, began)
 	if err != nil {
--- a/internal/pgfront/adopt_test.go
+++ b/internal/pgfront/adopt_test.go
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 2)
 		var peers []*peer
-		for range 4 { // Max and Spare
+		for range 4 { // MaxConnections and SpareConnections
 			a, b := net.Pipe()
 			s.Adopt(b, true)
 			peers = append(peers, newPeer(a))
--- a/internal/pgfront/cancel.go
+++ b/internal/pgfront/cancel.go
@@ -88,9 +88,9 @@
 	maxReadAhead        = 512 << 10 // limit in bytes on all connections: 1/64 of the smallest memory that a deployment may have
 )
 
-// awaitAnswer waits for the answer to q. Commands that follow may arrive meanwhile and stay in the reader; the read also detects
-// that the client closes the connection. If they fill the reader, it is enlarged within limits; beyond these, the socket is
-// polled for the end of the client's side.
+// awaitAnswer waits for the answer to q. Commands that follow may arrive meanwhile and stay in the reader; the read also
+// detects that the client closes the connection. If they fill the reader, it is enlarged within limits; beyond these, the
+// socket is polled for the end of the client's side.
 func (c *conn) awaitAnswer(q *core.Request) (message, error) {
 	c.current.Store(q)
 	defer c.current.Store(nil)
@@ -107,9 +107,9 @@
 			if peerclose.Detected(c.Conn.Conn) {
 				return message{}, errClientGone
 			}
-			look := time.AfterFunc(peerclose.CheckInterval, func() { c.Post(message{expiredRead: noRead}) })
+			poll := time.AfterFunc(peerclose.CheckInterval, func() { c.Post(message{expiredRead: noRead}) })
 			c.WaitForMessage()
-			look.Stop()
+			poll.Stop()
 		} else if _, err := c.Reader.Peek(n + 1); err != nil && !errors.Is(err, interruptible.ErrInterrupted) {
 			return message{}, errClientGone
 		}
@@ -139,7 +139,7 @@
 	return true
 }
 
-// shrinkReader undoes widen as far as the buffered bytes allow.
+// shrinkReader undoes growReader as far as the buffered bytes allow.
 func (c *conn) shrinkReader() {
 	size := initialReadSize
 	for size < c.Reader.Buffered() {
--- a/internal/pgfront/cancel_test.go
+++ b/internal/pgfront/cancel_test.go
@@ -221,12 +221,12 @@
 func TestCancel(t *testing.T) {
 	f := &fakeCore{}
 	s, _ := newServer(f, 8)
-	hello := pgwire.AppendStartup(nil, "app", "shop")
+	startup := pgwire.AppendStartup(nil, "app", "shop")
 	c, r := dialTCP(t, s)
-	_, _ = c.Write(hello)
+	_, _ = c.Write(startup)
 	mine := readStartup(t, r)
 	other, or := dialTCP(t, s)
-	_, _ = other.Write(append(slices.Clone(hello), queryMessage(strings.Replace(selectStatement, "id=1", "id=2", 1))...))
+	_, _ = other.Write(append(slices.Clone(startup), queryMessage(strings.Replace(selectStatement, "id=1", "id=2", 1))...))
 	theirs := readStartup(t, or)
 	if mine.pid == 0 || mine.pid == theirs.pid {
 		t.Errorf("keys %+v and %+v", mine, theirs)
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -56,8 +56,8 @@
 // TestRequestDuringClose: for whatever reason the gateway closes a connection, a request that arrives between its last read and
 // the close neither resets the connection, by which the client could lose the last answer, nor reaches the core.
 func TestRequestDuringClose(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	ask := append(slices.Clone(hello), queryMessage("")...) // the front itself answers it
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	startupAndCommand := append(slices.Clone(startup), queryMessage("")...) // the front itself answers it
 	for name, tc := range map[string]struct {
 		most  int
 		text  []byte
@@ -65,25 +65,25 @@
 		serve func(s *Server, nc net.Conn)
 		then  func(s *Server) // once the connection is idle
 	}{
-		"idle": {1, ask, "IZ", (*Server).Handle, func(s *Server) {
+		"idle": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) {
 			time.Sleep(minIdleAge)
 			s.closeIdle()
 		}},
-		"room": {1, ask, "IZ", (*Server).Handle, func(s *Server) {
+		"room": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.evictIdle()
 		}},
-		"quiesce":  {1, ask, "IZ", (*Server).Handle, func(s *Server) { s.Quiesce(true) }},
-		"shutdown": {1, ask, "IZ", (*Server).Handle, func(s *Server) { go s.Shutdown() }},
+		"quiesce":  {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) { s.Quiesce(true) }},
+		"shutdown": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) { go s.Shutdown() }},
 		"no startup yet": {1, nil, "", func(s *Server, nc net.Conn) {
 			s.Handle(nc)
 			go s.Shutdown()
 		}, nil},
-		"terminate": {1, append(slices.Clone(ask), pgwire.Append(nil, 'X')...), "IZ", (*Server).Handle, nil},
-		"protocol":  {1, append(slices.Clone(ask), pgwire.Append(nil, '!')...), "IZE", (*Server).Handle, nil},
-		"too slow":  {1, append(slices.Clone(ask), 'Q', 0), "IZE", (*Server).Handle, nil},
-		"refused":   {0, hello, "E", (*Server).Handle, nil},
+		"terminate": {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, 'X')...), "IZ", (*Server).Handle, nil},
+		"protocol":  {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, '!')...), "IZE", (*Server).Handle, nil},
+		"too slow":  {1, append(slices.Clone(startupAndCommand), 'Q', 0), "IZE", (*Server).Handle, nil},
+		"refused":   {0, startup, "E", (*Server).Handle, nil},
 		"closed": {0, nil, "E", func(s *Server, nc net.Conn) {
 			s.refusing = (s.conf.SpareConnections + 1) / 2
 			s.Handle(nc)
@@ -104,12 +104,12 @@
 			s.conf.StartupTimeout, s.conf.LingerTimeout = 200*time.Millisecond, time.Hour
 			s.conf.SpareConnections = max(s.conf.SpareConnections, 4)
 			near, far := tcpPair(t)
-			looks := interruptible.New[int](far, 16)
+			watch := interruptible.New[int](far, 16)
 			nc := &interceptedConn{TCPConn: far, beforeClose: func() {
 				if _, err := near.Write(queryMessage(selectStatement)); err != nil {
 					t.Error(err)
 				}
-				for looks.NoPendingInput() { // if they never arrive, the test's timeout ends the wait
+				for watch.NoPendingInput() { // if they never arrive, the test's timeout ends the wait
 					runtime.Gosched()
 				}
 			}}
@@ -243,13 +243,13 @@
 // TestAbandonPartialMessages: at the end of a shutdown the server does not wait for the rest of a command, wherever its client stopped, and
 // closes the connection without a reset; a request in progress is answered first, and so are complete commands behind it.
 func TestAbandonPartialMessages(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	after := func(text []byte) []byte { return append(slices.Clone(hello), text...) }
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	after := func(text []byte) []byte { return append(slices.Clone(startup), text...) }
 	for name, tc := range map[string]struct {
 		text []byte
 		want string
 	}{
-		"half a startup": {hello[:9], ""}, "half a header": {after([]byte{'Q', 0}), ""}, "half a command": {after(queryMessage(selectStatement)[:40]), ""},
+		"half a startup": {startup[:9], ""}, "half a header": {after([]byte{'Q', 0}), ""}, "half a command": {after(queryMessage(selectStatement)[:40]), ""},
 		"half a long command": {after(queryMessage(selectStatement + string(make([]byte, 2*initialReadSize)))[:initialReadSize+100]), ""},
 		"half an unknown one": {after([]byte{'P', 0, 0, 1, 0, 'x'}), ""},
 		"in work":             {after(queryMessage(selectStatement)), "EZ"},
@@ -265,24 +265,24 @@
 			if _, err := near.Write(tc.text); err != nil {
 				t.Fatal(err)
 			}
-			looks := interruptible.New[int](far, 16)
+			watch := interruptible.New[int](far, 16)
 			busy := func() bool { // all bytes have been read, and the request, if there is one, has reached the core
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				for c := range s.conns {
-					return looks.NoPendingInput() && c.received && (tc.want == "" || f.arrived > 0)
+					return watch.NoPendingInput() && c.received && (tc.want == "" || f.arrived > 0)
 				}
 				return false
 			}
 			for !busy() {
 				runtime.Gosched()
 			}
-			over := make(chan struct{})
+			done := make(chan struct{})
 			go func() {
 				s.Shutdown()
-				close(over)
+				close(done)
 			}()
 			s.AbandonPartialMessages()
 			f.mu.Lock()
@@ -305,7 +305,7 @@
 				t.Errorf("heard %q, want %q", got, want)
 			}
 			_ = near.Close()
-			<-over
+			<-done
 		})
 	}
 }
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -70,6 +70,7 @@
 	errIDInUse       = errors.New("a request with this id is in work")
 )
 
+// newConn returns a connection whose startup must begin within StartupTimeout.
 func newConn(s *Server, nc net.Conn) *conn {
 	now := time.Now()
 	c := &conn{Conn: interruptible.New[message](nc, initialReadSize), s: s, idleSince: now, startDeadline: now.Add(s.conf.StartupTimeout)}
@@ -115,8 +116,8 @@
 	c.s.linger(c)
 }
 
-// clientClosed reports whether err, which ended a connection, means that the client has closed it. No lingering close is needed
-// then, as the client no longer reads answers that a reset could lose.
+// clientClosed reports whether err, which ended a connection, means that the client has closed it. No lingering close is
+// needed then, as the client no longer reads answers that a reset could lose.
 func clientClosed(err error) bool {
 	for _, e := range []error{errClientGone, io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, e) {
@@ -153,15 +154,16 @@
 	return nil
 }
 
-// setTimeouts sets timeouts for reads until stop is called: they fail once no byte has arrived for wait, and after most in any
-// case. So a silent client cannot keep a connection, and one that stalls within a message cannot keep a buffer.
-func (c *conn) setTimeouts(wait, most time.Duration) (stop func()) {
+// setTimeouts sets timeouts for reads until stop is called: they fail once no byte has arrived for the time silence, and
+// after total in any case. So a silent client cannot keep a connection, and one that stalls within a message cannot keep a
+// buffer.
+func (c *conn) setTimeouts(silence, total time.Duration) (stop func()) {
 	c.readNumber++
-	c.silenceTimeout, c.readDeadline = wait, time.Now().Add(most)
-	c.scheduleTimeoutCheck(wait)
+	c.silenceTimeout, c.readDeadline = silence, time.Now().Add(total)
+	c.scheduleTimeoutCheck(silence)
 	read := c.readNumber
 	return func() {
-		if c.readNumber == read { // it may be called again
+		if c.readNumber == read { // stop may be called again
 			c.readTimer.Stop()
 			c.readNumber++
 		}
@@ -174,8 +176,8 @@
 	c.readTimer = time.AfterFunc(after, func() { c.Post(message{expiredRead: read}) })
 }
 
-// setMessageTimeouts sets the timeouts for the rest of a message that has begun: StartupTimeout without bytes, four times that in
-// total.
+// setMessageTimeouts sets the timeouts for the rest of a message that has begun: StartupTimeout without bytes, four times
+// that in total.
 func (c *conn) setMessageTimeouts() (stop func()) {
 	wait := c.s.conf.StartupTimeout
 	if c.abandonPartial {
@@ -195,10 +197,9 @@
 	}
 }
 
-// handleMessagesIdle handles the mailbox between messages, where a stopping connection ends.
-// A command may be unread in the socket because the deadline that interrupted the
-// read hides it. It is served first: closing the connection over unread bytes would
-// reset it, and the client could lose the previous answer.
+// handleMessagesIdle handles the messages in the mailbox while the connection is between commands, where a stopping
+// connection ends. A command may be unread in the socket because the deadline that interrupted the read hides it. It is
+// served first: closing the connection over unread bytes would reset it, and the client could lose the previous answer.
 func (c *conn) handleMessagesIdle() error {
 	if err := c.handleMessages(); err != nil {
 		return err
@@ -206,9 +207,9 @@
 	return c.checkStop(true)
 }
 
-// checkStop decides whether a stopping connection ends here: errPassed means that another process has accepted it, with whatever
-// arrives on it; errSevered that no bytes wait to be read; nil that it is still served. A command that arrives after this
-// check is not served: its client finds the connection closed and retries.
+// checkStop decides whether a stopping connection ends here: errTransferred means that another process has accepted it, with
+// whatever arrives on it; errStopped that no bytes wait to be read; nil that it is still served. A command that arrives
+// after this check is not served: its client finds the connection closed and retries.
 func (c *conn) checkStop(began bool) error {
 	switch {
 	case !c.stopping:
@@ -228,26 +229,26 @@
 		wait = c.s.conf.LingerTimeout
 	}
 	stop := c.setTimeouts(wait, wait)
-	woken := func() error {
+	interrupted := func() error {
 		if err := c.handleMessages(); err != nil {
 			return err
 		}
 		return c.checkStop(false)
 	}
-	_, err := c.Peek(1, woken)
+	_, err := c.Peek(1, interrupted)
 	stop()
 	if err != nil {
 		return err
 	}
 	c.s.markReceived(c)
-	woken = c.handleMessages // a startup message that has begun is read by this process
+	interrupted = c.handleMessages // a startup message that has begun is read by this process
 	if c.refusing {
 		defer c.setTimeouts(wait, wait)()
 	} else {
 		defer c.setMessageTimeouts()()
 	}
 	for {
-		head, err := c.Peek(4, woken)
+		head, err := c.Peek(4, interrupted)
 		if err != nil {
 			return err
 		}
@@ -257,7 +258,7 @@
 		}
 		body := make([]byte, n)
 		_, _ = c.Reader.Discard(4)
-		if err := c.ReadFull(body, woken); err != nil {
+		if err := c.ReadFull(body, interrupted); err != nil {
 			return err
 		}
 		switch version := binary.BigEndian.Uint32(body); {
@@ -291,7 +292,7 @@
 	return c.write(c.scratch)
 }
 
-// next reads one message and answers it.
+// next reads one message of the client and answers it.
 func (c *conn) next() error {
 	if err := c.checkStop(true); err != nil {
 		return err
@@ -382,7 +383,7 @@
 		return c.refuseWithoutBuffer(n)
 	}
 	c.startDeadline = time.Time{}
-	came := c.arrivals.arrivalTime(c.Reader.Buffered(), c.s.core.Now()) // the deadline counts from the arrival of the last byte
+	receivedAt := c.arrivals.arrivalTime(c.Reader.Buffered(), c.s.core.Now()) // the deadline counts from the arrival of the last byte
 	if buf.B[n-1] != 0 {
 		buf.Release()
 		return fmt.Errorf("%w: query without end", errProtocol)
@@ -393,14 +394,14 @@
 		c.scratch = pgwire.AppendReadyForQuery(out)
 		return c.write(c.scratch)
 	}
-	q, err := c.newRequest(buf, came)
+	q, err := c.newRequest(buf, receivedAt)
 	if err != nil {
 		buf.Release()
-		code, why := pgwire.SyntaxError, record.Invalid
+		code, cause := pgwire.SyntaxError, record.Invalid
 		if errors.Is(err, errIDInUse) {
-			code, why = pgwire.DuplicateObject, record.InUse
+			code, cause = pgwire.DuplicateObject, record.InUse
 		}
-		c.s.core.RecordFrontOutcome(front, record.Failed, why)
+		c.s.core.RecordFrontOutcome(front, record.Failed, cause)
 		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", code, err.Error(), "")
 		c.scratch = pgwire.AppendReadyForQuery(c.scratch)
 		return c.write(c.scratch)
@@ -422,8 +423,8 @@
 	return c.writeAnswer(m.answer)
 }
 
-// streamAnswer streams an answer. Meanwhile the member's goroutine owns the sending side of the connection; this one continues to
-// read, and detects that the client closes the connection.
+// streamAnswer streams an answer. Meanwhile the member's goroutine owns the sending side of the connection; this one
+// continues to read, and detects that the client closes the connection.
 func (c *conn) streamAnswer(q *core.Request, s *pgwire.Stream) error {
 	s.Start(&streamWriter{c: c, deadline: time.Now().Add(maxStreamDuration)}, func(tail []byte) {
 		c.Post(message{request: q, streamed: true, tail: tail})
@@ -447,18 +448,18 @@
 	deadline time.Time
 }
 
-// Write writes all of b or fails: the client must read some bytes within WriteTimeout, and all of them by end.
-func (l *streamWriter) Write(b []byte) (done int, err error) {
+// Write writes all of b or fails: the client must read some bytes within WriteTimeout, and all of them by the deadline.
+func (w *streamWriter) Write(b []byte) (done int, err error) {
 	for done < len(b) && err == nil {
-		until := time.Now().Add(l.c.s.conf.WriteTimeout)
-		if until.After(l.deadline) {
-			until = l.deadline
+		until := time.Now().Add(w.c.s.conf.WriteTimeout)
+		if until.After(w.deadline) {
+			until = w.deadline
 		}
-		_ = l.c.SetWriteDeadline(until)
+		_ = w.c.SetWriteDeadline(until)
 		var n int
-		n, err = l.c.Conn.Conn.Write(b[done:])
+		n, err = w.c.Conn.Conn.Write(b[done:])
 		done += n
-		if n > 0 && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(l.deadline) {
+		if n > 0 && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(w.deadline) {
 			err = nil
 		}
 	}
@@ -508,29 +509,29 @@
 }
 
 // newRequest makes a request from the statement in buf. came is the arrival time of its last byte.
-func (c *conn) newRequest(buf *pgwire.Buf, came core.Time) (*core.Request, error) {
+func (c *conn) newRequest(buf *pgwire.Buf, receivedAt core.Time) (*core.Request, error) {
 	st, err := pgwire.Parse(buf)
 	if err != nil {
 		return nil, err
 	}
-	t := c.s.conf.Settings.Current()
-	k, ok := t.Class(st.Class, came)
+	settings := c.s.conf.Settings.Current()
+	class, ok := settings.Class(st.Class, receivedAt)
 	if !ok {
 		return nil, fmt.Errorf("unknown class %.40q", st.Class)
 	}
 	switch {
-	case st.IsRead == k.Writes():
+	case st.IsRead == class.Writes():
 		return nil, fmt.Errorf("class %q takes no such statement", st.Class)
-	case k.Effect == decide.Keyed && !st.HasIdempotencyKey:
+	case class.Effect == decide.Keyed && !st.HasIdempotencyKey:
 		return nil, fmt.Errorf("class %q needs k", st.Class)
 	case !c.s.conf.Claims.Claim(st.ID): // members would take two requests with the same id for copies of one
 		return nil, errIDInUse
 	}
 	st.Done = func() { c.s.conf.Claims.Release(st.ID) }
-	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: t.TenantIndex(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: came,
+	q := &core.Request{Class: class.Class, ClassIndex: class.Index, Tenant: settings.TenantIndex(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: receivedAt,
 		LastWrite: core.Time(st.LastWriteUnixMs) * time.Millisecond, Call: st,
-		Deadline: came + min(core.Time(min(st.WaitMs, maxWaitMs))*time.Millisecond, k.Deadline)}
-	if k.HasSession() {
+		Deadline: receivedAt + min(core.Time(min(st.WaitMs, maxWaitMs))*time.Millisecond, class.Deadline)}
+	if class.HasSession() {
 		q.Session = st.ItemKey
 	}
 	return q, nil
@@ -559,6 +560,8 @@
 	return c.write(c.scratch)
 }
 
+// retryAfterMs returns the configured time after which a refused client should retry, in milliseconds, or "" for none. It
+// is the detail of errors for too many connections or requests.
 func (c *conn) retryAfterMs() string {
 	after := c.s.conf.Settings.Current().RetryAfter
 	if after <= 0 {
@@ -567,6 +570,7 @@
 	return strconv.FormatInt(after.Milliseconds(), 10)
 }
 
+// write writes b to the client within WriteTimeout.
 func (c *conn) write(b []byte) error {
 	_ = c.SetWriteDeadline(time.Now().Add(c.s.conf.WriteTimeout))
 	_, err := c.Write(b)
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -93,7 +93,7 @@
 	return list
 }
 
-func newServer(f *fakeCore, most int) (*Server, *pgwire.Pool) {
+func newServer(f *fakeCore, maxConnections int) (*Server, *pgwire.Pool) {
 	bufs := pgwire.NewPool(totalBuffers, 0)
 	book, err := activesettings.NewHolder(&decide.Config{MaxRetryAfter: 500 * time.Millisecond,
 		Classes: []decide.Class{{Name: "r", Deadline: time.Second},
@@ -102,7 +102,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return New(f, Config{Settings: book, MaxConnections: most, SpareConnections: 2, ReservedBuffers: 1,
+	return New(f, Config{Settings: book, MaxConnections: maxConnections, SpareConnections: 2, ReservedBuffers: 1,
 		StartupTimeout: time.Second, WriteTimeout: time.Second, LingerTimeout: time.Second}, bufs, slog.New(slog.DiscardHandler)), bufs
 }
 
@@ -144,11 +144,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
 		s, _ := newServer(f, 3)
-		hello := pgwire.AppendStartup(nil, "app", "shop")
-		ask := append(slices.Clone(hello), queryMessage("")...)
+		startup := pgwire.AppendStartup(nil, "app", "shop")
+		ask := append(slices.Clone(startup), queryMessage("")...)
 		idle := dial(s, ask)
 		time.Sleep(2 * time.Second)
-		open := dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))
+		open := dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))
 		silent := dial(s, nil)
 		time.Sleep(100 * time.Millisecond)
 		peers := []*peer{idle, open, silent, dial(s, ask)}
@@ -160,7 +160,7 @@
 			t.Errorf("idle ended %v, one with a request open %v", idle.ended(), open.ended())
 		}
 		for _, id := range []string{"id=2", "id=3"} { // those idle for a short time are closed as well, then none is left
-			peers = append(peers, dial(s, append(slices.Clone(hello), queryMessage(strings.Replace(selectStatement, "id=1", id, 1))...)))
+			peers = append(peers, dial(s, append(slices.Clone(startup), queryMessage(strings.Replace(selectStatement, "id=1", id, 1))...)))
 		}
 		last := dial(s, ask)
 		if got := last.replies(t); !slices.Equal(got, []string{"E53300500"}) || open.ended() {
@@ -176,36 +176,36 @@
 }
 
 // TestFloodSparesNewConnections: hundreds of new clients do not displace one that has only just connected or completed its startup,
-// even if they connect faster than it can send the rest: it is served. After idleLeast it may be closed for another.
+// even if they connect faster than it can send the rest: it is served. After minIdleAge it may be closed for another.
 func TestFloodSparesNewConnections(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	ask := append(slices.Clone(hello), queryMessage(selectStatement)...)
-	for name, begun := range map[string]int{"connected": 0, "half a startup": 6, "welcomed": len(hello), "half a command": len(hello) + 7} {
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	startupAndCommand := append(slices.Clone(startup), queryMessage(selectStatement)...)
+	for name, begun := range map[string]int{"connected": 0, "half a startup": 6, "welcomed": len(startup), "half a command": len(startup) + 7} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeCore{}
 				s, _ := newServer(f, 2)
-				peers := []*peer{dial(s, append(slices.Clone(hello), queryMessage("")...))} // has been served
-				honest := dial(s, ask[:begun])
+				peers := []*peer{dial(s, append(slices.Clone(startup), queryMessage("")...))} // has been served
+				beginner := dial(s, startupAndCommand[:begun])
 				for range 100 { // at one instant
-					for _, text := range [][]byte{nil, hello, append(slices.Clone(hello), queryMessage("")...)} {
+					for _, text := range [][]byte{nil, startup, append(slices.Clone(startup), queryMessage("")...)} {
 						peers = append(peers, dial(s, text))
 					}
 				}
-				if honest.ended() || !peers[0].ended() {
-					t.Errorf("ended: the one that begins %v, the one that has had its turn %v", honest.ended(), peers[0].ended())
+				if beginner.ended() || !peers[0].ended() {
+					t.Errorf("ended: the one that begins %v, the one that has had its turn %v", beginner.ended(), peers[0].ended())
 				}
-				honest.write <- ask[begun:]
+				beginner.write <- startupAndCommand[begun:]
 				synctest.Wait()
 				if f.arrived != 1 {
 					t.Errorf("%d requests came through the flood", f.arrived)
 				}
 				time.Sleep(minIdleAge)
-				next := dial(s, bytes.Replace(ask, []byte("id=1"), []byte("id=2"), 1))
+				next := dial(s, bytes.Replace(startupAndCommand, []byte("id=1"), []byte("id=2"), 1))
 				if f.arrived != 2 {
 					t.Errorf("no room for the next one, which is told %q", next.replies(t))
 				}
-				for _, p := range append(peers, honest, next) {
+				for _, p := range append(peers, beginner, next) {
 					close(p.write)
 					_ = p.Close()
 				}
@@ -222,8 +222,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 9)
 		s.conf.MaxIdleConnections, s.conf.IdleTimeout = 2, 2*time.Second
-		hello := pgwire.AppendStartup(nil, "app", "shop")
-		peers := []*peer{dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))}
+		startup := pgwire.AppendStartup(nil, "app", "shop")
+		peers := []*peer{dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))}
 		ended := func() (n int) {
 			s.closeIdle()
 			synctest.Wait()
@@ -236,7 +236,7 @@
 		}
 		for i, want := range []int{0, 0, 1, 2, 3} { // two are kept
 			time.Sleep(150 * time.Millisecond)
-			peers = append(peers, dial(s, append(slices.Clone(hello), queryMessage("")...)))
+			peers = append(peers, dial(s, append(slices.Clone(startup), queryMessage("")...)))
 			if n := ended(); n != want {
 				t.Errorf("after %d idle ones %d ended, want %d", i+1, n, want)
 			}
@@ -290,9 +290,9 @@
 
 // TestSilent: a client that never sends a complete command gets an error, wherever it stops.
 func TestSilent(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	for name, text := range map[string][]byte{"nothing": nil, "half a startup": hello[:9], "startup": hello,
-		"half a header": append(slices.Clone(hello), 'Q', 0), "half a command": append(slices.Clone(hello), queryMessage(selectStatement)[:40]...)} {
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	for name, text := range map[string][]byte{"nothing": nil, "half a startup": startup[:9], "startup": startup,
+		"half a header": append(slices.Clone(startup), 'Q', 0), "half a command": append(slices.Clone(startup), queryMessage(selectStatement)[:40]...)} {
 		synctest.Test(t, func(t *testing.T) {
 			s, bufs := newServer(&fakeCore{}, 1)
 			p := dial(s, text)
@@ -407,9 +407,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
 		s, _ := newServer(f, 2)
-		hello := pgwire.AppendStartup(nil, "app", "shop")
-		first := dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))
-		second := dial(s, append(slices.Clone(hello), queryMessage(selectStatement)...))
+		startup := pgwire.AppendStartup(nil, "app", "shop")
+		first := dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))
+		second := dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))
 		second.write <- queryMessage("/* id=2,c=w,d=400,cluster=2 */ INSERT INTO items (id, doc) VALUES ('a', 'b')")
 		synctest.Wait()
 		got := second.replies(t)
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -26,19 +26,19 @@
 type Config struct {
 	Settings           *activesettings.Holder
 	MaxConnections     int             // client connections at a time; idle ones are closed to make room for new ones
-	SpareConnections   int             // connections above Max: half for those being closed, half for those being refused; lingering ones may use the rest
+	SpareConnections   int             // connections above MaxConnections: half for those being closed, half for those being refused; lingering ones may use the rest
 	ReservedBuffers    int             // buffers that statements leave to the members
 	StartupTimeout     time.Duration   // timeout for the startup and the first command to begin, and for pauses within a message
 	WriteTimeout       time.Duration   // timeout for the client to read an answer
 	LingerTimeout      time.Duration   // timeout of a lingering connection, and of one that waits to be refused
-	IdleTimeout        time.Duration   // a connection is closed once it has been idle for so long,
-	MaxIdleConnections int             // or is the longest idle one of more than so many
+	IdleTimeout        time.Duration   // a connection that has been idle for so long is closed
+	MaxIdleConnections int             // the longest idle connections beyond this number are closed
 	Transfer           TransferFunc    // hands connections over to another process; nil: not possible
 	Claims             *call.ActiveIDs // ids of requests in progress, shared with other fronts; nil: not shared
 }
 
-// TransferFunc hands a client connection over to another process that continues to serve it, and reports whether that succeeded. A
-// connection that began has completed its startup and is between commands. It must be safe for concurrent use.
+// TransferFunc hands a client connection over to another process that continues to serve it, and reports whether that
+// succeeded. A connection that began has completed its startup and is between commands. It must be safe for concurrent use.
 type TransferFunc func(nc net.Conn, began bool) bool
 
 // Core is the part of the core that the front uses.
@@ -63,7 +63,7 @@
 	conns            map[*conn]bool
 	refusing         int
 	lingering        []net.Conn // closed for sending, waiting for their clients to close, longest first
-	maxConns         int        // conf.Max, or the limit set since
+	maxConns         int        // conf.MaxConnections, or the limit set since
 	closing          bool
 	shuttingDown     bool // Shutdown was called
 	abandonPartial   bool // AbandonPartialMessages was called
@@ -129,8 +129,8 @@
 	}
 }
 
-// Handle serves one connection in the background. At the limit, idle connections are
-// closed to make room for the new one.
+// Handle serves one connection in the background. At the limit, an idle connection is
+// closed to make room for the new one, or the new one is refused.
 func (s *Server) Handle(nc net.Conn) {
 	runtime.Gosched() // hundreds may connect at once: lets the goroutines of earlier ones read first, so that they count as active
 	c := newConn(s, nc)
@@ -141,13 +141,13 @@
 	case s.refusing < (s.conf.SpareConnections+1)/2:
 		s.refusing++
 		c.refusing = true
-		stay := 0 // another process may have handed over more than the limit: idle ones make room for the next client
+		remaining := 0 // another process may have handed over more than the limit: idle ones make room for the next client
 		for c := range s.conns {
 			if !c.evicted {
-				stay++
+				remaining++
 			}
 		}
-		for ; stay >= s.maxConns && s.evictIdle(); stay-- {
+		for ; remaining >= s.maxConns && s.evictIdle(); remaining-- {
 		}
 		s.refusedLog.Warn(s.log, "client refused: too many connections", "open", len(s.conns))
 	default:
@@ -175,8 +175,8 @@
 	})
 }
 
-// evictLingering makes room for one more connection, if there is none, by closing the one that has lingered longest. It reports
-// whether there is room. The lock must be held.
+// evictLingering makes room for one more connection, if there is none, by closing the one that has lingered longest. It
+// reports whether there is room. The lock must be held.
 func (s *Server) evictLingering() bool {
 	if len(s.conns)+s.refusing+len(s.lingering) < s.maxConns+s.conf.SpareConnections {
 		return true
@@ -199,7 +199,7 @@
 	s.runLinger(c)
 }
 
-// runLinger runs the lingering close of a connection in s.lingered.
+// runLinger runs the lingering close of a connection in s.lingering.
 func (s *Server) runLinger(c *conn) {
 	s.mu.Lock()
 	s.lingerGoroutines++
@@ -238,9 +238,9 @@
 // transfer hands a connection over to another process, if this one is shutting down and there is one.
 func (s *Server) transfer(nc net.Conn, began bool) bool {
 	s.mu.Lock()
-	passing := s.shuttingDown && s.conf.Transfer != nil
+	enabled := s.shuttingDown && s.conf.Transfer != nil
 	s.mu.Unlock()
-	return passing && s.conf.Transfer(nc, began)
+	return enabled && s.conf.Transfer(nc, began)
 }
 
 // Adopt serves a connection that another process handed over. It was within the limits there, which both processes share;
@@ -335,7 +335,7 @@
 	}
 }
 
-// markIdle records that a connection waits for a command, busy that it has one.
+// markIdle records that a connection waits for a command.
 func (s *Server) markIdle(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -343,6 +343,7 @@
 	c.hadCommand = c.startDeadline.IsZero()
 }
 
+// markBusy records that a connection has begun to receive a command.
 func (s *Server) markBusy(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -357,14 +358,14 @@
 }
 
 // SetMaxConnections sets the limit of client connections. Open connections beyond it stay until they are idle.
-func (s *Server) SetMaxConnections(most int) {
+func (s *Server) SetMaxConnections(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxConns = most
+	s.maxConns = limit
 }
 
-// Quiesce(true) closes connections as they become idle, after answering the requests they have sent, and new connections
-// after one answer. Quiesce(false) reverts to normal operation, unless Shutdown was called.
+// Quiesce with yes closes connections as they become idle, after answering the requests they have sent, and new connections
+// after one answer. Without yes it reverts to normal operation, unless Shutdown was called.
 func (s *Server) Quiesce(yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -382,36 +383,36 @@
 }
 
 // Shutdown closes connections as they become idle, answers the requests that were read, and returns when no connection is
-// left. It waits for lingering connections for lastLinger only: what was in transit when they were closed has arrived by
+// left. It waits for lingering connections for shutdownLinger only: what was in transit when they were closed has arrived by
 // then, and clients that do not look at an idle connection for a long time would delay the next process.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closing, s.shuttingDown = true, true
 	s.broadcast(message{stop: true})
-	over := false
-	for s.goroutines > s.lingerGoroutines || s.lingerGoroutines > 0 && !over {
+	expired := false
+	for s.goroutines > s.lingerGoroutines || s.lingerGoroutines > 0 && !expired {
 		if s.goroutines > s.lingerGoroutines {
 			s.changed.Wait()
 			continue
 		}
-		late := time.AfterFunc(shutdownLinger, func() {
+		timer := time.AfterFunc(shutdownLinger, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			over = true
+			expired = true
 			s.changed.Broadcast()
 		})
-		for s.goroutines == s.lingerGoroutines && s.lingerGoroutines > 0 && !over {
+		for s.goroutines == s.lingerGoroutines && s.lingerGoroutines > 0 && !expired {
 			s.changed.Wait()
 		}
-		late.Stop()
+		timer.Stop()
 	}
 }
 
 const shutdownLinger = 50 * time.Millisecond // longer than a request is in transit to the gateway
 
-// AbandonPartialMessages is for the end of a Shutdown: complete commands are still answered, but the server no longer waits for the rest
-// of a command that has begun. The client that sends it finds the connection closed.
+// AbandonPartialMessages is for the end of a Shutdown: complete commands are still answered, but the server no longer waits
+// for the rest of a command that has begun. The client that sends it finds the connection closed.
 func (s *Server) AbandonPartialMessages() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -33,17 +33,18 @@
 	limit     int
 }
 
-// NewPool returns a pool of at most full buffers of BufSize and small buffers of SmallSize. They are allocated on demand.
-func NewPool(full, small int) *Pool {
-	return &Pool{large: sizeClass{size: LargeBufSize, remaining: full, limit: full}, small: sizeClass{size: SmallBufSize, remaining: small, limit: small}}
+// NewPool returns a pool of at most large buffers of LargeBufSize and small buffers of SmallBufSize. They are allocated on
+// demand.
+func NewPool(large, small int) *Pool {
+	return &Pool{large: sizeClass{size: LargeBufSize, remaining: large, limit: large}, small: sizeClass{size: SmallBufSize, remaining: small, limit: small}}
 }
 
 // SetLimits sets the limits for the numbers of buffers. Buffers in use beyond the new limits are discarded when they are
 // released.
-func (p *Pool) SetLimits(full, small int) {
+func (p *Pool) SetLimits(large, small int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.large.setLimit(full)
+	p.large.setLimit(large)
 	p.small.setLimit(small)
 }
 
@@ -63,8 +64,8 @@
 }
 
 // Get returns a buffer for n bytes, preferably a small one. It returns nil if n is larger than a large buffer, or if no
-// more than keep large buffers are available: those are reserved for other uses.
-func (p *Pool) Get(n, keep int) *Buf {
+// more than reserved large buffers are available: these are kept for other uses.
+func (p *Pool) Get(n, reserved int) *Buf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n <= SmallBufSize {
@@ -72,7 +73,7 @@
 			return b
 		}
 	}
-	if n > LargeBufSize || p.large.available() <= keep {
+	if n > LargeBufSize || p.large.available() <= reserved {
 		return nil
 	}
 	return p.large.get(p)
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -136,8 +136,8 @@
 
 // CheckRowDescription checks that the body of a RowDescription describes exactly one column and has no trailing bytes.
 func CheckRowDescription(body []byte) error {
-	const after = 18 // bytes of numeric fields after the name of a column
-	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 || bytes.IndexByte(body[2:], 0)+1+after != len(body)-2 {
+	const numericFields = 18 // bytes of numeric fields after the name of a column
+	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 || bytes.IndexByte(body[2:], 0)+1+numericFields != len(body)-2 {
 		return fmt.Errorf("%w: row description", ErrMalformed)
 	}
 	return nil
--- a/internal/pgwire/stream.go
+++ b/internal/pgwire/stream.go
@@ -18,7 +18,7 @@
 	return h[0] == 'D' && binary.BigEndian.Uint32(h[1:5]) > RowHeaderSize-1+MaxBufferedValue
 }
 
-// LargeRowValueLen returns the length of the value that the first RowHead bytes of a large DataRow announce. The value must be the
+// LargeRowValueLen returns the length of the value that the first RowHeaderSize bytes of a large DataRow announce. The value must be the
 // only column, not null, and fill the rest of the message; else the error wraps ErrTooLong or ErrMalformed.
 func LargeRowValueLen(h []byte) (int, error) {
 	n, cols, value := int64(binary.BigEndian.Uint32(h[1:5])), binary.BigEndian.Uint16(h[5:7]), int64(binary.BigEndian.Uint32(h[7:11]))
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -70,7 +70,7 @@
 }
 
 // startIntercepted runs a server on a listener of crossed connections.
-func startIntercepted(t *testing.T, conf Config, cross func(*interceptedConn)) *Server {
+func startIntercepted(t *testing.T, conf Config, beforeClose func(*interceptedConn)) *Server {
 	t.Helper()
 	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
 	if err != nil {
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.listener = &limitedListener{Listener: interceptingListener{l, cross}, s: s}
+	s.listener = &limitedListener{Listener: interceptingListener{l, beforeClose}, s: s}
 	s.serving.Add(1)
 	go func() {
 		defer s.serving.Done()
@@ -114,35 +114,35 @@
 		"no room":       {0, requestHead + "\r\n", "503", false, time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var near net.Conn
+			var clientConn net.Conn
 			dialled := make(chan struct{})
-			s := startIntercepted(t, Config{MaxConnections: tc.most, IdleTimeout: tc.idleFor}, func(far *interceptedConn) {
+			s := startIntercepted(t, Config{MaxConnections: tc.most, IdleTimeout: tc.idleFor}, func(server *interceptedConn) {
 				<-dialled
-				was := far.read.Load()
-				_, _ = near.Write([]byte(requestHead + "\r\n"))
+				before := server.read.Load()
+				_, _ = clientConn.Write([]byte(requestHead + "\r\n"))
 				// A pending read of net/http may have them; if they never arrive, the test's timeout ends the wait.
-				for looks := interruptible.New[int](far.TCPConn, 16); looks.NoPendingInput() && far.read.Load() == was; {
+				for watch := interruptible.New[int](server.TCPConn, 16); watch.NoPendingInput() && server.read.Load() == before; {
 					runtime.Gosched()
 				}
 			})
 			var err error
-			if near, err = net.Dial("tcp", s.Addr()); err != nil {
+			if clientConn, err = net.Dial("tcp", s.Addr()); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := near.Write([]byte(tc.text)); err != nil {
+			if _, err := clientConn.Write([]byte(tc.text)); err != nil {
 				t.Fatal(err)
 			}
 			close(dialled)
 			var text []byte
 			if tc.ends {
 				for b := []byte{0}; !strings.HasSuffix(string(text), "}"); text = append(text, b...) {
-					if _, err := near.Read(b); err != nil {
+					if _, err := clientConn.Read(b); err != nil {
 						t.Fatal(err)
 					}
 				}
 				go s.Shutdown(t.Context())
 			}
-			rest, err := io.ReadAll(near)
+			rest, err := io.ReadAll(clientConn)
 			if err != nil {
 				t.Error("the connection did not end cleanly:", err)
 			}
@@ -155,7 +155,7 @@
 			if strings.Join(got, " ") != tc.want {
 				t.Errorf("statuses %q, want %q", got, tc.want)
 			}
-			_ = near.Close()
+			_ = clientConn.Close()
 			s.Shutdown(t.Context())
 			if s.openConns != 0 || s.refusing != 0 || len(s.lingering) > 0 {
 				t.Errorf("%d open, %d being refused, %d linger", s.openConns, s.refusing, len(s.lingering))
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -78,7 +78,7 @@
 
 	mu        sync.Mutex
 	openConns int        // admitted connections, including those that linger
-	refusing  int        // connections that are being refused, not counted in open
+	refusing  int        // connections that are being refused, not counted in openConns
 	lingering []net.Conn // closed for sending, waiting for their clients to close, longest first
 	closers   int        // goroutines that close connections
 	changed   sync.Cond
@@ -148,7 +148,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Shutdown stops accepting connections, answers the requests that were read until ctx ends, and closes all connections. It
-// waits for lingering connections for lastLinger at most.
+// waits for lingering connections for shutdownLinger at most.
 func (s *Server) Shutdown(ctx context.Context) {
 	if s.http.Shutdown(ctx) != nil {
 		_ = s.http.Close()
@@ -246,9 +246,9 @@
 	defer s.mu.Unlock()
 	s.lingering = append(s.lingering, c)
 	s.startTracked(func() {
-		late := time.AfterFunc(lingerTimeout, func() { _ = c.Close() }) // net/http may have cleared the deadline
+		timer := time.AfterFunc(lingerTimeout, func() { _ = c.Close() }) // net/http may have cleared the deadline
 		interruptible.LingeringClose(c, time.Now().Add(lingerTimeout), maxLingerBytes)
-		late.Stop()
+		timer.Stop()
 	}, func() {
 		if i := slices.Index(s.lingering, c); i >= 0 { // else admit has closed it and uncounted it
 			s.lingering = slices.Delete(s.lingering, i, i+1)
@@ -257,14 +257,15 @@
 	})
 }
 
-// trackedConn is an admitted connection. Close starts a lingering close and does not wait for it; no request that is read later
-// is served.
+// trackedConn is an admitted connection. Close starts a lingering close and does not wait for it; no request that is read
+// later is served.
 type trackedConn struct {
 	net.Conn
 	s      *Server
 	closed atomic.Bool
 }
 
+// Read implements io.Reader. After Close it discards what it reads.
 func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.closed.Load() {
@@ -273,9 +274,10 @@
 	return n, err
 }
 
+// Close implements io.Closer.
 func (c *trackedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // a read that is on ends
+		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // ends a read in progress
 		c.s.linger(c.Conn)
 	}
 	return nil
@@ -289,8 +291,8 @@
 
 // serve carries out one request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, op call.Op) {
-	came := s.core.Now()
-	q, list, p := s.newRequest(r, op, came)
+	receivedAt := s.core.Now()
+	q, list, p := s.newRequest(r, op, receivedAt)
 	if len(r.TransferEncoding) > 0 { // a proxy in front might disagree about where the body ends
 		w.Header().Set("Connection", "close")
 	}
@@ -299,16 +301,16 @@
 		p.write(w)
 		return
 	}
-	k := client{make(chan core.Answer, 1)}
-	q.Client = k
+	receiver := client{make(chan core.Answer, 1)}
+	q.Client = receiver
 	s.core.Arrive(q)
-	if a, ok := awaitAnswer(r, k.answers); ok {
+	if a, ok := awaitAnswer(r, receiver.answers); ok {
 		s.writeAnswer(w, r, op, list, &a)
 		return
 	}
 	s.core.Gone(q)
 	select { // an answer may have arrived meanwhile
-	case a := <-k.answers:
+	case a := <-receiver.answers:
 		if a.Body != nil {
 			a.Body.Release()
 		}
@@ -320,15 +322,15 @@
 // awaitAnswer waits for the answer to a request, and reports whether it arrived before the client closed the connection. net/http
 // does not detect the close behind unread bytes of a next request, so the socket is polled.
 func awaitAnswer(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
-	look := time.NewTicker(peerclose.CheckInterval)
-	defer look.Stop()
+	poll := time.NewTicker(peerclose.CheckInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case a := <-answers:
 			return a, true
 		case <-r.Context().Done():
 			return core.Answer{}, false
-		case <-look.C:
+		case <-poll.C:
 			if peerclose.Detected(r.Context().Value(connectionKey{})) {
 				return core.Answer{}, false
 			}
@@ -340,7 +342,7 @@
 type connectionKey struct{}
 
 // newRequest makes a core request from an HTTP request that arrived at came, or returns the problem with it.
-func (s *Server) newRequest(r *http.Request, op call.Op, came core.Time) (*core.Request, *listing, *problem) {
+func (s *Server) newRequest(r *http.Request, op call.Op, receivedAt core.Time) (*core.Request, *listing, *problem) {
 	bad := func(kind, format string, args ...any) (*core.Request, *listing, *problem) {
 		return nil, nil, &problem{kind: kind, status: http.StatusBadRequest, detail: fmt.Sprintf(format, args...), outcome: record.Failed, cause: record.Invalid}
 	}
@@ -359,15 +361,15 @@
 	if item == "" || len(item) > 256 || !utf8.ValidString(item) || strings.ContainsRune(item, 0) {
 		return bad("id", "the id has %d bytes, want 1 to 256 of UTF-8 without zeros", len(item))
 	}
-	t := s.conf.Settings.Current()
-	k, ok := t.Class(h.Get("Reachwind-Class"), came)
+	settings := s.conf.Settings.Current()
+	class, ok := settings.Class(h.Get("Reachwind-Class"), receivedAt)
 	if !ok {
 		return bad("class", "the class is %.40q, want one of the settings in Reachwind-Class", h.Get("Reachwind-Class"))
 	}
-	if k.Writes() != (op == call.Write) {
-		return bad("class", "class %q takes no %s", k.Name, r.Method)
+	if class.Writes() != (op == call.Write) {
+		return bad("class", "class %q takes no %s", class.Name, r.Method)
 	}
-	tenant := t.TenantIndex(h.Get("Reachwind-Tenant"))
+	tenant := settings.TenantIndex(h.Get("Reachwind-Tenant"))
 	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.ValidCommentValue(name) {
 		return bad("tenant", "the tenant is %.40q, want a plain name", name)
 	}
@@ -379,20 +381,20 @@
 		}
 		wait = time.Duration(ms) * time.Millisecond
 	}
-	c := &call.Request{Op: op, ID: h.Get("Reachwind-Request-Id"), Class: k.Name, Tenant: h.Get("Reachwind-Tenant"), Cluster: cluster, Item: item,
+	c := &call.Request{Op: op, ID: h.Get("Reachwind-Request-Id"), Class: class.Name, Tenant: h.Get("Reachwind-Tenant"), Cluster: cluster, Item: item,
 		Key: h.Get("Idempotency-Key"), Retry: h.Get("Reachwind-Retry") == "1"}
 	if c.ID == "" {
 		c.ID = s.idPrefix + strconv.FormatUint(s.lastID.Add(1), 10)
 	} else if !pgwire.ValidCommentValue(c.ID) {
 		return bad("request-id", "the request id is %.40q, want a plain name", c.ID)
 	}
-	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.ValidCommentValue(c.Key) {
+	if class.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.ValidCommentValue(c.Key) {
 		return bad("idempotency-key", "the Idempotency-Key is %.40q, want a plain name", c.Key)
 	}
 	if op == call.Write {
 		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.MaxBodyBytes)); err != nil {
-			var long *http.MaxBytesError
-			if errors.As(err, &long) {
+			var tooLong *http.MaxBytesError
+			if errors.As(err, &tooLong) {
 				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.MaxBodyBytes), outcome: record.Failed, cause: record.Invalid}
 			}
 			return bad("body", "the body did not come whole")
@@ -402,7 +404,7 @@
 	atLeast := core.Time(0)
 	if op == call.List {
 		var p *problem
-		if list, p = s.parseListing(r, c, came); p != nil {
+		if list, p = s.parseListing(r, c, receivedAt); p != nil {
 			return nil, nil, p
 		}
 		atLeast = list.from.Position
@@ -411,8 +413,8 @@
 		return nil, nil, &problem{kind: "request-id-in-use", status: http.StatusConflict, detail: "a request with this id is in work", outcome: record.Failed, cause: record.InUse}
 	}
 	c.Done = func() { s.claims.Release(c.ID) }
-	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
-	if k.HasSession() {
+	q := &core.Request{Class: class.Class, ClassIndex: class.Index, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: receivedAt + min(core.Time(min(wait, call.MaxWait)), class.Deadline)}
+	if class.HasSession() {
 		if q.Session = h.Get("Reachwind-Session"); q.Session == "" {
 			q.Session = c.Item // as with PostgreSQL, where the quoted key identifies the session
 		}
@@ -461,8 +463,8 @@
 
 // matchesETag reports whether an If-None-Match field matches a tag, by RFC 9110 section 13.1.2.
 func matchesETag(field, tag string) bool {
-	for one := range strings.SplitSeq(field, ",") {
-		if one = strings.TrimSpace(one); one == "*" || strings.TrimPrefix(one, "W/") == tag {
+	for candidate := range strings.SplitSeq(field, ",") {
+		if candidate = strings.TrimSpace(candidate); candidate == "*" || strings.TrimPrefix(candidate, "W/") == tag {
 			return true
 		}
 	}
