--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -21,6 +21,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// encodeStateFile returns a state file with the given payload.
 func encodeStateFile(payload []byte) []byte {
 	b := make([]byte, fileHeaderSize, fileHeaderSize+len(payload))
 	copy(b, fileMagic)
@@ -31,6 +32,7 @@
 	return append(b, payload...)
 }
 
+// decodeStateFile returns the payload of a state file, or ErrDamaged or ErrVersion.
 func decodeStateFile(b []byte) ([]byte, error) {
 	if len(b) < fileHeaderSize || string(b[:4]) != fileMagic ||
 		binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli) {
--- a/internal/pgfront/adopt_test.go
+++ b/internal/pgfront/adopt_test.go
@@ -68,7 +68,7 @@
 		time.Sleep(2 * time.Second)
 		second := dial(s, ask)
 		if got := second.replies(t); !slices.Contains(got, "I") {
-			t.Errorf("a client that comes is answered %q, with nobody else at work", got)
+			t.Errorf("a new client got %q, although all other connections are idle", got)
 		}
 		for _, p := range append(peers, first, second) {
 			close(p.write)
--- a/internal/pgfront/arrivals.go
+++ b/internal/pgfront/arrivals.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	maxMarks      = 65                   // limit for the marks of a connection; odd, see came
+	maxMarks      = 65                   // limit for the marks of a connection; odd, so that record can merge all but the first in pairs
 	mergeInterval = 2 * time.Millisecond // bytes that arrive within this time after a mark was made are added to it
 )
 
--- a/internal/pgfront/arrivals_test.go
+++ b/internal/pgfront/arrivals_test.go
@@ -49,7 +49,7 @@
 				want = sent[i]
 			}
 			if got := q.Deadline - 400*time.Millisecond; got > want || got < want-mergeInterval || q.ReceivedAt != got {
-				t.Fatalf("command %d counts from %v after it came, said to be %v", i, got-want, q.ReceivedAt-want)
+				t.Fatalf("the deadline of command %d counts from %v after its arrival, ReceivedAt is %v after it", i, got-want, q.ReceivedAt-want)
 			}
 			time.Sleep(3 * time.Millisecond)
 			q.Call.Release()
@@ -78,7 +78,7 @@
 			a.discard(3 * len(waits))
 			span := 2 * core.Time(deep) * mergeInterval
 			if got := a.arrivalTime(3*len(waits)-3, now); got > waits[0] || waits[0]-got > span {
-				t.Fatalf("%d deep, piece %d: came at %v, not %v", deep, i, got, waits[0])
+				t.Fatalf("%d deep, piece %d: arrival at %v, want %v", deep, i, got, waits[0])
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 			for i, at := range bytes {
 				got := a.arrivalTime(len(bytes)-1-i, -1)
 				if got > at || got < 0 || (few || i == len(bytes)-1) && at-got >= mergeInterval {
-					t.Fatalf("seed %d: byte %d of %d came at %v, not %v", seed, i, len(bytes), at, got)
+					t.Fatalf("seed %d: byte %d of %d: arrival at %v, want %v", seed, i, len(bytes), at, got)
 				}
 			}
 			if k := rng.IntN(8); (few || rng.IntN(20) == 0) && k <= len(bytes) {
--- a/internal/pgfront/cancel_test.go
+++ b/internal/pgfront/cancel_test.go
@@ -40,7 +40,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it never came to pass")
+	t.Fatal("the condition was not met in time")
 }
 
 // dialTCP connects a client over a TCP socket.
@@ -158,7 +158,7 @@
 				}
 				waitFor(t, func() bool { return s.readAheadBytes.Load() == want })
 				if arrived, _, _ := f.counts(); arrived != 1 {
-					t.Errorf("%d requests were taken, want the one before it left", arrived)
+					t.Errorf("%d requests reached the core, want the one before the client left", arrived)
 				}
 			})
 		}
@@ -236,7 +236,7 @@
 		cc, cr := dialTCP(t, s)
 		_, _ = cc.Write(b)
 		if got, err := io.ReadAll(cr); len(got) != 0 || err != nil { // the request has been carried out once the connection ends
-			t.Errorf("told %q, %v", got, err)
+			t.Errorf("got %q, %v, want no answer", got, err)
 		}
 		waitFor(t, func() bool { return s.OpenConnections() == n })
 	}
@@ -262,7 +262,7 @@
 	}
 	_, _ = c.Write(queryMessage(""))
 	if typ, _ := readMessage(t, r); typ != 'I' {
-		t.Errorf("the connection does not go on: %c", typ)
+		t.Errorf("the connection is not usable afterwards: %c", typ)
 	}
 	if _, open, gone := f.counts(); open != 1 || gone != 0 {
 		t.Errorf("%d open, %d gone: others were cancelled too", open, gone)
@@ -281,7 +281,7 @@
 	cc, cr := dialTCP(t, s) // above the limit, so it would be refused
 	_, _ = cc.Write(cancelRequest(k))
 	if got, err := io.ReadAll(cr); len(got) != 0 || err != nil {
-		t.Errorf("told %q, %v", got, err)
+		t.Errorf("got %q, %v, want no answer", got, err)
 	}
 	if typ, body := readMessage(t, r); typ != 'E' || pgwire.ErrorField(body, 'C') != queryCanceled {
 		t.Errorf("%c %q", typ, body)
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -69,7 +69,7 @@
 			time.Sleep(minIdleAge)
 			s.closeIdle()
 		}},
-		"room": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) {
+		"evicted": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.evictIdle()
@@ -80,19 +80,19 @@
 			s.Handle(nc)
 			go s.Shutdown()
 		}, nil},
-		"terminate": {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, 'X')...), "IZ", (*Server).Handle, nil},
-		"protocol":  {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, '!')...), "IZE", (*Server).Handle, nil},
-		"too slow":  {1, append(slices.Clone(startupAndCommand), 'Q', 0), "IZE", (*Server).Handle, nil},
-		"refused":   {0, startup, "E", (*Server).Handle, nil},
-		"closed": {0, nil, "E", func(s *Server, nc net.Conn) {
+		"terminate":          {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, 'X')...), "IZ", (*Server).Handle, nil},
+		"protocol violation": {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, '!')...), "IZE", (*Server).Handle, nil},
+		"too slow":           {1, append(slices.Clone(startupAndCommand), 'Q', 0), "IZE", (*Server).Handle, nil},
+		"refused":            {0, startup, "E", (*Server).Handle, nil},
+		"rejected": {0, nil, "E", func(s *Server, nc net.Conn) {
 			s.refusing = (s.conf.SpareConnections + 1) / 2
 			s.Handle(nc)
 		}, nil},
-		"no room for one passed on": {1, nil, "", func(s *Server, nc net.Conn) {
+		"adopted beyond the limit": {1, nil, "", func(s *Server, nc net.Conn) {
 			s.conf.MaxConnections = -s.conf.SpareConnections
 			s.Adopt(nc, true)
 		}, nil},
-		"cut": {1, nil, "", func(s *Server, nc net.Conn) {
+		"answer truncated": {1, nil, "", func(s *Server, nc net.Conn) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.startTracked(func() { newConn(s, nc).serveFrom(errTruncated) })
@@ -144,7 +144,7 @@
 				got += m[:1]
 			}
 			if len(got) < len(tc.want) || got[len(got)-len(tc.want):] != tc.want {
-				t.Errorf("heard %q, want %q last", got, tc.want)
+				t.Errorf("got %q, want %q last", got, tc.want)
 			}
 			_ = near.Close()
 			s.mu.Lock()
@@ -157,7 +157,7 @@
 				return len(s.lingering) == 0
 			})
 			if f.arrived > 0 || len(s.lingering) > 0 || s.OpenConnections() > 0 {
-				t.Errorf("%d requests sent on, %d connections linger, %d open", f.arrived, len(s.lingering), s.OpenConnections())
+				t.Errorf("%d requests reached the core, %d connections linger, %d are open", f.arrived, len(s.lingering), s.OpenConnections())
 			}
 		})
 	}
@@ -172,7 +172,7 @@
 	ended := func(near net.Conn) {
 		t.Helper()
 		if _, err := io.Copy(io.Discard, near); err != nil {
-			t.Error("no clean end:", err)
+			t.Error("the connection did not end cleanly:", err)
 		}
 	}
 	lingers := func() (list []net.Conn) {
@@ -189,12 +189,12 @@
 		clients, ends = append(clients, near), append(ends, far)
 	}
 	if got := lingers(); !slices.Equal(got, ends) {
-		t.Fatalf("%d linger, want 3 in order", len(got))
+		t.Fatalf("%d connections linger, want 3 in order of their ends", len(got))
 	}
 	near, far := tcpPair(t)
 	s.Handle(far)
 	if got := lingers(); !slices.Equal(got, ends[1:]) {
-		t.Errorf("with one more client %d linger, want the two last", len(got))
+		t.Errorf("after one more client %d linger, want the last two", len(got))
 	}
 	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...))
 	for b := []byte{0}; b[0] != 'I'; {
@@ -249,12 +249,12 @@
 		text []byte
 		want string
 	}{
-		"half a startup": {startup[:9], ""}, "half a header": {after([]byte{'Q', 0}), ""}, "half a command": {after(queryMessage(selectStatement)[:40]), ""},
-		"half a long command": {after(queryMessage(selectStatement + string(make([]byte, 2*initialReadSize)))[:initialReadSize+100]), ""},
-		"half an unknown one": {after([]byte{'P', 0, 0, 1, 0, 'x'}), ""},
-		"in work":             {after(queryMessage(selectStatement)), "EZ"},
-		"in work, more whole": {after(append(queryMessage(selectStatement), queryMessage("")...)), "EZIZ"},
-		"in work, more half":  {after(append(queryMessage(selectStatement), queryMessage("")[:3]...)), "EZ"},
+		"partial startup": {startup[:9], ""}, "partial header": {after([]byte{'Q', 0}), ""}, "partial command": {after(queryMessage(selectStatement)[:40]), ""},
+		"partial long command":                 {after(queryMessage(selectStatement + string(make([]byte, 2*initialReadSize)))[:initialReadSize+100]), ""},
+		"partial refused message":              {after([]byte{'P', 0, 0, 1, 0, 'x'}), ""},
+		"in progress":                          {after(queryMessage(selectStatement)), "EZ"},
+		"in progress, complete command behind": {after(append(queryMessage(selectStatement), queryMessage("")...)), "EZIZ"},
+		"in progress, partial command behind":  {after(append(queryMessage(selectStatement), queryMessage("")[:3]...)), "EZ"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := new(fakeCore)
@@ -302,7 +302,7 @@
 				got += m[:1]
 			}
 			if want := "RSSSSSSKZ" + tc.want; got != want && !(tc.want == "" && got == "") {
-				t.Errorf("heard %q, want %q", got, want)
+				t.Errorf("got %q, want %q", got, want)
 			}
 			_ = near.Close()
 			<-done
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -164,7 +164,7 @@
 		}
 		last := dial(s, ask)
 		if got := last.replies(t); !slices.Equal(got, []string{"E53300500"}) || open.ended() {
-			t.Errorf("all others in use, yet: %q", got)
+			t.Errorf("with all other connections in use got %q", got)
 		}
 		for _, p := range append(peers, last) {
 			close(p.write)
@@ -180,7 +180,7 @@
 func TestFloodSparesNewConnections(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "app", "shop")
 	startupAndCommand := append(slices.Clone(startup), queryMessage(selectStatement)...)
-	for name, begun := range map[string]int{"connected": 0, "half a startup": 6, "welcomed": len(startup), "half a command": len(startup) + 7} {
+	for name, begun := range map[string]int{"connected": 0, "partial startup": 6, "after startup": len(startup), "partial command": len(startup) + 7} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeCore{}
@@ -193,17 +193,17 @@
 					}
 				}
 				if beginner.ended() || !peers[0].ended() {
-					t.Errorf("ended: the one that begins %v, the one that has had its turn %v", beginner.ended(), peers[0].ended())
+					t.Errorf("ended: the one that begins %v, the one that was served %v", beginner.ended(), peers[0].ended())
 				}
 				beginner.write <- startupAndCommand[begun:]
 				synctest.Wait()
 				if f.arrived != 1 {
-					t.Errorf("%d requests came through the flood", f.arrived)
+					t.Errorf("%d requests reached the core during the flood, want 1", f.arrived)
 				}
 				time.Sleep(minIdleAge)
 				next := dial(s, bytes.Replace(startupAndCommand, []byte("id=1"), []byte("id=2"), 1))
 				if f.arrived != 2 {
-					t.Errorf("no room for the next one, which is told %q", next.replies(t))
+					t.Errorf("the next client was not served but got %q", next.replies(t))
 				}
 				for _, p := range append(peers, beginner, next) {
 					close(p.write)
@@ -291,8 +291,8 @@
 // TestSilent: a client that never sends a complete command gets an error, wherever it stops.
 func TestSilent(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "app", "shop")
-	for name, text := range map[string][]byte{"nothing": nil, "half a startup": startup[:9], "startup": startup,
-		"half a header": append(slices.Clone(startup), 'Q', 0), "half a command": append(slices.Clone(startup), queryMessage(selectStatement)[:40]...)} {
+	for name, text := range map[string][]byte{"nothing": nil, "partial startup": startup[:9], "startup": startup,
+		"partial header": append(slices.Clone(startup), 'Q', 0), "partial command": append(slices.Clone(startup), queryMessage(selectStatement)[:40]...)} {
 		synctest.Test(t, func(t *testing.T) {
 			s, bufs := newServer(&fakeCore{}, 1)
 			p := dial(s, text)
@@ -414,7 +414,7 @@
 		synctest.Wait()
 		got := second.replies(t)
 		if !slices.Equal(got[len(got)-4:], []string{"E42710", "Z", "E42601", "Z"}) || f.arrived != 1 {
-			t.Errorf("replies %q, %d handed over", got, f.arrived)
+			t.Errorf("replies %q, %d requests reached the core", got, f.arrived)
 		}
 		close(first.write)
 		_ = first.Close() // the request ends when its client leaves
@@ -422,7 +422,7 @@
 		second.write <- queryMessage(selectStatement)
 		synctest.Wait()
 		if f.arrived != 2 {
-			t.Error("the id is still taken")
+			t.Error("the id is still in use")
 		}
 		close(second.write)
 		_ = second.Close()
@@ -513,7 +513,7 @@
 	p.write <- pgwire.AppendStartup(nil, "app", "shop")
 	synctest.Wait()
 	if got := p.replies(t); len(got) < 3 || got[0] != "R" || got[len(got)-1] != "Z" {
-		t.Fatalf("welcome %q", got)
+		t.Fatalf("startup answered %q", got)
 	}
 	want, stopped, left := []string{}, false, false
 	answers := map[core.Verdict]string{core.Served: "D Z", core.Refused: "E5330070 Z", core.Failed: "E58000 Z"}
--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -30,7 +30,7 @@
 	size      int
 	free      []*Buf
 	remaining int // buffers that may still be allocated; negative if more are in use than the limit allows
-	limit     int
+	limit     int // buffers that may exist
 }
 
 // NewPool returns a pool of at most large buffers of LargeBufSize and small buffers of SmallBufSize. They are allocated on
@@ -48,6 +48,7 @@
 	p.small.setLimit(small)
 }
 
+// setLimit changes the limit and discards free buffers beyond it.
 func (s *sizeClass) setLimit(n int) {
 	s.remaining += n - s.limit
 	s.limit = n
@@ -79,8 +80,10 @@
 	return p.large.get(p)
 }
 
+// available returns the number of buffers that get can still return.
 func (s *sizeClass) available() int { return s.remaining + len(s.free) }
 
+// get returns a free or a new buffer, or nil if the limit is reached.
 func (s *sizeClass) get(p *Pool) *Buf {
 	if n := len(s.free); n > 0 {
 		b := s.free[n-1]
@@ -94,6 +97,7 @@
 	return &Buf{B: make([]byte, 0, s.size), pool: p}
 }
 
+// put returns a buffer to the pool, or discards it if the limit is exceeded.
 func (p *Pool) put(b *Buf) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pgwire/call.go
+++ b/internal/pgwire/call.go
@@ -10,8 +10,9 @@
 	"reachwind/internal/call"
 )
 
-// EncodeCall returns the parts of a Query message for a call that arrived by another protocol: the statement that a PostgreSQL
-// client would have sent for it. wait is the value of field d, in milliseconds. Values are written as bytea in hexadecimal.
+// EncodeCall returns the parts of a Query message for a call that arrived by another protocol: the statement that a
+// PostgreSQL client would have sent for it. wait is the value of field d, in milliseconds. Values are written as bytea in
+// hexadecimal.
 func EncodeCall(c *call.Request, wait int64) [][]byte {
 	b := make([]byte, 5, 256+2*len(c.Value))
 	b = append(append(b, "/* id="...), c.ID...)
@@ -50,7 +51,7 @@
 	return "p:" + strconv.Itoa(c.Limit) + ":" + hex.EncodeToString([]byte(c.After)) + ":" + hex.EncodeToString([]byte(c.Prefix))
 }
 
-// ParsePage parses the id of a page, as pageID writes it.
+// ParsePage parses the id of a page, as pageID writes it; ok is false if it is malformed or its limit is not allowed.
 func ParsePage(id string) (prefix, after string, limit int, ok bool) {
 	f := strings.Split(id, ":")
 	if len(f) != 4 || f[0] != "p" {
@@ -75,6 +76,7 @@
 	return len(s) > 0 && len(s) <= maxNameLen
 }
 
+// errNoRow reports an answer that is malformed or has no DataRow.
 var errNoRow = errors.New("the answer holds no row")
 
 // Value implements call.Answer for a buffer with a complete answer of a member. A bytea in its text form is decoded.
--- a/internal/pgwire/stream.go
+++ b/internal/pgwire/stream.go
@@ -18,8 +18,8 @@
 	return h[0] == 'D' && binary.BigEndian.Uint32(h[1:5]) > RowHeaderSize-1+MaxBufferedValue
 }
 
-// LargeRowValueLen returns the length of the value that the first RowHeaderSize bytes of a large DataRow announce. The value must be the
-// only column, not null, and fill the rest of the message; else the error wraps ErrTooLong or ErrMalformed.
+// LargeRowValueLen returns the length of the value that the first RowHeaderSize bytes of a large DataRow announce. The value
+// must be the only column, not null, and fill the rest of the message; else the error wraps ErrTooLong or ErrMalformed.
 func LargeRowValueLen(h []byte) (int, error) {
 	n, cols, value := int64(binary.BigEndian.Uint32(h[1:5])), binary.BigEndian.Uint16(h[5:7]), int64(binary.BigEndian.Uint32(h[7:11]))
 	switch {
@@ -36,6 +36,7 @@
 // stream before a client's connection has it.
 type Stream struct{ takers chan taker }
 
+// taker is the writer of an answer, with the function to call at its end; a nil writer means that the stream was released.
 type taker struct {
 	w    io.Writer
 	done func(tail []byte)
@@ -51,6 +52,7 @@
 // Release says that nobody will start the stream; after Start it does nothing.
 func (s *Stream) Release() { s.resolve(taker{}) }
 
+// resolve decides who takes the stream; only its first call has an effect.
 func (s *Stream) resolve(t taker) {
 	select {
 	case s.takers <- t:
@@ -58,7 +60,8 @@
 	}
 }
 
-// AwaitTaker waits until the stream is started or released; w is nil if it was released. The member's connection calls it, once.
+// AwaitTaker waits until the stream is started or released; w is nil if it was released. The member's connection calls it,
+// once.
 func (s *Stream) AwaitTaker() (w io.Writer, done func(tail []byte)) {
 	t := <-s.takers
 	return t.w, t.done
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -26,7 +26,7 @@
 type noCore struct{ t *testing.T }
 
 func (n noCore) Now() core.Time                                          { return core.Time(time.Now().UnixNano()) }
-func (n noCore) Arrive(*core.Request)                                    { n.t.Error("a request came to the core") }
+func (n noCore) Arrive(*core.Request)                                    { n.t.Error("a request reached the core") }
 func (n noCore) Gone(*core.Request)                                      {}
 func (n noCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
@@ -106,12 +106,12 @@
 		ends    bool   // the connection ends by Shutdown
 		idleFor time.Duration
 	}{
-		"idle":          {1, requestHead + "\r\n", "400", false, 50 * time.Millisecond},
-		"shutdown":      {1, requestHead + "\r\n", "400", true, time.Hour},
-		"close asked":   {1, requestHead + "Connection: close\r\n\r\n", "400", false, time.Hour},
-		"half a header": {1, requestHead, "", false, time.Hour},
-		"no request":    {1, "nonsense\r\n\r\n", "400", false, time.Hour},
-		"no room":       {0, requestHead + "\r\n", "503", false, time.Hour},
+		"idle":              {1, requestHead + "\r\n", "400", false, 50 * time.Millisecond},
+		"shutdown":          {1, requestHead + "\r\n", "400", true, time.Hour},
+		"close requested":   {1, requestHead + "Connection: close\r\n\r\n", "400", false, time.Hour},
+		"partial header":    {1, requestHead, "", false, time.Hour},
+		"malformed request": {1, "nonsense\r\n\r\n", "400", false, time.Hour},
+		"beyond the limit":  {0, requestHead + "\r\n", "503", false, time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var clientConn net.Conn
@@ -158,7 +158,7 @@
 			_ = clientConn.Close()
 			s.Shutdown(t.Context())
 			if s.openConns != 0 || s.refusing != 0 || len(s.lingering) > 0 {
-				t.Errorf("%d open, %d being refused, %d linger", s.openConns, s.refusing, len(s.lingering))
+				t.Errorf("%d open, %d being refused, %d linger, want none", s.openConns, s.refusing, len(s.lingering))
 			}
 		})
 	}
@@ -178,7 +178,7 @@
 		_, _ = nc.Write([]byte(requestHead + "Connection: close\r\n\r\n"))
 		text, err := io.ReadAll(nc)
 		if err != nil || !strings.HasPrefix(string(text), fmt.Sprint("HTTP/1.1 ", http.StatusBadRequest)) {
-			t.Fatalf("client %d heard %q, %v", i, text, err)
+			t.Fatalf("client %d got %q, %v", i, text, err)
 		}
 		all = append(all, nc) // the client does not close
 	}
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -46,7 +46,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it never came to pass")
+	t.Fatal("the condition was not met in time")
 }
 
 // TestClientLeaves: a client that closes its side while its request waits is detected as gone, also behind bytes of a next
@@ -92,7 +92,7 @@
 			} else {
 				_ = c.CloseWrite()
 				if got, _ := io.ReadAll(c); len(got) != 0 {
-					t.Errorf("told %.100q", got)
+					t.Errorf("got %.100q, want no answer", got)
 				}
 			}
 			waitFor(t, func() bool {
--- a/internal/restfront/list.go
+++ b/internal/restfront/list.go
@@ -27,8 +27,8 @@
 type listing struct {
 	from   cursor.Cursor // where the page begins; its position is that of the first page, 0 while that is requested
 	class  string
-	limit  int
-	prefix string // the prefix of the query
+	limit  int    // items of a page at most
+	prefix string // only items whose ids begin with it
 }
 
 // newCursorRing reads the keys of cursors, or makes a random one if no file is configured.
--- a/internal/restfront/problem.go
+++ b/internal/restfront/problem.go
@@ -33,6 +33,7 @@
 	return &problem{kind: "failed", status: http.StatusBadGateway, detail: "failed", mayHaveRun: &ran, outcome: record.Failed}
 }
 
+// write writes the problem document, with a Retry-After field if it names a time.
 func (p *problem) write(w http.ResponseWriter) {
 	body := map[string]any{"type": problemBase + p.kind, "title": http.StatusText(p.status), "status": p.status, "detail": p.detail}
 	if p.mayHaveRun != nil {
