--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -27,14 +27,14 @@
 	"reachwind/internal/suspend"
 )
 
-// Limits for calls, which are short but may arrive over slow links.
+// Limits for operators' calls, which are short but may arrive over links of any kind. They depend on no request or setting.
 const (
 	maxCallSize           = 8 << 10                // size limit of a call in bytes
 	maxIDLen              = 256                    // size limit of the id of a db machine in bytes
 	readTimeout           = 10 * time.Second       // timeout for reading a call, from the start of the connection
 	callTimeout           = 600 * time.Millisecond // timeout for carrying out a call
 	writeTimeout          = time.Second            // timeout for writing an answer
-	lingerIdleTimeout     = 300 * time.Millisecond // a lingering connection is closed after so long without bytes; a reset could lose its answer
+	lingerIdleTimeout     = 300 * time.Millisecond // a lingering connection, whose answer a reset could lose, is closed after so long without bytes
 	lingerTimeout         = 3 * time.Second        // a lingering connection is closed after so long at the latest,
 	maxLingerBytes        = 1 << 20                // or after so many bytes
 	acceptRetryPause      = 20 * time.Millisecond  // pause after a failed accept
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestSlowAndStalledCallers: a slow caller is answered once its call is complete; a caller whose call stalls in the backend gets an error;
-// while all connections wait for answers, a new caller is told so.
+// TestSlowAndStalledCallers: a slow caller is answered once its call is complete; a caller whose call stalls in the backend
+// gets an error; while all connections wait for answers, a new caller is told so.
 func TestSlowAndStalledCallers(t *testing.T) {
 	op := &fakeBackend{stall: make(chan struct{})}
 	srv, addr := startServer(t, 2, op)
--- a/internal/adminapi/linger_test.go
+++ b/internal/adminapi/linger_test.go
@@ -76,8 +76,8 @@
 	readAnswer(t, nc, "HTTP/1.1 400 ", "longer than")
 }
 
-// TestSecondCallDuringAnswer: a second call that arrives while the first one is answered is not carried out, and the first answer is
-// not lost.
+// TestSecondCallDuringAnswer: a second call that arrives while the first one is answered is not carried out, and the first
+// answer is not lost.
 func TestSecondCallDuringAnswer(t *testing.T) {
 	op := new(fakeBackend)
 	srv, addr := startServer(t, 4, op)
@@ -176,8 +176,8 @@
 	awaitNoConnections(t, srv)
 }
 
-// TestCallOnEvictedConnection: a call that arrives while its connection is asked to make room for another gets an answer, the result or
-// a refusal.
+// TestCallOnEvictedConnection: a call that arrives while its connection is asked to make room for another gets an answer,
+// the result or a refusal.
 func TestCallOnEvictedConnection(t *testing.T) {
 	srv, addr := startServer(t, 2, new(fakeBackend))
 	first, second := dialCaller(t, addr), dialCaller(t, addr)
@@ -222,8 +222,8 @@
 	awaitNoConnections(t, srv)
 }
 
-// TestLargeInputThenDisconnect: callers that send much at once and leave, by a close or a reset, leave no connection behind, and others
-// are answered.
+// TestLargeInputThenDisconnect: callers that send much at once and leave, by a close or a reset, leave no connection behind,
+// and others are answered.
 func TestLargeInputThenDisconnect(t *testing.T) {
 	srv, addr := startServer(t, 4, new(fakeBackend))
 	text := []byte("POST /v1/db-machines/m/suspend HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n" + strings.Repeat("a", 200<<10))
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -80,8 +80,8 @@
 	_ = p.Wait()
 }
 
-// TestProcessesKilledAtRandom starts processes that commit, change a file and are killed at random moments. Whatever a process has
-// reported as done must be visible to all, and the file must always be intact.
+// TestProcessesKilledAtRandom starts processes that commit, change a file and are killed at random moments. Whatever a
+// process has reported as done must be visible to all, and the file must always be intact.
 func TestProcessesKilledAtRandom(t *testing.T) {
 	const steps = 200
 	seed := uint64(time.Now().UnixNano())
--- a/internal/handover/transfer_test.go
+++ b/internal/handover/transfer_test.go
@@ -55,8 +55,8 @@
 }
 
 // TestSendToKilledProcess: if a successor is killed after a connection was sent to it and before it accepted it, that
-// connection is not lost: the former process still owns it. Once the successor has accepted a connection, the former process may
-// close its copy without ending it.
+// connection is not lost: the former process still owns it. Once the successor has accepted a connection, the former process
+// may close its copy without ending it.
 func TestSendToKilledProcess(t *testing.T) {
 	dir := t.TempDir()
 	sender := patientSender(openSharedState(t, dir))
--- a/internal/pgfront/arrivals_test.go
+++ b/internal/pgfront/arrivals_test.go
@@ -10,9 +10,9 @@
 	"reachwind/internal/pgwire"
 )
 
-// TestDeadlineOfQueuedCommand: the deadline of a command that waits behind others counts from its arrival, not from the start of its
-// execution, however often the reader grew meanwhile; one that arrives alone has its full time, also after messages that
-// are not queries.
+// TestDeadlineOfQueuedCommand: the deadline of a command that waits behind others counts from its arrival, not from the
+// start of its execution, however often the reader grew meanwhile; one that arrives alone has its full time, also after
+// messages that are not queries.
 func TestDeadlineOfQueuedCommand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
--- a/internal/pgfront/cancel_test.go
+++ b/internal/pgfront/cancel_test.go
@@ -103,8 +103,9 @@
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, k.pid), k.secret)
 }
 
-// TestDisconnectBehindUnreadBytes: a client that closes its side or resets the connection is detected at once, however much it sent
-// after its request: with the reader full, enlarged to its limit, or unable to grow; also while a large answer is streamed.
+// TestDisconnectBehindUnreadBytes: a client that closes its side or resets the connection is detected at once, however much
+// it sent after its request: with the reader full, enlarged to its limit, or unable to grow; also while a large answer is
+// streamed.
 func TestDisconnectBehindUnreadBytes(t *testing.T) {
 	for _, tc := range []struct {
 		bytes int
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -15,8 +15,8 @@
 	"reachwind/internal/pgwire"
 )
 
-// interceptedConn is the gateway's end of a connection. When the gateway is about to close it, by whatever call, the client first
-// sends bytes, which have arrived by the time the call is carried out.
+// interceptedConn is the gateway's end of a connection. When the gateway is about to close it, by whatever call, the client
+// first sends bytes, which have arrived by the time the call is carried out.
 type interceptedConn struct {
 	*net.TCPConn
 	once        sync.Once
@@ -53,8 +53,8 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// TestRequestDuringClose: for whatever reason the gateway closes a connection, a request that arrives between its last read and
-// the close neither resets the connection, by which the client could lose the last answer, nor reaches the core.
+// TestRequestDuringClose: for whatever reason the gateway closes a connection, a request that arrives between its last read
+// and the close neither resets the connection, by which the client could lose the last answer, nor reaches the core.
 func TestRequestDuringClose(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "app", "shop")
 	startupAndCommand := append(slices.Clone(startup), queryMessage("")...) // the front itself answers it
@@ -240,8 +240,9 @@
 	ended(near)
 }
 
-// TestAbandonPartialMessages: at the end of a shutdown the server does not wait for the rest of a command, wherever its client stopped, and
-// closes the connection without a reset; a request in progress is answered first, and so are complete commands behind it.
+// TestAbandonPartialMessages: at the end of a shutdown the server does not wait for the rest of a command, wherever its
+// client stopped, and closes the connection without a reset; a request in progress is answered first, and so are complete
+// commands behind it.
 func TestAbandonPartialMessages(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "app", "shop")
 	after := func(text []byte) []byte { return append(slices.Clone(startup), text...) }
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -175,8 +175,9 @@
 	})
 }
 
-// TestFloodSparesNewConnections: hundreds of new clients do not displace one that has only just connected or completed its startup,
-// even if they connect faster than it can send the rest: it is served. After minIdleAge it may be closed for another.
+// TestFloodSparesNewConnections: hundreds of new clients do not displace one that has only just connected or completed its
+// startup, even if they connect faster than it can send the rest: it is served. After minIdleAge it may be closed for
+// another.
 func TestFloodSparesNewConnections(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "app", "shop")
 	startupAndCommand := append(slices.Clone(startup), queryMessage(selectStatement)...)
@@ -401,8 +402,8 @@
 	})
 }
 
-// TestMisleadingStatements: a statement that members would misinterpret gets an error and never reaches the core: one with the id of an
-// open request, or a write without its idempotency key. The id is free again once its request has ended.
+// TestMisleadingStatements: a statement that members would misinterpret gets an error and never reaches the core: one with
+// the id of an open request, or a write without its idempotency key. The id is free again once its request has ended.
 func TestMisleadingStatements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
@@ -581,7 +582,8 @@
 	}
 }
 
-// TestOutOfBuffers: without a free buffer a query is refused with the time after which to retry, and the connection remains usable.
+// TestOutOfBuffers: without a free buffer a query is refused with the time after which to retry, and the connection remains
+// usable.
 func TestOutOfBuffers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// LargeBufSize is the size, in bytes, of a large buffer. It fits the largest message that is buffered whole: a value of 64 KiB as
-// hex digits, with its statement.
+// LargeBufSize is the size, in bytes, of a large buffer. It fits the largest message that is buffered whole: a value of 64
+// KiB as hex digits, with its statement.
 const LargeBufSize = 132 << 10
 
 // SmallBufSize is the size, in bytes, of a small buffer. It fits a typical statement or a small answer. Slow peers keep many
--- a/internal/pgwire/call_test.go
+++ b/internal/pgwire/call_test.go
@@ -9,8 +9,8 @@
 	"reachwind/internal/call"
 )
 
-// TestEncodeCall: the statement for a call that arrived by another protocol parses back to the same fields, whatever its item and
-// value contain; and a value can be decoded from an answer.
+// TestEncodeCall: the statement for a call that arrived by another protocol parses back to the same fields, whatever its
+// item and value contain; and a value can be decoded from an answer.
 func TestEncodeCall(t *testing.T) {
 	plain := rapid.StringMatching(`[!-)+.0-<>-~]{1,40}`)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -169,7 +169,8 @@
 	return code, nil
 }
 
-// ForEachLoadValue calls each for every name=value pair of a load report. Pairs without a finite number below 1e18 are skipped.
+// ForEachLoadValue calls each for every name=value pair of a load report. Pairs without a finite number below 1e18 are
+// skipped.
 func ForEachLoadValue(s []byte, each func(name string, v float64)) {
 	for more := true; more; {
 		var pair []byte
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -30,8 +30,8 @@
 func (n noCore) Gone(*core.Request)                                      {}
 func (n noCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
-// interceptedConn is the server's end of a connection. When the server is about to close it, the client first sends bytes, which
-// have arrived by the time the close is carried out.
+// interceptedConn is the server's end of a connection. When the server is about to close it, the client first sends bytes,
+// which have arrived by the time the close is carried out.
 type interceptedConn struct {
 	*net.TCPConn
 	once        sync.Once
@@ -96,8 +96,8 @@
 
 const requestHead = "GET /v1/clusters/0/items/x HTTP/1.1\r\nHost: h\r\n" // without a class: the front itself answers it
 
-// TestRequestDuringClose: for whatever reason a connection is closed, a request that arrives at that moment neither causes a reset,
-// by which the client could lose an answer, nor is it served.
+// TestRequestDuringClose: for whatever reason a connection is closed, a request that arrives at that moment neither causes a
+// reset, by which the client could lose an answer, nor is it served.
 func TestRequestDuringClose(t *testing.T) {
 	for name, tc := range map[string]struct {
 		most    int
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -319,8 +319,8 @@
 	panic(http.ErrAbortHandler) // else a client that closed only its sending side would get an empty answer with status 200
 }
 
-// awaitAnswer waits for the answer to a request, and reports whether it arrived before the client closed the connection. net/http
-// does not detect the close behind unread bytes of a next request, so the socket is polled.
+// awaitAnswer waits for the answer to a request, and reports whether it arrived before the client closed the connection.
+// net/http does not detect the close behind unread bytes of a next request, so the socket is polled.
 func awaitAnswer(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
 	poll := time.NewTicker(peerclose.CheckInterval)
 	defer poll.Stop()
