--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,7 +18,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain plays a process of the gateway where the test starts one: it does what it reads, a line each, and says so.
+// TestMain runs as a process of the gateway if a test has started it as one: it executes the commands on stdin, one per
+// line, and reports each on stdout.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("HANDOVER_PLAY")
 	if dir == "" {
@@ -55,7 +56,7 @@
 	out *bufio.Scanner
 }
 
-func start(t *testing.T, dir string) *process {
+func startProcess(t *testing.T, dir string) *process {
 	t.Helper()
 	p := &process{Cmd: exec.Command(os.Args[0])}
 	p.Env = append(os.Environ(), "HANDOVER_PLAY="+dir)
@@ -72,16 +73,16 @@
 	return p
 }
 
-func (p *process) tell(format string, a ...any) { _, _ = fmt.Fprintf(p.in, format+"\n", a...) }
+func (p *process) command(format string, a ...any) { _, _ = fmt.Fprintf(p.in, format+"\n", a...) }
 
 func (p *process) kill() {
 	_ = p.Process.Kill()
 	_ = p.Wait()
 }
 
-// TestProcesses has processes come, commit, change a file and be killed in the middle of it, by seed. What one was
-// told done is seen by all, in any order of deaths, and the file is always whole.
-func TestProcesses(t *testing.T) {
+// TestProcessesKilledAtRandom starts processes that commit, change a file and are killed at random moments. Whatever a
+// process has reported as done must be visible to all, and the file must always be intact.
+func TestProcessesKilledAtRandom(t *testing.T) {
 	const steps = 200
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -95,17 +96,17 @@
 	var live []*process
 	for i := 1; i <= steps; i++ {
 		if len(live) < 2 {
-			live = append(live, start(t, dir))
+			live = append(live, startProcess(t, dir))
 		}
 		p := live[rng.IntN(len(live))]
 		s := "s" + strconv.Itoa(rng.IntN(20))
 		commit := rng.IntN(2) == 0
 		if commit {
-			p.tell("commit %s %d", s, i)
+			p.command("commit %s %d", s, i)
 		} else {
-			p.tell("add x %d", i)
+			p.command("add x %d", i)
 		}
-		if rng.IntN(10) == 0 { // at whatever it is doing
+		if rng.IntN(10) == 0 { // killed at any point of the command
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
 			p.kill()
 			live = append(live[:0:0], live...)
@@ -121,7 +122,7 @@
 		}
 		for s, n := range newest {
 			if got := b.LastCommit(1, s); got < time.Duration(n) {
-				t.Fatalf("step %d: session %s committed at %d, the board says %d", i, s, n, got)
+				t.Fatalf("step %d: session %s committed at %d, the shared state says %d", i, s, n, got)
 			}
 		}
 		all, err := b.Load("set")
@@ -134,7 +135,7 @@
 			}
 		}
 		if got := len(b.Peers()); got > len(live) {
-			t.Fatalf("step %d: %d others live, the board counts %d", i, len(live), got)
+			t.Fatalf("step %d: %d other processes are alive, the shared state counts %d", i, len(live), got)
 		}
 	}
 }
@@ -148,9 +149,9 @@
 	return -1
 }
 
-// TestBroken: a board or a file that was cut, flipped, made longer or is of another version is told from a whole one,
-// is replaced where nobody lives, and is left alone where somebody does.
-func TestBroken(t *testing.T) {
+// TestDamagedFiles: shared memory or a state file that is truncated, has flipped bits, is too long or has another version is
+// detected. Damaged shared memory is replaced if no other process is alive, and left alone if one is.
+func TestDamagedFiles(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp("", "handover")
 		if err != nil {
@@ -165,7 +166,7 @@
 		if err := b.Save("set", payload); err != nil {
 			rt.Fatal(err)
 		}
-		name := rapid.SampledFrom([]string{"set", boardName}).Draw(rt, "file")
+		name := rapid.SampledFrom([]string{"set", sharedStateName}).Draw(rt, "file")
 		path := filepath.Join(dir, name)
 		whole, _ := os.ReadFile(path)
 		text := append([]byte(nil), whole...)
@@ -175,48 +176,48 @@
 		case 1:
 			text[rapid.IntRange(0, 23).Draw(rt, "at")] ^= byte(rapid.IntRange(1, 255).Draw(rt, "flip"))
 		case 2:
-			text = append(text, make([]byte, rapid.IntRange(1, fileMost+100).Draw(rt, "more"))...)
+			text = append(text, make([]byte, rapid.IntRange(1, maxFilePayload+100).Draw(rt, "more"))...)
 		}
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			rt.Fatal(err)
 		}
 		if name == "set" {
 			if got, err := b.Load("set"); err == nil {
-				rt.Fatalf("a broken file was read: %v", got)
+				rt.Fatalf("a damaged file was read: %v", got)
 			}
 			return
 		}
-		second, err := Open(dir) // where the first lives
+		second, err := Open(dir) // while the first is alive
 		if second == nil || second.Joined() || !errors.As(err, new(*StateError)) {
-			rt.Fatalf("a broken board was taken beside another process: %v", err)
+			rt.Fatalf("damaged shared memory was used while another process is alive: %v", err)
 		}
 		if o := b.Peers(); len(o) != 1 || o[0].Joined {
-			rt.Fatalf("the first sees %v", o)
+			rt.Fatalf("the first process sees %v", o)
 		}
 		second.Close()
 		b.Close()
 		third, err := Open(dir)
 		if err != nil || !third.Joined() {
-			rt.Fatalf("a broken board was not replaced where nobody lives: %v", err)
+			rt.Fatalf("damaged shared memory was not replaced although no process is alive: %v", err)
 		}
 		third.Close()
 	})
 }
 
-// TestSplit: what two processes may use together stays under the limit once each has seen what the other holds.
-func TestSplit(t *testing.T) {
+// TestAllowedShare: two processes together stay within the limit once each has seen what the other holds.
+func TestAllowedShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(64, 4096).Draw(rt, "limit")
 		held := rapid.IntRange(0, limit).Draw(rt, "held")
 		may := AllowedShare(limit, []Peer{{Descriptors: held, Older: true}}, false)
-		if may > limit-held && may > int(leastPart*float64(limit)) {
-			rt.Fatalf("limit %d, the other holds %d: may use %d", limit, held, may)
+		if may > limit-held && may > int(minFraction*float64(limit)) {
+			rt.Fatalf("limit %d, the other process holds %d: may use %d", limit, held, may)
 		}
-		if older := AllowedShare(limit, []Peer{{Descriptors: may}}, true); older+may > limit && may > int(leastPart*float64(limit)) && older > int(leastPart*float64(limit)) {
-			rt.Fatalf("limit %d: %d and %d", limit, may, older)
+		if older := AllowedShare(limit, []Peer{{Descriptors: may}}, true); older+may > limit && may > int(minFraction*float64(limit)) && older > int(minFraction*float64(limit)) {
+			rt.Fatalf("limit %d: the processes may use %d and %d", limit, may, older)
 		}
 		if AllowedShare(limit, nil, false) != limit {
-			rt.Fatal("alone it is less than all")
+			rt.Fatal("without other processes it is less than the limit")
 		}
 	})
 }
--- a/internal/handover/split.go
+++ b/internal/handover/split.go
@@ -1,24 +1,25 @@
 package handover
 
 const (
-	leastPart = 0.25 // of a limit, that either process may always count on
-	otherPart = 0.3  // of it, that is kept free for a process that has only just come
-	margin    = 0.05 // of it, for what the other took since it last said so
+	minFraction        = 0.25 // fraction of a limit that each process may always use
+	newProcessFraction = 0.3  // fraction of a limit that the older process leaves free for one that has just started
+	marginFraction     = 0.05 // fraction of a limit for what the other process acquired since it last published its use
 )
 
-// AllowedShare is how much of a limit a process may use while others live that say they use so much of it; ending are those
-// that are told to stop and take nothing new. Alone it is the whole. Two that keep to it stay under the limit
-// together: each leaves free what the other says it holds, and at least what a newcomer needs.
-func AllowedShare(limit int, others []Peer, older bool) int {
-	if len(others) == 0 {
+// AllowedShare returns how many of limit descriptors a process may use while others are alive, given how many these publish
+// to hold. older says that this process is the older one. Without others it is the whole limit. Two processes that follow
+// it stay within the limit together: each leaves free what the other publishes, and the older one at least what a new
+// process needs.
+func AllowedShare(limit int, peers []Peer, older bool) int {
+	if len(peers) == 0 {
 		return limit
 	}
 	used := 0
-	for _, o := range others {
+	for _, o := range peers {
 		used += o.Descriptors
 	}
-	if older { // the newcomer's need goes first: the older one ends soon
-		used = max(used, int(otherPart*float64(limit)))
+	if older { // the need of the new process takes precedence: the older one ends soon
+		used = max(used, int(newProcessFraction*float64(limit)))
 	}
-	return max(limit-used-int(margin*float64(limit)), int(leastPart*float64(limit)))
+	return max(limit-used-int(marginFraction*float64(limit)), int(minFraction*float64(limit)))
 }
--- a/internal/pgfront/close_test.go
+++ b/internal/pgfront/close_test.go
@@ -15,26 +15,26 @@
 	"reachwind/internal/pgwire"
 )
 
-// crossed is the gateway's end of a connection. When that is about to be ended, by whatever call, its client sends
-// something first, which has come by the time the call is carried out.
-type crossed struct {
+// interceptedConn is the gateway's end of a connection. When the gateway is about to close it, by whatever call, the client
+// first sends bytes, which have arrived by the time the call is carried out.
+type interceptedConn struct {
 	*net.TCPConn
-	once  sync.Once
-	cross func()
+	once        sync.Once
+	beforeClose func()
 }
 
-func (c *crossed) CloseWrite() error {
-	c.once.Do(c.cross)
+func (c *interceptedConn) CloseWrite() error {
+	c.once.Do(c.beforeClose)
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossed) Close() error {
-	c.once.Do(c.cross)
+func (c *interceptedConn) Close() error {
+	c.once.Do(c.beforeClose)
 	return c.TCPConn.Close()
 }
 
-// pair is both ends of a connection over TCP.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,11 +53,11 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// TestCloseCrossed: whyever the gateway ends a connection, a request that comes between its last look and the end
-// neither resets the connection, which would take the last answer along, nor is it sent on.
-func TestCloseCrossed(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	ask := append(slices.Clone(hello), query("")...) // answered here
+// TestRequestDuringClose: for whatever reason the gateway closes a connection, a request that arrives between its last read
+// and the close neither resets the connection, by which the client could lose the last answer, nor reaches the core.
+func TestRequestDuringClose(t *testing.T) {
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	startupAndCommand := append(slices.Clone(startup), queryMessage("")...) // the front itself answers it
 	for name, tc := range map[string]struct {
 		most  int
 		text  []byte
@@ -65,37 +65,37 @@
 		serve func(s *Server, nc net.Conn)
 		then  func(s *Server) // once the connection is idle
 	}{
-		"idle": {1, ask, "IZ", (*Server).Handle, func(s *Server) {
-			time.Sleep(idleLeast)
-			s.endIdle()
+		"idle": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) {
+			time.Sleep(minIdleAge)
+			s.closeIdle()
 		}},
-		"room": {1, ask, "IZ", (*Server).Handle, func(s *Server) {
+		"evicted": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.makeRoom()
+			s.evictIdle()
 		}},
-		"quiesce":  {1, ask, "IZ", (*Server).Handle, func(s *Server) { s.Quiesce(true) }},
-		"shutdown": {1, ask, "IZ", (*Server).Handle, func(s *Server) { go s.Shutdown() }},
+		"quiesce":  {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) { s.Quiesce(true) }},
+		"shutdown": {1, startupAndCommand, "IZ", (*Server).Handle, func(s *Server) { go s.Shutdown() }},
 		"no startup yet": {1, nil, "", func(s *Server, nc net.Conn) {
 			s.Handle(nc)
 			go s.Shutdown()
 		}, nil},
-		"terminate": {1, append(slices.Clone(ask), pgwire.Append(nil, 'X')...), "IZ", (*Server).Handle, nil},
-		"protocol":  {1, append(slices.Clone(ask), pgwire.Append(nil, '!')...), "IZE", (*Server).Handle, nil},
-		"too slow":  {1, append(slices.Clone(ask), 'Q', 0), "IZE", (*Server).Handle, nil},
-		"refused":   {0, hello, "E", (*Server).Handle, nil},
-		"closed": {0, nil, "E", func(s *Server, nc net.Conn) {
+		"terminate":          {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, 'X')...), "IZ", (*Server).Handle, nil},
+		"protocol violation": {1, append(slices.Clone(startupAndCommand), pgwire.Append(nil, '!')...), "IZE", (*Server).Handle, nil},
+		"too slow":           {1, append(slices.Clone(startupAndCommand), 'Q', 0), "IZE", (*Server).Handle, nil},
+		"refused":            {0, startup, "E", (*Server).Handle, nil},
+		"rejected": {0, nil, "E", func(s *Server, nc net.Conn) {
 			s.refusing = (s.conf.SpareConnections + 1) / 2
 			s.Handle(nc)
 		}, nil},
-		"no room for one passed on": {1, nil, "", func(s *Server, nc net.Conn) {
+		"adopted beyond the limit": {1, nil, "", func(s *Server, nc net.Conn) {
 			s.conf.MaxConnections = -s.conf.SpareConnections
 			s.Adopt(nc, true)
 		}, nil},
-		"cut": {1, nil, "", func(s *Server, nc net.Conn) {
+		"answer truncated": {1, nil, "", func(s *Server, nc net.Conn) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.start(func() { newConn(s, nc).serveFrom(errCut) })
+			s.startTracked(func() { newConn(s, nc).serveFrom(errTruncated) })
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -103,13 +103,13 @@
 			s, _ := newServer(f, tc.most)
 			s.conf.StartupTimeout, s.conf.LingerTimeout = 200*time.Millisecond, time.Hour
 			s.conf.SpareConnections = max(s.conf.SpareConnections, 4)
-			near, far := pair(t)
-			looks := interruptible.New[int](far, 16)
-			nc := &crossed{TCPConn: far, cross: func() {
-				if _, err := near.Write(query(read)); err != nil {
+			near, far := tcpPair(t)
+			watch := interruptible.New[int](far, 16)
+			nc := &interceptedConn{TCPConn: far, beforeClose: func() {
+				if _, err := near.Write(queryMessage(selectStatement)); err != nil {
 					t.Error(err)
 				}
-				for looks.NoPendingInput() { // the test's own limit ends a wait for nothing
+				for watch.NoPendingInput() { // if they never arrive, the test's timeout ends the wait
 					runtime.Gosched()
 				}
 			}}
@@ -144,73 +144,73 @@
 				got += m[:1]
 			}
 			if len(got) < len(tc.want) || got[len(got)-len(tc.want):] != tc.want {
-				t.Errorf("heard %q, want %q last", got, tc.want)
+				t.Errorf("got %q, want %q last", got, tc.want)
 			}
 			_ = near.Close()
 			s.mu.Lock()
 			s.refusing = 0
 			s.mu.Unlock()
 			s.Shutdown()
-			until(t, func() bool { // it waits for those that linger only shortly; the client's close ends them
+			waitFor(t, func() bool { // Shutdown waits for lingering connections only shortly; the client's close ends them
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				return len(s.lingered) == 0
+				return len(s.lingering) == 0
 			})
-			if f.arrived > 0 || len(s.lingered) > 0 || s.OpenConnections() > 0 {
-				t.Errorf("%d requests sent on, %d connections linger, %d open", f.arrived, len(s.lingered), s.OpenConnections())
+			if f.arrived > 0 || len(s.lingering) > 0 || s.OpenConnections() > 0 {
+				t.Errorf("%d requests reached the core, %d connections linger, %d are open", f.arrived, len(s.lingering), s.OpenConnections())
 			}
 		})
 	}
 }
 
-// TestLingerBounds: connections that linger give way to clients that come, the one that has lingered longest first; one
-// whose client sends on and on, or stays, is closed all the same.
+// TestLingerBounds: lingering connections are closed in favour of new clients, the one that has lingered longest first; one
+// whose client sends without end, or does not close, is closed as well.
 func TestLingerBounds(t *testing.T) {
 	f := new(fakeCore)
-	s, _ := newServer(f, 1) // with two to spare: three in all
+	s, _ := newServer(f, 1) // and two spare connections: three in total
 	s.conf.LingerTimeout = time.Hour
 	ended := func(near net.Conn) {
 		t.Helper()
 		if _, err := io.Copy(io.Discard, near); err != nil {
-			t.Error("no clean end:", err)
+			t.Error("the connection did not end cleanly:", err)
 		}
 	}
 	lingers := func() (list []net.Conn) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return slices.Clone(s.lingered)
+		return slices.Clone(s.lingering)
 	}
 	var clients, ends []net.Conn
 	for range 3 {
-		near, far := pair(t)
+		near, far := tcpPair(t)
 		s.Handle(far)
 		_, _ = near.Write(pgwire.Append(pgwire.AppendStartup(nil, "app", "shop"), 'X'))
 		ended(near)
 		clients, ends = append(clients, near), append(ends, far)
 	}
 	if got := lingers(); !slices.Equal(got, ends) {
-		t.Fatalf("%d linger, want 3 in order", len(got))
+		t.Fatalf("%d connections linger, want 3 in order of their ends", len(got))
 	}
-	near, far := pair(t)
+	near, far := tcpPair(t)
 	s.Handle(far)
 	if got := lingers(); !slices.Equal(got, ends[1:]) {
-		t.Errorf("with one more client %d linger, want the two last", len(got))
+		t.Errorf("after one more client %d linger, want the last two", len(got))
 	}
-	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query("")...))
+	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...))
 	for b := []byte{0}; b[0] != 'I'; {
 		if _, err := near.Read(b); err != nil {
 			t.Fatal("the new client is not served:", err)
 		}
 	}
 	_ = near.Close()
-	go func() { // a flood
+	go func() { // sends without end
 		for junk := make([]byte, 64<<10); ; {
 			if _, err := clients[1].Write(junk); err != nil {
 				return
 			}
 		}
 	}()
-	for len(lingers()) > 1 { // the test's own limit ends a wait for nothing
+	for len(lingers()) > 1 { // if it never is closed, the test's timeout ends the wait
 		runtime.Gosched()
 	}
 	_ = clients[2].Close()
@@ -220,19 +220,19 @@
 	}
 	s, _ = newServer(f, 1)
 	s.conf.LingerTimeout = 50 * time.Millisecond
-	near, far = pair(t)
+	near, far = tcpPair(t)
 	s.Handle(far)
 	_, _ = near.Write(pgwire.Append(pgwire.AppendStartup(nil, "app", "shop"), 'X'))
 	ended(near)
-	for len(lingers()) > 0 { // its client stays
+	for len(lingers()) > 0 { // its client does not close
 		runtime.Gosched()
 	}
-	// Nor does one that stays hold up a shutdown.
+	// Nor does a client that does not close delay a shutdown.
 	s, _ = newServer(f, 1)
 	s.conf.LingerTimeout = time.Hour
-	near, far = pair(t)
+	near, far = tcpPair(t)
 	s.Handle(far)
-	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), query("")...))
+	_, _ = near.Write(append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...))
 	s.Shutdown()
 	if n := len(lingers()); n != 1 || s.OpenConnections() > 0 {
 		t.Errorf("%d linger, %d open", n, s.OpenConnections())
@@ -240,50 +240,50 @@
 	ended(near)
 }
 
-// TestLastCall: in the last moments of a shutdown a command that has begun is not waited for, wherever its client
-// stopped, and its client finds the connection ended in order; a request in work has its answer first, and what came
-// whole behind it as well.
-func TestLastCall(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	after := func(text []byte) []byte { return append(slices.Clone(hello), text...) }
+// TestAbandonPartialMessages: at the end of a shutdown the server does not wait for the rest of a command, wherever its
+// client stopped, and closes the connection without a reset; a request in progress is answered first, and so are complete
+// commands behind it.
+func TestAbandonPartialMessages(t *testing.T) {
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	after := func(text []byte) []byte { return append(slices.Clone(startup), text...) }
 	for name, tc := range map[string]struct {
 		text []byte
 		want string
 	}{
-		"half a startup": {hello[:9], ""}, "half a header": {after([]byte{'Q', 0}), ""}, "half a command": {after(query(read)[:40]), ""},
-		"half a long command": {after(query(read + string(make([]byte, 2*readSize)))[:readSize+100]), ""},
-		"half an unknown one": {after([]byte{'P', 0, 0, 1, 0, 'x'}), ""},
-		"in work":             {after(query(read)), "EZ"},
-		"in work, more whole": {after(append(query(read), query("")...)), "EZIZ"},
-		"in work, more half":  {after(append(query(read), query("")[:3]...)), "EZ"},
+		"partial startup": {startup[:9], ""}, "partial header": {after([]byte{'Q', 0}), ""}, "partial command": {after(queryMessage(selectStatement)[:40]), ""},
+		"partial long command":                 {after(queryMessage(selectStatement + string(make([]byte, 2*initialReadSize)))[:initialReadSize+100]), ""},
+		"partial refused message":              {after([]byte{'P', 0, 0, 1, 0, 'x'}), ""},
+		"in progress":                          {after(queryMessage(selectStatement)), "EZ"},
+		"in progress, complete command behind": {after(append(queryMessage(selectStatement), queryMessage("")...)), "EZIZ"},
+		"in progress, partial command behind":  {after(append(queryMessage(selectStatement), queryMessage("")[:3]...)), "EZ"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := new(fakeCore)
 			s, _ := newServer(f, 1)
 			s.conf.StartupTimeout, s.conf.LingerTimeout = time.Hour, time.Hour
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			s.Handle(far)
 			if _, err := near.Write(tc.text); err != nil {
 				t.Fatal(err)
 			}
-			looks := interruptible.New[int](far, 16)
-			busy := func() bool { // all of it has been read, and what was to be done with it has begun
+			watch := interruptible.New[int](far, 16)
+			busy := func() bool { // all bytes have been read, and the request, if there is one, has reached the core
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				for c := range s.conns {
-					return looks.NoPendingInput() && c.spoke && (tc.want == "" || f.arrived > 0)
+					return watch.NoPendingInput() && c.received && (tc.want == "" || f.arrived > 0)
 				}
 				return false
 			}
 			for !busy() {
 				runtime.Gosched()
 			}
-			over := make(chan struct{})
+			done := make(chan struct{})
 			go func() {
 				s.Shutdown()
-				close(over)
+				close(done)
 			}()
 			s.AbandonPartialMessages()
 			f.mu.Lock()
@@ -303,10 +303,10 @@
 				got += m[:1]
 			}
 			if want := "RSSSSSSKZ" + tc.want; got != want && !(tc.want == "" && got == "") {
-				t.Errorf("heard %q, want %q", got, want)
+				t.Errorf("got %q, want %q", got, want)
 			}
 			_ = near.Close()
-			<-over
+			<-done
 		})
 	}
 }
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -19,105 +19,107 @@
 	"reachwind/internal/record"
 )
 
-const readSize = 4 << 10
+const initialReadSize = 4 << 10 // initial size of a read buffer in bytes
 
-// message is what others leave a connection: an answer, or word to stop.
+// message is a message that other goroutines post to a connection: an answer, an expired timeout or a request to stop.
 type message struct {
-	request *core.Request
-	answer  core.Answer
-	stop    bool // close once idle
-	last    bool // and do not wait for the rest of a message
-	expire  int  // the time for this read is up
-	passed  bool // the answer has passed through; tail is what is left of it, nil: it is not whole
-	tail    []byte
+	request        *core.Request
+	answer         core.Answer
+	stop           bool // close once idle
+	abandonPartial bool // with stop: do not wait for the rest of a partial message
+	expiredRead    int  // number of the read whose timeout expired
+	streamed       bool // the answer was streamed; tail is the rest of it, nil: it was cut short
+	tail           []byte
 }
 
 // conn is one client connection.
 type conn struct {
 	*interruptible.Conn[message]
-	s        *Server
-	refuse   bool // too many connections: say so and close
-	reads    int  // counts reads with a time limit; odd while one is on
-	stopping bool
-	last     bool // the process ends very soon: what is whole is answered, half a message is not waited for
-	skipping bool // an extended query was refused: skip to its Sync
-	answered []message
-	arrivals arrivals      // of what is in the reader
-	out      []byte        // small answers are put together here
-	timer    *time.Timer   // of the read with a time limit,
-	wait     time.Duration // which ends after such a silence,
-	until    time.Time     // and then at the latest
-	due      time.Time     // the startup, then the first command, must have begun by then; zero once that is whole
-
-	// Under the server's lock.
-	spoke     bool      // some byte has come
-	asked     bool      // its first command has come
-	leaving   bool      // told to stop, to make room
-	idleSince time.Time // zero with a command in work
-	key       key       // names it in cancel requests
-
-	work atomic.Pointer[core.Request] // what a cancel request would cancel; set before the request arrives
+	s              *Server
+	refusing       bool // too many connections: answer with an error and close
+	readNumber     int  // counts the starts and ends of reads with a timeout; odd during such a read
+	stopping       bool
+	abandonPartial bool // the process ends very soon: complete messages are answered, partial ones are not waited for
+	skipping       bool // an extended query was refused: skip messages up to its Sync
+	answers        []message
+	arrivals       arrivals      // arrival times of the bytes in the reader
+	scratch        []byte        // buffer for small answers
+	readTimer      *time.Timer   // of the read with a timeout
+	silenceTimeout time.Duration // that read ends after so long without bytes,
+	readDeadline   time.Time     // and at this time at the latest
+	startDeadline  time.Time     // deadline for the start of the startup, then of the first command; zero once that is complete
+
+	// Guarded by Server.mu.
+	received   bool      // a byte has been received
+	hadCommand bool      // the first command has been received
+	evicted    bool      // asked to stop, to make room
+	idleSince  time.Time // zero while a command is in progress
+	key        key       // identifies the connection in cancel requests
+
+	current atomic.Pointer[core.Request] // the request that a cancel request would cancel; set before it is passed to the core
 }
 
 var (
-	errGone     = errors.New("client has gone")
-	errEnd      = errors.New("end of connection")
-	errTooSlow  = errors.New("message took too long to come")
-	errSevered  = errors.New("stopping")
-	errPassed   = errors.New("passed on")
-	errProtocol = errors.New("protocol violation")
-	errCut      = errors.New("answer cut short")
-	errInUse    = errors.New("a request with this id is in work")
+	errClientGone    = errors.New("client has gone")
+	errConnectionEnd = errors.New("end of connection")
+	errTooSlow       = errors.New("message took too long to come")
+	errStopped       = errors.New("stopping")
+	errTransferred   = errors.New("passed on")
+	errProtocol      = errors.New("protocol violation")
+	errTruncated     = errors.New("answer cut short")
+	errIDInUse       = errors.New("a request with this id is in work")
 )
 
+// newConn returns a connection whose startup must begin within StartupTimeout.
 func newConn(s *Server, nc net.Conn) *conn {
 	now := time.Now()
-	c := &conn{Conn: interruptible.New[message](nc, readSize), s: s, idleSince: now, due: now.Add(s.conf.StartupTimeout)}
-	c.OnRead = func(n int) { c.arrivals.came(n, s.core.Now()) }
+	c := &conn{Conn: interruptible.New[message](nc, initialReadSize), s: s, idleSince: now, startDeadline: now.Add(s.conf.StartupTimeout)}
+	c.OnRead = func(n int) { c.arrivals.record(n, s.core.Now()) }
 	return c
 }
 
-// client takes the answer to one request of a connection.
+// client receives the answer to one request of a connection.
 type client struct {
 	c       *conn
 	request *core.Request
 }
 
-// Answer leaves the answer for the connection's goroutine.
+// Answer posts the answer to the connection's goroutine.
 func (k client) Answer(a core.Answer) {
 	if !k.c.Post(message{request: k.request, answer: a}) && a.Body != nil {
 		a.Body.Release()
 	}
 }
 
-// serve runs the connection to its end.
+// serve runs the connection until it is closed.
 func (c *conn) serve() { c.serveFrom(c.startup()) }
 
-// serveFrom goes on after the startup, which ended with err.
+// serveFrom runs the connection after the startup, which returned err.
 func (c *conn) serveFrom(err error) {
-	defer func() { c.s.ahead.Add(-int64(c.Reader.Size() - readSize)) }()
+	defer func() { c.s.readAheadBytes.Add(-int64(c.Reader.Size() - initialReadSize)) }()
 	for err == nil {
 		err = c.next()
 	}
 	if errors.Is(err, pgwire.ErrTooLong) || errors.Is(err, errProtocol) || errors.Is(err, errTooSlow) {
-		c.s.broken.Info(c.s.log, "client broke the protocol", "err", err)
-		_ = c.fatal(pgwire.ProtocolViolation, err.Error(), "")
+		c.s.protocolErrorLog.Info(c.s.log, "client broke the protocol", "err", err)
+		_ = c.writeFatal(pgwire.ProtocolViolation, err.Error(), "")
 	}
-	for _, m := range append(c.answered, c.CloseMailbox()...) {
+	for _, m := range append(c.answers, c.CloseMailbox()...) {
 		if m.answer.Body != nil {
 			m.answer.Body.Release()
 		}
 	}
-	if errors.Is(err, errPassed) || hasLeft(err) {
+	if errors.Is(err, errTransferred) || clientClosed(err) {
 		_ = c.Conn.Close()
 		return
 	}
 	c.s.linger(c)
 }
 
-// hasLeft tells by what ended a connection that its client has closed it: nobody reads what a close could take along.
-func hasLeft(err error) bool {
-	for _, e := range []error{errGone, io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE} {
+// clientClosed reports whether err, which ended a connection, means that the client has closed it. No lingering close is
+// needed then, as the client no longer reads answers that a reset could lose.
+func clientClosed(err error) bool {
+	for _, e := range []error{errClientGone, io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -125,25 +127,25 @@
 	return false
 }
 
-// woken looks into the mailbox.
-func (c *conn) woken() error {
+// handleMessages handles the messages in the mailbox.
+func (c *conn) handleMessages() error {
 	for _, m := range c.TakeMessages() {
 		switch {
 		case m.request != nil:
-			c.answered = append(c.answered, m)
+			c.answers = append(c.answers, m)
 		case m.stop:
 			c.stopping = true
-			if m.last && !c.last {
-				c.last = true
-				c.hurry()
+			if m.abandonPartial && !c.abandonPartial {
+				c.abandonPartial = true
+				c.shortenTimeout()
 			}
-		case m.expire == c.reads:
-			left := min(c.wait-c.SilentFor(), time.Until(c.until))
+		case m.expiredRead == c.readNumber:
+			left := min(c.silenceTimeout-c.SilentFor(), time.Until(c.readDeadline))
 			switch {
 			case left > 0:
-				c.look(left)
-			case c.last:
-				return errSevered
+				c.scheduleTimeoutCheck(left)
+			case c.abandonPartial:
+				return errStopped
 			default:
 				return errTooSlow
 			}
@@ -152,100 +154,101 @@
 	return nil
 }
 
-// limit bounds a read until stop is called, so that a client that says nothing does not keep a connection, nor one
-// that stalls halfway through a message a buffer: it ends once nothing has come for wait, and after most in any case.
-func (c *conn) limit(wait, most time.Duration) (stop func()) {
-	c.reads++
-	c.wait, c.until = wait, time.Now().Add(most)
-	c.look(wait)
-	read := c.reads
+// setTimeouts sets timeouts for reads until stop is called: they fail once no byte has arrived for the time silence, and
+// after total in any case. So a silent client cannot keep a connection, and one that stalls within a message cannot keep a
+// buffer.
+func (c *conn) setTimeouts(silence, total time.Duration) (stop func()) {
+	c.readNumber++
+	c.silenceTimeout, c.readDeadline = silence, time.Now().Add(total)
+	c.scheduleTimeoutCheck(silence)
+	read := c.readNumber
 	return func() {
-		if c.reads == read { // it may be called again
-			c.timer.Stop()
-			c.reads++
+		if c.readNumber == read { // stop may be called again
+			c.readTimer.Stop()
+			c.readNumber++
 		}
 	}
 }
 
-// look has the goroutine look after so long whether its read is over its limit.
-func (c *conn) look(after time.Duration) {
-	read := c.reads
-	c.timer = time.AfterFunc(after, func() { c.Post(message{expire: read}) })
+// scheduleTimeoutCheck has the connection's goroutine check the timeouts of the current read after the given time.
+func (c *conn) scheduleTimeoutCheck(after time.Duration) {
+	read := c.readNumber
+	c.readTimer = time.AfterFunc(after, func() { c.Post(message{expiredRead: read}) })
 }
 
-// limitMessage limits the read of a message that has begun: its client may pause for the time to start, four times that in all.
-func (c *conn) limitMessage() (stop func()) {
+// setMessageTimeouts sets the timeouts for the rest of a message that has begun: StartupTimeout without bytes, four times
+// that in total.
+func (c *conn) setMessageTimeouts() (stop func()) {
 	wait := c.s.conf.StartupTimeout
-	if c.last {
-		wait = min(wait, lastWait)
+	if c.abandonPartial {
+		wait = min(wait, shutdownSilenceTimeout)
 	}
-	return c.limit(wait, 4*c.s.conf.StartupTimeout)
+	return c.setTimeouts(wait, 4*c.s.conf.StartupTimeout)
 }
 
-const lastWait = 10 * time.Millisecond // a message that has begun may pause so long when the process ends
+const shutdownSilenceTimeout = 10 * time.Millisecond // timeout without bytes for the rest of a message when the process ends
 
-// hurry shortens the limit of the read that is on, if it has one.
-func (c *conn) hurry() {
-	if c.reads%2 == 1 && c.wait > lastWait {
-		c.timer.Stop()
-		c.wait = lastWait
-		c.look(lastWait)
+// shortenTimeout shortens the timeout of the current read, if it has one.
+func (c *conn) shortenTimeout() {
+	if c.readNumber%2 == 1 && c.silenceTimeout > shutdownSilenceTimeout {
+		c.readTimer.Stop()
+		c.silenceTimeout = shutdownSilenceTimeout
+		c.scheduleTimeoutCheck(shutdownSilenceTimeout)
 	}
 }
 
-// idle is woken, for when nothing of a message has come: a stopping connection
-// ends there. A command may wait in the socket, unseen for the deadline that
-// woke the read: it is served first, as to close on it would reset the
-// connection, and with it perhaps the answer before.
-func (c *conn) idle() error {
-	if err := c.woken(); err != nil {
+// handleMessagesIdle handles the messages in the mailbox while the connection is between commands, where a stopping
+// connection ends. A command may be unread in the socket because the deadline that interrupted the read hides it. It is
+// served first: closing the connection over unread bytes would reset it, and the client could lose the previous answer.
+func (c *conn) handleMessagesIdle() error {
+	if err := c.handleMessages(); err != nil {
 		return err
 	}
-	return c.parts(true)
+	return c.checkStop(true)
 }
 
-// parts tells whether a stopping connection can be let go here: errPassed if another process has taken it over, with
-// whatever comes on it; errSevered if nothing has come. What comes after that look is not served: its client finds
-// the connection ended and asks again. Nil: it is served on.
-func (c *conn) parts(began bool) error {
+// checkStop decides whether a stopping connection ends here: errTransferred means that another process has accepted it, with
+// whatever arrives on it; errStopped that no bytes wait to be read; nil that it is still served. A command that arrives
+// after this check is not served: its client finds the connection closed and retries.
+func (c *conn) checkStop(began bool) error {
 	switch {
 	case !c.stopping:
 		return nil
-	case c.Reader.Buffered() == 0 && c.s.pass(c.Conn.Conn, began):
-		return errPassed
+	case c.Reader.Buffered() == 0 && c.s.transfer(c.Conn.Conn, began):
+		return errTransferred
 	case c.NoPendingInput():
-		return errSevered
+		return errStopped
 	}
 	return nil
 }
 
-// startup reads the startup message and welcomes the client.
+// startup reads the startup message and answers it up to the first ReadyForQuery.
 func (c *conn) startup() error {
-	wait := time.Until(c.due)
-	if c.refuse {
+	wait := time.Until(c.startDeadline)
+	if c.refusing {
 		wait = c.s.conf.LingerTimeout
 	}
-	stop := c.limit(wait, wait)
-	woken := func() error {
-		if err := c.woken(); err != nil {
+	stop := c.setTimeouts(wait, wait)
+	interrupted := func() error {
+		if err := c.handleMessages(); err != nil {
 			return err
 		}
-		return c.parts(false)
+		return c.checkStop(false)
 	}
-	_, err := c.Peek(1, woken)
+	_, err := c.Peek(1, interrupted)
 	stop()
 	if err != nil {
 		return err
 	}
-	c.s.heard(c)
-	woken = c.woken // what it has begun to send is read here
-	if c.refuse {
-		defer c.limit(wait, wait)()
+	c.s.markReceived(c)
+	interrupted = c.handleMessages // a startup message that has begun is read by this process
+	if c.refusing {
+		defer c.setTimeouts(wait, wait)()
 	} else {
-		defer c.limitMessage()()
+		defer c.setMessageTimeouts()()
 	}
 	for {
-		head, err := c.Peek(4, woken)
+		head, err := c.Peek(4, interrupted)
 		if err != nil {
 			return err
 		}
@@ -255,7 +258,7 @@
 		}
 		body := make([]byte, n)
 		_, _ = c.Reader.Discard(4)
-		if err := c.ReadFull(body, woken); err != nil {
+		if err := c.ReadFull(body, interrupted); err != nil {
 			return err
 		}
 		switch version := binary.BigEndian.Uint32(body); {
@@ -266,51 +269,51 @@
 			continue
 		case version == pgwire.CancelRequest:
 			c.s.cancel(body)
-			return errEnd
+			return errConnectionEnd
 		case version>>16 != 3:
 			return fmt.Errorf("%w: version %d.%d", errProtocol, version>>16, version&0xffff)
 		}
 		break
 	}
-	if c.refuse {
-		if err := c.fatal(pgwire.TooManyConnections, "too many connections", c.comeBack()); err != nil {
+	if c.refusing {
+		if err := c.writeFatal(pgwire.TooManyConnections, "too many connections", c.retryAfterMs()); err != nil {
 			return err
 		}
-		return errEnd
+		return errConnectionEnd
 	}
-	out := pgwire.Append(c.out[:0], 'R', "\x00\x00\x00\x00")
+	out := pgwire.Append(c.scratch[:0], 'R', "\x00\x00\x00\x00")
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"standard_conforming_strings", "on"}, {"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}} {
 		out = pgwire.AppendParameterStatus(out, p[0], p[1])
 	}
 	out = pgwire.Append(out, 'K', c.s.newKey(c))
-	c.out = pgwire.AppendReadyForQuery(out)
-	c.due = time.Now().Add(c.s.conf.StartupTimeout)
-	return c.write(c.out)
+	c.scratch = pgwire.AppendReadyForQuery(out)
+	c.startDeadline = time.Now().Add(c.s.conf.StartupTimeout)
+	return c.write(c.scratch)
 }
 
-// next reads one message and answers it.
+// next reads one message of the client and answers it.
 func (c *conn) next() error {
-	if err := c.parts(true); err != nil {
+	if err := c.checkStop(true); err != nil {
 		return err
 	}
-	c.s.idle(c)
-	c.arrivals.forget(c.Reader.Buffered())
+	c.s.markIdle(c)
+	c.arrivals.discard(c.Reader.Buffered())
 	stop := func() {}
-	if !c.due.IsZero() { // guards against clients that connect and never ask
-		left := time.Until(c.due)
-		stop = c.limit(left, left)
+	if !c.startDeadline.IsZero() { // guards against clients that connect and never send a command
+		left := time.Until(c.startDeadline)
+		stop = c.setTimeouts(left, left)
 	}
-	_, err := c.Peek(1, c.idle)
+	_, err := c.Peek(1, c.handleMessagesIdle)
 	stop()
 	if err != nil {
 		return err
 	}
-	c.s.busy(c)
+	c.s.markBusy(c)
 	if c.Reader.Buffered() < 5 {
-		stop = c.limitMessage()
+		stop = c.setMessageTimeouts()
 	}
-	head, err := c.Peek(5, c.woken)
+	head, err := c.Peek(5, c.handleMessages)
 	stop()
 	if err != nil {
 		return err
@@ -323,42 +326,42 @@
 	if typ == 'Q' {
 		return c.query(n)
 	}
-	if err := c.skip(n); err != nil {
+	if err := c.discard(n); err != nil {
 		return err
 	}
 	switch typ {
 	case 'X':
-		return errEnd
+		return errConnectionEnd
 	case 'S':
 		c.skipping = false
-		return c.write(pgwire.AppendReadyForQuery(c.out[:0]))
-	case 'H': // flush: all is flushed
+		return c.write(pgwire.AppendReadyForQuery(c.scratch[:0]))
+	case 'H': // Flush: every answer is already flushed
 		return nil
 	case 'P', 'B', 'D', 'E', 'C', 'F':
 		if c.skipping {
 			return nil
 		}
 		c.skipping = typ != 'F'
-		c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.Unsupported, "only simple queries are served", "")
+		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.Unsupported, "only simple queries are served", "")
 		if typ == 'F' {
-			c.out = pgwire.AppendReadyForQuery(c.out)
+			c.scratch = pgwire.AppendReadyForQuery(c.scratch)
 		}
-		return c.write(c.out)
+		return c.write(c.scratch)
 	}
 	return fmt.Errorf("%w: message type %q", errProtocol, typ)
 }
 
-// skip passes over n bytes.
-func (c *conn) skip(n int) error {
-	defer c.limitMessage()()
+// discard discards n bytes.
+func (c *conn) discard(n int) error {
+	defer c.setMessageTimeouts()()
 	for n > 0 {
-		if _, err := c.Peek(1, c.woken); err != nil {
+		if _, err := c.Peek(1, c.handleMessages); err != nil {
 			return err
 		}
 		m, _ := c.Reader.Discard(min(n, c.Reader.Buffered()))
 		n -= m
 	}
-	c.due = time.Time{}
+	c.startDeadline = time.Time{}
 	return nil
 }
 
@@ -369,104 +372,104 @@
 	}
 	stop := func() {}
 	if c.Reader.Buffered() < n {
-		stop = c.limitMessage()
+		stop = c.setMessageTimeouts()
 	}
-	buf, err := c.text(n)
+	buf, err := c.readStatement(n)
 	stop()
 	if err != nil {
 		return err
 	}
 	if buf == nil {
-		return c.full(n)
+		return c.refuseWithoutBuffer(n)
 	}
-	c.due = time.Time{}
-	came := c.arrivals.last(c.Reader.Buffered(), c.s.core.Now()) // its time counts from its last byte
+	c.startDeadline = time.Time{}
+	receivedAt := c.arrivals.arrivalTime(c.Reader.Buffered(), c.s.core.Now()) // the deadline counts from the arrival of the last byte
 	if buf.B[n-1] != 0 {
 		buf.Release()
 		return fmt.Errorf("%w: query without end", errProtocol)
 	}
 	buf.B = buf.B[:n-1]
-	if out, ok := local(c.out[:0], buf.B); ok {
+	if out, ok := answerLocally(c.scratch[:0], buf.B); ok {
 		buf.Release()
-		c.out = pgwire.AppendReadyForQuery(out)
-		return c.write(c.out)
+		c.scratch = pgwire.AppendReadyForQuery(out)
+		return c.write(c.scratch)
 	}
-	q, err := c.request(buf, came)
+	q, err := c.newRequest(buf, receivedAt)
 	if err != nil {
 		buf.Release()
-		code, why := pgwire.SyntaxError, record.Invalid
-		if errors.Is(err, errInUse) {
-			code, why = pgwire.DuplicateObject, record.InUse
+		code, cause := pgwire.SyntaxError, record.Invalid
+		if errors.Is(err, errIDInUse) {
+			code, cause = pgwire.DuplicateObject, record.InUse
 		}
-		c.s.core.RecordFrontOutcome(front, record.Failed, why)
-		c.out = pgwire.AppendError(c.out[:0], "ERROR", code, err.Error(), "")
-		c.out = pgwire.AppendReadyForQuery(c.out)
-		return c.write(c.out)
+		c.s.core.RecordFrontOutcome(front, record.Failed, cause)
+		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", code, err.Error(), "")
+		c.scratch = pgwire.AppendReadyForQuery(c.scratch)
+		return c.write(c.scratch)
 	}
 	q.Client = client{c, q}
-	c.work.Store(q)
+	c.current.Store(q)
 	c.s.core.Arrive(q)
-	m, err := c.await(q)
+	m, err := c.awaitAnswer(q)
 	if err != nil {
 		c.s.core.Gone(q)
 		return err
 	}
 	if s, ok := m.answer.Body.(*pgwire.Stream); ok {
-		return c.pass(q, s)
+		return c.streamAnswer(q, s)
 	}
 	if m.answer.Cancelled {
-		return c.cancelled()
+		return c.writeCancelled()
 	}
-	return c.answer(m.answer)
+	return c.writeAnswer(m.answer)
 }
 
-// pass has an answer pass through. The connection's sending side is lent to the member's goroutine meanwhile; the read
-// goes on, and sees the client leave.
-func (c *conn) pass(q *core.Request, s *pgwire.Stream) error {
-	s.Start(&lent{c: c, end: time.Now().Add(passMost)}, func(tail []byte) {
-		c.Post(message{request: q, passed: true, tail: tail})
+// streamAnswer streams an answer. Meanwhile the member's goroutine owns the sending side of the connection; this one
+// continues to read, and detects that the client closes the connection.
+func (c *conn) streamAnswer(q *core.Request, s *pgwire.Stream) error {
+	s.Start(&streamWriter{c: c, deadline: time.Now().Add(maxStreamDuration)}, func(tail []byte) {
+		c.Post(message{request: q, streamed: true, tail: tail})
 	})
-	m, err := c.await(q)
+	m, err := c.awaitAnswer(q)
 	switch {
 	case err != nil:
 		c.s.core.Gone(q)
 		return err
-	case m.tail == nil: // the client sees that it is not whole by the connection's end
-		return errCut
+	case m.tail == nil: // the client detects the truncated answer by the end of the connection
+		return errTruncated
 	}
 	return c.write(pgwire.AppendReadyForQuery(m.tail))
 }
 
-const passMost = time.Minute // that an answer may take to pass through, whatever the pace of the client and the member
+const maxStreamDuration = time.Minute // timeout for streaming an answer, however fast the client and the member are
 
-// lent is the sending side of a client's connection while an answer passes through.
-type lent struct {
-	c   *conn
-	end time.Time
+// streamWriter is the sending side of a client connection while an answer is streamed.
+type streamWriter struct {
+	c        *conn
+	deadline time.Time
 }
 
-// Write writes all of b, or fails: the client must take some of it within the time for an answer, and the whole by end.
-func (l *lent) Write(b []byte) (done int, err error) {
+// Write writes all of b or fails: the client must read some bytes within WriteTimeout, and all of them by the deadline.
+func (w *streamWriter) Write(b []byte) (done int, err error) {
 	for done < len(b) && err == nil {
-		until := time.Now().Add(l.c.s.conf.WriteTimeout)
-		if until.After(l.end) {
-			until = l.end
+		until := time.Now().Add(w.c.s.conf.WriteTimeout)
+		if until.After(w.deadline) {
+			until = w.deadline
 		}
-		_ = l.c.SetWriteDeadline(until)
+		_ = w.c.SetWriteDeadline(until)
 		var n int
-		n, err = l.c.Conn.Conn.Write(b[done:])
+		n, err = w.c.Conn.Conn.Write(b[done:])
 		done += n
-		if n > 0 && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(l.end) {
+		if n > 0 && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(w.deadline) {
 			err = nil
 		}
 	}
 	return done, err
 }
 
-// text reads the n bytes of a query into a buffer; there may be none left for it.
-func (c *conn) text(n int) (*pgwire.Buf, error) {
-	if n <= c.Reader.Size() { // guards against clients that send half a statement and so keep a buffer
-		if _, err := c.Peek(n, c.woken); err != nil {
+// readStatement reads the n bytes of a query into a buffer; it returns nil if none is available.
+func (c *conn) readStatement(n int) (*pgwire.Buf, error) {
+	if n <= c.Reader.Size() { // guards against clients that send part of a statement and thus keep a buffer
+		if _, err := c.Peek(n, c.handleMessages); err != nil {
 			return nil, err
 		}
 	}
@@ -475,26 +478,26 @@
 		return nil, nil
 	}
 	buf.B = buf.B[:n]
-	if err := c.ReadFull(buf.B, c.woken); err != nil {
+	if err := c.ReadFull(buf.B, c.handleMessages); err != nil {
 		buf.Release()
 		return nil, err
 	}
 	return buf, nil
 }
 
-// full refuses a query that there is no buffer for.
-func (c *conn) full(n int) error {
-	if err := c.skip(n); err != nil {
+// refuseWithoutBuffer refuses a query of n bytes for which no buffer is available.
+func (c *conn) refuseWithoutBuffer(n int) error {
+	if err := c.discard(n); err != nil {
 		return err
 	}
 	c.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
-	c.s.full.Warn(c.s.log, "request refused: out of buffers")
-	c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.TooManyConnections, "too many requests", c.comeBack())
-	return c.write(pgwire.AppendReadyForQuery(c.out))
+	c.s.noBufferLog.Warn(c.s.log, "request refused: out of buffers")
+	c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.TooManyConnections, "too many requests", c.retryAfterMs())
+	return c.write(pgwire.AppendReadyForQuery(c.scratch))
 }
 
-// local answers what needs no member: empty queries, and settings of the session, which have no effect.
-func local(out, text []byte) ([]byte, bool) {
+// answerLocally answers statements that need no member: empty queries, and session settings, which have no effect.
+func answerLocally(out, text []byte) ([]byte, bool) {
 	if pgwire.Empty(text) {
 		return pgwire.Append(out, 'I'), true
 	}
@@ -505,39 +508,39 @@
 	return out, false
 }
 
-// request makes a request of the statement in buf.
-func (c *conn) request(buf *pgwire.Buf, came core.Time) (*core.Request, error) {
+// newRequest makes a request from the statement in buf. came is the arrival time of its last byte.
+func (c *conn) newRequest(buf *pgwire.Buf, receivedAt core.Time) (*core.Request, error) {
 	st, err := pgwire.Parse(buf)
 	if err != nil {
 		return nil, err
 	}
-	t := c.s.conf.Settings.Current()
-	k, ok := t.Class(st.Class, came)
+	settings := c.s.conf.Settings.Current()
+	class, ok := settings.Class(st.Class, receivedAt)
 	if !ok {
 		return nil, fmt.Errorf("unknown class %.40q", st.Class)
 	}
 	switch {
-	case st.IsRead == k.Writes():
+	case st.IsRead == class.Writes():
 		return nil, fmt.Errorf("class %q takes no such statement", st.Class)
-	case k.Effect == decide.Keyed && !st.HasIdempotencyKey:
+	case class.Effect == decide.Keyed && !st.HasIdempotencyKey:
 		return nil, fmt.Errorf("class %q needs k", st.Class)
-	case !c.s.conf.Claims.Claim(st.ID): // under one id two requests would look to members like copies of one
-		return nil, errInUse
+	case !c.s.conf.Claims.Claim(st.ID): // members would take two requests with the same id for copies of one
+		return nil, errIDInUse
 	}
 	st.Done = func() { c.s.conf.Claims.Release(st.ID) }
-	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: t.TenantIndex(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: came,
+	q := &core.Request{Class: class.Class, ClassIndex: class.Index, Tenant: settings.TenantIndex(st.Tenant), Front: front, Group: st.Cluster, Retry: st.Retry, ReceivedAt: receivedAt,
 		LastWrite: core.Time(st.LastWriteUnixMs) * time.Millisecond, Call: st,
-		Deadline: came + min(core.Time(min(st.WaitMs, maxWait))*time.Millisecond, k.Deadline)}
-	if k.HasSession() {
+		Deadline: receivedAt + min(core.Time(min(st.WaitMs, maxWaitMs))*time.Millisecond, class.Deadline)}
+	if class.HasSession() {
 		q.Session = st.ItemKey
 	}
 	return q, nil
 }
 
-const maxWait = 60_000 // ms; no client waits longer
+const maxWaitMs = 60_000 // limit in milliseconds for the time that a client says it waits
 
-// answer writes a final answer.
-func (c *conn) answer(a core.Answer) error {
+// writeAnswer writes the final answer to a request.
+func (c *conn) writeAnswer(a core.Answer) error {
 	switch a.Verdict {
 	case core.Served:
 		body := a.Body.(*pgwire.Buf)
@@ -549,15 +552,17 @@
 		if a.RetryAfter > 0 {
 			detail = strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)
 		}
-		c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.TooManyConnections, "refused, try again later", detail)
+		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.TooManyConnections, "refused, try again later", detail)
 	case core.Failed:
-		c.out = pgwire.AppendError(c.out[:0], "ERROR", pgwire.SystemError, "failed, it may or may not have run", "")
+		c.scratch = pgwire.AppendError(c.scratch[:0], "ERROR", pgwire.SystemError, "failed, it may or may not have run", "")
 	}
-	c.out = pgwire.AppendReadyForQuery(c.out)
-	return c.write(c.out)
+	c.scratch = pgwire.AppendReadyForQuery(c.scratch)
+	return c.write(c.scratch)
 }
 
-func (c *conn) comeBack() string {
+// retryAfterMs returns the configured time after which a refused client should retry, in milliseconds, or "" for none. It
+// is the detail of errors for too many connections or requests.
+func (c *conn) retryAfterMs() string {
 	after := c.s.conf.Settings.Current().RetryAfter
 	if after <= 0 {
 		return ""
@@ -565,13 +570,14 @@
 	return strconv.FormatInt(after.Milliseconds(), 10)
 }
 
+// write writes b to the client within WriteTimeout.
 func (c *conn) write(b []byte) error {
 	_ = c.SetWriteDeadline(time.Now().Add(c.s.conf.WriteTimeout))
 	_, err := c.Write(b)
 	return err
 }
 
-// fatal says why the connection ends.
-func (c *conn) fatal(code, text, detail string) error {
-	return c.write(pgwire.AppendError(c.out[:0], "FATAL", code, text, detail))
+// writeFatal writes a FATAL error that says why the connection is closed.
+func (c *conn) writeFatal(code, text, detail string) error {
+	return c.write(pgwire.AppendError(c.scratch[:0], "FATAL", code, text, detail))
 }
--- a/internal/pgfront/conn_test.go
+++ b/internal/pgfront/conn_test.go
@@ -24,7 +24,7 @@
 	"reachwind/internal/record"
 )
 
-const buffers = 6
+const totalBuffers = 6
 
 // fakeCore holds requests until the test answers them.
 type fakeCore struct {
@@ -56,12 +56,12 @@
 // peer is the client's end of a connection in a test.
 type peer struct {
 	net.Conn
-	write chan []byte
-	got   bytes.Buffer
-	over  atomic.Bool
+	write  chan []byte
+	got    bytes.Buffer
+	closed atomic.Bool
 }
 
-func (p *peer) ended() bool { return p.over.Load() }
+func (p *peer) ended() bool { return p.closed.Load() }
 
 func newPeer(nc net.Conn) *peer {
 	p := &peer{Conn: nc, write: make(chan []byte, 1000)}
@@ -72,12 +72,12 @@
 	}()
 	go func() {
 		_, _ = io.Copy(&p.got, nc)
-		p.over.Store(true)
+		p.closed.Store(true)
 	}()
 	return p
 }
 
-// replies returns what came since, one letter a message, errors as their code and detail.
+// replies returns the messages since the last call, each as its type; errors also with their code and detail.
 func (p *peer) replies(t *testing.T) (list []string) {
 	for b := p.got.Bytes(); len(b) > 0; b = p.got.Bytes() {
 		if len(b) < 5 || len(b) < 1+int(binary.BigEndian.Uint32(b[1:])) {
@@ -93,8 +93,8 @@
 	return list
 }
 
-func newServer(f *fakeCore, most int) (*Server, *pgwire.Pool) {
-	bufs := pgwire.NewPool(buffers, 0)
+func newServer(f *fakeCore, maxConnections int) (*Server, *pgwire.Pool) {
+	bufs := pgwire.NewPool(totalBuffers, 0)
 	book, err := activesettings.NewHolder(&decide.Config{MaxRetryAfter: 500 * time.Millisecond,
 		Classes: []decide.Class{{Name: "r", Deadline: time.Second},
 			{Name: "w", Consistency: decide.Write, Effect: decide.Keyed, Deadline: time.Second}},
@@ -102,22 +102,22 @@
 	if err != nil {
 		panic(err)
 	}
-	return New(f, Config{Settings: book, MaxConnections: most, SpareConnections: 2, ReservedBuffers: 1,
+	return New(f, Config{Settings: book, MaxConnections: maxConnections, SpareConnections: 2, ReservedBuffers: 1,
 		StartupTimeout: time.Second, WriteTimeout: time.Second, LingerTimeout: time.Second}, bufs, slog.New(slog.DiscardHandler)), bufs
 }
 
-func query(text string) []byte { return pgwire.Append(nil, 'Q', text, "\x00") }
+func queryMessage(text string) []byte { return pgwire.Append(nil, 'Q', text, "\x00") }
 
-const read = "/* id=1,c=r,t=t,d=400,cluster=2 */ SELECT doc FROM items WHERE id = 'k'"
+const selectStatement = "/* id=1,c=r,t=t,d=400,cluster=2 */ SELECT doc FROM items WHERE id = 'k'"
 
-// TestLimit: at its limit of connections the gateway says so, and says when to come back.
-func TestLimit(t *testing.T) {
+// TestConnectionLimit: at the limit of connections a client gets an error with the time after which to retry.
+func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 0)
 		a, b := net.Pipe()
 		s.Handle(b)
 		p := newPeer(a)
-		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), query(read)...)
+		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage(selectStatement)...)
 		synctest.Wait()
 		if got := p.replies(t); !slices.Equal(got, []string{"E53300500"}) || !p.ended() {
 			t.Errorf("replies %q, ended %v", got, p.ended())
@@ -128,7 +128,7 @@
 	})
 }
 
-// dial connects a client that writes what is given.
+// dial connects a client that writes text.
 func dial(s *Server, text []byte) *peer {
 	a, b := net.Pipe()
 	s.Handle(b)
@@ -138,17 +138,17 @@
 	return p
 }
 
-// TestMakeRoom: at the limit, clients that keep a connection without asking make room: first those that
-// sent nothing, then the one idle longest, but none with a request open.
-func TestMakeRoom(t *testing.T) {
+// TestEvictIdle: at the limit, connections without a request in progress are closed for new clients: first those that have
+// sent nothing, then the one idle longest, but none with an open request.
+func TestEvictIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
 		s, _ := newServer(f, 3)
-		hello := pgwire.AppendStartup(nil, "app", "shop")
-		ask := append(slices.Clone(hello), query("")...)
+		startup := pgwire.AppendStartup(nil, "app", "shop")
+		ask := append(slices.Clone(startup), queryMessage("")...)
 		idle := dial(s, ask)
 		time.Sleep(2 * time.Second)
-		open := dial(s, append(slices.Clone(hello), query(read)...))
+		open := dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))
 		silent := dial(s, nil)
 		time.Sleep(100 * time.Millisecond)
 		peers := []*peer{idle, open, silent, dial(s, ask)}
@@ -159,12 +159,12 @@
 		if !idle.ended() || open.ended() {
 			t.Errorf("idle ended %v, one with a request open %v", idle.ended(), open.ended())
 		}
-		for _, id := range []string{"id=2", "id=3"} { // those idle for a moment go as well, then nobody is left to go
-			peers = append(peers, dial(s, append(slices.Clone(hello), query(strings.Replace(read, "id=1", id, 1))...)))
+		for _, id := range []string{"id=2", "id=3"} { // those idle for a short time are closed as well, then none is left
+			peers = append(peers, dial(s, append(slices.Clone(startup), queryMessage(strings.Replace(selectStatement, "id=1", id, 1))...)))
 		}
 		last := dial(s, ask)
 		if got := last.replies(t); !slices.Equal(got, []string{"E53300500"}) || open.ended() {
-			t.Errorf("all others in use, yet: %q", got)
+			t.Errorf("with all other connections in use got %q", got)
 		}
 		for _, p := range append(peers, last) {
 			close(p.write)
@@ -175,37 +175,38 @@
 	})
 }
 
-// TestFloodLeavesBeginners: clients that come by the hundred, faster than one that has only just connected or been welcomed
-// can send the rest, do not push it out: it is served. Once it has had its time, it makes room.
-func TestFloodLeavesBeginners(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	ask := append(slices.Clone(hello), query(read)...)
-	for name, begun := range map[string]int{"connected": 0, "half a startup": 6, "welcomed": len(hello), "half a command": len(hello) + 7} {
+// TestFloodSparesNewConnections: hundreds of new clients do not displace one that has only just connected or completed its
+// startup, even if they connect faster than it can send the rest: it is served. After minIdleAge it may be closed for
+// another.
+func TestFloodSparesNewConnections(t *testing.T) {
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	startupAndCommand := append(slices.Clone(startup), queryMessage(selectStatement)...)
+	for name, begun := range map[string]int{"connected": 0, "partial startup": 6, "after startup": len(startup), "partial command": len(startup) + 7} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeCore{}
 				s, _ := newServer(f, 2)
-				peers := []*peer{dial(s, append(slices.Clone(hello), query("")...))} // has had its turn
-				honest := dial(s, ask[:begun])
+				peers := []*peer{dial(s, append(slices.Clone(startup), queryMessage("")...))} // has been served
+				beginner := dial(s, startupAndCommand[:begun])
 				for range 100 { // at one instant
-					for _, text := range [][]byte{nil, hello, append(slices.Clone(hello), query("")...)} {
+					for _, text := range [][]byte{nil, startup, append(slices.Clone(startup), queryMessage("")...)} {
 						peers = append(peers, dial(s, text))
 					}
 				}
-				if honest.ended() || !peers[0].ended() {
-					t.Errorf("ended: the one that begins %v, the one that has had its turn %v", honest.ended(), peers[0].ended())
+				if beginner.ended() || !peers[0].ended() {
+					t.Errorf("ended: the one that begins %v, the one that was served %v", beginner.ended(), peers[0].ended())
 				}
-				honest.write <- ask[begun:]
+				beginner.write <- startupAndCommand[begun:]
 				synctest.Wait()
 				if f.arrived != 1 {
-					t.Errorf("%d requests came through the flood", f.arrived)
+					t.Errorf("%d requests reached the core during the flood, want 1", f.arrived)
 				}
-				time.Sleep(idleLeast)
-				next := dial(s, bytes.Replace(ask, []byte("id=1"), []byte("id=2"), 1))
+				time.Sleep(minIdleAge)
+				next := dial(s, bytes.Replace(startupAndCommand, []byte("id=1"), []byte("id=2"), 1))
 				if f.arrived != 2 {
-					t.Errorf("no room for the next one, which is told %q", next.replies(t))
+					t.Errorf("the next client was not served but got %q", next.replies(t))
 				}
-				for _, p := range append(peers, honest, next) {
+				for _, p := range append(peers, beginner, next) {
 					close(p.write)
 					_ = p.Close()
 				}
@@ -216,16 +217,16 @@
 	}
 }
 
-// TestEndIdle: connections idle for long end, and the longest idle where many are, but none that has only just
-// had its answer or has a request open.
-func TestEndIdle(t *testing.T) {
+// TestCloseIdle: connections idle for long are closed, and the longest idle ones beyond the limit, but none that has only just
+// had its answer or has an open request.
+func TestCloseIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newServer(&fakeCore{}, 9)
 		s.conf.MaxIdleConnections, s.conf.IdleTimeout = 2, 2*time.Second
-		hello := pgwire.AppendStartup(nil, "app", "shop")
-		peers := []*peer{dial(s, append(slices.Clone(hello), query(read)...))}
+		startup := pgwire.AppendStartup(nil, "app", "shop")
+		peers := []*peer{dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))}
 		ended := func() (n int) {
-			s.endIdle()
+			s.closeIdle()
 			synctest.Wait()
 			for _, p := range peers {
 				if p.ended() {
@@ -236,7 +237,7 @@
 		}
 		for i, want := range []int{0, 0, 1, 2, 3} { // two are kept
 			time.Sleep(150 * time.Millisecond)
-			peers = append(peers, dial(s, append(slices.Clone(hello), query("")...)))
+			peers = append(peers, dial(s, append(slices.Clone(startup), queryMessage("")...)))
 			if n := ended(); n != want {
 				t.Errorf("after %d idle ones %d ended, want %d", i+1, n, want)
 			}
@@ -253,9 +254,9 @@
 	})
 }
 
-// TestStopCrosses: a command that has come when its connection is told to end, and was not read, is answered.
-func TestStopCrosses(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // as only a socket holds what was not read
+// TestCommandDuringStop: a command that has arrived but was not read when its connection is asked to end is answered.
+func TestCommandDuringStop(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0") // only a socket buffers unread bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,8 +272,8 @@
 			t.Fatal(err)
 		}
 		c := newConn(s, b)
-		c.due = time.Time{}
-		if _, err := a.Write(query("")); err != nil {
+		c.startDeadline = time.Time{}
+		if _, err := a.Write(queryMessage("")); err != nil {
 			t.Fatal(err)
 		}
 		for c.NoPendingInput() {
@@ -288,17 +289,17 @@
 	}
 }
 
-// TestSilent: a client that never sends a whole command is told so, wherever it stops.
+// TestSilent: a client that never sends a complete command gets an error, wherever it stops.
 func TestSilent(t *testing.T) {
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	for name, text := range map[string][]byte{"nothing": nil, "half a startup": hello[:9], "startup": hello,
-		"half a header": append(slices.Clone(hello), 'Q', 0), "half a command": append(slices.Clone(hello), query(read)[:40]...)} {
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	for name, text := range map[string][]byte{"nothing": nil, "partial startup": startup[:9], "startup": startup,
+		"partial header": append(slices.Clone(startup), 'Q', 0), "partial command": append(slices.Clone(startup), queryMessage(selectStatement)[:40]...)} {
 		synctest.Test(t, func(t *testing.T) {
 			s, bufs := newServer(&fakeCore{}, 1)
 			p := dial(s, text)
 			time.Sleep(1100 * time.Millisecond)
 			synctest.Wait()
-			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.FreeLarge() != buffers {
+			if got := p.replies(t); !p.ended() || len(got) == 0 || got[len(got)-1] != "E08P01" || bufs.FreeLarge() != totalBuffers {
 				t.Errorf("%s: replies %q, ended %v", name, got, p.ended())
 			}
 			close(p.write)
@@ -308,7 +309,8 @@
 	}
 }
 
-// TestSlow: a client that needs long for its startup and for each piece of a statement is served, one that never ends is not.
+// TestSlow: a client that takes long for its startup and for each piece of a statement is served; one that never completes a
+// statement is not.
 func TestSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
@@ -322,13 +324,13 @@
 		}
 		trickle(pgwire.AppendStartup(nil, "app", "shop"), 3)
 		for range 3 {
-			trickle(query("SET a = 1; -- "+strings.Repeat(" ", readSize)), 4)
+			trickle(queryMessage("SET a = 1; -- "+strings.Repeat(" ", initialReadSize)), 4)
 		}
 		if got := p.replies(t); strings.Join(got[len(got)-6:], "") != "CZCZCZ" {
 			t.Errorf("replies %q", got)
 		}
-		trickle(query(read + strings.Repeat(" ", readSize))[:readSize], 9)
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != buffers {
+		trickle(queryMessage(selectStatement + strings.Repeat(" ", initialReadSize))[:initialReadSize], 9)
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != totalBuffers {
 			t.Errorf("replies %q, ended %v", got, p.ended())
 		}
 		close(p.write)
@@ -337,13 +339,13 @@
 	})
 }
 
-// TestStartup: what comes in place of a startup message is answered plainly or closed, in time.
+// TestStartup: anything in place of a startup message gets a valid answer or a close, in time.
 func TestStartup(t *testing.T) {
 	ssl := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 8}, pgwire.SSLRequest)
 	for name, tc := range map[string]struct {
 		in, out string
 	}{
-		"ssl first": {string(ssl) + string(pgwire.AppendStartup(nil, "a", "b")) + string(query("")), "NR"},
+		"ssl first": {string(ssl) + string(pgwire.AppendStartup(nil, "a", "b")) + string(queryMessage("")), "NR"},
 		"version 2": {"\x00\x00\x00\x08\x00\x02\x00\x00", "E"},
 		"cancel":    {"\x00\x00\x00\x08\x04\xd2\x16\x2e", ""},
 		"too long":  {"\xff\xff\xff\xff", "E"},
@@ -372,7 +374,7 @@
 	}
 }
 
-// TestStall: a client that stalls halfway through a statement loses its connection, and no buffer is kept.
+// TestStall: a client that stalls within a statement loses its connection, and its buffer is released.
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
@@ -380,19 +382,19 @@
 		a, b := net.Pipe()
 		s.Handle(b)
 		p := newPeer(a)
-		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), query("")...)
+		p.write <- append(pgwire.AppendStartup(nil, "app", "shop"), queryMessage("")...)
 		synctest.Wait()
 		p.replies(t)
 		time.Sleep(time.Minute) // idle clients may stay
-		p.write <- query(read + strings.Repeat(" ", readSize))[:readSize]
+		p.write <- queryMessage(selectStatement + strings.Repeat(" ", initialReadSize))[:initialReadSize]
 		synctest.Wait()
-		if p.ended() || bufs.FreeLarge() != buffers-1 {
-			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.FreeLarge(), buffers)
+		if p.ended() || bufs.FreeLarge() != totalBuffers-1 {
+			t.Errorf("ended %v, %d of %d buffers free", p.ended(), bufs.FreeLarge(), totalBuffers)
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != buffers || f.arrived != 0 {
-			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.FreeLarge(), buffers)
+		if got := p.replies(t); !slices.Equal(got, []string{"E08P01"}) || !p.ended() || bufs.FreeLarge() != totalBuffers || f.arrived != 0 {
+			t.Errorf("replies %q, ended %v, %d of %d buffers free", got, p.ended(), bufs.FreeLarge(), totalBuffers)
 		}
 		close(p.write)
 		_ = a.Close()
@@ -400,28 +402,28 @@
 	})
 }
 
-// TestUnusable: a statement that would mislead members is answered with an error and never handed over: one
-// under the id of an open request, or a write without its key. The id is free once its request is done with.
-func TestUnusable(t *testing.T) {
+// TestMisleadingStatements: a statement that members would misinterpret gets an error and never reaches the core: one with
+// the id of an open request, or a write without its idempotency key. The id is free again once its request has ended.
+func TestMisleadingStatements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCore{}
 		s, _ := newServer(f, 2)
-		hello := pgwire.AppendStartup(nil, "app", "shop")
-		first := dial(s, append(slices.Clone(hello), query(read)...))
-		second := dial(s, append(slices.Clone(hello), query(read)...))
-		second.write <- query("/* id=2,c=w,d=400,cluster=2 */ INSERT INTO items (id, doc) VALUES ('a', 'b')")
+		startup := pgwire.AppendStartup(nil, "app", "shop")
+		first := dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))
+		second := dial(s, append(slices.Clone(startup), queryMessage(selectStatement)...))
+		second.write <- queryMessage("/* id=2,c=w,d=400,cluster=2 */ INSERT INTO items (id, doc) VALUES ('a', 'b')")
 		synctest.Wait()
 		got := second.replies(t)
 		if !slices.Equal(got[len(got)-4:], []string{"E42710", "Z", "E42601", "Z"}) || f.arrived != 1 {
-			t.Errorf("replies %q, %d handed over", got, f.arrived)
+			t.Errorf("replies %q, %d requests reached the core", got, f.arrived)
 		}
 		close(first.write)
-		_ = first.Close() // the request is done with when its client has left
+		_ = first.Close() // the request ends when its client leaves
 		synctest.Wait()
-		second.write <- query(read)
+		second.write <- queryMessage(selectStatement)
 		synctest.Wait()
 		if f.arrived != 2 {
-			t.Error("the id is still taken")
+			t.Error("the id is still in use")
 		}
 		close(second.write)
 		_ = second.Close()
@@ -429,12 +431,12 @@
 	})
 }
 
-// model is what the connection should do: the replies it owes, in the order of
-// the commands, up to the first request that has no answer yet.
+// model is the expected behaviour of a connection: the replies that are due, in the
+// order of the commands, up to the first request that has no answer yet.
 type model struct {
-	commands []string // replies owed to each command; "" for a request still open
+	commands []string // replies due to each command; "" for an open request
 	skipping bool
-	ended    bool // the connection must end once all before is answered
+	ended    bool // the connection must end once the commands before are answered
 }
 
 // step adds a command and returns its bytes.
@@ -450,19 +452,19 @@
 	switch b % 12 {
 	case 0, 1, 2:
 		add("")
-		return query(read)
+		return queryMessage(selectStatement)
 	case 3:
 		add("I Z")
-		return query(" ;\n")
+		return queryMessage(" ;\n")
 	case 4:
 		add("C Z")
-		return query("set x = 1")
+		return queryMessage("set x = 1")
 	case 5:
 		add("E42601 Z")
-		return query("SELECT 1")
+		return queryMessage("SELECT 1")
 	case 6:
 		add("E42601 Z")
-		return query("/* c=w,d=1 */ SELECT 'a'")
+		return queryMessage("/* c=w,d=1 */ SELECT 'a'")
 	case 7:
 		return extended('P')
 	case 8:
@@ -484,9 +486,9 @@
 	return []byte{'Q', 0xff, 0xff, 0xff, 0xff}
 }
 
-// FuzzConn plays random commands, answers, departures and shutdowns against a
-// connection and holds its replies against the model. Guards: one answer a
-// request and in order, none for a client that left, no buffer lost.
+// FuzzConn runs random commands, answers, disconnects and shutdowns on a connection
+// and compares its replies with the model: one answer for each request and in order,
+// none for a client that left, no buffer leaked.
 func FuzzConn(f *testing.F) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 150 {
@@ -496,14 +498,14 @@
 		}
 		f.Add(steps)
 	}
-	f.Add([]byte{0, 0, 0, 200, 200, 200, 251}) // three ahead, answered in order, then shutdown
-	f.Add([]byte{0, 240})                      // a client that leaves with a request open
+	f.Add([]byte{0, 0, 0, 200, 200, 200, 251}) // three commands ahead, answered in order, then shutdown
+	f.Add([]byte{0, 240})                      // a client that leaves with an open request
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		synctest.Test(t, func(t *testing.T) { playConn(t, steps[:min(len(steps), 60)]) })
+		synctest.Test(t, func(t *testing.T) { runConn(t, steps[:min(len(steps), 60)]) })
 	})
 }
 
-func playConn(t *testing.T, steps []byte) {
+func runConn(t *testing.T, steps []byte) {
 	f := &fakeCore{}
 	s, bufs := newServer(f, 1)
 	a, b := net.Pipe()
@@ -512,7 +514,7 @@
 	p.write <- pgwire.AppendStartup(nil, "app", "shop")
 	synctest.Wait()
 	if got := p.replies(t); len(got) < 3 || got[0] != "R" || got[len(got)-1] != "Z" {
-		t.Fatalf("welcome %q", got)
+		t.Fatalf("startup answered %q", got)
 	}
 	want, stopped, left := []string{}, false, false
 	answers := map[core.Verdict]string{core.Served: "D Z", core.Refused: "E5330070 Z", core.Failed: "E58000 Z"}
@@ -575,16 +577,17 @@
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 	s.Shutdown()
-	if len(f.open) > 0 || bufs.FreeLarge() != buffers {
-		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.FreeLarge(), buffers)
+	if len(f.open) > 0 || bufs.FreeLarge() != totalBuffers {
+		t.Fatalf("%d requests left open, %d of %d buffers back", len(f.open), bufs.FreeLarge(), totalBuffers)
 	}
 }
 
-// TestBuffers: with no buffer to spare a query is refused, with a time to come back, and the connection goes on.
-func TestBuffers(t *testing.T) {
+// TestOutOfBuffers: without a free buffer a query is refused with the time after which to retry, and the connection remains
+// usable.
+func TestOutOfBuffers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, bufs := newServer(&fakeCore{}, 1)
-		for range buffers - 1 {
+		for range totalBuffers - 1 {
 			bufs.Get(pgwire.LargeBufSize, 0)
 		}
 		a, b := net.Pipe()
@@ -593,7 +596,7 @@
 		p.write <- pgwire.AppendStartup(nil, "app", "shop")
 		synctest.Wait()
 		p.replies(t)
-		p.write <- append(query(read), query("")...)
+		p.write <- append(queryMessage(selectStatement), queryMessage("")...)
 		synctest.Wait()
 		if got := fmt.Sprint(p.replies(t)); got != "[E53300500 Z E53300500 Z]" {
 			t.Errorf("replies %s", got)
--- a/internal/pgfront/server.go
+++ b/internal/pgfront/server.go
@@ -1,6 +1,6 @@
-// Package pgfront is the clients' side of the gateway for clients that speak
-// PostgreSQL. Each connection has a goroutine of its own, which reads a
-// statement, hands it to the core and writes the one answer.
+// Package pgfront is the front for clients that speak the PostgreSQL protocol.
+// Each connection has its own goroutine, which reads a statement, passes it to
+// the core and writes the one answer.
 package pgfront
 
 import (
@@ -22,26 +22,26 @@
 	"reachwind/internal/record"
 )
 
-// Config holds what the front is told.
+// Config is the configuration of the front.
 type Config struct {
 	Settings           *activesettings.Holder
-	MaxConnections     int             // client connections; for more, idle ones are ended
-	SpareConnections   int             // connections above Max, half for those being ended, half for those being refused; those that linger have what is left
-	ReservedBuffers    int             // buffers left to the members when statements take the rest
-	StartupTimeout     time.Duration   // the startup and the first command must begin by then; no message may pause for longer
-	WriteTimeout       time.Duration   // an answer must have been taken by then
-	LingerTimeout      time.Duration   // how long a connection may linger once its last word is written, or wait to be refused
-	IdleTimeout        time.Duration   // a connection idle for longer is ended,
-	MaxIdleConnections int             // and the longest idle where so many are
-	Transfer           TransferFunc    // nil: no other process takes connections over
-	Claims             *call.ActiveIDs // ids in work, shared with other fronts; nil: none are
+	MaxConnections     int             // client connections at a time; idle ones are closed to make room for new ones
+	SpareConnections   int             // connections above MaxConnections: half for those being closed, half for those being refused; lingering ones may use the rest
+	ReservedBuffers    int             // buffers that statements leave to the members
+	StartupTimeout     time.Duration   // timeout for the startup and the first command to begin, and for pauses within a message
+	WriteTimeout       time.Duration   // timeout for the client to read an answer
+	LingerTimeout      time.Duration   // timeout of a lingering connection, and of one that waits to be refused
+	IdleTimeout        time.Duration   // a connection that has been idle for so long is closed
+	MaxIdleConnections int             // the longest idle connections beyond this number are closed
+	Transfer           TransferFunc    // hands connections over to another process; nil: not possible
+	Claims             *call.ActiveIDs // ids of requests in progress, shared with other fronts; nil: not shared
 }
 
-// TransferFunc gives a client's connection to another process that goes on with it, and tells whether it has. The connection
-// began if its startup is over; it stands before a command then. It may be called from many goroutines.
+// TransferFunc hands a client connection over to another process that continues to serve it, and reports whether that
+// succeeded. A connection that began has completed its startup and is between commands. It must be safe for concurrent use.
 type TransferFunc func(nc net.Conn, began bool) bool
 
-// Core is the part of the core that a front uses.
+// Core is the part of the core that the front uses.
 type Core interface {
 	Now() core.Time
 	Arrive(*core.Request)
@@ -50,7 +50,7 @@
 	RecordFrontOutcome(front string, o record.Outcome, why record.Cause)
 }
 
-const front = "pg" // as records have it
+const front = "pg" // name of this front in records
 
 // Server accepts client connections.
 type Server struct {
@@ -59,46 +59,49 @@
 	conf Config
 	bufs *pgwire.Pool
 
-	mu       sync.Mutex
-	conns    map[*conn]bool
-	refusing int
-	lingered []net.Conn // ended but for what their clients may still send, longest first
-	most     int        // conf.Max, or what Limit said
-	closing  bool
-	passing  bool // closing for good,
-	last     bool // and in its last moments
-	working  int  // goroutines of connections,
-	lingers  int  // those among them that only wait for their client
-	ended    sync.Cond
-
-	cancels cancels
-	ahead   atomic.Int64 // bytes that readers hold beyond their usual size
-
-	refused, closed, broken, full, short, failing logthrottle.Line
+	mu               sync.Mutex
+	conns            map[*conn]bool
+	refusing         int
+	lingering        []net.Conn // closed for sending, waiting for their clients to close, longest first
+	maxConns         int        // conf.MaxConnections, or the limit set since
+	closing          bool
+	shuttingDown     bool // Shutdown was called
+	abandonPartial   bool // AbandonPartialMessages was called
+	goroutines       int  // goroutines of connections
+	lingerGoroutines int  // those of them that only wait for their client
+	changed          sync.Cond
+
+	cancels        cancelState
+	readAheadBytes atomic.Int64 // bytes of read buffers beyond their initial size, of all connections
+
+	refusedLog, rejectedLog, protocolErrorLog, noBufferLog, evictedLog, acceptErrorLog logthrottle.Line
 }
 
-// silentLeast is how long a connection that has sent nothing is left alone: clients send their startup at once.
-// idleLeast is how long one is that has just been welcomed, as its first command takes a way there and back. Where clients
-// come faster than that, they would else push each other out before any has asked, however often it tries.
 const (
-	silentLeast = 50 * time.Millisecond
-	sweepEvery  = 100 * time.Millisecond
-	idleLeast   = 200 * time.Millisecond // one that has just had its answer may be about to ask again, too
+	// minSilentAge is the time for which a new connection that has sent nothing is not closed: clients send their startup
+	// at once.
+	minSilentAge = 50 * time.Millisecond
+	// sweepInterval is the interval at which idle connections are closed.
+	sweepInterval = 100 * time.Millisecond
+	// minIdleAge is the time for which a connection is not closed after its startup, as its first command takes a round
+	// trip, or after an answer, as its client may be about to send the next command. Without it, clients that connect
+	// faster than that would displace each other before any has sent a command, however often they retry.
+	minIdleAge = 200 * time.Millisecond
 )
 
-// New returns a server that hands its requests to c.
+// New returns a server that passes its requests to c.
 func New(c Core, conf Config, bufs *pgwire.Pool, log *slog.Logger) *Server {
-	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, most: conf.MaxConnections}
-	s.ended.L = &s.mu
+	s := &Server{core: c, log: log, conf: conf, bufs: bufs, conns: map[*conn]bool{}, maxConns: conf.MaxConnections}
+	s.changed.L = &s.mu
 	if s.conf.Claims == nil {
 		s.conf.Claims = call.NewActiveIDs()
 	}
 	return s
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed; it returns nil then.
 func (s *Server) Serve(l net.Listener) error {
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	done := make(chan struct{})
 	defer close(done)
 	defer sweep.Stop()
@@ -106,7 +109,7 @@
 		for {
 			select {
 			case <-sweep.C:
-				s.endIdle()
+				s.closeIdle()
 			case <-done:
 				return
 			}
@@ -117,8 +120,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, most likely: clients wait in the backlog meanwhile
-			s.failing.Warn(s.log, "accept failed", "err", err)
+		if err != nil { // most likely out of file descriptors: clients wait in the backlog meanwhile
+			s.acceptErrorLog.Warn(s.log, "accept failed", "err", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -126,146 +129,146 @@
 	}
 }
 
-// Handle serves one connection in the background. At the limit the clients that
-// ask once and keep their connection, or never ask, make room for those that ask now.
+// Handle serves one connection in the background. At the limit, an idle connection is
+// closed to make room for the new one, or the new one is refused.
 func (s *Server) Handle(nc net.Conn) {
-	runtime.Gosched() // hundreds may come at once: what those before have sent is read first, and they count as asking
+	runtime.Gosched() // hundreds may connect at once: lets the goroutines of earlier ones read first, so that they count as active
 	c := newConn(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case len(s.conns) < s.most, len(s.conns) < s.most+s.conf.SpareConnections/2 && s.makeRoom():
+	case len(s.conns) < s.maxConns, len(s.conns) < s.maxConns+s.conf.SpareConnections/2 && s.evictIdle():
 	case s.refusing < (s.conf.SpareConnections+1)/2:
 		s.refusing++
-		c.refuse = true
-		stay := 0 // where another process passed on more than may be, the idle ones make room for the next
+		c.refusing = true
+		remaining := 0 // another process may have handed over more than the limit: idle ones make room for the next client
 		for c := range s.conns {
-			if !c.leaving {
-				stay++
+			if !c.evicted {
+				remaining++
 			}
 		}
-		for ; stay >= s.most && s.makeRoom(); stay-- {
+		for ; remaining >= s.maxConns && s.evictIdle(); remaining-- {
 		}
-		s.refused.Warn(s.log, "client refused: too many connections", "open", len(s.conns))
+		s.refusedLog.Warn(s.log, "client refused: too many connections", "open", len(s.conns))
 	default:
-		s.turnAway(c, false)
+		s.reject(c, false)
 		return
 	}
-	s.evict()
+	s.evictLingering()
 	s.serve(c, false)
 }
 
-// turnAway ends a connection that there is no room for. One whose startup is not over is told so without having been
-// read: a client that hears nothing at all may take its request for lost. The caller holds the lock.
-func (s *Server) turnAway(c *conn, began bool) {
-	s.closed.Warn(s.log, "client closed: too many connections", "open", len(s.conns))
-	if !s.evict() {
+// reject closes a connection that exceeds the limits. One whose startup is not complete gets an error without being read,
+// because a client that gets no answer may assume that its request was lost. The lock must be held.
+func (s *Server) reject(c *conn, began bool) {
+	s.rejectedLog.Warn(s.log, "client closed: too many connections", "open", len(s.conns))
+	if !s.evictLingering() {
 		_ = c.Conn.Close()
 		return
 	}
-	s.lingered = append(s.lingered, c.Conn.Conn)
-	s.start(func() {
+	s.lingering = append(s.lingering, c.Conn.Conn)
+	s.startTracked(func() {
 		if !began {
-			_ = c.fatal(pgwire.TooManyConnections, "too many connections", c.comeBack())
+			_ = c.writeFatal(pgwire.TooManyConnections, "too many connections", c.retryAfterMs())
 		}
-		s.seeOff(c)
+		s.runLinger(c)
 	})
 }
 
-// evict makes room for one connection more, if there is none, by closing the one that has lingered longest. It tells
-// whether there is room. The caller holds the lock.
-func (s *Server) evict() bool {
-	if len(s.conns)+s.refusing+len(s.lingered) < s.most+s.conf.SpareConnections {
+// evictLingering makes room for one more connection, if there is none, by closing the one that has lingered longest. It
+// reports whether there is room. The lock must be held.
+func (s *Server) evictLingering() bool {
+	if len(s.conns)+s.refusing+len(s.lingering) < s.maxConns+s.conf.SpareConnections {
 		return true
 	}
-	if len(s.lingered) == 0 {
+	if len(s.lingering) == 0 {
 		return false
 	}
-	s.short.Info(s.log, "client closed before it had ended: too many connections", "lingering", len(s.lingered))
-	_ = s.lingered[0].Close()
-	s.lingered = s.lingered[1:]
+	s.evictedLog.Info(s.log, "client closed before it had ended: too many connections", "lingering", len(s.lingering))
+	_ = s.lingering[0].Close()
+	s.lingering = s.lingering[1:]
 	return true
 }
 
-// linger is the end of a connection whose client is still there. It counts no longer as one of the clients'.
+// linger closes a connection whose client has not closed it. It no longer counts as a client connection.
 func (s *Server) linger(c *conn) {
 	s.mu.Lock()
-	s.drop(c)
-	s.lingered = append(s.lingered, c.Conn.Conn)
+	s.remove(c)
+	s.lingering = append(s.lingering, c.Conn.Conn)
 	s.mu.Unlock()
-	s.seeOff(c)
+	s.runLinger(c)
 }
 
-// seeOff closes a connection that is among the lingered.
-func (s *Server) seeOff(c *conn) {
+// runLinger runs the lingering close of a connection in s.lingering.
+func (s *Server) runLinger(c *conn) {
 	s.mu.Lock()
-	s.lingers++
-	s.ended.Broadcast()
+	s.lingerGoroutines++
+	s.changed.Broadcast()
 	s.mu.Unlock()
-	interruptible.LingeringClose(c.Conn.Conn, time.Now().Add(s.conf.LingerTimeout), lingerMost)
+	interruptible.LingeringClose(c.Conn.Conn, time.Now().Add(s.conf.LingerTimeout), maxLingerBytes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lingers--
-	s.lingered = slices.DeleteFunc(s.lingered, func(nc net.Conn) bool { return nc == c.Conn.Conn })
+	s.lingerGoroutines--
+	s.lingering = slices.DeleteFunc(s.lingering, func(nc net.Conn) bool { return nc == c.Conn.Conn })
 }
 
-const lingerMost = 1 << 20 // bytes that are read of a client whose connection has ended: some of its largest requests
+const maxLingerBytes = 1 << 20 // bytes that a lingering connection reads at most: several requests of the largest size
 
-// drop has a connection count no longer. The caller holds the lock.
-func (s *Server) drop(c *conn) {
+// remove removes a connection from the counts. The lock must be held.
+func (s *Server) remove(c *conn) {
 	delete(s.conns, c)
-	if c.refuse {
-		c.refuse = false
+	if c.refusing {
+		c.refusing = false
 		s.refusing--
 	}
 }
 
-// start runs f in the background; Shutdown waits for it. The caller holds the lock.
-func (s *Server) start(f func()) {
-	s.working++
+// startTracked runs f in the background; Shutdown waits for it. The lock must be held.
+func (s *Server) startTracked(f func()) {
+	s.goroutines++
 	go func() {
 		f()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.working--
-		s.ended.Broadcast()
+		s.goroutines--
+		s.changed.Broadcast()
 	}()
 }
 
-// pass gives a connection to another process, if this one ends and there is one.
-func (s *Server) pass(nc net.Conn, began bool) bool {
+// transfer hands a connection over to another process, if this one is shutting down and there is one.
+func (s *Server) transfer(nc net.Conn, began bool) bool {
 	s.mu.Lock()
-	passing := s.passing && s.conf.Transfer != nil
+	enabled := s.shuttingDown && s.conf.Transfer != nil
 	s.mu.Unlock()
-	return passing && s.conf.Transfer(nc, began)
+	return enabled && s.conf.Transfer(nc, began)
 }
 
-// Adopt serves a connection that another process passed on. It was within the limits there, which both keep
-// together; it counts here from now on.
+// Adopt serves a connection that another process handed over. It was within the limits there, which both processes share;
+// from now on it counts here. began says that its startup is complete.
 func (s *Server) Adopt(nc net.Conn, began bool) {
 	c := newConn(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.conf.MaxConnections+s.conf.SpareConnections {
-		s.turnAway(c, began)
+		s.reject(c, began)
 		return
 	}
-	s.evict()
+	s.evictLingering()
 	if began {
-		c.spoke, c.asked, c.due = true, true, time.Time{}
+		c.received, c.hadCommand, c.startDeadline = true, true, time.Time{}
 	}
 	s.serve(c, began)
 }
 
-// serve runs a connection in the background. The caller holds the lock.
+// serve runs a connection in the background. The lock must be held.
 func (s *Server) serve(c *conn, began bool) {
-	if !c.refuse {
+	if !c.refusing {
 		s.conns[c] = true
 	}
 	if s.closing {
-		c.Post(message{stop: true, last: s.last})
+		c.Post(message{stop: true, abandonPartial: s.abandonPartial})
 	}
-	s.start(func() {
+	s.startTracked(func() {
 		if began {
 			c.serveFrom(nil)
 		} else {
@@ -273,22 +276,23 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.drop(c)
+		s.remove(c)
 	})
 }
 
-// makeRoom ends the connection that has been silent longest without a byte,
-// else the one idle longest, and tells whether there was one. None is ended
-// that has only just connected or been welcomed. A request that
-// crosses the end is served first, or was not read: its client asks again.
-func (s *Server) makeRoom() bool {
+// evictIdle closes the connection that has been open longest without sending a
+// byte, else the one that has been idle longest, and reports whether there was
+// one. It spares connections that have only just connected or completed their
+// startup. A request that arrives at the same time is either served first or not
+// read at all, so that its client can retry.
+func (s *Server) evictIdle() bool {
 	var oldest *conn
-	rank := func(c *conn) int { // 0: it stays
+	rank := func(c *conn) int { // 0: must not be closed
 		switch {
-		case c.leaving, c.idleSince.IsZero(),
-			!c.spoke && time.Since(c.idleSince) < silentLeast, c.spoke && !c.asked && time.Since(c.idleSince) < idleLeast:
+		case c.evicted, c.idleSince.IsZero(),
+			!c.received && time.Since(c.idleSince) < minSilentAge, c.received && !c.hadCommand && time.Since(c.idleSince) < minIdleAge:
 			return 0
-		case c.spoke:
+		case c.received:
 			return 1
 		}
 		return 2
@@ -304,120 +308,120 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.leaving = true
+	oldest.evicted = true
 	oldest.Post(message{stop: true})
 	return true
 }
 
-// endIdle ends connections that have been idle for long, and the longest idle
-// of more than IdleKeep. Clients that ask once and keep their connection would
-// else take up all those that clients may hold, and none could ask.
-func (s *Server) endIdle() {
+// closeIdle closes connections that have been idle for IdleTimeout, and the longest
+// idle ones beyond MaxIdleConnections. Otherwise clients that send one request and
+// keep their connection could use up the limit and block all others.
+func (s *Server) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var idle []*conn
 	for c := range s.conns {
-		if c.spoke && !c.leaving && !c.idleSince.IsZero() {
+		if c.received && !c.evicted && !c.idleSince.IsZero() {
 			idle = append(idle, c)
 		}
 	}
 	slices.SortFunc(idle, func(a, b *conn) int { return a.idleSince.Compare(b.idleSince) })
 	for i, c := range idle {
-		if age := time.Since(c.idleSince); age < idleLeast || age < s.conf.IdleTimeout && len(idle)-i <= s.conf.MaxIdleConnections {
+		if age := time.Since(c.idleSince); age < minIdleAge || age < s.conf.IdleTimeout && len(idle)-i <= s.conf.MaxIdleConnections {
 			break
 		}
-		c.leaving = true
+		c.evicted = true
 		c.Post(message{stop: true})
 	}
 }
 
-// idle notes that a connection waits for a command, busy that it has one.
-func (s *Server) idle(c *conn) {
+// markIdle records that a connection waits for a command.
+func (s *Server) markIdle(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.idleSince = time.Now()
-	c.asked = c.due.IsZero()
+	c.hadCommand = c.startDeadline.IsZero()
 }
 
-func (s *Server) busy(c *conn) {
+// markBusy records that a connection has begun to receive a command.
+func (s *Server) markBusy(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.idleSince = time.Time{}
 }
 
-// heard notes that a connection has sent something.
-func (s *Server) heard(c *conn) {
+// markReceived records that a connection has received bytes.
+func (s *Server) markReceived(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.spoke = true
+	c.received = true
 }
 
-// SetMaxConnections has the server hold so many client connections at most from now on. Those that are open stay until they are
-// idle.
-func (s *Server) SetMaxConnections(most int) {
+// SetMaxConnections sets the limit of client connections. Open connections beyond it stay until they are idle.
+func (s *Server) SetMaxConnections(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
+	s.maxConns = limit
 }
 
-// Quiesce has connections end as they fall idle, what was taken answered, and new ones after one answer; or has the
-// server go on as ever. Unlike Shutdown it can be taken back; a Shutdown can't.
+// Quiesce with yes closes connections as they become idle, after answering the requests they have sent, and new connections
+// after one answer. Without yes it reverts to normal operation, unless Shutdown was called.
 func (s *Server) Quiesce(yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing = yes || s.passing
+	s.closing = yes || s.shuttingDown
 	if yes {
-		s.tell(message{stop: true})
+		s.broadcast(message{stop: true})
 	}
 }
 
-// OpenConnections is how many connections are open, those being refused among them, those that linger not.
+// OpenConnections returns the number of open connections, including those being refused, but not those that linger.
 func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) + s.refusing
 }
 
-// Shutdown ends connections as they fall idle, answers what was taken, and
-// returns when none is left. For those that linger it waits lastLinger: what was under way when they were ended has come
-// by then, and clients that do not look at a connection at rest for long would hold up the next process.
+// Shutdown closes connections as they become idle, answers the requests that were read, and returns when no connection is
+// left. It waits for lingering connections for shutdownLinger only: what was in transit when they were closed has arrived by
+// then, and clients that do not look at an idle connection for a long time would delay the next process.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing, s.passing = true, true
-	s.tell(message{stop: true})
-	over := false
-	for s.working > s.lingers || s.lingers > 0 && !over {
-		if s.working > s.lingers {
-			s.ended.Wait()
+	s.closing, s.shuttingDown = true, true
+	s.broadcast(message{stop: true})
+	expired := false
+	for s.goroutines > s.lingerGoroutines || s.lingerGoroutines > 0 && !expired {
+		if s.goroutines > s.lingerGoroutines {
+			s.changed.Wait()
 			continue
 		}
-		late := time.AfterFunc(lastLinger, func() {
+		timer := time.AfterFunc(shutdownLinger, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			over = true
-			s.ended.Broadcast()
+			expired = true
+			s.changed.Broadcast()
 		})
-		for s.working == s.lingers && s.lingers > 0 && !over {
-			s.ended.Wait()
+		for s.goroutines == s.lingerGoroutines && s.lingerGoroutines > 0 && !expired {
+			s.changed.Wait()
 		}
-		late.Stop()
+		timer.Stop()
 	}
 }
 
-const lastLinger = 50 * time.Millisecond // more than a request is under way to the gateway
+const shutdownLinger = 50 * time.Millisecond // longer than a request is in transit to the gateway
 
-// AbandonPartialMessages is for the last moments of a Shutdown: commands that are whole are answered, but the rest of one that has
-// begun is not waited for any longer. Whoever sends it then finds the connection ended.
+// AbandonPartialMessages is for the end of a Shutdown: complete commands are still answered, but the server no longer waits
+// for the rest of a command that has begun. The client that sends it finds the connection closed.
 func (s *Server) AbandonPartialMessages() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = true
-	s.tell(message{stop: true, last: true})
+	s.abandonPartial = true
+	s.broadcast(message{stop: true, abandonPartial: true})
 }
 
-// tell leaves all connections a message. The caller holds the lock.
-func (s *Server) tell(m message) {
+// broadcast posts a message to all connections. The lock must be held.
+func (s *Server) broadcast(m message) {
 	for c := range s.conns {
 		c.Post(m)
 	}
--- a/internal/pgwire/buf.go
+++ b/internal/pgwire/buf.go
@@ -2,117 +2,124 @@
 
 import "sync"
 
-// LargeBufSize holds the largest message that is held whole: a value of 64 KiB as hex digits, with its statement.
+// LargeBufSize is the size, in bytes, of a large buffer. It fits the largest message that is buffered whole: a value of 64
+// KiB as hex digits, with its statement.
 const LargeBufSize = 132 << 10
 
-// SmallBufSize holds the usual statement or small answer. Many are held by slow peers at once, and few need more.
+// SmallBufSize is the size, in bytes, of a small buffer. It fits a typical statement or a small answer. Slow peers keep many
+// buffers in use at once, and few of these messages need more.
 const SmallBufSize = 4 << 10
 
-// Buf is a buffer from a Pool. B is empty when it comes and may grow up to its capacity only.
+// Buf is a buffer from a Pool. B is empty at first and must not grow beyond its capacity.
 type Buf struct {
 	B    []byte
 	pool *Pool
 }
 
-// Release gives the buffer back; the holder must not use it afterwards.
+// Release returns the buffer to its pool; the caller must not use it afterwards.
 func (b *Buf) Release() { b.pool.put(b) }
 
-// Pool hands out buffers of two sizes, up to a fixed number of each.
+// Pool hands out buffers of two sizes, up to a limit for each. It is safe for concurrent use.
 type Pool struct {
-	mu         sync.Mutex
-	full, tiny shelf
+	mu           sync.Mutex
+	large, small sizeClass
 }
 
-// shelf holds buffers of one size.
-type shelf struct {
-	size int
-	free []*Buf
-	left int // not made yet; below 0 more are in use than Limit allows
-	most int
+// sizeClass holds the buffers of one size.
+type sizeClass struct {
+	size      int
+	free      []*Buf
+	remaining int // buffers that may still be allocated; negative if more are in use than the limit allows
+	limit     int // buffers that may exist
 }
 
-// NewPool returns a pool of at most full buffers of BufSize and small ones of SmallSize, which are made as needed.
-func NewPool(full, small int) *Pool {
-	return &Pool{full: shelf{size: LargeBufSize, left: full, most: full}, tiny: shelf{size: SmallBufSize, left: small, most: small}}
+// NewPool returns a pool of at most large buffers of LargeBufSize and small buffers of SmallBufSize. They are allocated on
+// demand.
+func NewPool(large, small int) *Pool {
+	return &Pool{large: sizeClass{size: LargeBufSize, remaining: large, limit: large}, small: sizeClass{size: SmallBufSize, remaining: small, limit: small}}
 }
 
-// SetLimits has the pool hold so many buffers of each size at most from now on. Those in use above that are dropped as they
-// come back.
-func (p *Pool) SetLimits(full, small int) {
+// SetLimits sets the limits for the numbers of buffers. Buffers in use beyond the new limits are discarded when they are
+// released.
+func (p *Pool) SetLimits(large, small int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.full.limit(full)
-	p.tiny.limit(small)
+	p.large.setLimit(large)
+	p.small.setLimit(small)
 }
 
-func (s *shelf) limit(n int) {
-	s.left += n - s.most
-	s.most = n
+// setLimit changes the limit and discards free buffers beyond it.
+func (s *sizeClass) setLimit(n int) {
+	s.remaining += n - s.limit
+	s.limit = n
 	s.trim()
 }
 
-// trim drops free buffers while there are more than may be.
-func (s *shelf) trim() {
-	for s.left < 0 && len(s.free) > 0 {
+// trim discards free buffers while the limit is exceeded.
+func (s *sizeClass) trim() {
+	for s.remaining < 0 && len(s.free) > 0 {
 		s.free[len(s.free)-1] = nil
 		s.free = s.free[:len(s.free)-1]
-		s.left++
+		s.remaining++
 	}
 }
 
-// Get returns a buffer that holds n bytes, a small one if that will do and there is one; nil when it would leave keep
-// full ones or fewer.
-func (p *Pool) Get(n, keep int) *Buf {
+// Get returns a buffer for n bytes, preferably a small one. It returns nil if n is larger than a large buffer, or if no
+// more than reserved large buffers are available: these are kept for other uses.
+func (p *Pool) Get(n, reserved int) *Buf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n <= SmallBufSize {
-		if b := p.tiny.get(p); b != nil {
+		if b := p.small.get(p); b != nil {
 			return b
 		}
 	}
-	if n > LargeBufSize || p.full.count() <= keep {
+	if n > LargeBufSize || p.large.available() <= reserved {
 		return nil
 	}
-	return p.full.get(p)
+	return p.large.get(p)
 }
 
-func (s *shelf) count() int { return s.left + len(s.free) }
+// available returns the number of buffers that get can still return.
+func (s *sizeClass) available() int { return s.remaining + len(s.free) }
 
-func (s *shelf) get(p *Pool) *Buf {
+// get returns a free or a new buffer, or nil if the limit is reached.
+func (s *sizeClass) get(p *Pool) *Buf {
 	if n := len(s.free); n > 0 {
 		b := s.free[n-1]
 		s.free = s.free[:n-1]
 		return b
 	}
-	if s.left <= 0 {
+	if s.remaining <= 0 {
 		return nil
 	}
-	s.left--
+	s.remaining--
 	return &Buf{B: make([]byte, 0, s.size), pool: p}
 }
 
+// put returns a buffer to the pool, or discards it if the limit is exceeded.
 func (p *Pool) put(b *Buf) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b.B = b.B[:0]
-	s := &p.full
-	if cap(b.B) == p.tiny.size {
-		s = &p.tiny
+	s := &p.large
+	if cap(b.B) == p.small.size {
+		s = &p.small
 	}
 	s.free = append(s.free, b)
 	s.trim()
 }
 
-// FreeLarge returns how many full buffers may still be had.
+// FreeLarge returns the number of large buffers that are available.
 func (p *Pool) FreeLarge() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.full.count()
+	return p.large.available()
 }
 
-// FreeSmall returns how many small buffers may still be had.
+// FreeSmall returns the number of small buffers that are available.
 func (p *Pool) FreeSmall() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tiny.count()
+	return p.small.available()
 }
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -22,55 +22,55 @@
 	"reachwind/internal/record"
 )
 
-// noCore is a core that nothing may come to.
+// noCore is a core that must not receive a request.
 type noCore struct{ t *testing.T }
 
 func (n noCore) Now() core.Time                                          { return core.Time(time.Now().UnixNano()) }
-func (n noCore) Arrive(*core.Request)                                    { n.t.Error("a request came to the core") }
+func (n noCore) Arrive(*core.Request)                                    { n.t.Error("a request reached the core") }
 func (n noCore) Gone(*core.Request)                                      {}
 func (n noCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
-// crossed is the server's end of a connection. When that is about to be ended, its client sends something first, which
-// has come by the time the call is carried out.
-type crossed struct {
+// interceptedConn is the server's end of a connection. When the server is about to close it, the client first sends bytes,
+// which have arrived by the time the close is carried out.
+type interceptedConn struct {
 	*net.TCPConn
-	once  sync.Once
-	cross func(*crossed)
-	read  atomic.Int64 // bytes
+	once        sync.Once
+	beforeClose func(*interceptedConn)
+	read        atomic.Int64 // bytes
 }
 
-func (c *crossed) Read(p []byte) (int, error) {
+func (c *interceptedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	c.read.Add(int64(n))
 	return n, err
 }
 
-func (c *crossed) CloseWrite() error {
-	c.once.Do(func() { c.cross(c) })
+func (c *interceptedConn) CloseWrite() error {
+	c.once.Do(func() { c.beforeClose(c) })
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *crossed) Close() error {
-	c.once.Do(func() { c.cross(c) })
+func (c *interceptedConn) Close() error {
+	c.once.Do(func() { c.beforeClose(c) })
 	return c.TCPConn.Close()
 }
 
-// crossing is a listener of such connections.
-type crossing struct {
+// interceptingListener is a listener that returns such connections.
+type interceptingListener struct {
 	net.Listener
-	cross func(*crossed)
+	beforeClose func(*interceptedConn)
 }
 
-func (l crossing) Accept() (net.Conn, error) {
+func (l interceptingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &crossed{TCPConn: c.(*net.TCPConn), cross: l.cross}, nil
+	return &interceptedConn{TCPConn: c.(*net.TCPConn), beforeClose: l.beforeClose}, nil
 }
 
-// crossedFront runs a server of connections that are crossed by a client's bytes as they end.
-func crossedFront(t *testing.T, conf Config, cross func(*crossed)) *Server {
+// startIntercepted runs a server on a listener of crossed connections.
+func startIntercepted(t *testing.T, conf Config, beforeClose func(*interceptedConn)) *Server {
 	t.Helper()
 	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
 	if err != nil {
@@ -85,63 +85,64 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.l = &limited{Listener: crossing{l, cross}, s: s}
-	s.done.Add(1)
+	s.listener = &limitedListener{Listener: interceptingListener{l, beforeClose}, s: s}
+	s.serving.Add(1)
 	go func() {
-		defer s.done.Done()
-		_ = s.http.Serve(s.l)
+		defer s.serving.Done()
+		_ = s.http.Serve(s.listener)
 	}()
 	return s
 }
 
-const get = "GET /v1/clusters/0/items/x HTTP/1.1\r\nHost: h\r\n" // of no class: answered here
+const requestHead = "GET /v1/clusters/0/items/x HTTP/1.1\r\nHost: h\r\n" // without a class: the front itself answers it
 
-// TestCloseCrossed: whyever a connection ends, a request that comes in that moment neither resets it nor is served.
-func TestCloseCrossed(t *testing.T) {
+// TestRequestDuringClose: for whatever reason a connection is closed, a request that arrives at that moment neither causes a
+// reset, by which the client could lose an answer, nor is it served.
+func TestRequestDuringClose(t *testing.T) {
 	for name, tc := range map[string]struct {
 		most    int
 		text    string
 		want    string // statuses
-		ends    bool   // by Shutdown
+		ends    bool   // the connection ends by Shutdown
 		idleFor time.Duration
 	}{
-		"idle":          {1, get + "\r\n", "400", false, 50 * time.Millisecond},
-		"shutdown":      {1, get + "\r\n", "400", true, time.Hour},
-		"close asked":   {1, get + "Connection: close\r\n\r\n", "400", false, time.Hour},
-		"half a header": {1, get, "", false, time.Hour},
-		"no request":    {1, "nonsense\r\n\r\n", "400", false, time.Hour},
-		"no room":       {0, get + "\r\n", "503", false, time.Hour},
+		"idle":              {1, requestHead + "\r\n", "400", false, 50 * time.Millisecond},
+		"shutdown":          {1, requestHead + "\r\n", "400", true, time.Hour},
+		"close requested":   {1, requestHead + "Connection: close\r\n\r\n", "400", false, time.Hour},
+		"partial header":    {1, requestHead, "", false, time.Hour},
+		"malformed request": {1, "nonsense\r\n\r\n", "400", false, time.Hour},
+		"beyond the limit":  {0, requestHead + "\r\n", "503", false, time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var near net.Conn
+			var clientConn net.Conn
 			dialled := make(chan struct{})
-			s := crossedFront(t, Config{MaxConnections: tc.most, IdleTimeout: tc.idleFor}, func(far *crossed) {
+			s := startIntercepted(t, Config{MaxConnections: tc.most, IdleTimeout: tc.idleFor}, func(server *interceptedConn) {
 				<-dialled
-				was := far.read.Load()
-				_, _ = near.Write([]byte(get + "\r\n"))
-				// A read of net/http that was on may have them; the test's own limit ends a wait for nothing.
-				for looks := interruptible.New[int](far.TCPConn, 16); looks.NoPendingInput() && far.read.Load() == was; {
+				before := server.read.Load()
+				_, _ = clientConn.Write([]byte(requestHead + "\r\n"))
+				// A pending read of net/http may have them; if they never arrive, the test's timeout ends the wait.
+				for watch := interruptible.New[int](server.TCPConn, 16); watch.NoPendingInput() && server.read.Load() == before; {
 					runtime.Gosched()
 				}
 			})
 			var err error
-			if near, err = net.Dial("tcp", s.Addr()); err != nil {
+			if clientConn, err = net.Dial("tcp", s.Addr()); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := near.Write([]byte(tc.text)); err != nil {
+			if _, err := clientConn.Write([]byte(tc.text)); err != nil {
 				t.Fatal(err)
 			}
 			close(dialled)
 			var text []byte
 			if tc.ends {
 				for b := []byte{0}; !strings.HasSuffix(string(text), "}"); text = append(text, b...) {
-					if _, err := near.Read(b); err != nil {
+					if _, err := clientConn.Read(b); err != nil {
 						t.Fatal(err)
 					}
 				}
 				go s.Shutdown(t.Context())
 			}
-			rest, err := io.ReadAll(near)
+			rest, err := io.ReadAll(clientConn)
 			if err != nil {
 				t.Error("the connection did not end cleanly:", err)
 			}
@@ -154,19 +155,19 @@
 			if strings.Join(got, " ") != tc.want {
 				t.Errorf("statuses %q, want %q", got, tc.want)
 			}
-			_ = near.Close()
+			_ = clientConn.Close()
 			s.Shutdown(t.Context())
-			if s.open != 0 || s.refusing != 0 || len(s.lingered) > 0 {
-				t.Errorf("%d open, %d being refused, %d linger", s.open, s.refusing, len(s.lingered))
+			if s.openConns != 0 || s.refusing != 0 || len(s.lingering) > 0 {
+				t.Errorf("%d open, %d being refused, %d linger, want none", s.openConns, s.refusing, len(s.lingering))
 			}
 		})
 	}
 }
 
-// TestLingerBounds: a connection that lingers gives way to a client that comes, and does not hold up a shutdown for
-// longer than that may last.
+// TestLingerBounds: a lingering connection is closed in favour of a new client, and delays a shutdown only until the
+// context of that ends.
 func TestLingerBounds(t *testing.T) {
-	s := crossedFront(t, Config{MaxConnections: 1, IdleTimeout: time.Hour}, func(*crossed) {})
+	s := startIntercepted(t, Config{MaxConnections: 1, IdleTimeout: time.Hour}, func(*interceptedConn) {})
 	var all []net.Conn
 	for i := range 5 {
 		nc, err := net.Dial("tcp", s.Addr())
@@ -174,12 +175,12 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = nc.Close() }()
-		_, _ = nc.Write([]byte(get + "Connection: close\r\n\r\n"))
+		_, _ = nc.Write([]byte(requestHead + "Connection: close\r\n\r\n"))
 		text, err := io.ReadAll(nc)
 		if err != nil || !strings.HasPrefix(string(text), fmt.Sprint("HTTP/1.1 ", http.StatusBadRequest)) {
-			t.Fatalf("client %d heard %q, %v", i, text, err)
+			t.Fatalf("client %d got %q, %v", i, text, err)
 		}
-		all = append(all, nc) // and stays
+		all = append(all, nc) // the client does not close
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -188,7 +189,7 @@
 		_ = nc.Close()
 	}
 	s.Shutdown(t.Context())
-	if s.open != 0 || len(s.lingered) > 0 {
-		t.Errorf("%d open, %d linger", s.open, len(s.lingered))
+	if s.openConns != 0 || len(s.lingering) > 0 {
+		t.Errorf("%d open, %d linger", s.openConns, len(s.lingering))
 	}
 }
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -17,7 +17,7 @@
 	"reachwind/internal/record"
 )
 
-// fakeCore holds requests and notes whose clients have gone.
+// fakeCore is a core that never answers; it counts the requests and those whose clients have left.
 type fakeCore struct {
 	mu   sync.Mutex
 	open int
@@ -38,7 +38,7 @@
 	q.Call.Release()
 }
 
-func until(t *testing.T, f func() bool) {
+func waitFor(t *testing.T, f func() bool) {
 	t.Helper()
 	for range 20_000 {
 		if f() {
@@ -46,11 +46,11 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it never came to pass")
+	t.Fatal("the condition was not met in time")
 }
 
-// TestClientLeaves: a client that ends its side while its request waits has gone, also behind bytes of a next request.
-// It is told nothing: an empty answer would be one that no member made.
+// TestClientLeaves: a client that closes its side while its request waits is detected as gone, also behind bytes of a next
+// request. It must get no answer: an empty one with status 200 would claim a result that no member gave.
 func TestClientLeaves(t *testing.T) {
 	for name, tc := range map[string]struct {
 		more  string // sent after the request
@@ -80,7 +80,7 @@
 			defer func() { _ = nc.Close() }()
 			c := nc.(*net.TCPConn)
 			_, _ = io.WriteString(c, "GET /v1/clusters/1/items/k HTTP/1.1\r\nHost: x\r\nReachwind-Class: r\r\n\r\n")
-			until(t, func() bool {
+			waitFor(t, func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return f.open == 1
@@ -92,18 +92,18 @@
 			} else {
 				_ = c.CloseWrite()
 				if got, _ := io.ReadAll(c); len(got) != 0 {
-					t.Errorf("told %.100q", got)
+					t.Errorf("got %.100q, want no answer", got)
 				}
 			}
-			until(t, func() bool {
+			waitFor(t, func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return f.gone == 1
 			})
-			until(t, func() bool {
+			waitFor(t, func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				return s.open == 0
+				return s.openConns == 0
 			})
 		})
 	}
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -1,7 +1,7 @@
-// Package restfront is the clients' side for REST: HTTP/1.1 requests for single
-// values, through the same core and rules as every other front. Each request gets
-// one answer. What it refuses before the core has it, it refuses by a problem
-// document (RFC 9457) with a type of its own.
+// Package restfront is the front for REST clients: HTTP/1.1 requests for single
+// values and pages of items, through the same core and rules as every other front.
+// Each request gets one answer. A request that is refused before it reaches the core
+// gets a problem document (RFC 9457) whose type names the reason.
 package restfront
 
 import (
@@ -35,27 +35,27 @@
 	"reachwind/internal/record"
 )
 
-// Config holds what the front is told.
+// Config is the configuration of the front.
 type Config struct {
-	Listen         string
-	MaxConnections int           // connections
-	MaxBodyBytes   int64         // bytes of a value
-	HeaderTimeout  time.Duration // a request's header must have come by then
-	ReadTimeout    time.Duration // and all of it by then
-	WriteTimeout   time.Duration // an answer must have been taken by then, on top of what the client waits
-	IdleTimeout    time.Duration // a connection idle for longer ends
+	Listen         string        // address to listen on
+	MaxConnections int           // connections at a time
+	MaxBodyBytes   int64         // size limit of a value in bytes
+	HeaderTimeout  time.Duration // timeout for reading the header of a request
+	ReadTimeout    time.Duration // timeout for reading a whole request
+	WriteTimeout   time.Duration // timeout for the client to read an answer, in addition to the time that it waits for one
+	IdleTimeout    time.Duration // a connection is closed once it has been idle for so long
 	Settings       *activesettings.Holder
-	CursorKeysFile string        // file with the keys of cursors; empty: a key of this process alone
-	CursorLifetime time.Duration // of a cursor
+	CursorKeysFile string        // file with the keys of cursors; empty: a random key of this process
+	CursorLifetime time.Duration // validity of a cursor
 }
 
 const (
-	headerMost  = 16 << 10
-	defaultWait = 5 * time.Second
-	front       = "rest" // as records have it
+	maxHeaderBytes = 16 << 10        // size limit of a header in bytes
+	defaultWait    = 5 * time.Second // deadline of a request that names none
+	front          = "rest"          // name of this front in records
 )
 
-// Core is the part of the core that a front uses.
+// Core is the part of the core that the front uses.
 type Core interface {
 	Now() core.Time
 	Arrive(*core.Request)
@@ -63,39 +63,40 @@
 	RecordFrontOutcome(front string, o record.Outcome, why record.Cause)
 }
 
-// Server accepts clients.
+// Server accepts client connections.
 type Server struct {
-	core   Core
-	conf   Config
-	log    *slog.Logger
-	claims *call.ActiveIDs
-	ring   atomic.Pointer[cursor.KeyRing]
-	prefix string // of ids that it gives
-	last   atomic.Uint64
-	http   http.Server
-	l      net.Listener
-	done   sync.WaitGroup
+	core       Core
+	conf       Config
+	log        *slog.Logger
+	claims     *call.ActiveIDs
+	cursorRing atomic.Pointer[cursor.KeyRing]
+	idPrefix   string // of the ids that it assigns to requests without one
+	lastID     atomic.Uint64
+	http       http.Server
+	listener   net.Listener
+	serving    sync.WaitGroup
 
-	mu       sync.Mutex
-	open     int        // connections, those that linger among them
-	refusing int        // beyond them
-	lingered []net.Conn // ended but for what their clients may still send, longest first
-	working  int        // goroutines that end connections
-	ended    sync.Cond
+	mu        sync.Mutex
+	openConns int        // admitted connections, including those that linger
+	refusing  int        // connections that are being refused, not counted in openConns
+	lingering []net.Conn // closed for sending, waiting for their clients to close, longest first
+	closers   int        // goroutines that close connections
+	changed   sync.Cond
 }
 
-// New returns a server that hands its requests to c. Ids in work are shared with the other fronts by claims.
+// New returns a server that passes its requests to c. claims holds the ids of requests in progress of all fronts. It fails
+// if the keys of cursors cannot be read.
 func New(c Core, conf Config, claims *call.ActiveIDs, log *slog.Logger) (*Server, error) {
 	s := &Server{core: c, conf: conf, log: log, claims: claims}
-	s.ended.L = &s.mu
-	ring, err := conf.ring()
+	s.changed.L = &s.mu
+	ring, err := conf.newCursorRing()
 	if err != nil {
 		return nil, err
 	}
-	s.ring.Store(ring)
+	s.cursorRing.Store(ring)
 	var b [6]byte
 	_, _ = rand.Read(b[:])
-	s.prefix = "rest-" + hex.EncodeToString(b[:]) + "-"
+	s.idPrefix = "rest-" + hex.EncodeToString(b[:]) + "-"
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/clusters/{cluster}/items/{id}", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, call.Read) })
 	mux.HandleFunc("PUT /v1/clusters/{cluster}/items/{id}", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, call.Write) })
@@ -103,166 +104,169 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		(&problem{kind: "not-found", status: http.StatusNotFound, detail: "there is no such resource; want /v1/clusters/{n}/items or an item of it"}).write(w)
 	})
-	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.HeaderTimeout, ReadTimeout: conf.ReadTimeout, IdleTimeout: conf.IdleTimeout, MaxHeaderBytes: headerMost,
+	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.HeaderTimeout, ReadTimeout: conf.ReadTimeout, IdleTimeout: conf.IdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		WriteTimeout: conf.ReadTimeout + call.MaxWait + conf.WriteTimeout, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-			if t, ok := nc.(*tracked); ok {
+			if t, ok := nc.(*trackedConn); ok {
 				nc = t.Conn
 			}
-			return context.WithValue(ctx, connection{}, nc)
+			return context.WithValue(ctx, connectionKey{}, nc)
 		}}
 	return s, nil
 }
 
-// Prepare checks a new configuration. apply takes over its keys, from the same file or another: cursors sealed by
-// keys that both hold go on.
+// Prepare checks a new configuration. apply puts its cursor keys into use, from the same file or another; cursors sealed
+// with a key that is in both remain valid. The other fields are not applied.
 func (s *Server) Prepare(conf Config) (apply func(), err error) {
-	if conf.CursorKeysFile == "" && s.conf.CursorKeysFile == "" { // the process keeps its own key
+	if conf.CursorKeysFile == "" && s.conf.CursorKeysFile == "" { // the process keeps its random key
 		return func() {}, nil
 	}
-	ring, err := conf.ring()
+	ring, err := conf.newCursorRing()
 	if err != nil {
 		return nil, err
 	}
-	return func() { s.ring.Store(ring) }, nil
+	return func() { s.cursorRing.Store(ring) }, nil
 }
 
-// Start listens and serves until Shutdown.
+// Start listens and serves in the background until Shutdown.
 func (s *Server) Start() error {
 	l, err := net.Listen("tcp", s.conf.Listen)
 	if err != nil {
 		return err
 	}
-	s.l = &limited{Listener: l, s: s}
-	s.done.Add(1)
+	s.listener = &limitedListener{Listener: l, s: s}
+	s.serving.Add(1)
 	go func() {
-		defer s.done.Done()
-		_ = s.http.Serve(s.l)
+		defer s.serving.Done()
+		_ = s.http.Serve(s.listener)
 	}()
 	s.log.Info("serving REST", "listen", l.Addr().String())
 	return nil
 }
 
-// Addr is where it listens.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+// Addr returns the address of the listener. It must not be called before Start.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Shutdown takes no more connections, answers what was taken for as long as ctx lasts, and ends. It waits a moment for
-// connections that linger.
+// Shutdown stops accepting connections, answers the requests that were read until ctx ends, and closes all connections. It
+// waits for lingering connections for shutdownLinger at most.
 func (s *Server) Shutdown(ctx context.Context) {
 	if s.http.Shutdown(ctx) != nil {
 		_ = s.http.Close()
 	}
-	s.done.Wait()
-	ctx, cancel := context.WithTimeout(ctx, lastLinger)
+	s.serving.Wait()
+	ctx, cancel := context.WithTimeout(ctx, shutdownLinger)
 	defer cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.ended.Broadcast()
+		s.changed.Broadcast()
 	})()
-	for s.working > 0 && ctx.Err() == nil {
-		s.ended.Wait()
+	for s.closers > 0 && ctx.Err() == nil {
+		s.changed.Wait()
 	}
 }
 
-// start runs f in the background and then, under the lock, then; Shutdown waits for both. The caller holds the lock.
-func (s *Server) start(f, then func()) {
-	s.working++
+// startTracked runs f in the background, and after it then with the lock held; Shutdown waits for both. The lock must be held.
+func (s *Server) startTracked(f, then func()) {
+	s.closers++
 	go func() {
 		f()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		then()
-		s.working--
-		s.ended.Broadcast()
+		s.closers--
+		s.changed.Broadcast()
 	}()
 }
 
 const (
-	lingerWait  = time.Second           // for a client whose connection has ended to close it
-	lingerMost  = 1 << 20               // bytes that are read of it meanwhile
-	lastLinger  = 50 * time.Millisecond // for all of them at a shutdown: more than a request is under way
-	refusedMost = 4                     // connections beyond the limit that are being refused, and linger
-	refusal     = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+	lingerTimeout   = time.Second           // timeout of a lingering connection
+	maxLingerBytes  = 1 << 20               // bytes that a lingering connection reads at most
+	shutdownLinger  = 50 * time.Millisecond // wait for lingering connections at a shutdown: longer than a request is in transit
+	maxRefusing     = 4                     // connections beyond the limit that may be refused and linger at a time
+	refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// limited ends connections beyond the limit at once, so that those within it are served.
-type limited struct {
+// limitedListener is a listener that refuses connections beyond the limit at once.
+type limitedListener struct {
 	net.Listener
 	s *Server
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		if l.s.admit() {
-			return &tracked{Conn: c, s: l.s}, nil
+			return &trackedConn{Conn: c, s: l.s}, nil
 		}
 		l.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
 		l.s.refuse(c)
 	}
 }
 
-// admit counts a connection in, if there is room. Those that linger give way, the one that has lingered longest first.
+// admit counts a new connection if the limit allows it, and reports whether it does. At the limit it closes the connection
+// that has lingered longest, if there is one.
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= s.conf.MaxConnections {
-		if len(s.lingered) == 0 {
+	if s.openConns >= s.conf.MaxConnections {
+		if len(s.lingering) == 0 {
 			return false
 		}
-		_ = s.lingered[0].Close()
-		s.lingered = s.lingered[1:]
-		s.open--
+		_ = s.lingering[0].Close()
+		s.lingering = s.lingering[1:]
+		s.openConns--
 	}
-	s.open++
+	s.openConns++
 	return true
 }
 
-// refuse tells a client that there is no room for it.
+// refuse answers a connection beyond the limit with status 503 and closes it.
 func (s *Server) refuse(c net.Conn) {
 	_ = c.SetWriteDeadline(time.Now().Add(10 * time.Millisecond))
-	_, _ = io.WriteString(c, refusal)
+	_, _ = io.WriteString(c, refusalResponse)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refusing >= refusedMost { // its client may see a reset
+	if s.refusing >= maxRefusing { // without a lingering close its client may see a reset
 		_ = c.Close()
 		return
 	}
 	s.refusing++
-	s.start(func() { interruptible.LingeringClose(c, time.Now().Add(lingerWait), lingerMost) }, func() { s.refusing-- })
+	s.startTracked(func() { interruptible.LingeringClose(c, time.Now().Add(lingerTimeout), maxLingerBytes) }, func() { s.refusing-- })
 }
 
-// linger closes a connection that was admitted, in the background.
+// linger runs the lingering close of an admitted connection in the background.
 func (s *Server) linger(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lingered = append(s.lingered, c)
-	s.start(func() {
-		late := time.AfterFunc(lingerWait, func() { _ = c.Close() }) // net/http may have unset the deadline
-		interruptible.LingeringClose(c, time.Now().Add(lingerWait), lingerMost)
-		late.Stop()
+	s.lingering = append(s.lingering, c)
+	s.startTracked(func() {
+		timer := time.AfterFunc(lingerTimeout, func() { _ = c.Close() }) // net/http may have cleared the deadline
+		interruptible.LingeringClose(c, time.Now().Add(lingerTimeout), maxLingerBytes)
+		timer.Stop()
 	}, func() {
-		if i := slices.Index(s.lingered, c); i >= 0 { // else it gave way
-			s.lingered = slices.Delete(s.lingered, i, i+1)
-			s.open--
+		if i := slices.Index(s.lingering, c); i >= 0 { // else admit has closed it and uncounted it
+			s.lingering = slices.Delete(s.lingering, i, i+1)
+			s.openConns--
 		}
 	})
 }
 
-// tracked is a connection that was admitted. Its close lingers and does not wait; nothing that is read later is served.
-type tracked struct {
+// trackedConn is an admitted connection. Close starts a lingering close and does not wait for it; no request that is read
+// later is served.
+type trackedConn struct {
 	net.Conn
 	s      *Server
 	closed atomic.Bool
 }
 
-func (c *tracked) Read(p []byte) (int, error) {
+// Read implements io.Reader. After Close it discards what it reads.
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.closed.Load() {
 		return 0, net.ErrClosed
@@ -270,25 +274,26 @@
 	return n, err
 }
 
-func (c *tracked) Close() error {
+// Close implements io.Closer.
+func (c *trackedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // a read that is on ends
+		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // ends a read in progress
 		c.s.linger(c.Conn)
 	}
 	return nil
 }
 
-// client takes the answer to one request.
+// client receives the answer to one request.
 type client struct{ answers chan core.Answer }
 
-// Answer never blocks: there is one answer, and room for it.
+// Answer never blocks: there is one answer, and the channel has capacity for it.
 func (c client) Answer(a core.Answer) { c.answers <- a }
 
 // serve carries out one request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, op call.Op) {
-	came := s.core.Now()
-	q, list, p := s.request(r, op, came)
-	if len(r.TransferEncoding) > 0 { // whose end another server before us might see elsewhere
+	receivedAt := s.core.Now()
+	q, list, p := s.newRequest(r, op, receivedAt)
+	if len(r.TransferEncoding) > 0 { // a proxy in front might disagree about where the body ends
 		w.Header().Set("Connection", "close")
 	}
 	if p != nil {
@@ -296,48 +301,48 @@
 		p.write(w)
 		return
 	}
-	k := client{make(chan core.Answer, 1)}
-	q.Client = k
+	receiver := client{make(chan core.Answer, 1)}
+	q.Client = receiver
 	s.core.Arrive(q)
-	if a, ok := await(r, k.answers); ok {
-		s.answer(w, r, op, list, &a)
+	if a, ok := awaitAnswer(r, receiver.answers); ok {
+		s.writeAnswer(w, r, op, list, &a)
 		return
 	}
 	s.core.Gone(q)
-	select { // it may have been answered meanwhile
-	case a := <-k.answers:
+	select { // an answer may have arrived meanwhile
+	case a := <-receiver.answers:
 		if a.Body != nil {
 			a.Body.Release()
 		}
 	default:
 	}
-	panic(http.ErrAbortHandler) // else a client that ended only its sending would get an empty answer that says 200
+	panic(http.ErrAbortHandler) // else a client that closed only its sending side would get an empty answer with status 200
 }
 
-// await waits for the answer to a request, and tells whether it came before the client left. Behind bytes of a next
-// request net/http does not see that, so the socket is asked from time to time.
-func await(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
-	look := time.NewTicker(peerclose.CheckInterval)
-	defer look.Stop()
+// awaitAnswer waits for the answer to a request, and reports whether it arrived before the client closed the connection.
+// net/http does not detect the close behind unread bytes of a next request, so the socket is polled.
+func awaitAnswer(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
+	poll := time.NewTicker(peerclose.CheckInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case a := <-answers:
 			return a, true
 		case <-r.Context().Done():
 			return core.Answer{}, false
-		case <-look.C:
-			if peerclose.Detected(r.Context().Value(connection{})) {
+		case <-poll.C:
+			if peerclose.Detected(r.Context().Value(connectionKey{})) {
 				return core.Answer{}, false
 			}
 		}
 	}
 }
 
-// connection is under what a request's context holds the connection that it came on.
-type connection struct{}
+// connectionKey is the context key of the connection that a request arrived on.
+type connectionKey struct{}
 
-// request makes a request of what came, or the problem with it.
-func (s *Server) request(r *http.Request, op call.Op, came core.Time) (*core.Request, *listing, *problem) {
+// newRequest makes a core request from an HTTP request that arrived at came, or returns the problem with it.
+func (s *Server) newRequest(r *http.Request, op call.Op, receivedAt core.Time) (*core.Request, *listing, *problem) {
 	bad := func(kind, format string, args ...any) (*core.Request, *listing, *problem) {
 		return nil, nil, &problem{kind: kind, status: http.StatusBadRequest, detail: fmt.Sprintf(format, args...), outcome: record.Failed, cause: record.Invalid}
 	}
@@ -356,15 +361,15 @@
 	if item == "" || len(item) > 256 || !utf8.ValidString(item) || strings.ContainsRune(item, 0) {
 		return bad("id", "the id has %d bytes, want 1 to 256 of UTF-8 without zeros", len(item))
 	}
-	t := s.conf.Settings.Current()
-	k, ok := t.Class(h.Get("Reachwind-Class"), came)
+	settings := s.conf.Settings.Current()
+	class, ok := settings.Class(h.Get("Reachwind-Class"), receivedAt)
 	if !ok {
 		return bad("class", "the class is %.40q, want one of the settings in Reachwind-Class", h.Get("Reachwind-Class"))
 	}
-	if k.Writes() != (op == call.Write) {
-		return bad("class", "class %q takes no %s", k.Name, r.Method)
+	if class.Writes() != (op == call.Write) {
+		return bad("class", "class %q takes no %s", class.Name, r.Method)
 	}
-	tenant := t.TenantIndex(h.Get("Reachwind-Tenant"))
+	tenant := settings.TenantIndex(h.Get("Reachwind-Tenant"))
 	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.ValidCommentValue(name) {
 		return bad("tenant", "the tenant is %.40q, want a plain name", name)
 	}
@@ -376,20 +381,20 @@
 		}
 		wait = time.Duration(ms) * time.Millisecond
 	}
-	c := &call.Request{Op: op, ID: h.Get("Reachwind-Request-Id"), Class: k.Name, Tenant: h.Get("Reachwind-Tenant"), Cluster: cluster, Item: item,
+	c := &call.Request{Op: op, ID: h.Get("Reachwind-Request-Id"), Class: class.Name, Tenant: h.Get("Reachwind-Tenant"), Cluster: cluster, Item: item,
 		Key: h.Get("Idempotency-Key"), Retry: h.Get("Reachwind-Retry") == "1"}
 	if c.ID == "" {
-		c.ID = s.prefix + strconv.FormatUint(s.last.Add(1), 10)
+		c.ID = s.idPrefix + strconv.FormatUint(s.lastID.Add(1), 10)
 	} else if !pgwire.ValidCommentValue(c.ID) {
 		return bad("request-id", "the request id is %.40q, want a plain name", c.ID)
 	}
-	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.ValidCommentValue(c.Key) {
+	if class.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.ValidCommentValue(c.Key) {
 		return bad("idempotency-key", "the Idempotency-Key is %.40q, want a plain name", c.Key)
 	}
 	if op == call.Write {
 		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.MaxBodyBytes)); err != nil {
-			var long *http.MaxBytesError
-			if errors.As(err, &long) {
+			var tooLong *http.MaxBytesError
+			if errors.As(err, &tooLong) {
 				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.MaxBodyBytes), outcome: record.Failed, cause: record.Invalid}
 			}
 			return bad("body", "the body did not come whole")
@@ -399,7 +404,7 @@
 	atLeast := core.Time(0)
 	if op == call.List {
 		var p *problem
-		if list, p = s.listing(r, c, came); p != nil {
+		if list, p = s.parseListing(r, c, receivedAt); p != nil {
 			return nil, nil, p
 		}
 		atLeast = list.from.Position
@@ -408,30 +413,30 @@
 		return nil, nil, &problem{kind: "request-id-in-use", status: http.StatusConflict, detail: "a request with this id is in work", outcome: record.Failed, cause: record.InUse}
 	}
 	c.Done = func() { s.claims.Release(c.ID) }
-	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
-	if k.HasSession() {
+	q := &core.Request{Class: class.Class, ClassIndex: class.Index, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: receivedAt + min(core.Time(min(wait, call.MaxWait)), class.Deadline)}
+	if class.HasSession() {
 		if q.Session = h.Get("Reachwind-Session"); q.Session == "" {
-			q.Session = c.Item // as in PostgreSQL, where the quoted key names it
+			q.Session = c.Item // as with PostgreSQL, where the quoted key identifies the session
 		}
 	}
 	return q, list, nil
 }
 
-// answer writes a final answer.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, op call.Op, list *listing, a *core.Answer) {
+// writeAnswer writes the final answer to a request.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, op call.Op, list *listing, a *core.Answer) {
 	h := w.Header()
 	switch a.Verdict {
 	case core.Refused:
-		refused(a.RetryAfter).write(w)
+		refusedProblem(a.RetryAfter).write(w)
 		return
 	case core.Failed:
-		failed(a.MayHaveRun).write(w)
+		failedProblem(a.MayHaveRun).write(w)
 		return
 	}
 	defer a.Body.Release()
 	value, err := a.Body.(call.Answer).Value()
 	if err != nil {
-		failed(true).write(w)
+		failedProblem(true).write(w)
 		return
 	}
 	if a.Position > 0 {
@@ -439,15 +444,15 @@
 	}
 	h.Set("Content-Type", "application/octet-stream")
 	if op == call.List {
-		if value, err = s.page(h, r, list, value, a.Position); err != nil {
-			failed(true).write(w)
+		if value, err = s.encodePage(h, r, list, value, a.Position); err != nil {
+			failedProblem(true).write(w)
 			return
 		}
 		h.Set("Content-Type", "application/json")
 	}
 	tag := `"` + strconv.FormatUint(xxhash.Sum64(value), 16) + `"`
 	h.Set("ETag", tag)
-	if op != call.Write && matches(r.Header.Get("If-None-Match"), tag) {
+	if op != call.Write && matchesETag(r.Header.Get("If-None-Match"), tag) {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
@@ -456,10 +461,10 @@
 	_, _ = w.Write(value)
 }
 
-// matches tells whether an If-None-Match names a tag, RFC 9110 section 13.1.2.
-func matches(field, tag string) bool {
-	for one := range strings.SplitSeq(field, ",") {
-		if one = strings.TrimSpace(one); one == "*" || strings.TrimPrefix(one, "W/") == tag {
+// matchesETag reports whether an If-None-Match field matches a tag, by RFC 9110 section 13.1.2.
+func matchesETag(field, tag string) bool {
+	for candidate := range strings.SplitSeq(field, ",") {
+		if candidate = strings.TrimSpace(candidate); candidate == "*" || strings.TrimPrefix(candidate, "W/") == tag {
 			return true
 		}
 	}
