--- a/internal/edgeconf/edgeconf.go
+++ b/internal/edgeconf/edgeconf.go
@@ -1,7 +1,7 @@
 // Package edgeconf reads the product configuration, which is written in HCL. It
-// knows the form only: each subsystem owns a block and reads it by name. All faults
-// are gathered, each with file, line and column, what was found and what is wanted;
-// a name that nobody reads is a fault.
+// handles the syntax only: each subsystem owns a block and reads its attributes by name.
+// All faults are collected, each with file, line and column, what was found and what
+// is wanted. An attribute or block that nobody reads is a fault.
 package edgeconf
 
 import (
@@ -19,19 +19,20 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Faults are all faults of a file, in the order of their places.
+// Faults are all faults of a file, in the order of line and column. It is the error of Load and Parse.
 type Faults []Fault
 
-// Fault is one fault and its place.
+// Fault is one fault and its position in the file. Line and Column count from 1.
 type Fault struct {
 	File         string
 	Line, Column int
 	Text         string
 }
 
+// String returns the fault as FILE:LINE:COLUMN: TEXT.
 func (f Fault) String() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Text) }
 
-// Error gives a line for each fault.
+// Error returns a line for each fault.
 func (f Faults) Error() string {
 	var lines []string
 	for _, one := range f {
@@ -45,14 +46,15 @@
 type Block struct {
 	Type   string
 	Label  string
-	dir    string // names of files are relative to it
+	dir    string // file names are relative to it
 	body   *hclsyntax.Body
 	faults *Faults
-	seen   map[string]bool
+	seen   map[string]bool // attributes, and block types with a suffix " {", that were read
 	place  hcl.Range
 }
 
-// Load reads a file and has read take what it wants of it.
+// Load reads the file at path and calls read with its top level. It returns Faults if the file or what read found in it
+// is at fault, and another error if the file can't be read.
 func Load(path string, read func(*Block)) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return Parse(path, text, read)
 }
 
-// Parse is Load for a text; path stands in faults, and names of files in it are relative to its folder.
+// Parse is Load for the text of a file; path appears in faults, and file names in the text are relative to its folder.
 func Parse(path string, text []byte, read func(*Block)) error {
 	var faults Faults
 	file, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
@@ -91,10 +93,10 @@
 	*f = append(*f, Fault{r.Filename, r.Start.Line, r.Start.Column, fmt.Sprintf(format, args...)})
 }
 
-// Fault notes a fault of the block as a whole.
+// Fault records a fault of the block as a whole.
 func (b *Block) Fault(format string, args ...any) { b.faults.add(b.place, format, args...) }
 
-// FaultAt notes a fault of an attribute, or of the block where that is absent.
+// FaultAt records a fault of an attribute, or of the block if the attribute is absent.
 func (b *Block) FaultAt(name, format string, args ...any) {
 	if a := b.body.Attributes[name]; a != nil {
 		b.faults.add(a.Expr.Range(), format, args...)
@@ -103,9 +105,10 @@
 	b.Fault(format, args...)
 }
 
-// Has tells whether an attribute is there.
+// Has reports whether an attribute is present.
 func (b *Block) Has(name string) bool { return b.body.Attributes[name] != nil }
 
+// value returns the value of an attribute, and false if it is absent or not a constant. want names the type in faults.
 func (b *Block) value(name, want string) (cty.Value, bool) {
 	b.seen[name] = true
 	a := b.body.Attributes[name]
@@ -114,13 +117,13 @@
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() || v.IsNull() || !v.IsWhollyKnown() {
-		b.FaultAt(name, "%s is no plain value, want %s", name, want)
+		b.FaultAt(name, "%s is not a constant, want %s", name, want)
 		return cty.NilVal, false
 	}
 	return v, true
 }
 
-// found describes a value for people.
+// found describes a value for a fault's text.
 func found(v cty.Value) string {
 	switch v.Type() {
 	case cty.String:
@@ -135,18 +138,19 @@
 
 // Text reads a string.
 func (b *Block) Text(name, usual string) string {
-	v, ok := b.value(name, "a text")
+	v, ok := b.value(name, "a string")
 	if !ok {
 		return usual
 	}
 	if v.Type() != cty.String {
-		b.FaultAt(name, "%s is %s, want a text in quotes", name, found(v))
+		b.FaultAt(name, "%s is %s, want a string in quotes", name, found(v))
 		return usual
 	}
 	return v.AsString()
 }
 
-// File reads the name of a file, relative to the configuration's folder.
+// File reads the name of a file, which is relative to the configuration's folder. It returns an empty string if the
+// attribute is absent.
 func (b *Block) File(name string) string {
 	f := b.Text(name, "")
 	if f == "" || filepath.IsAbs(f) {
@@ -168,7 +172,7 @@
 	return v.True()
 }
 
-// Number reads a number from least to most.
+// Number reads a number between least and most.
 func (b *Block) Number(name string, usual, least, most float64) float64 {
 	v, ok := b.value(name, "a number")
 	if !ok {
@@ -186,7 +190,7 @@
 	return n
 }
 
-// Int reads a whole number from least to most.
+// Int reads a whole number between least and most.
 func (b *Block) Int(name string, usual, least, most int64) int64 {
 	n := b.Number(name, float64(usual), float64(least), float64(most))
 	if n != math.Trunc(n) {
@@ -201,7 +205,7 @@
 	n    float64
 }{{"KB", 1 << 10}, {"MB", 1 << 20}, {"GB", 1 << 30}, {"B", 1}}
 
-// Size reads bytes, as "4MB", from least to most.
+// Size reads a number of bytes, such as "4MB", between least and most.
 func (b *Block) Size(name string, usual, least, most int64) int64 {
 	text := b.Text(name, "")
 	if text == "" {
@@ -226,7 +230,7 @@
 	return usual
 }
 
-// FormatSize writes a size as Size reads it.
+// FormatSize formats a number of bytes as Size reads it.
 func FormatSize(n int64) string {
 	for _, u := range []int{2, 1, 0} {
 		if n >= int64(units[u].n) && n%int64(units[u].n) == 0 {
@@ -236,7 +240,7 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-// Span reads a time span, as "250ms", from least to most.
+// Span reads a duration, such as "250ms", between least and most.
 func (b *Block) Span(name string, usual, least, most time.Duration) time.Duration {
 	text := b.Text(name, "")
 	if text == "" {
@@ -245,7 +249,7 @@
 	d, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		b.FaultAt(name, "%s is %q, want a time span such as \"250ms\", \"5s\" or \"24h\"", name, text)
+		b.FaultAt(name, "%s is %q, want a duration such as \"250ms\", \"5s\" or \"24h\"", name, text)
 	case d < least || d > most:
 		b.FaultAt(name, "%s is %q, want from %s to %s", name, text, least, most)
 	default:
@@ -256,18 +260,18 @@
 
 // Texts reads a list of strings.
 func (b *Block) Texts(name string) []string {
-	v, ok := b.value(name, "a list of texts")
+	v, ok := b.value(name, "a list of strings")
 	if !ok {
 		return nil
 	}
 	if !v.Type().IsTupleType() && !v.Type().IsListType() {
-		b.FaultAt(name, "%s is %s, want a list of texts such as [\"a\", \"b\"]", name, found(v))
+		b.FaultAt(name, "%s is %s, want a list of strings such as [\"a\", \"b\"]", name, found(v))
 		return nil
 	}
 	var texts []string
 	for _, e := range v.AsValueSlice() {
 		if e.Type() != cty.String {
-			b.FaultAt(name, "%s holds %s, want texts only", name, found(e))
+			b.FaultAt(name, "%s holds %s, want strings only", name, found(e))
 			return nil
 		}
 		texts = append(texts, e.AsString())
@@ -275,7 +279,7 @@
 	return texts
 }
 
-// One reads a text that must be among those given.
+// One reads a string that must be one of among.
 func (b *Block) One(name, usual string, among ...string) string {
 	text := b.Text(name, usual)
 	for _, a := range among {
@@ -289,7 +293,7 @@
 	return usual
 }
 
-// Some reads a list of texts that must be among those given, as their places.
+// Some reads a list of strings that must each be one of among, and returns their indexes in among.
 func (b *Block) Some(name string, among []string) (places []int) {
 	for _, text := range b.Texts(name) {
 		at := -1
@@ -315,8 +319,8 @@
 	return strings.Join(q, ", ")
 }
 
-// Blocks reads the blocks of a type, in their order. Labelled ones have exactly one label, which none before
-// has; others have none, and there is at most one of them.
+// Blocks calls read for each block of a type, in their order. Labelled blocks must have exactly one label, which must be
+// unique; for other types there must be no label and at most one block.
 func (b *Block) Blocks(kind string, labelled bool, read func(*Block)) {
 	b.seen[kind+" {"] = true
 	labels := map[string]bool{}
@@ -347,7 +351,7 @@
 	}
 }
 
-// close finds what nobody has read.
+// close records a fault for each attribute and block that nobody has read.
 func (b *Block) close() {
 	where := "at the top"
 	if b.Type != "" {
--- a/internal/edgeconf/edgeconf_test.go
+++ b/internal/edgeconf/edgeconf_test.go
@@ -43,9 +43,9 @@
 	for _, f := range faults {
 		got = append(got, f.String())
 	}
-	for _, want := range []string{`edge.hcl:3:11: size is "4XB", want a size such as`, `edge.hcl:4:11: wait is "soon", want a time span`,
+	for _, want := range []string{`edge.hcl:3:11: size is "4XB", want a size such as`, `edge.hcl:4:11: wait is "soon", want a duration`,
 		`edge.hcl:5:11: count is "three", want a number`, `edge.hcl:6:3: unknown setting "odd" in block box, want one of`,
-		`edge.hcl:7:11: names holds 2, want texts only`, `edge.hcl:8:11: kind is "blue", want one of "red", "green"`,
+		`edge.hcl:7:11: names holds 2, want strings only`, `edge.hcl:8:11: kind is "blue", want one of "red", "green"`,
 		`edge.hcl:10:1: a second block box`, `edge.hcl:12:18: big is "9GB", want from 1B to 1GB`, `edge.hcl:13:1: a second block item "a"`,
 		`edge.hcl:14:1: block item has 0 labels`, `edge.hcl:15:1: unknown block "nothing" at the top, want one of "box", "item"`} {
 		found := false
