--- a/cmd/reachwind/council.go
+++ b/cmd/reachwind/council.go
@@ -26,21 +26,21 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// Exit codes of `fleet permit`, beside the command's own.
+// Exit codes of `fleet permit`. Otherwise it exits with the code of the command that it ran.
 const (
-	exTempFail = 75 // not granted in time: the command was never started
-	exFenced   = 76 // stopped, as its permit had ended
+	exTempFail = 75 // no permit was granted in time, and the command was never started
+	exFenced   = 76 // the command was stopped because its permit ended
 )
 
 const (
 	retryEach = 200 * time.Millisecond
 	watchEach = 500 * time.Millisecond
-	noticeDB  = 400 * time.Millisecond // between a member's permit and the command: gateways are told at once and must stop within 250 ms
-	giveBack  = 5 * time.Second        // tries to give a permit back for so long
-	termGrace = 5 * time.Second        // from SIGTERM to SIGKILL at most, all before the permit ends
+	noticeDB  = 400 * time.Millisecond // between a member's permit and the command: gateways are notified at once and must stop sending to it within 250 ms
+	giveBack  = 5 * time.Second        // for giving a permit back, retries included
+	termGrace = 5 * time.Second        // at most, from SIGTERM to SIGKILL; both come before the permit ends
 )
 
-// councilCommand starts a voter, which is a program of its own beside this one.
+// councilCommand runs a voter by replacing this process with the program reachwind-council of the same folder.
 func councilCommand() *cobra.Command {
 	var path, level string
 	var join bool
@@ -59,8 +59,8 @@
 			}
 			return fmt.Errorf("%s: %w", program, syscall.Exec(program, args, os.Environ()))
 		}}
-	c.Flags().BoolVar(&join, "join", false, "join a council that is there: with an empty folder this voter founds none, and waits until it is added")
-	c.AddCommand(&cobra.Command{Use: "restore", Short: "make a new council from one folder of one that has lost its majority for good; --help tells how", DisableFlagParsing: true,
+	c.Flags().BoolVar(&join, "join", false, "join an existing council: with an empty folder this voter does not found one but waits until it is added")
+	c.AddCommand(&cobra.Command{Use: "restore", Short: "make a new council from one voter's folder after the majority was lost for good; see --help", DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			me, err := os.Executable()
 			if err != nil {
@@ -72,7 +72,7 @@
 	return c
 }
 
-// councillors are the admin addresses of a council, and who asks there.
+// councillors is a client of a council: the voters' admin addresses, and what identifies the client's commands.
 type councillors struct {
 	admins []string
 	client string
@@ -82,7 +82,7 @@
 
 func newCouncillors(admin string) *councillors {
 	id := make([]byte, 12)
-	_, _ = rand.Read(id) // it never fails
+	_, _ = rand.Read(id) // never fails
 	c := &councillors{client: hex.EncodeToString(id)}
 	for _, a := range strings.Split(admin, ",") {
 		if a = strings.TrimSpace(a); a != "" {
@@ -97,7 +97,7 @@
 	return c
 }
 
-// result is what a command gave.
+// result is the council's answer to a command.
 type result struct {
 	OK      bool    `json:"ok"`
 	Refused string  `json:"refused"`
@@ -151,8 +151,9 @@
 	} `json:"voters"`
 }
 
-// do gives a command to whoever leads, until it is decided or the time is up. It goes under one number however often
-// it is sent, so it is done once.
+// do submits a command to the voters, the last leader first, and retries until one of them reports its result or until has
+// passed. All attempts carry the same number, so that the council executes the command once. The error is an exitError
+// with exUnavailable if no voter answered in time.
 func (c *councillors) do(until time.Time, q map[string]any) (*result, error) {
 	c.number++
 	q["client"], q["number"], q["who"] = c.client, c.number, c.who
@@ -166,7 +167,7 @@
 			var r result
 			var code int
 			if code, err = call(a, http.MethodPost, "/v1/command", body, &r); err == nil && code == http.StatusOK {
-				c.admins[0], c.admins[i] = c.admins[i], c.admins[0] // who leads is asked first the next time
+				c.admins[0], c.admins[i] = c.admins[i], c.admins[0] // the leader is asked first next time
 				return &r, nil
 			}
 			if code == http.StatusBadRequest {
@@ -174,13 +175,13 @@
 			}
 		}
 		if time.Now().After(until) || len(c.admins) == 0 {
-			return nil, exitError{exUnavailable, fmt.Errorf("the council decides nothing: %w", err)}
+			return nil, exitError{exUnavailable, fmt.Errorf("no decision from the council in time: %w", err)}
 		}
 		time.Sleep(retryEach)
 	}
 }
 
-// status asks for the state, the leader's if it can be had.
+// status returns the council's state as the leader knows it or, if no leader answers, as the most up-to-date voter does.
 func (c *councillors) status() (best *status, err error) {
 	err = errors.New("no admin address, want --admin host:port,...")
 	for _, a := range c.admins {
@@ -199,7 +200,7 @@
 	return best, nil
 }
 
-// addCouncil adds what is asked of the council to the fleet's commands.
+// addCouncil adds the commands that are directed to the council to command `fleet`.
 func addCouncil(c *cobra.Command, admin *string, asJSON *bool) {
 	c.AddCommand(&cobra.Command{Use: "status", Short: "the council's leader, budgets and permits", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		s, err := newCouncillors(*admin).status()
@@ -247,7 +248,7 @@
 		}
 		return w.Flush()
 	}})
-	budget := &cobra.Command{Use: "budget", Short: "what may be out at once"}
+	budget := &cobra.Command{Use: "budget", Short: "how many gateways or members may be out of service at once"}
 	var of, zone, group string
 	var most int
 	var share float64
@@ -259,27 +260,27 @@
 	set.Flags().StringVar(&of, "of", "", "gateways or members")
 	set.Flags().StringVar(&zone, "zone", "", "only those of this zone")
 	set.Flags().StringVar(&group, "group", "", "only those of this group")
-	set.Flags().IntVar(&most, "most", -1, "at most so many; -1: no bound by number")
-	set.Flags().Float64Var(&share, "share", 0, "at most this part of those that are there; 0: no bound by share")
+	set.Flags().IntVar(&most, "most", -1, "maximum number; -1: no limit by number")
+	set.Flags().Float64Var(&share, "share", 0, "maximum fraction of those that are present; 0: no limit by fraction")
 	var zoneLost bool
 	var worth float64
-	guard := &cobra.Command{Use: "guard", Short: "bar all that is new while a zone is lost or too little is served in time", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	guard := &cobra.Command{Use: "guard", Short: "grant no new permits while a zone is lost or too few requests are served in time", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		return granted(newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "rules", "rules": map[string]any{"zone_lost": zoneLost, "worth": worth}}))
 	}}
-	guard.Flags().BoolVar(&zoneLost, "zone-lost", false, "nothing new goes out while more than half of a zone's gateways are out by themselves")
-	guard.Flags().Float64Var(&worth, "worth", 0, "nothing new goes out while less than this part is served in time; 0: no bound")
+	guard.Flags().BoolVar(&zoneLost, "zone-lost", false, "grant no new permits while more than half of a zone's gateways have failed")
+	guard.Flags().Float64Var(&worth, "worth", 0, "grant no new permits while less than this fraction of requests is served in time; 0: no limit")
 	budget.AddCommand(set, guard)
 	c.AddCommand(budget)
 
 	var term, wait time.Duration
 	var reason string
-	p := &cobra.Command{Use: "permit TARGET --for SPAN -- COMMAND...", Short: "hold a permit to take gateway/NAME or db/NAME out while a command runs", Args: cobra.MinimumNArgs(2),
+	p := &cobra.Command{Use: "permit TARGET --for SPAN -- COMMAND...", Short: "run a command under a permit to take gateway/NAME or db/NAME out of service", Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return hold(newCouncillors(*admin), args[0], reason, term, wait, args[1:])
 		}}
 	p.Flags().DurationVar(&term, "for", 0, "the permit's `span`; the command is stopped before it ends")
-	p.Flags().DurationVar(&wait, "wait", 0, "wait so long for the permit")
-	p.Flags().StringVar(&reason, "reason", "", "for the history")
+	p.Flags().DurationVar(&wait, "wait", 0, "how long to wait for the permit")
+	p.Flags().StringVar(&reason, "reason", "", "reason shown in the history")
 	c.AddCommand(p)
 
 	addDrain(c, admin, asJSON)
@@ -288,6 +289,7 @@
 	addZones(c, admin, asJSON)
 }
 
+// granted returns err, or an error with the reason if the council refused a command.
 func granted(r *result, err error) error {
 	if err == nil && !r.OK {
 		err = errors.New(r.Refused)
@@ -295,8 +297,9 @@
 	return err
 }
 
-// hold runs a command under a permit. It counts the permit's span from before it asked, on its own clock, so that the
-// command has ended before the council takes the permit for ended.
+// hold runs a command under a permit. It counts the permit's term from before its request, on its own clock, so that the
+// command has ended before the permit ends by the council's clock. The error is an exitError with exTempFail if there is no
+// permit in time, exFenced if the command was stopped, and the command's own exit code if that failed.
 func hold(c *councillors, target, reason string, term, wait time.Duration, args []string) error {
 	if term < time.Second {
 		return fmt.Errorf("--for is %v, want a second at least", term)
@@ -336,10 +339,10 @@
 	}
 	_, back := c.do(time.Now().Add(giveBack), map[string]any{"op": "give_back", "target": target, "fence": p.Fence})
 	if back != nil {
-		fmt.Fprintf(os.Stderr, "reachwind: the permit %d of %s was not given back, it counts as out: %v\n", p.Fence, target, back)
+		fmt.Fprintf(os.Stderr, "reachwind: permit %d of %s was not given back, its target still counts as out: %v\n", p.Fence, target, back)
 	}
 	if fenced {
-		return exitError{exFenced, fmt.Errorf("the permit %d of %s ended, the command was stopped", p.Fence, target)}
+		return exitError{exFenced, fmt.Errorf("permit %d of %s ended, the command was stopped", p.Fence, target)}
 	}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -348,8 +351,8 @@
 	return err
 }
 
-// seenBack waits until gateways report a member as serving and caught up, until its permit ends at the latest. One that no
-// gateway reports is taken for back.
+// seenBack waits until gateways report a member as serving and caught up, at the latest until giveBack before its permit
+// ends. A member that no gateway reports counts as back.
 func (c *councillors) seenBack(target string, until time.Time) {
 	for time.Now().Before(until.Add(-giveBack)) {
 		s, err := c.status()
@@ -363,7 +366,8 @@
 	}
 }
 
-// run runs the command until it ends, its time is up, or the council knows its permit no more.
+// run runs cmd until it ends, stop has passed, or the council no longer lists its permit. In the last two cases it sends
+// SIGTERM, then SIGKILL, and returns fenced = true.
 func (c *councillors) run(cmd *exec.Cmd, p *permit, stop, kill time.Time) (fenced bool, err error) {
 	if err := cmd.Start(); err != nil {
 		return false, err
@@ -378,7 +382,7 @@
 			time.Sleep(watchEach)
 			s, err := c.status()
 			if err != nil || !s.Leading {
-				continue // who can't be asked has not taken it back
+				continue // only the leader's answer counts: without one the permit still holds
 			}
 			held := false
 			for _, o := range s.Permits {
@@ -407,12 +411,13 @@
 	return true, err
 }
 
-// call makes one call by HTTP/1.0 over a connection of its own.
+// call makes one HTTP call to an admin address and decodes the JSON answer into v. A status other than 200 is an error,
+// and its code is returned with it; code is 0 if there was no answer.
 func call(addr, method, path string, body []byte, v any) (code int, err error) {
 	return callFor(addr, method, path, body, v, 2*askWait)
 }
 
-// callFor is call for answers that may take so long.
+// callFor is call with a time limit.
 func callFor(addr, method, path string, body []byte, v any, within time.Duration) (code int, err error) {
 	res, err := roundTrip(addr, method, path, body, within)
 	if err != nil {
--- a/cmd/reachwind/drain.go
+++ b/cmd/reachwind/drain.go
@@ -12,7 +12,8 @@
 	"reachwind/internal/fleet"
 )
 
-// addDrain adds drain and undrain: of a gateway by its own admin address, and undrain of a target by the council's.
+// addDrain adds the commands drain and undrain, which are directed to a gateway's admin address; undrain of a named
+// target is directed to the council's.
 func addDrain(c *cobra.Command, admin *string, asJSON *bool) {
 	var term, wait time.Duration
 	var reason string
@@ -30,7 +31,7 @@
 		}
 		return a, err
 	}
-	d := &cobra.Command{Use: "drain", Short: "have a gateway go out of service, by a permit of the council; returns once nothing is in work there", Args: cobra.NoArgs,
+	d := &cobra.Command{Use: "drain", Short: "take a gateway out of service under a permit of the council; returns once it has no more requests in progress", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			a, err := ask(fleet.DrainAsk{TermMs: term.Milliseconds(), WaitMs: wait.Milliseconds(), Reason: reason})
 			if err == nil && a.Refused != "" {
@@ -42,13 +43,13 @@
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s under permit %d, for %v more\n", a.State, a.Fence, (time.Duration(a.LeftMs) * time.Millisecond).Round(time.Second))
 			return nil
 		}}
-	d.Flags().DurationVar(&term, "for", 5*time.Minute, "the permit's `span`; it is renewed while the gateway is out and the council is heard")
-	d.Flags().DurationVar(&wait, "wait", 10*time.Second, "wait so long for the permit")
-	d.Flags().StringVar(&reason, "reason", "", "for the history")
+	d.Flags().DurationVar(&term, "for", 5*time.Minute, "the permit's `span`; it is renewed while the gateway is out and can reach the council")
+	d.Flags().DurationVar(&wait, "wait", 10*time.Second, "how long to wait for the permit")
+	d.Flags().StringVar(&reason, "reason", "", "reason shown in the history")
 	c.AddCommand(d)
 
 	var fence uint64
-	back := &cobra.Command{Use: "undrain [TARGET]", Short: "have a gateway come back, by its own --admin; or tell the council that TARGET, whose permit ended, is back", Args: cobra.MaximumNArgs(1),
+	back := &cobra.Command{Use: "undrain [TARGET]", Short: "put a gateway back into service, by its own --admin address; or tell the council that TARGET, whose permit ended, is back", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				a, err := ask(fleet.DrainAsk{Back: true})
@@ -72,11 +73,11 @@
 			}
 			return granted(c.do(time.Now().Add(10*time.Second), map[string]any{"op": "give_back", "target": args[0], "fence": fence}))
 		}}
-	back.Flags().Uint64Var(&fence, "fence", 0, "of the permit; 0: the one that the council knows")
+	back.Flags().Uint64Var(&fence, "fence", 0, "fence of the permit; 0: as the council lists it")
 	c.AddCommand(back)
 }
 
-// addVoters adds changes of the council's voters, one at a time, and the raise of its form.
+// addVoters adds the commands that add and remove voters of the council, and the one that raises its format version.
 func addVoters(c *cobra.Command, admin *string) {
 	v := &cobra.Command{Use: "voter", Short: "change the council's voters, one at a time"}
 	change := func(q map[string]any, done func(*status) bool) error {
@@ -102,7 +103,7 @@
 		return exitError{exUnavailable, fmt.Errorf("not changed within a minute: %w", why)}
 	}
 	var at string
-	add := &cobra.Command{Use: "add NAME", Short: "add a voter that was started with --join: it learns the log first, then votes", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+	add := &cobra.Command{Use: "add NAME", Short: "add a voter that was started with --join: it replicates the log first, then votes", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		var s status
 		if err := ask(at, "/v1/status", &s); err != nil {
 			return err
@@ -125,8 +126,8 @@
 			return false
 		})
 	}}
-	add.Flags().StringVar(&at, "at", "", "admin `address` of the new voter, which tells its folder's identity")
-	remove := &cobra.Command{Use: "remove NAME", Short: "remove a voter: its folder has no vote from then on", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+	add.Flags().StringVar(&at, "at", "", "admin `address` of the new voter, which reports its folder's identity")
+	remove := &cobra.Command{Use: "remove NAME", Short: "remove a voter for good: its folder can't vote again", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		return change(map[string]any{"name": args[0], "leave": true}, func(now *status) bool {
 			for _, v := range now.Voters {
 				if v.Name == args[0] {
@@ -137,7 +138,7 @@
 		})
 	}}
 	v.AddCommand(add, remove)
-	raise := &cobra.Command{Use: "raise", Short: "have the council use the newest form that all its voters speak, at once; there is no way back to an older program", Args: cobra.NoArgs,
+	raise := &cobra.Command{Use: "raise", Short: "switch the council at once to the newest format version that all its voters support; older programs can't be used afterwards", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return granted(newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "raise"}))
 		}}
--- a/cmd/reachwind/faults_test.go
+++ b/cmd/reachwind/faults_test.go
@@ -16,7 +16,7 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// configured writes a gateway's configuration with other settings and returns its path.
+// configured writes a gateway's configuration whose settings were edited by change, and returns its path.
 func configured(t *testing.T, c *cluster.Cluster, discovery string, change func(settings map[string]any)) string {
 	t.Helper()
 	var conf map[string]any
@@ -36,7 +36,7 @@
 	return path
 }
 
-// askOnce sends one request on a connection of its own.
+// askOnce sends one request on a connection of its own and returns the answer.
 func askOnce(t *testing.T, g *proc.Gateway, q *pgclient.Request) pgclient.Answer {
 	t.Helper()
 	conn, err := pgclient.Dial(g.Addr, within)
@@ -51,7 +51,8 @@
 	return answer
 }
 
-// TestOldAnswerOfOnceRequest guards against refusing or resending a request that a demoted primary has run.
+// TestOldAnswerOfOnceRequest: a request that may run only once and that a demoted primary has run is answered as failed. It
+// is neither refused nor sent again, whether or not there is a successor.
 func TestOldAnswerOfOnceRequest(t *testing.T) {
 	t.Parallel()
 	for _, successor := range []bool{true, false} {
@@ -66,11 +67,11 @@
 			read := &pgclient.Request{ID: "a1", Class: "run-status", Tenant: "kea-basin", Wait: 750 * time.Millisecond, Item: "hut"}
 			write := &pgclient.Request{ID: "a2", Class: "map-edits", Tenant: "kea-basin", Wait: 3 * time.Second, Item: "hut", Value: "open", Key: "k", Write: true}
 			if a := askOnce(t, g, write); a.Verdict != pgclient.Served {
-				t.Fatalf("the primary is to be known: %+v\n%s", a, g.Log())
+				t.Fatalf("the primary is not known yet: %+v\n%s", a, g.Log())
 			}
 			old := c.Primary(0)
 			old.Hang(true)
-			eventually(t, g, "another primary", func() bool { return !old.IsPrimary() })
+			eventually(t, g, "a new primary is elected", func() bool { return !old.IsPrimary() })
 			old.Freeze(true)
 			old.Hang(false)
 			if !successor {
@@ -80,9 +81,9 @@
 					}
 				}
 			}
-			time.Sleep(200 * time.Millisecond) // the gateway takes the list
+			time.Sleep(200 * time.Millisecond) // for the gateway to apply the list
 			if a := askOnce(t, g, read); a.Verdict != pgclient.Failed {
-				t.Errorf("%s, want failed: the demoted primary ran it\n%s", pgclient.Names[a.Verdict], g.Log())
+				t.Errorf("verdict %s, want failed, since the demoted primary ran it\n%s", pgclient.Names[a.Verdict], g.Log())
 			}
 			if err := g.Stop(within); err != nil {
 				t.Error(err)
@@ -99,7 +100,7 @@
 	}
 }
 
-// crowded answers each call with 503 after the time that a call may queue.
+// crowded is an overloaded discovery: it answers each call with 503 after the longest time that a call may queue there.
 func crowded(nc net.Conn) {
 	const queue = 2 * time.Second
 	buf := make([]byte, 4<<10)
@@ -115,20 +116,21 @@
 	}
 }
 
-// TestDrainAfterCrowdedDiscovery guards against sends to a draining member when discovery has answered calls again for over 6 s.
+// TestDrainAfterCrowdedDiscovery: a member was listed as draining while discovery was overloaded. 6 s and the grace time
+// after discovery answers again, no more requests are sent to that member.
 func TestDrainAfterCrowdedDiscovery(t *testing.T) {
 	t.Parallel()
 	const (
 		down  = 5 * time.Second
-		told  = 6 * time.Second
-		grace = 250*time.Millisecond + 50*time.Millisecond // of the settings, and the protocol's slack
+		told  = 6 * time.Second                            // for the gateway to learn of the drain
+		grace = 250*time.Millisecond + 50*time.Millisecond // of the settings, and the tolerance of the protocol
 		rest  = 2 * time.Second
 	)
 	c := started(t, cluster.Config{Groups: 1, Replicas: 3})
 	r := newRelay(t, c.Discovery())
 	r.up(t, r.pass)
 	g := play(t, configured(t, c, r.addr, func(settings map[string]any) { settings["Instances"] = 300 }), "msg=serving")
-	eventually(t, g, "a watch", func() bool { return r.calls.Load() > 0 })
+	eventually(t, g, "discovery is called", func() bool { return r.calls.Load() > 0 })
 	time.Sleep(200 * time.Millisecond)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -164,7 +166,7 @@
 		t.Errorf("%d requests reached a draining member over %v after discovery was back\n%s", n, told+grace, g.Log())
 	}
 	if took == before {
-		t.Error("no request reached the member before that: nothing is shown")
+		t.Error("no request reached the member before that, so the test shows nothing")
 	}
 	close(stop)
 	clients.Wait()
--- a/cmd/reachwind/fleet.go
+++ b/cmd/reachwind/fleet.go
@@ -20,7 +20,7 @@
 	"reachwind/internal/fleet/view"
 )
 
-// exitError has the process end with a code of its own.
+// exitError is an error that makes the process exit with a certain code.
 type exitError struct {
 	code int
 	err  error
@@ -29,26 +29,26 @@
 // Error implements error.
 func (e exitError) Error() string { return e.err.Error() }
 
-// exUnavailable is the exit code where a process that is asked does not answer (sysexits.h).
+// exUnavailable is the exit code if a gateway or the council does not answer (EX_UNAVAILABLE of sysexits.h).
 const exUnavailable = 69
 
 const (
 	askWait = 3 * time.Second
-	askMost = 8 << 20
+	askMost = 8 << 20 // bytes of an answer
 )
 
-// fleetCommand asks running gateways.
+// fleetCommand builds the commands that query running gateways and the council.
 func fleetCommand() *cobra.Command {
 	var admin string
 	var asJSON bool
-	c := &cobra.Command{Use: "fleet", Short: "ask a running gateway about its group"}
+	c := &cobra.Command{Use: "fleet", Short: "query a running gateway about the fleet, and the fleet's council"}
 	flags := c.PersistentFlags()
-	flags.StringVar(&admin, "admin", "", "admin `address` of the gateway")
-	flags.BoolVar(&asJSON, "json", false, "for tools")
+	flags.StringVar(&admin, "admin", "", "admin `address` of the gateway, or of the council's voters, separated by commas")
+	flags.BoolVar(&asJSON, "json", false, "print JSON")
 	add := func(use, short string, run func(out io.Writer) error) {
 		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return run(c.OutOrStdout()) }})
 	}
-	add("members", "who is there, as one gateway takes it", func(out io.Writer) error {
+	add("members", "list the fleet's gateways as one gateway sees them", func(out io.Writer) error {
 		var all []fleet.Member
 		if err := ask(admin, "/v1/members", &all); err != nil || asJSON {
 			return show(out, all, err)
@@ -68,7 +68,7 @@
 		}
 		return w.Flush()
 	})
-	add("view", "what a gateway takes its own place for, and why", func(out io.Writer) error {
+	add("view", "show a gateway's verdict on its own connectivity, and the reasons", func(out io.Writer) error {
 		var v fleet.View
 		if err := ask(admin, "/v1/view", &v); err != nil || asJSON {
 			return show(out, v, err)
@@ -85,7 +85,7 @@
 		}
 		return nil
 	})
-	add("beliefs", "what is claimed of members, by whom", func(out io.Writer) error {
+	add("beliefs", "list observations of members and the gateways that made them", func(out io.Writer) error {
 		var lines []belief.Line
 		if err := ask(admin, "/v1/beliefs", &lines); err != nil || asJSON {
 			return show(out, lines, err)
@@ -100,7 +100,7 @@
 		}
 		return w.Flush()
 	})
-	add("rules", "what a gateway may do, by its own verdict and a peer's", func(out io.Writer) error {
+	add("rules", "list what a gateway may do, by its own verdict and a peer's", func(out io.Writer) error {
 		if asJSON {
 			return show(out, view.Rules(), nil)
 		}
@@ -115,7 +115,7 @@
 	return c
 }
 
-// ask asks an admin address.
+// ask gets path from an admin address and decodes the JSON answer into v. The error is an exitError with exUnavailable.
 func ask(admin, path string, v any) error {
 	if admin == "" {
 		return exitError{exUnavailable, errors.New("no address, want --admin host:port")}
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// roundTrip is by hand: the client of net/http would be mapped into every gateway for the sake of this. The caller
-// closes the answer's body.
+// roundTrip sends one HTTP/1.0 request over a connection of its own. It does without the client of net/http, whose code
+// would be mapped into the memory of every gateway. The caller closes the answer's body.
 func roundTrip(addr, method, path string, body []byte, within time.Duration) (*http.Response, error) {
 	conn, err := net.DialTimeout("tcp", addr, askWait)
 	if err != nil {
@@ -146,7 +146,7 @@
 	return nil, err
 }
 
-// closer closes the connection with the body.
+// closer is an answer's body whose Close also closes the connection.
 type closer struct {
 	io.ReadCloser
 	conn net.Conn
@@ -158,7 +158,7 @@
 	return c.conn.Close()
 }
 
-// show writes JSON, unless there is an error.
+// show writes v as indented JSON, or returns err if that is not nil.
 func show(out io.Writer, v any, err error) error {
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 	return e.Encode(v)
 }
 
-// pairs writes a map in the order of its keys.
+// pairs formats a map in the order of its keys.
 func pairs[V any](m map[string]V) string {
 	var keys []string
 	for k := range m {
--- a/cmd/reachwind/foreign_test.go
+++ b/cmd/reachwind/foreign_test.go
@@ -14,7 +14,8 @@
 	"reachwind/internal/pgwire"
 )
 
-// TestForeign: a gateway with settings of another deployment serves that one's classes alone, by that one's terms, and ends.
+// TestForeign: a gateway with the settings of another deployment knows only that deployment's classes, follows its rules,
+// and shuts down without an error.
 func TestForeign(t *testing.T) {
 	for name, tc := range map[string]struct {
 		statements []string
--- a/cmd/reachwind/log.go
+++ b/cmd/reachwind/log.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// logWriter passes log lines on from a goroutine of its own, so that a reader
-// who is slow to take them never holds up the gateway. Lines that it has no
-// room for are dropped and counted.
+// logWriter writes log lines from a goroutine of its own, so that a slow reader
+// of the log never blocks the gateway. Lines that exceed its queue are dropped
+// and counted.
 type logWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -17,7 +17,7 @@
 }
 
 const (
-	logRoom   = 1024
+	logRoom   = 1024 // lines in the queue
 	flushWait = 200 * time.Millisecond
 )
 
@@ -38,7 +38,7 @@
 	return w
 }
 
-// Write never blocks.
+// Write queues a line. It never blocks and never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -48,8 +48,7 @@
 	return len(line), nil
 }
 
-// flush writes what is left, for as long as the reader takes it. Nothing may be logged afterwards
-// that must not be lost.
+// flush writes the queued lines, and gives up after flushWait. Lines logged afterwards may be lost.
 func (w *logWriter) flush() {
 	t := time.NewTimer(flushWait)
 	defer t.Stop()
--- a/cmd/reachwind/main.go
+++ b/cmd/reachwind/main.go
@@ -1,6 +1,6 @@
-// Command reachwind is a database gateway: it takes statements from clients,
-// lets package decide pick the member of the cluster for each, and passes back
-// the one answer.
+// Command reachwind is a database gateway: it accepts statements from clients,
+// has package decide pick the member of the cluster for each, and returns exactly
+// one answer. Its other commands query and operate gateways and their council.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"reachwind/internal/record"
 )
 
-// version may be set by the linker.
+// version is the program's version. The linker may set it.
 var version = "0.1"
 
 func main() {
@@ -34,7 +34,7 @@
 	}
 }
 
-// command carries out one command line.
+// command executes one command line.
 func command(args []string, out, errs io.Writer) error {
 	root := commands()
 	root.SetArgs(args)
@@ -43,18 +43,18 @@
 	return root.Execute()
 }
 
-// commands is the command line.
+// commands builds the tree of commands with their flags.
 func commands() *cobra.Command {
 	root := &cobra.Command{Use: "reachwind", Short: "A database gateway for a replicated store", SilenceUsage: true, SilenceErrors: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_ = c.Usage()
-			return errors.New("one command is wanted")
+			return errors.New("no command given, want one of those listed above")
 		}}
 	var path, edge, level string
 	flags := root.PersistentFlags()
 	flags.StringVarP(&path, "config", "c", os.Getenv("NODE_CONFIG"), "configuration `file` (NODE_CONFIG)")
 	flags.StringVarP(&edge, "edge", "e", os.Getenv("REACHWIND_EDGE"), "product configuration `file` (REACHWIND_EDGE)")
-	flags.StringVar(&level, "log-level", "info", "least `level` logged: debug, info, warn or error")
+	flags.StringVar(&level, "log-level", "info", "lowest `level` logged: debug, info, warn or error")
 	var offset time.Duration
 	var says string
 	var least slog.Level
@@ -76,8 +76,8 @@
 			return gateway.Serve(conf, gateway.Options{Path: path, Edge: edge, Version: cmp.Or(says, version), Log: slog.New(records), Records: records,
 				Wall: func() time.Time { return time.Now().Add(offset) }})
 		}}
-	serve.Flags().DurationVar(&offset, "clock-offset", 0, "set the fleet's wall clock off by this `span`; for laboratories")
-	serve.Flags().StringVar(&says, "say-version", "", "tell peers and the council this `version`; for laboratories")
+	serve.Flags().DurationVar(&offset, "clock-offset", 0, "offset of the fleet's wall clock by this `span`; for test labs")
+	serve.Flags().StringVar(&says, "say-version", "", "report this `version` to peers and the council; for test labs")
 	_ = serve.Flags().MarkHidden("clock-offset")
 	_ = serve.Flags().MarkHidden("say-version")
 	root.AddCommand(serve)
@@ -89,7 +89,7 @@
 	return root
 }
 
-// check reports what a configuration says, and how the limits are divided under it.
+// check validates the configuration files and prints a summary of them and of how the limits are divided.
 func check(out io.Writer, path, edgePath string) error {
 	c, err := gateway.Load(path)
 	if err != nil {
--- a/cmd/reachwind/main_test.go
+++ b/cmd/reachwind/main_test.go
@@ -27,7 +27,7 @@
 "settings":{"Instances":1,"Grades":[{"Name":"r","Effect":"repeatable","KeyScope":"all","AimUs":100000,"DeadlineUs":500000}],
 "FamilyInfo":{"Consistency":["any"],"ClassBoundUs":[0]}}}`
 
-// TestCheck: a bad configuration ends with one clear line.
+// TestCheck: command check accepts a valid configuration, and reports a faulty one in one line that names the fault.
 func TestCheck(t *testing.T) {
 	for name, tc := range map[string]struct{ old, new, want string }{
 		"good":      {"", "", ""},
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestRun: the parts wired together admit a client, refuse at once what no
-// member can serve, with a time to come back, and end when told to.
+// TestRun: a gateway without members admits a client, refuses its request at once with a
+// retry time, and ends on request.
 func TestRun(t *testing.T) {
 	c, err := gateway.Parse([]byte(strings.Replace(good, `"settings":{`, `"settings":{"Allowed":{"RetryAfter":true,"MaxRetryAfterUs":70000},`, 1)),
 		func(string) string { return "" })
@@ -120,15 +120,15 @@
 	}
 	stop()
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection ended with %v", err)
+		t.Errorf("the idle connection ended with %v, want EOF", err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestReload: SIGHUP moves to the discovery that the file names now, keeps what it has when the file is bad,
-// and ends nothing, in the wind-down neither.
+// TestReload: on SIGHUP the gateway uses the discovery address that the file names now, and keeps the old configuration if
+// the file is broken. SIGHUP never ends the process, not even during shutdown.
 func TestReload(t *testing.T) {
 	t.Setenv("NODE_DISCOVERY", "")
 	path := filepath.Join(t.TempDir(), "c.json")
@@ -145,7 +145,7 @@
 				if err != nil {
 					return
 				}
-				_ = c.Close() // the call fails, and comes again
+				_ = c.Close() // the call fails and is repeated
 				select {
 				case called <- n:
 				case <-t.Context().Done():
@@ -174,7 +174,7 @@
 	}
 	done := make(chan error, 1)
 	go func() { done <- gateway.Serve(c, gateway.Options{Path: path, Log: log}) }()
-	signal := func(s syscall.Signal) { // to the test's own process, which SIGHUP would end
+	signal := func(s syscall.Signal) { // to the test's own process, which an unhandled SIGHUP would end
 		if err := syscall.Kill(os.Getpid(), s); err != nil {
 			t.Fatal(err)
 		}
@@ -189,7 +189,7 @@
 	}
 	write(second)
 	signal(syscall.SIGHUP)
-	for n := <-called; n != 2; n = <-called { // the old address may have been called before
+	for n := <-called; n != 2; n = <-called { // calls of the old address may still be queued
 	}
 	<-logs
 	signal(syscall.SIGTERM)
@@ -203,7 +203,8 @@
 	}
 }
 
-// TestSpoolCommands: they list, print and verify what waits, of one collector or of all, and change nothing.
+// TestSpoolCommands: the spool commands list, print and verify waiting records, of one collector or of all, and change
+// nothing.
 func TestSpoolCommands(t *testing.T) {
 	root := t.TempDir()
 	dir := filepath.Join(root, "c-office")
@@ -221,7 +222,7 @@
 		err := command(append([]string{"spool"}, args...), &out, io.Discard)
 		return out.String(), err
 	}
-	for _, d := range []string{root, dir} { // beside the gateway that holds the folder
+	for _, d := range []string{root, dir} { // while another process holds the folder open
 		if out, err := run("cat", d); err != nil || out != "message 5\nmessage 6\nmessage 7\n" {
 			t.Errorf("cat: %q, %v", out, err)
 		}
@@ -241,19 +242,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text[len(text)-60]++ // in the second of three
+	text[len(text)-60]++ // in the second of three records
 	if err := os.WriteFile(files[0], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := run("verify", dir); err == nil {
-		t.Errorf("verify of a rotten record: %q", out)
+		t.Errorf("verify of a corrupt record: no error, printed %q", out)
 	}
 	if _, err := run("ls", filepath.Join(root, "nowhere")); err == nil {
 		t.Error("ls of no folder: no error")
 	}
 }
 
-// TestLogDrops: a reader that takes no line holds up nobody, and learns how many it missed.
+// TestLogDrops: a log reader that stalls does not block those who log, and is told how many lines were dropped.
 func TestLogDrops(t *testing.T) {
 	gate, got := make(chan struct{}), new(strings.Builder)
 	w := newLogWriter(writerFunc(func(p []byte) (int, error) {
@@ -277,7 +278,8 @@
 
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
-// TestFleetCommands: the table comes from the code that decides; a gateway that can't be asked is exit 69.
+// TestFleetCommands: `fleet rules` prints the table that the code uses, and a gateway that can't be reached gives exit
+// code 69.
 func TestFleetCommands(t *testing.T) {
 	var out strings.Builder
 	if err := command([]string{"fleet", "rules", "--json"}, &out, io.Discard); err != nil {
@@ -287,7 +289,7 @@
 	if err := json.Unmarshal([]byte(out.String()), &rules); err != nil || len(rules) != 9*len(view.Acts) {
 		t.Fatalf("%d rules, %v", len(rules), err)
 	}
-	for _, r := range rules { // whatever is cut, every gateway serves; nobody borrows or drains towards who is cut off
+	for _, r := range rules { // whatever the partition, every gateway serves; only one whose verdict is "whole" borrows or starts a drain
 		if strings.HasPrefix(r.Act, "serve") && !r.Allowed || (r.Act == "start a drain" || r.Act == "take larger budgets") && r.Allowed && r.Mine != "whole" {
 			t.Errorf("%+v", r)
 		}
--- a/cmd/reachwind/overlap_test.go
+++ b/cmd/reachwind/overlap_test.go
@@ -21,12 +21,12 @@
 	"reachwind/internal/standin/cluster"
 )
 
-// statement is a request as a client writes it.
+// statement returns the message of a read request.
 func statement(id, class string, wait time.Duration) []byte {
 	return pgwire.Append(nil, 'Q', fmt.Sprintf("/* id=%s,c=%s,t=kea-basin,d=%d,cluster=0 */ SELECT doc FROM items WHERE id = 'x'\x00", id, class, wait.Milliseconds()))
 }
 
-// peer is a client that the test holds at each byte.
+// peer is a client whose every byte the test controls.
 type peer struct {
 	*net.TCPConn
 	r *bufio.Reader
@@ -50,7 +50,7 @@
 	}
 }
 
-// hear reads messages through ReadyForQuery, and returns their types.
+// hear reads messages up to the next ReadyForQuery and returns their types.
 func (p peer) hear() (types string, err error) {
 	for head := make([]byte, 5); ; {
 		if _, err := io.ReadFull(p.r, head); err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// one reads exactly one whole answer: a row, or a word that there is none.
+// one reads exactly one complete answer to a request: a row or an error.
 func (p peer) one(t *testing.T, what string) {
 	t.Helper()
 	if types, err := p.hear(); err != nil || types != "TDCZ" && types != "EZ" || p.r.Buffered() > 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// beside starts a process on a socket that the platform holds.
+// beside starts a gateway process on the platform's listening socket, with dir as its handover folder.
 func beside(t *testing.T, dir, path string, socket *os.File) *proc.Gateway {
 	t.Helper()
 	none, err := os.Open(os.DevNull)
@@ -95,6 +95,7 @@
 	return g
 }
 
+// platform opens a listening socket as the platform does, to be passed to successive processes.
 func platform(t *testing.T) (addr string, socket *os.File) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -111,27 +112,27 @@
 	return l.Addr().String(), socket
 }
 
-// ended waits for a process's own end.
+// ended waits for a process to exit by itself, and checks that it stopped in order.
 func ended(t *testing.T, g *proc.Gateway) {
 	t.Helper()
 	select {
 	case <-g.Ended():
 	case <-time.After(within):
-		t.Fatalf("it does not end: %s", g.Log())
+		t.Fatalf("the process did not exit: %s", g.Log())
 	}
 	if !strings.Contains(g.Log(), "msg=stopped") {
-		t.Errorf("it did not end in order: %s", g.Log())
+		t.Errorf("the process did not log that it stopped in order: %s", g.Log())
 	}
 }
 
-const idleWait = time.Second // a connection idle for twice as long ends
+const idleWait = time.Second // half of the time after which idle connections are closed
 
-// TestOverlap replaces a process whose clients are at every step, its members hanging, under signals that come twice: each
-// request gets one whole answer, and no connection is cut, also where bytes come as it is passed on.
+// TestOverlap replaces a process while its clients are at every step of the protocol, its members hang and signals are
+// repeated. Each request gets one complete answer and no connection is cut, even if bytes arrive while it is passed on.
 func TestOverlap(t *testing.T) {
 	c := started(t, cluster.Config{Groups: 1, Replicas: 2})
 	addr, socket := platform(t)
-	dir, path := t.TempDir(), written(t, c, c.Discovery(), 1024) // with room for all of them to be idle
+	dir, path := t.TempDir(), written(t, c, c.Discovery(), 1024) // enough descriptors for all clients to be idle
 	former := beside(t, dir, path, socket)
 	eventually(t, former, "a served request", func() bool {
 		p := connect(t, addr)
@@ -168,7 +169,7 @@
 	}
 	next := beside(t, dir, path, socket)
 
-	var busy sync.WaitGroup // these ask all the time, so that some bytes come at every step of the passing
+	var busy sync.WaitGroup // these clients never pause, so that bytes arrive at every step while connections are passed on
 	stop := make(chan struct{})
 	for range each {
 		p, last := begin(nil), time.Now()
@@ -186,10 +187,10 @@
 				types, err := p.hear()
 				switch {
 				case types == "IZ" && err == nil:
-				case types == "" && begun.Sub(last) > idleWait: // it was held up itself, and its connection ended as idle
+				case types == "" && begun.Sub(last) > idleWait: // this goroutine was delayed, and its connection closed as idle
 					return
 				default:
-					t.Errorf("a client that asks all the time, its command %d: %q, %v", n, types, err)
+					t.Errorf("a client that never pauses, command %d: %q, %v", n, types, err)
 					return
 				}
 				last = time.Now()
@@ -237,14 +238,14 @@
 	ended(t, next)
 }
 
-// TestReady: whatever discovery does, a process that starts, among clients that have come before it, answers the platform,
-// its clients and its operators before discovery has said a word; and it ends in order.
+// TestReady: a process that starts answers the platform, operators and clients, some of which connected before its start,
+// although discovery is down, silent, overloaded or slow and never sends a list; and it stops in order.
 func TestReady(t *testing.T) {
 	c := started(t, cluster.Config{Groups: 1, Replicas: 2})
 	for name, serve := range map[string]func(net.Conn){
 		"down":   nil,
 		"silent": func(net.Conn) {},
-		"full": func(nc net.Conn) {
+		"overloaded": func(nc net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(nc))
 			_, _ = io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 			_ = nc.Close()
@@ -264,13 +265,13 @@
 			path := written(t, c, r.addr, 64)
 			addr, socket := platform(t)
 			for i := range 60 {
-				if p := connect(t, addr); i%2 == 0 { // they wait on the platform's socket, from before the start
+				if p := connect(t, addr); i%2 == 0 { // they wait in the backlog of the platform's socket
 					p.send(t, pgwire.AppendStartup(nil, "app", "shop"))
 				}
 			}
 			dir := t.TempDir()
 			g := beside(t, dir, path, socket)
-			throttled := make(chan struct{}) // a tenth of a core, or less
+			throttled := make(chan struct{}) // until it is closed the process has a tenth of a core or less
 			resumed := make(chan struct{})
 			go func() {
 				defer close(resumed)
@@ -286,8 +287,8 @@
 					time.Sleep(5 * time.Millisecond)
 				}
 			}()
-			eventually(t, g, "the platform admits it", func() bool { return admitted(addr) == nil })
-			eventually(t, g, "the door says yes", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
+			eventually(t, g, "the platform's probe succeeds", func() bool { return admitted(addr) == nil })
+			eventually(t, g, "the admin API reports ready", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
 			close(throttled)
 			<-resumed
 			n := 0
@@ -301,24 +302,24 @@
 				return types == "TDCZ" || types == "TCZ"
 			})
 			if strings.Contains(g.Log(), "msg=list ") {
-				t.Error("discovery answered")
+				t.Error("a list came from discovery, want none")
 			}
-			// One that replaces it waits for discovery for a bounded time only.
+			// A process that replaces it waits for discovery for a limited time only.
 			next := beside(t, dir, path, socket)
 			if !strings.Contains(next.Log(), "serving before discovery answered") {
-				t.Errorf("the next process: %s", next.Log())
+				t.Errorf("the next process did not log that it serves without discovery: %s", next.Log())
 			}
 			g.Signal(syscall.SIGTERM)
 			ended(t, g)
-			eventually(t, next, "the platform admits the next process", func() bool { return admitted(addr) == nil })
+			eventually(t, next, "the platform's probe succeeds with the next process", func() bool { return admitted(addr) == nil })
 			next.Signal(syscall.SIGTERM)
 			ended(t, next)
 		})
 	}
 }
 
-// TestSuccessorDies: a next process that is told to end while it waits for discovery, and one that is killed with
-// connections on their way to it, take no request with them: what clients wrote meanwhile is answered by the former one.
+// TestSuccessorDies: no request is lost if the next process gets SIGTERM while it waits for discovery, or is killed while
+// connections are being passed to it: the former process answers what clients wrote meanwhile.
 func TestSuccessorDies(t *testing.T) {
 	c := started(t, cluster.Config{Groups: 1, Replicas: 2})
 	r := newRelay(t, c.Discovery())
@@ -342,7 +343,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(early.Kill)
-	eventually(t, early, "its door is open", func() bool { return strings.Contains(early.Log(), "door open") })
+	eventually(t, early, "its admin API is open", func() bool { return strings.Contains(early.Log(), "door open") })
 	early.Signal(syscall.SIGTERM)
 	ended(t, early)
 
@@ -357,7 +358,7 @@
 		})
 	})
 	var all []peer
-	for range 12 { // it is stopped, so these are the former one's
+	for range 12 { // the next process is stopped, so the former one accepts these
 		all = append(all, idle())
 	}
 	former.Signal(syscall.SIGTERM)
@@ -367,7 +368,7 @@
 		n := 0
 		for line := range strings.Lines(string(text)) {
 			if strings.Contains(line, dir) {
-				n++ // the socket that listens, and the end of a link that waits there
+				n++ // the listening socket, and the end of a connection that waits to be accepted
 			}
 		}
 		return n > 1
--- a/cmd/reachwind/process_test.go
+++ b/cmd/reachwind/process_test.go
@@ -23,7 +23,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// TestMain is the program itself where a test starts it, under a limit of descriptors if one is named.
+// TestMain runs the program itself in processes that a test starts with REACHWIND_PLAY, limited to REACHWIND_FILES
+// descriptors if that is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("REACHWIND_PLAY") == "" {
 		os.Exit(m.Run())
@@ -39,21 +40,21 @@
 }
 
 const (
-	within    = 30 * time.Second // whatever has to come has come by then, on a machine at its limits
-	triesMost = 1000             // of a client that comes into a flood; it is served every fifth to twentieth time
+	within    = 30 * time.Second // for any expected event, on a heavily loaded machine
+	triesMost = 1000             // of a new client during a flood; one in 5 to 20 of them is served
 )
 
-// eventually waits until f is true.
+// eventually waits until f is true, and fails the test with g's log after within.
 func eventually(t *testing.T, g *proc.Gateway, what string, f func() bool) {
 	t.Helper()
 	for late := time.Now().Add(within); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatalf("never: %s\n%s", what, g.Log())
+			t.Fatalf("not reached in time: %s\n%s", what, g.Log())
 		}
 	}
 }
 
-// play starts the program; ready is as with proc.With.
+// play starts the program's command serve as a process; ready is as for proc.With.
 func play(t *testing.T, path, ready string, env ...string) *proc.Gateway {
 	t.Helper()
 	g, err := proc.With(os.Args[0], []string{"serve", "--config", path}, ready, append(env, "REACHWIND_PLAY=1"), nil)
@@ -64,13 +65,13 @@
 	return g
 }
 
-// files is how many descriptors a process holds.
+// files returns the number of descriptors that a process holds.
 func files(g *proc.Gateway) int {
 	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.Pid()))
 	return len(all)
 }
 
-// relay stands between the gateway and discovery, and is down, silent, full or slow as told.
+// relay sits between the gateway and discovery. It can be down, pass everything through, or answer by a test's function.
 type relay struct {
 	addr, to string
 	calls    atomic.Int64
@@ -93,7 +94,7 @@
 	return r
 }
 
-// down has dials refused.
+// down closes all connections, and refuses new ones.
 func (r *relay) down() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,7 +108,7 @@
 	clear(r.conns)
 }
 
-// up answers by serve, which may hold the connection as long as it likes.
+// up accepts connections and calls serve for each, in a goroutine of its own.
 func (r *relay) up(t *testing.T, serve func(net.Conn)) {
 	t.Helper()
 	l, err := net.Listen("tcp", r.addr)
@@ -132,7 +133,7 @@
 	}()
 }
 
-// pass passes all through.
+// pass forwards a connection to discovery.
 func (r *relay) pass(c net.Conn) {
 	to, err := net.Dial("tcp", r.to)
 	if err != nil {
@@ -147,7 +148,7 @@
 	_ = c.Close()
 }
 
-// written writes a gateway's configuration that names another discovery, and returns its path.
+// written writes a gateway's configuration with the address of another discovery, and returns its path.
 func written(t *testing.T, c *cluster.Cluster, discovery string, sockets int) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -158,6 +159,7 @@
 	return path
 }
 
+// started starts an emulated cluster, which ends with the test.
 func started(t *testing.T, conf cluster.Config) *cluster.Cluster {
 	t.Helper()
 	c, err := cluster.Start(conf)
@@ -168,15 +170,15 @@
 	return c
 }
 
-// TestHangupWhileStarting: SIGHUP that comes while the configuration is being read ends nothing: the process serves, and
-// has read the file again.
+// TestHangupWhileStarting: SIGHUP while the configuration is being read does not end the process: it serves, and reads the
+// file again.
 func TestHangupWhileStarting(t *testing.T) {
 	c := started(t, cluster.Config{Groups: 1})
 	text, err := os.ReadFile(written(t, c, c.Discovery(), 128))
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(t.TempDir(), "config.json") // a pipe holds the reader until the signal has come
+	path := filepath.Join(t.TempDir(), "config.json") // a pipe blocks the reader until the signal has come
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +189,7 @@
 	}
 	g.Signal(syscall.SIGHUP)
 	eventually(t, g, "the signal is delivered", func() bool { return !pending(g) })
-	if err := os.Remove(path); err != nil { // what is read again is a file
+	if err := os.Remove(path); err != nil { // a regular file, which a reload requires
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -203,7 +205,7 @@
 	eventually(t, g, "the file is read again", func() bool { return strings.Contains(g.Log(), "msg=reloaded") })
 	select {
 	case <-g.Ended():
-		t.Errorf("it ended: %s", g.Log())
+		t.Errorf("the process ended: %s", g.Log())
 	default:
 	}
 	if err := g.Stop(within); err != nil {
@@ -211,7 +213,7 @@
 	}
 }
 
-// pending tells whether a signal waits for a process to take it.
+// pending reports whether a signal of a process is not delivered yet.
 func pending(g *proc.Gateway) bool {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.Pid()))
 	for line := range strings.Lines(string(text)) {
@@ -222,9 +224,10 @@
 	return false
 }
 
-// TestFlood: idle clients, clients that send much and go, and requests that hang fill all that they may while discovery
-// is down. Nothing ever lacks a descriptor; once discovery is back its list is learnt, a drain is kept, and clients and
-// operators are answered; and when the flood is over the descriptors are back.
+// TestFlood: while discovery is down, idle clients, clients that send a lot and disconnect, and hanging requests use up
+// everything they are allowed to. The process must never run out of descriptors. Once discovery is back its list is
+// applied, a drained member gets no requests, and new clients and operators are answered. After the flood the descriptors
+// are closed again.
 func TestFlood(t *testing.T) {
 	for _, sockets := range []int{64, 128} {
 		t.Run(strconv.Itoa(sockets), func(t *testing.T) { flood(t, sockets) })
@@ -260,14 +263,14 @@
 					_ = nc.SetDeadline(time.Now().Add(within))
 					f(nc, i)
 					_ = nc.Close()
-					time.Sleep(5 * time.Millisecond) // the machine is shared
+					time.Sleep(5 * time.Millisecond) // leaves CPU time to the gateway
 				}
 			}()
 		}
 	}
 	hello := pgwire.AppendStartup(nil, "app", "shop")
 	empty := pgwire.Append(bytes.Clone(hello), 'Q', "\x00")
-	each(150, func(nc net.Conn, i int) { // idle: with nothing sent, a startup, a command
+	each(150, func(nc net.Conn, i int) { // idle, having sent nothing, a startup, or a startup and a command
 		_, _ = nc.Write([][]byte{nil, hello, empty}[i%3])
 		idle.Add(1)
 		gone := make(chan struct{})
@@ -280,45 +283,45 @@
 		case <-stop:
 		}
 	})
-	each(10, func(nc net.Conn, i int) { // much at once, and gone
+	each(10, func(nc net.Conn, i int) { // a lot at once, then disconnected
 		_, _ = nc.Write(append(bytes.Clone(hello), bytes.Repeat(pgwire.Append(nil, 'Q', "\x00"), 20000)...))
 		if i%2 == 0 {
 			_ = nc.(*net.TCPConn).SetLinger(0)
 		}
 		much.Add(1)
 	})
-	each(sockets/8, func(nc net.Conn, i int) { // asking members that hang, fewer than may be connected
+	each(sockets/8, func(nc net.Conn, i int) { // requests to hanging members, fewer than the permitted member connections
 		conn, err := pgclient.Over(nc, within)
 		if err != nil {
 			return
 		}
 		_, _ = conn.Do(&pgclient.Request{ID: fmt.Sprintf("f-%d-%d", i, asked.Add(1)), Class: "run-status", Tenant: "kea-basin", Wait: 750 * time.Millisecond, Item: "x"})
 	})
-	eventually(t, g, "a flood", func() bool { return idle.Load() > 500 && much.Load() > 100 && asked.Load() > 100 })
+	eventually(t, g, "the flood has started", func() bool { return idle.Load() > 500 && much.Load() > 100 && asked.Load() > 100 })
 	most := 0
 	for range 200 {
 		most = max(most, files(g))
 		time.Sleep(time.Millisecond)
 	}
 
-	// It goes on while discovery comes back with a drain.
+	// The flood continues while discovery comes back and lists a drained member.
 	for _, m := range c.Members() {
 		m.Hang(false)
 	}
 	out := c.Members()[3]
 	out.Drain(true)
 	r.up(t, r.pass)
-	eventually(t, g, "the list is learnt", func() bool { return strings.Contains(g.Log(), "msg=list ") })
-	eventually(t, g, "the door says yes", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
+	eventually(t, g, "the list is applied", func() bool { return strings.Contains(g.Log(), "msg=list ") })
+	eventually(t, g, "the admin API reports ready", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
 	var took int
-	eventually(t, g, "what was on its way is over", func() bool {
+	eventually(t, g, "requests in flight to the drained member have ended", func() bool {
 		was := took
 		took = c.Took(out)
 		time.Sleep(300 * time.Millisecond)
 		return was == took
 	})
-	// A new client hears something each time it comes, and is served after so many tries. How long these take is a
-	// matter of the machine, which the flood shares.
+	// A new client gets an answer on each try, and is served after a limited number of tries. Their duration is not
+	// checked: it depends on the machine, which the flood loads too.
 	served, tries := 0, 0
 	for ; served < 5; tries++ {
 		if tries == triesMost {
@@ -326,7 +329,7 @@
 		}
 		conn, err := pgclient.Dial(g.Addr, within)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("a new client heard nothing: %v\n%s", err, g.Log())
+			t.Fatalf("a new client got no answer: %v\n%s", err, g.Log())
 		}
 		if err == nil {
 			a, err := conn.Do(&pgclient.Request{ID: fmt.Sprintf("n-%d", asked.Add(1)), Class: "field-info", Tenant: "kea-basin", Wait: 3 * time.Second, Item: "x"})
@@ -338,23 +341,23 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if now := c.Took(out); now != took {
-		t.Errorf("%d requests reached a member that drains", now-took)
+		t.Errorf("%d requests reached a draining member", now-took)
 	}
 	close(stop)
 	flood.Wait()
 	if log := g.Log(); strings.Contains(log, syscall.EMFILE.Error()) {
-		t.Errorf("descriptors were lacking:\n%s", log)
+		t.Errorf("the process ran out of descriptors:\n%s", log)
 	}
-	t.Logf("%d descriptors before, %d at the most, limit %d; %d idle, %d that sent much, %d asked; served %d of %d tries",
+	t.Logf("%d descriptors before, maximum %d, limit %d; %d idle clients, %d that sent a lot, %d requests; served %d of %d tries",
 		before, most, sockets, idle.Load(), much.Load(), asked.Load(), served, tries)
-	// What members keep idle stays for a while: a connection to each, and discovery's.
-	eventually(t, g, "the descriptors are back", func() bool { return files(g) <= before+sockets/3 })
+	// An idle connection to each member and the one to discovery stay open for a while.
+	eventually(t, g, "the descriptors are closed again", func() bool { return files(g) <= before+sockets/3 })
 	if err := g.Stop(within); err != nil {
 		t.Error(err)
 	}
 }
 
-// admitted asks as the platform does before it sends clients.
+// admitted sends the platform's probe, which precedes the first clients.
 func admitted(addr string) error {
 	nc, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
--- a/cmd/reachwind/release.go
+++ b/cmd/reachwind/release.go
@@ -23,17 +23,17 @@
 
 const (
 	driveTerm  = 10 * time.Second
-	driveEvery = 2 * time.Second // the driver's term is renewed, and the next target asked for, so often at the least
-	nextEvery  = 200 * time.Millisecond
-	tellFor    = time.Minute // how long a driver tries to tell how a command ended
+	driveEvery = 2 * time.Second        // between renewals of the driver's term
+	nextEvery  = 200 * time.Millisecond // between requests for the next targets
+	tellFor    = time.Minute            // for reporting a command's result to the council, retries included
 )
 
-// readPlan reads a release's plan.
+// readPlan reads the plan of a release, which is an HCL file with one block `release`.
 func readPlan(path string) (r agreed.Release, err error) {
 	err = edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("release", true, func(b *edgeconf.Block) {
 			if r.Name != "" {
-				b.Fault("a second release, want one in a file")
+				b.Fault("a second block release, want one per file")
 				return
 			}
 			r = agreed.Release{Name: b.Label, Of: b.One("of", "gateways", "gateways", "members"), Version: b.Text("version", ""), Former: b.Text("former", ""),
@@ -52,10 +52,10 @@
 				b.Fault("%s", why)
 			}
 			if r.Of == "gateways" && r.Version == "" && !r.Want.Off {
-				b.Fault("health compares versions, and no version is named: want version = what the new gateways say")
+				b.Fault("health compares versions, and no version is named: want version = what the new gateways report")
 			}
 			if r.AutoBack && len(r.Undo) == 0 {
-				b.Fault("on_halt is \"back\", and no command back is named")
+				b.Fault("on_halt is \"back\", and no command is named by back")
 			}
 		})
 		if r.Name == "" {
@@ -65,7 +65,7 @@
 	return r, err
 }
 
-// progress is one line on a release.
+// progress describes a release in one line. now is the council's time in milliseconds.
 func progress(r *agreed.Release, now int64) string {
 	n := map[string]int{}
 	for _, it := range r.Items {
@@ -87,7 +87,8 @@
 	return line
 }
 
-// released is a release as the council has it, the leader's word if it can be had.
+// released returns a release and the status that it is from, see status. If there is no such release the status comes with
+// the error; if the council does not answer it is nil.
 func (c *councillors) released(name string) (*agreed.Release, *status, error) {
 	s, err := c.status()
 	if err != nil {
@@ -101,10 +102,10 @@
 	return nil, s, fmt.Errorf("there is no release %q", name)
 }
 
-// addRelease adds the commands of releases.
+// addRelease adds the commands on releases and the history.
 func addRelease(c *cobra.Command, admin *string, asJSON *bool) {
 	rel := &cobra.Command{Use: "release", Short: "plan, drive, halt and take back releases"}
-	rel.AddCommand(&cobra.Command{Use: "plan FILE", Short: "what would go out when, the longest time, and why it can't be kept; changes nothing", Args: cobra.ExactArgs(1),
+	rel.AddCommand(&cobra.Command{Use: "plan FILE", Short: "show the steps of a release, its longest duration, and why it can't be carried out, if so; changes nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := readPlan(args[0])
 			if err != nil {
@@ -124,7 +125,7 @@
 			}
 			return printPlan(cmd.OutOrStdout(), &r, legs)
 		}})
-	rel.AddCommand(&cobra.Command{Use: "run FILE|NAME", Short: "drive a release, planning it first from FILE; or stand by, and go on when its driver is gone", Args: cobra.ExactArgs(1),
+	rel.AddCommand(&cobra.Command{Use: "run FILE|NAME", Short: "drive a release, planning it first from FILE; or stand by, and take over when its driver is gone", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := args[0]
 			c := newCouncillors(*admin)
@@ -142,7 +143,7 @@
 			}
 			return drive(cmd.OutOrStdout(), c, name, agreed.Finished)
 		}})
-	rel.AddCommand(&cobra.Command{Use: "watch NAME", Short: "tell how a release goes until it ends or is halted", Args: cobra.ExactArgs(1),
+	rel.AddCommand(&cobra.Command{Use: "watch NAME", Short: "print the progress of a release until it ends or is halted", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, last := newCouncillors(*admin), ""
 			for {
@@ -176,17 +177,17 @@
 			}
 			return drive(cmd.OutOrStdout(), c, args[0], end)
 		}}
-		s.Flags().StringVar(&reason, "reason", "", "for the history")
+		s.Flags().StringVar(&reason, "reason", "", "reason shown in the history")
 		if end != "" {
-			s.Flags().BoolVar(&leave, "no-drive", false, "another process drives it")
+			s.Flags().BoolVar(&leave, "no-drive", false, "do not drive it: another process does")
 		}
 		rel.AddCommand(s)
 	}
-	steer("halt", "let nothing more go out by a release; what is out comes back", "halt", "")
-	steer("resume", "go on with a halted release, what failed tried anew, and drive it", "resume", agreed.Finished)
-	steer("back", "take a release back, under the same budgets, and drive that", "back", agreed.Back)
+	steer("halt", "start no more targets of a release; those that are out come back", "halt", "")
+	steer("resume", "continue and drive a halted release; failed targets are retried", "resume", agreed.Finished)
+	steer("back", "roll a release back under the same budgets, and drive that", "back", agreed.Back)
 	history := func() *cobra.Command {
-		return &cobra.Command{Use: "history [NAME]", Short: "who asked what of the council, and what came of it", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
+		return &cobra.Command{Use: "history [NAME]", Short: "list the commands given to the council, by whom, and their results", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			c := newCouncillors(*admin)
 			err := errors.New("no admin address, want --admin host:port,...")
 			for _, a := range c.admins {
@@ -233,25 +234,26 @@
 	_ = w.Flush()
 	_, _ = fmt.Fprintf(out, "%s takes %v at the longest, with nothing else out\n", r.Name, time.Duration(most)*time.Millisecond)
 	if len(cannot) > 0 {
-		return errors.New("the plan can't be kept: " + strings.Join(cannot, "; "))
+		return errors.New("the plan can't be carried out: " + strings.Join(cannot, "; "))
 	}
 	return nil
 }
 
-// driver drives a release: it asks for one target after another, runs the plan's command for each, and tells how it ended.
-// What goes out and whether it is back is the council's to decide.
+// driver drives a release: it requests one target after another, runs the plan's command for each, and reports the result.
+// The council decides which target goes out, and whether it is back.
 type driver struct {
 	out  io.Writer
-	mu   sync.Mutex // one command to the council at a time, in the order of their numbers
+	mu   sync.Mutex // held during a command to the council, which takes them in the order of their numbers; guards left
 	c    *councillors
 	name string
 
-	fence uint64
-	until time.Time // of its term, by its own clock, counted from before it asked
-	runs  sync.WaitGroup
+	fence uint64          // of its term as the driver; 0: it does not drive
+	until time.Time       // end of its term, by its own clock, counted from before its request
+	runs  sync.WaitGroup  // commands that run here
 	left  map[string]bool // targets whose commands run here
 }
 
+// do submits a command on the release under the driver's fence, unless q has a fence.
 func (d *driver) do(until time.Time, q map[string]any) (*result, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -262,8 +264,8 @@
 	return d.c.do(until, q)
 }
 
-// drive drives a release until it ends or is halted, or stands by while another process does. It fails unless the
-// release ends as wanted.
+// drive drives a release until it ends or is halted, or stands by while another process drives it. It returns an error
+// unless the release ends in state want.
 func drive(out io.Writer, c *councillors, name, want string) error {
 	d := &driver{out: out, c: c, name: name, left: map[string]bool{}}
 	defer d.runs.Wait()
@@ -295,16 +297,16 @@
 			case err == nil && res.OK:
 				d.fence, d.until = res.Fence, now.Add(driveTerm)
 				renewAt = now.Add(driveEvery)
-			case err == nil && res.State == agreed.Rival: // it never began, and another one moves
+			case err == nil && res.State == agreed.Rival: // this release has not begun, and a competing one is in progress
 				return errors.New(res.Refused)
 			case err == nil:
-				d.fence, renewAt = 0, now.Add(time.Second) // another one drives
+				d.fence, renewAt = 0, now.Add(time.Second) // another process drives
 			default:
 				renewAt = now.Add(retryEach)
 			}
 		}
 		if d.fence != 0 && time.Now().Before(d.until) && r != nil && (r.State == agreed.Running || r.State == agreed.GoingBack) {
-			for range r.Together { // as many as there is room for
+			for range r.Together { // as many as the council grants
 				if !d.next(r) {
 					break
 				}
@@ -314,13 +316,14 @@
 	}
 }
 
+// busy reports whether commands run here.
 func (d *driver) busy() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.left) > 0
 }
 
-// next asks for a target, and begins its command if one is granted, which it tells.
+// next requests a target. If one is granted it starts the target's command and returns true.
 func (d *driver) next(r *agreed.Release) bool {
 	asked := time.Now()
 	res, err := d.do(asked.Add(2*time.Second), map[string]any{"op": "next"})
@@ -350,7 +353,7 @@
 		}
 		res, err := d.do(kill, map[string]any{"op": "started", "target": p.Target, "fence": fence})
 		if err != nil || !res.OK || time.Now().After(kill) {
-			return // it never began: the council takes it back by itself
+			return // the command was not started, and the council takes the permit back by itself
 		}
 		_, _ = fmt.Fprintf(d.out, "%s goes out under permit %d\n", p.Target, p.Fence)
 		why := d.run(words, p, version, kill)
@@ -362,7 +365,8 @@
 	return true
 }
 
-// run runs the plan's command for a target and returns why it failed, empty if it did not.
+// run runs the plan's command for a target, and stops it before its permit ends at kill. It returns the reason of a failure,
+// empty if there was none.
 func (d *driver) run(words []string, p *permit, version string, kill time.Time) string {
 	var args []string
 	for _, w := range words {
--- a/cmd/reachwind/spool.go
+++ b/cmd/reachwind/spool.go
@@ -14,9 +14,9 @@
 	"reachwind/internal/spool"
 )
 
-// spoolCommand looks into spools. It changes nothing, so it may run beside the gateway.
+// spoolCommand builds the commands that inspect spools. They change nothing, so they may run beside the gateway.
 func spoolCommand() *cobra.Command {
-	root := &cobra.Command{Use: "spool", Short: "look into a folder of records that wait for collectors"}
+	root := &cobra.Command{Use: "spool", Short: "inspect a folder of records that wait for collectors"}
 	sub := func(name, short string, do func(out io.Writer, dir string) error) {
 		root.AddCommand(&cobra.Command{Use: name + " DIR", Short: short, Args: cobra.ExactArgs(1),
 			Long: short + ". DIR is one collector's folder, or the spool folder with those of all.",
@@ -33,13 +33,13 @@
 				return nil
 			}})
 	}
-	sub("ls", "list segments' totals: what waits, since when", spoolLs)
-	sub("cat", "print the messages that wait, a line each", spoolCat)
-	sub("verify", "read everything and fail if anything is rotten", spoolVerify)
+	sub("ls", "print totals: the records that wait, and the time of the oldest", spoolLs)
+	sub("cat", "print the messages that wait, one per line", spoolCat)
+	sub("verify", "read everything and fail if any record is corrupt", spoolVerify)
 	return root
 }
 
-// spoolDirs is dir itself, or the collectors' folders in it.
+// spoolDirs returns the collectors' folders in dir, or dir itself if it has none.
 func spoolDirs(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -57,10 +57,12 @@
 	return dirs, nil
 }
 
+// openSpool opens the spool in dir for reading.
 func openSpool(dir string) (*spool.Spool, spool.Found, error) {
 	return spool.Open(spool.Dir(dir), spool.Options{ReadOnly: true, Most: 1 << 62})
 }
 
+// spoolLs prints the totals of a spool.
 func spoolLs(out io.Writer, dir string) error {
 	s, found, err := openSpool(dir)
 	if err != nil {
@@ -87,6 +89,7 @@
 	return err
 }
 
+// spoolCat prints the messages of a spool.
 func spoolCat(out io.Writer, dir string) error {
 	s, _, err := openSpool(dir)
 	if err != nil {
@@ -99,6 +102,7 @@
 	})
 }
 
+// spoolVerify reads a spool to its end. It returns an error if a record is corrupt.
 func spoolVerify(out io.Writer, dir string) error {
 	s, found, err := openSpool(dir)
 	if err != nil {
@@ -111,11 +115,12 @@
 	}
 	_, _ = fmt.Fprintf(out, "%s: %d records read, %d rotten places, %d torn tails\n", dir, n, found.Rotten, found.Torn)
 	if found.Rotten > 0 {
-		return errors.New("rotten records")
+		return errors.New("the spool has corrupt records")
 	}
 	return nil
 }
 
+// everyRecord calls each with every record of a spool, and stops at the first error.
 func everyRecord(s *spool.Spool, each func(*spool.Record) error) error {
 	for {
 		records, _, err := s.Read(1<<20, func(uint64) bool { return true })
--- a/cmd/reachwind/zones.go
+++ b/cmd/reachwind/zones.go
@@ -25,15 +25,15 @@
 	Held    bool               `json:"held"`
 }
 
-// addZones adds what is asked about zones, and an operator's word on one.
+// addZones adds the command that lists zones, and those by which an operator steers one.
 func addZones(c *cobra.Command, admin *string, asJSON *bool) {
-	c.AddCommand(&cobra.Command{Use: "zones", Short: "where each zone stands, and where its load goes", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+	c.AddCommand(&cobra.Command{Use: "zones", Short: "show the state of each zone, and where its load goes", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		s, err := newCouncillors(*admin).status()
 		if err != nil {
 			return err
 		}
 		if s.Zones == nil {
-			return errors.New("there is no plan of zones: the council's configuration names none, or nobody has reported yet")
+			return errors.New("there is no zone plan: the council's configuration names no zones, or no gateway has reported yet")
 		}
 		lines := []zoneLine{}
 		for _, name := range slices.Sorted(maps.Keys(s.Zones.Zones)) {
@@ -52,13 +52,13 @@
 		}
 		return w.Flush()
 	}})
-	z := &cobra.Command{Use: "zone", Short: "an operator's word on a zone"}
-	for _, a := range [][2]string{{"out", "move a zone's load away, by steps, and keep it away"}, {"back", "let a zone come back, and what is automatic go on"}, {"hold", "let nothing automatic happen to a zone"}} {
+	z := &cobra.Command{Use: "zone", Short: "steer a zone"}
+	for _, a := range [][2]string{{"out", "move a zone's load away, in steps, and keep it away"}, {"back", "let a zone's load come back, and resume automatic changes"}, {"hold", "suspend automatic changes of a zone"}} {
 		var reason string
 		one := &cobra.Command{Use: a[0] + " ZONE", Short: a[1], Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			return granted(newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "zone", "name": args[0], "steer": a[0], "reason": reason}))
 		}}
-		one.Flags().StringVar(&reason, "reason", "", "for the plan and the history")
+		one.Flags().StringVar(&reason, "reason", "", "reason shown in the plan and the history")
 		z.AddCommand(one)
 	}
 	c.AddCommand(z)
