--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-const backlogMost = 4096 // connections taken out of a queue that is about to go; the system's own limit is no higher by default
+const backlogMost = 4096 // connections accepted from a backlog before its socket is closed; Linux's default limit is no higher
 
-// takeBacklog accepts who has connected to l and waits to be accepted, without waiting itself: the close of a listener
-// resets them all, with what they have sent. It may run beside Accept.
+// takeBacklog accepts the connections that wait in l's backlog, hands each to take, and returns their number. It does not
+// block. Without it, closing the listener would reset them and lose what they sent. It may run concurrently with Accept.
 func takeBacklog(l net.Listener, take func(net.Conn), log *slog.Logger) (taken int) {
 	if d, ok := l.(*door); ok {
 		d.mu.Lock()
@@ -19,14 +19,14 @@
 		d.mu.Unlock()
 	}
 	sc, ok := l.(syscall.Conn)
-	if !ok { // no socket, or shut
+	if !ok { // not a socket, or disabled
 		return 0
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return 0
 	}
-	_ = raw.Control(func(fd uintptr) { // whatever deadline the listener has
+	_ = raw.Control(func(fd uintptr) { // runs whatever deadline the listener has
 		for taken < backlogMost {
 			nc, err := acceptNow(int(fd))
 			switch {
@@ -45,13 +45,13 @@
 	return taken
 }
 
-// acceptNow accepts one connection that waits at a listening socket.
+// acceptNow accepts one connection from the backlog of listening socket fd, or fails with EAGAIN if there is none.
 func acceptNow(fd int) (net.Conn, error) {
 	n, _, err := syscall.Accept4(fd, syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(n), "client")
-	defer func() { _ = f.Close() }() // FileConn has its own
+	defer func() { _ = f.Close() }() // FileConn duplicates the descriptor
 	return net.FileConn(f)
 }
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -7,8 +7,8 @@
 	"reachwind/internal/standin/cluster"
 )
 
-// TestDescriptors: clients, those being ended or refused, members and operators together leave what the process itself
-// needs, under every limit that is taken; a large limit is divided as ever.
+// TestDescriptors: under every permitted limit the descriptors of clients, of connections being closed or refused, of
+// members and of the admin API leave those reserved for the process itself. A large limit is divided completely.
 func TestDescriptors(t *testing.T) {
 	c := before(t, cluster.Config{Groups: 1})
 	for sockets := leastSockets; sockets <= 4096; sockets += 1 + sockets/64 {
@@ -24,27 +24,27 @@
 			}
 			b := conf.Budget(new(Edge))
 			if all := b.Clients + int(sparePart*float64(b.Sockets)) + b.Members + b.Files + ownFiles; all > sockets {
-				t.Errorf("%d sockets, door %q: %d are counted on: %+v", sockets, admin, all, b)
+				t.Errorf("%d sockets, admin address %q: %d in use at most: %+v", sockets, admin, all, b)
 			}
 			if b.Clients < 8 || b.Members < 4 {
-				t.Errorf("%d sockets, door %q: %+v", sockets, admin, b)
+				t.Errorf("%d sockets, admin address %q: too few for clients or members: %+v", sockets, admin, b)
 			}
 			if sockets >= 512 && b.Sockets != sockets-b.Files {
-				t.Errorf("%d sockets, door %q: %d are divided", sockets, admin, b.Sockets)
+				t.Errorf("%d sockets, admin address %q: %d are divided", sockets, admin, b.Sockets)
 			}
 		}
 	}
 }
 
-// TestCountUnknown: a process that can't count its descriptors says that it holds all it may, so that another one beside it
-// takes no more than its least part.
+// TestCountUnknown: a process that can't count its descriptors reports its limit, so that another process of the gateway
+// uses no more than its minimum.
 func TestCountUnknown(t *testing.T) {
 	if n := descriptors(ownFolder, 1<<20); n < 3 || n >= 1<<20 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d descriptors counted", n)
 	}
 	const limit = 200
 	n := descriptors(t.TempDir()+"/none", limit)
 	if may := handover.Split(limit, []handover.Other{{Used: n, Older: true}}, false); n != limit || may > limit/4 {
-		t.Errorf("%d told, the other may use %d", n, may)
+		t.Errorf("%d reported, the other process may use %d", n, may)
 	}
 }
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -20,7 +20,7 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// bulk is an answer with a value of n bytes, of which every eight tell where they stand.
+// bulk returns an answer with a value of n bytes, in which every eight bytes hold their index.
 func bulk(n int) []byte {
 	row := make([]byte, 6, 6+n)
 	row[1] = 1
@@ -32,7 +32,7 @@
 	return pgwire.AppendReady(pgwire.Append(pgwire.Append(out, 'D', string(row)), 'C', "SELECT 1\x00"))
 }
 
-// bulkMember answers on nc: statements with the answer, in pieces, probes with a report of a primary.
+// bulkMember is a primary on nc: it answers probes with its state, and statements with answer in pieces of random length.
 func bulkMember(nc net.Conn, answer []byte, rnd *rand.Rand) {
 	defer func() { _ = nc.Close() }()
 	buf := make([]byte, 8<<10)
@@ -66,9 +66,11 @@
 	}
 }
 
-// tight is the size of socket buffers, so that the gateway feels how slow its clients are: else the kernel takes 4 MiB.
+// tight is the size in bytes of socket buffers. With the kernel's default of up to 4 MiB whole values would fit into them,
+// and slow clients would not hold up the gateway.
 const tight = 64 << 10
 
+// tightListener accepts connections with small write buffers.
 type tightListener struct{ net.Listener }
 
 func (l tightListener) Accept() (net.Conn, error) {
@@ -79,8 +81,8 @@
 	return nc, err
 }
 
-// TestBulk: 200 clients that read slowly take values of 4 MiB at once through a gateway with 64 MB. Each gets its bytes
-// whole and in order, and the gateway holds none of them: what it has in memory stays a small part of what passes.
+// TestBulk: 200 slow clients read values of 4 MiB at the same time through a gateway with 64 MB. Each receives its value
+// complete and in order. The gateway never holds whole values: its memory stays a small fraction of the data in transit.
 func TestBulk(t *testing.T) {
 	const clients, size = 200, 4 << 20
 	answer := bulk(size)
@@ -127,7 +129,7 @@
 	go func() { done <- g.run(term, nil, tightListener{front}) }()
 
 	var all sync.WaitGroup
-	begun := make(chan bool, 4*clients) // a client has the head of its value and waits
+	begun := make(chan bool, 4*clients) // one element for each client that has received the start of its value
 	goOn := make(chan struct{})
 	for n := range clients {
 		all.Add(1)
@@ -146,7 +148,8 @@
 		}()
 	}
 	under := 0
-	// Well under the 5 s after which a client that takes nothing is let go; how many are under way by then is logged only.
+	// Well below the 5 s after which a client that reads nothing is disconnected. How many values are in transit by then is
+	// only logged.
 	for late := time.After(2 * time.Second); under < clients; under++ {
 		select {
 		case <-begun:
@@ -159,12 +162,12 @@
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	if left := g.bufs.Free(); left < int(passReserve*float64(free)) {
-		t.Errorf("%d of %d full buffers in use", free-left, free)
+		t.Errorf("%d of %d full-size buffers in use", free-left, free)
 	}
-	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // clients and members are in it too
-		t.Errorf("%d MB in use with %d values of 4 MiB under way, want at most %d", (m.HeapInuse+m.StackInuse)>>20, under, most>>20)
+	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // includes the memory of the test's clients and members
+		t.Errorf("%d MB in use with %d values of 4 MiB in transit, want at most %d", (m.HeapInuse+m.StackInuse)>>20, under, most>>20)
 	}
-	t.Logf("%d MB heap, %d MB stacks with %d values under way, %d small and %d full buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.bufs.FreeSmall(), free-g.bufs.Free())
+	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.bufs.FreeSmall(), free-g.bufs.Free())
 	close(goOn)
 	all.Wait()
 	stop()
@@ -172,11 +175,12 @@
 		t.Error(err)
 	}
 	if g.bufs.Free() != free || g.bufs.FreeSmall() != small {
-		t.Errorf("%d of %d buffers came back, %d of %d small ones", g.bufs.Free(), free, g.bufs.FreeSmall(), small)
+		t.Errorf("%d of %d full-size buffers were returned, %d of %d small ones", g.bufs.Free(), free, g.bufs.FreeSmall(), small)
 	}
 }
 
-// takeBulk asks once, reads its value by the KiB until goOn, then faster. It tells whether it is to ask again.
+// takeBulk sends one request and reads the value by 1 KiB until goOn is closed, then faster. It returns again = true if the
+// request was refused or cut off at its time limit and is to be repeated.
 func takeBulk(addr, id string, answer []byte, begun chan<- bool, goOn <-chan struct{}) (again bool, err error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -196,21 +200,21 @@
 	if _, err := io.ReadFull(nc, got[:1]); err != nil {
 		return false, err
 	}
-	if got[0] == 'E' { // there is much to do at once
+	if got[0] == 'E' { // refused under load
 		return true, nil
 	}
 	begun <- true
-	limit := time.Now().Add(50 * time.Second) // a minute is all it may take
+	limit := time.Now().Add(50 * time.Second) // the gateway cuts an answer off after a minute
 	want := answer[1:]
 	for len(want) > 0 {
 		n, err := nc.Read(got)
 		if !bytes.HasPrefix(want, got[:n]) {
-			return false, fmt.Errorf("other bytes, %d before the end", len(want))
+			return false, fmt.Errorf("value differs, %d bytes before its end", len(want))
 		}
 		if want = want[n:]; err != nil && time.Now().After(limit) {
 			return true, nil
 		} else if err != nil {
-			return false, fmt.Errorf("%w, %d before the end", err, len(want))
+			return false, fmt.Errorf("%w, %d bytes before the value's end", err, len(want))
 		}
 		select {
 		case <-goOn:
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -20,34 +20,38 @@
 	"reachwind/internal/terms"
 )
 
-// Config is a gateway's configuration, read and checked.
+// Config is a gateway's configuration, read and validated.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // where operators call; empty: nowhere
+	Admin                   string // address of the admin API; empty: none
 	Known                   []core.Listed
 	Decide                  *decide.Config
 
 	seed    uint64
-	memory  int64 // bytes, 0 = no limit
-	sockets int
-	version int64
+	memory  int64 // limit in bytes; 0: none
+	sockets int   // limit of descriptors
+	version int64 // of Known
 	facts   *settings.Facts
-	text    []byte          // that it was read from, until it is kept for the next process
-	hup     chan os.Signal  // SIGHUP, from before the file was read; nil: Serve begins to take it
-	terms   *terms.Book     // in force, once it runs
-	shape   *settings.Shape // what a file read at SIGHUP must hold again
+	text    []byte          // the file's text, until it is saved for the next process
+	hup     chan os.Signal  // receives SIGHUP since before the file was read; nil: Serve registers for the signal
+	terms   *terms.Book     // settings in force while the gateway runs
+	shape   *settings.Shape // the keys that a file read on SIGHUP must contain
 }
 
 const defaultSockets = 1024
 
-// ownFiles are the descriptors that no client, member or operator may take, whatever the limit is: three of the standard
-// streams; the runtime's poller, its event and two of the processor's limit; the clients' listener, and a connection that
-// it has accepted and nobody has counted yet; the call to discovery; the configuration read at SIGHUP; and, beside another
-// process of this gateway, the lock, the socket that takes connections over, its connection, one taken over and its copy,
-// a state file, and the folder where descriptors are counted.
+// ownFiles is the number of descriptors reserved for the process itself, which no client, member or operator may use:
+//   - 3 standard streams;
+//   - 4 of the Go runtime: its poller, the poller's event descriptor, and two for the CPU limit;
+//   - 2 for the client listener and a connection that it has accepted but not yet counted;
+//   - 1 for the connection to discovery;
+//   - 1 for the configuration file read on SIGHUP;
+//   - 7 for the handover between processes of this gateway: the lock, the socket that receives connections, its
+//     connection, a connection taken over and its duplicate, a state file, and the folder in which descriptors are counted.
 const ownFiles = 3 + 4 + 2 + 1 + 1 + 7
 
-// Load reads the configuration at path. The environment fills in names that it leaves out.
+// Load reads and validates the configuration at path. NODE_NAME, NODE_LISTEN and NODE_DISCOVERY stand in for values that
+// the file leaves empty; NODE_ADMIN_ADDR overrides the file's value.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration: use --config or NODE_CONFIG")
@@ -64,9 +68,9 @@
 	return c, nil
 }
 
-// LoadServing is Load for a process that is to serve. One that replaces another, and finds a file that can't be used,
-// goes on with what the former process was told last: operators may be in the middle of mending it. From here on SIGHUP
-// ends the process no more: the file may change while it is read, or before Serve, and is read again then.
+// LoadServing is Load for a process that is going to serve. If it replaces another process and the file is unusable, it
+// uses the last configuration that the former process accepted: operators may be editing the file. From this call on
+// SIGHUP no longer ends the process: one that arrives while the file is read, or before Serve, makes Serve read it again.
 func LoadServing(path string, log *slog.Logger) (*Config, error) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -97,7 +101,7 @@
 	return c, nil
 }
 
-// Parse is Load for a text and an environment.
+// Parse is Load for the text of a file; env looks up environment variables.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	var f struct {
 		Name, Listen, Discovery, Seed string
@@ -122,7 +126,7 @@
 			*v.to = env(v.name)
 		}
 	}
-	if admin := env("NODE_ADMIN_ADDR"); admin != "" { // each process has its own, also where the file is that of another
+	if admin := env("NODE_ADMIN_ADDR"); admin != "" { // overrides the file, which processes may share: each needs its own address
 		c.Admin = admin
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
@@ -133,7 +137,7 @@
 	}
 	if c.Admin != "" {
 		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
-			return nil, fmt.Errorf("admin_addr: %w; want HOST:PORT, or nothing for no door", err)
+			return nil, fmt.Errorf("admin_addr: %w; want HOST:PORT, or nothing to run no admin API", err)
 		}
 	}
 	if c.sockets == 0 {
@@ -146,7 +150,7 @@
 	if f.Seed == "" {
 		c.seed = uint64(time.Now().UnixNano())
 	} else if c.seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number", f.Seed)
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", f.Seed)
 	}
 	if c.Known, err = f.Known.Members(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
--- a/internal/gateway/door.go
+++ b/internal/gateway/door.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// door is the listener of the clients' side. It can be shut and opened again while the gateway runs: shut, connections
-// are refused at once, so that clients go elsewhere. Whoever had connected by then is let in first.
+// door is the client-facing listener. It can be disabled and enabled again while the gateway runs. While it is disabled
+// its socket is closed, so that connections are refused at once and clients go elsewhere. Connections already
+// established when it is disabled are accepted first.
 type door struct {
 	addr string
 
 	mu     sync.Mutex
 	l      net.Listener // nil: connections are refused
 	shut   bool
-	closed bool          // for good
-	by     time.Time     // shut or closed: the listener is closed by then, whoever still comes
-	change chan struct{} // closed and made anew with each change
+	closed bool          // by Close; can't be enabled again
+	by     time.Time     // shut or closed: the socket is closed by then, even if connections keep arriving
+	change chan struct{} // closed and replaced at each change of state
 }
 
-// lastIn is how long nobody must have come before a door that is told to shut is shut: connections that wait unseen
-// when a listener is closed are reset, and their clients lose what they sent. Where clients come all the time it is shut
-// after lastMost all the same.
+// When the listener is disabled or closed, its socket is closed once no connection has arrived for lastIn: connections
+// that wait in the backlog of a socket when it is closed are reset, and their clients lose what they sent. Where
+// connections keep arriving the socket is closed after lastMost.
 const (
 	lastIn   = 3 * time.Millisecond
 	lastMost = 100 * time.Millisecond
@@ -38,7 +39,7 @@
 	return a
 }
 
-// Accept implements net.Listener. It waits while the door is shut.
+// Accept implements net.Listener. It blocks while the listener is disabled.
 func (d *door) Accept() (net.Conn, error) {
 	for {
 		d.mu.Lock()
@@ -79,18 +80,19 @@
 	}
 }
 
-// deadline bounds accepting, and tells whether the listener can do that.
+// deadline sets the deadline of l's Accept. It returns false if l does not support deadlines.
 func deadline(l net.Listener, t time.Time) bool {
 	x, ok := l.(interface{ SetDeadline(time.Time) error })
 	return ok && x.SetDeadline(t) == nil
 }
 
+// changed wakes an Accept that waits for a change. The caller holds the lock.
 func (d *door) changed() {
 	close(d.change)
 	d.change = make(chan struct{})
 }
 
-// Shut has connections refused from now on.
+// Shut disables the listener: connections are refused until Open.
 func (d *door) Shut() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,16 +103,17 @@
 	d.ending()
 }
 
-// ending has Accept let in who has come, and then close the listener. The caller holds the lock.
+// ending lets Accept return the connections already established and then close the socket. The caller holds the lock.
 func (d *door) ending() {
 	d.by = time.Now().Add(lastMost)
-	if d.l != nil && !deadline(d.l, time.Now()) && d.closed { // else it wakes Accept
+	if d.l != nil && !deadline(d.l, time.Now()) && d.closed { // a deadline wakes Accept; where there are none only closing the socket does
 		_ = d.l.Close()
 	}
 	d.changed()
 }
 
-// Open has connections accepted again.
+// Open enables the listener again. It does nothing if it is enabled or closed, and returns an error if the address can't
+// be listened on.
 func (d *door) Open() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,7 +134,7 @@
 	return nil
 }
 
-// Close implements net.Listener: the door is shut for good. Accept lets in who has come, and then tells its end.
+// Close implements net.Listener. Accept returns the connections already established, and then net.ErrClosed.
 func (d *door) Close() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/door_test.go
@@ -11,8 +11,8 @@
 	"reachwind/internal/core"
 )
 
-// TestDoor: while the door is shut and opened again and again, a client that has connected is let in: none is reset unseen
-// by the hundred, and those that are refused know it at once.
+// TestDoor: while the listener is disabled and enabled again and again, clients that have connected are accepted: at most
+// one in a hundred is reset without having been accepted, and refused clients notice it at once.
 func TestDoor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,23 +69,23 @@
 	}
 	close(stop)
 	done.Wait()
-	t.Logf("%d served, %d refused, %d reset unseen", served.Load(), refused.Load(), lost.Load())
+	t.Logf("%d served, %d refused, %d reset without being accepted", served.Load(), refused.Load(), lost.Load())
 	if served.Load() < 100 || refused.Load() == 0 {
-		t.Errorf("%d served, %d refused: this shows little", served.Load(), refused.Load())
+		t.Errorf("%d served, %d refused: want at least 100 and 1, else the test shows little", served.Load(), refused.Load())
 	}
 	if lost.Load()*100 > served.Load() {
-		t.Errorf("%d connections were reset unseen, %d served", lost.Load(), served.Load())
+		t.Errorf("%d connections were reset without being accepted, %d served", lost.Load(), served.Load())
 	}
 	if err := d.Close(); err != nil {
 		t.Error(err)
 	}
 	if err := d.Open(); err != nil || d.Close() != nil {
-		t.Error("a door that is closed for good can be opened")
+		t.Error("a closed listener can be enabled, or closing it again fails")
 	}
 }
 
-// TestDoorCloses: who has connected when the door is shut or closed for good, and whom nobody has let in, is let in with
-// what it sent; then connections are refused, also where clients come all the time.
+// TestDoorCloses: connections that wait to be accepted when the listener is disabled or closed are accepted, with what they
+// sent. Then connections are refused, even if clients keep connecting.
 func TestDoorCloses(t *testing.T) {
 	for name, end := range map[string]func(*door){"shut": (*door).Shut, "closed": func(d *door) { _ = d.Close() }} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,7 +107,7 @@
 			}
 			clients = append(clients, c)
 		}
-		end(d) // nobody has accepted any
+		end(d) // none of them has been accepted
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestOverlay: a member that is permitted to go out is listed as draining whatever discovery says, until it no longer is;
-// never the last usable one of its group.
+// TestOverlay: a member that is permitted to go out of service is listed as draining, whatever discovery says, until the
+// permit ends; but never the last usable member of its group.
 func TestOverlay(t *testing.T) {
 	state := map[string]decide.MemberState{}
 	o := newOverlay("g", func(kind decide.EventKind, members []core.Listed) {
@@ -172,12 +172,12 @@
 	want("permitted", "a", decide.Draining)
 	want("the last of its group", "c", decide.Up)
 	if o.Kept != 1 {
-		t.Errorf("%d were kept in use, want 1", o.Kept)
+		t.Errorf("%d members kept in use, want 1", o.Kept)
 	}
 	o.List(decide.ListSaved, all)
 	want("listed anew", "a", decide.Draining)
 	o.List(decide.ListChange, []core.Listed{member("b", 1, decide.Draining)})
-	o.Drain([]string{"a"}) // b drains by discovery: a is the last
+	o.Drain([]string{"a"}) // discovery lists b as draining: a is the last usable one
 	want("the other one drains", "a", decide.Up)
 	o.List(decide.ListChange, []core.Listed{member("b", 1, decide.Up)})
 	o.Drain([]string{"a"})
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -20,18 +20,18 @@
 	"reachwind/internal/terms"
 )
 
-// Edge is the product configuration, read and checked. A part that is nil is off.
+// Edge is the product configuration, read and validated. A subsystem that is nil does not run.
 type Edge struct {
 	Syslog *logship.Config
 	REST   *restfront.Config
 	Fleet  *fleet.Config
 }
 
-// LoadEdge reads the product configuration at path for a gateway. An error may hold many faults, see
-// edgeconf.Faults.
+// LoadEdge reads the product configuration at path for the gateway with configuration c. An error may be a list of
+// faults, see edgeconf.Faults.
 func LoadEdge(path string, c *Config) (*Edge, error) { return loadEdge(path, c, c.terms.Now().Names) }
 
-// loadEdge is LoadEdge with the names that records may hold.
+// loadEdge is LoadEdge with the names of classes, outcomes and so on that records may contain.
 func loadEdge(path string, c *Config, names terms.Names) (*Edge, error) {
 	e := new(Edge)
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
@@ -70,17 +70,17 @@
 
 // Budget is how descriptors and memory are divided.
 type Budget struct {
-	Sockets int // that are divided by shares, after the parts took theirs: what the shares leave holds ownFiles
-	Clients int
-	Members int
-	Buffers int   // statements and answers,
-	Small   int   // and those for small ones
-	Memory  int64 // bytes, of the buffers
-	Parts   int64 // bytes that the parts of the product configuration hold at most
-	Files   int   // descriptors of these
+	Sockets int   // descriptors divided by fractions, without the subsystems' ones: what the fractions leave covers ownFiles
+	Clients int   // client connections
+	Members int   // member connections
+	Buffers int   // full-size buffers for statements and answers
+	Small   int   // small buffers for statements and answers
+	Memory  int64 // bytes of all buffers
+	Parts   int64 // bytes that subsystems and the admin API hold at most
+	Files   int   // descriptors that subsystems and the admin API hold at most
 }
 
-// Budget divides the limits. Without parts it is the platform's division.
+// Budget divides the limits. Without subsystems and admin API it is the division that the platform expects.
 func (c *Config) Budget(e *Edge) Budget {
 	var b Budget
 	memory := c.memory
@@ -112,9 +112,9 @@
 	return b
 }
 
-var errRestart = errors.New("a block that comes or goes, and what a front listens on, take a restart")
+var errRestart = errors.New("adding or removing the block, or changing what a front listens on, takes a restart of the gateway")
 
-// startREST starts the REST front.
+// startREST starts the REST front. It returns an error if the front can't be configured or its address not listened on.
 func startREST(conf *restfront.Config, owner *core.Core, claims *call.Claims, log *slog.Logger) (part, error) {
 	s, err := restfront.New(owner, *conf, claims, log)
 	if err != nil {
@@ -135,15 +135,15 @@
 	}, nil
 }
 
-// startSyslog starts the shipper and has the core and the log give it their records.
+// startSyslog starts the log shipper and registers it as the sink of the core's and the log's records.
 func startSyslog(conf *logship.Config, owner *core.Core, cold time.Duration, o Options) (part, error) {
 	start := owner.Now()
-	key := make([]byte, 32) // sessions are told apart as long as this process lives, and by nobody else
+	key := make([]byte, 32) // for hashed session names: comparable while this process lives, and not outside it
 	if _, err := rand.Read(key); err != nil {
 		return part{}, err
 	}
 	own := o.Log
-	if o.Records != nil { // what the shipper itself says must not become records: it would feed itself
+	if o.Records != nil { // the shipper's own log lines must not become records, since each would cause another
 		own = slog.New(o.Records.Handler)
 	}
 	fill := func(c logship.Config) logship.Config {
--- a/internal/gateway/edge_test.go
+++ b/internal/gateway/edge_test.go
@@ -19,7 +19,7 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// fixed is the configuration as the operators fixed it, but for its files.
+// fixed is the form of the product configuration that was agreed with the operators, except for the files it names.
 const fixed = `syslog {
   hostname   = "gw-1"
   app_name   = "reachwind"
@@ -63,7 +63,8 @@
 	return conf
 }
 
-// TestEdge: the configuration as fixed is taken, also the example that ships; faults are told with their lines.
+// TestEdge: the agreed form of the product configuration and the example that ships with the program are accepted, and
+// faults are reported with line and column.
 func TestEdge(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 1})
 	if err != nil {
@@ -83,13 +84,13 @@
 		t.Fatal(err)
 	}
 	if s := e.Syslog; s.Memory != 4<<20 || s.Disk != 256<<20 || s.MaxAge != 24*time.Hour || len(s.Collectors) != 2 || len(s.Routes) != 2 || s.Spool != filepath.Join(filepath.Dir(path), "spool") {
-		t.Errorf("read as %+v", s)
+		t.Errorf("syslog block read as %+v", s)
 	}
 	if _, err := LoadEdge("../../deploy/edge.hcl", conf); err != nil {
-		t.Errorf("the example: %v", err)
+		t.Errorf("deploy/edge.hcl: %v", err)
 	}
 	if b, off := conf.Budget(e), conf.Budget(new(Edge)); b.Sockets >= off.Sockets || b.Buffers >= off.Buffers || off.Clients != 512 || off.Members != 337 {
-		t.Errorf("budget with parts %+v, without %+v", b, off)
+		t.Errorf("budget with subsystems %+v, without %+v", b, off)
 	}
 	_, err = load(strings.NewReplacer(`"32473"`, "", `transport = "tcp"`, `transport = "carrier"`, `to     = ["spare"]`, `to = ["spar"]`, `"failed"]`, `"lost"]`,
 		`sample = 0.1`, `sample = 2`, `"24h"`, `"1 day"`).Replace(fixed))
@@ -100,8 +101,8 @@
 	}
 }
 
-// TestRecordsMatchAnswers: through a gateway with a collector, each answer that clients got has its record, changes
-// of members and the gateway's own lines come too, and a reload with a fault changes nothing.
+// TestRecordsMatchAnswers: a gateway with a collector ships a record for each answer that clients received, as well as
+// changes of members and its own log lines. A reload of a faulty product configuration changes nothing.
 func TestRecordsMatchAnswers(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 1, Replicas: 1, Lag: 5 * time.Millisecond})
 	if err != nil {
@@ -170,7 +171,7 @@
 	}
 	defer conn.Close()
 	want, all := map[string]int{}, 60
-	for i := 0; want["served"] == 0 && i < 500; i++ { // until the primary is known
+	for i := 0; want["served"] == 0 && i < 500; i++ { // until the primary has been found
 		q := pgclient.Request{ID: fmt.Sprint("w", i), Class: "map-edits", Tenant: "kea-basin", Wait: time.Second, Key: fmt.Sprint("w", i), Item: "note", Value: "v", Write: true}
 		a, err := conn.Do(&q)
 		if err != nil {
@@ -186,9 +187,9 @@
 		case 1:
 			q = pgclient.Request{ID: q.ID, Class: "my-notes", Tenant: "red-saddle", Wait: time.Second, Item: "note"}
 		case 2:
-			q = pgclient.Request{ID: q.ID, Class: "field-info", Tenant: "red-saddle", Wait: time.Second, Item: "note", Cluster: 7} // there is no such group
+			q = pgclient.Request{ID: q.ID, Class: "field-info", Tenant: "red-saddle", Wait: time.Second, Item: "note", Cluster: 7} // this group does not exist
 			if i > 30 {
-				q.Tenant = "" // the front can't read that
+				q.Tenant = "" // the front can't parse that
 			}
 		}
 		a, err := conn.Do(&q)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,14 +16,14 @@
 	"reachwind/internal/fleet/subscribe"
 )
 
-// told joins the gateway to the fleet: what peers say goes to the module as events, and what it asked of the shared
-// budgets comes back.
+// told implements fleet.Gateway: it passes peers' reports and quotas to package decide as events, and gives the fleet the
+// counters and observations of this gateway.
 type told struct {
 	*running
-	counts *subscribe.Counts          // the owner's
-	tried  map[string]subscribe.Tried // by zone, the owner's
-	looks  int
-	at     int // of the members told of last
+	counts *subscribe.Counts          // owned by the core's goroutine
+	tried  map[string]subscribe.Tried // attempts by zone; owned by the core's goroutine
+	looks  int                        // number of probes so far, which selects the next member to probe
+	at     int                        // index of the member reported last
 }
 
 // Told implements fleet.Gateway.
@@ -78,11 +78,11 @@
 	}
 }
 
-// looksMost are the looks a second at members of zones that load goes away from.
+// looksMost limits the probes per second of members in zones that load is moved away from.
 const looksMost = 3
 
-// Look implements fleet.Gateway: it tries whether members of zones that load goes away from take connections, some each
-// time. It is weak evidence, and enough to send a first trial part there again.
+// Look implements fleet.Gateway. It probes whether some members of zones that load is moved away from accept connections,
+// other ones each time. That is weak evidence, but enough for returning a first small fraction of the load.
 func (g *told) Look() {
 	if g.over == nil {
 		return
@@ -107,7 +107,7 @@
 	}
 }
 
-// try counts an attempt at a member of a zone. It is the owner's.
+// try counts an attempt at a member of a zone. It runs on the core's goroutine.
 func (g *told) try(zone string, r decide.Result) {
 	t, ok := g.tried[zone]
 	if !ok && len(g.tried) >= agreed.ZonesMost {
@@ -141,7 +141,7 @@
 // Busy implements fleet.Gateway.
 func (g *told) Busy() int { return g.front.Open() }
 
-// sees is the way back: what the gateway sees, for the fleet.
+// sees implements core.Witness: it reports to the fleet what the core observes.
 type sees struct {
 	f      *fleet.Fleet
 	counts *subscribe.Counts
@@ -195,7 +195,7 @@
 // Listed implements core.Witness.
 func (s sees) Listed() { s.f.Discovered() }
 
-// startFleet has the gateway know its peers.
+// startFleet starts the fleet subsystem of g, which has a number of full-size buffers.
 func startFleet(conf *fleet.Config, g *running, buffers int) (part, error) {
 	wall := g.o.Wall
 	if wall == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway puts the parts of a gateway together: it starts them in order,
-// has them reread their configuration, and stops them in order under one deadline.
+// Package gateway assembles a gateway process from its subsystems: it starts them in
+// order, reloads their configuration on SIGHUP, and stops them in order under one deadline.
 package gateway
 
 import (
@@ -33,50 +33,50 @@
 	database = "shop"
 
 	leastSockets  = 64
-	leastShared   = 16 // of them, where parts of the product configuration take nearly all
+	leastShared   = 16 // descriptors divided among clients and members, even where subsystems claim nearly all
 	leastMemory   = 32 << 20
-	clientPart    = 0.5   // of the descriptors, for client connections
-	idlePart      = 0.08  // of those, for such as are idle
-	sparePart     = 0.08  // for those being ended or refused
-	memberPart    = 0.33  // for member connections; the rest is for ownFiles
+	clientPart    = 0.5   // of the divided descriptors, for client connections
+	idlePart      = 0.08  // of the divided descriptors, for idle client connections
+	sparePart     = 0.08  // of the divided descriptors, for connections being closed or refused
+	memberPart    = 0.33  // of the divided descriptors, for member connections; the remainder covers the process's own descriptors
 	bufferPart    = 0.5   // of the memory, for buffers
-	smallPart     = 0.125 // of these, for small ones: more of them than there are connections
-	softPart      = 0.8   // of the memory, above which the collector works harder
-	garbagePart   = 25    // per cent of what is in use: buffers are most of that, and garbage may grow with it
+	smallPart     = 0.125 // of the buffer memory, for small buffers: there must be more of them than connections
+	softPart      = 0.8   // of the memory: the soft limit of Go's garbage collector
+	garbagePart   = 25    // GOGC in per cent: most live memory is buffers, and the heap may grow in proportion to it
 	freeMemory    = 512 << 20
-	partsMost     = 2 * time.Second        // what other parts may take to end, after the last client has
-	acceptAfter   = 500 * time.Millisecond // clients keep coming for 0.4 s after SIGTERM
-	answerMoment  = 350 * time.Millisecond // past the longest deadline: what was taken has its answer by then,
-	wordMoment    = 400 * time.Millisecond // nobody waits for the rest of a command by then,
-	lastMoment    = 600 * time.Millisecond // and the process ends by then; SIGKILL may come 0.1 s later
+	partsMost     = 2 * time.Second        // for all subsystems to stop, after the last client has left
+	acceptAfter   = 500 * time.Millisecond // after SIGTERM: clients are still routed here for 0.4 s
+	answerMoment  = 350 * time.Millisecond // past the longest deadline: every accepted request has been answered
+	wordMoment    = 400 * time.Millisecond // past the longest deadline: incomplete commands are no longer waited for
+	lastMoment    = 600 * time.Millisecond // past the longest deadline: the process exits; SIGKILL may follow 0.1 s later
 	connectUsual  = 250 * time.Millisecond
 	idleUsual     = 15 * time.Second
 	graceUsual    = 250 * time.Millisecond
-	longestMost   = 3 * time.Second // which the platform takes the longest deadline for where it is longer
+	longestMost   = 3 * time.Second // the platform counts longer deadlines as this one
 	startWait     = 2500 * time.Millisecond
 	writeWait     = 5 * time.Second
 	refuseWait    = time.Second
 	idleMost      = 2 * time.Second
 	buffersLeast  = 16
-	passReserve   = 0.5  // of the buffers, for all but answers that pass through, which can do without
-	bufferReserve = 0.15 // of the buffers, for the members' answers, which hold them for moments only
+	passReserve   = 0.5  // of the buffers, withheld from answers that are passed through: these can do without buffers
+	bufferReserve = 0.15 // of the buffers, for members' answers, which hold them only briefly
 )
 
-// Options are what the command line says.
+// Options hold the settings of a process that come from its command line.
 type Options struct {
-	Path    string // of the configuration, for SIGHUP
-	Edge    string // of the product configuration; empty: none, and no part of it runs
+	Path    string // of the configuration file; read again on SIGHUP
+	Edge    string // path of the product configuration; empty: none, and its subsystems do not run
 	Version string
 	Log     *slog.Logger
-	Records *record.Handler // that Log goes through; takes the sink of records
+	Records *record.Handler // the handler behind Log, which is given the sink of records
 	Dial    pgmember.Dialer // to members and discovery; nil: TCP
-	// Handover is the folder where processes of this gateway that replace each other share what binds them; empty: none does.
+	// Handover is the folder in which successive processes of this gateway share state; empty: no handover.
 	Handover string
-	Wall     func() time.Time // nil: the system's; another one only in laboratories, where clocks are set apart
+	Wall     func() time.Time // nil: the system's clock; test labs set it to simulate clock offsets
 }
 
-// Serve runs the gateway until SIGTERM or SIGINT, then winds it down. SIGHUP has
-// it read its configuration again; until the very end, as it would end the program.
+// Serve runs the gateway until SIGTERM or SIGINT, then shuts it down gracefully. SIGHUP
+// reloads the configuration. It is handled until Serve returns, since its default action ends the process.
 func Serve(c *Config, o Options) error {
 	hup := c.hup
 	if hup == nil {
@@ -85,7 +85,7 @@
 	}
 	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	runtime.GOMAXPROCS(1) // a gateway has one core: more threads would only take turns on it
+	runtime.GOMAXPROCS(1) // a gateway is given one CPU core: more threads would only compete for it
 	if c.memory > 0 {
 		debug.SetMemoryLimit(int64(softPart * float64(c.memory)))
 		debug.SetGCPercent(garbagePart)
@@ -102,17 +102,17 @@
 	return Run(term, hup, c, listener, o)
 }
 
-// part is a subsystem of the product configuration.
+// part is a subsystem that the product configuration enables.
 type part struct {
 	name string
-	// prepare checks a new configuration; apply takes it over. Where it runs and the new one has it no more, or
-	// the other way round, that is an error: it takes a restart.
+	// prepare checks a new configuration; apply puts it into force. A configuration that adds or removes the
+	// subsystem is an error, since that takes a restart.
 	prepare func(*Edge) (apply func(), err error)
-	drain   func(context.Context) // a front: take nothing new and answer what was taken; nil: none
-	stop    func(context.Context) // end, once all fronts have; nil: nothing to do
+	drain   func(context.Context) // for fronts: accept nothing new and answer accepted requests; nil: nothing to do
+	stop    func(context.Context) // called once all fronts have drained; nil: nothing to do
 }
 
-// running is a gateway at work.
+// running is a running gateway.
 type running struct {
 	o      Options
 	c      *Config
@@ -124,24 +124,24 @@
 	front  *pgfront.Server
 	claims *call.Claims
 	parts  []part
-	over   *overlay   // nil: nobody agrees on drains
-	ops    *operators // nil: operators have no door
-	fleet  *fleet.Fleet
-	line   *succession          // nil: no other process takes this one's place
-	most   int                  // client connections
-	door   atomic.Pointer[door] // nil: not serving yet
-	came   func() time.Time     // when SIGTERM came, once it has
+	over   *overlay             // nil: no council is configured
+	ops    *operators           // nil: no admin API
+	fleet  *fleet.Fleet         // nil: no fleet is configured
+	line   *succession          // nil: no handover between processes
+	most   int                  // maximum number of client connections
+	door   atomic.Pointer[door] // nil: not serving yet, or no fleet
+	came   func() time.Time     // when SIGTERM arrived; waits for it
 }
 
-// Sizes are the lengths of the tables that peers and time could grow; docs/design/fleet.md has their bounds.
+// Sizes are the lengths of the tables that could grow with time or with peers' input; docs/design/fleet.md lists their bounds.
 type Sizes struct {
 	Decide decide.Sizes
 	Core   core.Sizes
 	Pool   pgmember.Sizes
-	Claims int // ids in work
+	Claims int // ids of requests in progress
 }
 
-// sizes asks the owner for them; it must be at work.
+// sizes collects them on the core's goroutine, which must be running.
 func (g *running) sizes() (s Sizes) {
 	done := make(chan struct{})
 	g.owner.Post(func() {
@@ -152,8 +152,8 @@
 	return s
 }
 
-// reload takes from the configuration what may change while the gateway runs: all of it, or nothing where any
-// part of it can't be used.
+// reload applies the changes of the configuration files that are possible while the gateway runs. If any part of them is
+// unusable nothing is applied.
 func (g *running) reload() {
 	next, err := g.reread()
 	var apply []func()
@@ -196,7 +196,7 @@
 
 // Run serves listener until term ends.
 func Run(term context.Context, hup <-chan os.Signal, c *Config, listener net.Listener, o Options) error {
-	came := noticed(term) // it may come while the gateway is built
+	came := noticed(term) // SIGTERM may arrive while the gateway is being built
 	g, err := build(c, o)
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 	return g.run(term, hup, listener)
 }
 
-// build puts a gateway together. Its parts are started, the gateway proper is not.
+// build assembles a gateway. Its subsystems are started; the core, discovery and the PostgreSQL front are not.
 func build(c *Config, o Options) (*running, error) {
 	log := o.Log
 	edge := new(Edge)
@@ -297,7 +297,7 @@
 	return g, nil
 }
 
-// run serves listener until term ends, then winds down.
+// run serves listener until term ends, then shuts down gracefully.
 func (g *running) run(term context.Context, hup <-chan os.Signal, listener net.Listener) error {
 	c, log := g.c, g.o.Log
 	if g.came == nil {
@@ -341,10 +341,10 @@
 	plan := planOf(g.came(), c.terms.Now().Longest)
 	g.owner.EndBy(g.owner.Now() + time.Until(plan.answer))
 	g.ops.leave()
-	if g.line.succeeded() { // who comes from now on waits for the other on the socket that both hold
+	if g.line.succeeded() { // new connections wait for the successor on the socket that both processes hold
 		plan.accept = plan.came
 	}
-	if g.fleet != nil { // asks for a permit, and waits for it no longer than configured
+	if g.fleet != nil { // requests a permit, and waits for it no longer than configured
 		wait, stop := context.WithDeadline(context.Background(), plan.answer)
 		g.fleet.Leave(wait)
 		stop()
@@ -361,7 +361,7 @@
 	return nil
 }
 
-// drain has all fronts of the parts answer what they took, until then at the latest.
+// drain lets the fronts of all subsystems answer the requests they have accepted, and returns at until at the latest.
 func (g *running) drain(until time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
@@ -378,7 +378,7 @@
 	done.Wait()
 }
 
-// stop ends the parts in the reverse order of their start, all under one deadline.
+// stop stops the subsystems in the reverse order of their start, all under one deadline.
 func (g *running) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), partsMost)
 	defer cancel()
@@ -389,25 +389,25 @@
 	}
 }
 
-// plan says when what happens in a graceful shutdown. All of it counts from SIGTERM, as the platform counts.
+// plan is the schedule of a graceful shutdown. All times count from SIGTERM, as the platform counts.
 type plan struct {
-	came   time.Time // SIGTERM
-	accept time.Time // connections are accepted until then: clients may still be sent here
-	answer time.Time // what was taken has its answer by then
-	word   time.Time // and commands that are not whole by then are not waited for
-	last   time.Time // the process ends
+	came   time.Time // SIGTERM arrived
+	accept time.Time // connections are accepted until then: clients may still be routed here
+	answer time.Time // accepted requests have been answered by then
+	word   time.Time // incomplete commands are no longer waited for
+	last   time.Time // the process exits
 }
 
-// planOf plans for a SIGTERM that came then, longest being the longest deadline.
+// planOf returns the schedule after a SIGTERM at came; longest is the longest deadline of any class.
 func planOf(came time.Time, longest time.Duration) plan {
 	longest = min(longest, longestMost)
 	return plan{came: came, accept: came.Add(acceptAfter), answer: came.Add(longest + answerMoment),
 		word: came.Add(longest + wordMoment), last: came.Add(lastCall(longest))}
 }
 
-// windDown keeps accepting while clients may still be sent here, then answers
-// what was taken and ends when all connections are gone, at the latest before
-// the platform would end it.
+// windDown keeps accepting while clients may still be routed here, then answers accepted
+// requests and returns when all connections are closed, at the latest before the platform
+// sends SIGKILL.
 func windDown(p plan, front *pgfront.Server, listener net.Listener, served <-chan error, log *slog.Logger) {
 	log.Info("stopping", "accept_for", time.Until(p.accept).Round(time.Millisecond))
 	late := time.NewTimer(time.Until(p.last))
@@ -415,13 +415,13 @@
 	word := time.AfterFunc(time.Until(p.word), front.LastCall)
 	defer word.Stop()
 	time.Sleep(time.Until(p.accept))
-	if p.accept.After(p.came) { // else who waits there is the successor's
+	if p.accept.After(p.came) { // otherwise waiting connections belong to the successor
 		takeBacklog(listener, front.Handle, log)
 	}
 	_ = listener.Close()
 	done := make(chan struct{})
 	go func() {
-		<-served // else the process could end with a connection that was accepted and that nobody has counted yet
+		<-served // otherwise the process could exit with an accepted connection that is not yet counted as open
 		front.Shutdown()
 		close(done)
 	}()
@@ -433,13 +433,14 @@
 	}
 }
 
-// lastCall is how long after SIGTERM the gateway may still run: SIGKILL follows
-// the longest deadline, which the platform takes as 3 s where it is longer.
+// lastCall returns how long the gateway may run after SIGTERM. SIGKILL follows
+// the longest deadline, which the platform counts as 3 s where it is longer.
 func lastCall(longest time.Duration) time.Duration {
 	return min(longest, longestMost) + lastMoment
 }
 
-// noticed returns a function that tells when ctx ended, counted from its end also where nobody looked yet.
+// noticed returns a function that waits for the end of ctx and returns its time, recorded when ctx ended and not when
+// the function is called.
 func noticed(ctx context.Context) func() time.Time {
 	at := make(chan time.Time, 1)
 	context.AfterFunc(ctx, func() { at <- time.Now() })
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -28,23 +28,23 @@
 )
 
 const (
-	lookAlone    = 50 * time.Millisecond   // between looks for another process of this gateway
-	lookTogether = 20 * time.Millisecond   // and at what it changed, while there is one
-	countEach    = 5                       // such looks between two counts of the descriptors in use
-	warmMost     = 1500 * time.Millisecond // a successor waits so long for discovery before it accepts: the other still serves
-	warmLeast    = 3 * lookAlone           // and so long in any case, till the other has seen it
+	lookAlone    = 50 * time.Millisecond   // between checks for another process of this gateway, while there is none
+	lookTogether = 20 * time.Millisecond   // between checks of the shared state, while there is one
+	countEach    = 5                       // checks per count of the descriptors in use, while there is one
+	warmMost     = 1500 * time.Millisecond // that a successor waits for discovery before it accepts: the former process still serves
+	warmLeast    = 3 * lookAlone           // that a successor waits in any case, so that the former process notices it
 
-	listFile    = "reachwind.list"
-	machineFile = "reachwind.machines" // what operators said of db machines
+	listFile    = "reachwind.list"     // last list of members
+	machineFile = "reachwind.machines" // members suspended or resumed by operators
 
-	configFile = "reachwind.config" // the configuration as last taken
+	configFile = "reachwind.config" // last accepted configuration
 
-	takeWait  = 250 * time.Millisecond // for another process to take over what operators said
-	takeLeast = 50 * time.Millisecond
-	readEach  = 5 // looks between two readings of that where changes can't be counted
+	takeWait  = 250 * time.Millisecond // that a suspension waits for the other processes' acknowledgment
+	takeLeast = 50 * time.Millisecond  // the same, where the operator's deadline is closer
+	readEach  = 5                      // checks per reading of machineFile, where its changes can't be counted
 )
 
-// SocketError says that the listening socket that the platform holds can't be used.
+// SocketError reports that the listening socket passed on by the platform can't be used.
 type SocketError struct {
 	Found string
 	Err   error
@@ -54,65 +54,67 @@
 	return fmt.Sprintf("NODE_SOCKET_FD is %q (%v), wanted the number of an open listening TCP socket: have the platform pass it on, or unset NODE_SOCKET_FD to listen on the address", e.Found, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SocketError) Unwrap() error { return e.Err }
 
-// listen opens the clients' listener, or takes the one that the platform holds.
+// listen listens on addr, or on the socket passed on by the platform if fd is not empty. That fails with a *SocketError if
+// fd is not the number of a listening TCP socket.
 func listen(addr, fd string) (net.Listener, error) {
 	if fd == "" {
 		return net.Listen("tcp", addr)
 	}
 	n, err := strconv.ParseUint(fd, 10, 16)
 	if err != nil {
-		return nil, &SocketError{fd, errors.New("no number of a descriptor")}
+		return nil, &SocketError{fd, errors.New("not the number of a descriptor")}
 	}
 	f := os.NewFile(uintptr(n), "clients")
 	if f == nil {
-		return nil, &SocketError{fd, errors.New("no descriptor")}
+		return nil, &SocketError{fd, errors.New("not a descriptor")}
 	}
-	defer func() { _ = f.Close() }() // FileListener has its own
+	defer func() { _ = f.Close() }() // FileListener duplicates the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, &SocketError{fd, err}
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		_ = l.Close()
-		return nil, &SocketError{fd, errors.New("a socket, but none of TCP")}
+		return nil, &SocketError{fd, errors.New("a socket, but not of TCP")}
 	}
 	return l, nil
 }
 
-// succession is this process's part in the replacement of one process by another: it shares what binds both. See
-// docs/design/handover.md. A nil succession shares nothing and costs nothing.
+// succession is this process's side of the handover from one process of the gateway to the next: it shares state with the
+// other processes, passes client connections on and takes them over. See docs/design/handover.md. A nil succession does
+// nothing.
 type succession struct {
 	board   *handover.Board
 	log     *slog.Logger
 	now     func() core.Time
 	addr    string // of discovery
 	memory  int64
-	done    chan struct{}
-	failing often.Line
-	passed  atomic.Int64
-	kept    atomic.Int64
-
-	floor   atomic.Int64 // what session reads must see where commits can't be shared; forever while another lives
-	others  atomic.Int32
-	heard   chan struct{} // closed with the first whole list of discovery
-	once    sync.Once
-	apply   func(part float64, sockets int)
-	changed func(count uint64) // what operators said is to be read, and then count to be said to be seen
+	done    chan struct{} // closed by stop
+	failing often.Line    // limits the log lines on failures to share
+	passed  atomic.Int64  // connections passed on
+	kept    atomic.Int64  // connections that could not be passed on
+
+	floor   atomic.Int64                    // position that session reads must see where commits are not shared; forever while another process lives
+	others  atomic.Int32                    // number of other processes
+	heard   chan struct{}                   // closed with the first list that discovery sends
+	once    sync.Once                       // closes heard
+	apply   func(part float64, sockets int) // limits this process to part of the memory and to so many descriptors
+	changed func(count uint64)              // reads the shared suspensions and acknowledges that count changes of them were seen
 
 	mu      sync.Mutex
 	adopt   func(net.Conn, bool) // takes over a connection; nil: not serving yet
-	end     func()               // of taking connections over; nil: not begun, or over
-	leaving bool                 // it takes over none any more
+	end     func()               // stops taking connections over; nil: not started, or stopped
+	leaving bool                 // no more connections are taken over
 	listed  map[string]core.Listed
 	version func() int64 // of the list
-	pending bool         // a save is on, or will be
-	again   bool         // and once more after it
+	pending bool         // the list is being saved, or will be
+	again   bool         // the list changed meanwhile and must be saved once more
 }
 
-// succeed takes part in the succession in folder dir, "" being none.
+// succeed opens the state shared in folder dir. It returns nil if dir is empty or the folder can't be used at all.
 func succeed(dir string, c *Config, now func() core.Time, log *slog.Logger) *succession {
 	if dir == "" {
 		return nil
@@ -130,7 +132,7 @@
 	return s
 }
 
-// inherit gives the list that the former process had, if it is newer than what the configuration says.
+// inherit replaces the list of c with the former process's if that is of the same discovery and not older.
 func (s *succession) inherit(c *Config) {
 	if s == nil {
 		return
@@ -153,7 +155,7 @@
 	}
 }
 
-// keep keeps the text of a configuration that was taken for the next process, should it find a file that can't be used.
+// keep saves the text of an accepted configuration, which the next process uses if it finds the file unusable.
 func (s *succession) keep(text []byte) {
 	if s == nil || len(text) == 0 {
 		return
@@ -163,7 +165,7 @@
 	}
 }
 
-// List notes what discovery says, for a process that follows.
+// List implements discovery.Sink. It keeps the list and saves it for the next process.
 func (s *succession) List(kind decide.EventKind, members []core.Listed) {
 	if s == nil || !kind.HasList() {
 		return
@@ -196,7 +198,7 @@
 	}
 }
 
-// save writes the list, and once more where it changed meanwhile.
+// save writes the list to the shared state, and repeats that while the list changes.
 func (s *succession) save() {
 	for {
 		s.mu.Lock()
@@ -240,9 +242,9 @@
 	return at
 }
 
-const forever = 1<<63 - 1 // floor while another process lives that does not share
+const forever = 1<<63 - 1 // floor while there is another process and commits are not shared with it
 
-// look sees who else lives, and takes the consequences.
+// look finds the other processes, retries sharing where it failed, and sets the floor of session reads.
 func (s *succession) look() []handover.Other {
 	others := s.board.Others()
 	n := int32(len(others))
@@ -269,7 +271,8 @@
 	return others
 }
 
-// run keeps to what this process may use beside others, until stop.
+// run checks for other processes, and adapts this process's limits to them, until stop. sockets is the descriptors that
+// all processes divide.
 func (s *succession) run(sockets int) {
 	last, ticks, seen := sockets, 0, uint64(0)
 	for {
@@ -303,8 +306,8 @@
 	}
 }
 
-// leave has former processes keep their connections, or pass them on to others, as this one begins to end: what it has
-// been given by then it takes over, and answers. It may be called more than once.
+// leave stops taking connections over, as this process begins to end: former processes keep theirs or pass them on to
+// another process. Connections received by then are taken over and answered. It may be called more than once.
 func (s *succession) leave() {
 	s.mu.Lock()
 	end := s.end
@@ -316,6 +319,7 @@
 	}
 }
 
+// stop ends run and the taking over of connections, and logs how many were passed on.
 func (s *succession) stop() {
 	if s == nil {
 		return
@@ -325,10 +329,10 @@
 	s.log.Info("handover: ending", "passed_on", s.passed.Load(), "not_passed_on", s.kept.Load())
 }
 
-const ownFolder = "/proc/self/fd" // a name for each descriptor that this process holds
+const ownFolder = "/proc/self/fd" // has an entry for each descriptor that this process holds
 
-// descriptors counts those in a folder. Where it can't be read, for want of a descriptor most likely, they are all that there
-// may be: another process that is told of too few would take what is not free.
+// descriptors counts the entries of a folder, which is ownFolder outside tests. It returns most if the folder can't be
+// read, most likely for lack of a descriptor: reporting too few would let another process use descriptors that are not free.
 func descriptors(folder string, most int) int {
 	d, err := os.Open(folder)
 	if err != nil {
@@ -342,7 +346,8 @@
 	return len(names)
 }
 
-// inherit takes over what operators said to other processes, and then says that it has seen count changes.
+// inherit takes over the suspensions that operators made through other processes, and then acknowledges that it has seen
+// count changes of them.
 func (o *operators) inherit(count uint64) {
 	all, err := o.line.said()
 	if err != nil && !errors.Is(err, handover.ErrMissing) {
@@ -361,7 +366,7 @@
 	o.owner.Post(func() { o.line.board.Saw(count) })
 }
 
-// said reads what operators said, to any process.
+// said reads the suspensions that operators made through any process.
 func (s *succession) said() (all []suspend.Entry, err error) {
 	text, err := s.board.Load(machineFile)
 	if err == nil {
@@ -370,9 +375,9 @@
 	return all, err
 }
 
-// share has the other processes of this gateway know what operators said here, err being how that went. While one
-// lives it waits until they have taken it over, but not for long: one that does not run does not send either, and
-// reads it first when it goes on.
+// share publishes this process's suspensions to the other processes of this gateway, unless err says that the operator's
+// call failed; it returns err then. It waits for their acknowledgment for a short time only: a process that is
+// stopped sends nothing to members either, and reads the suspensions first when it continues.
 func (o *operators) share(ctx context.Context, err error) error {
 	if err != nil || o.line == nil {
 		return err
@@ -408,8 +413,8 @@
 	return nil
 }
 
-// warm waits before the first accept while another process serves: for discovery's list, but not for long. From the end
-// of term on nothing more is taken over.
+// warm delays the first accept while another process serves: until discovery has sent a list, at most warmMost. Once term
+// is closed no more connections are taken over.
 func (s *succession) warm(term <-chan struct{}) {
 	if s == nil {
 		return
@@ -437,7 +442,7 @@
 	}
 }
 
-// ready says that this process serves, and takes over the connections of those that end.
+// ready announces that this process serves, and starts to take over the connections of processes that end.
 func (s *succession) ready(adopt func(net.Conn, bool)) {
 	if s != nil {
 		s.mu.Lock()
@@ -447,7 +452,7 @@
 	}
 }
 
-// receive begins to take connections over, once this process serves and has a board.
+// receive starts to take connections over, once this process serves and shares its state.
 func (s *succession) receive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -462,7 +467,7 @@
 	s.board.Ready(true)
 }
 
-// passes gives this process's connections to its successor, nil if there can't be one.
+// passes returns the function that passes a client connection to the successor, nil if there is no handover.
 func (s *succession) passes() pgfront.Pass {
 	if s == nil {
 		return nil
@@ -479,12 +484,13 @@
 	}
 }
 
-// succeeded tells whether another process of this gateway is ready to serve.
+// succeeded reports whether a newer process of this gateway is ready to serve.
 func (s *succession) succeeded() bool {
 	return s != nil && slices.ContainsFunc(s.board.Others(), func(o handover.Other) bool { return o.Ready && !o.Older })
 }
 
-// limit has the gateway use so much of its memory and so many descriptors from now on.
+// limit returns a function that limits the gateway to a fraction of its memory and to a number of descriptors, which are
+// divided as in share.
 func (g *running) limit(bufs *pgwire.Pool, share Budget) func(part float64, sockets int) {
 	return func(part float64, sockets int) {
 		bufs.Limit(int(part*float64(share.Buffers)), int(part*float64(share.Small)))
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	doorPart  = 16 // of the descriptors there is one of so many for the door, within
-	doorLeast = 8  // so many
+	doorPart  = 16 // descriptors per connection of the admin API, which has at least doorLeast connections
+	doorLeast = 8
 
-	beginWait = 100 * time.Millisecond // for the owner to end what it has begun when the caller's time is up
+	beginWait = 100 * time.Millisecond // for a change that is under way when the caller's deadline passes
 )
 
-// door is the configuration of the operators' door.
+// door returns the configuration of the admin API.
 func (c *Config) door() opsdoor.Config {
 	return opsdoor.Config{Addr: c.Admin, Most: min(max(c.sockets/doorPart, doorLeast), opsdoor.DefaultMost)}
 }
 
-// operators is the gateway's side of the door: it has the owner do what operators say, and stands between discovery's
-// list, or the council's overlay, and the core.
+// operators carries out the calls of the admin API. It sits between discovery, or the council's overlay, and the core, and
+// lists suspended members as such to the core.
 type operators struct {
 	owner *core.Core
 	log   *slog.Logger
 	door  *opsdoor.Door
-	line  *succession // nil: no other process takes this one's place
+	line  *succession // nil: no handover between processes
 
-	mu  sync.Mutex // held while the core is told, so that it is told in the order of the changes
+	mu  sync.Mutex // held while the core is notified, so that it gets changes in their order
 	set *suspend.Set
 
-	taken   atomic.Bool // the owner has taken a list with a member
-	leaving atomic.Bool
-	serving atomic.Bool
+	taken   atomic.Bool // the core has applied a list with at least one member
+	leaving atomic.Bool // this process is shutting down
+	serving atomic.Bool // this process accepts clients
 }
 
 func newOperators(conf opsdoor.Config, owner *core.Core, log *slog.Logger) *operators {
@@ -47,7 +47,7 @@
 	return o
 }
 
-// start opens the door; without one it does nothing, like leave and stop.
+// start opens the admin API's listener. Like leave, serve and stop it does nothing where there is no admin API.
 func (o *operators) start() error {
 	if o == nil {
 		return nil
@@ -59,28 +59,28 @@
 	return nil
 }
 
-// leave has the gateway no longer be ready.
+// leave makes Ready fail from now on, as the process shuts down.
 func (o *operators) leave() {
 	if o != nil {
 		o.leaving.Store(true)
 	}
 }
 
-// serve has the gateway be ready, once it accepts clients.
+// serve is called once the gateway accepts clients; Ready fails before.
 func (o *operators) serve() {
 	if o != nil {
 		o.serving.Store(true)
 	}
 }
 
-// stop closes the door.
+// stop closes the admin API.
 func (o *operators) stop() {
 	if o != nil {
 		o.door.Close()
 	}
 }
 
-// List takes what discovery says and passes it on.
+// List implements discovery.Sink. It passes the list on to the core with the suspensions applied.
 func (o *operators) List(kind decide.EventKind, members []core.Listed) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// out tells whether a member is suspended: then not even a look at it is taken.
+// out reports whether a member is suspended. A suspended member must not even be probed.
 func (o *operators) out(id string) bool {
 	if o == nil {
 		return false
@@ -104,11 +104,11 @@
 func (o *operators) Ready() error {
 	switch {
 	case o.leaving.Load():
-		return opsdoor.NotReady{Found: "this process is ending", Do: "call the one that replaces it"}
+		return opsdoor.NotReady{Found: "this process is shutting down", Do: "call the process that replaces it"}
 	case !o.serving.Load():
-		return opsdoor.NotReady{Found: "this process does not accept clients yet", Do: "ask again in a second"}
+		return opsdoor.NotReady{Found: "this process does not accept clients yet", Do: "call again in a second"}
 	case !o.taken.Load():
-		return opsdoor.NotReady{Found: "no list of db machines yet", Do: "look at discovery, or give the configuration a list"}
+		return opsdoor.NotReady{Found: "no list of db machines yet", Do: "check discovery, or put a list into the configuration"}
 	}
 	return nil
 }
@@ -123,10 +123,11 @@
 	return o.share(ctx, o.say(ctx, id, "db machine resumed", (*suspend.Set).Resume))
 }
 
-// say has the owner do what an operator says of a member, and waits until it is in force. By the end of ctx what the
-// owner did not begin is taken back.
+// say applies an operator's change of a member on the core's goroutine, and waits until it is in force. If ctx ends first it
+// returns opsdoor.NotDone, and the change never happens; or opsdoor.Unconfirmed, if the change has begun but is not
+// confirmed within beginWait.
 func (o *operators) say(ctx context.Context, id, line string, do func(*suspend.Set, string, core.Time) ([]core.Listed, error)) error {
-	var begun atomic.Bool // set by whoever comes first: the owner, or the caller who leaves
+	var begun atomic.Bool // set by whichever comes first: the change, or the end of ctx
 	start := time.Now()
 	done := make(chan error, 1)
 	o.owner.Post(func() {
@@ -142,7 +143,7 @@
 		if err == nil {
 			o.log.Info(line, "member", id, "changes", len(change))
 		}
-		o.owner.Post(func() { done <- err }) // behind the change, so that it is in force
+		o.owner.Post(func() { done <- err }) // queued behind the change, which is then in force
 	})
 	select {
 	case err := <-done:
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -22,7 +22,7 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// ring calls the door and returns the status and the text.
+// ring calls the admin API and returns the status code and the body.
 func ring(t *testing.T, method, url string) (int, string) {
 	t.Helper()
 	q, err := http.NewRequest(method, url, nil)
@@ -41,18 +41,19 @@
 	return a.StatusCode, string(text)
 }
 
-// until waits until f is true, for a generous time.
+// until waits until f is true, and fails the test after 20 s.
 func until(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never:", what)
+			t.Fatal("not reached within 20 s:", what)
 		}
 	}
 }
 
-// TestOperators: a gateway with stand-in members under load, whose lists change all the time. After a yes to suspend
-// nothing reaches the member beyond the grace time until resume, also over reloads; then it is used again.
+// TestOperators: a gateway with emulated members is under load while its member list keeps changing. Once the admin API
+// has confirmed a suspension, no request reaches the member after the grace time until it is resumed, not even across
+// reloads; then it is used again.
 func TestOperators(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 2, Replicas: 2, Lag: 2 * time.Millisecond})
 	if err != nil {
@@ -75,7 +76,7 @@
 		t.Fatal(err)
 	}
 	if on, off := conf.Budget(new(Edge)), gatewayFor(t, c).Budget(new(Edge)); on.Sockets+on.Files != off.Sockets || on.Files < 64 {
-		t.Errorf("budget %+v with the door, %+v without", on, off)
+		t.Errorf("budget %+v with the admin API, %+v without", on, off)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,7 +93,7 @@
 			t.Error(err)
 		}
 	}()
-	until(t, "the door", func() bool {
+	until(t, "the admin API is open", func() bool {
 		nc, err := net.Dial("tcp", admin)
 		if err == nil {
 			_ = nc.Close()
@@ -119,7 +120,7 @@
 			for n := 0; load.Err() == nil; n++ {
 				q := pgclient.Request{ID: fmt.Sprint(i, "-", n), Class: "map-tiles", Tenant: "kea-basin", Wait: 2 * time.Second, Cluster: int64(i % 2), Item: "x"}
 				if n%2 == 0 {
-					q.Class = "field-info" // from data of any age: a member that was away long is tried by these
+					q.Class = "field-info" // any replica may serve these, however old its data: a member that was away for long is tried with these
 				}
 				if n%5 == 0 {
 					q.Class, q.Key, q.Value, q.Write = "map-edits", q.ID, "v", true
@@ -138,7 +139,7 @@
 	took := func(m *cluster.Member) int { return c.Took(m) }
 	for _, m := range []*cluster.Member{c.Primary(0), members[rng.IntN(len(members))], members[rng.IntN(len(members))]} {
 		before := took(m)
-		until(t, "use before the ban of "+m.ID, func() bool { return took(m) > before+3 })
+		until(t, "requests before the suspension of "+m.ID, func() bool { return took(m) > before+3 })
 		for range 2 {
 			if code, text := ring(t, "POST", door+"db-machines/"+m.ID+"/suspend"); code != 200 {
 				t.Fatal(code, text)
@@ -146,7 +147,7 @@
 		}
 		time.Sleep(250 * time.Millisecond)
 		before = took(m)
-		for range 12 { // meanwhile the lists say all kinds of things
+		for range 12 { // meanwhile the lists and the member's state change at random
 			switch rng.IntN(4) {
 			case 0:
 				m.Drain(true)
@@ -164,14 +165,14 @@
 		}
 		m.Drain(false)
 		if after := took(m); after != before {
-			t.Errorf("%s took %d more while it was suspended", m.ID, after-before)
+			t.Errorf("%s was sent %d requests while it was suspended", m.ID, after-before)
 		}
 		if code, text := ring(t, "POST", door+"db-machines/"+m.ID+"/resume"); code != 200 {
 			t.Fatal(code, text)
 		}
-		until(t, "use after the ban of "+m.ID, func() bool { return took(m) > before })
+		until(t, "requests after the suspension of "+m.ID, func() bool { return took(m) > before })
 	}
-	// The last members of a group as well: its requests are refused then, and served once they are back.
+	// All members of a group may be suspended: its requests are refused then, and served once they are resumed.
 	all := slices.DeleteFunc(members, func(m *cluster.Member) bool { return m.Group != 1 })
 	for _, m := range all {
 		ring(t, "POST", door+"db-machines/"+m.ID+"/suspend")
@@ -189,7 +190,7 @@
 		return a.Verdict
 	}
 	if v := ask("none"); v != pgclient.Refused {
-		t.Errorf("answer %v from a group without members", pgclient.Names[v])
+		t.Errorf("verdict %v from a group whose members are all suspended", pgclient.Names[v])
 	}
 	for _, m := range all {
 		ring(t, "POST", door+"db-machines/"+m.ID+"/resume")
@@ -207,7 +208,7 @@
 	}
 }
 
-// TestStalledOwner: an owner that does not come to it in time leaves the operator with a no, and does nothing later.
+// TestStalledOwner: while the core's goroutine is stalled a suspension fails at its deadline, and is not carried out later.
 func TestStalledOwner(t *testing.T) {
 	owner := core.New(core.NewClock(), nil, slog.New(slog.DiscardHandler))
 	o := newOperators(opsdoor.Config{}, owner, slog.New(slog.DiscardHandler))
@@ -215,7 +216,7 @@
 	short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := o.Suspend(short, "m"); !errors.As(err, new(opsdoor.NotDone)) {
-		t.Errorf("from a stalled owner: %v", err)
+		t.Errorf("suspension with a stalled core: %v, want NotDone", err)
 	}
 	if err := o.Ready(); err == nil {
 		t.Error("ready without a list")
@@ -229,6 +230,6 @@
 	stop()
 	<-over
 	if ids := o.set.Suspended(); len(ids) > 0 {
-		t.Errorf("after a no, %v are suspended", ids)
+		t.Errorf("%v are suspended although the call failed", ids)
 	}
 }
--- a/internal/gateway/overlay.go
+++ b/internal/gateway/overlay.go
@@ -12,30 +12,30 @@
 	"reachwind/internal/discovery"
 )
 
-// overlay stands between discovery and the core: members that the council has permitted to go out are listed as
-// draining, whatever discovery says, so that work moves off them before they are gone. It never takes the last member
-// of a group that may be used: what is agreed elsewhere may be late, and a group without members serves nobody.
+// overlay sits between discovery and the core. It lists members that the council has permitted to go out of service as
+// draining, whatever discovery says, so that work moves off them in time. It never drains the last usable member of a
+// group: the council's state may be out of date here, and a group without members serves nobody.
 type overlay struct {
 	sink discovery.Sink
 
 	mu     sync.Mutex
-	listed map[string]core.Listed // as discovery has them
-	drains map[string]bool        // as the council has them
-	zones  map[string]float64     // parts of their load that go elsewhere, by the agreed plan
-	first  map[int64]string       // the primary of each group, as this gateway believes
+	listed map[string]core.Listed // members by id, as discovery lists them
+	drains map[string]bool        // members that the council has permitted to go out
+	zones  map[string]float64     // by zone, the fraction of its load that goes elsewhere by the zone plan
+	first  map[int64]string       // by group, the member that this gateway considers its primary
 	name   string                 // of this gateway
-	held   map[string]bool        // that the core was told to be draining for it
-	Kept   int                    // members left in use as they are the last of their group
+	held   map[string]bool        // members listed as draining to the core by this overlay
+	Kept   int                    // members that stay in use because they are the last of their group
 }
 
-// listedMost bounds what is kept of the list; discovery's own bounds are lower.
+// listedMost limits the members kept in memory; discovery's own limits are lower.
 const listedMost = 1 << 14
 
 func newOverlay(name string, sink discovery.Sink) *overlay {
 	return &overlay{name: name, zones: map[string]float64{}, first: map[int64]string{}, sink: sink, listed: map[string]core.Listed{}, drains: map[string]bool{}, held: map[string]bool{}}
 }
 
-// List takes what discovery says and passes it on.
+// List implements discovery.Sink. It passes the list on with the drains applied.
 func (o *overlay) List(kind decide.EventKind, members []core.Listed) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,7 +56,7 @@
 	was := maps.Clone(o.held)
 	o.choose()
 	out := members
-	for _, id := range slices.Sorted(maps.Keys(o.listed)) { // who is no longer heeded, as it became the last of its group, or is anew
+	for _, id := range slices.Sorted(maps.Keys(o.listed)) { // members outside this list whose drain starts or ends because of it, e.g. as the last of their group
 		m := o.listed[id]
 		if o.held[id] != was[id] && m.State == decide.Up && !slices.ContainsFunc(members, func(x core.Listed) bool { return x.ID == id }) {
 			out = append(slices.Clone(out), m)
@@ -73,7 +73,7 @@
 	o.sink(kind, out)
 }
 
-// choose decides which of the drains are heeded: in the order of their names, none that is the last of its group.
+// choose selects the members to list as draining: in the order of their ids, and never the last usable one of a group.
 func (o *overlay) choose() {
 	up := map[int64]int{}
 	for _, m := range o.listed {
@@ -98,8 +98,8 @@
 	if len(o.zones) == 0 {
 		return
 	}
-	// Each gateway leaves some members of a zone, another gateway others: together the part that the plan says. A primary is
-	// never left for its zone: nobody else takes its writes before the cluster has elected another.
+	// Each gateway drains a different selection of a zone's members; over all gateways they make up the fraction in the plan.
+	// A primary is never drained for its zone: no other member accepts its writes until the cluster has elected another.
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		m := o.listed[id]
 		away := o.zones[m.Zone]
@@ -115,12 +115,12 @@
 	}
 }
 
-// luck is a number from 0 to 1 that a gateway and a member always have together.
+// luck hashes a gateway and a member to a number that is at least 0 and below 1.
 func luck(gateway, member string) float64 {
 	return float64(xxhash.Sum64String(gateway+"\x00"+member)>>11) / (1 << 53)
 }
 
-// Zones takes which parts of the zones' load go elsewhere.
+// Zones sets the fraction of each zone's load that goes elsewhere.
 func (o *overlay) Zones(away map[string]float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -128,7 +128,7 @@
 	o.again()
 }
 
-// Primary notes which member this gateway believes to be the primary of its group.
+// Primary records that this gateway considers member the primary of its group.
 func (o *overlay) Primary(member string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -137,7 +137,7 @@
 	}
 }
 
-// Left are the members of zones that load goes away from, which are looked at now and then, with their addresses.
+// Left returns the members of zones that load is moved away from, sorted by id. They are probed from time to time.
 func (o *overlay) Left() (all []core.Listed) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -149,14 +149,14 @@
 	return all
 }
 
-// zone is where a member is.
+// zone returns the zone of a member, empty if it is not listed.
 func (o *overlay) zone(member string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.listed[member].Zone
 }
 
-// Drain takes which members are permitted to go out now.
+// Drain sets the members that are permitted to go out of service, replacing the former ones.
 func (o *overlay) Drain(members []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -167,7 +167,7 @@
 	o.again()
 }
 
-// again chooses anew and tells the core what that changes.
+// again repeats the selection and passes on the members whose state changes. The caller holds the lock.
 func (o *overlay) again() {
 	was := maps.Clone(o.held)
 	o.choose()
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -23,7 +23,7 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// before runs a cluster.
+// before starts an emulated cluster, which ends with the test.
 func before(t *testing.T, conf cluster.Config) *cluster.Cluster {
 	t.Helper()
 	c, err := cluster.Start(conf)
@@ -34,7 +34,7 @@
 	return c
 }
 
-// fronts runs a gateway with both fronts before a cluster. settings are more of the rest block.
+// fronts runs a gateway with both fronts before a cluster, and returns their addresses. settings is added to the rest block.
 func fronts(t *testing.T, c *cluster.Cluster, settings string) (pg, rest string) {
 	t.Helper()
 	edge := filepath.Join(t.TempDir(), "edge.hcl")
@@ -69,7 +69,7 @@
 	return l.Addr().String(), <-addr
 }
 
-// ask asks by REST.
+// ask sends a REST request and returns the response and its body. headers are names and values in turn.
 func ask(t *testing.T, addr, method, path string, body []byte, headers ...string) (*http.Response, []byte) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
@@ -91,8 +91,8 @@
 	return res, text
 }
 
-// TestBothFronts: what is written by one protocol is read by the other at once by its session, the same questions
-// have the same answers and the same verdicts, and a key holds across them.
+// TestBothFronts: within a session a write by one protocol is read by the other at once. Equal requests have equal answers
+// and verdicts on both, and an idempotency key holds across both.
 func TestBothFronts(t *testing.T) {
 	c := before(t, cluster.Config{Groups: 1, Replicas: 2, Lag: 50 * time.Millisecond})
 	pg, rest := fronts(t, c, "")
@@ -115,7 +115,7 @@
 		}
 		return pgclient.Served, string(text)
 	}
-	for i := 0; ; i++ { // until the primary is known
+	for i := 0; ; i++ { // until the primary has been found
 		if v, _ := write(1000+i, "warm", "up"); v == pgclient.Served {
 			break
 		}
@@ -131,7 +131,7 @@
 		} else if want := value; i%2 == 0 && back != want {
 			t.Fatalf("write %d gave %q", i, back)
 		}
-		for _, class := range []string{"my-notes", "run-status"} { // both must see it at once
+		for _, class := range []string{"my-notes", "run-status"} { // classes that must read the write at once
 			res, text := ask(t, rest, "GET", "/v1/clusters/0/items/"+item, nil, "Reachwind-Class", class, "Reachwind-Tenant", "kea-basin", "Reachwind-Deadline-Ms", "700")
 			a, err := conn.Do(&pgclient.Request{ID: fmt.Sprint(class, i), Class: class, Tenant: "kea-basin", Wait: 700 * time.Millisecond, Item: item})
 			if err != nil {
@@ -142,25 +142,25 @@
 				stored = fmt.Sprintf("%s", unhex(t, stored))
 			}
 			if res.StatusCode != 200 || a.Verdict != pgclient.Served || string(text) != stored || stored != value {
-				t.Fatalf("%s after write %d: REST %d %q, PostgreSQL %d %q, want %q", class, i, res.StatusCode, text, a.Verdict, stored, value)
+				t.Fatalf("%s after write %d: REST status %d %q, PostgreSQL verdict %d %q, want %q", class, i, res.StatusCode, text, a.Verdict, stored, value)
 			}
 			if res.Header.Get("Reachwind-Position") == "" {
-				t.Fatal("no position told")
+				t.Fatal("no header Reachwind-Position")
 			}
 			again, _ := ask(t, rest, "GET", "/v1/clusters/0/items/"+item, nil, "Reachwind-Class", class, "If-None-Match", res.Header.Get("ETag"))
 			if again.StatusCode != http.StatusNotModified {
-				t.Fatalf("by its own ETag: %d", again.StatusCode)
+				t.Fatalf("with its own ETag: status %d, want 304", again.StatusCode)
 			}
 		}
 	}
-	for range 3 { // one key, asked by both: it runs once
+	for range 3 { // one key on both fronts: the write runs once
 		write(2001, "note-0", "once")
 		if a, err := conn.Do(&pgclient.Request{ID: fmt.Sprint(time.Now().UnixNano()), Class: "map-edits", Tenant: "kea-basin", Wait: time.Second, Key: "k2001", Item: "note-0", Value: "once", Write: true}); err != nil || a.Verdict != pgclient.Served {
 			t.Fatal(a, err)
 		}
 	}
 	if n := c.Runs(0, "k2001"); n != 1 {
-		t.Errorf("a keyed write ran %d times", n)
+		t.Errorf("a write with a key ran %d times, want once", n)
 	}
 	res, text := ask(t, rest, "GET", "/v1/clusters/9/items/x", nil, "Reachwind-Class", "field-info")
 	a, err := conn.Do(&pgclient.Request{ID: "none", Class: "field-info", Tenant: "kea-basin", Wait: time.Second, Item: "x", Cluster: 9})
@@ -184,8 +184,8 @@
 	return b
 }
 
-// TestRESTRefusals: what can't be read has a problem of its own and reaches no member; requests whose ends are
-// ambiguous, floods and trickles end the connection; and the front serves on.
+// TestRESTRefusals: requests that can't be understood get a problem of a certain type and reach no member. Requests of
+// ambiguous length, floods and trickles end the connection. The front keeps serving.
 func TestRESTRefusals(t *testing.T) {
 	c := before(t, cluster.Config{Groups: 1, Replicas: 1})
 	_, rest := fronts(t, c, "connections = 8\n header_wait = \"200ms\"\n read_wait = \"400ms\"\n")
@@ -252,9 +252,9 @@
 		served += m.Served
 	}
 	if served > 0 {
-		t.Errorf("%d of them reached a member", served)
+		t.Errorf("%d of the requests reached a member", served)
 	}
-	var open []net.Conn // at the limit others are told to come back, and those within it are served
+	var open []net.Conn // connections beyond the limit are refused with a retry time, those within it are served
 	for range 12 {
 		nc, err := net.Dial("tcp", rest)
 		if err != nil {
@@ -275,13 +275,13 @@
 		t.Errorf("%d of 12 connections were refused, want those beyond 8", refused)
 	}
 	if res, _ := ask(t, rest, "GET", "/v1/clusters/0/items/x", nil, class...); res.StatusCode != 200 && res.StatusCode != 503 {
-		t.Errorf("afterwards: %d", res.StatusCode)
+		t.Errorf("a request afterwards: status %d", res.StatusCode)
 	}
 }
 
-// TestListings: listings cross members that die, lag and freeze, elections, and from gateway to gateway, while
-// items come and go on changing: no page is older than its first, ids come in order and once, and what existed
-// throughout is there.
+// TestListings: while listings are paged through two gateways in turn, members die, lag and freeze, primaries are elected,
+// and items are added and changed. No page is older than the first, ids come in order and once, and items that existed
+// throughout are listed.
 func TestListings(t *testing.T) {
 	c := before(t, cluster.Config{Groups: 1, Replicas: 2, Lag: 20 * time.Millisecond, Elect: 200 * time.Millisecond})
 	const old = 120
@@ -299,7 +299,7 @@
 	end := make(chan struct{})
 	var work sync.WaitGroup
 	work.Add(1)
-	go func() { // one trouble after another, by seed
+	go func() { // one fault after another, in an order given by the seed
 		defer work.Done()
 		r := rand.New(rand.NewPCG(1, 4))
 		for {
@@ -342,10 +342,10 @@
 		path, first, last, have := "/v1/clusters/0/items?prefix=lift-&limit=7", int64(0), "", 0
 		for page := 0; path != ""; {
 			if tries++; tries > 20000 {
-				t.Fatal("it never ends")
+				t.Fatal("the listings did not end within 20000 requests")
 			}
 			res, text := ask(t, rest[(n+page)%2], "GET", path, nil, "Reachwind-Class", class, "Reachwind-Tenant", "kea-basin", "Reachwind-Session", "office")
-			if res.StatusCode == 502 || res.StatusCode == 503 { // refused or failed: the same page again, by the same cursor
+			if res.StatusCode == 502 || res.StatusCode == 503 { // refused or failed: request the same page again, with the same cursor
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -365,7 +365,7 @@
 				first = position
 			}
 			if position < first {
-				t.Fatalf("listing %d of %s: page %d is of %d, the first of %d", n, class, page, position, first)
+				t.Fatalf("listing %d of %s: page %d is of position %d, the first of %d", n, class, page, position, first)
 			}
 			for _, it := range got.Items {
 				var i int
@@ -378,12 +378,12 @@
 			}
 			pages++
 			page++
-			time.Sleep(5 * time.Millisecond) // so that troubles come between
+			time.Sleep(5 * time.Millisecond) // so that faults happen between pages
 			path = ""
 			if link := res.Header.Get("Link"); link != "" {
 				path = strings.TrimSuffix(strings.TrimPrefix(link, "<"), `>; rel="next"`)
 				if !strings.Contains(path, got.Cursor) {
-					t.Fatalf("the link %q is not of the cursor %q", link, got.Cursor)
+					t.Fatalf("the link %q does not contain the cursor %q", link, got.Cursor)
 				}
 			}
 		}
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -22,17 +22,18 @@
 	"reachwind/internal/terms"
 )
 
-// tuned is what the test knows of the settings: since when a class has its effect, or is out.
+// tuned is the state of a class in the settings as the test knows it.
 type tuned struct {
-	effect string // empty: out
-	last   string // the last that it had
-	since  time.Time
+	effect string    // empty: the class is not in the settings
+	last   string    // the last effect that it had
+	since  time.Time // of the effect, or of the class's removal
 }
 
-// TestRetune plays a whole gateway in a fake clock, under load and with members in trouble, whose settings change at
-// random: classes come, go and change their effect, attempts go up and down, and many files are broken. Each request
-// gets its one answer, by the class that it named when it was sent: none is called unknown while its class is in the
-// settings or left them a moment ago, and what may run once only does, whatever the settings say later.
+// TestRetune runs a whole gateway on a fake clock, under load and with failing members, while its settings change at
+// random: classes are added, removed and change their effect, the limit of attempts changes, and many files are
+// truncated. Each request gets one answer, by the class that it named when it was sent. No request is refused for an
+// unknown class while its class is in the settings or was removed a moment ago, and a request that may run only once
+// does so, whatever the settings say later.
 func TestRetune(t *testing.T) {
 	for seed := range uint64(2) {
 		synctest.Test(t, func(t *testing.T) { playRetunes(t, seed) })
@@ -94,7 +95,7 @@
 				mu.Lock()
 				was := now[q.Class]
 				mu.Unlock()
-				if was.last != "by_key" { // members drop what comes twice under a key
+				if was.last != "by_key" { // a key would make members drop repeated writes
 					q.Key = ""
 				}
 				a, err := conn.Do(&q)
@@ -115,7 +116,7 @@
 				case a.Code == pgwire.SyntaxError:
 					unknown++
 				}
-				needsKey := q.Key == "" && is.last == "by_key" && was != is // it became so meanwhile
+				needsKey := q.Key == "" && is.last == "by_key" && was != is // its class requires a key since a moment ago
 				if a.Code == pgwire.SyntaxError && !needsKey && (was.effect != "" || is.effect != "" || out < terms.Linger-time.Millisecond && !was.since.IsZero()) {
 					t.Errorf("request %s of class %s is unknown: %+v, now %+v", id, q.Class, was, is)
 				}
@@ -159,7 +160,7 @@
 			t.Fatal(err)
 		}
 		before := g.c.terms.Now()
-		mu.Lock() // no request may see the settings change in between
+		mu.Lock() // clients must not read now between the reload and its update
 		g.reload()
 		if took := g.c.terms.Now() != before; took == broken {
 			t.Errorf("taken over: %v, broken: %v", took, broken)
@@ -189,7 +190,7 @@
 	c.Close()
 }
 
-// retuned is a good file with some of the classes x0 to x3, and their effects.
+// retuned returns a valid file with a random selection of the classes x0 to x3, and their effects.
 func retuned(t *testing.T, r *rand.Rand, start []byte) ([]byte, map[string]string) {
 	var file map[string]any
 	if err := json.Unmarshal(start, &file); err != nil {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -24,7 +24,7 @@
 	"reachwind/internal/standin/pipenet"
 )
 
-// settingsWith is the configuration of a gateway before c whose classes have this effect and this deadline.
+// settingsWith returns the configuration of a gateway before c whose classes all have this effect and this deadline.
 func settingsWith(t *testing.T, c *cluster.Cluster, effect string, deadline time.Duration) []byte {
 	t.Helper()
 	var conf map[string]any
@@ -42,13 +42,14 @@
 	return text
 }
 
-// asks is a write as a client sends it.
+// asks returns the message of a write with id, which is its key too, and a deadline of wait.
 func asks(id string, wait time.Duration) []byte {
 	return pgwire.Append(nil, 'Q', fmt.Sprintf("/* id=%s,c=map-edits,t=kea-basin,d=%d,k=%s,cluster=0 */ INSERT INTO items (id, doc) VALUES ('hut', 'v') RETURNING doc\x00",
 		id, wait.Milliseconds(), id))
 }
 
-// heard reads what a gateway says until it ends the connection, and returns the types of its whole messages.
+// heard reads from nc until the gateway closes it, and returns the types of the complete messages. A message that is cut
+// short is an error.
 func heard(nc net.Conn) (types string, err error) {
 	text, err := io.ReadAll(nc)
 	for len(text) > 0 {
@@ -61,9 +62,9 @@
 	return types, err
 }
 
-// TestShutdownWithHangingMembers: members hang as SIGTERM comes. What was taken before it and what is sent 0.6 s later on
-// a connection that is still busy gets a whole answer before the process ends, which is before SIGKILL may come, whatever
-// the classes' effect and deadline.
+// TestShutdownWithHangingMembers: members hang when SIGTERM comes. Requests accepted before it, and requests sent up to
+// 0.6 s later on a connection that is still busy, get a complete answer before the process ends, and it ends before
+// SIGKILL may come. That holds for every effect and deadline of the classes.
 func TestShutdownWithHangingMembers(t *testing.T) {
 	for _, effect := range []string{"repeatable", "by_key", "once"} {
 		for _, deadline := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
@@ -105,7 +106,7 @@
 		sent int
 	}
 	var clients []*client
-	ask := func(cl *client) { // on a Pipe a write waits for its reader
+	ask := func(cl *client) { // in a goroutine: a write to a pipe blocks until it is read
 		cl.sent++
 		text := asks(fmt.Sprintf("%p-%d", cl, cl.sent), deadline)
 		go func() { _, _ = cl.nc.Write(text) }()
@@ -138,7 +139,7 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	synctest.Wait()
-	if deadline > 600*time.Millisecond { // else it was answered, and its connection ended
+	if deadline > 600*time.Millisecond { // with shorter ones the request is answered by now, and its connection closed
 		for _, cl := range clients {
 			ask(cl)
 		}
@@ -147,19 +148,19 @@
 		t.Error(err)
 	}
 	if took, kill := time.Since(came), min(deadline, 3*time.Second)+700*time.Millisecond; took >= kill {
-		t.Errorf("ended after %v, killed after %v", took, kill)
+		t.Errorf("ended after %v, SIGKILL may come after %v", took, kill)
 	}
 	for i, cl := range clients {
-		_ = cl.nc.Close() // as the end of the process does
+		_ = cl.nc.Close() // as the process's exit would do
 		got := <-cl.got
 		if n := bytes.Count([]byte(got), []byte("Z")); n != 1+cl.sent {
-			t.Errorf("client %d asked %d times and heard %q", i, cl.sent, got)
+			t.Errorf("client %d sent %d requests and received messages %q", i, cl.sent, got)
 		}
 	}
 	c.Close()
 }
 
-// TestPlan: everything in a shutdown counts from SIGTERM, has its order, and is over before SIGKILL may come.
+// TestPlan: the times of a shutdown count from SIGTERM, are in order, and lie before SIGKILL may come.
 func TestPlan(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 3 * time.Second, time.Minute} {
 		came := time.Now().Add(-time.Hour)
@@ -174,11 +175,11 @@
 	before := time.Now()
 	end()
 	for first := at(); first.Before(before) || at() != first; {
-		t.Fatalf("told to end at %v, noted %v", before, first)
+		t.Fatalf("context ended at %v or later, recorded as %v", before, first)
 	}
 }
 
-// unheard is a listener whose Accept finds nobody: the goroutine that accepts has not come to it.
+// unheard is a listener whose Accept returns no connection, as if the accepting goroutine had not been scheduled yet.
 type unheard struct {
 	*net.TCPListener
 	once   sync.Once
@@ -195,8 +196,8 @@
 	return u.TCPListener.Close()
 }
 
-// TestBacklog: who waits to be accepted when the listener closes is answered, also where SIGTERM came before the gateway
-// served, or behind the door of one that knows its peers.
+// TestBacklog: connections that wait in the backlog when the listener closes are answered, even if SIGTERM came before the
+// gateway served, and also behind the listener that the fleet can disable.
 func TestBacklog(t *testing.T) {
 	c := before(t, cluster.Config{Groups: 1, Replicas: 1})
 	for _, peers := range []bool{false, true} {
@@ -228,7 +229,7 @@
 		}()
 		for i, nc := range clients {
 			if types, err := heard(nc); err != nil || strings.Count(types, "Z") != 2 {
-				t.Errorf("client %d heard %q, %v", i, types, err)
+				t.Errorf("client %d received messages %q, %v", i, types, err)
 			}
 			_ = nc.Close()
 		}
@@ -240,7 +241,7 @@
 
 const childVariable = "REACHWIND_TEST_CONFIG"
 
-// TestChild is no test: it is the gateway's process of tests with real signals.
+// TestChild is not a test: it is the gateway process of tests with real signals.
 func TestChild(t *testing.T) {
 	path := os.Getenv(childVariable)
 	if path == "" {
@@ -255,9 +256,9 @@
 	}
 }
 
-// TestSignals: a gateway's process whose members hang is told to end, told again, and told to reload, which is not to
-// undo anything. Each request that it took, before SIGTERM and after, has a whole answer; a client that rests until the
-// gateway ends it sees the end, no reset; and the process ends by itself, in order.
+// TestSignals: a gateway process whose members hang gets SIGTERM, SIGHUP and SIGTERM again, and the later signals must not
+// disturb the shutdown. Each request that it accepted before SIGTERM and after has a complete answer. An idle client sees
+// its connection closed, not reset. The process ends by itself and in order.
 func TestSignals(t *testing.T) {
 	c := before(t, cluster.Config{Groups: 1, Replicas: 1})
 	dir := t.TempDir()
@@ -313,19 +314,19 @@
 	}
 	for i := range busy {
 		if types, err := heard(idle[i]); err != nil || types != "" {
-			t.Errorf("a client at rest heard %q, %v", types, err)
+			t.Errorf("an idle client received messages %q, %v", types, err)
 		}
 		if types, err := heard(busy[i]); err != nil || types != "EZEZ" {
-			t.Errorf("client %d heard %q, %v; want two answers", i, types, err)
+			t.Errorf("client %d received messages %q, %v; want two answers", i, types, err)
 		}
 		_, _ = busy[i].Close(), idle[i].Close()
 	}
 	select {
 	case <-g.Ended():
 	case <-time.After(20 * time.Second):
-		t.Fatal("the process goes on: ", g.Log())
+		t.Fatal("the process did not end within 20 s: ", g.Log())
 	}
 	if !strings.Contains(g.Log(), "msg=stopped\n") {
-		t.Error("not in order: ", g.Log())
+		t.Error("the process did not log that it stopped in order: ", g.Log())
 	}
 }
--- a/internal/gateway/soak_test.go
+++ b/internal/gateway/soak_test.go
@@ -16,14 +16,14 @@
 	"reachwind/internal/standin/pipenet"
 )
 
-// counting is a sink of records that keeps none.
+// counting is a sink that counts records and keeps none.
 type counting struct{ n int }
 
 func (c *counting) Put(*record.Record) { c.n++ }
 
-// TestSoak plays hours of a whole gateway in a fake clock: members come under ever new names in ever new groups,
-// leave, restart, hang, drain and stop following; customers, connections, ids and keys are ever new, and clients
-// leave early. Nothing that time or peers grow may pass its bound (docs/design/fleet.md), nor grow by the hour.
+// TestSoak runs a whole gateway for hours of a fake clock. Members with new names and in new groups keep joining; they
+// leave, restart, hang, drain and stop replicating. Tenants, connections, request ids and keys are always new, and clients
+// leave early. Tables that could grow with time or with peers' input must stay within their bounds (docs/design/fleet.md).
 func TestSoak(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hours, perHour = 2, 3000 // requests
@@ -51,7 +51,7 @@
 		pause := func(mean time.Duration) { time.Sleep(time.Duration(r.ExpFloat64() * float64(mean))) }
 		stop := make(chan struct{})
 		troubled := make(chan struct{})
-		go func() { // members, one trouble after another
+		go func() { // members, one fault after another
 			defer close(troubled)
 			r := rand.New(rand.NewPCG(19, 6))
 			var grown []*cluster.Member
@@ -64,7 +64,7 @@
 				all := c.Members()
 				m := all[r.IntN(len(all))]
 				switch r.IntN(7) {
-				case 0, 1: // a member more, now and then in a group of its own
+				case 0, 1: // one more member, sometimes in a group of its own
 					group := int64(r.IntN(2))
 					if r.IntN(3) == 0 {
 						group = int64(100 + n)
@@ -89,7 +89,7 @@
 					time.Sleep(time.Duration(r.IntN(3000)) * time.Millisecond)
 					m.Drain(false)
 				case 5:
-					if !m.IsPrimary() { // it lags for good: sessions' commits are kept for its sake
+					if !m.IsPrimary() { // it lags for long: sessions' commits are kept because of it
 						m.Freeze(r.IntN(2) == 0)
 					}
 				}
@@ -124,7 +124,7 @@
 			if r.IntN(3) == 0 {
 				q.Class, q.Key, q.Value, q.Write = "map-edits", fmt.Sprint("key-", n), "v", true
 			}
-			if r.IntN(20) == 0 { // its client has no patience
+			if r.IntN(20) == 0 { // a deadline too short to be met
 				q.Wait = time.Millisecond
 			}
 			a, err := conn.Do(&q)
@@ -156,19 +156,19 @@
 		t.Logf("served %d, refused %d, failed %d, broken %d; records %d; most %+v; heap %v", outcomes[0], outcomes[1], outcomes[2], outcomes[3], sink.n, most, heap)
 		close(stop)
 		<-troubled
-		// At most 14 members are listed at a time; gone ones are kept for a minute, in which at most twenty come.
+		// At most 14 members are listed at a time; removed ones are kept for a minute, in which at most 20 are added.
 		for what, v := range map[string][2]int{
 			"members known to the module": {most.Decide.Members, 34}, "groups": {most.Decide.Groups, 24},
-			"requests of the module": {most.Decide.Requests, 4}, "sessions kept": {most.Decide.Sessions, 4096 + 1}, "work called off": {most.Decide.Ghosts, 64},
+			"requests of the module": {most.Decide.Requests, 4}, "sessions kept": {most.Decide.Sessions, 4096 + 1}, "orphaned attempts": {most.Decide.Ghosts, 64},
 			"requests of the core": {most.Core.Requests, 4}, "timers": {most.Core.Timers, 64}, "members in records": {most.Core.Members, 16},
-			"members of the pool": {most.Pool.Members, 34}, "member connections": {most.Pool.Connections, 64}, "jobs": {most.Pool.Jobs, 8}, "ids in work": {most.Claims, 4},
+			"members of the pool": {most.Pool.Members, 34}, "member connections": {most.Pool.Connections, 64}, "jobs": {most.Pool.Jobs, 8}, "ids of requests in progress": {most.Claims, 4},
 		} {
 			if v[0] > v[1] {
-				t.Errorf("%s: %d at the most, want %d at the most", what, v[0], v[1])
+				t.Errorf("%s: maximum %d, want at most %d", what, v[0], v[1])
 			}
 		}
 		if served := outcomes[pgclient.Served]; served < hours*perHour/2 {
-			t.Errorf("%d of %d requests served: this was no service", served, hours*perHour)
+			t.Errorf("%d of %d requests served, want at least half", served, hours*perHour)
 		}
 		if conn != nil {
 			conn.Close()
