--- a/cmd/reachwind/council.go
+++ b/cmd/reachwind/council.go
@@ -33,11 +33,11 @@
 )
 
 const (
-	retryEach = 200 * time.Millisecond
-	watchEach = 500 * time.Millisecond
-	noticeDB  = 400 * time.Millisecond // between a member's permit and the command: gateways are notified at once and must stop sending to it within 250 ms
-	giveBack  = 5 * time.Second        // for giving a permit back, retries included
-	termGrace = 5 * time.Second        // at most, from SIGTERM to SIGKILL; both come before the permit ends
+	retryInterval     = 200 * time.Millisecond
+	watchInterval     = 500 * time.Millisecond
+	memberDrainNotice = 400 * time.Millisecond // between a member's permit and the command: gateways are notified at once and must stop sending to it within 250 ms
+	giveBackTimeout   = 5 * time.Second        // for giving a permit back, retries included
+	terminationGrace  = 5 * time.Second        // at most, from SIGTERM to SIGKILL; both come before the permit ends
 )
 
 // councilCommand runs a voter by replacing this process with the program reachwind-council of the same folder.
@@ -72,27 +72,27 @@
 	return c
 }
 
-// councillors is a client of a council: the voters' admin addresses, and what identifies the client's commands.
-type councillors struct {
-	admins []string
-	client string
-	number uint64
-	who    string
+// councilClient is a client of a council: the voters' admin addresses, and what identifies the client's commands.
+type councilClient struct {
+	addresses  []string
+	clientID   string
+	lastNumber uint64
+	requester  string
 }
 
-func newCouncillors(admin string) *councillors {
+func newCouncilClient(admin string) *councilClient {
 	id := make([]byte, 12)
 	_, _ = rand.Read(id) // never fails
-	c := &councillors{client: hex.EncodeToString(id)}
+	c := &councilClient{clientID: hex.EncodeToString(id)}
 	for _, a := range strings.Split(admin, ",") {
 		if a = strings.TrimSpace(a); a != "" {
-			c.admins = append(c.admins, a)
+			c.addresses = append(c.addresses, a)
 		}
 	}
 	host, _ := os.Hostname()
-	c.who = host
+	c.requester = host
 	if u, err := user.Current(); err == nil {
-		c.who = u.Username + "@" + host
+		c.requester = u.Username + "@" + host
 	}
 	return c
 }
@@ -151,42 +151,42 @@
 	} `json:"voters"`
 }
 
-// do submits a command to the voters, the last leader first, and retries until one of them reports its result or until has
+// submit submits a command to the voters, the last leader first, and retries until one of them reports its result or until has
 // passed. All attempts carry the same number, so that the council executes the command once. The error is an exitError
 // with exUnavailable if no voter answered in time.
-func (c *councillors) do(until time.Time, q map[string]any) (*result, error) {
-	c.number++
-	q["client"], q["number"], q["who"] = c.client, c.number, c.who
+func (c *councilClient) submit(until time.Time, q map[string]any) (*result, error) {
+	c.lastNumber++
+	q["client"], q["number"], q["who"] = c.clientID, c.lastNumber, c.requester
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, err
 	}
 	err = errors.New("no admin address, want --admin host:port,...")
 	for {
-		for i, a := range slices.Clone(c.admins) {
+		for i, a := range slices.Clone(c.addresses) {
 			var r result
 			var code int
-			if code, err = call(a, http.MethodPost, "/v1/command", body, &r); err == nil && code == http.StatusOK {
-				c.admins[0], c.admins[i] = c.admins[i], c.admins[0] // the leader is asked first next time
+			if code, err = callAdmin(a, http.MethodPost, "/v1/command", body, &r); err == nil && code == http.StatusOK {
+				c.addresses[0], c.addresses[i] = c.addresses[i], c.addresses[0] // the leader is asked first next time
 				return &r, nil
 			}
 			if code == http.StatusBadRequest {
 				return nil, err
 			}
 		}
-		if time.Now().After(until) || len(c.admins) == 0 {
+		if time.Now().After(until) || len(c.addresses) == 0 {
 			return nil, exitError{exUnavailable, fmt.Errorf("no decision from the council in time: %w", err)}
 		}
-		time.Sleep(retryEach)
+		time.Sleep(retryInterval)
 	}
 }
 
 // status returns the council's state as the leader knows it or, if no leader answers, as the most up-to-date voter does.
-func (c *councillors) status() (best *status, err error) {
+func (c *councilClient) status() (best *status, err error) {
 	err = errors.New("no admin address, want --admin host:port,...")
-	for _, a := range c.admins {
+	for _, a := range c.addresses {
 		var s status
-		if code, e := call(a, http.MethodGet, "/v1/status", nil, &s); e != nil || code != http.StatusOK {
+		if code, e := callAdmin(a, http.MethodGet, "/v1/status", nil, &s); e != nil || code != http.StatusOK {
 			err = e
 			continue
 		}
@@ -200,12 +200,12 @@
 	return best, nil
 }
 
-// addCouncil adds the commands that are directed to the council to command `fleet`.
-func addCouncil(c *cobra.Command, admin *string, asJSON *bool) {
+// addCouncilCommands adds the commands that are directed to the council to command `fleet`.
+func addCouncilCommands(c *cobra.Command, admin *string, asJSON *bool) {
 	c.AddCommand(&cobra.Command{Use: "status", Short: "the council's leader, budgets and permits", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		s, err := newCouncillors(*admin).status()
+		s, err := newCouncilClient(*admin).status()
 		if err != nil || *asJSON {
-			return show(c.OutOrStdout(), s, err)
+			return writeJSON(c.OutOrStdout(), s, err)
 		}
 		out := c.OutOrStdout()
 		lead := s.Leader
@@ -232,7 +232,7 @@
 			_, _ = fmt.Fprintf(out, "nothing new goes out while a zone is lost: %v; while less than %g is served in time (now %.3f)\n", s.Rules.ZoneLost, s.Rules.Worth, s.Serves.Worth)
 		}
 		for i := range s.Releases {
-			_, _ = fmt.Fprintln(out, progress(&s.Releases[i], s.TimeMs))
+			_, _ = fmt.Fprintln(out, progressLine(&s.Releases[i], s.TimeMs))
 		}
 		_, _ = fmt.Fprintln(w, "BUDGET OF\tZONE\tGROUP\tMOST\tSHARE")
 		for _, b := range s.Budgets {
@@ -253,9 +253,9 @@
 	var most int
 	var share float64
 	set := &cobra.Command{Use: "set", Short: "set a budget", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		r, err := newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "budget",
+		r, err := newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "budget",
 			"budget": map[string]any{"of": of, "zone": zone, "group": group, "most": most, "share": share}})
-		return granted(r, err)
+		return checkResult(r, err)
 	}}
 	set.Flags().StringVar(&of, "of", "", "gateways or members")
 	set.Flags().StringVar(&zone, "zone", "", "only those of this zone")
@@ -265,7 +265,7 @@
 	var zoneLost bool
 	var worth float64
 	guard := &cobra.Command{Use: "guard", Short: "grant no new permits while a zone is lost or too few requests are served in time", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return granted(newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "rules", "rules": map[string]any{"zone_lost": zoneLost, "worth": worth}}))
+		return checkResult(newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "rules", "rules": map[string]any{"zone_lost": zoneLost, "worth": worth}}))
 	}}
 	guard.Flags().BoolVar(&zoneLost, "zone-lost", false, "grant no new permits while more than half of a zone's gateways have failed")
 	guard.Flags().Float64Var(&worth, "worth", 0, "grant no new permits while less than this fraction of requests is served in time; 0: no limit")
@@ -276,31 +276,31 @@
 	var reason string
 	p := &cobra.Command{Use: "permit TARGET --for SPAN -- COMMAND...", Short: "run a command under a permit to take gateway/NAME or db/NAME out of service", Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return hold(newCouncillors(*admin), args[0], reason, term, wait, args[1:])
+			return runWithPermit(newCouncilClient(*admin), args[0], reason, term, wait, args[1:])
 		}}
 	p.Flags().DurationVar(&term, "for", 0, "the permit's `span`; the command is stopped before it ends")
 	p.Flags().DurationVar(&wait, "wait", 0, "how long to wait for the permit")
 	p.Flags().StringVar(&reason, "reason", "", "reason shown in the history")
 	c.AddCommand(p)
 
-	addDrain(c, admin, asJSON)
-	addVoters(c, admin)
-	addRelease(c, admin, asJSON)
-	addZones(c, admin, asJSON)
+	addDrainCommands(c, admin, asJSON)
+	addVoterCommands(c, admin)
+	addReleaseCommands(c, admin, asJSON)
+	addZoneCommands(c, admin, asJSON)
 }
 
-// granted returns err, or an error with the reason if the council refused a command.
-func granted(r *result, err error) error {
+// checkResult returns err, or an error with the reason if the council refused a command.
+func checkResult(r *result, err error) error {
 	if err == nil && !r.OK {
 		err = errors.New(r.Refused)
 	}
 	return err
 }
 
-// hold runs a command under a permit. It counts the permit's term from before its request, on its own clock, so that the
+// runWithPermit runs a command under a permit. It counts the permit's term from before its request, on its own clock, so that the
 // command has ended before the permit ends by the council's clock. The error is an exitError with exTempFail if there is no
 // permit in time, exFenced if the command was stopped, and the command's own exit code if that failed.
-func hold(c *councillors, target, reason string, term, wait time.Duration, args []string) error {
+func runWithPermit(c *councilClient, target, reason string, term, wait time.Duration, args []string) error {
 	if term < time.Second {
 		return fmt.Errorf("--for is %v, want a second at least", term)
 	}
@@ -308,7 +308,7 @@
 	var p *permit
 	for until := time.Now().Add(wait); p == nil; {
 		asked = time.Now()
-		r, err := c.do(until, map[string]any{"op": "acquire", "target": target, "reason": reason, "term_ms": term.Milliseconds()})
+		r, err := c.submit(until, map[string]any{"op": "acquire", "target": target, "reason": reason, "term_ms": term.Milliseconds()})
 		switch {
 		case err != nil:
 			return exitError{exTempFail, fmt.Errorf("no permit for %s: %w", target, err)}
@@ -317,14 +317,14 @@
 		case time.Now().After(until):
 			return exitError{exTempFail, fmt.Errorf("no permit for %s: %s", target, r.Refused)}
 		default:
-			time.Sleep(retryEach)
+			time.Sleep(retryInterval)
 		}
 	}
 	if strings.HasPrefix(target, "db/") { // gateways move work off the member first
-		time.Sleep(min(noticeDB, term/4))
+		time.Sleep(min(memberDrainNotice, term/4))
 	}
 	kill := asked.Add(term)
-	stop := kill.Add(-min(termGrace, term/5))
+	stop := kill.Add(-min(terminationGrace, term/5))
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
 	cmd.Env = append(os.Environ(), "REACHWIND_FENCE="+strconv.FormatUint(p.Fence, 10), "REACHWIND_TARGET="+target)
@@ -332,12 +332,12 @@
 	fenced := time.Now().After(stop)
 	var err error
 	if !fenced {
-		fenced, err = c.run(cmd, p, stop, kill)
+		fenced, err = c.runUnderPermit(cmd, p, stop, kill)
 	}
 	if strings.HasPrefix(target, "db/") && err == nil && !fenced {
-		c.seenBack(target, asked.Add(term))
+		c.awaitMemberBack(target, asked.Add(term))
 	}
-	_, back := c.do(time.Now().Add(giveBack), map[string]any{"op": "give_back", "target": target, "fence": p.Fence})
+	_, back := c.submit(time.Now().Add(giveBackTimeout), map[string]any{"op": "give_back", "target": target, "fence": p.Fence})
 	if back != nil {
 		fmt.Fprintf(os.Stderr, "reachwind: permit %d of %s was not given back, its target still counts as out: %v\n", p.Fence, target, back)
 	}
@@ -351,10 +351,10 @@
 	return err
 }
 
-// seenBack waits until gateways report a member as serving and caught up, at the latest until giveBack before its permit
+// awaitMemberBack waits until gateways report a member as serving and caught up, at the latest until giveBackTimeout before its permit
 // ends. A member that no gateway reports counts as back.
-func (c *councillors) seenBack(target string, until time.Time) {
-	for time.Now().Before(until.Add(-giveBack)) {
+func (c *councilClient) awaitMemberBack(target string, until time.Time) {
+	for time.Now().Before(until.Add(-giveBackTimeout)) {
 		s, err := c.status()
 		if err == nil {
 			i := slices.IndexFunc(s.Targets, func(t agreed.Target) bool { return t.Name == target })
@@ -362,13 +362,13 @@
 				return
 			}
 		}
-		time.Sleep(watchEach)
+		time.Sleep(watchInterval)
 	}
 }
 
-// run runs cmd until it ends, stop has passed, or the council no longer lists its permit. In the last two cases it sends
+// runUnderPermit runs cmd until it ends, stop has passed, or the council no longer lists its permit. In the last two cases it sends
 // SIGTERM, then SIGKILL, and returns fenced = true.
-func (c *councillors) run(cmd *exec.Cmd, p *permit, stop, kill time.Time) (fenced bool, err error) {
+func (c *councilClient) runUnderPermit(cmd *exec.Cmd, p *permit, stop, kill time.Time) (fenced bool, err error) {
 	if err := cmd.Start(); err != nil {
 		return false, err
 	}
@@ -379,7 +379,7 @@
 	revoked := make(chan struct{})
 	go func() {
 		for ctx.Err() == nil {
-			time.Sleep(watchEach)
+			time.Sleep(watchInterval)
 			s, err := c.status()
 			if err != nil || !s.Leading {
 				continue // only the leader's answer counts: without one the permit still holds
@@ -398,7 +398,7 @@
 	case err := <-ended:
 		return false, err
 	case <-revoked:
-		kill = time.Now().Add(termGrace)
+		kill = time.Now().Add(terminationGrace)
 	case <-time.After(time.Until(stop)):
 	}
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -411,20 +411,20 @@
 	return true, err
 }
 
-// call makes one HTTP call to an admin address and decodes the JSON answer into v. A status other than 200 is an error,
+// callAdmin makes one HTTP call to an admin address and decodes the JSON answer into v. A status other than 200 is an error,
 // and its code is returned with it; code is 0 if there was no answer.
-func call(addr, method, path string, body []byte, v any) (code int, err error) {
-	return callFor(addr, method, path, body, v, 2*askWait)
+func callAdmin(addr, method, path string, body []byte, v any) (code int, err error) {
+	return callAdminWithin(addr, method, path, body, v, 2*adminTimeout)
 }
 
-// callFor is call with a time limit.
-func callFor(addr, method, path string, body []byte, v any, within time.Duration) (code int, err error) {
+// callAdminWithin is callAdmin with a time limit.
+func callAdminWithin(addr, method, path string, body []byte, v any, within time.Duration) (code int, err error) {
 	res, err := roundTrip(addr, method, path, body, within)
 	if err != nil {
 		return 0, fmt.Errorf("asking %q: %w", addr, err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(res.Body, askMost))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, fmt.Errorf("asking %q: %w", addr, err)
 	}
--- a/cmd/reachwind/drain.go
+++ b/cmd/reachwind/drain.go
@@ -12,9 +12,9 @@
 	"reachwind/internal/fleet"
 )
 
-// addDrain adds the commands drain and undrain, which are directed to a gateway's admin address; undrain of a named
+// addDrainCommands adds the commands drain and undrain, which are directed to a gateway's admin address; undrain of a named
 // target is directed to the council's.
-func addDrain(c *cobra.Command, admin *string, asJSON *bool) {
+func addDrainCommands(c *cobra.Command, admin *string, asJSON *bool) {
 	var term, wait time.Duration
 	var reason string
 	ask := func(q fleet.DrainAsk) (a fleet.DrainAnswer, err error) {
@@ -25,7 +25,7 @@
 		if *admin == "" {
 			return a, exitError{exUnavailable, errors.New("no address, want --admin host:port of the gateway")}
 		}
-		code, err := callFor(*admin, http.MethodPost, "/v1/drain", body, &a, term+wait+2*time.Minute)
+		code, err := callAdminWithin(*admin, http.MethodPost, "/v1/drain", body, &a, term+wait+2*time.Minute)
 		if err != nil && code != http.StatusBadRequest {
 			err = exitError{exUnavailable, err}
 		}
@@ -38,7 +38,7 @@
 				err = exitError{exTempFail, errors.New("not drained: " + a.Refused)}
 			}
 			if err != nil || *asJSON {
-				return show(cmd.OutOrStdout(), a, err)
+				return writeJSON(cmd.OutOrStdout(), a, err)
 			}
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s under permit %d, for %v more\n", a.State, a.Fence, (time.Duration(a.LeftMs) * time.Millisecond).Round(time.Second))
 			return nil
@@ -54,12 +54,12 @@
 			if len(args) == 0 {
 				a, err := ask(fleet.DrainAsk{Back: true})
 				if err != nil || *asJSON {
-					return show(cmd.OutOrStdout(), a, err)
+					return writeJSON(cmd.OutOrStdout(), a, err)
 				}
 				_, _ = fmt.Fprintln(cmd.OutOrStdout(), a.State)
 				return nil
 			}
-			c := newCouncillors(*admin)
+			c := newCouncilClient(*admin)
 			if fence == 0 {
 				s, err := c.status()
 				if err != nil {
@@ -71,26 +71,26 @@
 					}
 				}
 			}
-			return granted(c.do(time.Now().Add(10*time.Second), map[string]any{"op": "give_back", "target": args[0], "fence": fence}))
+			return checkResult(c.submit(time.Now().Add(10*time.Second), map[string]any{"op": "give_back", "target": args[0], "fence": fence}))
 		}}
 	back.Flags().Uint64Var(&fence, "fence", 0, "fence of the permit; 0: as the council lists it")
 	c.AddCommand(back)
 }
 
-// addVoters adds the commands that add and remove voters of the council, and the one that raises its format version.
-func addVoters(c *cobra.Command, admin *string) {
+// addVoterCommands adds the commands that add and remove voters of the council, and the one that raises its format version.
+func addVoterCommands(c *cobra.Command, admin *string) {
 	v := &cobra.Command{Use: "voter", Short: "change the council's voters, one at a time"}
 	change := func(q map[string]any, done func(*status) bool) error {
-		c := newCouncillors(*admin)
+		c := newCouncilClient(*admin)
 		body, err := json.Marshal(q)
 		if err != nil {
 			return err
 		}
 		why := errors.New("no voter answers")
-		for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(retryEach) {
-			for _, a := range c.admins {
+		for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(retryInterval) {
+			for _, a := range c.addresses {
 				var r result
-				if code, err := call(a, http.MethodPost, "/v1/voter", body, &r); err == nil && code == http.StatusOK && !r.OK {
+				if code, err := callAdmin(a, http.MethodPost, "/v1/voter", body, &r); err == nil && code == http.StatusOK && !r.OK {
 					why = errors.New(r.Refused)
 				} else if err != nil {
 					continue
@@ -105,7 +105,7 @@
 	var at string
 	add := &cobra.Command{Use: "add NAME", Short: "add a voter that was started with --join: it replicates the log first, then votes", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		var s status
-		if err := ask(at, "/v1/status", &s); err != nil {
+		if err := getAdmin(at, "/v1/status", &s); err != nil {
 			return err
 		}
 		address := ""
@@ -140,7 +140,7 @@
 	v.AddCommand(add, remove)
 	raise := &cobra.Command{Use: "raise", Short: "switch the council at once to the newest format version that all its voters support; older programs can't be used afterwards", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return granted(newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "raise"}))
+			return checkResult(newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "raise"}))
 		}}
 	c.AddCommand(v, raise)
 }
--- a/cmd/reachwind/faults_test.go
+++ b/cmd/reachwind/faults_test.go
@@ -16,8 +16,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// configured writes a gateway's configuration whose settings were edited by change, and returns its path.
-func configured(t *testing.T, c *cluster.Cluster, discovery string, change func(settings map[string]any)) string {
+// writeEditedConfig writes a gateway's configuration whose settings were edited by change, and returns its path.
+func writeEditedConfig(t *testing.T, c *cluster.Cluster, discovery string, change func(settings map[string]any)) string {
 	t.Helper()
 	var conf map[string]any
 	if err := json.Unmarshal(c.GatewayConfig("n1", "127.0.0.1:0", 64, 256), &conf); err != nil {
@@ -36,8 +36,8 @@
 	return path
 }
 
-// askOnce sends one request on a connection of its own and returns the answer.
-func askOnce(t *testing.T, g *proc.Gateway, q *pgclient.Request) pgclient.Answer {
+// sendOnce sends one request on a connection of its own and returns the answer.
+func sendOnce(t *testing.T, g *proc.Gateway, q *pgclient.Request) pgclient.Answer {
 	t.Helper()
 	conn, err := pgclient.Dial(g.Addr, within)
 	if err != nil {
@@ -51,27 +51,27 @@
 	return answer
 }
 
-// TestOldAnswerOfOnceRequest: a request that may run only once and that a demoted primary has run is answered as failed. It
+// TestOnceRequestRunByDemotedPrimary: a request that may run only once and that a demoted primary has run is answered as failed. It
 // is neither refused nor sent again, whether or not there is a successor.
-func TestOldAnswerOfOnceRequest(t *testing.T) {
+func TestOnceRequestRunByDemotedPrimary(t *testing.T) {
 	t.Parallel()
 	for _, successor := range []bool{true, false} {
 		t.Run(fmt.Sprintf("successor %v", successor), func(t *testing.T) {
 			t.Parallel()
-			c := started(t, cluster.Config{Groups: 1, Replicas: 2, Elect: 50 * time.Millisecond})
-			g := play(t, configured(t, c, c.Discovery(), func(settings map[string]any) {
+			c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2, Elect: 50 * time.Millisecond})
+			g := startGateway(t, writeEditedConfig(t, c, c.Discovery(), func(settings map[string]any) {
 				for _, class := range settings["Grades"].([]any) {
 					class.(map[string]any)["Effect"] = "once"
 				}
 			}), "msg=serving")
 			read := &pgclient.Request{ID: "a1", Class: "run-status", Tenant: "kea-basin", Wait: 750 * time.Millisecond, Item: "hut"}
 			write := &pgclient.Request{ID: "a2", Class: "map-edits", Tenant: "kea-basin", Wait: 3 * time.Second, Item: "hut", Value: "open", Key: "k", Write: true}
-			if a := askOnce(t, g, write); a.Verdict != pgclient.Served {
+			if a := sendOnce(t, g, write); a.Verdict != pgclient.Served {
 				t.Fatalf("the primary is not known yet: %+v\n%s", a, g.Log())
 			}
 			old := c.Primary(0)
 			old.Hang(true)
-			eventually(t, g, "a new primary is elected", func() bool { return !old.IsPrimary() })
+			waitFor(t, g, "a new primary is elected", func() bool { return !old.IsPrimary() })
 			old.Freeze(true)
 			old.Hang(false)
 			if !successor {
@@ -82,7 +82,7 @@
 				}
 			}
 			time.Sleep(200 * time.Millisecond) // for the gateway to apply the list
-			if a := askOnce(t, g, read); a.Verdict != pgclient.Failed {
+			if a := sendOnce(t, g, read); a.Verdict != pgclient.Failed {
 				t.Errorf("verdict %s, want failed, since the demoted primary ran it\n%s", pgclient.Names[a.Verdict], g.Log())
 			}
 			if err := g.Stop(within); err != nil {
@@ -100,8 +100,8 @@
 	}
 }
 
-// crowded is an overloaded discovery: it answers each call with 503 after the longest time that a call may queue there.
-func crowded(nc net.Conn) {
+// overloadedDiscovery is an overloaded discovery: it answers each call with 503 after the longest time that a call may queue there.
+func overloadedDiscovery(nc net.Conn) {
 	const queue = 2 * time.Second
 	buf := make([]byte, 4<<10)
 	for {
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestDrainAfterCrowdedDiscovery: a member was listed as draining while discovery was overloaded. 6 s and the grace time
+// TestDrainAfterOverloadedDiscovery: a member was listed as draining while discovery was overloaded. 6 s and the grace time
 // after discovery answers again, no more requests are sent to that member.
-func TestDrainAfterCrowdedDiscovery(t *testing.T) {
+func TestDrainAfterOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	const (
 		down  = 5 * time.Second
@@ -126,11 +126,11 @@
 		grace = 250*time.Millisecond + 50*time.Millisecond // of the settings, and the tolerance of the protocol
 		rest  = 2 * time.Second
 	)
-	c := started(t, cluster.Config{Groups: 1, Replicas: 3})
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 3})
 	r := newRelay(t, c.Discovery())
 	r.up(t, r.pass)
-	g := play(t, configured(t, c, r.addr, func(settings map[string]any) { settings["Instances"] = 300 }), "msg=serving")
-	eventually(t, g, "discovery is called", func() bool { return r.calls.Load() > 0 })
+	g := startGateway(t, writeEditedConfig(t, c, r.addr, func(settings map[string]any) { settings["Instances"] = 300 }), "msg=serving")
+	waitFor(t, g, "discovery is called", func() bool { return r.calls.Load() > 0 })
 	time.Sleep(200 * time.Millisecond)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -152,7 +152,7 @@
 		})
 	}
 	r.down()
-	r.up(t, crowded)
+	r.up(t, overloadedDiscovery)
 	time.Sleep(down)
 	out := c.Members()[3]
 	out.Drain(true)
--- a/cmd/reachwind/fleet.go
+++ b/cmd/reachwind/fleet.go
@@ -33,8 +33,8 @@
 const exUnavailable = 69
 
 const (
-	askWait = 3 * time.Second
-	askMost = 8 << 20 // bytes of an answer
+	adminTimeout   = 3 * time.Second
+	maxAnswerBytes = 8 << 20 // bytes of an answer
 )
 
 // fleetCommand builds the commands that query running gateways and the council.
@@ -50,8 +50,8 @@
 	}
 	add("members", "list the fleet's gateways as one gateway sees them", func(out io.Writer) error {
 		var all []fleet.Member
-		if err := ask(admin, "/v1/members", &all); err != nil || asJSON {
-			return show(out, all, err)
+		if err := getAdmin(admin, "/v1/members", &all); err != nil || asJSON {
+			return writeJSON(out, all, err)
 		}
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		_, _ = fmt.Fprintln(w, "NAME\tZONE\tREGION\tSTATE\tSURE\tSINCE\tEPOCH\tVERDICT\tRTT\tADDRESS\tVERSION")
@@ -70,16 +70,16 @@
 	})
 	add("view", "show a gateway's verdict on its own connectivity, and the reasons", func(out io.Writer) error {
 		var v fleet.View
-		if err := ask(admin, "/v1/view", &v); err != nil || asJSON {
-			return show(out, v, err)
+		if err := getAdmin(admin, "/v1/view", &v); err != nil || asJSON {
+			return writeJSON(out, v, err)
 		}
 		_, _ = fmt.Fprintf(out, "%s, epoch %d: %s (number %d) since %v\n", v.Name, v.Epoch, v.Verdict, v.Number,
 			(time.Duration(v.SinceMs) * time.Millisecond).Round(100*time.Millisecond))
 		for _, r := range v.Reasons {
 			_, _ = fmt.Fprintln(out, " ", r)
 		}
-		_, _ = fmt.Fprintln(out, "parts of shared budgets, 1 = its own:", pairs(v.Parts))
-		_, _ = fmt.Fprintln(out, "counts:", pairs(v.Counts))
+		_, _ = fmt.Fprintln(out, "parts of shared budgets, 1 = its own:", formatMap(v.Parts))
+		_, _ = fmt.Fprintln(out, "counts:", formatMap(v.Counts))
 		if s := v.Council; s != nil {
 			_, _ = fmt.Fprintf(out, "council: leader %q, index %d, heard %v ago, permit %d\n", s.Leader, s.Index, (time.Duration(s.AgeMs) * time.Millisecond).Round(100*time.Millisecond), s.Fence)
 		}
@@ -87,8 +87,8 @@
 	})
 	add("beliefs", "list observations of members and the gateways that made them", func(out io.Writer) error {
 		var lines []belief.Line
-		if err := ask(admin, "/v1/beliefs", &lines); err != nil || asJSON {
-			return show(out, lines, err)
+		if err := getAdmin(admin, "/v1/beliefs", &lines); err != nil || asJSON {
+			return writeJSON(out, lines, err)
 		}
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		_, _ = fmt.Fprintln(w, "MEMBER\tOUT\tUP\tWITNESS\tZONE\tSAW\tAGE\tTRUST")
@@ -102,7 +102,7 @@
 	})
 	add("rules", "list what a gateway may do, by its own verdict and a peer's", func(out io.Writer) error {
 		if asJSON {
-			return show(out, view.Rules(), nil)
+			return writeJSON(out, view.Rules(), nil)
 		}
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		_, _ = fmt.Fprintln(w, "ACT\tMINE\tTHEIRS\tALLOWED\tWHY")
@@ -111,16 +111,16 @@
 		}
 		return w.Flush()
 	})
-	addCouncil(c, &admin, &asJSON)
+	addCouncilCommands(c, &admin, &asJSON)
 	return c
 }
 
-// ask gets path from an admin address and decodes the JSON answer into v. The error is an exitError with exUnavailable.
-func ask(admin, path string, v any) error {
+// getAdmin gets path from an admin address and decodes the JSON answer into v. The error is an exitError with exUnavailable.
+func getAdmin(admin, path string, v any) error {
 	if admin == "" {
 		return exitError{exUnavailable, errors.New("no address, want --admin host:port")}
 	}
-	if _, err := call(admin, http.MethodGet, path, nil, v); err != nil {
+	if _, err := callAdmin(admin, http.MethodGet, path, nil, v); err != nil {
 		return exitError{exUnavailable, err}
 	}
 	return nil
@@ -129,7 +129,7 @@
 // roundTrip sends one HTTP/1.0 request over a connection of its own. It does without the client of net/http, whose code
 // would be mapped into the memory of every gateway. The caller closes the answer's body.
 func roundTrip(addr, method, path string, body []byte, within time.Duration) (*http.Response, error) {
-	conn, err := net.DialTimeout("tcp", addr, askWait)
+	conn, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 	if err == nil {
 		var res *http.Response
 		if res, err = http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
-			res.Body = closer{res.Body, conn}
+			res.Body = connectionBody{res.Body, conn}
 			return res, nil
 		}
 	}
@@ -146,20 +146,20 @@
 	return nil, err
 }
 
-// closer is an answer's body whose Close also closes the connection.
-type closer struct {
+// connectionBody is an answer's body whose Close also closes the connection.
+type connectionBody struct {
 	io.ReadCloser
 	conn net.Conn
 }
 
 // Close implements io.Closer.
-func (c closer) Close() error {
+func (c connectionBody) Close() error {
 	_ = c.ReadCloser.Close()
 	return c.conn.Close()
 }
 
-// show writes v as indented JSON, or returns err if that is not nil.
-func show(out io.Writer, v any, err error) error {
+// writeJSON writes v as indented JSON, or returns err if that is not nil.
+func writeJSON(out io.Writer, v any, err error) error {
 	if err != nil {
 		return err
 	}
@@ -168,8 +168,8 @@
 	return e.Encode(v)
 }
 
-// pairs formats a map in the order of its keys.
-func pairs[V any](m map[string]V) string {
+// formatMap formats a map in the order of its keys.
+func formatMap[V any](m map[string]V) string {
 	var keys []string
 	for k := range m {
 		keys = append(keys, k)
--- a/cmd/reachwind/foreign_test.go
+++ b/cmd/reachwind/foreign_test.go
@@ -14,9 +14,9 @@
 	"reachwind/internal/pgwire"
 )
 
-// TestForeign: a gateway with the settings of another deployment knows only that deployment's classes, follows its rules,
+// TestForeignSettings: a gateway with the settings of another deployment knows only that deployment's classes, follows its rules,
 // and shuts down without an error.
-func TestForeign(t *testing.T) {
+func TestForeignSettings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		statements []string
 		want       string
--- a/cmd/reachwind/log.go
+++ b/cmd/reachwind/log.go
@@ -17,12 +17,12 @@
 }
 
 const (
-	logRoom   = 1024 // lines in the queue
-	flushWait = 200 * time.Millisecond
+	maxQueuedLines = 1024 // lines in the queue
+	flushTimeout   = 200 * time.Millisecond
 )
 
 func newLogWriter(to io.Writer) *logWriter {
-	w := &logWriter{lines: make(chan []byte, logRoom), done: make(chan struct{})}
+	w := &logWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		for line := range w.lines {
@@ -48,9 +48,9 @@
 	return len(line), nil
 }
 
-// flush writes the queued lines, and gives up after flushWait. Lines logged afterwards may be lost.
+// flush writes the queued lines, and gives up after flushTimeout. Lines logged afterwards may be lost.
 func (w *logWriter) flush() {
-	t := time.NewTimer(flushWait)
+	t := time.NewTimer(flushTimeout)
 	defer t.Stop()
 	select {
 	case w.lines <- nil:
--- a/cmd/reachwind/main.go
+++ b/cmd/reachwind/main.go
@@ -23,7 +23,7 @@
 var version = "0.1"
 
 func main() {
-	if err := command(os.Args[1:], os.Stdout, os.Stderr); err != nil {
+	if err := execute(os.Args[1:], os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "reachwind:", err)
 		code := 1
 		var e exitError
@@ -34,17 +34,17 @@
 	}
 }
 
-// command executes one command line.
-func command(args []string, out, errs io.Writer) error {
-	root := commands()
+// execute executes one command line.
+func execute(args []string, out, errs io.Writer) error {
+	root := newRootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
 	return root.Execute()
 }
 
-// commands builds the tree of commands with their flags.
-func commands() *cobra.Command {
+// newRootCommand builds the tree of commands with their flags.
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "reachwind", Short: "A database gateway for a replicated store", SilenceUsage: true, SilenceErrors: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_ = c.Usage()
@@ -69,12 +69,12 @@
 			logs := newLogWriter(c.ErrOrStderr())
 			defer logs.flush()
 			records := record.NewHandler(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: least}))
-			conf, err := gateway.LoadServing(path, slog.New(records))
+			conf, err := gateway.LoadForServing(path, slog.New(records))
 			if err != nil {
 				return err
 			}
-			return gateway.Serve(conf, gateway.Options{Path: path, Edge: edge, Version: cmp.Or(says, version), Log: slog.New(records), Records: records,
-				Wall: func() time.Time { return time.Now().Add(offset) }})
+			return gateway.Serve(conf, gateway.Options{ConfigPath: path, EdgePath: edge, Version: cmp.Or(says, version), Log: slog.New(records), Records: records,
+				WallClock: func() time.Time { return time.Now().Add(offset) }})
 		}}
 	serve.Flags().DurationVar(&offset, "clock-offset", 0, "offset of the fleet's wall clock by this `span`; for test labs")
 	serve.Flags().StringVar(&says, "say-version", "", "report this `version` to peers and the council; for test labs")
@@ -82,15 +82,15 @@
 	_ = serve.Flags().MarkHidden("say-version")
 	root.AddCommand(serve)
 	root.AddCommand(&cobra.Command{Use: "check", Short: "read the configuration, report its faults, and exit", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return check(c.OutOrStdout(), path, edge) }})
+		RunE: func(c *cobra.Command, _ []string) error { return printCheck(c.OutOrStdout(), path, edge) }})
 	root.AddCommand(&cobra.Command{Use: "version", Short: "print the version", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) { _, _ = fmt.Fprintln(c.OutOrStdout(), "reachwind", version) }})
 	root.AddCommand(spoolCommand(), fleetCommand(), councilCommand())
 	return root
 }
 
-// check validates the configuration files and prints a summary of them and of how the limits are divided.
-func check(out io.Writer, path, edgePath string) error {
+// printCheck validates the configuration files and prints a summary of them and of how the limits are divided.
+func printCheck(out io.Writer, path, edgePath string) error {
 	c, err := gateway.Load(path)
 	if err != nil {
 		return err
@@ -104,8 +104,8 @@
 	_, _ = fmt.Fprintf(out, "ok: %s listens on %s, %d members known, %d classes\n",
 		c.Name, c.Listen, len(c.Known), len(c.Decide.Classes))
 	b := c.Budget(edge)
-	_, _ = fmt.Fprintf(out, "descriptors: %d for clients, %d for members, %d for parts\n", b.Clients, b.Members, b.Files)
-	_, _ = fmt.Fprintf(out, "memory: %d buffers and %d small ones of %s in all, %s for parts\n", b.Buffers, b.Small, edgeconf.FormatSize(b.Memory), edgeconf.FormatSize(b.Parts))
+	_, _ = fmt.Fprintf(out, "descriptors: %d for clients, %d for members, %d for parts\n", b.ClientConnections, b.MemberConnections, b.SubsystemDescriptors)
+	_, _ = fmt.Fprintf(out, "memory: %d buffers and %d small ones of %s in all, %s for parts\n", b.Buffers, b.SmallBuffers, edgeconf.FormatSize(b.BufferBytes), edgeconf.FormatSize(b.SubsystemBytes))
 	if s := edge.Syslog; s != nil {
 		_, _ = fmt.Fprintf(out, "syslog: %d collectors, %d routes, queue %s", len(s.Collectors), len(s.Routes), edgeconf.FormatSize(int64(s.Memory)))
 		if s.Spool != "" {
--- a/cmd/reachwind/main_test.go
+++ b/cmd/reachwind/main_test.go
@@ -22,7 +22,7 @@
 	"reachwind/internal/spool"
 )
 
-const good = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"generation":1,"instances":[{"instanceId":"a","lifecycle":"ready"}]},
 "settings":{"Instances":1,"Grades":[{"Name":"r","Effect":"repeatable","KeyScope":"all","AimUs":100000,"DeadlineUs":500000}],
 "FamilyInfo":{"Consistency":["any"],"ClassBoundUs":[0]}}}`
@@ -44,11 +44,11 @@
 	} {
 		t.Setenv("NODE_DISCOVERY", "")
 		path := filepath.Join(t.TempDir(), "c.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(good, tc.old, tc.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(validConfig, tc.old, tc.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var out, errs strings.Builder
-		err := command([]string{"check", "--config", path}, &out, &errs)
+		err := execute([]string{"check", "--config", path}, &out, &errs)
 		if tc.want == "" {
 			if err != nil || !strings.HasPrefix(out.String(), "ok: n1") {
 				t.Errorf("%s: %v, %q", name, err, out.String())
@@ -62,20 +62,20 @@
 func TestCommands(t *testing.T) {
 	for _, args := range [][]string{{}, {"nonsense"}, {"serve", "twice"}, {"--nonsense"}, {"check", "--config", "/nonexistent"},
 		{"version", "--log-level", "odd"}} {
-		if err := command(args, new(strings.Builder), new(strings.Builder)); err == nil {
+		if err := execute(args, new(strings.Builder), new(strings.Builder)); err == nil {
 			t.Errorf("%q: no error", args)
 		}
 	}
 	var out strings.Builder
-	if err := command([]string{"version"}, &out, new(strings.Builder)); err != nil || out.String() != "reachwind "+version+"\n" {
+	if err := execute([]string{"version"}, &out, new(strings.Builder)); err != nil || out.String() != "reachwind "+version+"\n" {
 		t.Errorf("version: %q, %v", out.String(), err)
 	}
 }
 
-// TestRun: a gateway without members admits a client, refuses its request at once with a
+// TestRunWithoutMembers: a gateway without members admits a client, refuses its request at once with a
 // retry time, and ends on request.
-func TestRun(t *testing.T) {
-	c, err := gateway.Parse([]byte(strings.Replace(good, `"settings":{`, `"settings":{"Allowed":{"RetryAfter":true,"MaxRetryAfterUs":70000},`, 1)),
+func TestRunWithoutMembers(t *testing.T) {
+	c, err := gateway.Parse([]byte(strings.Replace(validConfig, `"settings":{`, `"settings":{"Allowed":{"RetryAfter":true,"MaxRetryAfterUs":70000},`, 1)),
 		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 				}
 			}
 		}()
-		return strings.NewReplacer("127.0.0.1:1", l.Addr().String(), `"Instances":1,`, `"Instances":1,"Discovery":"ask",`).Replace(good)
+		return strings.NewReplacer("127.0.0.1:1", l.Addr().String(), `"Instances":1,`, `"Instances":1,"Discovery":"ask",`).Replace(validConfig)
 	}
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- gateway.Serve(c, gateway.Options{Path: path, Log: log}) }()
+	go func() { done <- gateway.Serve(c, gateway.Options{ConfigPath: path, Log: log}) }()
 	signal := func(s syscall.Signal) { // to the test's own process, which an unhandled SIGHUP would end
 		if err := syscall.Kill(os.Getpid(), s); err != nil {
 			t.Fatal(err)
@@ -219,7 +219,7 @@
 	}
 	run := func(args ...string) (string, error) {
 		var out strings.Builder
-		err := command(append([]string{"spool"}, args...), &out, io.Discard)
+		err := execute(append([]string{"spool"}, args...), &out, io.Discard)
 		return out.String(), err
 	}
 	for _, d := range []string{root, dir} { // while another process holds the folder open
@@ -254,14 +254,14 @@
 	}
 }
 
-// TestLogDrops: a log reader that stalls does not block those who log, and is told how many lines were dropped.
-func TestLogDrops(t *testing.T) {
+// TestLogWriterDropsLines: a log reader that stalls does not block those who log, and is told how many lines were dropped.
+func TestLogWriterDropsLines(t *testing.T) {
 	gate, got := make(chan struct{}), new(strings.Builder)
 	w := newLogWriter(writerFunc(func(p []byte) (int, error) {
 		<-gate
 		return got.Write(p)
 	}))
-	const lines = 2 * logRoom
+	const lines = 2 * maxQueuedLines
 	for range lines {
 		_, _ = w.Write([]byte("line\n"))
 	}
@@ -269,7 +269,7 @@
 	w.lines <- nil
 	<-w.done
 	_, _ = w.Write([]byte("late\n"))
-	if n := strings.Count(got.String(), "line\n"); n < logRoom || n > logRoom+1 || !strings.Contains(got.String(), "dropped") {
+	if n := strings.Count(got.String(), "line\n"); n < maxQueuedLines || n > maxQueuedLines+1 || !strings.Contains(got.String(), "dropped") {
 		t.Errorf("%d lines, %.80q", n, got.String())
 	}
 }
@@ -282,7 +282,7 @@
 // code 69.
 func TestFleetCommands(t *testing.T) {
 	var out strings.Builder
-	if err := command([]string{"fleet", "rules", "--json"}, &out, io.Discard); err != nil {
+	if err := execute([]string{"fleet", "rules", "--json"}, &out, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	var rules []view.Rule
@@ -296,7 +296,7 @@
 	}
 	for _, args := range [][]string{{"fleet", "view", "--admin", "127.0.0.1:1"}, {"fleet", "members"}} {
 		var e exitError
-		if err := command(args, io.Discard, io.Discard); !errors.As(err, &e) || e.code != 69 || strings.Contains(err.Error(), "\n") {
+		if err := execute(args, io.Discard, io.Discard); !errors.As(err, &e) || e.code != 69 || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
--- a/cmd/reachwind/overlap_test.go
+++ b/cmd/reachwind/overlap_test.go
@@ -21,18 +21,18 @@
 	"reachwind/internal/standin/cluster"
 )
 
-// statement returns the message of a read request.
-func statement(id, class string, wait time.Duration) []byte {
+// readStatement returns the message of a read request.
+func readStatement(id, class string, wait time.Duration) []byte {
 	return pgwire.Append(nil, 'Q', fmt.Sprintf("/* id=%s,c=%s,t=kea-basin,d=%d,cluster=0 */ SELECT doc FROM items WHERE id = 'x'\x00", id, class, wait.Milliseconds()))
 }
 
-// peer is a client whose every byte the test controls.
-type peer struct {
+// rawClient is a client whose every byte the test controls.
+type rawClient struct {
 	*net.TCPConn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func connect(t *testing.T, addr string) peer {
+func connectRaw(t *testing.T, addr string) rawClient {
 	t.Helper()
 	nc, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
@@ -40,27 +40,27 @@
 	}
 	t.Cleanup(func() { _ = nc.Close() })
 	_ = nc.SetDeadline(time.Now().Add(2 * within))
-	return peer{nc.(*net.TCPConn), bufio.NewReader(nc)}
+	return rawClient{nc.(*net.TCPConn), bufio.NewReader(nc)}
 }
 
-func (p peer) send(t *testing.T, text []byte) {
+func (p rawClient) send(t *testing.T, text []byte) {
 	t.Helper()
 	if _, err := p.Write(text); err != nil {
 		t.Errorf("write: %v", err)
 	}
 }
 
-// hear reads messages up to the next ReadyForQuery and returns their types.
-func (p peer) hear() (types string, err error) {
+// receive reads messages up to the next ReadyForQuery and returns their types.
+func (p rawClient) receive() (types string, err error) {
 	for head := make([]byte, 5); ; {
-		if _, err := io.ReadFull(p.r, head); err != nil {
+		if _, err := io.ReadFull(p.reader, head); err != nil {
 			return types, err
 		}
 		typ, n, err := pgwire.Header(head)
 		if err != nil {
 			return types, err
 		}
-		if _, err := io.CopyN(io.Discard, p.r, int64(n)); err != nil {
+		if _, err := io.CopyN(io.Discard, p.reader, int64(n)); err != nil {
 			return types, err
 		}
 		types += string(typ)
@@ -70,16 +70,16 @@
 	}
 }
 
-// one reads exactly one complete answer to a request: a row or an error.
-func (p peer) one(t *testing.T, what string) {
+// wantOneAnswer reads exactly one complete answer to a request: a row or an error.
+func (p rawClient) wantOneAnswer(t *testing.T, what string) {
 	t.Helper()
-	if types, err := p.hear(); err != nil || types != "TDCZ" && types != "EZ" || p.r.Buffered() > 0 {
-		t.Errorf("%s: answered %q, %v, and %d bytes more", what, types, err, p.r.Buffered())
+	if types, err := p.receive(); err != nil || types != "TDCZ" && types != "EZ" || p.reader.Buffered() > 0 {
+		t.Errorf("%s: answered %q, %v, and %d bytes more", what, types, err, p.reader.Buffered())
 	}
 }
 
-// beside starts a gateway process on the platform's listening socket, with dir as its handover folder.
-func beside(t *testing.T, dir, path string, socket *os.File) *proc.Gateway {
+// startOnSocket starts a gateway process on the platform's listening socket, with dir as its handover folder.
+func startOnSocket(t *testing.T, dir, path string, socket *os.File) *proc.Gateway {
 	t.Helper()
 	none, err := os.Open(os.DevNull)
 	if err != nil {
@@ -95,8 +95,8 @@
 	return g
 }
 
-// platform opens a listening socket as the platform does, to be passed to successive processes.
-func platform(t *testing.T) (addr string, socket *os.File) {
+// listenAsPlatform opens a listening socket as the platform does, to be passed to successive processes.
+func listenAsPlatform(t *testing.T) (addr string, socket *os.File) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -112,8 +112,8 @@
 	return l.Addr().String(), socket
 }
 
-// ended waits for a process to exit by itself, and checks that it stopped in order.
-func ended(t *testing.T, g *proc.Gateway) {
+// waitStopped waits for a process to exit by itself, and checks that it stopped in order.
+func waitStopped(t *testing.T, g *proc.Gateway) {
 	t.Helper()
 	select {
 	case <-g.Ended():
@@ -125,28 +125,28 @@
 	}
 }
 
-const idleWait = time.Second // half of the time after which idle connections are closed
+const halfIdleLimit = time.Second // half of the time after which idle connections are closed
 
-// TestOverlap replaces a process while its clients are at every step of the protocol, its members hang and signals are
+// TestHandoverUnderTraffic replaces a process while its clients are at every step of the protocol, its members hang and signals are
 // repeated. Each request gets one complete answer and no connection is cut, even if bytes arrive while it is passed on.
-func TestOverlap(t *testing.T) {
-	c := started(t, cluster.Config{Groups: 1, Replicas: 2})
-	addr, socket := platform(t)
-	dir, path := t.TempDir(), written(t, c, c.Discovery(), 1024) // enough descriptors for all clients to be idle
-	former := beside(t, dir, path, socket)
-	eventually(t, former, "a served request", func() bool {
-		p := connect(t, addr)
-		p.send(t, append(pgwire.AppendStartup(nil, "app", "shop"), statement("first-"+fmt.Sprint(time.Now().UnixNano()), "field-info", 3*time.Second)...))
-		_, _ = p.hear()
-		types, _ := p.hear()
+func TestHandoverUnderTraffic(t *testing.T) {
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2})
+	addr, socket := listenAsPlatform(t)
+	dir, path := t.TempDir(), writeConfig(t, c, c.Discovery(), 1024) // enough descriptors for all clients to be idle
+	former := startOnSocket(t, dir, path, socket)
+	waitFor(t, former, "a served request", func() bool {
+		p := connectRaw(t, addr)
+		p.send(t, append(pgwire.AppendStartup(nil, "app", "shop"), readStatement("first-"+fmt.Sprint(time.Now().UnixNano()), "field-info", 3*time.Second)...))
+		_, _ = p.receive()
+		types, _ := p.receive()
 		_ = p.Close()
 		return types == "TDCZ" || types == "TCZ"
 	})
 	hello := pgwire.AppendStartup(nil, "app", "shop")
-	begin := func(more []byte) peer {
-		p := connect(t, addr)
+	begin := func(more []byte) rawClient {
+		p := connectRaw(t, addr)
 		p.send(t, append(append([]byte(nil), hello...), more...))
-		if types, err := p.hear(); err != nil {
+		if types, err := p.receive(); err != nil {
 			t.Fatalf("startup: %q, %v", types, err)
 		}
 		return p
@@ -155,19 +155,19 @@
 		m.Hang(true)
 	}
 	const each = 6
-	var out, idle, fresh, halfHello, halfAsked, left []peer
+	var out, idle, fresh, halfHello, halfAsked, left []rawClient
 	for i := range each {
-		text := statement(fmt.Sprint("half-", i), "field-info", 3*time.Second)
+		text := readStatement(fmt.Sprint("half-", i), "field-info", 3*time.Second)
 		idle = append(idle, begin(nil))
 		halfAsked = append(halfAsked, begin(text[:len(text)/2]))
-		left = append(left, begin(statement(fmt.Sprint("left-", i), "field-info", 3*time.Second)))
-		fresh = append(fresh, connect(t, addr))
-		p := connect(t, addr)
+		left = append(left, begin(readStatement(fmt.Sprint("left-", i), "field-info", 3*time.Second)))
+		fresh = append(fresh, connectRaw(t, addr))
+		p := connectRaw(t, addr)
 		p.send(t, hello[:len(hello)/2])
 		halfHello = append(halfHello, p)
-		out = append(out, begin(statement(fmt.Sprint("out-", i), []string{"field-info", "run-status"}[i%2], 3*time.Second)))
+		out = append(out, begin(readStatement(fmt.Sprint("out-", i), []string{"field-info", "run-status"}[i%2], 3*time.Second)))
 	}
-	next := beside(t, dir, path, socket)
+	next := startOnSocket(t, dir, path, socket)
 
 	var busy sync.WaitGroup // these clients never pause, so that bytes arrive at every step while connections are passed on
 	stop := make(chan struct{})
@@ -184,10 +184,10 @@
 				}
 				begun := time.Now()
 				p.send(t, pgwire.Append(nil, 'Q', "\x00"))
-				types, err := p.hear()
+				types, err := p.receive()
 				switch {
 				case types == "IZ" && err == nil:
-				case types == "" && begun.Sub(last) > idleWait: // this goroutine was delayed, and its connection closed as idle
+				case types == "" && begun.Sub(last) > halfIdleLimit: // this goroutine was delayed, and its connection closed as idle
 					return
 				default:
 					t.Errorf("a client that never pauses, command %d: %q, %v", n, types, err)
@@ -198,50 +198,50 @@
 		}()
 	}
 	former.Signal(syscall.SIGTERM)
-	eventually(t, former, "stopping", func() bool { return strings.Contains(former.Log(), "msg=stopping") })
+	waitFor(t, former, "stopping", func() bool { return strings.Contains(former.Log(), "msg=stopping") })
 	former.Signal(syscall.SIGTERM)
 	former.Signal(syscall.SIGHUP)
 	next.Signal(syscall.SIGHUP)
 	for i := range each {
-		text := statement(fmt.Sprint("half-", i), "field-info", 3*time.Second)
+		text := readStatement(fmt.Sprint("half-", i), "field-info", 3*time.Second)
 		halfAsked[i].send(t, text[len(text)/2:])
-		halfHello[i].send(t, append(append([]byte(nil), hello[len(hello)/2:]...), statement(fmt.Sprint("hello-", i), "field-info", 3*time.Second)...))
-		idle[i].send(t, statement(fmt.Sprint("idle-", i), "field-info", 3*time.Second))
-		fresh[i].send(t, append(append([]byte(nil), hello...), statement(fmt.Sprint("fresh-", i), "field-info", 3*time.Second)...))
+		halfHello[i].send(t, append(append([]byte(nil), hello[len(hello)/2:]...), readStatement(fmt.Sprint("hello-", i), "field-info", 3*time.Second)...))
+		idle[i].send(t, readStatement(fmt.Sprint("idle-", i), "field-info", 3*time.Second))
+		fresh[i].send(t, append(append([]byte(nil), hello...), readStatement(fmt.Sprint("fresh-", i), "field-info", 3*time.Second)...))
 		if i%2 == 0 {
 			_ = left[i].SetLinger(0)
 		}
 		_ = left[i].Close()
 	}
-	eventually(t, next, "reloaded", func() bool { return strings.Contains(next.Log(), "msg=reloaded") })
+	waitFor(t, next, "reloaded", func() bool { return strings.Contains(next.Log(), "msg=reloaded") })
 	for _, m := range c.Members() {
 		m.Hang(false)
 	}
 	for i := range each {
-		out[i].one(t, fmt.Sprint("in flight ", i))
-		halfAsked[i].one(t, fmt.Sprint("half a statement ", i))
-		idle[i].one(t, fmt.Sprint("idle ", i))
-		for _, p := range []peer{fresh[i], halfHello[i]} {
-			if types, err := p.hear(); err != nil || !strings.HasPrefix(types, "R") {
+		out[i].wantOneAnswer(t, fmt.Sprint("in flight ", i))
+		halfAsked[i].wantOneAnswer(t, fmt.Sprint("half a statement ", i))
+		idle[i].wantOneAnswer(t, fmt.Sprint("idle ", i))
+		for _, p := range []rawClient{fresh[i], halfHello[i]} {
+			if types, err := p.receive(); err != nil || !strings.HasPrefix(types, "R") {
 				t.Errorf("startup %d: %q, %v", i, types, err)
 			}
-			p.one(t, fmt.Sprint("startup and statement ", i))
+			p.wantOneAnswer(t, fmt.Sprint("startup and statement ", i))
 		}
 	}
-	ended(t, former)
+	waitStopped(t, former)
 	close(stop)
 	busy.Wait()
 	if t.Failed() {
 		t.Logf("former: %s\nnext: %s", former.Log(), next.Log())
 	}
 	next.Signal(syscall.SIGTERM)
-	ended(t, next)
+	waitStopped(t, next)
 }
 
-// TestReady: a process that starts answers the platform, operators and clients, some of which connected before its start,
+// TestReadyWithoutDiscovery: a process that starts answers the platform, operators and clients, some of which connected before its start,
 // although discovery is down, silent, overloaded or slow and never sends a list; and it stops in order.
-func TestReady(t *testing.T) {
-	c := started(t, cluster.Config{Groups: 1, Replicas: 2})
+func TestReadyWithoutDiscovery(t *testing.T) {
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2})
 	for name, serve := range map[string]func(net.Conn){
 		"down":   nil,
 		"silent": func(net.Conn) {},
@@ -262,15 +262,15 @@
 			if serve != nil {
 				r.up(t, serve)
 			}
-			path := written(t, c, r.addr, 64)
-			addr, socket := platform(t)
+			path := writeConfig(t, c, r.addr, 64)
+			addr, socket := listenAsPlatform(t)
 			for i := range 60 {
-				if p := connect(t, addr); i%2 == 0 { // they wait in the backlog of the platform's socket
+				if p := connectRaw(t, addr); i%2 == 0 { // they wait in the backlog of the platform's socket
 					p.send(t, pgwire.AppendStartup(nil, "app", "shop"))
 				}
 			}
 			dir := t.TempDir()
-			g := beside(t, dir, path, socket)
+			g := startOnSocket(t, dir, path, socket)
 			throttled := make(chan struct{}) // until it is closed the process has a tenth of a core or less
 			resumed := make(chan struct{})
 			go func() {
@@ -287,51 +287,51 @@
 					time.Sleep(5 * time.Millisecond)
 				}
 			}()
-			eventually(t, g, "the platform's probe succeeds", func() bool { return admitted(addr) == nil })
-			eventually(t, g, "the admin API reports ready", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
+			waitFor(t, g, "the platform's probe succeeds", func() bool { return probePlatform(addr) == nil })
+			waitFor(t, g, "the admin API reports ready", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
 			close(throttled)
 			<-resumed
 			n := 0
-			eventually(t, g, "a client is served", func() bool {
+			waitFor(t, g, "a client is served", func() bool {
 				n++
-				p := connect(t, addr)
+				p := connectRaw(t, addr)
 				defer func() { _ = p.Close() }()
-				p.send(t, append(pgwire.AppendStartup(nil, "app", "shop"), statement(fmt.Sprint(name, "-", n), "field-info", 3*time.Second)...))
-				_, _ = p.hear()
-				types, _ := p.hear()
+				p.send(t, append(pgwire.AppendStartup(nil, "app", "shop"), readStatement(fmt.Sprint(name, "-", n), "field-info", 3*time.Second)...))
+				_, _ = p.receive()
+				types, _ := p.receive()
 				return types == "TDCZ" || types == "TCZ"
 			})
 			if strings.Contains(g.Log(), "msg=list ") {
 				t.Error("a list came from discovery, want none")
 			}
 			// A process that replaces it waits for discovery for a limited time only.
-			next := beside(t, dir, path, socket)
+			next := startOnSocket(t, dir, path, socket)
 			if !strings.Contains(next.Log(), "serving before discovery answered") {
 				t.Errorf("the next process did not log that it serves without discovery: %s", next.Log())
 			}
 			g.Signal(syscall.SIGTERM)
-			ended(t, g)
-			eventually(t, next, "the platform's probe succeeds with the next process", func() bool { return admitted(addr) == nil })
+			waitStopped(t, g)
+			waitFor(t, next, "the platform's probe succeeds with the next process", func() bool { return probePlatform(addr) == nil })
 			next.Signal(syscall.SIGTERM)
-			ended(t, next)
+			waitStopped(t, next)
 		})
 	}
 }
 
-// TestSuccessorDies: no request is lost if the next process gets SIGTERM while it waits for discovery, or is killed while
+// TestSuccessorEndsEarly: no request is lost if the next process gets SIGTERM while it waits for discovery, or is killed while
 // connections are being passed to it: the former process answers what clients wrote meanwhile.
-func TestSuccessorDies(t *testing.T) {
-	c := started(t, cluster.Config{Groups: 1, Replicas: 2})
+func TestSuccessorEndsEarly(t *testing.T) {
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2})
 	r := newRelay(t, c.Discovery())
 	r.up(t, func(net.Conn) {}) // silent
-	addr, socket := platform(t)
-	dir, path := t.TempDir(), written(t, c, r.addr, 1024)
-	former := beside(t, dir, path, socket)
-	idle := func() (p peer) {
-		p = connect(t, addr)
+	addr, socket := listenAsPlatform(t)
+	dir, path := t.TempDir(), writeConfig(t, c, r.addr, 1024)
+	former := startOnSocket(t, dir, path, socket)
+	idle := func() (p rawClient) {
+		p = connectRaw(t, addr)
 		p.send(t, pgwire.Append(pgwire.AppendStartup(nil, "app", "shop"), 'Q', "\x00"))
 		for range 2 {
-			if types, err := p.hear(); err != nil {
+			if types, err := p.receive(); err != nil {
 				t.Fatalf("startup: %q, %v\n%s", types, err, former.Log())
 			}
 		}
@@ -343,13 +343,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(early.Kill)
-	eventually(t, early, "its admin API is open", func() bool { return strings.Contains(early.Log(), "door open") })
+	waitFor(t, early, "its admin API is open", func() bool { return strings.Contains(early.Log(), "door open") })
 	early.Signal(syscall.SIGTERM)
-	ended(t, early)
+	waitStopped(t, early)
 
-	next := beside(t, dir, path, socket)
+	next := startOnSocket(t, dir, path, socket)
 	next.Signal(syscall.SIGSTOP)
-	eventually(t, former, "the next process is stopped", func() bool {
+	waitFor(t, former, "the next process is stopped", func() bool {
 		tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", next.Pid()))
 		return len(tasks) > 0 && !slices.ContainsFunc(tasks, func(task string) bool {
 			text, err := os.ReadFile(task)
@@ -357,13 +357,13 @@
 			return err == nil && !strings.HasPrefix(rest, "T")
 		})
 	})
-	var all []peer
+	var all []rawClient
 	for range 12 { // the next process is stopped, so the former one accepts these
 		all = append(all, idle())
 	}
 	former.Signal(syscall.SIGTERM)
-	eventually(t, former, "stopping", func() bool { return strings.Contains(former.Log(), "msg=stopping") })
-	eventually(t, former, "a link to the next process", func() bool {
+	waitFor(t, former, "stopping", func() bool { return strings.Contains(former.Log(), "msg=stopping") })
+	waitFor(t, former, "a link to the next process", func() bool {
 		text, _ := os.ReadFile("/proc/net/unix")
 		n := 0
 		for line := range strings.Lines(string(text)) {
@@ -378,11 +378,11 @@
 	}
 	next.Kill()
 	for i, p := range all {
-		if types, err := p.hear(); types != "IZ" || err != nil {
+		if types, err := p.receive(); types != "IZ" || err != nil {
 			t.Errorf("client %d: %q, %v", i, types, err)
 		}
 	}
-	ended(t, former)
+	waitStopped(t, former)
 	if t.Failed() {
 		t.Log(former.Log())
 	}
--- a/cmd/reachwind/process_test.go
+++ b/cmd/reachwind/process_test.go
@@ -40,12 +40,12 @@
 }
 
 const (
-	within    = 30 * time.Second // for any expected event, on a heavily loaded machine
-	triesMost = 1000             // of a new client during a flood; one in 5 to 20 of them is served
+	within   = 30 * time.Second // for any expected event, on a heavily loaded machine
+	maxTries = 1000             // of a new client during a flood; one in 5 to 20 of them is served
 )
 
-// eventually waits until f is true, and fails the test with g's log after within.
-func eventually(t *testing.T, g *proc.Gateway, what string, f func() bool) {
+// waitFor waits until f is true, and fails the test with g's log after within.
+func waitFor(t *testing.T, g *proc.Gateway, what string, f func() bool) {
 	t.Helper()
 	for late := time.Now().Add(within); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// play starts the program's command serve as a process; ready is as for proc.With.
-func play(t *testing.T, path, ready string, env ...string) *proc.Gateway {
+// startGateway starts the program's command serve as a process; ready is as for proc.With.
+func startGateway(t *testing.T, path, ready string, env ...string) *proc.Gateway {
 	t.Helper()
 	g, err := proc.With(os.Args[0], []string{"serve", "--config", path}, ready, append(env, "REACHWIND_PLAY=1"), nil)
 	if err != nil {
@@ -65,25 +65,25 @@
 	return g
 }
 
-// files returns the number of descriptors that a process holds.
-func files(g *proc.Gateway) int {
+// countDescriptors returns the number of descriptors that a process holds.
+func countDescriptors(g *proc.Gateway) int {
 	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.Pid()))
 	return len(all)
 }
 
 // relay sits between the gateway and discovery. It can be down, pass everything through, or answer by a test's function.
 type relay struct {
-	addr, to string
-	calls    atomic.Int64
+	addr, target string
+	calls        atomic.Int64
 
-	mu    sync.Mutex
-	l     net.Listener
-	conns map[net.Conn]bool
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[net.Conn]bool
 }
 
 func newRelay(t *testing.T, to string) *relay {
 	t.Helper()
-	r := &relay{to: to, conns: map[net.Conn]bool{}}
+	r := &relay{target: to, conns: map[net.Conn]bool{}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -98,9 +98,9 @@
 func (r *relay) down() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.l != nil {
-		_ = r.l.Close()
-		r.l = nil
+	if r.listener != nil {
+		_ = r.listener.Close()
+		r.listener = nil
 	}
 	for c := range r.conns {
 		_ = c.Close()
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	r.mu.Lock()
-	r.l = l
+	r.listener = l
 	r.mu.Unlock()
 	go func() {
 		for {
@@ -135,7 +135,7 @@
 
 // pass forwards a connection to discovery.
 func (r *relay) pass(c net.Conn) {
-	to, err := net.Dial("tcp", r.to)
+	to, err := net.Dial("tcp", r.target)
 	if err != nil {
 		_ = c.Close()
 		return
@@ -148,8 +148,8 @@
 	_ = c.Close()
 }
 
-// written writes a gateway's configuration with the address of another discovery, and returns its path.
-func written(t *testing.T, c *cluster.Cluster, discovery string, sockets int) string {
+// writeConfig writes a gateway's configuration with the address of another discovery, and returns its path.
+func writeConfig(t *testing.T, c *cluster.Cluster, discovery string, sockets int) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := bytes.ReplaceAll(c.GatewayConfig("n1", "127.0.0.1:0", 64, sockets), []byte(c.Discovery()), []byte(discovery))
@@ -159,8 +159,8 @@
 	return path
 }
 
-// started starts an emulated cluster, which ends with the test.
-func started(t *testing.T, conf cluster.Config) *cluster.Cluster {
+// startCluster starts an emulated cluster, which ends with the test.
+func startCluster(t *testing.T, conf cluster.Config) *cluster.Cluster {
 	t.Helper()
 	c, err := cluster.Start(conf)
 	if err != nil {
@@ -170,11 +170,11 @@
 	return c
 }
 
-// TestHangupWhileStarting: SIGHUP while the configuration is being read does not end the process: it serves, and reads the
+// TestSIGHUPWhileStarting: SIGHUP while the configuration is being read does not end the process: it serves, and reads the
 // file again.
-func TestHangupWhileStarting(t *testing.T) {
-	c := started(t, cluster.Config{Groups: 1})
-	text, err := os.ReadFile(written(t, c, c.Discovery(), 128))
+func TestSIGHUPWhileStarting(t *testing.T) {
+	c := startCluster(t, cluster.Config{Groups: 1})
+	text, err := os.ReadFile(writeConfig(t, c, c.Discovery(), 128))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,13 +182,13 @@
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g := play(t, path, "")
+	g := startGateway(t, path, "")
 	w, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the process reads
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.Signal(syscall.SIGHUP)
-	eventually(t, g, "the signal is delivered", func() bool { return !pending(g) })
+	waitFor(t, g, "the signal is delivered", func() bool { return !signalPending(g) })
 	if err := os.Remove(path); err != nil { // a regular file, which a reload requires
 		t.Fatal(err)
 	}
@@ -201,8 +201,8 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, g, "serving", func() bool { return strings.Contains(g.Log(), "msg=serving") })
-	eventually(t, g, "the file is read again", func() bool { return strings.Contains(g.Log(), "msg=reloaded") })
+	waitFor(t, g, "serving", func() bool { return strings.Contains(g.Log(), "msg=serving") })
+	waitFor(t, g, "the file is read again", func() bool { return strings.Contains(g.Log(), "msg=reloaded") })
 	select {
 	case <-g.Ended():
 		t.Errorf("the process ended: %s", g.Log())
@@ -213,8 +213,8 @@
 	}
 }
 
-// pending reports whether a signal of a process is not delivered yet.
-func pending(g *proc.Gateway) bool {
+// signalPending reports whether a signal of a process is not delivered yet.
+func signalPending(g *proc.Gateway) bool {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.Pid()))
 	for line := range strings.Lines(string(text)) {
 		if f := strings.Fields(line); len(f) == 2 && f[0] == "ShdPnd:" && f[1] != "0000000000000000" {
@@ -230,15 +230,15 @@
 // are closed again.
 func TestFlood(t *testing.T) {
 	for _, sockets := range []int{64, 128} {
-		t.Run(strconv.Itoa(sockets), func(t *testing.T) { flood(t, sockets) })
+		t.Run(strconv.Itoa(sockets), func(t *testing.T) { testFlood(t, sockets) })
 	}
 }
 
-func flood(t *testing.T, sockets int) {
-	c := started(t, cluster.Config{Groups: 1, Replicas: 3})
+func testFlood(t *testing.T, sockets int) {
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 3})
 	r := newRelay(t, c.Discovery())
-	g := play(t, written(t, c, r.addr, sockets), "msg=serving", "NODE_ADMIN_ADDR=127.0.0.1:0", "REACHWIND_FILES="+strconv.Itoa(sockets))
-	before := files(g)
+	g := startGateway(t, writeConfig(t, c, r.addr, sockets), "msg=serving", "NODE_ADMIN_ADDR=127.0.0.1:0", "REACHWIND_FILES="+strconv.Itoa(sockets))
+	before := countDescriptors(g)
 	for _, m := range c.Members() {
 		m.Hang(true)
 	}
@@ -297,10 +297,10 @@
 		}
 		_, _ = conn.Do(&pgclient.Request{ID: fmt.Sprintf("f-%d-%d", i, asked.Add(1)), Class: "run-status", Tenant: "kea-basin", Wait: 750 * time.Millisecond, Item: "x"})
 	})
-	eventually(t, g, "the flood has started", func() bool { return idle.Load() > 500 && much.Load() > 100 && asked.Load() > 100 })
+	waitFor(t, g, "the flood has started", func() bool { return idle.Load() > 500 && much.Load() > 100 && asked.Load() > 100 })
 	most := 0
 	for range 200 {
-		most = max(most, files(g))
+		most = max(most, countDescriptors(g))
 		time.Sleep(time.Millisecond)
 	}
 
@@ -311,10 +311,10 @@
 	out := c.Members()[3]
 	out.Drain(true)
 	r.up(t, r.pass)
-	eventually(t, g, "the list is applied", func() bool { return strings.Contains(g.Log(), "msg=list ") })
-	eventually(t, g, "the admin API reports ready", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
+	waitFor(t, g, "the list is applied", func() bool { return strings.Contains(g.Log(), "msg=list ") })
+	waitFor(t, g, "the admin API reports ready", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
 	var took int
-	eventually(t, g, "requests in flight to the drained member have ended", func() bool {
+	waitFor(t, g, "requests in flight to the drained member have ended", func() bool {
 		was := took
 		took = c.Took(out)
 		time.Sleep(300 * time.Millisecond)
@@ -324,7 +324,7 @@
 	// checked: it depends on the machine, which the flood loads too.
 	served, tries := 0, 0
 	for ; served < 5; tries++ {
-		if tries == triesMost {
+		if tries == maxTries {
 			t.Fatalf("new clients were served %d times in %d tries\n%s", served, tries, g.Log())
 		}
 		conn, err := pgclient.Dial(g.Addr, within)
@@ -351,14 +351,14 @@
 	t.Logf("%d descriptors before, maximum %d, limit %d; %d idle clients, %d that sent a lot, %d requests; served %d of %d tries",
 		before, most, sockets, idle.Load(), much.Load(), asked.Load(), served, tries)
 	// An idle connection to each member and the one to discovery stay open for a while.
-	eventually(t, g, "the descriptors are closed again", func() bool { return files(g) <= before+sockets/3 })
+	waitFor(t, g, "the descriptors are closed again", func() bool { return countDescriptors(g) <= before+sockets/3 })
 	if err := g.Stop(within); err != nil {
 		t.Error(err)
 	}
 }
 
-// admitted sends the platform's probe, which precedes the first clients.
-func admitted(addr string) error {
+// probePlatform sends the platform's probe, which precedes the first clients.
+func probePlatform(addr string) error {
 	nc, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
 		return err
--- a/cmd/reachwind/release.go
+++ b/cmd/reachwind/release.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	driveTerm  = 10 * time.Second
-	driveEvery = 2 * time.Second        // between renewals of the driver's term
-	nextEvery  = 200 * time.Millisecond // between requests for the next targets
-	tellFor    = time.Minute            // for reporting a command's result to the council, retries included
+	driveTerm          = 10 * time.Second
+	driveRenewInterval = 2 * time.Second        // between renewals of the driver's term
+	drivePollInterval  = 200 * time.Millisecond // between requests for the next targets
+	reportTimeout      = time.Minute            // for reporting a command's result to the council, retries included
 )
 
 // readPlan reads the plan of a release, which is an HCL file with one block `release`.
@@ -65,8 +65,8 @@
 	return r, err
 }
 
-// progress describes a release in one line. now is the council's time in milliseconds.
-func progress(r *agreed.Release, now int64) string {
+// progressLine describes a release in one line. now is the council's time in milliseconds.
+func progressLine(r *agreed.Release, now int64) string {
 	n := map[string]int{}
 	for _, it := range r.Items {
 		n[it.State]++
@@ -87,9 +87,9 @@
 	return line
 }
 
-// released returns a release and the status that it is from, see status. If there is no such release the status comes with
+// release returns a release and the status that it is from, see status. If there is no such release the status comes with
 // the error; if the council does not answer it is nil.
-func (c *councillors) released(name string) (*agreed.Release, *status, error) {
+func (c *councilClient) release(name string) (*agreed.Release, *status, error) {
 	s, err := c.status()
 	if err != nil {
 		return nil, nil, err
@@ -102,8 +102,8 @@
 	return nil, s, fmt.Errorf("there is no release %q", name)
 }
 
-// addRelease adds the commands on releases and the history.
-func addRelease(c *cobra.Command, admin *string, asJSON *bool) {
+// addReleaseCommands adds the commands on releases and the history.
+func addReleaseCommands(c *cobra.Command, admin *string, asJSON *bool) {
 	rel := &cobra.Command{Use: "release", Short: "plan, drive, halt and take back releases"}
 	rel.AddCommand(&cobra.Command{Use: "plan FILE", Short: "show the steps of a release, its longest duration, and why it can't be carried out, if so; changes nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -111,7 +111,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := newCouncillors(*admin).status()
+			s, err := newCouncilClient(*admin).status()
 			if err != nil {
 				return err
 			}
@@ -121,22 +121,22 @@
 			}
 			legs := r.Forecast(s.Targets, budgets)
 			if *asJSON {
-				return show(cmd.OutOrStdout(), legs, nil)
+				return writeJSON(cmd.OutOrStdout(), legs, nil)
 			}
-			return printPlan(cmd.OutOrStdout(), &r, legs)
+			return printForecast(cmd.OutOrStdout(), &r, legs)
 		}})
 	rel.AddCommand(&cobra.Command{Use: "run FILE|NAME", Short: "drive a release, planning it first from FILE; or stand by, and take over when its driver is gone", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := args[0]
-			c := newCouncillors(*admin)
+			c := newCouncilClient(*admin)
 			if _, err := os.Stat(name); err == nil {
 				r, err := readPlan(name)
 				if err != nil {
 					return err
 				}
 				name = r.Name
-				if _, _, err := c.released(name); err != nil {
-					if err := granted(c.do(time.Now().Add(10*time.Second), map[string]any{"op": "plan", "release": r})); err != nil {
+				if _, _, err := c.release(name); err != nil {
+					if err := checkResult(c.submit(time.Now().Add(10*time.Second), map[string]any{"op": "plan", "release": r})); err != nil {
 						return err
 					}
 				}
@@ -145,31 +145,31 @@
 		}})
 	rel.AddCommand(&cobra.Command{Use: "watch NAME", Short: "print the progress of a release until it ends or is halted", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, last := newCouncillors(*admin), ""
+			c, last := newCouncilClient(*admin), ""
 			for {
-				r, s, err := c.released(args[0])
+				r, s, err := c.release(args[0])
 				if err != nil {
 					return err
 				}
 				if *asJSON {
-					return show(cmd.OutOrStdout(), r, nil)
+					return writeJSON(cmd.OutOrStdout(), r, nil)
 				}
-				if line := progress(r, s.TimeMs); line != last {
+				if line := progressLine(r, s.TimeMs); line != last {
 					last = line
 					_, _ = fmt.Fprintln(cmd.OutOrStdout(), line)
 				}
 				if r.Ended() || r.State == agreed.Halted {
 					return nil
 				}
-				time.Sleep(watchEach)
+				time.Sleep(watchInterval)
 			}
 		}})
 	var reason string
 	steer := func(use, short, word, end string) {
 		var leave bool
 		s := &cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			c := newCouncillors(*admin)
-			if err := granted(c.do(time.Now().Add(10*time.Second), map[string]any{"op": "steer", "name": args[0], "steer": word, "reason": reason})); err != nil {
+			c := newCouncilClient(*admin)
+			if err := checkResult(c.submit(time.Now().Add(10*time.Second), map[string]any{"op": "steer", "name": args[0], "steer": word, "reason": reason})); err != nil {
 				return err
 			}
 			if end == "" || leave {
@@ -188,18 +188,18 @@
 	steer("back", "roll a release back under the same budgets, and drive that", "back", agreed.Back)
 	history := func() *cobra.Command {
 		return &cobra.Command{Use: "history [NAME]", Short: "list the commands given to the council, by whom, and their results", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			c := newCouncillors(*admin)
+			c := newCouncilClient(*admin)
 			err := errors.New("no admin address, want --admin host:port,...")
-			for _, a := range c.admins {
+			for _, a := range c.addresses {
 				var all []agreed.Entry
-				if _, err = call(a, http.MethodGet, "/v1/history", nil, &all); err != nil {
+				if _, err = callAdmin(a, http.MethodGet, "/v1/history", nil, &all); err != nil {
 					continue
 				}
 				if len(args) > 0 {
 					all = slices.DeleteFunc(all, func(e agreed.Entry) bool { return e.Target != args[0] })
 				}
 				if *asJSON {
-					return show(cmd.OutOrStdout(), all, nil)
+					return writeJSON(cmd.OutOrStdout(), all, nil)
 				}
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 				_, _ = fmt.Fprintln(w, "COUNCIL TIME\tINDEX\tWHO\tWHAT\tOF\tFENCE\tRESULT")
@@ -215,7 +215,7 @@
 	c.AddCommand(rel, history())
 }
 
-func printPlan(out io.Writer, r *agreed.Release, legs []agreed.Leg) error {
+func printForecast(out io.Writer, r *agreed.Release, legs []agreed.Leg) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "STEP\tTARGETS\tROUNDS\tAT MOST\tPAUSE\tWHICH")
 	var most int64
@@ -242,43 +242,43 @@
 // driver drives a release: it requests one target after another, runs the plan's command for each, and reports the result.
 // The council decides which target goes out, and whether it is back.
 type driver struct {
-	out  io.Writer
-	mu   sync.Mutex // held during a command to the council, which takes them in the order of their numbers; guards left
-	c    *councillors
-	name string
+	out     io.Writer
+	mu      sync.Mutex // held during a command to the council, which takes them in the order of their numbers; guards running
+	council *councilClient
+	release string
 
-	fence uint64          // of its term as the driver; 0: it does not drive
-	until time.Time       // end of its term, by its own clock, counted from before its request
-	runs  sync.WaitGroup  // commands that run here
-	left  map[string]bool // targets whose commands run here
+	fence    uint64          // of its term as the driver; 0: it does not drive
+	termEnd  time.Time       // end of its term, by its own clock, counted from before its request
+	commands sync.WaitGroup  // commands that run here
+	running  map[string]bool // targets whose commands run here
 }
 
-// do submits a command on the release under the driver's fence, unless q has a fence.
-func (d *driver) do(until time.Time, q map[string]any) (*result, error) {
+// submit submits a command on the release under the driver's fence, unless q has a fence.
+func (d *driver) submit(until time.Time, q map[string]any) (*result, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	q["name"] = d.name
+	q["name"] = d.release
 	if _, ok := q["fence"]; !ok {
 		q["fence"] = d.fence
 	}
-	return d.c.do(until, q)
+	return d.council.submit(until, q)
 }
 
 // drive drives a release until it ends or is halted, or stands by while another process drives it. It returns an error
 // unless the release ends in state want.
-func drive(out io.Writer, c *councillors, name, want string) error {
-	d := &driver{out: out, c: c, name: name, left: map[string]bool{}}
-	defer d.runs.Wait()
+func drive(out io.Writer, c *councilClient, name, want string) error {
+	d := &driver{out: out, council: c, release: name, running: map[string]bool{}}
+	defer d.commands.Wait()
 	last, renewAt := "", time.Time{}
 	unheard := time.Now()
 	for {
-		r, s, err := c.released(name)
+		r, s, err := c.release(name)
 		if err != nil && s != nil {
 			return err
 		}
 		if err == nil {
 			unheard = time.Now()
-			if line := progress(r, s.TimeMs); line != last {
+			if line := progressLine(r, s.TimeMs); line != last {
 				last = line
 				_, _ = fmt.Fprintln(out, line)
 			}
@@ -292,27 +292,27 @@
 			return exitError{exUnavailable, err}
 		}
 		if now := time.Now(); now.After(renewAt) {
-			res, err := d.do(now.Add(2*time.Second), map[string]any{"op": "drive", "term_ms": driveTerm.Milliseconds()})
+			res, err := d.submit(now.Add(2*time.Second), map[string]any{"op": "drive", "term_ms": driveTerm.Milliseconds()})
 			switch {
 			case err == nil && res.OK:
-				d.fence, d.until = res.Fence, now.Add(driveTerm)
-				renewAt = now.Add(driveEvery)
+				d.fence, d.termEnd = res.Fence, now.Add(driveTerm)
+				renewAt = now.Add(driveRenewInterval)
 			case err == nil && res.State == agreed.Rival: // this release has not begun, and a competing one is in progress
 				return errors.New(res.Refused)
 			case err == nil:
 				d.fence, renewAt = 0, now.Add(time.Second) // another process drives
 			default:
-				renewAt = now.Add(retryEach)
+				renewAt = now.Add(retryInterval)
 			}
 		}
-		if d.fence != 0 && time.Now().Before(d.until) && r != nil && (r.State == agreed.Running || r.State == agreed.GoingBack) {
+		if d.fence != 0 && time.Now().Before(d.termEnd) && r != nil && (r.State == agreed.Running || r.State == agreed.GoingBack) {
 			for range r.Together { // as many as the council grants
-				if !d.next(r) {
+				if !d.startNext(r) {
 					break
 				}
 			}
 		}
-		time.Sleep(nextEvery)
+		time.Sleep(drivePollInterval)
 	}
 }
 
@@ -320,13 +320,13 @@
 func (d *driver) busy() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.left) > 0
+	return len(d.running) > 0
 }
 
-// next requests a target. If one is granted it starts the target's command and returns true.
-func (d *driver) next(r *agreed.Release) bool {
+// startNext requests a target. If one is granted it starts the target's command and returns true.
+func (d *driver) startNext(r *agreed.Release) bool {
 	asked := time.Now()
-	res, err := d.do(asked.Add(2*time.Second), map[string]any{"op": "next"})
+	res, err := d.submit(asked.Add(2*time.Second), map[string]any{"op": "next"})
 	if err != nil || !res.OK || res.Permit == nil {
 		return false
 	}
@@ -337,37 +337,37 @@
 		words, version = r.Undo, r.Former
 	}
 	d.mu.Lock()
-	d.left[p.Target] = true
+	d.running[p.Target] = true
 	d.mu.Unlock()
-	d.runs.Add(1)
+	d.commands.Add(1)
 	go func() {
-		defer d.runs.Done()
+		defer d.commands.Done()
 		defer func() {
 			d.mu.Lock()
-			delete(d.left, p.Target)
+			delete(d.running, p.Target)
 			d.mu.Unlock()
 		}()
 		kill := asked.Add(time.Duration(r.TermMs) * time.Millisecond)
 		if strings.HasPrefix(p.Target, "db/") {
-			time.Sleep(noticeDB)
+			time.Sleep(memberDrainNotice)
 		}
-		res, err := d.do(kill, map[string]any{"op": "started", "target": p.Target, "fence": fence})
+		res, err := d.submit(kill, map[string]any{"op": "started", "target": p.Target, "fence": fence})
 		if err != nil || !res.OK || time.Now().After(kill) {
 			return // the command was not started, and the council takes the permit back by itself
 		}
 		_, _ = fmt.Fprintf(d.out, "%s goes out under permit %d\n", p.Target, p.Fence)
-		why := d.run(words, p, version, kill)
+		why := d.runCommand(words, p, version, kill)
 		if why != "" {
 			_, _ = fmt.Fprintf(d.out, "%s failed: %s\n", p.Target, why)
 		}
-		_, _ = d.do(time.Now().Add(tellFor), map[string]any{"op": "ended", "target": p.Target, "fence": fence, "ok": why == "", "reason": why})
+		_, _ = d.submit(time.Now().Add(reportTimeout), map[string]any{"op": "ended", "target": p.Target, "fence": fence, "ok": why == "", "reason": why})
 	}()
 	return true
 }
 
-// run runs the plan's command for a target, and stops it before its permit ends at kill. It returns the reason of a failure,
+// runCommand runs the plan's command for a target, and stops it before its permit ends at kill. It returns the reason of a failure,
 // empty if there was none.
-func (d *driver) run(words []string, p *permit, version string, kill time.Time) string {
+func (d *driver) runCommand(words []string, p *permit, version string, kill time.Time) string {
 	var args []string
 	for _, w := range words {
 		args = append(args, strings.NewReplacer("{target}", p.Target, "{name}", p.Target[strings.IndexByte(p.Target, '/')+1:], "{version}", version).Replace(w))
@@ -381,7 +381,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	stop := kill.Add(-min(termGrace, time.Until(kill)/5))
+	stop := kill.Add(-min(terminationGrace, time.Until(kill)/5))
 	select {
 	case err := <-ended:
 		if err != nil {
--- a/cmd/reachwind/spool.go
+++ b/cmd/reachwind/spool.go
@@ -70,7 +70,7 @@
 	}
 	defer s.Close()
 	first, last, oldest := uint64(0), uint64(0), time.Duration(0)
-	err = everyRecord(s, func(r *spool.Record) error {
+	err = forEachRecord(s, func(r *spool.Record) error {
 		if first == 0 || r.Seq < first {
 			first = r.Seq
 		}
@@ -96,7 +96,7 @@
 		return err
 	}
 	defer s.Close()
-	return everyRecord(s, func(r *spool.Record) error {
+	return forEachRecord(s, func(r *spool.Record) error {
 		_, err := fmt.Fprintf(out, "%s\n", r.Msg)
 		return err
 	})
@@ -110,7 +110,7 @@
 	}
 	defer s.Close()
 	n := 0
-	if err := everyRecord(s, func(*spool.Record) error { n++; return nil }); err != nil {
+	if err := forEachRecord(s, func(*spool.Record) error { n++; return nil }); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(out, "%s: %d records read, %d rotten places, %d torn tails\n", dir, n, found.Rotten, found.Torn)
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// everyRecord calls each with every record of a spool, and stops at the first error.
-func everyRecord(s *spool.Spool, each func(*spool.Record) error) error {
+// forEachRecord calls each with every record of a spool, and stops at the first error.
+func forEachRecord(s *spool.Spool, each func(*spool.Record) error) error {
 	for {
 		records, _, err := s.Read(1<<20, func(uint64) bool { return true })
 		if err != nil || len(records) == 0 {
--- a/cmd/reachwind/zones.go
+++ b/cmd/reachwind/zones.go
@@ -25,10 +25,10 @@
 	Held    bool               `json:"held"`
 }
 
-// addZones adds the command that lists zones, and those by which an operator steers one.
-func addZones(c *cobra.Command, admin *string, asJSON *bool) {
+// addZoneCommands adds the command that lists zones, and those by which an operator steers one.
+func addZoneCommands(c *cobra.Command, admin *string, asJSON *bool) {
 	c.AddCommand(&cobra.Command{Use: "zones", Short: "show the state of each zone, and where its load goes", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		s, err := newCouncillors(*admin).status()
+		s, err := newCouncilClient(*admin).status()
 		if err != nil {
 			return err
 		}
@@ -41,14 +41,14 @@
 			lines = append(lines, zoneLine{name, e.Region, e.State, s.Zones.Number, s.Zones.Until, e.Reason, e.GoesTo, e.Away, e.Shed, e.Held})
 		}
 		if *asJSON {
-			return show(cmd.OutOrStdout(), lines, nil)
+			return writeJSON(cmd.OutOrStdout(), lines, nil)
 		}
 		out := cmd.OutOrStdout()
 		_, _ = fmt.Fprintf(out, "plan %d, for %v more\n", s.Zones.Number, time.Duration(s.Zones.Until-s.TimeMs)*time.Millisecond)
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		_, _ = fmt.Fprintln(w, "ZONE\tREGION\tSTATE\tAWAY\tGOES TO\tSHED\tHELD\tREASON")
 		for _, l := range lines {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%s\t%.2f\t%v\t%s\n", l.Zone, l.Region, l.State, l.Away, pairs(l.GoesTo), l.Shed, l.Held, l.Reason)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%s\t%.2f\t%v\t%s\n", l.Zone, l.Region, l.State, l.Away, formatMap(l.GoesTo), l.Shed, l.Held, l.Reason)
 		}
 		return w.Flush()
 	}})
@@ -56,7 +56,7 @@
 	for _, a := range [][2]string{{"out", "move a zone's load away, in steps, and keep it away"}, {"back", "let a zone's load come back, and resume automatic changes"}, {"hold", "suspend automatic changes of a zone"}} {
 		var reason string
 		one := &cobra.Command{Use: a[0] + " ZONE", Short: a[1], Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			return granted(newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "zone", "name": args[0], "steer": a[0], "reason": reason}))
+			return checkResult(newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "zone", "name": args[0], "steer": a[0], "reason": reason}))
 		}}
 		one.Flags().StringVar(&reason, "reason", "", "reason shown in the plan and the history")
 		z.AddCommand(one)
--- a/internal/edgeconf/edgeconf.go
+++ b/internal/edgeconf/edgeconf.go
@@ -49,8 +49,8 @@
 	dir    string // file names are relative to it
 	body   *hclsyntax.Body
 	faults *Faults
-	seen   map[string]bool // attributes, and block types with a suffix " {", that were read
-	place  hcl.Range
+	read   map[string]bool // attributes, and block types with a suffix " {", that were read
+	span   hcl.Range
 }
 
 // Load reads the file at path and calls read with its top level. It returns Faults if the file or what read found in it
@@ -75,9 +75,9 @@
 		faults.add(r, "%s: %s", d.Summary, d.Detail)
 	}
 	if body, ok := file.Body.(*hclsyntax.Body); ok && !diags.HasErrors() {
-		b := &Block{dir: filepath.Dir(path), body: body, faults: &faults, seen: map[string]bool{}, place: body.SrcRange}
+		b := &Block{dir: filepath.Dir(path), body: body, faults: &faults, read: map[string]bool{}, span: body.SrcRange}
 		read(b)
-		b.close()
+		b.reportUnread()
 	}
 	if len(faults) == 0 {
 		return nil
@@ -94,7 +94,7 @@
 }
 
 // Fault records a fault of the block as a whole.
-func (b *Block) Fault(format string, args ...any) { b.faults.add(b.place, format, args...) }
+func (b *Block) Fault(format string, args ...any) { b.faults.add(b.span, format, args...) }
 
 // FaultAt records a fault of an attribute, or of the block if the attribute is absent.
 func (b *Block) FaultAt(name, format string, args ...any) {
@@ -110,7 +110,7 @@
 
 // value returns the value of an attribute, and false if it is absent or not a constant. want names the type in faults.
 func (b *Block) value(name, want string) (cty.Value, bool) {
-	b.seen[name] = true
+	b.read[name] = true
 	a := b.body.Attributes[name]
 	if a == nil {
 		return cty.NilVal, false
@@ -123,8 +123,8 @@
 	return v, true
 }
 
-// found describes a value for a fault's text.
-func found(v cty.Value) string {
+// describe describes a value for a fault's text.
+func describe(v cty.Value) string {
 	switch v.Type() {
 	case cty.String:
 		return strconv.Quote(v.AsString())
@@ -143,7 +143,7 @@
 		return usual
 	}
 	if v.Type() != cty.String {
-		b.FaultAt(name, "%s is %s, want a string in quotes", name, found(v))
+		b.FaultAt(name, "%s is %s, want a string in quotes", name, describe(v))
 		return usual
 	}
 	return v.AsString()
@@ -166,7 +166,7 @@
 		return usual
 	}
 	if v.Type() != cty.Bool {
-		b.FaultAt(name, "%s is %s, want true or false", name, found(v))
+		b.FaultAt(name, "%s is %s, want true or false", name, describe(v))
 		return usual
 	}
 	return v.True()
@@ -179,12 +179,12 @@
 		return usual
 	}
 	if v.Type() != cty.Number {
-		b.FaultAt(name, "%s is %s, want a number", name, found(v))
+		b.FaultAt(name, "%s is %s, want a number", name, describe(v))
 		return usual
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < least || n > most {
-		b.FaultAt(name, "%s is %s, want from %g to %g", name, found(v), least, most)
+		b.FaultAt(name, "%s is %s, want from %g to %g", name, describe(v), least, most)
 		return usual
 	}
 	return n
@@ -265,13 +265,13 @@
 		return nil
 	}
 	if !v.Type().IsTupleType() && !v.Type().IsListType() {
-		b.FaultAt(name, "%s is %s, want a list of strings such as [\"a\", \"b\"]", name, found(v))
+		b.FaultAt(name, "%s is %s, want a list of strings such as [\"a\", \"b\"]", name, describe(v))
 		return nil
 	}
 	var texts []string
 	for _, e := range v.AsValueSlice() {
 		if e.Type() != cty.String {
-			b.FaultAt(name, "%s holds %s, want strings only", name, found(e))
+			b.FaultAt(name, "%s holds %s, want strings only", name, describe(e))
 			return nil
 		}
 		texts = append(texts, e.AsString())
@@ -288,7 +288,7 @@
 		}
 	}
 	if b.Has(name) {
-		b.FaultAt(name, "%s is %q, want one of %s", name, text, quoted(among))
+		b.FaultAt(name, "%s is %q, want one of %s", name, text, quoteAll(among))
 	}
 	return usual
 }
@@ -303,7 +303,7 @@
 			}
 		}
 		if at < 0 {
-			b.FaultAt(name, "%s holds %q, want some of %s", name, text, quoted(among))
+			b.FaultAt(name, "%s holds %q, want some of %s", name, text, quoteAll(among))
 			continue
 		}
 		places = append(places, at)
@@ -311,7 +311,7 @@
 	return places
 }
 
-func quoted(among []string) string {
+func quoteAll(among []string) string {
 	var q []string
 	for _, a := range among {
 		q = append(q, strconv.Quote(a))
@@ -322,7 +322,7 @@
 // Blocks calls read for each block of a type, in their order. Labelled blocks must have exactly one label, which must be
 // unique; for other types there must be no label and at most one block.
 func (b *Block) Blocks(kind string, labelled bool, read func(*Block)) {
-	b.seen[kind+" {"] = true
+	b.read[kind+" {"] = true
 	labels := map[string]bool{}
 	n := 0
 	for _, h := range b.body.Blocks {
@@ -330,7 +330,7 @@
 			continue
 		}
 		n++
-		in := &Block{Type: kind, dir: b.dir, body: h.Body, faults: b.faults, seen: map[string]bool{}, place: h.DefRange()}
+		in := &Block{Type: kind, dir: b.dir, body: h.Body, faults: b.faults, read: map[string]bool{}, span: h.DefRange()}
 		switch {
 		case labelled && (len(h.Labels) != 1 || h.Labels[0] == ""):
 			in.Fault("block %s has %d labels, want one: its name", kind, len(h.Labels))
@@ -347,29 +347,29 @@
 			labels[in.Label] = true
 		}
 		read(in)
-		in.close()
+		in.reportUnread()
 	}
 }
 
-// close records a fault for each attribute and block that nobody has read.
-func (b *Block) close() {
+// reportUnread records a fault for each attribute and block that nobody has read.
+func (b *Block) reportUnread() {
 	where := "at the top"
 	if b.Type != "" {
 		where = "in block " + b.Type
 	}
 	var known []string
-	for name := range b.seen {
+	for name := range b.read {
 		known = append(known, strings.TrimSuffix(name, " {"))
 	}
 	sort.Strings(known)
 	for name, a := range b.body.Attributes {
-		if !b.seen[name] {
-			b.faults.add(a.NameRange, "unknown setting %q %s, want one of %s", name, where, quoted(known))
+		if !b.read[name] {
+			b.faults.add(a.NameRange, "unknown setting %q %s, want one of %s", name, where, quoteAll(known))
 		}
 	}
 	for _, h := range b.body.Blocks {
-		if !b.seen[h.Type+" {"] {
-			b.faults.add(h.DefRange(), "unknown block %q %s, want one of %s", h.Type, where, quoted(known))
+		if !b.read[h.Type+" {"] {
+			b.faults.add(h.DefRange(), "unknown block %q %s, want one of %s", h.Type, where, quoteAll(known))
 		}
 	}
 }
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-const backlogMost = 4096 // connections accepted from a backlog before its socket is closed; Linux's default limit is no higher
+const maxBacklog = 4096 // connections accepted from a backlog before its socket is closed; Linux's default limit is no higher
 
-// takeBacklog accepts the connections that wait in l's backlog, hands each to take, and returns their number. It does not
+// acceptBacklog accepts the connections that wait in l's backlog, hands each to take, and returns their number. It does not
 // block. Without it, closing the listener would reset them and lose what they sent. It may run concurrently with Accept.
-func takeBacklog(l net.Listener, take func(net.Conn), log *slog.Logger) (taken int) {
-	if d, ok := l.(*door); ok {
+func acceptBacklog(l net.Listener, take func(net.Conn), log *slog.Logger) (taken int) {
+	if d, ok := l.(*toggleListener); ok {
 		d.mu.Lock()
-		l = d.l
+		l = d.inner
 		d.mu.Unlock()
 	}
 	sc, ok := l.(syscall.Conn)
@@ -27,8 +27,8 @@
 		return 0
 	}
 	_ = raw.Control(func(fd uintptr) { // runs whatever deadline the listener has
-		for taken < backlogMost {
-			nc, err := acceptNow(int(fd))
+		for taken < maxBacklog {
+			nc, err := acceptPending(int(fd))
 			switch {
 			case errors.Is(err, syscall.EAGAIN):
 				return
@@ -45,8 +45,8 @@
 	return taken
 }
 
-// acceptNow accepts one connection from the backlog of listening socket fd, or fails with EAGAIN if there is none.
-func acceptNow(fd int) (net.Conn, error) {
+// acceptPending accepts one connection from the backlog of listening socket fd, or fails with EAGAIN if there is none.
+func acceptPending(fd int) (net.Conn, error) {
 	n, _, err := syscall.Accept4(fd, syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -7,11 +7,11 @@
 	"reachwind/internal/standin/cluster"
 )
 
-// TestDescriptors: under every permitted limit the descriptors of clients, of connections being closed or refused, of
+// TestDescriptorBudget: under every permitted limit the descriptors of clients, of connections being closed or refused, of
 // members and of the admin API leave those reserved for the process itself. A large limit is divided completely.
-func TestDescriptors(t *testing.T) {
-	c := before(t, cluster.Config{Groups: 1})
-	for sockets := leastSockets; sockets <= 4096; sockets += 1 + sockets/64 {
+func TestDescriptorBudget(t *testing.T) {
+	c := startCluster(t, cluster.Config{Groups: 1})
+	for sockets := minSockets; sockets <= 4096; sockets += 1 + sockets/64 {
 		for _, admin := range []string{"", "127.0.0.1:0"} {
 			conf, err := Parse(c.GatewayConfig("gw-1", "127.0.0.1:0", 192, sockets), func(name string) string {
 				if name == "NODE_ADMIN_ADDR" {
@@ -23,27 +23,27 @@
 				t.Fatal(err)
 			}
 			b := conf.Budget(new(Edge))
-			if all := b.Clients + int(sparePart*float64(b.Sockets)) + b.Members + b.Files + ownFiles; all > sockets {
+			if all := b.ClientConnections + int(closingFraction*float64(b.DividedSockets)) + b.MemberConnections + b.SubsystemDescriptors + reservedDescriptors; all > sockets {
 				t.Errorf("%d sockets, admin address %q: %d in use at most: %+v", sockets, admin, all, b)
 			}
-			if b.Clients < 8 || b.Members < 4 {
+			if b.ClientConnections < 8 || b.MemberConnections < 4 {
 				t.Errorf("%d sockets, admin address %q: too few for clients or members: %+v", sockets, admin, b)
 			}
-			if sockets >= 512 && b.Sockets != sockets-b.Files {
-				t.Errorf("%d sockets, admin address %q: %d are divided", sockets, admin, b.Sockets)
+			if sockets >= 512 && b.DividedSockets != sockets-b.SubsystemDescriptors {
+				t.Errorf("%d sockets, admin address %q: %d are divided", sockets, admin, b.DividedSockets)
 			}
 		}
 	}
 }
 
-// TestCountUnknown: a process that can't count its descriptors reports its limit, so that another process of the gateway
+// TestDescriptorCountUnknown: a process that can't count its descriptors reports its limit, so that another process of the gateway
 // uses no more than its minimum.
-func TestCountUnknown(t *testing.T) {
-	if n := descriptors(ownFolder, 1<<20); n < 3 || n >= 1<<20 {
+func TestDescriptorCountUnknown(t *testing.T) {
+	if n := countDescriptors(ownDescriptorDir, 1<<20); n < 3 || n >= 1<<20 {
 		t.Errorf("%d descriptors counted", n)
 	}
 	const limit = 200
-	n := descriptors(t.TempDir()+"/none", limit)
+	n := countDescriptors(t.TempDir()+"/none", limit)
 	if may := handover.Split(limit, []handover.Other{{Used: n, Older: true}}, false); n != limit || may > limit/4 {
 		t.Errorf("%d reported, the other process may use %d", n, may)
 	}
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -20,8 +20,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// bulk returns an answer with a value of n bytes, in which every eight bytes hold their index.
-func bulk(n int) []byte {
+// bulkAnswer returns an answer with a value of n bytes, in which every eight bytes hold their index.
+func bulkAnswer(n int) []byte {
 	row := make([]byte, 6, 6+n)
 	row[1] = 1
 	binary.BigEndian.PutUint32(row[2:], uint32(n))
@@ -32,8 +32,8 @@
 	return pgwire.AppendReady(pgwire.Append(pgwire.Append(out, 'D', string(row)), 'C', "SELECT 1\x00"))
 }
 
-// bulkMember is a primary on nc: it answers probes with its state, and statements with answer in pieces of random length.
-func bulkMember(nc net.Conn, answer []byte, rnd *rand.Rand) {
+// serveBulk is a primary on nc: it answers probes with its state, and statements with answer in pieces of random length.
+func serveBulk(nc net.Conn, answer []byte, rnd *rand.Rand) {
 	defer func() { _ = nc.Close() }()
 	buf := make([]byte, 8<<10)
 	if _, err := nc.Read(buf); err != nil {
@@ -66,27 +66,27 @@
 	}
 }
 
-// tight is the size in bytes of socket buffers. With the kernel's default of up to 4 MiB whole values would fit into them,
+// smallSocketBuffer is the size in bytes of socket buffers. With the kernel's default of up to 4 MiB whole values would fit into them,
 // and slow clients would not hold up the gateway.
-const tight = 64 << 10
+const smallSocketBuffer = 64 << 10
 
-// tightListener accepts connections with small write buffers.
-type tightListener struct{ net.Listener }
+// smallBufferListener accepts connections with small write buffers.
+type smallBufferListener struct{ net.Listener }
 
-func (l tightListener) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
-		_ = nc.(*net.TCPConn).SetWriteBuffer(tight)
+		_ = nc.(*net.TCPConn).SetWriteBuffer(smallSocketBuffer)
 	}
 	return nc, err
 }
 
-// TestBulk: 200 slow clients read values of 4 MiB at the same time through a gateway with 64 MB. Each receives its value
+// TestSlowClientsOfLargeValues: 200 slow clients read values of 4 MiB at the same time through a gateway with 64 MB. Each receives its value
 // complete and in order. The gateway never holds whole values: its memory stays a small fraction of the data in transit.
-func TestBulk(t *testing.T) {
+func TestSlowClientsOfLargeValues(t *testing.T) {
 	const clients, size = 200, 4 << 20
-	answer := bulk(size)
-	c := before(t, cluster.Config{Groups: 1})
+	answer := bulkAnswer(size)
+	c := startCluster(t, cluster.Config{Groups: 1})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 			if err != nil {
 				return
 			}
-			go bulkMember(nc, answer, rand.New(rand.NewPCG(n, 7)))
+			go serveBulk(nc, answer, rand.New(rand.NewPCG(n, 7)))
 		}
 	}()
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
@@ -107,7 +107,7 @@
 		}
 		nc, err := pgmember.Dial(ctx, addr)
 		if err == nil {
-			_ = nc.(*net.TCPConn).SetReadBuffer(tight)
+			_ = nc.(*net.TCPConn).SetReadBuffer(smallSocketBuffer)
 		}
 		return nc, err
 	}
@@ -124,9 +124,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	free, small := g.bufs.Free(), g.bufs.FreeSmall()
+	free, small := g.buffers.Free(), g.buffers.FreeSmall()
 	done := make(chan error, 1)
-	go func() { done <- g.run(term, nil, tightListener{front}) }()
+	go func() { done <- g.run(term, nil, smallBufferListener{front}) }()
 
 	var all sync.WaitGroup
 	begun := make(chan bool, 4*clients) // one element for each client that has received the start of its value
@@ -136,7 +136,7 @@
 		go func() {
 			defer all.Done()
 			for try := 0; ; try++ {
-				again, err := takeBulk(front.Addr().String(), fmt.Sprintf("%d-%d", n, try), answer, begun, goOn)
+				again, err := readBulk(front.Addr().String(), fmt.Sprintf("%d-%d", n, try), answer, begun, goOn)
 				if err != nil {
 					t.Errorf("client %d: %v", n, err)
 				}
@@ -161,33 +161,33 @@
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	if left := g.bufs.Free(); left < int(passReserve*float64(free)) {
+	if left := g.buffers.Free(); left < int(passThroughReserve*float64(free)) {
 		t.Errorf("%d of %d full-size buffers in use", free-left, free)
 	}
 	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // includes the memory of the test's clients and members
 		t.Errorf("%d MB in use with %d values of 4 MiB in transit, want at most %d", (m.HeapInuse+m.StackInuse)>>20, under, most>>20)
 	}
-	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.bufs.FreeSmall(), free-g.bufs.Free())
+	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.buffers.FreeSmall(), free-g.buffers.Free())
 	close(goOn)
 	all.Wait()
 	stop()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if g.bufs.Free() != free || g.bufs.FreeSmall() != small {
-		t.Errorf("%d of %d full-size buffers were returned, %d of %d small ones", g.bufs.Free(), free, g.bufs.FreeSmall(), small)
+	if g.buffers.Free() != free || g.buffers.FreeSmall() != small {
+		t.Errorf("%d of %d full-size buffers were returned, %d of %d small ones", g.buffers.Free(), free, g.buffers.FreeSmall(), small)
 	}
 }
 
-// takeBulk sends one request and reads the value by 1 KiB until goOn is closed, then faster. It returns again = true if the
+// readBulk sends one request and reads the value by 1 KiB until goOn is closed, then faster. It returns again = true if the
 // request was refused or cut off at its time limit and is to be repeated.
-func takeBulk(addr, id string, answer []byte, begun chan<- bool, goOn <-chan struct{}) (again bool, err error) {
+func readBulk(addr, id string, answer []byte, begun chan<- bool, goOn <-chan struct{}) (again bool, err error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = nc.Close() }()
-	_ = nc.(*net.TCPConn).SetReadBuffer(tight)
+	_ = nc.(*net.TCPConn).SetReadBuffer(smallSocketBuffer)
 	_ = nc.SetDeadline(time.Now().Add(2 * time.Minute))
 	if _, err := pgclient.Over(nc, time.Minute); err != nil {
 		return false, err
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -27,20 +27,20 @@
 	Known                   []core.Listed
 	Decide                  *decide.Config
 
-	seed    uint64
-	memory  int64 // limit in bytes; 0: none
-	sockets int   // limit of descriptors
-	version int64 // of Known
-	facts   *settings.Facts
-	text    []byte          // the file's text, until it is saved for the next process
-	hup     chan os.Signal  // receives SIGHUP since before the file was read; nil: Serve registers for the signal
-	terms   *terms.Book     // settings in force while the gateway runs
-	shape   *settings.Shape // the keys that a file read on SIGHUP must contain
+	seed        uint64
+	memoryBytes int64 // limit in bytes; 0: none
+	maxSockets  int   // limit of descriptors
+	listVersion int64 // of Known
+	settings    *settings.Facts
+	source      []byte          // the file's text, until it is saved for the next process
+	hup         chan os.Signal  // receives SIGHUP since before the file was read; nil: Serve registers for the signal
+	active      *terms.Book     // settings in force while the gateway runs
+	shape       *settings.Shape // the keys that a file read on SIGHUP must contain
 }
 
 const defaultSockets = 1024
 
-// ownFiles is the number of descriptors reserved for the process itself, which no client, member or operator may use:
+// reservedDescriptors is the number of descriptors reserved for the process itself, which no client, member or operator may use:
 //   - 3 standard streams;
 //   - 4 of the Go runtime: its poller, the poller's event descriptor, and two for the CPU limit;
 //   - 2 for the client listener and a connection that it has accepted but not yet counted;
@@ -48,7 +48,7 @@
 //   - 1 for the configuration file read on SIGHUP;
 //   - 7 for the handover between processes of this gateway: the lock, the socket that receives connections, its
 //     connection, a connection taken over and its duplicate, a state file, and the folder in which descriptors are counted.
-const ownFiles = 3 + 4 + 2 + 1 + 1 + 7
+const reservedDescriptors = 3 + 4 + 2 + 1 + 1 + 7
 
 // Load reads and validates the configuration at path. NODE_NAME, NODE_LISTEN and NODE_DISCOVERY stand in for values that
 // the file leaves empty; NODE_ADMIN_ADDR overrides the file's value.
@@ -64,17 +64,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	c.text = text
+	c.source = text
 	return c, nil
 }
 
-// LoadServing is Load for a process that is going to serve. If it replaces another process and the file is unusable, it
+// LoadForServing is Load for a process that is going to serve. If it replaces another process and the file is unusable, it
 // uses the last configuration that the former process accepted: operators may be editing the file. From this call on
 // SIGHUP no longer ends the process: one that arrives while the file is read, or before Serve, makes Serve read it again.
-func LoadServing(path string, log *slog.Logger) (*Config, error) {
+func LoadForServing(path string, log *slog.Logger) (*Config, error) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	c, err := loadServing(path, log)
+	c, err := loadOrPrevious(path, log)
 	if err != nil {
 		signal.Stop(hup)
 		return nil, err
@@ -83,7 +83,7 @@
 	return c, nil
 }
 
-func loadServing(path string, log *slog.Logger) (*Config, error) {
+func loadOrPrevious(path string, log *slog.Logger) (*Config, error) {
 	c, err := Load(path)
 	if err == nil || os.Getenv("NODE_SOCKET_FD") == "" {
 		return c, err
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	log.Error("configuration not used, what the former process was told holds", "err", err)
-	c.text = text
+	c.source = text
 	return c, nil
 }
 
@@ -116,8 +116,8 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, version: f.Known.Generation,
-		memory: int64(f.Limits.Memory * (1 << 20)), sockets: f.Limits.Sockets}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, listVersion: f.Known.Generation,
+		memoryBytes: int64(f.Limits.Memory * (1 << 20)), maxSockets: f.Limits.Sockets}
 	for _, v := range []struct {
 		to   *string
 		name string
@@ -140,11 +140,11 @@
 			return nil, fmt.Errorf("admin_addr: %w; want HOST:PORT, or nothing to run no admin API", err)
 		}
 	}
-	if c.sockets == 0 {
-		c.sockets = defaultSockets
+	if c.maxSockets == 0 {
+		c.maxSockets = defaultSockets
 	}
-	if c.sockets < leastSockets || c.memory < 0 || c.memory > 0 && c.memory < leastMemory {
-		return nil, fmt.Errorf("limits: at least %d sockets and %d MB are needed", leastSockets, leastMemory>>20)
+	if c.maxSockets < minSockets || c.memoryBytes < 0 || c.memoryBytes > 0 && c.memoryBytes < minMemoryBytes {
+		return nil, fmt.Errorf("limits: at least %d sockets and %d MB are needed", minSockets, minMemoryBytes>>20)
 	}
 	var err error
 	if f.Seed == "" {
@@ -155,10 +155,10 @@
 	if c.Known, err = f.Known.Members(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if c.facts, err = settings.Parse(f.Settings); err != nil {
+	if c.settings, err = settings.Parse(f.Settings); err != nil {
 		return nil, err
 	}
-	if c.Decide, err = c.facts.Config(); err != nil {
+	if c.Decide, err = c.settings.Config(); err != nil {
 		return nil, err
 	}
 	c.Decide.KnownAfter = core.KnownAfter
@@ -168,6 +168,6 @@
 	if c.shape, err = settings.ShapeOf(text); err != nil {
 		return nil, err
 	}
-	c.terms, err = terms.NewBook(c.Decide)
+	c.active, err = terms.NewBook(c.Decide)
 	return c, err
 }
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -29,7 +29,7 @@
 
 // LoadEdge reads the product configuration at path for the gateway with configuration c. An error may be a list of
 // faults, see edgeconf.Faults.
-func LoadEdge(path string, c *Config) (*Edge, error) { return loadEdge(path, c, c.terms.Now().Names) }
+func LoadEdge(path string, c *Config) (*Edge, error) { return loadEdge(path, c, c.active.Now().Names) }
 
 // loadEdge is LoadEdge with the names of classes, outcomes and so on that records may contain.
 func loadEdge(path string, c *Config, names terms.Names) (*Edge, error) {
@@ -46,7 +46,7 @@
 		})
 		b.Blocks("rest", false, func(b *edgeconf.Block) {
 			r := restfront.Read(b)
-			r.Terms = c.terms
+			r.Terms = c.active
 			e.REST = &r
 		})
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
@@ -70,60 +70,60 @@
 
 // Budget is how descriptors and memory are divided.
 type Budget struct {
-	Sockets int   // descriptors divided by fractions, without the subsystems' ones: what the fractions leave covers ownFiles
-	Clients int   // client connections
-	Members int   // member connections
-	Buffers int   // full-size buffers for statements and answers
-	Small   int   // small buffers for statements and answers
-	Memory  int64 // bytes of all buffers
-	Parts   int64 // bytes that subsystems and the admin API hold at most
-	Files   int   // descriptors that subsystems and the admin API hold at most
+	DividedSockets       int   // descriptors divided by fractions, without the subsystems' ones: what the fractions leave covers reservedDescriptors
+	ClientConnections    int   // client connections
+	MemberConnections    int   // member connections
+	Buffers              int   // full-size buffers for statements and answers
+	SmallBuffers         int   // small buffers for statements and answers
+	BufferBytes          int64 // bytes of all buffers
+	SubsystemBytes       int64 // bytes that subsystems and the admin API hold at most
+	SubsystemDescriptors int   // descriptors that subsystems and the admin API hold at most
 }
 
 // Budget divides the limits. Without subsystems and admin API it is the division that the platform expects.
 func (c *Config) Budget(e *Edge) Budget {
 	var b Budget
-	memory := c.memory
+	memory := c.memoryBytes
 	if memory == 0 {
-		memory = freeMemory
+		memory = defaultMemoryBytes
 	}
 	if e.Syslog != nil {
-		b.Parts, b.Files = e.Syslog.Footprint()
+		b.SubsystemBytes, b.SubsystemDescriptors = e.Syslog.Footprint()
 	}
 	if e.REST != nil {
 		memory, files := e.REST.Footprint()
-		b.Parts, b.Files = b.Parts+memory, b.Files+files
+		b.SubsystemBytes, b.SubsystemDescriptors = b.SubsystemBytes+memory, b.SubsystemDescriptors+files
 	}
 	if e.Fleet != nil {
 		memory, files := e.Fleet.Footprint()
-		b.Parts, b.Files = b.Parts+memory, b.Files+files
+		b.SubsystemBytes, b.SubsystemDescriptors = b.SubsystemBytes+memory, b.SubsystemDescriptors+files
 	}
 	if c.Admin != "" {
-		memory, files := c.door().Footprint()
-		b.Parts, b.Files = b.Parts+memory, b.Files+files
+		memory, files := c.adminConfig().Footprint()
+		b.SubsystemBytes, b.SubsystemDescriptors = b.SubsystemBytes+memory, b.SubsystemDescriptors+files
 	}
-	left := c.sockets - b.Files
-	b.Sockets = max(leastShared, min(left, int(float64(left-ownFiles)/(clientPart+sparePart+memberPart))))
-	b.Clients, b.Members = int(clientPart*float64(b.Sockets)), int(memberPart*float64(b.Sockets))
-	room := bufferPart * float64(max(0, memory-b.Parts))
-	b.Small = int(smallPart*room) / pgwire.SmallSize
-	b.Buffers = max(buffersLeast, int((1-smallPart)*room)/pgwire.BufSize)
-	b.Memory = int64(b.Buffers)*pgwire.BufSize + int64(b.Small)*pgwire.SmallSize
+	left := c.maxSockets - b.SubsystemDescriptors
+	b.DividedSockets = max(minDividedSockets, min(left, int(float64(left-reservedDescriptors)/(clientFraction+closingFraction+memberFraction))))
+	b.ClientConnections, b.MemberConnections = int(clientFraction*float64(b.DividedSockets)), int(memberFraction*float64(b.DividedSockets))
+	room := bufferFraction * float64(max(0, memory-b.SubsystemBytes))
+	b.SmallBuffers = int(smallBufferFraction*room) / pgwire.SmallSize
+	b.Buffers = max(minBuffers, int((1-smallBufferFraction)*room)/pgwire.BufSize)
+	b.BufferBytes = int64(b.Buffers)*pgwire.BufSize + int64(b.SmallBuffers)*pgwire.SmallSize
 	return b
 }
 
 var errRestart = errors.New("adding or removing the block, or changing what a front listens on, takes a restart of the gateway")
 
 // startREST starts the REST front. It returns an error if the front can't be configured or its address not listened on.
-func startREST(conf *restfront.Config, owner *core.Core, claims *call.Claims, log *slog.Logger) (part, error) {
+func startREST(conf *restfront.Config, owner *core.Core, claims *call.Claims, log *slog.Logger) (subsystem, error) {
 	s, err := restfront.New(owner, *conf, claims, log)
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
 	if err := s.Start(); err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
-	return part{
+	return subsystem{
 		name: "rest",
 		prepare: func(e *Edge) (func(), error) {
 			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.Max != conf.Max {
@@ -136,11 +136,11 @@
 }
 
 // startSyslog starts the log shipper and registers it as the sink of the core's and the log's records.
-func startSyslog(conf *logship.Config, owner *core.Core, cold time.Duration, o Options) (part, error) {
+func startSyslog(conf *logship.Config, owner *core.Core, cold time.Duration, o Options) (subsystem, error) {
 	start := owner.Now()
 	key := make([]byte, 32) // for hashed session names: comparable while this process lives, and not outside it
 	if _, err := rand.Read(key); err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
 	own := o.Log
 	if o.Records != nil { // the shipper's own log lines must not become records, since each would cause another
@@ -152,13 +152,13 @@
 	}
 	s, err := logship.New(fill(*conf), owner.Now, own)
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
 	owner.Observe(s, cold)
 	if o.Records != nil {
 		o.Records.SetSink(s)
 	}
-	return part{
+	return subsystem{
 		name: "syslog",
 		prepare: func(e *Edge) (func(), error) {
 			if e.Syslog == nil {
--- a/internal/gateway/edge_test.go
+++ b/internal/gateway/edge_test.go
@@ -19,8 +19,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// fixed is the form of the product configuration that was agreed with the operators, except for the files it names.
-const fixed = `syslog {
+// agreedConfig is the form of the product configuration that was agreed with the operators, except for the files it names.
+const agreedConfig = `syslog {
   hostname   = "gw-1"
   app_name   = "reachwind"
   enterprise = 32473
@@ -63,9 +63,9 @@
 	return conf
 }
 
-// TestEdge: the agreed form of the product configuration and the example that ships with the program are accepted, and
+// TestLoadEdge: the agreed form of the product configuration and the example that ships with the program are accepted, and
 // faults are reported with line and column.
-func TestEdge(t *testing.T) {
+func TestLoadEdge(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 		}
 		return LoadEdge(path, conf)
 	}
-	e, err := load(fixed)
+	e, err := load(agreedConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,11 +89,11 @@
 	if _, err := LoadEdge("../../deploy/edge.hcl", conf); err != nil {
 		t.Errorf("deploy/edge.hcl: %v", err)
 	}
-	if b, off := conf.Budget(e), conf.Budget(new(Edge)); b.Sockets >= off.Sockets || b.Buffers >= off.Buffers || off.Clients != 512 || off.Members != 337 {
+	if b, off := conf.Budget(e), conf.Budget(new(Edge)); b.DividedSockets >= off.DividedSockets || b.Buffers >= off.Buffers || off.ClientConnections != 512 || off.MemberConnections != 337 {
 		t.Errorf("budget with subsystems %+v, without %+v", b, off)
 	}
 	_, err = load(strings.NewReplacer(`"32473"`, "", `transport = "tcp"`, `transport = "carrier"`, `to     = ["spare"]`, `to = ["spar"]`, `"failed"]`, `"lost"]`,
-		`sample = 0.1`, `sample = 2`, `"24h"`, `"1 day"`).Replace(fixed))
+		`sample = 0.1`, `sample = 2`, `"24h"`, `"1 day"`).Replace(agreedConfig))
 	for _, want := range []string{`:10:15: max_age is "1 day"`, `:19:17: transport is "carrier"`, `:23:15: outcome holds "lost"`, `:29:14: sample is 2, want from 1e-06 to 1`, `:30:10: route "rest": there is no collector "spar"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("no %q in %v", want, err)
@@ -149,7 +149,7 @@
 	defer stop()
 	hup, done := make(chan os.Signal), make(chan error, 1)
 	go func() {
-		done <- Run(term, hup, conf, l, Options{Path: path, Edge: edge, Version: "test", Log: slog.New(records), Records: records})
+		done <- Run(term, hup, conf, l, Options{ConfigPath: path, EdgePath: edge, Version: "test", Log: slog.New(records), Records: records})
 	}()
 	logged := func(part string) {
 		t.Helper()
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,101 +16,101 @@
 	"reachwind/internal/fleet/subscribe"
 )
 
-// told implements fleet.Gateway: it passes peers' reports and quotas to package decide as events, and gives the fleet the
+// fleetAdapter implements fleet.Gateway: it passes peers' reports and quotas to package decide as events, and gives the fleet the
 // counters and observations of this gateway.
-type told struct {
-	*running
-	counts *subscribe.Counts          // owned by the core's goroutine
-	tried  map[string]subscribe.Tried // attempts by zone; owned by the core's goroutine
-	looks  int                        // number of probes so far, which selects the next member to probe
-	at     int                        // index of the member reported last
+type fleetAdapter struct {
+	*instance
+	counters     *subscribe.Counts          // owned by the core's goroutine
+	attempts     map[string]subscribe.Tried // attempts by zone; owned by the core's goroutine
+	probeCount   int                        // number of probes so far, which selects the next member to probe
+	lastReported int                        // index of the member reported last
 }
 
 // Told implements fleet.Gateway.
-func (g *told) Told(member string, look, try, guess bool) {
+func (g *fleetAdapter) Told(member string, look, try, guess bool) {
 	if guess {
-		g.owner.Event(decide.Event{Kind: decide.Told, Member: member, Role: decide.Primary})
+		g.core.Event(decide.Event{Kind: decide.Told, Member: member, Role: decide.Primary})
 	}
 	if try {
-		g.owner.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.Served})
+		g.core.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.Served})
 	}
 	if look {
-		g.owner.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.TimedOut})
+		g.core.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.TimedOut})
 	}
 }
 
 // Parts implements fleet.Gateway.
-func (g *told) Parts(parts [share.Budgets]float64, done func([share.Budgets]float64)) {
-	g.owner.Event(decide.Event{Kind: decide.Parts, Parts: parts})
-	g.owner.Post(func() { done(g.router.Wanted()) })
+func (g *fleetAdapter) Parts(parts [share.Budgets]float64, done func([share.Budgets]float64)) {
+	g.core.Event(decide.Event{Kind: decide.Parts, Parts: parts})
+	g.core.Post(func() { done(g.router.Wanted()) })
 }
 
 // Counts implements fleet.Gateway.
-func (g *told) Counts(done func(subscribe.Counts, []subscribe.Seen, []subscribe.Tried)) {
-	g.owner.Post(func() {
+func (g *fleetAdapter) Counts(done func(subscribe.Counts, []subscribe.Seen, []subscribe.Tried)) {
+	g.core.Post(func() {
 		all := g.router.Known()
 		var some []subscribe.Seen
 		for range min(len(all), subscribe.SeenMost) {
-			g.at = (g.at + 1) % len(all)
-			k := &all[g.at]
+			g.lastReported = (g.lastReported + 1) % len(all)
+			k := &all[g.lastReported]
 			some = append(some, subscribe.Seen{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
 				Position: k.Position.Milliseconds(), Out: k.Out})
 		}
 		var tried []subscribe.Tried
-		for _, z := range slices.Sorted(maps.Keys(g.tried)) {
-			tried = append(tried, g.tried[z])
+		for _, z := range slices.Sorted(maps.Keys(g.attempts)) {
+			tried = append(tried, g.attempts[z])
 		}
-		done(*g.counts, some, tried)
+		done(*g.counters, some, tried)
 	})
 }
 
 // Drains implements fleet.Gateway.
-func (g *told) Drains(members []string) {
-	if g.over != nil {
-		g.over.Drain(members)
+func (g *fleetAdapter) Drains(members []string) {
+	if g.overlay != nil {
+		g.overlay.SetDrains(members)
 	}
 }
 
 // Zones implements fleet.Gateway.
-func (g *told) Zones(away map[string]float64) {
-	if g.over != nil {
-		g.over.Zones(away)
+func (g *fleetAdapter) Zones(away map[string]float64) {
+	if g.overlay != nil {
+		g.overlay.SetZones(away)
 	}
 }
 
-// looksMost limits the probes per second of members in zones that load is moved away from.
-const looksMost = 3
+// maxProbesPerSecond limits the probes per second of members in zones that load is moved away from.
+const maxProbesPerSecond = 3
 
 // Look implements fleet.Gateway. It probes whether some members of zones that load is moved away from accept connections,
 // other ones each time. That is weak evidence, but enough for returning a first small fraction of the load.
-func (g *told) Look() {
-	if g.over == nil {
+func (g *fleetAdapter) Look() {
+	if g.overlay == nil {
 		return
 	}
-	all := g.over.Left()
-	for range min(looksMost, len(all)) {
-		g.looks++
-		m := all[g.looks%len(all)]
-		if g.ops.out(m.ID) {
+	all := g.overlay.DivertedMembers()
+	for range min(maxProbesPerSecond, len(all)) {
+		g.probeCount++
+		m := all[g.probeCount%len(all)]
+		if g.admin.isSuspended(m.ID) {
 			continue
 		}
 		go func() {
-			c, err := net.DialTimeout("tcp", m.Addr, connectUsual)
+			c, err := net.DialTimeout("tcp", m.Addr, defaultConnectTimeout)
 			r := decide.Served
 			if err != nil {
 				r = decide.Unreachable
 			} else {
 				_ = c.Close()
 			}
-			g.owner.Post(func() { g.try(m.Zone, r) })
+			g.core.Post(func() { g.countAttempt(m.Zone, r) })
 		}()
 	}
 }
 
-// try counts an attempt at a member of a zone. It runs on the core's goroutine.
-func (g *told) try(zone string, r decide.Result) {
-	t, ok := g.tried[zone]
-	if !ok && len(g.tried) >= agreed.ZonesMost {
+// countAttempt counts an attempt at a member of a zone. It runs on the core's goroutine.
+func (g *fleetAdapter) countAttempt(zone string, r decide.Result) {
+	t, ok := g.attempts[zone]
+	if !ok && len(g.attempts) >= agreed.ZonesMost {
 		return
 	}
 	t.Zone = zone
@@ -121,45 +121,45 @@
 		t.Failed++
 	}
 	t.Attempts++
-	g.tried[zone] = t
+	g.attempts[zone] = t
 }
 
 // Door implements fleet.Gateway.
-func (g *told) Door(part float64) {
-	d := g.door.Load()
+func (g *fleetAdapter) Door(part float64) {
+	d := g.listener.Load()
 	if d == nil {
 		return
 	}
 	g.front.Quiesce(part == 0)
-	if part == 0 || part < 1 && float64(g.front.Open()) >= part*float64(g.most) {
-		d.Shut()
-	} else if err := d.Open(); err != nil {
-		g.o.Log.Error("the clients' address can't be opened again", "listen", d.addr, "err", err)
+	if part == 0 || part < 1 && float64(g.front.Open()) >= part*float64(g.maxClients) {
+		d.Disable()
+	} else if err := d.Enable(); err != nil {
+		g.options.Log.Error("the clients' address can't be opened again", "listen", d.addr, "err", err)
 	}
 }
 
 // Busy implements fleet.Gateway.
-func (g *told) Busy() int { return g.front.Open() }
+func (g *fleetAdapter) Busy() int { return g.front.Open() }
 
-// sees implements core.Witness: it reports to the fleet what the core observes.
-type sees struct {
-	f      *fleet.Fleet
-	counts *subscribe.Counts
-	g      *told
+// coreWitness implements core.Witness: it reports to the fleet what the core observes.
+type coreWitness struct {
+	fleet    *fleet.Fleet
+	counters *subscribe.Counts
+	adapter  *fleetAdapter
 }
 
 // Tried implements core.Witness.
-func (s sees) Tried(member string, r decide.Result) {
-	if s.g.over != nil {
-		if zone := s.g.over.zone(member); zone != "" {
-			s.g.try(zone, r)
+func (s coreWitness) Tried(member string, r decide.Result) {
+	if s.adapter.overlay != nil {
+		if zone := s.adapter.overlay.zoneOf(member); zone != "" {
+			s.adapter.countAttempt(zone, r)
 		}
 	}
 }
 
 // Ended implements core.Witness.
-func (s sees) Ended(q *core.Request, v core.Verdict, took core.Time) {
-	c := &s.counts.Classes[min(q.Place, agreed.ClassesMost-1)]
+func (s coreWitness) Ended(q *core.Request, v core.Verdict, took core.Time) {
+	c := &s.counters.Classes[min(q.Place, agreed.ClassesMost-1)]
 	c.Requests++
 	if v != core.Served {
 		c.Refused++
@@ -168,52 +168,52 @@
 	if took > q.Class.Aim {
 		c.Late++
 	}
-	s.counts.Latency[agreed.Bucket(took.Microseconds())]++
+	s.counters.Latency[agreed.Bucket(took.Microseconds())]++
 }
 
 // Noted implements core.Witness.
-func (s sees) Noted(c decide.Change, member string) {
+func (s coreWitness) Noted(c decide.Change, member string) {
 	switch c {
 	case decide.Suspected:
-		s.f.Saw(member, belief.Silent, 0)
+		s.fleet.Saw(member, belief.Silent, 0)
 	case decide.Trusted:
-		s.f.Saw(member, belief.Answers, 0)
+		s.fleet.Saw(member, belief.Answers, 0)
 	case decide.PrimaryFound:
-		if s.g.over != nil {
-			s.g.over.Primary(member)
+		if s.adapter.overlay != nil {
+			s.adapter.overlay.SetPrimary(member)
 		}
-		s.f.Saw(member, belief.Primary, 0)
+		s.fleet.Saw(member, belief.Primary, 0)
 	}
 }
 
 // Answered implements core.Witness.
-func (s sees) Answered(member string) { s.f.Answered(member) }
+func (s coreWitness) Answered(member string) { s.fleet.Answered(member) }
 
 // Probed implements core.Witness.
-func (s sees) Probed(member string, answered bool) { s.f.Probed(member, answered) }
+func (s coreWitness) Probed(member string, answered bool) { s.fleet.Probed(member, answered) }
 
 // Listed implements core.Witness.
-func (s sees) Listed() { s.f.Discovered() }
+func (s coreWitness) Listed() { s.fleet.Discovered() }
 
 // startFleet starts the fleet subsystem of g, which has a number of full-size buffers.
-func startFleet(conf *fleet.Config, g *running, buffers int) (part, error) {
-	wall := g.o.Wall
+func startFleet(conf *fleet.Config, g *instance, buffers int) (subsystem, error) {
+	wall := g.options.WallClock
 	if wall == nil {
 		wall = time.Now
 	}
 	own := *conf
-	own.Version = g.o.Version
+	own.Version = g.options.Version
 	counts := new(subscribe.Counts)
-	way := &told{running: g, counts: counts, tried: map[string]subscribe.Tried{}}
-	f, err := fleet.Start(own, fleet.Deps{Log: g.o.Log, Zone: g.c.Decide.Zone, Wall: wall, Gateway: way,
-		Longest: lastCall(g.c.terms.Now().Longest),
+	way := &fleetAdapter{instance: g, counters: counts, attempts: map[string]subscribe.Tried{}}
+	f, err := fleet.Start(own, fleet.Deps{Log: g.options.Log, Zone: g.config.Decide.Zone, Wall: wall, Gateway: way,
+		Longest: maxShutdown(g.config.active.Now().Longest),
 		Load:    func() float64 { return float64(g.claims.Len()) / float64(max(1, buffers)) }})
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
-	g.owner.Tell(sees{f, counts, way})
+	g.core.Tell(coreWitness{f, counts, way})
 	g.fleet = f
-	return part{
+	return subsystem{
 		name: "fleet",
 		prepare: func(e *Edge) (func(), error) {
 			if e.Fleet == nil {
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/listener_test.go
@@ -11,14 +11,14 @@
 	"reachwind/internal/core"
 )
 
-// TestDoor: while the listener is disabled and enabled again and again, clients that have connected are accepted: at most
+// TestListenerToggled: while the listener is disabled and enabled again and again, clients that have connected are accepted: at most
 // one in a hundred is reset without having been accepted, and refused clients notice it at once.
-func TestDoor(t *testing.T) {
+func TestListenerToggled(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDoor(l)
+	d := newToggleListener(l)
 	go func() {
 		for {
 			c, err := d.Accept()
@@ -61,9 +61,9 @@
 	}
 	for range 40 {
 		time.Sleep(10 * time.Millisecond)
-		d.Shut()
+		d.Disable()
 		time.Sleep(15 * time.Millisecond)
-		if err := d.Open(); err != nil {
+		if err := d.Enable(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -79,20 +79,20 @@
 	if err := d.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := d.Open(); err != nil || d.Close() != nil {
+	if err := d.Enable(); err != nil || d.Close() != nil {
 		t.Error("a closed listener can be enabled, or closing it again fails")
 	}
 }
 
-// TestDoorCloses: connections that wait to be accepted when the listener is disabled or closed are accepted, with what they
+// TestListenerAcceptsBeforeClosing: connections that wait to be accepted when the listener is disabled or closed are accepted, with what they
 // sent. Then connections are refused, even if clients keep connecting.
-func TestDoorCloses(t *testing.T) {
-	for name, end := range map[string]func(*door){"shut": (*door).Shut, "closed": func(d *door) { _ = d.Close() }} {
+func TestListenerAcceptsBeforeClosing(t *testing.T) {
+	for name, end := range map[string]func(*toggleListener){"shut": (*toggleListener).Disable, "closed": func(d *toggleListener) { _ = d.Close() }} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := newDoor(l)
+		d := newToggleListener(l)
 		const many = 20
 		var clients []net.Conn
 		for i := range many {
@@ -129,7 +129,7 @@
 				t.Errorf("%s: client %d: %v, %v", name, i, b, err)
 			}
 		}
-		until(t, "refused", func() bool {
+		waitFor(t, "refused", func() bool {
 			for range 10 { // without a pause
 				c, err := net.Dial("tcp", d.addr)
 				if err != nil {
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestOverlay: a member that is permitted to go out of service is listed as draining, whatever discovery says, until the
+// TestOverlayDrains: a member that is permitted to go out of service is listed as draining, whatever discovery says, until the
 // permit ends; but never the last usable member of its group.
-func TestOverlay(t *testing.T) {
+func TestOverlayDrains(t *testing.T) {
 	state := map[string]decide.MemberState{}
 	o := newOverlay("g", func(kind decide.EventKind, members []core.Listed) {
 		if kind != decide.ListChange {
@@ -168,20 +168,20 @@
 		}
 	}
 	o.List(decide.ListSaved, all)
-	o.Drain([]string{"a", "c"})
+	o.SetDrains([]string{"a", "c"})
 	want("permitted", "a", decide.Draining)
 	want("the last of its group", "c", decide.Up)
-	if o.Kept != 1 {
-		t.Errorf("%d members kept in use, want 1", o.Kept)
+	if o.lastInGroup != 1 {
+		t.Errorf("%d members kept in use, want 1", o.lastInGroup)
 	}
 	o.List(decide.ListSaved, all)
 	want("listed anew", "a", decide.Draining)
 	o.List(decide.ListChange, []core.Listed{member("b", 1, decide.Draining)})
-	o.Drain([]string{"a"}) // discovery lists b as draining: a is the last usable one
+	o.SetDrains([]string{"a"}) // discovery lists b as draining: a is the last usable one
 	want("the other one drains", "a", decide.Up)
 	o.List(decide.ListChange, []core.Listed{member("b", 1, decide.Up)})
-	o.Drain([]string{"a"})
+	o.SetDrains([]string{"a"})
 	want("again", "a", decide.Draining)
-	o.Drain(nil)
+	o.SetDrains(nil)
 	want("no longer", "a", decide.Up)
 }
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -22,8 +22,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// ring calls the admin API and returns the status code and the body.
-func ring(t *testing.T, method, url string) (int, string) {
+// callAdmin calls the admin API and returns the status code and the body.
+func callAdmin(t *testing.T, method, url string) (int, string) {
 	t.Helper()
 	q, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return a.StatusCode, string(text)
 }
 
-// until waits until f is true, and fails the test after 20 s.
-func until(t *testing.T, what string, f func() bool) {
+// waitFor waits until f is true, and fails the test after 20 s.
+func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestOperators: a gateway with emulated members is under load while its member list keeps changing. Once the admin API
+// TestSuspendUnderLoad: a gateway with emulated members is under load while its member list keeps changing. Once the admin API
 // has confirmed a suspension, no request reaches the member after the grace time until it is resumed, not even across
 // reloads; then it is used again.
-func TestOperators(t *testing.T) {
+func TestSuspendUnderLoad(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 2, Replicas: 2, Lag: 2 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if on, off := conf.Budget(new(Edge)), gatewayFor(t, c).Budget(new(Edge)); on.Sockets+on.Files != off.Sockets || on.Files < 64 {
+	if on, off := conf.Budget(new(Edge)), gatewayFor(t, c).Budget(new(Edge)); on.DividedSockets+on.SubsystemDescriptors != off.DividedSockets || on.SubsystemDescriptors < 64 {
 		t.Errorf("budget %+v with the admin API, %+v without", on, off)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +85,7 @@
 	term, stop := context.WithCancel(t.Context())
 	hup, done := make(chan os.Signal), make(chan error, 1)
 	go func() {
-		done <- Run(term, hup, conf, l, Options{Path: path, Version: "test", Log: slog.New(slog.DiscardHandler)})
+		done <- Run(term, hup, conf, l, Options{ConfigPath: path, Version: "test", Log: slog.New(slog.DiscardHandler)})
 	}()
 	defer func() {
 		stop()
@@ -93,7 +93,7 @@
 			t.Error(err)
 		}
 	}()
-	until(t, "the admin API is open", func() bool {
+	waitFor(t, "the admin API is open", func() bool {
 		nc, err := net.Dial("tcp", admin)
 		if err == nil {
 			_ = nc.Close()
@@ -101,7 +101,7 @@
 		return err == nil
 	})
 	door := "http://" + admin + "/v1/"
-	until(t, "ready", func() bool { code, _ := ring(t, "GET", door+"readyz"); return code == 200 })
+	waitFor(t, "ready", func() bool { code, _ := callAdmin(t, "GET", door+"readyz"); return code == 200 })
 
 	load, end := context.WithCancel(t.Context())
 	var work sync.WaitGroup
@@ -139,9 +139,9 @@
 	took := func(m *cluster.Member) int { return c.Took(m) }
 	for _, m := range []*cluster.Member{c.Primary(0), members[rng.IntN(len(members))], members[rng.IntN(len(members))]} {
 		before := took(m)
-		until(t, "requests before the suspension of "+m.ID, func() bool { return took(m) > before+3 })
+		waitFor(t, "requests before the suspension of "+m.ID, func() bool { return took(m) > before+3 })
 		for range 2 {
-			if code, text := ring(t, "POST", door+"db-machines/"+m.ID+"/suspend"); code != 200 {
+			if code, text := callAdmin(t, "POST", door+"db-machines/"+m.ID+"/suspend"); code != 200 {
 				t.Fatal(code, text)
 			}
 		}
@@ -167,15 +167,15 @@
 		if after := took(m); after != before {
 			t.Errorf("%s was sent %d requests while it was suspended", m.ID, after-before)
 		}
-		if code, text := ring(t, "POST", door+"db-machines/"+m.ID+"/resume"); code != 200 {
+		if code, text := callAdmin(t, "POST", door+"db-machines/"+m.ID+"/resume"); code != 200 {
 			t.Fatal(code, text)
 		}
-		until(t, "requests after the suspension of "+m.ID, func() bool { return took(m) > before })
+		waitFor(t, "requests after the suspension of "+m.ID, func() bool { return took(m) > before })
 	}
 	// All members of a group may be suspended: its requests are refused then, and served once they are resumed.
 	all := slices.DeleteFunc(members, func(m *cluster.Member) bool { return m.Group != 1 })
 	for _, m := range all {
-		ring(t, "POST", door+"db-machines/"+m.ID+"/suspend")
+		callAdmin(t, "POST", door+"db-machines/"+m.ID+"/suspend")
 	}
 	conn, err := pgclient.Dial(l.Addr().String(), 10*time.Second)
 	if err != nil {
@@ -193,26 +193,26 @@
 		t.Errorf("verdict %v from a group whose members are all suspended", pgclient.Names[v])
 	}
 	for _, m := range all {
-		ring(t, "POST", door+"db-machines/"+m.ID+"/resume")
+		callAdmin(t, "POST", door+"db-machines/"+m.ID+"/resume")
 	}
 	n := 0
-	until(t, "served again", func() bool { n++; return ask(fmt.Sprint("again", n)) == pgclient.Served })
+	waitFor(t, "served again", func() bool { n++; return ask(fmt.Sprint("again", n)) == pgclient.Served })
 	for _, want := range []struct {
 		method, path string
 		code         int
 	}{{"POST", "db-machines/nobody/suspend", 404}, {"POST", "db-machines/nobody/resume", 404}, {"GET", "db-machines/" + members[0].ID + "/resume", 405},
 		{"POST", "readyz", 405}, {"POST", "db-machines/" + members[0].ID + "/drain", 404}, {"GET", "", 404}, {"POST", "db-machines/" + members[0].ID + "/resume", 200}} {
-		if code, text := ring(t, want.method, door+want.path); code != want.code || len(text) < 4 {
+		if code, text := callAdmin(t, want.method, door+want.path); code != want.code || len(text) < 4 {
 			t.Errorf("%s %s: %d %q, want %d", want.method, want.path, code, text, want.code)
 		}
 	}
 }
 
-// TestStalledOwner: while the core's goroutine is stalled a suspension fails at its deadline, and is not carried out later.
-func TestStalledOwner(t *testing.T) {
+// TestSuspendWithStalledCore: while the core's goroutine is stalled a suspension fails at its deadline, and is not carried out later.
+func TestSuspendWithStalledCore(t *testing.T) {
 	owner := core.New(core.NewClock(), nil, slog.New(slog.DiscardHandler))
-	o := newOperators(opsdoor.Config{}, owner, slog.New(slog.DiscardHandler))
-	o.set.List(decide.ListFull, []core.Listed{{Member: decide.Member{ID: "m"}}})
+	o := newAdminOperator(opsdoor.Config{}, owner, slog.New(slog.DiscardHandler))
+	o.suspensions.List(decide.ListFull, []core.Listed{{Member: decide.Member{ID: "m"}}})
 	short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := o.Suspend(short, "m"); !errors.As(err, new(opsdoor.NotDone)) {
@@ -229,7 +229,7 @@
 	<-ran
 	stop()
 	<-over
-	if ids := o.set.Suspended(); len(ids) > 0 {
+	if ids := o.suspensions.Suspended(); len(ids) > 0 {
 		t.Errorf("%v are suspended although the call failed", ids)
 	}
 }
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -23,8 +23,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// before starts an emulated cluster, which ends with the test.
-func before(t *testing.T, conf cluster.Config) *cluster.Cluster {
+// startCluster starts an emulated cluster, which ends with the test.
+func startCluster(t *testing.T, conf cluster.Config) *cluster.Cluster {
 	t.Helper()
 	c, err := cluster.Start(conf)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return c
 }
 
-// fronts runs a gateway with both fronts before a cluster, and returns their addresses. settings is added to the rest block.
-func fronts(t *testing.T, c *cluster.Cluster, settings string) (pg, rest string) {
+// startFronts runs a gateway with both fronts before a cluster, and returns their addresses. settings is added to the rest block.
+func startFronts(t *testing.T, c *cluster.Cluster, settings string) (pg, rest string) {
 	t.Helper()
 	edge := filepath.Join(t.TempDir(), "edge.hcl")
 	if err := os.WriteFile(edge, []byte("rest {\n listen = \"127.0.0.1:0\"\n"+settings+"}\n"), 0o600); err != nil {
@@ -58,7 +58,7 @@
 	done := make(chan error, 1)
 	records := record.NewHandler(slog.NewTextHandler(w, nil))
 	go func() {
-		done <- Run(term, nil, gatewayFor(t, c), l, Options{Edge: edge, Log: slog.New(records), Records: records})
+		done <- Run(term, nil, gatewayFor(t, c), l, Options{EdgePath: edge, Log: slog.New(records), Records: records})
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -69,8 +69,8 @@
 	return l.Addr().String(), <-addr
 }
 
-// ask sends a REST request and returns the response and its body. headers are names and values in turn.
-func ask(t *testing.T, addr, method, path string, body []byte, headers ...string) (*http.Response, []byte) {
+// requestREST sends a REST request and returns the response and its body. headers are names and values in turn.
+func requestREST(t *testing.T, addr, method, path string, body []byte, headers ...string) (*http.Response, []byte) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -94,8 +94,8 @@
 // TestBothFronts: within a session a write by one protocol is read by the other at once. Equal requests have equal answers
 // and verdicts on both, and an idempotency key holds across both.
 func TestBothFronts(t *testing.T) {
-	c := before(t, cluster.Config{Groups: 1, Replicas: 2, Lag: 50 * time.Millisecond})
-	pg, rest := fronts(t, c, "")
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2, Lag: 50 * time.Millisecond})
+	pg, rest := startFronts(t, c, "")
 	conn, err := pgclient.Dial(pg, 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 			}
 			return a.Verdict, a.Value
 		}
-		res, text := ask(t, rest, "PUT", "/v1/clusters/0/items/"+item, []byte(value), "Reachwind-Class", "map-edits", "Reachwind-Tenant", "kea-basin", "Idempotency-Key", fmt.Sprint("k", i))
+		res, text := requestREST(t, rest, "PUT", "/v1/clusters/0/items/"+item, []byte(value), "Reachwind-Class", "map-edits", "Reachwind-Tenant", "kea-basin", "Idempotency-Key", fmt.Sprint("k", i))
 		if res.StatusCode != 200 {
 			return pgclient.Refused, ""
 		}
@@ -132,7 +132,7 @@
 			t.Fatalf("write %d gave %q", i, back)
 		}
 		for _, class := range []string{"my-notes", "run-status"} { // classes that must read the write at once
-			res, text := ask(t, rest, "GET", "/v1/clusters/0/items/"+item, nil, "Reachwind-Class", class, "Reachwind-Tenant", "kea-basin", "Reachwind-Deadline-Ms", "700")
+			res, text := requestREST(t, rest, "GET", "/v1/clusters/0/items/"+item, nil, "Reachwind-Class", class, "Reachwind-Tenant", "kea-basin", "Reachwind-Deadline-Ms", "700")
 			a, err := conn.Do(&pgclient.Request{ID: fmt.Sprint(class, i), Class: class, Tenant: "kea-basin", Wait: 700 * time.Millisecond, Item: item})
 			if err != nil {
 				t.Fatal(err)
@@ -147,7 +147,7 @@
 			if res.Header.Get("Reachwind-Position") == "" {
 				t.Fatal("no header Reachwind-Position")
 			}
-			again, _ := ask(t, rest, "GET", "/v1/clusters/0/items/"+item, nil, "Reachwind-Class", class, "If-None-Match", res.Header.Get("ETag"))
+			again, _ := requestREST(t, rest, "GET", "/v1/clusters/0/items/"+item, nil, "Reachwind-Class", class, "If-None-Match", res.Header.Get("ETag"))
 			if again.StatusCode != http.StatusNotModified {
 				t.Fatalf("with its own ETag: status %d, want 304", again.StatusCode)
 			}
@@ -162,7 +162,7 @@
 	if n := c.Runs(0, "k2001"); n != 1 {
 		t.Errorf("a write with a key ran %d times, want once", n)
 	}
-	res, text := ask(t, rest, "GET", "/v1/clusters/9/items/x", nil, "Reachwind-Class", "field-info")
+	res, text := requestREST(t, rest, "GET", "/v1/clusters/9/items/x", nil, "Reachwind-Class", "field-info")
 	a, err := conn.Do(&pgclient.Request{ID: "none", Class: "field-info", Tenant: "kea-basin", Wait: time.Second, Item: "x", Cluster: 9})
 	var p struct {
 		Type         string
@@ -187,8 +187,8 @@
 // TestRESTRefusals: requests that can't be understood get a problem of a certain type and reach no member. Requests of
 // ambiguous length, floods and trickles end the connection. The front keeps serving.
 func TestRESTRefusals(t *testing.T) {
-	c := before(t, cluster.Config{Groups: 1, Replicas: 1})
-	_, rest := fronts(t, c, "connections = 8\n header_wait = \"200ms\"\n read_wait = \"400ms\"\n")
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 1})
+	_, rest := startFronts(t, c, "connections = 8\n header_wait = \"200ms\"\n read_wait = \"400ms\"\n")
 	class := []string{"Reachwind-Class", "field-info"}
 	edit := []string{"Reachwind-Class", "map-edits", "Idempotency-Key", "k"}
 	for i, tc := range []struct {
@@ -215,7 +215,7 @@
 		{"GET", "/v1/clusters/0/items?cursor=" + strings.Repeat("A", 120), 0, class, 400, "cursor-format"},
 		{"GET", "/other", 0, class, 404, "not-found"},
 	} {
-		res, text := ask(t, rest, tc.method, tc.path, make([]byte, tc.body), tc.headers...)
+		res, text := requestREST(t, rest, tc.method, tc.path, make([]byte, tc.body), tc.headers...)
 		var p struct{ Type string }
 		if err := json.Unmarshal(text, &p); err != nil || res.StatusCode != tc.status || p.Type != "urn:reachwind:problem:"+tc.kind ||
 			res.Header.Get("Content-Type") != "application/problem+json" {
@@ -274,16 +274,16 @@
 	if refused < 4 {
 		t.Errorf("%d of 12 connections were refused, want those beyond 8", refused)
 	}
-	if res, _ := ask(t, rest, "GET", "/v1/clusters/0/items/x", nil, class...); res.StatusCode != 200 && res.StatusCode != 503 {
+	if res, _ := requestREST(t, rest, "GET", "/v1/clusters/0/items/x", nil, class...); res.StatusCode != 200 && res.StatusCode != 503 {
 		t.Errorf("a request afterwards: status %d", res.StatusCode)
 	}
 }
 
-// TestListings: while listings are paged through two gateways in turn, members die, lag and freeze, primaries are elected,
+// TestListingsUnderFaults: while listings are paged through two gateways in turn, members die, lag and freeze, primaries are elected,
 // and items are added and changed. No page is older than the first, ids come in order and once, and items that existed
 // throughout are listed.
-func TestListings(t *testing.T) {
-	c := before(t, cluster.Config{Groups: 1, Replicas: 2, Lag: 20 * time.Millisecond, Elect: 200 * time.Millisecond})
+func TestListingsUnderFaults(t *testing.T) {
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2, Lag: 20 * time.Millisecond, Elect: 200 * time.Millisecond})
 	const old = 120
 	for i := range old {
 		c.Seed(0, fmt.Sprintf("lift-%03d", i*3), fmt.Sprint("state ", i))
@@ -294,7 +294,7 @@
 	}
 	var rest [2]string
 	for i := range rest {
-		_, rest[i] = fronts(t, c, fmt.Sprintf("cursor_keys = %q\n", keys))
+		_, rest[i] = startFronts(t, c, fmt.Sprintf("cursor_keys = %q\n", keys))
 	}
 	end := make(chan struct{})
 	var work sync.WaitGroup
@@ -344,7 +344,7 @@
 			if tries++; tries > 20000 {
 				t.Fatal("the listings did not end within 20000 requests")
 			}
-			res, text := ask(t, rest[(n+page)%2], "GET", path, nil, "Reachwind-Class", class, "Reachwind-Tenant", "kea-basin", "Reachwind-Session", "office")
+			res, text := requestREST(t, rest[(n+page)%2], "GET", path, nil, "Reachwind-Class", class, "Reachwind-Tenant", "kea-basin", "Reachwind-Session", "office")
 			if res.StatusCode == 502 || res.StatusCode == 503 { // refused or failed: request the same page again, with the same cursor
 				time.Sleep(10 * time.Millisecond)
 				continue
--- a/internal/gateway/retune.go
+++ b/internal/gateway/retune.go
@@ -14,39 +14,39 @@
 	"reachwind/internal/terms"
 )
 
-// retuning is a configuration file that was read and validated on SIGHUP, ready to be applied.
-type retuning struct {
-	conf  *Config // its Decide is what package decide is given
-	terms *terms.Terms
-	text  []byte
+// reloadedConfig is a configuration file that was read and validated on SIGHUP, ready to be applied.
+type reloadedConfig struct {
+	conf   *Config // its Decide is what package decide is given
+	active *terms.Terms
+	source []byte
 }
 
-// reread reads and validates the configuration file on SIGHUP. The file must contain every key that it had at the start. It
+// readReload reads and validates the configuration file on SIGHUP. The file must contain every key that it had at the start. It
 // changes nothing.
-func (g *running) reread() (*retuning, error) {
-	f, err := os.OpenFile(g.o.Path, os.O_RDONLY|syscall.O_NONBLOCK, 0) // opening a pipe without a writer would block, and all later SIGHUPs with it
+func (g *instance) readReload() (*reloadedConfig, error) {
+	f, err := os.OpenFile(g.options.ConfigPath, os.O_RDONLY|syscall.O_NONBLOCK, 0) // opening a pipe without a writer would block, and all later SIGHUPs with it
 	if err != nil {
 		return nil, fmt.Errorf("%w; nothing was changed: put a readable file there, and send SIGHUP again", err)
 	}
 	defer func() { _ = f.Close() }()
 	if s, err := f.Stat(); err != nil || !s.Mode().IsRegular() { // reading a pipe may never end
-		return nil, fmt.Errorf("%s: want a regular file, found none; nothing was changed: put one there, and send SIGHUP again", g.o.Path)
+		return nil, fmt.Errorf("%s: want a regular file, found none; nothing was changed: put one there, and send SIGHUP again", g.options.ConfigPath)
 	}
 	text, err := settings.Read(f)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", g.o.Path, err)
+		return nil, fmt.Errorf("%s: %w", g.options.ConfigPath, err)
 	}
-	c, err := g.c.follow(text, os.Getenv)
+	c, err := g.config.parseReload(text, os.Getenv)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", g.o.Path, err)
+		return nil, fmt.Errorf("%s: %w", g.options.ConfigPath, err)
 	}
-	r := &retuning{conf: c, text: text}
-	r.terms, c.Decide, err = g.c.terms.Next(c.Decide, g.owner.Now())
+	r := &reloadedConfig{conf: c, source: text}
+	r.active, c.Decide, err = g.config.active.Next(c.Decide, g.core.Now())
 	return r, err
 }
 
-// follow validates the text of a configuration that is to replace c, the one of the start.
-func (c *Config) follow(text []byte, env func(string) string) (*Config, error) {
+// parseReload validates the text of a configuration that is to replace c, the one of the start.
+func (c *Config) parseReload(text []byte, env func(string) string) (*Config, error) {
 	if err := c.shape.Check(text); err != nil {
 		return nil, err
 	}
@@ -61,36 +61,36 @@
 	return next, nil
 }
 
-// retune applies a configuration. The core's queue keeps the order: package decide has the new settings before the first
+// applyReload applies a configuration. The core's queue keeps the order: package decide has the new settings before the first
 // request that is admitted under them.
-func (g *running) retune(r *retuning) {
-	g.line.keep(r.text)
-	was := g.c.terms.Now()
-	g.owner.Post(func() {
-		if err := g.router.Retune(*r.conf.Decide); err != nil { // reread has checked it
-			g.o.Log.Error("reloaded settings refused by the decision module", "err", err)
+func (g *instance) applyReload(r *reloadedConfig) {
+	g.handover.saveConfig(r.source)
+	was := g.config.active.Now()
+	g.core.Post(func() {
+		if err := g.router.Retune(*r.conf.Decide); err != nil { // readReload has validated it
+			g.options.Log.Error("reloaded settings refused by the decision module", "err", err)
 			return
 		}
-		g.pool.Retune(members(r.conf.facts, 0, 0))
+		g.pool.Retune(memberPoolConfig(r.conf.settings, 0, 0))
 	})
-	g.c.terms.Turn(r.terms)
-	came, changed, left := r.terms.Against(was)
-	g.o.Log.Info("retuned", "classes", len(r.conf.Decide.Classes), "came", came, "changed", changed, "left", left,
+	g.config.active.Turn(r.active)
+	came, changed, left := r.active.Against(was)
+	g.options.Log.Info("retuned", "classes", len(r.conf.Decide.Classes), "came", came, "changed", changed, "left", left,
 		"attempts", r.conf.Decide.MaxAttempts)
 }
 
-// members returns the configuration of connections to members. most is their maximum number; keep is the number of
+// memberPoolConfig returns the configuration of connections to members. most is their maximum number; keep is the number of
 // buffers reserved from answers that pass through.
-func members(f *settings.Facts, most, keep int) pgmember.Config {
+func memberPoolConfig(f *settings.Facts, most, keep int) pgmember.Config {
 	return pgmember.Config{User: user, Database: database, Max: most, Keep: keep,
-		Idle:    span(f.Allowed.IdleCloseUs, idleUsual),
-		Connect: span(f.Allowed.ConnectTimeoutUs, connectUsual),
-		Grace:   span(f.Rules.StopSendingWithinUs, graceUsual), DrainOnly: f.Rules.DrainBindsAlone,
+		Idle:    microsecondsOr(f.Allowed.IdleCloseUs, defaultIdleClose),
+		Connect: microsecondsOr(f.Allowed.ConnectTimeoutUs, defaultConnectTimeout),
+		Grace:   microsecondsOr(f.Rules.StopSendingWithinUs, defaultStopSendingGrace), DrainOnly: f.Rules.DrainBindsAlone,
 		Names: f.Feedback.Names}
 }
 
-// span returns us microseconds, or usual if us is not positive.
-func span(us int64, usual time.Duration) time.Duration {
+// microsecondsOr returns us microseconds, or usual if us is not positive.
+func microsecondsOr(us int64, usual time.Duration) time.Duration {
 	if us <= 0 {
 		return usual
 	}
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -22,25 +22,25 @@
 	"reachwind/internal/terms"
 )
 
-// tuned is the state of a class in the settings as the test knows it.
-type tuned struct {
+// classState is the state of a class in the settings as the test knows it.
+type classState struct {
 	effect string    // empty: the class is not in the settings
 	last   string    // the last effect that it had
 	since  time.Time // of the effect, or of the class's removal
 }
 
-// TestRetune runs a whole gateway on a fake clock, under load and with failing members, while its settings change at
+// TestReloadsUnderLoad runs a whole gateway on a fake clock, under load and with failing members, while its settings change at
 // random: classes are added, removed and change their effect, the limit of attempts changes, and many files are
 // truncated. Each request gets one answer, by the class that it named when it was sent. No request is refused for an
 // unknown class while its class is in the settings or was removed a moment ago, and a request that may run only once
 // does so, whatever the settings say later.
-func TestRetune(t *testing.T) {
+func TestReloadsUnderLoad(t *testing.T) {
 	for seed := range uint64(2) {
-		synctest.Test(t, func(t *testing.T) { playRetunes(t, seed) })
+		synctest.Test(t, func(t *testing.T) { runReloads(t, seed) })
 	}
 }
 
-func playRetunes(t *testing.T, seed uint64) {
+func runReloads(t *testing.T, seed uint64) {
 	pipes := new(pipenet.Net)
 	c, err := cluster.Start(cluster.Config{Groups: 1, Replicas: 2, Lag: 20 * time.Millisecond, Work: 8 * time.Millisecond, Net: pipes})
 	if err != nil {
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	g, err := build(conf, Options{Path: path, Log: slog.New(slog.DiscardHandler), Dial: pipes.Dial})
+	g, err := build(conf, Options{ConfigPath: path, Log: slog.New(slog.DiscardHandler), Dial: pipes.Dial})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	go func() { ended <- g.run(term, nil, listener) }()
 
 	var mu sync.Mutex
-	now, served, unknown, twice := map[string]tuned{}, 0, 0, 0
+	now, served, unknown, twice := map[string]classState{}, 0, 0, 0
 	stop := make(chan struct{})
 	var done sync.WaitGroup
 	for n := range 6 { // clients
@@ -151,7 +151,7 @@
 	good, bad := 0, 0
 	for range 60 {
 		time.Sleep(time.Duration(r.IntN(2000)) * time.Millisecond)
-		text, next := retuned(t, r, start)
+		text, next := randomSettings(t, r, start)
 		broken := r.IntN(3) == 0
 		if broken {
 			text = text[:r.IntN(len(text))]
@@ -159,10 +159,10 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := g.c.terms.Now()
+		before := g.config.active.Now()
 		mu.Lock() // clients must not read now between the reload and its update
 		g.reload()
-		if took := g.c.terms.Now() != before; took == broken {
+		if took := g.config.active.Now() != before; took == broken {
 			t.Errorf("taken over: %v, broken: %v", took, broken)
 		}
 		if !broken {
@@ -170,7 +170,7 @@
 			for i := range 4 {
 				name := fmt.Sprint("x", i)
 				if was := now[name]; was.effect != next[name] {
-					now[name] = tuned{next[name], cmp.Or(next[name], was.last), time.Now()}
+					now[name] = classState{next[name], cmp.Or(next[name], was.last), time.Now()}
 				}
 			}
 		} else {
@@ -190,8 +190,8 @@
 	c.Close()
 }
 
-// retuned returns a valid file with a random selection of the classes x0 to x3, and their effects.
-func retuned(t *testing.T, r *rand.Rand, start []byte) ([]byte, map[string]string) {
+// randomSettings returns a valid file with a random selection of the classes x0 to x3, and their effects.
+func randomSettings(t *testing.T, r *rand.Rand, start []byte) ([]byte, map[string]string) {
 	var file map[string]any
 	if err := json.Unmarshal(start, &file); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -24,8 +24,8 @@
 	"reachwind/internal/standin/pipenet"
 )
 
-// settingsWith returns the configuration of a gateway before c whose classes all have this effect and this deadline.
-func settingsWith(t *testing.T, c *cluster.Cluster, effect string, deadline time.Duration) []byte {
+// configWith returns the configuration of a gateway before c whose classes all have this effect and this deadline.
+func configWith(t *testing.T, c *cluster.Cluster, effect string, deadline time.Duration) []byte {
 	t.Helper()
 	var conf map[string]any
 	if err := json.Unmarshal(c.GatewayConfig("gw-1", "127.0.0.1:0", 192, 1024), &conf); err != nil {
@@ -42,15 +42,15 @@
 	return text
 }
 
-// asks returns the message of a write with id, which is its key too, and a deadline of wait.
-func asks(id string, wait time.Duration) []byte {
+// writeStatement returns the message of a write with id, which is its key too, and a deadline of wait.
+func writeStatement(id string, wait time.Duration) []byte {
 	return pgwire.Append(nil, 'Q', fmt.Sprintf("/* id=%s,c=map-edits,t=kea-basin,d=%d,k=%s,cluster=0 */ INSERT INTO items (id, doc) VALUES ('hut', 'v') RETURNING doc\x00",
 		id, wait.Milliseconds(), id))
 }
 
-// heard reads from nc until the gateway closes it, and returns the types of the complete messages. A message that is cut
+// readMessages reads from nc until the gateway closes it, and returns the types of the complete messages. A message that is cut
 // short is an error.
-func heard(nc net.Conn) (types string, err error) {
+func readMessages(nc net.Conn) (types string, err error) {
 	text, err := io.ReadAll(nc)
 	for len(text) > 0 {
 		if len(text) < 5 || len(text) < 1+int(binary.BigEndian.Uint32(text[1:])) {
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf, err := Parse(settingsWith(t, c, effect, deadline), func(string) string { return "" })
+	conf, err := Parse(configWith(t, c, effect, deadline), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	var clients []*client
 	ask := func(cl *client) { // in a goroutine: a write to a pipe blocks until it is read
 		cl.sent++
-		text := asks(fmt.Sprintf("%p-%d", cl, cl.sent), deadline)
+		text := writeStatement(fmt.Sprintf("%p-%d", cl, cl.sent), deadline)
 		go func() { _, _ = cl.nc.Write(text) }()
 	}
 	for range 4 {
@@ -121,7 +121,7 @@
 			t.Fatal(err)
 		}
 		go func() {
-			types, err := heard(nc)
+			types, err := readMessages(nc)
 			cl.got <- fmt.Sprint(types, err)
 		}()
 		clients = append(clients, cl)
@@ -160,18 +160,18 @@
 	c.Close()
 }
 
-// TestPlan: the times of a shutdown count from SIGTERM, are in order, and lie before SIGKILL may come.
-func TestPlan(t *testing.T) {
+// TestShutdownPlan: the times of a shutdown count from SIGTERM, are in order, and lie before SIGKILL may come.
+func TestShutdownPlan(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 3 * time.Second, time.Minute} {
 		came := time.Now().Add(-time.Hour)
-		p := planOf(came, longest)
-		if p.came != came || !p.accept.After(came.Add(400*time.Millisecond)) || !p.word.After(p.answer) || !p.last.After(p.word) ||
-			!p.answer.After(came.Add(min(longest, longestMost))) || !p.last.Before(came.Add(min(longest, longestMost)+700*time.Millisecond)) {
+		p := planShutdown(came, longest)
+		if p.termAt != came || !p.acceptUntil.After(came.Add(400*time.Millisecond)) || !p.partialCommandsUntil.After(p.answerBy) || !p.exitBy.After(p.partialCommandsUntil) ||
+			!p.answerBy.After(came.Add(min(longest, maxCountedDeadline))) || !p.exitBy.Before(came.Add(min(longest, maxCountedDeadline)+700*time.Millisecond)) {
 			t.Errorf("longest %v: %+v", longest, p)
 		}
 	}
 	ctx, end := context.WithCancel(t.Context())
-	at := noticed(ctx)
+	at := endTime(ctx)
 	before := time.Now()
 	end()
 	for first := at(); first.Before(before) || at() != first; {
@@ -179,19 +179,19 @@
 	}
 }
 
-// unheard is a listener whose Accept returns no connection, as if the accepting goroutine had not been scheduled yet.
-type unheard struct {
+// idleListener is a listener whose Accept returns no connection, as if the accepting goroutine had not been scheduled yet.
+type idleListener struct {
 	*net.TCPListener
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (u *unheard) Accept() (net.Conn, error) {
+func (u *idleListener) Accept() (net.Conn, error) {
 	<-u.closed
 	return nil, net.ErrClosed
 }
 
-func (u *unheard) Close() error {
+func (u *idleListener) Close() error {
 	u.once.Do(func() { close(u.closed) })
 	return u.TCPListener.Close()
 }
@@ -199,15 +199,15 @@
 // TestBacklog: connections that wait in the backlog when the listener closes are answered, even if SIGTERM came before the
 // gateway served, and also behind the listener that the fleet can disable.
 func TestBacklog(t *testing.T) {
-	c := before(t, cluster.Config{Groups: 1, Replicas: 1})
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 1})
 	for _, peers := range []bool{false, true} {
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		listener := net.Listener(&unheard{TCPListener: tcp.(*net.TCPListener), closed: make(chan struct{})})
+		listener := net.Listener(&idleListener{TCPListener: tcp.(*net.TCPListener), closed: make(chan struct{})})
 		if peers {
-			listener = newDoor(listener)
+			listener = newToggleListener(listener)
 		}
 		var clients []net.Conn
 		for i := range 20 {
@@ -216,7 +216,7 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = nc.Close() }()
-			if _, err := nc.Write(append(pgwire.AppendStartup(nil, "app", "shop"), asks(fmt.Sprint("waits-", peers, i), 3*time.Second)...)); err != nil {
+			if _, err := nc.Write(append(pgwire.AppendStartup(nil, "app", "shop"), writeStatement(fmt.Sprint("waits-", peers, i), 3*time.Second)...)); err != nil {
 				t.Fatal(err)
 			}
 			clients = append(clients, nc)
@@ -228,7 +228,7 @@
 			done <- Run(term, nil, gatewayFor(t, c), listener, Options{Version: "test", Log: slog.New(slog.DiscardHandler)})
 		}()
 		for i, nc := range clients {
-			if types, err := heard(nc); err != nil || strings.Count(types, "Z") != 2 {
+			if types, err := readMessages(nc); err != nil || strings.Count(types, "Z") != 2 {
 				t.Errorf("client %d received messages %q, %v", i, types, err)
 			}
 			_ = nc.Close()
@@ -251,19 +251,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Serve(conf, Options{Path: path, Version: "test", Log: slog.New(slog.NewTextHandler(os.Stderr, nil))}); err != nil {
+	if err := Serve(conf, Options{ConfigPath: path, Version: "test", Log: slog.New(slog.NewTextHandler(os.Stderr, nil))}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestSignals: a gateway process whose members hang gets SIGTERM, SIGHUP and SIGTERM again, and the later signals must not
+// TestSignalsDuringShutdown: a gateway process whose members hang gets SIGTERM, SIGHUP and SIGTERM again, and the later signals must not
 // disturb the shutdown. Each request that it accepted before SIGTERM and after has a complete answer. An idle client sees
 // its connection closed, not reset. The process ends by itself and in order.
-func TestSignals(t *testing.T) {
-	c := before(t, cluster.Config{Groups: 1, Replicas: 1})
+func TestSignalsDuringShutdown(t *testing.T) {
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 1})
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, settingsWith(t, c, "once", 3*time.Second), 0o600); err != nil {
+	if err := os.WriteFile(path, configWith(t, c, "once", 3*time.Second), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	g, err := proc.With(os.Args[0], []string{"-test.run=^TestChild$"}, "msg=serving", []string{childVariable + "=" + path}, nil)
@@ -291,7 +291,7 @@
 	}
 	var busy, idle []net.Conn
 	send := func(nc net.Conn, id string) {
-		if _, err := nc.Write(asks(id, 3*time.Second)); err != nil {
+		if _, err := nc.Write(writeStatement(id, 3*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -300,23 +300,23 @@
 		defer func() { _, _ = busy[i].Close(), idle[i].Close() }()
 		send(busy[i], fmt.Sprint("before-", i))
 	}
-	if err := os.WriteFile(path, settingsWith(t, c, "once", 30*time.Second), 0o600); err != nil {
+	if err := os.WriteFile(path, configWith(t, c, "once", 30*time.Second), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	logged := func(what string) func() bool { return func() bool { return strings.Contains(g.Log(), what) } }
 	g.Signal(syscall.SIGTERM)
-	until(t, "stopping", logged("msg=stopping"))
+	waitFor(t, "stopping", logged("msg=stopping"))
 	g.Signal(syscall.SIGHUP)
-	until(t, "reloaded", logged("msg=reloaded"))
+	waitFor(t, "reloaded", logged("msg=reloaded"))
 	g.Signal(syscall.SIGTERM)
 	for i, nc := range busy {
 		send(nc, fmt.Sprint("after-", i))
 	}
 	for i := range busy {
-		if types, err := heard(idle[i]); err != nil || types != "" {
+		if types, err := readMessages(idle[i]); err != nil || types != "" {
 			t.Errorf("an idle client received messages %q, %v", types, err)
 		}
-		if types, err := heard(busy[i]); err != nil || types != "EZEZ" {
+		if types, err := readMessages(busy[i]); err != nil || types != "EZEZ" {
 			t.Errorf("client %d received messages %q, %v; want two answers", i, types, err)
 		}
 		_, _ = busy[i].Close(), idle[i].Close()
--- a/internal/gateway/soak_test.go
+++ b/internal/gateway/soak_test.go
@@ -16,10 +16,10 @@
 	"reachwind/internal/standin/pipenet"
 )
 
-// counting is a sink that counts records and keeps none.
-type counting struct{ n int }
+// countingSink is a sink that counts records and keeps none.
+type countingSink struct{ count int }
 
-func (c *counting) Put(*record.Record) { c.n++ }
+func (c *countingSink) Put(*record.Record) { c.count++ }
 
 // TestSoak runs a whole gateway for hours of a fake clock. Members with new names and in new groups keep joining; they
 // leave, restart, hang, drain and stop replicating. Tenants, connections, request ids and keys are always new, and clients
@@ -37,8 +37,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sink := new(counting)
-		g.owner.Observe(sink, conf.Decide.ColdTime)
+		sink := new(countingSink)
+		g.core.Observe(sink, conf.Decide.ColdTime)
 		listener, err := pipes.Listen("gateway:0")
 		if err != nil {
 			t.Fatal(err)
@@ -153,7 +153,7 @@
 				heap = append(heap, m.HeapAlloc)
 			}
 		}
-		t.Logf("served %d, refused %d, failed %d, broken %d; records %d; most %+v; heap %v", outcomes[0], outcomes[1], outcomes[2], outcomes[3], sink.n, most, heap)
+		t.Logf("served %d, refused %d, failed %d, broken %d; records %d; most %+v; heap %v", outcomes[0], outcomes[1], outcomes[2], outcomes[3], sink.count, most, heap)
 		close(stop)
 		<-troubled
 		// At most 14 members are listed at a time; removed ones are kept for a minute, in which at most 20 are added.
