--- a/internal/edgeconf/edgeconf.go
+++ b/internal/edgeconf/edgeconf.go
@@ -93,16 +93,16 @@
 	*f = append(*f, Fault{r.Filename, r.Start.Line, r.Start.Column, fmt.Sprintf(format, args...)})
 }
 
-// Fault records a fault of the block as a whole.
-func (b *Block) Fault(format string, args ...any) { b.faults.add(b.span, format, args...) }
+// AddFault records a fault of the block as a whole.
+func (b *Block) AddFault(format string, args ...any) { b.faults.add(b.span, format, args...) }
 
-// FaultAt records a fault of an attribute, or of the block if the attribute is absent.
-func (b *Block) FaultAt(name, format string, args ...any) {
+// AddFaultAt records a fault of an attribute, or of the block if the attribute is absent.
+func (b *Block) AddFaultAt(name, format string, args ...any) {
 	if a := b.body.Attributes[name]; a != nil {
 		b.faults.add(a.Expr.Range(), format, args...)
 		return
 	}
-	b.Fault(format, args...)
+	b.AddFault(format, args...)
 }
 
 // Has reports whether an attribute is present.
@@ -117,7 +117,7 @@
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() || v.IsNull() || !v.IsWhollyKnown() {
-		b.FaultAt(name, "%s is not a constant, want %s", name, want)
+		b.AddFaultAt(name, "%s is not a constant, want %s", name, want)
 		return cty.NilVal, false
 	}
 	return v, true
@@ -136,23 +136,23 @@
 	return "a " + v.Type().FriendlyName()
 }
 
-// Text reads a string.
-func (b *Block) Text(name, usual string) string {
+// String reads a string.
+func (b *Block) String(name, usual string) string {
 	v, ok := b.value(name, "a string")
 	if !ok {
 		return usual
 	}
 	if v.Type() != cty.String {
-		b.FaultAt(name, "%s is %s, want a string in quotes", name, describe(v))
+		b.AddFaultAt(name, "%s is %s, want a string in quotes", name, describe(v))
 		return usual
 	}
 	return v.AsString()
 }
 
-// File reads the name of a file, which is relative to the configuration's folder. It returns an empty string if the
+// FilePath reads the name of a file, which is relative to the configuration's folder. It returns an empty string if the
 // attribute is absent.
-func (b *Block) File(name string) string {
-	f := b.Text(name, "")
+func (b *Block) FilePath(name string) string {
+	f := b.String(name, "")
 	if f == "" || filepath.IsAbs(f) {
 		return f
 	}
@@ -166,7 +166,7 @@
 		return usual
 	}
 	if v.Type() != cty.Bool {
-		b.FaultAt(name, "%s is %s, want true or false", name, describe(v))
+		b.AddFaultAt(name, "%s is %s, want true or false", name, describe(v))
 		return usual
 	}
 	return v.True()
@@ -179,12 +179,12 @@
 		return usual
 	}
 	if v.Type() != cty.Number {
-		b.FaultAt(name, "%s is %s, want a number", name, describe(v))
+		b.AddFaultAt(name, "%s is %s, want a number", name, describe(v))
 		return usual
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < least || n > most {
-		b.FaultAt(name, "%s is %s, want from %g to %g", name, describe(v), least, most)
+		b.AddFaultAt(name, "%s is %s, want from %g to %g", name, describe(v), least, most)
 		return usual
 	}
 	return n
@@ -194,7 +194,7 @@
 func (b *Block) Int(name string, usual, least, most int64) int64 {
 	n := b.Number(name, float64(usual), float64(least), float64(most))
 	if n != math.Trunc(n) {
-		b.FaultAt(name, "%s is %g, want a whole number", name, n)
+		b.AddFaultAt(name, "%s is %g, want a whole number", name, n)
 		return usual
 	}
 	return int64(n)
@@ -207,7 +207,7 @@
 
 // Size reads a number of bytes, such as "4MB", between least and most.
 func (b *Block) Size(name string, usual, least, most int64) int64 {
-	text := b.Text(name, "")
+	text := b.String(name, "")
 	if text == "" {
 		return usual
 	}
@@ -223,10 +223,10 @@
 		if size := n * u.n; size >= float64(least) && size <= float64(most) {
 			return int64(size)
 		}
-		b.FaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(least), FormatSize(most))
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(least), FormatSize(most))
 		return usual
 	}
-	b.FaultAt(name, "%s is %q, want a size such as \"64KB\", \"4MB\" or \"1GB\"", name, text)
+	b.AddFaultAt(name, "%s is %q, want a size such as \"64KB\", \"4MB\" or \"1GB\"", name, text)
 	return usual
 }
 
@@ -240,38 +240,38 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-// Span reads a duration, such as "250ms", between least and most.
-func (b *Block) Span(name string, usual, least, most time.Duration) time.Duration {
-	text := b.Text(name, "")
+// Duration reads a duration, such as "250ms", between least and most.
+func (b *Block) Duration(name string, usual, least, most time.Duration) time.Duration {
+	text := b.String(name, "")
 	if text == "" {
 		return usual
 	}
 	d, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		b.FaultAt(name, "%s is %q, want a duration such as \"250ms\", \"5s\" or \"24h\"", name, text)
+		b.AddFaultAt(name, "%s is %q, want a duration such as \"250ms\", \"5s\" or \"24h\"", name, text)
 	case d < least || d > most:
-		b.FaultAt(name, "%s is %q, want from %s to %s", name, text, least, most)
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, least, most)
 	default:
 		return d
 	}
 	return usual
 }
 
-// Texts reads a list of strings.
-func (b *Block) Texts(name string) []string {
+// Strings reads a list of strings.
+func (b *Block) Strings(name string) []string {
 	v, ok := b.value(name, "a list of strings")
 	if !ok {
 		return nil
 	}
 	if !v.Type().IsTupleType() && !v.Type().IsListType() {
-		b.FaultAt(name, "%s is %s, want a list of strings such as [\"a\", \"b\"]", name, describe(v))
+		b.AddFaultAt(name, "%s is %s, want a list of strings such as [\"a\", \"b\"]", name, describe(v))
 		return nil
 	}
 	var texts []string
 	for _, e := range v.AsValueSlice() {
 		if e.Type() != cty.String {
-			b.FaultAt(name, "%s holds %s, want strings only", name, describe(e))
+			b.AddFaultAt(name, "%s holds %s, want strings only", name, describe(e))
 			return nil
 		}
 		texts = append(texts, e.AsString())
@@ -279,23 +279,23 @@
 	return texts
 }
 
-// One reads a string that must be one of among.
-func (b *Block) One(name, usual string, among ...string) string {
-	text := b.Text(name, usual)
+// Enum reads a string that must be one of among.
+func (b *Block) Enum(name, usual string, among ...string) string {
+	text := b.String(name, usual)
 	for _, a := range among {
 		if text == a {
 			return text
 		}
 	}
 	if b.Has(name) {
-		b.FaultAt(name, "%s is %q, want one of %s", name, text, quoteAll(among))
+		b.AddFaultAt(name, "%s is %q, want one of %s", name, text, quoteAll(among))
 	}
 	return usual
 }
 
-// Some reads a list of strings that must each be one of among, and returns their indexes in among.
-func (b *Block) Some(name string, among []string) (places []int) {
-	for _, text := range b.Texts(name) {
+// EnumIndexes reads a list of strings that must each be one of among, and returns their indexes in among.
+func (b *Block) EnumIndexes(name string, among []string) (places []int) {
+	for _, text := range b.Strings(name) {
 		at := -1
 		for i, a := range among {
 			if a == text {
@@ -303,7 +303,7 @@
 			}
 		}
 		if at < 0 {
-			b.FaultAt(name, "%s holds %q, want some of %s", name, text, quoteAll(among))
+			b.AddFaultAt(name, "%s holds %q, want some of %s", name, text, quoteAll(among))
 			continue
 		}
 		places = append(places, at)
@@ -333,16 +333,16 @@
 		in := &Block{Type: kind, dir: b.dir, body: h.Body, faults: b.faults, read: map[string]bool{}, span: h.DefRange()}
 		switch {
 		case labelled && (len(h.Labels) != 1 || h.Labels[0] == ""):
-			in.Fault("block %s has %d labels, want one: its name", kind, len(h.Labels))
+			in.AddFault("block %s has %d labels, want one: its name", kind, len(h.Labels))
 		case !labelled && len(h.Labels) > 0:
-			in.Fault("block %s has a label, want none", kind)
+			in.AddFault("block %s has a label, want none", kind)
 		case !labelled && n > 1:
-			in.Fault("a second block %s, want one at most", kind)
+			in.AddFault("a second block %s, want one at most", kind)
 		}
 		if len(h.Labels) > 0 {
 			in.Label = h.Labels[0]
 			if labels[in.Label] {
-				in.Fault("a second block %s %q, want a name that no other has", kind, in.Label)
+				in.AddFault("a second block %s %q, want a name that no other has", kind, in.Label)
 			}
 			labels[in.Label] = true
 		}
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -44,7 +44,7 @@
 	}
 	const limit = 200
 	n := countDescriptors(t.TempDir()+"/none", limit)
-	if may := handover.Split(limit, []handover.Other{{Used: n, Older: true}}, false); n != limit || may > limit/4 {
+	if may := handover.AllowedShare(limit, []handover.Peer{{Descriptors: n, Older: true}}, false); n != limit || may > limit/4 {
 		t.Errorf("%d reported, the other process may use %d", n, may)
 	}
 }
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -29,7 +29,7 @@
 		row = binary.BigEndian.AppendUint64(row, uint64(i))
 	}
 	out := pgwire.Append(nil, 'T', "\x00\x01doc\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
-	return pgwire.AppendReady(pgwire.Append(pgwire.Append(out, 'D', string(row)), 'C', "SELECT 1\x00"))
+	return pgwire.AppendReadyForQuery(pgwire.Append(pgwire.Append(out, 'D', string(row)), 'C', "SELECT 1\x00"))
 }
 
 // serveBulk is a primary on nc: it answers probes with its state, and statements with answer in pieces of random length.
@@ -39,7 +39,7 @@
 	if _, err := nc.Read(buf); err != nil {
 		return
 	}
-	ready := pgwire.AppendReady(pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "off"), "lsn_ms", fmt.Sprint(time.Now().UnixMilli())))
+	ready := pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "off"), "lsn_ms", fmt.Sprint(time.Now().UnixMilli())))
 	_, _ = nc.Write(append(pgwire.Append(nil, 'R', "\x00\x00\x00\x00"), ready...))
 	for {
 		n, err := nc.Read(buf)
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	free, small := g.buffers.Free(), g.buffers.FreeSmall()
+	free, small := g.buffers.FreeLarge(), g.buffers.FreeSmall()
 	done := make(chan error, 1)
 	go func() { done <- g.run(term, nil, smallBufferListener{front}) }()
 
@@ -161,21 +161,21 @@
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	if left := g.buffers.Free(); left < int(passThroughReserve*float64(free)) {
+	if left := g.buffers.FreeLarge(); left < int(passThroughReserve*float64(free)) {
 		t.Errorf("%d of %d full-size buffers in use", free-left, free)
 	}
 	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // includes the memory of the test's clients and members
 		t.Errorf("%d MB in use with %d values of 4 MiB in transit, want at most %d", (m.HeapInuse+m.StackInuse)>>20, under, most>>20)
 	}
-	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.buffers.FreeSmall(), free-g.buffers.Free())
+	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.buffers.FreeSmall(), free-g.buffers.FreeLarge())
 	close(goOn)
 	all.Wait()
 	stop()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if g.buffers.Free() != free || g.buffers.FreeSmall() != small {
-		t.Errorf("%d of %d full-size buffers were returned, %d of %d small ones", g.buffers.Free(), free, g.buffers.FreeSmall(), small)
+	if g.buffers.FreeLarge() != free || g.buffers.FreeSmall() != small {
+		t.Errorf("%d of %d full-size buffers were returned, %d of %d small ones", g.buffers.FreeLarge(), free, g.buffers.FreeSmall(), small)
 	}
 }
 
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -13,29 +13,29 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/core"
 	"reachwind/internal/discovery"
 	"reachwind/internal/handover"
 	"reachwind/internal/settings"
-	"reachwind/internal/terms"
 )
 
 // Config is a gateway's configuration, read and validated.
 type Config struct {
 	Name, Listen, Discovery string
 	Admin                   string // address of the admin API; empty: none
-	Known                   []core.Listed
+	Known                   []core.ListedMember
 	Decide                  *decide.Config
 
 	seed        uint64
 	memoryBytes int64 // limit in bytes; 0: none
 	maxSockets  int   // limit of descriptors
 	listVersion int64 // of Known
-	settings    *settings.Facts
-	source      []byte          // the file's text, until it is saved for the next process
-	hup         chan os.Signal  // receives SIGHUP since before the file was read; nil: Serve registers for the signal
-	active      *terms.Book     // settings in force while the gateway runs
-	shape       *settings.Shape // the keys that a file read on SIGHUP must contain
+	settings    *settings.Settings
+	source      []byte                 // the file's text, until it is saved for the next process
+	hup         chan os.Signal         // receives SIGHUP since before the file was read; nil: Serve registers for the signal
+	active      *activesettings.Holder // settings in force while the gateway runs
+	shape       *settings.Schema       // the keys that a file read on SIGHUP must contain
 }
 
 const defaultSockets = 1024
@@ -161,13 +161,13 @@
 	if c.Decide, err = c.settings.Config(); err != nil {
 		return nil, err
 	}
-	c.Decide.KnownAfter = core.KnownAfter
+	c.Decide.AssumeCommittedAfter = core.AssumeCommittedAfter
 	if err := c.Decide.Validate(); err != nil {
 		return nil, err
 	}
-	if c.shape, err = settings.ShapeOf(text); err != nil {
+	if c.shape, err = settings.SchemaOf(text); err != nil {
 		return nil, err
 	}
-	c.active, err = terms.NewBook(c.Decide)
+	c.active, err = activesettings.NewHolder(c.Decide)
 	return c, err
 }
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/edgeconf"
@@ -17,7 +18,6 @@
 	"reachwind/internal/logship"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/restfront"
-	"reachwind/internal/terms"
 )
 
 // Edge is the product configuration, read and validated. A subsystem that is nil does not run.
@@ -29,10 +29,12 @@
 
 // LoadEdge reads the product configuration at path for the gateway with configuration c. An error may be a list of
 // faults, see edgeconf.Faults.
-func LoadEdge(path string, c *Config) (*Edge, error) { return loadEdge(path, c, c.active.Now().Names) }
+func LoadEdge(path string, c *Config) (*Edge, error) {
+	return loadEdge(path, c, c.active.Current().Names)
+}
 
 // loadEdge is LoadEdge with the names of classes, outcomes and so on that records may contain.
-func loadEdge(path string, c *Config, names terms.Names) (*Edge, error) {
+func loadEdge(path string, c *Config, names activesettings.Names) (*Edge, error) {
 	e := new(Edge)
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("syslog", false, func(b *edgeconf.Block) {
@@ -45,14 +47,14 @@
 			e.Syslog = &s
 		})
 		b.Blocks("rest", false, func(b *edgeconf.Block) {
-			r := restfront.Read(b)
-			r.Terms = c.active
+			r := restfront.ReadConfig(b)
+			r.Settings = c.active
 			e.REST = &r
 		})
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
-			f := fleet.Read(b)
-			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.NameMost {
-				b.Fault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.NameMost)
+			f := fleet.ReadConfig(b)
+			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.MaxNameBytes {
+				b.AddFault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.MaxNameBytes)
 			}
 			e.Fleet = &f
 		})
@@ -106,16 +108,16 @@
 	b.DividedSockets = max(minDividedSockets, min(left, int(float64(left-reservedDescriptors)/(clientFraction+closingFraction+memberFraction))))
 	b.ClientConnections, b.MemberConnections = int(clientFraction*float64(b.DividedSockets)), int(memberFraction*float64(b.DividedSockets))
 	room := bufferFraction * float64(max(0, memory-b.SubsystemBytes))
-	b.SmallBuffers = int(smallBufferFraction*room) / pgwire.SmallSize
-	b.Buffers = max(minBuffers, int((1-smallBufferFraction)*room)/pgwire.BufSize)
-	b.BufferBytes = int64(b.Buffers)*pgwire.BufSize + int64(b.SmallBuffers)*pgwire.SmallSize
+	b.SmallBuffers = int(smallBufferFraction*room) / pgwire.SmallBufSize
+	b.Buffers = max(minBuffers, int((1-smallBufferFraction)*room)/pgwire.LargeBufSize)
+	b.BufferBytes = int64(b.Buffers)*pgwire.LargeBufSize + int64(b.SmallBuffers)*pgwire.SmallBufSize
 	return b
 }
 
 var errRestart = errors.New("adding or removing the block, or changing what a front listens on, takes a restart of the gateway")
 
 // startREST starts the REST front. It returns an error if the front can't be configured or its address not listened on.
-func startREST(conf *restfront.Config, owner *core.Core, claims *call.Claims, log *slog.Logger) (subsystem, error) {
+func startREST(conf *restfront.Config, owner *core.Core, claims *call.ActiveIDs, log *slog.Logger) (subsystem, error) {
 	s, err := restfront.New(owner, *conf, claims, log)
 	if err != nil {
 		return subsystem{}, err
@@ -126,7 +128,7 @@
 	return subsystem{
 		name: "rest",
 		prepare: func(e *Edge) (func(), error) {
-			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.Max != conf.Max {
+			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.MaxConnections != conf.MaxConnections {
 				return nil, errRestart
 			}
 			return s.Prepare(*e.REST)
@@ -154,7 +156,7 @@
 	if err != nil {
 		return subsystem{}, err
 	}
-	owner.Observe(s, cold)
+	owner.SetRecordSink(s, cold)
 	if o.Records != nil {
 		o.Records.SetSink(s)
 	}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -11,8 +11,8 @@
 	"reachwind/internal/core"
 	"reachwind/internal/fleet"
 	"reachwind/internal/fleet/agreed"
-	"reachwind/internal/fleet/belief"
-	"reachwind/internal/fleet/share"
+	"reachwind/internal/fleet/observation"
+	"reachwind/internal/fleet/quota"
 	"reachwind/internal/fleet/subscribe"
 )
 
@@ -20,43 +20,43 @@
 // counters and observations of this gateway.
 type fleetAdapter struct {
 	*instance
-	counters     *subscribe.Counts          // owned by the core's goroutine
-	attempts     map[string]subscribe.Tried // attempts by zone; owned by the core's goroutine
-	probeCount   int                        // number of probes so far, which selects the next member to probe
-	lastReported int                        // index of the member reported last
+	counters     *subscribe.Counts                 // owned by the core's goroutine
+	attempts     map[string]subscribe.ZoneAttempts // attempts by zone; owned by the core's goroutine
+	probeCount   int                               // number of probes so far, which selects the next member to probe
+	lastReported int                               // index of the member reported last
 }
 
-// Told implements fleet.Gateway.
-func (g *fleetAdapter) Told(member string, look, try, guess bool) {
+// ApplyAdvice implements fleet.Gateway.
+func (g *fleetAdapter) ApplyAdvice(member string, look, try, guess bool) {
 	if guess {
-		g.core.Event(decide.Event{Kind: decide.Told, Member: member, Role: decide.Primary})
+		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Role: decide.Primary})
 	}
 	if try {
-		g.core.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.Served})
+		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.Served})
 	}
 	if look {
-		g.core.Event(decide.Event{Kind: decide.Told, Member: member, Result: decide.TimedOut})
+		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.TimedOut})
 	}
 }
 
-// Parts implements fleet.Gateway.
-func (g *fleetAdapter) Parts(parts [share.Budgets]float64, done func([share.Budgets]float64)) {
-	g.core.Event(decide.Event{Kind: decide.Parts, Parts: parts})
-	g.core.Post(func() { done(g.router.Wanted()) })
+// SetQuotas implements fleet.Gateway.
+func (g *fleetAdapter) SetQuotas(parts [quota.BudgetCount]float64, done func([quota.BudgetCount]float64)) {
+	g.core.PostEvent(decide.Event{Kind: decide.BudgetShares, BudgetShares: parts})
+	g.core.Post(func() { done(g.router.BudgetDemand()) })
 }
 
-// Counts implements fleet.Gateway.
-func (g *fleetAdapter) Counts(done func(subscribe.Counts, []subscribe.Seen, []subscribe.Tried)) {
+// CollectCounts implements fleet.Gateway.
+func (g *fleetAdapter) CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts)) {
 	g.core.Post(func() {
-		all := g.router.Known()
-		var some []subscribe.Seen
-		for range min(len(all), subscribe.SeenMost) {
+		all := g.router.Members()
+		var some []subscribe.MemberReport
+		for range min(len(all), subscribe.MaxMembersPerReport) {
 			g.lastReported = (g.lastReported + 1) % len(all)
 			k := &all[g.lastReported]
-			some = append(some, subscribe.Seen{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
-				Position: k.Position.Milliseconds(), Out: k.Out})
+			some = append(some, subscribe.MemberReport{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
+				Position: k.Position.Milliseconds(), Out: k.Unavailable})
 		}
-		var tried []subscribe.Tried
+		var tried []subscribe.ZoneAttempts
 		for _, z := range slices.Sorted(maps.Keys(g.attempts)) {
 			tried = append(tried, g.attempts[z])
 		}
@@ -64,15 +64,15 @@
 	})
 }
 
-// Drains implements fleet.Gateway.
-func (g *fleetAdapter) Drains(members []string) {
+// SetDrainingMembers implements fleet.Gateway.
+func (g *fleetAdapter) SetDrainingMembers(members []string) {
 	if g.overlay != nil {
 		g.overlay.SetDrains(members)
 	}
 }
 
-// Zones implements fleet.Gateway.
-func (g *fleetAdapter) Zones(away map[string]float64) {
+// SetZonesAway implements fleet.Gateway.
+func (g *fleetAdapter) SetZonesAway(away map[string]float64) {
 	if g.overlay != nil {
 		g.overlay.SetZones(away)
 	}
@@ -81,9 +81,9 @@
 // maxProbesPerSecond limits the probes per second of members in zones that load is moved away from.
 const maxProbesPerSecond = 3
 
-// Look implements fleet.Gateway. It probes whether some members of zones that load is moved away from accept connections,
+// ProbeZonesAway implements fleet.Gateway. It probes whether some members of zones that load is moved away from accept connections,
 // other ones each time. That is weak evidence, but enough for returning a first small fraction of the load.
-func (g *fleetAdapter) Look() {
+func (g *fleetAdapter) ProbeZonesAway() {
 	if g.overlay == nil {
 		return
 	}
@@ -124,22 +124,22 @@
 	g.attempts[zone] = t
 }
 
-// Door implements fleet.Gateway.
-func (g *fleetAdapter) Door(part float64) {
+// SetConnectionFraction implements fleet.Gateway.
+func (g *fleetAdapter) SetConnectionFraction(part float64) {
 	d := g.listener.Load()
 	if d == nil {
 		return
 	}
 	g.front.Quiesce(part == 0)
-	if part == 0 || part < 1 && float64(g.front.Open()) >= part*float64(g.maxClients) {
+	if part == 0 || part < 1 && float64(g.front.OpenConnections()) >= part*float64(g.maxClients) {
 		d.Disable()
 	} else if err := d.Enable(); err != nil {
 		g.options.Log.Error("the clients' address can't be opened again", "listen", d.addr, "err", err)
 	}
 }
 
-// Busy implements fleet.Gateway.
-func (g *fleetAdapter) Busy() int { return g.front.Open() }
+// OpenConnections implements fleet.Gateway.
+func (g *fleetAdapter) OpenConnections() int { return g.front.OpenConnections() }
 
 // coreWitness implements core.Witness: it reports to the fleet what the core observes.
 type coreWitness struct {
@@ -148,8 +148,8 @@
 	adapter  *fleetAdapter
 }
 
-// Tried implements core.Witness.
-func (s coreWitness) Tried(member string, r decide.Result) {
+// AttemptEnded implements core.Witness.
+func (s coreWitness) AttemptEnded(member string, r decide.Result) {
 	if s.adapter.overlay != nil {
 		if zone := s.adapter.overlay.zoneOf(member); zone != "" {
 			s.adapter.countAttempt(zone, r)
@@ -157,43 +157,43 @@
 	}
 }
 
-// Ended implements core.Witness.
-func (s coreWitness) Ended(q *core.Request, v core.Verdict, took core.Time) {
-	c := &s.counters.Classes[min(q.Place, agreed.ClassesMost-1)]
+// RequestEnded implements core.Witness.
+func (s coreWitness) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
+	c := &s.counters.Classes[min(q.ClassIndex, agreed.ClassesMost-1)]
 	c.Requests++
 	if v != core.Served {
 		c.Refused++
 		return
 	}
-	if took > q.Class.Aim {
+	if took > q.Class.LatencyTarget {
 		c.Late++
 	}
 	s.counters.Latency[agreed.Bucket(took.Microseconds())]++
 }
 
-// Noted implements core.Witness.
-func (s coreWitness) Noted(c decide.Change, member string) {
+// MemberChanged implements core.Witness.
+func (s coreWitness) MemberChanged(c decide.Change, member string) {
 	switch c {
 	case decide.Suspected:
-		s.fleet.Saw(member, belief.Silent, 0)
-	case decide.Trusted:
-		s.fleet.Saw(member, belief.Answers, 0)
+		s.fleet.RecordObservation(member, observation.Silent, 0)
+	case decide.Recovered:
+		s.fleet.RecordObservation(member, observation.Answers, 0)
 	case decide.PrimaryFound:
 		if s.adapter.overlay != nil {
 			s.adapter.overlay.SetPrimary(member)
 		}
-		s.fleet.Saw(member, belief.Primary, 0)
+		s.fleet.RecordObservation(member, observation.Primary, 0)
 	}
 }
 
 // Answered implements core.Witness.
-func (s coreWitness) Answered(member string) { s.fleet.Answered(member) }
+func (s coreWitness) Answered(member string) { s.fleet.RecordAnswer(member) }
 
 // Probed implements core.Witness.
-func (s coreWitness) Probed(member string, answered bool) { s.fleet.Probed(member, answered) }
+func (s coreWitness) Probed(member string, answered bool) { s.fleet.RecordProbe(member, answered) }
 
-// Listed implements core.Witness.
-func (s coreWitness) Listed() { s.fleet.Discovered() }
+// DiscoveryAnswered implements core.Witness.
+func (s coreWitness) DiscoveryAnswered() { s.fleet.RecordDiscovery() }
 
 // startFleet starts the fleet subsystem of g, which has a number of full-size buffers.
 func startFleet(conf *fleet.Config, g *instance, buffers int) (subsystem, error) {
@@ -204,14 +204,14 @@
 	own := *conf
 	own.Version = g.options.Version
 	counts := new(subscribe.Counts)
-	way := &fleetAdapter{instance: g, counters: counts, attempts: map[string]subscribe.Tried{}}
+	way := &fleetAdapter{instance: g, counters: counts, attempts: map[string]subscribe.ZoneAttempts{}}
 	f, err := fleet.Start(own, fleet.Deps{Log: g.options.Log, Zone: g.config.Decide.Zone, Wall: wall, Gateway: way,
-		Longest: maxShutdown(g.config.active.Now().Longest),
+		Longest: maxShutdown(g.config.active.Current().MaxDeadline),
 		Load:    func() float64 { return float64(g.claims.Len()) / float64(max(1, buffers)) }})
 	if err != nil {
 		return subsystem{}, err
 	}
-	g.core.Tell(coreWitness{f, counts, way})
+	g.core.SetObserver(coreWitness{f, counts, way})
 	g.fleet = f
 	return subsystem{
 		name: "fleet",
@@ -221,7 +221,7 @@
 			}
 			return f.Prepare(*e.Fleet)
 		},
-		drain: func(context.Context) { f.GoesAway() },
+		drain: func(context.Context) { f.AnnounceDrain() },
 		stop:  f.Close,
 	}, nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 	buffers    *pgwire.Pool
 	discovery  *discovery.Client
 	front      *pgfront.Server
-	claims     *call.Claims
+	claims     *call.ActiveIDs
 	subsystems []subsystem
 	overlay    *overlay                       // nil: no council is configured
 	admin      *adminOperator                 // nil: no admin API
@@ -191,7 +191,7 @@
 	}
 	g.applyReload(next)
 	g.options.Log.Info("reloaded", "discovery", next.conf.Discovery)
-	g.discovery.Move(next.conf.Discovery)
+	g.discovery.SetAddr(next.conf.Discovery)
 }
 
 // Run serves listener until term ends.
@@ -248,22 +248,22 @@
 		list = over.List
 	}
 	if line != nil {
-		owner.Share(line)
+		owner.SetSharedCommits(line)
 		next := list
-		list = func(kind decide.EventKind, members []core.Listed) {
+		list = func(kind decide.EventKind, members []core.ListedMember) {
 			line.List(kind, members)
 			next(kind, members)
 		}
 	}
 	dir := discovery.New(discovery.Config{Addr: c.Discovery, Version: c.listVersion, Gateways: c.Decide.Fronts, Seed: c.seed,
-		Pushed: !c.Decide.AskList}, list, dial, log)
+		Pushed: !c.Decide.ListOnRequest}, list, dial, log)
 	if line != nil {
 		line.listVersion = dir.Version
 	}
 	owner.Connect(pool, dir)
-	g := &instance{options: o, config: c, router: router, core: owner, pool: pool, buffers: bufs, discovery: dir, claims: call.NewClaims(), overlay: over, handover: line, admin: ops, maxClients: share.ClientConnections}
+	g := &instance{options: o, config: c, router: router, core: owner, pool: pool, buffers: bufs, discovery: dir, claims: call.NewActiveIDs(), overlay: over, handover: line, admin: ops, maxClients: share.ClientConnections}
 	if edge.Syslog != nil {
-		p, err := startSyslog(edge.Syslog, owner, c.Decide.ColdTime, o)
+		p, err := startSyslog(edge.Syslog, owner, c.Decide.SlowStartTime, o)
 		if err != nil {
 			return nil, fmt.Errorf("syslog: %w", err)
 		}
@@ -286,10 +286,10 @@
 		g.subsystems = append(g.subsystems, p)
 	}
 	list(decide.ListSaved, c.Known)
-	g.front = pgfront.New(owner, pgfront.Config{Terms: c.active,
-		Max: share.ClientConnections, Spare: int(closingFraction * float64(share.DividedSockets)),
-		Keep:      int(memberAnswerReserve * float64(share.Buffers)),
-		StartWait: startupTimeout, WriteWait: writeTimeout, RefuseWait: refusalTimeout, IdleMost: maxClientIdle, IdleKeep: int(idleClientFraction * float64(share.DividedSockets)), Pass: line.passFunc(), Claims: g.claims}, bufs, log)
+	g.front = pgfront.New(owner, pgfront.Config{Settings: c.active,
+		MaxConnections: share.ClientConnections, SpareConnections: int(closingFraction * float64(share.DividedSockets)),
+		ReservedBuffers: int(memberAnswerReserve * float64(share.Buffers)),
+		StartupTimeout:  startupTimeout, WriteTimeout: writeTimeout, LingerTimeout: refusalTimeout, IdleTimeout: maxClientIdle, MaxIdleConnections: int(idleClientFraction * float64(share.DividedSockets)), Transfer: line.passFunc(), Claims: g.claims}, bufs, log)
 	if line != nil {
 		line.applyLimits = g.limiter(bufs, share)
 		go line.run(share.DividedSockets)
@@ -338,7 +338,7 @@
 		return fmt.Errorf("accept: %w", err)
 	case <-term.Done():
 	}
-	plan := planShutdown(g.termAt(), c.active.Now().Longest)
+	plan := planShutdown(g.termAt(), c.active.Current().MaxDeadline)
 	g.core.EndBy(g.core.Now() + time.Until(plan.answerBy))
 	g.admin.setStopping()
 	if g.handover.hasSuccessor() { // new connections wait for the successor on the socket that both processes hold
@@ -346,7 +346,7 @@
 	}
 	if g.fleet != nil { // requests a permit, and waits for it no longer than configured
 		wait, stop := context.WithDeadline(context.Background(), plan.answerBy)
-		g.fleet.Leave(wait)
+		g.fleet.AwaitStopPermit(wait)
 		stop()
 	}
 	drained := make(chan struct{})
@@ -412,7 +412,7 @@
 	log.Info("stopping", "accept_for", time.Until(p.acceptUntil).Round(time.Millisecond))
 	late := time.NewTimer(time.Until(p.exitBy))
 	defer late.Stop()
-	word := time.AfterFunc(time.Until(p.partialCommandsUntil), front.LastCall)
+	word := time.AfterFunc(time.Until(p.partialCommandsUntil), front.AbandonPartialMessages)
 	defer word.Stop()
 	time.Sleep(time.Until(p.acceptUntil))
 	if p.acceptUntil.After(p.termAt) { // otherwise waiting connections belong to the successor
@@ -429,7 +429,7 @@
 	case <-done:
 		log.Info("stopped")
 	case <-late.C:
-		log.Warn("stopped with connections open", "open", front.Open())
+		log.Warn("stopped with connections open", "open", front.OpenConnections())
 	}
 }
 
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -21,7 +21,7 @@
 	"reachwind/internal/core"
 	"reachwind/internal/discovery"
 	"reachwind/internal/handover"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/pgfront"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/suspend"
@@ -87,15 +87,15 @@
 // other processes, passes client connections on and takes them over. See docs/design/handover.md. A nil processHandover
 // does nothing.
 type processHandover struct {
-	shared        *handover.Board
+	shared        *handover.SharedState
 	log           *slog.Logger
 	now           func() core.Time
 	discoveryAddr string // of discovery
 	memoryBytes   int64
-	done          chan struct{} // closed by stop
-	shareFailure  often.Line    // limits the log lines on failures to share
-	passed        atomic.Int64  // connections passed on
-	notPassed     atomic.Int64  // connections that could not be passed on
+	done          chan struct{}    // closed by stop
+	shareFailure  logthrottle.Line // limits the log lines on failures to share
+	passed        atomic.Int64     // connections passed on
+	notPassed     atomic.Int64     // connections that could not be passed on
 
 	readFloor         atomic.Int64                    // position that session reads must see where commits are not shared; unboundedFloor while another process lives
 	otherCount        atomic.Int32                    // number of other processes
@@ -108,7 +108,7 @@
 	adopt        func(net.Conn, bool) // takes over a connection; nil: not serving yet
 	stopAdopting func()               // stops taking connections over; nil: not started, or stopped
 	leaving      bool                 // no more connections are taken over
-	listed       map[string]core.Listed
+	listed       map[string]core.ListedMember
 	listVersion  func() int64 // of the list
 	saving       bool         // the list is being saved, or will be
 	saveAgain    bool         // the list changed meanwhile and must be saved once more
@@ -127,7 +127,7 @@
 		}
 	}
 	s := &processHandover{shared: b, log: log, now: now, discoveryAddr: c.Discovery, memoryBytes: c.memoryBytes, done: make(chan struct{}),
-		listReceived: make(chan struct{}), listed: map[string]core.Listed{}}
+		listReceived: make(chan struct{}), listed: map[string]core.ListedMember{}}
 	s.checkOthers()
 	return s
 }
@@ -166,7 +166,7 @@
 }
 
 // List implements discovery.Sink. It keeps the list and saves it for the next process.
-func (s *processHandover) List(kind decide.EventKind, members []core.Listed) {
+func (s *processHandover) List(kind decide.EventKind, members []core.ListedMember) {
 	if s == nil || !kind.HasList() {
 		return
 	}
@@ -228,14 +228,14 @@
 	}
 }
 
-// Commit implements core.Ledger.
-func (s *processHandover) Commit(group int64, session string, p core.Time) {
-	s.shared.Commit(group, session, p)
+// RecordCommit implements core.Ledger.
+func (s *processHandover) RecordCommit(group int64, session string, p core.Time) {
+	s.shared.RecordCommit(group, session, p)
 }
 
-// Committed implements core.Ledger.
-func (s *processHandover) Committed(group int64, session string) core.Time {
-	at := s.shared.Committed(group, session)
+// LastCommit implements core.Ledger.
+func (s *processHandover) LastCommit(group int64, session string) core.Time {
+	at := s.shared.LastCommit(group, session)
 	if f := core.Time(s.readFloor.Load()); f > at {
 		at = min(f, s.now())
 	}
@@ -245,22 +245,22 @@
 const unboundedFloor = 1<<63 - 1 // floor while there is another process and commits are not shared with it
 
 // checkOthers finds the other processes, retries sharing where it failed, and sets the floor of session reads.
-func (s *processHandover) checkOthers() []handover.Other {
-	others := s.shared.Others()
+func (s *processHandover) checkOthers() []handover.Peer {
+	others := s.shared.Peers()
 	n := int32(len(others))
 	if was := s.otherCount.Swap(n); was != n {
 		s.log.Info("handover: processes of this gateway", "others", n)
 	}
-	if n == 0 && !s.shared.Shared() {
-		if err := s.shared.Share(); err != nil {
+	if n == 0 && !s.shared.Joined() {
+		if err := s.shared.Join(); err != nil {
 			s.shareFailure.Warn(s.log, "handover: still nothing can be shared", "err", err)
 		} else {
 			s.startAdopting()
 		}
 	}
-	shared := s.shared.Shared()
+	shared := s.shared.Joined()
 	for _, o := range others {
-		shared = shared && o.Shares
+		shared = shared && o.Joined
 	}
 	switch f := s.readFloor.Load(); {
 	case !shared && n > 0:
@@ -277,7 +277,7 @@
 	last, ticks, seen := sockets, 0, uint64(0)
 	for {
 		others := s.checkOthers()
-		if n := s.shared.Changes(); s.importSuspensions != nil && (n != seen || s.readFloor.Load() == unboundedFloor && ticks%pollsPerReading == 0) {
+		if n := s.shared.ChangeCount(); s.importSuspensions != nil && (n != seen || s.readFloor.Load() == unboundedFloor && ticks%pollsPerReading == 0) {
 			s.importSuspensions(n)
 			seen = n
 		}
@@ -285,12 +285,12 @@
 		if len(others) > 0 {
 			wait = pollTogether
 			if ticks%pollsPerCount == 0 {
-				s.shared.Used(countDescriptors(ownDescriptorDir, sockets))
+				s.shared.SetDescriptors(countDescriptors(ownDescriptorDir, sockets))
 			}
 			ticks++
 		}
 		older := len(others) > 0 && !others[0].Older
-		if may := handover.Split(sockets, others, older); may != last {
+		if may := handover.AllowedShare(sockets, others, older); may != last {
 			part := 1.0
 			if len(others) > 0 {
 				part = 0.5
@@ -313,7 +313,7 @@
 	end := s.stopAdopting
 	s.leaving, s.stopAdopting = true, nil
 	s.mu.Unlock()
-	s.shared.Ready(false)
+	s.shared.SetReady(false)
 	if end != nil {
 		end()
 	}
@@ -363,7 +363,7 @@
 		o.core.List(decide.ListChange, change)
 		o.log.Info("handover: db machines taken out or called back through another process", "changes", len(change))
 	}
-	o.core.Post(func() { o.handover.shared.Saw(count) })
+	o.core.Post(func() { o.handover.shared.SetAppliedChanges(count) })
 }
 
 // loadSuspensions reads the suspensions that operators made through any process.
@@ -382,7 +382,7 @@
 	if err != nil || o.handover == nil {
 		return err
 	}
-	count, err := o.handover.shared.Change(suspensionFile, func(was []byte) ([]byte, error) {
+	count, err := o.handover.shared.Update(suspensionFile, func(was []byte) ([]byte, error) {
 		var all []suspend.Entry
 		if was != nil {
 			if err := json.Unmarshal(was, &all); err != nil {
@@ -407,7 +407,7 @@
 	if until, ok := ctx.Deadline(); ok {
 		wait = min(max(time.Until(until), minAckWait), maxAckWait)
 	}
-	if !o.handover.shared.Await(count, wait) {
+	if !o.handover.shared.AwaitApplied(count, wait) {
 		o.log.Warn("handover: another process has not yet said that it took this over", "waited", wait)
 	}
 	return nil
@@ -456,25 +456,25 @@
 func (s *processHandover) startAdopting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.adopt == nil || s.leaving || s.stopAdopting != nil || !s.shared.Shared() {
+	if s.adopt == nil || s.leaving || s.stopAdopting != nil || !s.shared.Joined() {
 		return
 	}
-	stop, err := s.shared.Receive(s.adopt)
+	stop, err := s.shared.ReceiveConns(s.adopt)
 	if err != nil {
 		s.log.Warn("handover: clients' connections can't be taken over", "err", err)
 	}
 	s.stopAdopting = stop
-	s.shared.Ready(true)
+	s.shared.SetReady(true)
 }
 
 // passFunc returns the function that passes a client connection to the successor, nil if there is no handover.
-func (s *processHandover) passFunc() pgfront.Pass {
+func (s *processHandover) passFunc() pgfront.TransferFunc {
 	if s == nil {
 		return nil
 	}
-	p := s.shared.Passer()
+	p := s.shared.NewConnSender()
 	return func(nc net.Conn, began bool) bool {
-		err := p.Pass(nc, began)
+		err := p.Send(nc, began)
 		if err == nil {
 			s.passed.Add(1)
 		} else if s.notPassed.Add(1) == 1 {
@@ -486,16 +486,16 @@
 
 // hasSuccessor reports whether a newer process of this gateway is ready to serve.
 func (s *processHandover) hasSuccessor() bool {
-	return s != nil && slices.ContainsFunc(s.shared.Others(), func(o handover.Other) bool { return o.Ready && !o.Older })
+	return s != nil && slices.ContainsFunc(s.shared.Peers(), func(o handover.Peer) bool { return o.Ready && !o.Older })
 }
 
 // limiter returns a function that limits the gateway to a fraction of its memory and to a number of descriptors, which are
 // divided as in share.
 func (g *instance) limiter(bufs *pgwire.Pool, share Budget) func(part float64, sockets int) {
 	return func(part float64, sockets int) {
-		bufs.Limit(int(part*float64(share.Buffers)), int(part*float64(share.SmallBuffers)))
-		g.front.Limit(int(clientFraction * float64(sockets)))
-		g.core.Post(func() { g.pool.Limit(int(memberFraction * float64(sockets))) })
+		bufs.SetLimits(int(part*float64(share.Buffers)), int(part*float64(share.SmallBuffers)))
+		g.front.SetMaxConnections(int(clientFraction * float64(sockets)))
+		g.core.Post(func() { g.pool.SetMaxConns(int(memberFraction * float64(sockets))) })
 		if g.config.memoryBytes > 0 {
 			debug.SetMemoryLimit(int64(part * softLimitFraction * float64(g.config.memoryBytes)))
 		}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/adminapi"
 	"reachwind/internal/core"
-	"reachwind/internal/opsdoor"
 	"reachwind/internal/suspend"
 )
 
@@ -21,8 +21,8 @@
 )
 
 // adminConfig returns the configuration of the admin API.
-func (c *Config) adminConfig() opsdoor.Config {
-	return opsdoor.Config{Addr: c.Admin, Most: min(max(c.maxSockets/socketsPerAdminConnection, minAdminConnections), opsdoor.DefaultMost)}
+func (c *Config) adminConfig() adminapi.Config {
+	return adminapi.Config{Addr: c.Admin, MaxConnections: min(max(c.maxSockets/socketsPerAdminConnection, minAdminConnections), adminapi.DefaultMaxConnections)}
 }
 
 // adminOperator carries out the calls of the admin API. It sits between discovery, or the council's overlay, and the core, and
@@ -30,7 +30,7 @@
 type adminOperator struct {
 	core     *core.Core
 	log      *slog.Logger
-	api      *opsdoor.Door
+	api      *adminapi.Server
 	handover *processHandover // nil: no handover between processes
 
 	mu          sync.Mutex // held while the core is notified, so that it gets changes in their order
@@ -41,9 +41,9 @@
 	serving     atomic.Bool // this process accepts clients
 }
 
-func newAdminOperator(conf opsdoor.Config, owner *core.Core, log *slog.Logger) *adminOperator {
+func newAdminOperator(conf adminapi.Config, owner *core.Core, log *slog.Logger) *adminOperator {
 	o := &adminOperator{core: owner, log: log, suspensions: suspend.New()}
-	o.api = opsdoor.New(conf, o, log)
+	o.api = adminapi.New(conf, o, log)
 	return o
 }
 
@@ -81,11 +81,11 @@
 }
 
 // List implements discovery.Sink. It passes the list on to the core with the suspensions applied.
-func (o *adminOperator) List(kind decide.EventKind, members []core.Listed) {
+func (o *adminOperator) List(kind decide.EventKind, members []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.core.List(kind, o.suspensions.List(kind, members))
-	if o.suspensions.Listed() > 0 && !o.listApplied.Load() {
+	o.core.List(kind, o.suspensions.ApplyList(kind, members))
+	if o.suspensions.ListedCount() > 0 && !o.listApplied.Load() {
 		o.core.Post(func() { o.listApplied.Store(true) })
 	}
 }
@@ -97,36 +97,36 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.suspensions.Out(id)
+	return o.suspensions.IsSuspended(id)
 }
 
-// Ready implements opsdoor.Operator.
+// Ready implements adminapi.Operator.
 func (o *adminOperator) Ready() error {
 	switch {
 	case o.stopping.Load():
-		return opsdoor.NotReady{Found: "this process is shutting down", Do: "call the process that replaces it"}
+		return adminapi.NotReadyError{Found: "this process is shutting down", Remedy: "call the process that replaces it"}
 	case !o.serving.Load():
-		return opsdoor.NotReady{Found: "this process does not accept clients yet", Do: "call again in a second"}
+		return adminapi.NotReadyError{Found: "this process does not accept clients yet", Remedy: "call again in a second"}
 	case !o.listApplied.Load():
-		return opsdoor.NotReady{Found: "no list of db machines yet", Do: "check discovery, or put a list into the configuration"}
+		return adminapi.NotReadyError{Found: "no list of db machines yet", Remedy: "check discovery, or put a list into the configuration"}
 	}
 	return nil
 }
 
-// Suspend implements opsdoor.Operator.
+// Suspend implements adminapi.Operator.
 func (o *adminOperator) Suspend(ctx context.Context, id string) error {
 	return o.shareSuspensions(ctx, o.change(ctx, id, "db machine suspended", (*suspend.Set).Suspend))
 }
 
-// Resume implements opsdoor.Operator.
+// Resume implements adminapi.Operator.
 func (o *adminOperator) Resume(ctx context.Context, id string) error {
 	return o.shareSuspensions(ctx, o.change(ctx, id, "db machine resumed", (*suspend.Set).Resume))
 }
 
 // change applies an operator's change of a member on the core's goroutine, and waits until it is in force. If ctx ends first it
-// returns opsdoor.NotDone, and the change never happens; or opsdoor.Unconfirmed, if the change has begun but is not
+// returns adminapi.NotDone, and the change never happens; or adminapi.Unconfirmed, if the change has begun but is not
 // confirmed within confirmTimeout.
-func (o *adminOperator) change(ctx context.Context, id, line string, do func(*suspend.Set, string, core.Time) ([]core.Listed, error)) error {
+func (o *adminOperator) change(ctx context.Context, id, line string, do func(*suspend.Set, string, core.Time) ([]core.ListedMember, error)) error {
 	var begun atomic.Bool // set by whichever comes first: the change, or the end of ctx
 	start := time.Now()
 	done := make(chan error, 1)
@@ -150,7 +150,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	took := opsdoor.NotDone{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
+	took := adminapi.NotDoneError{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
 	if !begun.Swap(true) {
 		return took
 	}
@@ -158,6 +158,6 @@
 	case err := <-done:
 		return err
 	case <-time.After(confirmTimeout):
-		return opsdoor.Unconfirmed{NotDone: took}
+		return adminapi.UnconfirmedError{NotDoneError: took}
 	}
 }
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/adminapi"
 	"reachwind/internal/core"
-	"reachwind/internal/opsdoor"
 	"reachwind/internal/standin/cluster"
 	"reachwind/internal/standin/pgclient"
 )
@@ -211,11 +211,11 @@
 // TestSuspendWithStalledCore: while the core's goroutine is stalled a suspension fails at its deadline, and is not carried out later.
 func TestSuspendWithStalledCore(t *testing.T) {
 	owner := core.New(core.NewClock(), nil, slog.New(slog.DiscardHandler))
-	o := newAdminOperator(opsdoor.Config{}, owner, slog.New(slog.DiscardHandler))
-	o.suspensions.List(decide.ListFull, []core.Listed{{Member: decide.Member{ID: "m"}}})
+	o := newAdminOperator(adminapi.Config{}, owner, slog.New(slog.DiscardHandler))
+	o.suspensions.ApplyList(decide.ListFull, []core.ListedMember{{Member: decide.Member{ID: "m"}}})
 	short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	if err := o.Suspend(short, "m"); !errors.As(err, new(opsdoor.NotDone)) {
+	if err := o.Suspend(short, "m"); !errors.As(err, new(adminapi.NotDoneError)) {
 		t.Errorf("suspension with a stalled core: %v, want NotDone", err)
 	}
 	if err := o.Ready(); err == nil {
--- a/internal/gateway/overlay.go
+++ b/internal/gateway/overlay.go
@@ -19,24 +19,24 @@
 	next discovery.Sink
 
 	mu          sync.Mutex
-	listed      map[string]core.Listed // members by id, as discovery lists them
-	drains      map[string]bool        // members that the council has permitted to go out
-	zonesAway   map[string]float64     // by zone, the fraction of its load that goes elsewhere by the zone plan
-	primaries   map[int64]string       // by group, the member that this gateway considers its primary
-	gateway     string                 // of this gateway
-	drained     map[string]bool        // members listed as draining to the core by this overlay
-	lastInGroup int                    // members that stay in use because they are the last of their group
+	listed      map[string]core.ListedMember // members by id, as discovery lists them
+	drains      map[string]bool              // members that the council has permitted to go out
+	zonesAway   map[string]float64           // by zone, the fraction of its load that goes elsewhere by the zone plan
+	primaries   map[int64]string             // by group, the member that this gateway considers its primary
+	gateway     string                       // of this gateway
+	drained     map[string]bool              // members listed as draining to the core by this overlay
+	lastInGroup int                          // members that stay in use because they are the last of their group
 }
 
 // maxListed limits the members kept in memory; discovery's own limits are lower.
 const maxListed = 1 << 14
 
 func newOverlay(name string, sink discovery.Sink) *overlay {
-	return &overlay{gateway: name, zonesAway: map[string]float64{}, primaries: map[int64]string{}, next: sink, listed: map[string]core.Listed{}, drains: map[string]bool{}, drained: map[string]bool{}}
+	return &overlay{gateway: name, zonesAway: map[string]float64{}, primaries: map[int64]string{}, next: sink, listed: map[string]core.ListedMember{}, drains: map[string]bool{}, drained: map[string]bool{}}
 }
 
 // List implements discovery.Sink. It passes the list on with the drains applied.
-func (o *overlay) List(kind decide.EventKind, members []core.Listed) {
+func (o *overlay) List(kind decide.EventKind, members []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !kind.HasList() {
@@ -58,7 +58,7 @@
 	out := members
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) { // members outside this list whose drain starts or ends because of it, e.g. as the last of their group
 		m := o.listed[id]
-		if o.drained[id] != was[id] && m.State == decide.Up && !slices.ContainsFunc(members, func(x core.Listed) bool { return x.ID == id }) {
+		if o.drained[id] != was[id] && m.State == decide.Up && !slices.ContainsFunc(members, func(x core.ListedMember) bool { return x.ID == id }) {
 			out = append(slices.Clone(out), m)
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // DivertedMembers returns the members of zones that load is moved away from, sorted by id. They are probed from time to time.
-func (o *overlay) DivertedMembers() (all []core.Listed) {
+func (o *overlay) DivertedMembers() (all []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
@@ -171,7 +171,7 @@
 func (o *overlay) reselect() {
 	was := maps.Clone(o.drained)
 	o.selectDrained()
-	var change []core.Listed
+	var change []core.ListedMember
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		if m := o.listed[id]; o.drained[id] != was[id] && m.State == decide.Up {
 			if o.drained[id] {
--- a/internal/gateway/retune.go
+++ b/internal/gateway/retune.go
@@ -9,15 +9,15 @@
 	"syscall"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/pgmember"
 	"reachwind/internal/settings"
-	"reachwind/internal/terms"
 )
 
 // reloadedConfig is a configuration file that was read and validated on SIGHUP, ready to be applied.
 type reloadedConfig struct {
 	conf   *Config // its Decide is what package decide is given
-	active *terms.Terms
+	active *activesettings.Snapshot
 	source []byte
 }
 
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("%s: %w", g.options.ConfigPath, err)
 	}
 	r := &reloadedConfig{conf: c, source: text}
-	r.active, c.Decide, err = g.config.active.Next(c.Decide, g.core.Now())
+	r.active, c.Decide, err = g.config.active.Prepare(c.Decide, g.core.Now())
 	return r, err
 }
 
@@ -65,28 +65,28 @@
 // request that is admitted under them.
 func (g *instance) applyReload(r *reloadedConfig) {
 	g.handover.saveConfig(r.source)
-	was := g.config.active.Now()
+	was := g.config.active.Current()
 	g.core.Post(func() {
-		if err := g.router.Retune(*r.conf.Decide); err != nil { // readReload has validated it
+		if err := g.router.Reconfigure(*r.conf.Decide); err != nil { // readReload has validated it
 			g.options.Log.Error("reloaded settings refused by the decision module", "err", err)
 			return
 		}
-		g.pool.Retune(memberPoolConfig(r.conf.settings, 0, 0))
+		g.pool.Reconfigure(memberPoolConfig(r.conf.settings, 0, 0))
 	})
-	g.config.active.Turn(r.active)
-	came, changed, left := r.active.Against(was)
+	g.config.active.Activate(r.active)
+	came, changed, left := r.active.ClassChanges(was)
 	g.options.Log.Info("retuned", "classes", len(r.conf.Decide.Classes), "came", came, "changed", changed, "left", left,
 		"attempts", r.conf.Decide.MaxAttempts)
 }
 
 // memberPoolConfig returns the configuration of connections to members. most is their maximum number; keep is the number of
 // buffers reserved from answers that pass through.
-func memberPoolConfig(f *settings.Facts, most, keep int) pgmember.Config {
-	return pgmember.Config{User: user, Database: database, Max: most, Keep: keep,
-		Idle:    microsecondsOr(f.Allowed.IdleCloseUs, defaultIdleClose),
-		Connect: microsecondsOr(f.Allowed.ConnectTimeoutUs, defaultConnectTimeout),
-		Grace:   microsecondsOr(f.Rules.StopSendingWithinUs, defaultStopSendingGrace), DrainOnly: f.Rules.DrainBindsAlone,
-		Names: f.Feedback.Names}
+func memberPoolConfig(f *settings.Settings, most, keep int) pgmember.Config {
+	return pgmember.Config{User: user, Database: database, MaxConns: most, ReservedBuffers: keep,
+		MemberIdleTimeout: microsecondsOr(f.Allowed.IdleCloseUs, defaultIdleClose),
+		ConnectTimeout:    microsecondsOr(f.Allowed.ConnectTimeoutUs, defaultConnectTimeout),
+		DrainGrace:        microsecondsOr(f.Rules.StopSendingWithinUs, defaultStopSendingGrace), KeepDelisted: f.Rules.DrainBindsAlone,
+		ReportFigures: f.Feedback.Names}
 }
 
 // microsecondsOr returns us microseconds, or usual if us is not positive.
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -15,11 +15,11 @@
 	"testing/synctest"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/standin/cluster"
 	"reachwind/internal/standin/pgclient"
 	"reachwind/internal/standin/pipenet"
-	"reachwind/internal/terms"
 )
 
 // classState is the state of a class in the settings as the test knows it.
@@ -117,10 +117,10 @@
 					unknown++
 				}
 				needsKey := q.Key == "" && is.last == "by_key" && was != is // its class requires a key since a moment ago
-				if a.Code == pgwire.SyntaxError && !needsKey && (was.effect != "" || is.effect != "" || out < terms.Linger-time.Millisecond && !was.since.IsZero()) {
+				if a.Code == pgwire.SyntaxError && !needsKey && (was.effect != "" || is.effect != "" || out < activesettings.RemovedClassGrace-time.Millisecond && !was.since.IsZero()) {
 					t.Errorf("request %s of class %s is unknown: %+v, now %+v", id, q.Class, was, is)
 				}
-				if a.Code != pgwire.SyntaxError && was == is && was.effect == "" && out > terms.Linger+time.Millisecond {
+				if a.Code != pgwire.SyntaxError && was == is && was.effect == "" && out > activesettings.RemovedClassGrace+time.Millisecond {
 					t.Errorf("request %s of class %s, out for %v, got %+v", id, q.Class, out, a)
 				}
 				mu.Unlock()
@@ -159,10 +159,10 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := g.config.active.Now()
+		before := g.config.active.Current()
 		mu.Lock() // clients must not read now between the reload and its update
 		g.reload()
-		if took := g.config.active.Now() != before; took == broken {
+		if took := g.config.active.Current() != before; took == broken {
 			t.Errorf("taken over: %v, broken: %v", took, broken)
 		}
 		if !broken {
--- a/internal/restfront/leave_test.go
+++ b/internal/restfront/leave_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
 )
 
 // fakeCore holds requests and notes whose clients have gone.
@@ -30,7 +30,7 @@
 	defer f.mu.Unlock()
 	f.open++
 }
-func (f *fakeCore) Turned(string, record.Outcome, record.Cause) {}
+func (f *fakeCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 func (f *fakeCore) Gone(q *core.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,13 +59,13 @@
 		"half-close behind many": {strings.Repeat("GET / HTTP/1.1\r\nHost: x\r\n\r\n", 1000), false},
 		"reset behind bytes":     {"GET /v1/clu", true}} {
 		t.Run(name, func(t *testing.T) {
-			book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute}}})
+			book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute}}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			f := &fakeCore{}
-			s, err := New(f, Config{Listen: "127.0.0.1:0", Max: 4, Body: 1 << 10, Header: time.Minute, Read: time.Minute, Write: time.Minute,
-				Idle: time.Minute, Terms: book, Life: time.Minute}, call.NewClaims(), slog.New(slog.DiscardHandler))
+			s, err := New(f, Config{Listen: "127.0.0.1:0", MaxConnections: 4, MaxBodyBytes: 1 << 10, HeaderTimeout: time.Minute, ReadTimeout: time.Minute, WriteTimeout: time.Minute,
+				IdleTimeout: time.Minute, Settings: book, CursorLifetime: time.Minute}, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
