--- a/cmd/reachwind/council.go
+++ b/cmd/reachwind/council.go
@@ -46,11 +46,11 @@
 	var join bool
 	c := &cobra.Command{Use: "council", Short: "run one voter of the fleet's council until SIGTERM or SIGINT", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			me, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			program := filepath.Join(filepath.Dir(me), "reachwind-council")
+			program := filepath.Join(filepath.Dir(executable), "reachwind-council")
 			path, _ = c.Flags().GetString("config")
 			level, _ = c.Flags().GetString("log-level")
 			args := []string{program, "--config", path, "--log-level", level}
@@ -151,13 +151,13 @@
 	} `json:"voters"`
 }
 
-// submit submits a command to the voters, the last leader first, and retries until one of them reports its result or until has
-// passed. All attempts carry the same number, so that the council executes the command once. The error is an exitError
-// with exUnavailable if no voter answered in time.
-func (c *councilClient) submit(until time.Time, q map[string]any) (*result, error) {
+// submit submits a command to the voters, the last leader first, and retries until one of them reports its result or
+// until has passed. All attempts carry the same number, so that the council executes the command once. The error is an
+// exitError with exUnavailable if no voter answered in time.
+func (c *councilClient) submit(until time.Time, command map[string]any) (*result, error) {
 	c.lastNumber++
-	q["client"], q["number"], q["who"] = c.clientID, c.lastNumber, c.requester
-	body, err := json.Marshal(q)
+	command["client"], command["number"], command["who"] = c.clientID, c.lastNumber, c.requester
+	body, err := json.Marshal(command)
 	if err != nil {
 		return nil, err
 	}
@@ -208,11 +208,11 @@
 			return writeJSON(c.OutOrStdout(), s, err)
 		}
 		out := c.OutOrStdout()
-		lead := s.Leader
-		if lead == "" {
-			lead = "none: nothing new goes out"
+		leader := s.Leader
+		if leader == "" {
+			leader = "none: nothing new goes out"
 		}
-		_, _ = fmt.Fprintf(out, "leader %s, term %d, index %d, council time %v, as %s knows it\n", lead, s.Term, s.Index, time.Duration(s.TimeMs)*time.Millisecond, s.Name)
+		_, _ = fmt.Fprintf(out, "leader %s, term %d, index %d, council time %v, as %s knows it\n", leader, s.Term, s.Index, time.Duration(s.TimeMs)*time.Millisecond, s.Name)
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		for _, v := range s.Voters {
 			heard := "now"
@@ -297,23 +297,24 @@
 	return err
 }
 
-// runWithPermit runs a command under a permit. It counts the permit's term from before its request, on its own clock, so that the
-// command has ended before the permit ends by the council's clock. The error is an exitError with exTempFail if there is no
-// permit in time, exFenced if the command was stopped, and the command's own exit code if that failed.
+// runWithPermit runs a command under a permit. It counts the permit's term from before its request, on its own clock,
+// so that the command has ended before the permit ends by the council's clock. The error is an exitError with
+// exTempFail if there is no permit in time, exFenced if the command was stopped, and the command's own exit code if
+// that failed.
 func runWithPermit(c *councilClient, target, reason string, term, wait time.Duration, args []string) error {
 	if term < time.Second {
 		return fmt.Errorf("--for is %v, want a second at least", term)
 	}
 	var asked time.Time
-	var p *permit
-	for until := time.Now().Add(wait); p == nil; {
+	var grant *permit
+	for until := time.Now().Add(wait); grant == nil; {
 		asked = time.Now()
 		r, err := c.submit(until, map[string]any{"op": "acquire", "target": target, "reason": reason, "term_ms": term.Milliseconds()})
 		switch {
 		case err != nil:
 			return exitError{exTempFail, fmt.Errorf("no permit for %s: %w", target, err)}
 		case r.OK:
-			p = r.Permit
+			grant = r.Permit
 		case time.Now().After(until):
 			return exitError{exTempFail, fmt.Errorf("no permit for %s: %s", target, r.Refused)}
 		default:
@@ -323,26 +324,26 @@
 	if strings.HasPrefix(target, "db/") { // gateways move work off the member first
 		time.Sleep(min(memberDrainNotice, term/4))
 	}
-	kill := asked.Add(term)
-	stop := kill.Add(-min(terminationGrace, term/5))
+	killAt := asked.Add(term)
+	stopAt := killAt.Add(-min(terminationGrace, term/5))
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
-	cmd.Env = append(os.Environ(), "REACHWIND_FENCE="+strconv.FormatUint(p.Fence, 10), "REACHWIND_TARGET="+target)
+	cmd.Env = append(os.Environ(), "REACHWIND_FENCE="+strconv.FormatUint(grant.Fence, 10), "REACHWIND_TARGET="+target)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM}
-	fenced := time.Now().After(stop)
+	fenced := time.Now().After(stopAt)
 	var err error
 	if !fenced {
-		fenced, err = c.runUnderPermit(cmd, p, stop, kill)
+		fenced, err = c.runUnderPermit(cmd, grant, stopAt, killAt)
 	}
 	if strings.HasPrefix(target, "db/") && err == nil && !fenced {
 		c.awaitMemberBack(target, asked.Add(term))
 	}
-	_, back := c.submit(time.Now().Add(giveBackTimeout), map[string]any{"op": "give_back", "target": target, "fence": p.Fence})
-	if back != nil {
-		fmt.Fprintf(os.Stderr, "reachwind: permit %d of %s was not given back, its target still counts as out: %v\n", p.Fence, target, back)
+	_, giveBackErr := c.submit(time.Now().Add(giveBackTimeout), map[string]any{"op": "give_back", "target": target, "fence": grant.Fence})
+	if giveBackErr != nil {
+		fmt.Fprintf(os.Stderr, "reachwind: permit %d of %s was not given back, its target still counts as out: %v\n", grant.Fence, target, giveBackErr)
 	}
 	if fenced {
-		return exitError{exFenced, fmt.Errorf("permit %d of %s ended, the command was stopped", p.Fence, target)}
+		return exitError{exFenced, fmt.Errorf("permit %d of %s ended, the command was stopped", grant.Fence, target)}
 	}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -351,8 +352,8 @@
 	return err
 }
 
-// awaitMemberBack waits until gateways report a member as serving and caught up, at the latest until giveBackTimeout before its permit
-// ends. A member that no gateway reports counts as back.
+// awaitMemberBack waits until gateways report a member as serving and caught up, at the latest until giveBackTimeout
+// before its permit ends. A member that no gateway reports counts as back.
 func (c *councilClient) awaitMemberBack(target string, until time.Time) {
 	for time.Now().Before(until.Add(-giveBackTimeout)) {
 		s, err := c.status()
@@ -366,9 +367,9 @@
 	}
 }
 
-// runUnderPermit runs cmd until it ends, stop has passed, or the council no longer lists its permit. In the last two cases it sends
-// SIGTERM, then SIGKILL, and returns fenced = true.
-func (c *councilClient) runUnderPermit(cmd *exec.Cmd, p *permit, stop, kill time.Time) (fenced bool, err error) {
+// runUnderPermit runs cmd until it ends, stopAt has passed, or the council no longer lists its permit. In the last two
+// cases it sends SIGTERM, then SIGKILL, and returns fenced = true.
+func (c *councilClient) runUnderPermit(cmd *exec.Cmd, p *permit, stopAt, killAt time.Time) (fenced bool, err error) {
 	if err := cmd.Start(); err != nil {
 		return false, err
 	}
@@ -384,11 +385,11 @@
 			if err != nil || !s.Leading {
 				continue // only the leader's answer counts: without one the permit still holds
 			}
-			held := false
+			listed := false
 			for _, o := range s.Permits {
-				held = held || o.Target == p.Target && o.Fence == p.Fence && !o.Overdue
+				listed = listed || o.Target == p.Target && o.Fence == p.Fence && !o.Overdue
 			}
-			if !held {
+			if !listed {
 				close(revoked)
 				return
 			}
@@ -398,21 +399,21 @@
 	case err := <-ended:
 		return false, err
 	case <-revoked:
-		kill = time.Now().Add(terminationGrace)
-	case <-time.After(time.Until(stop)):
+		killAt = time.Now().Add(terminationGrace)
+	case <-time.After(time.Until(stopAt)):
 	}
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err = <-ended:
-	case <-time.After(time.Until(kill)):
+	case <-time.After(time.Until(killAt)):
 		_ = cmd.Process.Kill()
 		err = <-ended
 	}
 	return true, err
 }
 
-// callAdmin makes one HTTP call to an admin address and decodes the JSON answer into v. A status other than 200 is an error,
-// and its code is returned with it; code is 0 if there was no answer.
+// callAdmin makes one HTTP call to an admin address and decodes the JSON answer into v. A status other than 200 is an
+// error, and its code is returned with it; code is 0 if there was no answer.
 func callAdmin(addr, method, path string, body []byte, v any) (code int, err error) {
 	return callAdminWithin(addr, method, path, body, v, 2*adminTimeout)
 }
--- a/cmd/reachwind/drain.go
+++ b/cmd/reachwind/drain.go
@@ -17,7 +17,7 @@
 func addDrainCommands(c *cobra.Command, admin *string, asJSON *bool) {
 	var term, wait time.Duration
 	var reason string
-	ask := func(q fleet.DrainRequest) (a fleet.DrainResponse, err error) {
+	request := func(q fleet.DrainRequest) (a fleet.DrainResponse, err error) {
 		body, err := json.Marshal(q)
 		if err != nil {
 			return a, err
@@ -33,7 +33,7 @@
 	}
 	d := &cobra.Command{Use: "drain", Short: "take a gateway out of service under a permit of the council; returns once it has no more requests in progress", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			a, err := ask(fleet.DrainRequest{TermMs: term.Milliseconds(), WaitMs: wait.Milliseconds(), Reason: reason})
+			a, err := request(fleet.DrainRequest{TermMs: term.Milliseconds(), WaitMs: wait.Milliseconds(), Reason: reason})
 			if err == nil && a.Refused != "" {
 				err = exitError{exTempFail, errors.New("not drained: " + a.Refused)}
 			}
@@ -49,10 +49,10 @@
 	c.AddCommand(d)
 
 	var fence uint64
-	back := &cobra.Command{Use: "undrain [TARGET]", Short: "put a gateway back into service, by its own --admin address; or tell the council that TARGET, whose permit ended, is back", Args: cobra.MaximumNArgs(1),
+	undrain := &cobra.Command{Use: "undrain [TARGET]", Short: "put a gateway back into service, by its own --admin address; or tell the council that TARGET, whose permit ended, is back", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				a, err := ask(fleet.DrainRequest{Back: true})
+				a, err := request(fleet.DrainRequest{Back: true})
 				if err != nil || *asJSON {
 					return writeJSON(cmd.OutOrStdout(), a, err)
 				}
@@ -73,8 +73,8 @@
 			}
 			return checkResult(c.submit(time.Now().Add(10*time.Second), map[string]any{"op": "give_back", "target": args[0], "fence": fence}))
 		}}
-	back.Flags().Uint64Var(&fence, "fence", 0, "fence of the permit; 0: as the council lists it")
-	c.AddCommand(back)
+	undrain.Flags().Uint64Var(&fence, "fence", 0, "fence of the permit; 0: as the council lists it")
+	c.AddCommand(undrain)
 }
 
 // addVoterCommands adds the commands that add and remove voters of the council, and the one that raises its format version.
@@ -86,12 +86,12 @@
 		if err != nil {
 			return err
 		}
-		why := errors.New("no voter answers")
+		lastErr := errors.New("no voter answers")
 		for until := time.Now().Add(time.Minute); time.Now().Before(until); time.Sleep(retryInterval) {
 			for _, a := range c.addresses {
 				var r result
 				if code, err := callAdmin(a, http.MethodPost, "/v1/voter", body, &r); err == nil && code == http.StatusOK && !r.OK {
-					why = errors.New(r.Refused)
+					lastErr = errors.New(r.Refused)
 				} else if err != nil {
 					continue
 				}
@@ -100,7 +100,7 @@
 				return nil
 			}
 		}
-		return exitError{exUnavailable, fmt.Errorf("not changed within a minute: %w", why)}
+		return exitError{exUnavailable, fmt.Errorf("not changed within a minute: %w", lastErr)}
 	}
 	var at string
 	add := &cobra.Command{Use: "add NAME", Short: "add a voter that was started with --join: it replicates the log first, then votes", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
--- a/cmd/reachwind/faults_test.go
+++ b/cmd/reachwind/faults_test.go
@@ -51,8 +51,8 @@
 	return answer
 }
 
-// TestOnceRequestRunByDemotedPrimary: a request that may run only once and that a demoted primary has run is answered as failed. It
-// is neither refused nor sent again, whether or not there is a successor.
+// TestOnceRequestRunByDemotedPrimary: a request that may run only once and that a demoted primary has run is answered
+// as failed. It is neither refused nor sent again, whether or not there is a successor.
 func TestOnceRequestRunByDemotedPrimary(t *testing.T) {
 	t.Parallel()
 	for _, successor := range []bool{true, false} {
@@ -69,14 +69,14 @@
 			if a := sendOnce(t, g, write); a.Verdict != pgclient.Served {
 				t.Fatalf("the primary is not known yet: %+v\n%s", a, g.Log())
 			}
-			old := c.Primary(0)
-			old.Hang(true)
-			waitFor(t, g, "a new primary is elected", func() bool { return !old.IsPrimary() })
-			old.Freeze(true)
-			old.Hang(false)
+			formerPrimary := c.Primary(0)
+			formerPrimary.Hang(true)
+			waitFor(t, g, "a new primary is elected", func() bool { return !formerPrimary.IsPrimary() })
+			formerPrimary.Freeze(true)
+			formerPrimary.Hang(false)
 			if !successor {
 				for _, m := range c.Members() {
-					if m != old {
+					if m != formerPrimary {
 						m.Drain(true)
 					}
 				}
@@ -100,7 +100,8 @@
 	}
 }
 
-// overloadedDiscovery is an overloaded discovery: it answers each call with 503 after the longest time that a call may queue there.
+// overloadedDiscovery is an overloaded discovery: it answers each call with 503 after the longest time that a call may
+// queue there.
 func overloadedDiscovery(nc net.Conn) {
 	const queue = 2 * time.Second
 	buf := make([]byte, 4<<10)
@@ -121,10 +122,10 @@
 func TestDrainAfterOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	const (
-		down  = 5 * time.Second
-		told  = 6 * time.Second                            // for the gateway to learn of the drain
-		grace = 250*time.Millisecond + 50*time.Millisecond // of the settings, and the tolerance of the protocol
-		rest  = 2 * time.Second
+		overloadedFor = 5 * time.Second
+		learnWait     = 6 * time.Second                            // for the gateway to learn of the drain
+		grace         = 250*time.Millisecond + 50*time.Millisecond // of the settings, and the tolerance of the protocol
+		observeFor    = 2 * time.Second
 	)
 	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 3})
 	r := newRelay(t, c.Discovery())
@@ -153,19 +154,19 @@
 	}
 	r.down()
 	r.up(t, overloadedDiscovery)
-	time.Sleep(down)
-	out := c.Members()[3]
-	out.Drain(true)
-	before := c.Took(out)
+	time.Sleep(overloadedFor)
+	drained := c.Members()[3]
+	drained.Drain(true)
+	before := c.Took(drained)
 	r.down()
 	r.up(t, r.pass)
-	time.Sleep(told + grace)
-	took := c.Took(out)
-	time.Sleep(rest)
-	if n := c.Took(out) - took; n > 0 {
-		t.Errorf("%d requests reached a draining member over %v after discovery was back\n%s", n, told+grace, g.Log())
+	time.Sleep(learnWait + grace)
+	received := c.Took(drained)
+	time.Sleep(observeFor)
+	if n := c.Took(drained) - received; n > 0 {
+		t.Errorf("%d requests reached a draining member over %v after discovery was back\n%s", n, learnWait+grace, g.Log())
 	}
-	if took == before {
+	if received == before {
 		t.Error("no request reached the member before that, so the test shows nothing")
 	}
 	close(stop)
--- a/cmd/reachwind/fleet.go
+++ b/cmd/reachwind/fleet.go
@@ -115,7 +115,8 @@
 	return c
 }
 
-// getAdmin gets path from an admin address and decodes the JSON answer into v. The error is an exitError with exUnavailable.
+// getAdmin gets path from an admin address and decodes the JSON answer into v. The error is an exitError with
+// exUnavailable.
 func getAdmin(admin, path string, v any) error {
 	if admin == "" {
 		return exitError{exUnavailable, errors.New("no address, want --admin host:port")}
--- a/cmd/reachwind/foreign_test.go
+++ b/cmd/reachwind/foreign_test.go
@@ -14,8 +14,8 @@
 	"reachwind/internal/pgwire"
 )
 
-// TestForeignSettings: a gateway with the settings of another deployment knows only that deployment's classes, follows its rules,
-// and shuts down without an error.
+// TestForeignSettings: a gateway with the settings of another deployment knows only that deployment's classes, follows
+// its rules, and shuts down without an error.
 func TestForeignSettings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		statements []string
--- a/cmd/reachwind/main.go
+++ b/cmd/reachwind/main.go
@@ -35,11 +35,11 @@
 }
 
 // execute executes one command line.
-func execute(args []string, out, errs io.Writer) error {
+func execute(args []string, out, errOut io.Writer) error {
 	root := newRootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(errOut)
 	return root.Execute()
 }
 
@@ -55,11 +55,11 @@
 	flags.StringVarP(&path, "config", "c", os.Getenv("NODE_CONFIG"), "configuration `file` (NODE_CONFIG)")
 	flags.StringVarP(&edge, "edge", "e", os.Getenv("REACHWIND_EDGE"), "product configuration `file` (REACHWIND_EDGE)")
 	flags.StringVar(&level, "log-level", "info", "lowest `level` logged: debug, info, warn or error")
-	var offset time.Duration
-	var says string
-	var least slog.Level
+	var clockOffset time.Duration
+	var reportedVersion string
+	var minLevel slog.Level
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
-		if err := least.UnmarshalText([]byte(level)); err != nil {
+		if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 			return fmt.Errorf("log-level: %w", err)
 		}
 		return nil
@@ -68,16 +68,16 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			logs := newLogWriter(c.ErrOrStderr())
 			defer logs.flush()
-			records := record.NewHandler(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: least}))
+			records := record.NewHandler(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: minLevel}))
 			conf, err := gateway.LoadForServing(path, slog.New(records))
 			if err != nil {
 				return err
 			}
-			return gateway.Serve(conf, gateway.Options{ConfigPath: path, EdgePath: edge, Version: cmp.Or(says, version), Log: slog.New(records), Records: records,
-				WallClock: func() time.Time { return time.Now().Add(offset) }})
+			return gateway.Serve(conf, gateway.Options{ConfigPath: path, EdgePath: edge, Version: cmp.Or(reportedVersion, version), Log: slog.New(records), Records: records,
+				WallClock: func() time.Time { return time.Now().Add(clockOffset) }})
 		}}
-	serve.Flags().DurationVar(&offset, "clock-offset", 0, "offset of the fleet's wall clock by this `span`; for test labs")
-	serve.Flags().StringVar(&says, "say-version", "", "report this `version` to peers and the council; for test labs")
+	serve.Flags().DurationVar(&clockOffset, "clock-offset", 0, "offset of the fleet's wall clock by this `span`; for test labs")
+	serve.Flags().StringVar(&reportedVersion, "say-version", "", "report this `version` to peers and the council; for test labs")
 	_ = serve.Flags().MarkHidden("clock-offset")
 	_ = serve.Flags().MarkHidden("say-version")
 	root.AddCommand(serve)
--- a/cmd/reachwind/overlap_test.go
+++ b/cmd/reachwind/overlap_test.go
@@ -127,8 +127,9 @@
 
 const halfIdleLimit = time.Second // half of the time after which idle connections are closed
 
-// TestHandoverUnderTraffic replaces a process while its clients are at every step of the protocol, its members hang and signals are
-// repeated. Each request gets one complete answer and no connection is cut, even if bytes arrive while it is passed on.
+// TestHandoverUnderTraffic replaces a process while its clients are at every step of the protocol, its members hang and
+// signals are repeated. Each request gets one complete answer and no connection is cut, even if bytes arrive while it
+// is passed on.
 func TestHandoverUnderTraffic(t *testing.T) {
 	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2})
 	addr, socket := listenAsPlatform(t)
@@ -142,10 +143,10 @@
 		_ = p.Close()
 		return types == "TDCZ" || types == "TCZ"
 	})
-	hello := pgwire.AppendStartup(nil, "app", "shop")
+	startup := pgwire.AppendStartup(nil, "app", "shop")
 	begin := func(more []byte) rawClient {
 		p := connectRaw(t, addr)
-		p.send(t, append(append([]byte(nil), hello...), more...))
+		p.send(t, append(append([]byte(nil), startup...), more...))
 		if types, err := p.receive(); err != nil {
 			t.Fatalf("startup: %q, %v", types, err)
 		}
@@ -154,24 +155,24 @@
 	for _, m := range c.Members() {
 		m.Hang(true)
 	}
-	const each = 6
-	var out, idle, fresh, halfHello, halfAsked, left []rawClient
-	for i := range each {
+	const perStep = 6
+	var inFlight, idle, fresh, halfStartup, halfStatement, leaving []rawClient
+	for i := range perStep {
 		text := readStatement(fmt.Sprint("half-", i), "field-info", 3*time.Second)
 		idle = append(idle, begin(nil))
-		halfAsked = append(halfAsked, begin(text[:len(text)/2]))
-		left = append(left, begin(readStatement(fmt.Sprint("left-", i), "field-info", 3*time.Second)))
+		halfStatement = append(halfStatement, begin(text[:len(text)/2]))
+		leaving = append(leaving, begin(readStatement(fmt.Sprint("left-", i), "field-info", 3*time.Second)))
 		fresh = append(fresh, connectRaw(t, addr))
 		p := connectRaw(t, addr)
-		p.send(t, hello[:len(hello)/2])
-		halfHello = append(halfHello, p)
-		out = append(out, begin(readStatement(fmt.Sprint("out-", i), []string{"field-info", "run-status"}[i%2], 3*time.Second)))
+		p.send(t, startup[:len(startup)/2])
+		halfStartup = append(halfStartup, p)
+		inFlight = append(inFlight, begin(readStatement(fmt.Sprint("out-", i), []string{"field-info", "run-status"}[i%2], 3*time.Second)))
 	}
 	next := startOnSocket(t, dir, path, socket)
 
 	var busy sync.WaitGroup // these clients never pause, so that bytes arrive at every step while connections are passed on
 	stop := make(chan struct{})
-	for range each {
+	for range perStep {
 		p, last := begin(nil), time.Now()
 		busy.Add(1)
 		go func() {
@@ -202,26 +203,26 @@
 	former.Signal(syscall.SIGTERM)
 	former.Signal(syscall.SIGHUP)
 	next.Signal(syscall.SIGHUP)
-	for i := range each {
+	for i := range perStep {
 		text := readStatement(fmt.Sprint("half-", i), "field-info", 3*time.Second)
-		halfAsked[i].send(t, text[len(text)/2:])
-		halfHello[i].send(t, append(append([]byte(nil), hello[len(hello)/2:]...), readStatement(fmt.Sprint("hello-", i), "field-info", 3*time.Second)...))
+		halfStatement[i].send(t, text[len(text)/2:])
+		halfStartup[i].send(t, append(append([]byte(nil), startup[len(startup)/2:]...), readStatement(fmt.Sprint("hello-", i), "field-info", 3*time.Second)...))
 		idle[i].send(t, readStatement(fmt.Sprint("idle-", i), "field-info", 3*time.Second))
-		fresh[i].send(t, append(append([]byte(nil), hello...), readStatement(fmt.Sprint("fresh-", i), "field-info", 3*time.Second)...))
+		fresh[i].send(t, append(append([]byte(nil), startup...), readStatement(fmt.Sprint("fresh-", i), "field-info", 3*time.Second)...))
 		if i%2 == 0 {
-			_ = left[i].SetLinger(0)
+			_ = leaving[i].SetLinger(0)
 		}
-		_ = left[i].Close()
+		_ = leaving[i].Close()
 	}
 	waitFor(t, next, "reloaded", func() bool { return strings.Contains(next.Log(), "msg=reloaded") })
 	for _, m := range c.Members() {
 		m.Hang(false)
 	}
-	for i := range each {
-		out[i].wantOneAnswer(t, fmt.Sprint("in flight ", i))
-		halfAsked[i].wantOneAnswer(t, fmt.Sprint("half a statement ", i))
+	for i := range perStep {
+		inFlight[i].wantOneAnswer(t, fmt.Sprint("in flight ", i))
+		halfStatement[i].wantOneAnswer(t, fmt.Sprint("half a statement ", i))
 		idle[i].wantOneAnswer(t, fmt.Sprint("idle ", i))
-		for _, p := range []rawClient{fresh[i], halfHello[i]} {
+		for _, p := range []rawClient{fresh[i], halfStartup[i]} {
 			if types, err := p.receive(); err != nil || !strings.HasPrefix(types, "R") {
 				t.Errorf("startup %d: %q, %v", i, types, err)
 			}
@@ -238,8 +239,9 @@
 	waitStopped(t, next)
 }
 
-// TestReadyWithoutDiscovery: a process that starts answers the platform, operators and clients, some of which connected before its start,
-// although discovery is down, silent, overloaded or slow and never sends a list; and it stops in order.
+// TestReadyWithoutDiscovery: a process that starts answers the platform, operators and clients, some of which connected
+// before its start, although discovery is down, silent, overloaded or slow and never sends a list; and it stops in
+// order.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2})
 	for name, serve := range map[string]func(net.Conn){
@@ -318,8 +320,8 @@
 	}
 }
 
-// TestSuccessorEndsEarly: no request is lost if the next process gets SIGTERM while it waits for discovery, or is killed while
-// connections are being passed to it: the former process answers what clients wrote meanwhile.
+// TestSuccessorEndsEarly: no request is lost if the next process gets SIGTERM while it waits for discovery, or is
+// killed while connections are being passed to it: the former process answers what clients wrote meanwhile.
 func TestSuccessorEndsEarly(t *testing.T) {
 	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2})
 	r := newRelay(t, c.Discovery())
--- a/cmd/reachwind/process_test.go
+++ b/cmd/reachwind/process_test.go
@@ -244,8 +244,8 @@
 	}
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
-	var idle, much, asked atomic.Int64
-	each := func(n int, f func(nc net.Conn, i int)) {
+	var idle, bulky, requests atomic.Int64
+	repeat := func(n int, f func(nc net.Conn, i int)) {
 		for i := range n {
 			flood.Add(1)
 			go func() {
@@ -268,10 +268,10 @@
 			}()
 		}
 	}
-	hello := pgwire.AppendStartup(nil, "app", "shop")
-	empty := pgwire.Append(bytes.Clone(hello), 'Q', "\x00")
-	each(150, func(nc net.Conn, i int) { // idle, having sent nothing, a startup, or a startup and a command
-		_, _ = nc.Write([][]byte{nil, hello, empty}[i%3])
+	startup := pgwire.AppendStartup(nil, "app", "shop")
+	empty := pgwire.Append(bytes.Clone(startup), 'Q', "\x00")
+	repeat(150, func(nc net.Conn, i int) { // idle, having sent nothing, a startup, or a startup and a command
+		_, _ = nc.Write([][]byte{nil, startup, empty}[i%3])
 		idle.Add(1)
 		gone := make(chan struct{})
 		go func() {
@@ -283,24 +283,24 @@
 		case <-stop:
 		}
 	})
-	each(10, func(nc net.Conn, i int) { // a lot at once, then disconnected
-		_, _ = nc.Write(append(bytes.Clone(hello), bytes.Repeat(pgwire.Append(nil, 'Q', "\x00"), 20000)...))
+	repeat(10, func(nc net.Conn, i int) { // a lot at once, then disconnected
+		_, _ = nc.Write(append(bytes.Clone(startup), bytes.Repeat(pgwire.Append(nil, 'Q', "\x00"), 20000)...))
 		if i%2 == 0 {
 			_ = nc.(*net.TCPConn).SetLinger(0)
 		}
-		much.Add(1)
+		bulky.Add(1)
 	})
-	each(sockets/8, func(nc net.Conn, i int) { // requests to hanging members, fewer than the permitted member connections
+	repeat(sockets/8, func(nc net.Conn, i int) { // requests to hanging members, fewer than the permitted member connections
 		conn, err := pgclient.Over(nc, within)
 		if err != nil {
 			return
 		}
-		_, _ = conn.Do(&pgclient.Request{ID: fmt.Sprintf("f-%d-%d", i, asked.Add(1)), Class: "run-status", Tenant: "kea-basin", Wait: 750 * time.Millisecond, Item: "x"})
+		_, _ = conn.Do(&pgclient.Request{ID: fmt.Sprintf("f-%d-%d", i, requests.Add(1)), Class: "run-status", Tenant: "kea-basin", Wait: 750 * time.Millisecond, Item: "x"})
 	})
-	waitFor(t, g, "the flood has started", func() bool { return idle.Load() > 500 && much.Load() > 100 && asked.Load() > 100 })
-	most := 0
+	waitFor(t, g, "the flood has started", func() bool { return idle.Load() > 500 && bulky.Load() > 100 && requests.Load() > 100 })
+	maxDescriptors := 0
 	for range 200 {
-		most = max(most, countDescriptors(g))
+		maxDescriptors = max(maxDescriptors, countDescriptors(g))
 		time.Sleep(time.Millisecond)
 	}
 
@@ -308,17 +308,17 @@
 	for _, m := range c.Members() {
 		m.Hang(false)
 	}
-	out := c.Members()[3]
-	out.Drain(true)
+	drained := c.Members()[3]
+	drained.Drain(true)
 	r.up(t, r.pass)
 	waitFor(t, g, "the list is applied", func() bool { return strings.Contains(g.Log(), "msg=list ") })
 	waitFor(t, g, "the admin API reports ready", func() bool { return upgrade.Call(g, "GET", "/v1/readyz") == nil })
-	var took int
+	var received int
 	waitFor(t, g, "requests in flight to the drained member have ended", func() bool {
-		was := took
-		took = c.Took(out)
+		was := received
+		received = c.Took(drained)
 		time.Sleep(300 * time.Millisecond)
-		return was == took
+		return was == received
 	})
 	// A new client gets an answer on each try, and is served after a limited number of tries. Their duration is not
 	// checked: it depends on the machine, which the flood loads too.
@@ -332,7 +332,7 @@
 			t.Fatalf("a new client got no answer: %v\n%s", err, g.Log())
 		}
 		if err == nil {
-			a, err := conn.Do(&pgclient.Request{ID: fmt.Sprintf("n-%d", asked.Add(1)), Class: "field-info", Tenant: "kea-basin", Wait: 3 * time.Second, Item: "x"})
+			a, err := conn.Do(&pgclient.Request{ID: fmt.Sprintf("n-%d", requests.Add(1)), Class: "field-info", Tenant: "kea-basin", Wait: 3 * time.Second, Item: "x"})
 			if err == nil && a.Verdict == pgclient.Served {
 				served++
 			}
@@ -340,8 +340,8 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if now := c.Took(out); now != took {
-		t.Errorf("%d requests reached a draining member", now-took)
+	if now := c.Took(drained); now != received {
+		t.Errorf("%d requests reached a draining member", now-received)
 	}
 	close(stop)
 	flood.Wait()
@@ -349,7 +349,7 @@
 		t.Errorf("the process ran out of descriptors:\n%s", log)
 	}
 	t.Logf("%d descriptors before, maximum %d, limit %d; %d idle clients, %d that sent a lot, %d requests; served %d of %d tries",
-		before, most, sockets, idle.Load(), much.Load(), asked.Load(), served, tries)
+		before, maxDescriptors, sockets, idle.Load(), bulky.Load(), requests.Load(), served, tries)
 	// An idle connection to each member and the one to discovery stay open for a while.
 	waitFor(t, g, "the descriptors are closed again", func() bool { return countDescriptors(g) <= before+sockets/3 })
 	if err := g.Stop(within); err != nil {
--- a/cmd/reachwind/release.go
+++ b/cmd/reachwind/release.go
@@ -67,14 +67,14 @@
 
 // progressLine describes a release in one line. now is the council's time in milliseconds.
 func progressLine(r *agreed.Release, now int64) string {
-	n := map[string]int{}
+	counts := map[string]int{}
 	for _, it := range r.Items {
-		n[it.State]++
+		counts[it.State]++
 	}
 	var parts []string
 	for _, s := range []string{agreed.ItemDone, agreed.ItemUndone, agreed.ItemOut, agreed.ItemGranted, agreed.ItemWaiting, agreed.ItemUndo, agreed.ItemFailed} {
-		if n[s] > 0 {
-			parts = append(parts, fmt.Sprintf("%d %s", n[s], s))
+		if counts[s] > 0 {
+			parts = append(parts, fmt.Sprintf("%d %s", counts[s], s))
 		}
 	}
 	line := fmt.Sprintf("release %s: %s, step %d of %d (%s), %s", r.Name, r.State, r.Step+1, len(r.Steps), r.Steps[r.Step].Name, strings.Join(parts, ", "))
@@ -119,11 +119,11 @@
 			for _, b := range s.Budgets {
 				budgets = append(budgets, agreed.Budget{Of: b.Of, Zone: b.Zone, Group: b.Group, Most: b.Most, Share: b.Share})
 			}
-			legs := r.Forecast(s.Targets, budgets)
+			forecast := r.Forecast(s.Targets, budgets)
 			if *asJSON {
-				return writeJSON(cmd.OutOrStdout(), legs, nil)
+				return writeJSON(cmd.OutOrStdout(), forecast, nil)
 			}
-			return printForecast(cmd.OutOrStdout(), &r, legs)
+			return printForecast(cmd.OutOrStdout(), &r, forecast)
 		}})
 	rel.AddCommand(&cobra.Command{Use: "run FILE|NAME", Short: "drive a release, planning it first from FILE; or stand by, and take over when its driver is gone", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -215,26 +215,26 @@
 	c.AddCommand(rel, history())
 }
 
-func printForecast(out io.Writer, r *agreed.Release, legs []agreed.Leg) error {
+func printForecast(out io.Writer, r *agreed.Release, forecast []agreed.Leg) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "STEP\tTARGETS\tROUNDS\tAT MOST\tPAUSE\tWHICH")
-	var most int64
-	var cannot []string
-	for _, l := range legs {
+	var total int64
+	var obstacles []string
+	for _, l := range forecast {
 		which := strings.Join(l.Targets[:min(len(l.Targets), 6)], " ")
 		if len(l.Targets) > 6 {
 			which += " ..."
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%v\t%v\t%s\n", l.Step, len(l.Targets), l.Rounds, time.Duration(l.MostMs)*time.Millisecond, time.Duration(l.LeastMs)*time.Millisecond, which)
-		most += l.MostMs
+		total += l.MostMs
 		if l.Cannot != "" {
-			cannot = append(cannot, fmt.Sprintf("step %s: %s", l.Step, l.Cannot))
+			obstacles = append(obstacles, fmt.Sprintf("step %s: %s", l.Step, l.Cannot))
 		}
 	}
 	_ = w.Flush()
-	_, _ = fmt.Fprintf(out, "%s takes %v at the longest, with nothing else out\n", r.Name, time.Duration(most)*time.Millisecond)
-	if len(cannot) > 0 {
-		return errors.New("the plan can't be carried out: " + strings.Join(cannot, "; "))
+	_, _ = fmt.Fprintf(out, "%s takes %v at the longest, with nothing else out\n", r.Name, time.Duration(total)*time.Millisecond)
+	if len(obstacles) > 0 {
+		return errors.New("the plan can't be carried out: " + strings.Join(obstacles, "; "))
 	}
 	return nil
 }
@@ -265,30 +265,30 @@
 }
 
 // drive drives a release until it ends or is halted, or stands by while another process drives it. It returns an error
-// unless the release ends in state want.
-func drive(out io.Writer, c *councilClient, name, want string) error {
+// unless the release ends in state wantState.
+func drive(out io.Writer, c *councilClient, name, wantState string) error {
 	d := &driver{out: out, council: c, release: name, running: map[string]bool{}}
 	defer d.commands.Wait()
 	last, renewAt := "", time.Time{}
-	unheard := time.Now()
+	lastHeard := time.Now()
 	for {
 		r, s, err := c.release(name)
 		if err != nil && s != nil {
 			return err
 		}
 		if err == nil {
-			unheard = time.Now()
+			lastHeard = time.Now()
 			if line := progressLine(r, s.TimeMs); line != last {
 				last = line
 				_, _ = fmt.Fprintln(out, line)
 			}
 			if s.Leading && (r.Ended() || r.State == agreed.Halted) && !d.busy() {
-				if r.State != want {
+				if r.State != wantState {
 					return fmt.Errorf("release %s is %s: %s", name, r.State, r.Why)
 				}
 				return nil
 			}
-		} else if time.Since(unheard) > 10*time.Minute {
+		} else if time.Since(lastHeard) > 10*time.Minute {
 			return exitError{exUnavailable, err}
 		}
 		if now := time.Now(); now.After(renewAt) {
@@ -331,10 +331,10 @@
 		return false
 	}
 	p, fence := res.Permit, d.fence
-	words := r.Command
+	command := r.Command
 	version := r.Version
 	if res.Back {
-		words, version = r.Undo, r.Former
+		command, version = r.Undo, r.Former
 	}
 	d.mu.Lock()
 	d.running[p.Target] = true
@@ -347,29 +347,29 @@
 			delete(d.running, p.Target)
 			d.mu.Unlock()
 		}()
-		kill := asked.Add(time.Duration(r.TermMs) * time.Millisecond)
+		killAt := asked.Add(time.Duration(r.TermMs) * time.Millisecond)
 		if strings.HasPrefix(p.Target, "db/") {
 			time.Sleep(memberDrainNotice)
 		}
-		res, err := d.submit(kill, map[string]any{"op": "started", "target": p.Target, "fence": fence})
-		if err != nil || !res.OK || time.Now().After(kill) {
+		res, err := d.submit(killAt, map[string]any{"op": "started", "target": p.Target, "fence": fence})
+		if err != nil || !res.OK || time.Now().After(killAt) {
 			return // the command was not started, and the council takes the permit back by itself
 		}
 		_, _ = fmt.Fprintf(d.out, "%s goes out under permit %d\n", p.Target, p.Fence)
-		why := d.runCommand(words, p, version, kill)
-		if why != "" {
-			_, _ = fmt.Fprintf(d.out, "%s failed: %s\n", p.Target, why)
+		failure := d.runCommand(command, p, version, killAt)
+		if failure != "" {
+			_, _ = fmt.Fprintf(d.out, "%s failed: %s\n", p.Target, failure)
 		}
-		_, _ = d.submit(time.Now().Add(reportTimeout), map[string]any{"op": "ended", "target": p.Target, "fence": fence, "ok": why == "", "reason": why})
+		_, _ = d.submit(time.Now().Add(reportTimeout), map[string]any{"op": "ended", "target": p.Target, "fence": fence, "ok": failure == "", "reason": failure})
 	}()
 	return true
 }
 
-// runCommand runs the plan's command for a target, and stops it before its permit ends at kill. It returns the reason of a failure,
-// empty if there was none.
-func (d *driver) runCommand(words []string, p *permit, version string, kill time.Time) string {
+// runCommand runs the plan's command for a target, and stops it before its permit ends at killAt. It returns the reason
+// of a failure, empty if there was none.
+func (d *driver) runCommand(command []string, p *permit, version string, killAt time.Time) string {
 	var args []string
-	for _, w := range words {
+	for _, w := range command {
 		args = append(args, strings.NewReplacer("{target}", p.Target, "{name}", p.Target[strings.IndexByte(p.Target, '/')+1:], "{version}", version).Replace(w))
 	}
 	cmd := exec.Command(args[0], args[1:]...)
@@ -381,19 +381,19 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	stop := kill.Add(-min(terminationGrace, time.Until(kill)/5))
+	stopAt := killAt.Add(-min(terminationGrace, time.Until(killAt)/5))
 	select {
 	case err := <-ended:
 		if err != nil {
 			return err.Error()
 		}
 		return ""
-	case <-time.After(time.Until(stop)):
+	case <-time.After(time.Until(stopAt)):
 	}
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-ended:
-	case <-time.After(time.Until(kill)):
+	case <-time.After(time.Until(killAt)):
 		_ = cmd.Process.Kill()
 		<-ended
 	}
--- a/cmd/reachwind/spool.go
+++ b/cmd/reachwind/spool.go
@@ -120,15 +120,15 @@
 	return nil
 }
 
-// forEachRecord calls each with every record of a spool, and stops at the first error.
-func forEachRecord(s *spool.Spool, each func(*spool.Record) error) error {
+// forEachRecord calls handle with every record of a spool, and stops at the first error.
+func forEachRecord(s *spool.Spool, handle func(*spool.Record) error) error {
 	for {
 		records, _, err := s.Read(1<<20, func(uint64) bool { return true })
 		if err != nil || len(records) == 0 {
 			return err
 		}
 		for i := range records {
-			if err := each(&records[i]); err != nil {
+			if err := handle(&records[i]); err != nil {
 				return err
 			}
 		}
--- a/cmd/reachwind/zones.go
+++ b/cmd/reachwind/zones.go
@@ -52,14 +52,14 @@
 		}
 		return w.Flush()
 	}})
-	z := &cobra.Command{Use: "zone", Short: "steer a zone"}
-	for _, a := range [][2]string{{"out", "move a zone's load away, in steps, and keep it away"}, {"back", "let a zone's load come back, and resume automatic changes"}, {"hold", "suspend automatic changes of a zone"}} {
+	zone := &cobra.Command{Use: "zone", Short: "steer a zone"}
+	for _, action := range [][2]string{{"out", "move a zone's load away, in steps, and keep it away"}, {"back", "let a zone's load come back, and resume automatic changes"}, {"hold", "suspend automatic changes of a zone"}} {
 		var reason string
-		one := &cobra.Command{Use: a[0] + " ZONE", Short: a[1], Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			return checkResult(newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "zone", "name": args[0], "steer": a[0], "reason": reason}))
+		steer := &cobra.Command{Use: action[0] + " ZONE", Short: action[1], Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+			return checkResult(newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "zone", "name": args[0], "steer": action[0], "reason": reason}))
 		}}
-		one.Flags().StringVar(&reason, "reason", "", "reason shown in the plan and the history")
-		z.AddCommand(one)
+		steer.Flags().StringVar(&reason, "reason", "", "reason shown in the plan and the history")
+		zone.AddCommand(steer)
 	}
-	c.AddCommand(z)
+	c.AddCommand(zone)
 }
--- a/internal/edgeconf/edgeconf.go
+++ b/internal/edgeconf/edgeconf.go
@@ -137,14 +137,14 @@
 }
 
 // String reads a string.
-func (b *Block) String(name, usual string) string {
+func (b *Block) String(name, fallback string) string {
 	v, ok := b.value(name, "a string")
 	if !ok {
-		return usual
+		return fallback
 	}
 	if v.Type() != cty.String {
 		b.AddFaultAt(name, "%s is %s, want a string in quotes", name, describe(v))
-		return usual
+		return fallback
 	}
 	return v.AsString()
 }
@@ -160,42 +160,42 @@
 }
 
 // Bool reads true or false.
-func (b *Block) Bool(name string, usual bool) bool {
+func (b *Block) Bool(name string, fallback bool) bool {
 	v, ok := b.value(name, "true or false")
 	if !ok {
-		return usual
+		return fallback
 	}
 	if v.Type() != cty.Bool {
 		b.AddFaultAt(name, "%s is %s, want true or false", name, describe(v))
-		return usual
+		return fallback
 	}
 	return v.True()
 }
 
-// Number reads a number between least and most.
-func (b *Block) Number(name string, usual, least, most float64) float64 {
+// Number reads a number between minimum and maximum.
+func (b *Block) Number(name string, fallback, minimum, maximum float64) float64 {
 	v, ok := b.value(name, "a number")
 	if !ok {
-		return usual
+		return fallback
 	}
 	if v.Type() != cty.Number {
 		b.AddFaultAt(name, "%s is %s, want a number", name, describe(v))
-		return usual
+		return fallback
 	}
 	n, _ := v.AsBigFloat().Float64()
-	if n < least || n > most {
-		b.AddFaultAt(name, "%s is %s, want from %g to %g", name, describe(v), least, most)
-		return usual
+	if n < minimum || n > maximum {
+		b.AddFaultAt(name, "%s is %s, want from %g to %g", name, describe(v), minimum, maximum)
+		return fallback
 	}
 	return n
 }
 
-// Int reads a whole number between least and most.
-func (b *Block) Int(name string, usual, least, most int64) int64 {
-	n := b.Number(name, float64(usual), float64(least), float64(most))
+// Int reads a whole number between minimum and maximum.
+func (b *Block) Int(name string, fallback, minimum, maximum int64) int64 {
+	n := b.Number(name, float64(fallback), float64(minimum), float64(maximum))
 	if n != math.Trunc(n) {
 		b.AddFaultAt(name, "%s is %g, want a whole number", name, n)
-		return usual
+		return fallback
 	}
 	return int64(n)
 }
@@ -205,11 +205,11 @@
 	n    float64
 }{{"KB", 1 << 10}, {"MB", 1 << 20}, {"GB", 1 << 30}, {"B", 1}}
 
-// Size reads a number of bytes, such as "4MB", between least and most.
-func (b *Block) Size(name string, usual, least, most int64) int64 {
+// Size reads a number of bytes, such as "4MB", between minimum and maximum.
+func (b *Block) Size(name string, fallback, minimum, maximum int64) int64 {
 	text := b.String(name, "")
 	if text == "" {
-		return usual
+		return fallback
 	}
 	for _, u := range units {
 		digits, ok := strings.CutSuffix(text, u.name)
@@ -220,14 +220,14 @@
 		if err != nil {
 			break
 		}
-		if size := n * u.n; size >= float64(least) && size <= float64(most) {
+		if size := n * u.n; size >= float64(minimum) && size <= float64(maximum) {
 			return int64(size)
 		}
-		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(least), FormatSize(most))
-		return usual
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(minimum), FormatSize(maximum))
+		return fallback
 	}
 	b.AddFaultAt(name, "%s is %q, want a size such as \"64KB\", \"4MB\" or \"1GB\"", name, text)
-	return usual
+	return fallback
 }
 
 // FormatSize formats a number of bytes as Size reads it.
@@ -240,22 +240,22 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-// Duration reads a duration, such as "250ms", between least and most.
-func (b *Block) Duration(name string, usual, least, most time.Duration) time.Duration {
+// Duration reads a duration, such as "250ms", between minimum and maximum.
+func (b *Block) Duration(name string, fallback, minimum, maximum time.Duration) time.Duration {
 	text := b.String(name, "")
 	if text == "" {
-		return usual
+		return fallback
 	}
-	d, err := time.ParseDuration(text)
+	duration, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
 		b.AddFaultAt(name, "%s is %q, want a duration such as \"250ms\", \"5s\" or \"24h\"", name, text)
-	case d < least || d > most:
-		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, least, most)
+	case duration < minimum || duration > maximum:
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, minimum, maximum)
 	default:
-		return d
+		return duration
 	}
-	return usual
+	return fallback
 }
 
 // Strings reads a list of strings.
@@ -279,44 +279,44 @@
 	return texts
 }
 
-// Enum reads a string that must be one of among.
-func (b *Block) Enum(name, usual string, among ...string) string {
-	text := b.String(name, usual)
-	for _, a := range among {
+// Enum reads a string that must be one of allowed.
+func (b *Block) Enum(name, fallback string, allowed ...string) string {
+	text := b.String(name, fallback)
+	for _, a := range allowed {
 		if text == a {
 			return text
 		}
 	}
 	if b.Has(name) {
-		b.AddFaultAt(name, "%s is %q, want one of %s", name, text, quoteAll(among))
+		b.AddFaultAt(name, "%s is %q, want one of %s", name, text, quoteAll(allowed))
 	}
-	return usual
+	return fallback
 }
 
-// EnumIndexes reads a list of strings that must each be one of among, and returns their indexes in among.
-func (b *Block) EnumIndexes(name string, among []string) (places []int) {
+// EnumIndexes reads a list of strings that must each be one of allowed, and returns their indexes in allowed.
+func (b *Block) EnumIndexes(name string, allowed []string) (indexes []int) {
 	for _, text := range b.Strings(name) {
-		at := -1
-		for i, a := range among {
+		index := -1
+		for i, a := range allowed {
 			if a == text {
-				at = i
+				index = i
 			}
 		}
-		if at < 0 {
-			b.AddFaultAt(name, "%s holds %q, want some of %s", name, text, quoteAll(among))
+		if index < 0 {
+			b.AddFaultAt(name, "%s holds %q, want some of %s", name, text, quoteAll(allowed))
 			continue
 		}
-		places = append(places, at)
+		indexes = append(indexes, index)
 	}
-	return places
+	return indexes
 }
 
-func quoteAll(among []string) string {
-	var q []string
-	for _, a := range among {
-		q = append(q, strconv.Quote(a))
+func quoteAll(values []string) string {
+	var quoted []string
+	for _, a := range values {
+		quoted = append(quoted, strconv.Quote(a))
 	}
-	return strings.Join(q, ", ")
+	return strings.Join(quoted, ", ")
 }
 
 // Blocks calls read for each block of a type, in their order. Labelled blocks must have exactly one label, which must be
@@ -324,30 +324,30 @@
 func (b *Block) Blocks(kind string, labelled bool, read func(*Block)) {
 	b.read[kind+" {"] = true
 	labels := map[string]bool{}
-	n := 0
-	for _, h := range b.body.Blocks {
-		if h.Type != kind {
+	count := 0
+	for _, block := range b.body.Blocks {
+		if block.Type != kind {
 			continue
 		}
-		n++
-		in := &Block{Type: kind, dir: b.dir, body: h.Body, faults: b.faults, read: map[string]bool{}, span: h.DefRange()}
+		count++
+		inner := &Block{Type: kind, dir: b.dir, body: block.Body, faults: b.faults, read: map[string]bool{}, span: block.DefRange()}
 		switch {
-		case labelled && (len(h.Labels) != 1 || h.Labels[0] == ""):
-			in.AddFault("block %s has %d labels, want one: its name", kind, len(h.Labels))
-		case !labelled && len(h.Labels) > 0:
-			in.AddFault("block %s has a label, want none", kind)
-		case !labelled && n > 1:
-			in.AddFault("a second block %s, want one at most", kind)
+		case labelled && (len(block.Labels) != 1 || block.Labels[0] == ""):
+			inner.AddFault("block %s has %d labels, want one: its name", kind, len(block.Labels))
+		case !labelled && len(block.Labels) > 0:
+			inner.AddFault("block %s has a label, want none", kind)
+		case !labelled && count > 1:
+			inner.AddFault("a second block %s, want one at most", kind)
 		}
-		if len(h.Labels) > 0 {
-			in.Label = h.Labels[0]
-			if labels[in.Label] {
-				in.AddFault("a second block %s %q, want a name that no other has", kind, in.Label)
+		if len(block.Labels) > 0 {
+			inner.Label = block.Labels[0]
+			if labels[inner.Label] {
+				inner.AddFault("a second block %s %q, want a name that no other has", kind, inner.Label)
 			}
-			labels[in.Label] = true
+			labels[inner.Label] = true
 		}
-		read(in)
-		in.reportUnread()
+		read(inner)
+		inner.reportUnread()
 	}
 }
 
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -13,16 +13,16 @@
 // acceptBacklog accepts the connections that wait in l's backlog, hands each to take, and returns their number. It does not
 // block. Without it, closing the listener would reset them and lose what they sent. It may run concurrently with Accept.
 func acceptBacklog(l net.Listener, take func(net.Conn), log *slog.Logger) (taken int) {
-	if d, ok := l.(*toggleListener); ok {
-		d.mu.Lock()
-		l = d.inner
-		d.mu.Unlock()
+	if toggle, ok := l.(*toggleListener); ok {
+		toggle.mu.Lock()
+		l = toggle.inner
+		toggle.mu.Unlock()
 	}
-	sc, ok := l.(syscall.Conn)
+	socket, ok := l.(syscall.Conn)
 	if !ok { // not a socket, or disabled
 		return 0
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return 0
 	}
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestDescriptorCountUnknown: a process that can't count its descriptors reports its limit, so that another process of the gateway
-// uses no more than its minimum.
+// TestDescriptorCountUnknown: a process that can't count its descriptors reports its limit, so that another process of
+// the gateway uses no more than its minimum.
 func TestDescriptorCountUnknown(t *testing.T) {
 	if n := countDescriptors(ownDescriptorDir, 1<<20); n < 3 || n >= 1<<20 {
 		t.Errorf("%d descriptors counted", n)
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// smallSocketBuffer is the size in bytes of socket buffers. With the kernel's default of up to 4 MiB whole values would fit into them,
-// and slow clients would not hold up the gateway.
+// smallSocketBuffer is the size in bytes of socket buffers. With the kernel's default of up to 4 MiB whole values would
+// fit into them, and slow clients would not hold up the gateway.
 const smallSocketBuffer = 64 << 10
 
 // smallBufferListener accepts connections with small write buffers.
@@ -81,8 +81,9 @@
 	return nc, err
 }
 
-// TestSlowClientsOfLargeValues: 200 slow clients read values of 4 MiB at the same time through a gateway with 64 MB. Each receives its value
-// complete and in order. The gateway never holds whole values: its memory stays a small fraction of the data in transit.
+// TestSlowClientsOfLargeValues: 200 slow clients read values of 4 MiB at the same time through a gateway with 64 MB.
+// Each receives its value complete and in order. The gateway never holds whole values: its memory stays a small
+// fraction of the data in transit.
 func TestSlowClientsOfLargeValues(t *testing.T) {
 	const clients, size = 200, 4 << 20
 	answer := bulkAnswer(size)
@@ -130,13 +131,13 @@
 
 	var all sync.WaitGroup
 	begun := make(chan bool, 4*clients) // one element for each client that has received the start of its value
-	goOn := make(chan struct{})
+	readFaster := make(chan struct{})
 	for n := range clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for try := 0; ; try++ {
-				again, err := readBulk(front.Addr().String(), fmt.Sprintf("%d-%d", n, try), answer, begun, goOn)
+				again, err := readBulk(front.Addr().String(), fmt.Sprintf("%d-%d", n, try), answer, begun, readFaster)
 				if err != nil {
 					t.Errorf("client %d: %v", n, err)
 				}
@@ -147,10 +148,10 @@
 			}
 		}()
 	}
-	under := 0
+	inTransit := 0
 	// Well below the 5 s after which a client that reads nothing is disconnected. How many values are in transit by then is
 	// only logged.
-	for late := time.After(2 * time.Second); under < clients; under++ {
+	for late := time.After(2 * time.Second); inTransit < clients; inTransit++ {
 		select {
 		case <-begun:
 			continue
@@ -165,10 +166,10 @@
 		t.Errorf("%d of %d full-size buffers in use", free-left, free)
 	}
 	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // includes the memory of the test's clients and members
-		t.Errorf("%d MB in use with %d values of 4 MiB in transit, want at most %d", (m.HeapInuse+m.StackInuse)>>20, under, most>>20)
+		t.Errorf("%d MB in use with %d values of 4 MiB in transit, want at most %d", (m.HeapInuse+m.StackInuse)>>20, inTransit, most>>20)
 	}
-	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.buffers.FreeSmall(), free-g.buffers.FreeLarge())
-	close(goOn)
+	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, inTransit, small-g.buffers.FreeSmall(), free-g.buffers.FreeLarge())
+	close(readFaster)
 	all.Wait()
 	stop()
 	if err := <-done; err != nil {
@@ -179,9 +180,9 @@
 	}
 }
 
-// readBulk sends one request and reads the value by 1 KiB until goOn is closed, then faster. It returns again = true if the
-// request was refused or cut off at its time limit and is to be repeated.
-func readBulk(addr, id string, answer []byte, begun chan<- bool, goOn <-chan struct{}) (again bool, err error) {
+// readBulk sends one request and reads the value by 1 KiB until readFaster is closed, then faster. It returns again =
+// true if the request was refused or cut off at its time limit and is to be repeated.
+func readBulk(addr, id string, answer []byte, begun chan<- bool, readFaster <-chan struct{}) (again bool, err error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false, err
@@ -205,19 +206,19 @@
 	}
 	begun <- true
 	limit := time.Now().Add(50 * time.Second) // the gateway cuts an answer off after a minute
-	want := answer[1:]
-	for len(want) > 0 {
+	rest := answer[1:]
+	for len(rest) > 0 {
 		n, err := nc.Read(got)
-		if !bytes.HasPrefix(want, got[:n]) {
-			return false, fmt.Errorf("value differs, %d bytes before its end", len(want))
+		if !bytes.HasPrefix(rest, got[:n]) {
+			return false, fmt.Errorf("value differs, %d bytes before its end", len(rest))
 		}
-		if want = want[n:]; err != nil && time.Now().After(limit) {
+		if rest = rest[n:]; err != nil && time.Now().After(limit) {
 			return true, nil
 		} else if err != nil {
-			return false, fmt.Errorf("%w, %d bytes before the value's end", err, len(want))
+			return false, fmt.Errorf("%w, %d bytes before the value's end", err, len(rest))
 		}
 		select {
-		case <-goOn:
+		case <-readFaster:
 			if len(got) < 32<<10 {
 				got = make([]byte, 32<<10)
 			}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -88,12 +88,12 @@
 	if err == nil || os.Getenv("NODE_SOCKET_FD") == "" {
 		return c, err
 	}
-	text, e := handover.Load(os.TempDir(), configFile)
-	if e != nil {
+	text, previousErr := handover.Load(os.TempDir(), configFile)
+	if previousErr != nil {
 		return nil, err
 	}
-	c, e = Parse(text, os.Getenv)
-	if e != nil {
+	c, previousErr = Parse(text, os.Getenv)
+	if previousErr != nil {
 		return nil, err
 	}
 	log.Error("configuration not used, what the former process was told holds", "err", err)
@@ -103,7 +103,7 @@
 
 // Parse is Load for the text of a file; env looks up environment variables.
 func Parse(text []byte, env func(string) string) (*Config, error) {
-	var f struct {
+	var file struct {
 		Name, Listen, Discovery, Seed string
 		Limits                        struct {
 			Memory  float64 `json:"memory_mb"`
@@ -113,11 +113,11 @@
 		Settings json.RawMessage
 		Admin    string `json:"admin_addr"`
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, listVersion: f.Known.Generation,
-		memoryBytes: int64(f.Limits.Memory * (1 << 20)), maxSockets: f.Limits.Sockets}
+	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, listVersion: file.Known.Generation,
+		memoryBytes: int64(file.Limits.Memory * (1 << 20)), maxSockets: file.Limits.Sockets}
 	for _, v := range []struct {
 		to   *string
 		name string
@@ -147,15 +147,15 @@
 		return nil, fmt.Errorf("limits: at least %d sockets and %d MB are needed", minSockets, minMemoryBytes>>20)
 	}
 	var err error
-	if f.Seed == "" {
+	if file.Seed == "" {
 		c.seed = uint64(time.Now().UnixNano())
-	} else if c.seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", f.Seed)
+	} else if c.seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", file.Seed)
 	}
-	if c.Known, err = f.Known.Members(); err != nil {
+	if c.Known, err = file.Known.Members(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if c.settings, err = settings.Parse(f.Settings); err != nil {
+	if c.settings, err = settings.Parse(file.Settings); err != nil {
 		return nil, err
 	}
 	if c.Decide, err = c.settings.Config(); err != nil {
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -35,7 +35,7 @@
 
 // loadEdge is LoadEdge with the names of classes, outcomes and so on that records may contain.
 func loadEdge(path string, c *Config, names activesettings.Names) (*Edge, error) {
-	e := new(Edge)
+	edge := new(Edge)
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("syslog", false, func(b *edgeconf.Block) {
 			s := logship.Read(b, logship.Names(names))
@@ -44,30 +44,30 @@
 			}
 			s.Syslog.ProcID = strconv.Itoa(os.Getpid())
 			s.Seed = c.seed
-			e.Syslog = &s
+			edge.Syslog = &s
 		})
 		b.Blocks("rest", false, func(b *edgeconf.Block) {
 			r := restfront.ReadConfig(b)
 			r.Settings = c.active
-			e.REST = &r
+			edge.REST = &r
 		})
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
 			f := fleet.ReadConfig(b)
 			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.MaxNameBytes {
 				b.AddFault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.MaxNameBytes)
 			}
-			e.Fleet = &f
+			edge.Fleet = &f
 		})
 	})
 	if err != nil {
 		return nil, err
 	}
-	if e.Syslog != nil {
-		if err := e.Syslog.Defaults(); err != nil {
+	if edge.Syslog != nil {
+		if err := edge.Syslog.Defaults(); err != nil {
 			return nil, err
 		}
 	}
-	return e, nil
+	return edge, nil
 }
 
 // Budget is how descriptors and memory are divided.
@@ -104,12 +104,12 @@
 		memory, files := c.adminConfig().Footprint()
 		b.SubsystemBytes, b.SubsystemDescriptors = b.SubsystemBytes+memory, b.SubsystemDescriptors+files
 	}
-	left := c.maxSockets - b.SubsystemDescriptors
-	b.DividedSockets = max(minDividedSockets, min(left, int(float64(left-reservedDescriptors)/(clientFraction+closingFraction+memberFraction))))
+	available := c.maxSockets - b.SubsystemDescriptors
+	b.DividedSockets = max(minDividedSockets, min(available, int(float64(available-reservedDescriptors)/(clientFraction+closingFraction+memberFraction))))
 	b.ClientConnections, b.MemberConnections = int(clientFraction*float64(b.DividedSockets)), int(memberFraction*float64(b.DividedSockets))
-	room := bufferFraction * float64(max(0, memory-b.SubsystemBytes))
-	b.SmallBuffers = int(smallBufferFraction*room) / pgwire.SmallBufSize
-	b.Buffers = max(minBuffers, int((1-smallBufferFraction)*room)/pgwire.LargeBufSize)
+	bufferMemory := bufferFraction * float64(max(0, memory-b.SubsystemBytes))
+	b.SmallBuffers = int(smallBufferFraction*bufferMemory) / pgwire.SmallBufSize
+	b.Buffers = max(minBuffers, int((1-smallBufferFraction)*bufferMemory)/pgwire.LargeBufSize)
 	b.BufferBytes = int64(b.Buffers)*pgwire.LargeBufSize + int64(b.SmallBuffers)*pgwire.SmallBufSize
 	return b
 }
@@ -117,8 +117,8 @@
 var errRestart = errors.New("adding or removing the block, or changing what a front listens on, takes a restart of the gateway")
 
 // startREST starts the REST front. It returns an error if the front can't be configured or its address not listened on.
-func startREST(conf *restfront.Config, owner *core.Core, claims *call.ActiveIDs, log *slog.Logger) (subsystem, error) {
-	s, err := restfront.New(owner, *conf, claims, log)
+func startREST(conf *restfront.Config, engine *core.Core, claims *call.ActiveIDs, log *slog.Logger) (subsystem, error) {
+	s, err := restfront.New(engine, *conf, claims, log)
 	if err != nil {
 		return subsystem{}, err
 	}
@@ -138,25 +138,25 @@
 }
 
 // startSyslog starts the log shipper and registers it as the sink of the core's and the log's records.
-func startSyslog(conf *logship.Config, owner *core.Core, cold time.Duration, o Options) (subsystem, error) {
-	start := owner.Now()
-	key := make([]byte, 32) // for hashed session names: comparable while this process lives, and not outside it
-	if _, err := rand.Read(key); err != nil {
+func startSyslog(conf *logship.Config, engine *core.Core, slowStart time.Duration, o Options) (subsystem, error) {
+	start := engine.Now()
+	sessionKey := make([]byte, 32) // for hashed session names: comparable while this process lives, and not outside it
+	if _, err := rand.Read(sessionKey); err != nil {
 		return subsystem{}, err
 	}
-	own := o.Log
+	ownLog := o.Log
 	if o.Records != nil { // the shipper's own log lines must not become records, since each would cause another
-		own = slog.New(o.Records.Handler)
+		ownLog = slog.New(o.Records.Handler)
 	}
-	fill := func(c logship.Config) logship.Config {
-		c.Syslog.Start, c.Syslog.Key, c.Syslog.Version = start, key, o.Version
+	complete := func(c logship.Config) logship.Config {
+		c.Syslog.Start, c.Syslog.Key, c.Syslog.Version = start, sessionKey, o.Version
 		return c
 	}
-	s, err := logship.New(fill(*conf), owner.Now, own)
+	s, err := logship.New(complete(*conf), engine.Now, ownLog)
 	if err != nil {
 		return subsystem{}, err
 	}
-	owner.SetRecordSink(s, cold)
+	engine.SetRecordSink(s, slowStart)
 	if o.Records != nil {
 		o.Records.SetSink(s)
 	}
@@ -166,7 +166,7 @@
 			if e.Syslog == nil {
 				return nil, errRestart
 			}
-			return s.Prepare(fill(*e.Syslog))
+			return s.Prepare(complete(*e.Syslog))
 		},
 		stop: func(ctx context.Context) {
 			if o.Records != nil {
@@ -175,10 +175,10 @@
 			dropped := s.Close(ctx)
 			counts, lost := s.Counts()
 			for _, c := range counts {
-				own.Info("collector done", "collector", c.Name, "made", c.Made, "handed_over", c.Handed, "on_disk", c.Disk, "waiting", c.Memory)
+				ownLog.Info("collector done", "collector", c.Name, "made", c.Made, "handed_over", c.Handed, "on_disk", c.Disk, "waiting", c.Memory)
 			}
 			if dropped > 0 || lost > 0 {
-				own.Warn("records lost at the end", "waiting", dropped, "unrouted", lost)
+				ownLog.Warn("records lost at the end", "waiting", dropped, "unrouted", lost)
 			}
 		},
 	}, nil
--- a/internal/gateway/edge_test.go
+++ b/internal/gateway/edge_test.go
@@ -109,15 +109,15 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	k, err := standin.Start(standin.Config{Network: "tcp", Address: "127.0.0.1:0", Check: true})
+	collector, err := standin.Start(standin.Config{Network: "tcp", Address: "127.0.0.1:0", Check: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Stop(true)
+	defer collector.Stop(true)
 	dir := t.TempDir()
 	path, edge := filepath.Join(dir, "config.json"), filepath.Join(dir, "edge.hcl")
 	text := func(extra string) string {
-		return fmt.Sprintf("syslog {\n collector \"office\" { address = %q }\n route \"all\" { to = [\"office\"] }\n %s\n}\n", k.Addr, extra)
+		return fmt.Sprintf("syslog {\n collector \"office\" { address = %q }\n route \"all\" { to = [\"office\"] }\n %s\n}\n", collector.Addr, extra)
 	}
 	write := func(name, text string) {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -212,9 +212,9 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s := k.Book.Summary()
+	s := collector.Book.Summary()
 	for range 500 {
-		if s = k.Book.Summary(); s.Kinds["request"] == all && s.Kinds["member"] >= 3 && s.Kinds["log"] >= 3 {
+		if s = collector.Book.Summary(); s.Kinds["request"] == all && s.Kinds["member"] >= 3 && s.Kinds["log"] >= 3 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -225,6 +225,6 @@
 		}
 	}
 	if s.Kinds["member"] < 3 || s.Kinds["log"] < 3 || s.Missing > 0 || s.Invalid > 0 {
-		t.Errorf("collected %+v, %v", s, k.Book.Faults())
+		t.Errorf("collected %+v, %v", s, collector.Book.Faults())
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,8 +16,8 @@
 	"reachwind/internal/fleet/subscribe"
 )
 
-// fleetAdapter implements fleet.Gateway: it passes peers' reports and quotas to package decide as events, and gives the fleet the
-// counters and observations of this gateway.
+// fleetAdapter implements fleet.Gateway: it passes peers' reports and quotas to package decide as events, and gives the
+// fleet the counters and observations of this gateway.
 type fleetAdapter struct {
 	*instance
 	counters     *subscribe.Counts                 // owned by the core's goroutine
@@ -27,21 +27,21 @@
 }
 
 // ApplyAdvice implements fleet.Gateway.
-func (g *fleetAdapter) ApplyAdvice(member string, look, try, guess bool) {
-	if guess {
+func (g *fleetAdapter) ApplyAdvice(member string, probe, tryAgain, likelyPrimary bool) {
+	if likelyPrimary {
 		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Role: decide.Primary})
 	}
-	if try {
+	if tryAgain {
 		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.Served})
 	}
-	if look {
+	if probe {
 		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.TimedOut})
 	}
 }
 
 // SetQuotas implements fleet.Gateway.
-func (g *fleetAdapter) SetQuotas(parts [quota.BudgetCount]float64, done func([quota.BudgetCount]float64)) {
-	g.core.PostEvent(decide.Event{Kind: decide.BudgetShares, BudgetShares: parts})
+func (g *fleetAdapter) SetQuotas(quotas [quota.BudgetCount]float64, done func([quota.BudgetCount]float64)) {
+	g.core.PostEvent(decide.Event{Kind: decide.BudgetShares, BudgetShares: quotas})
 	g.core.Post(func() { done(g.router.BudgetDemand()) })
 }
 
@@ -49,18 +49,18 @@
 func (g *fleetAdapter) CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts)) {
 	g.core.Post(func() {
 		all := g.router.Members()
-		var some []subscribe.MemberReport
+		var reports []subscribe.MemberReport
 		for range min(len(all), subscribe.MaxMembersPerReport) {
 			g.lastReported = (g.lastReported + 1) % len(all)
-			k := &all[g.lastReported]
-			some = append(some, subscribe.MemberReport{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
-				Position: k.Position.Milliseconds(), Out: k.Unavailable})
+			member := &all[g.lastReported]
+			reports = append(reports, subscribe.MemberReport{Member: member.Member, Group: member.Group, Zone: member.Zone, Primary: member.Role == decide.Primary,
+				Position: member.Position.Milliseconds(), Out: member.Unavailable})
 		}
-		var tried []subscribe.ZoneAttempts
+		var attempts []subscribe.ZoneAttempts
 		for _, z := range slices.Sorted(maps.Keys(g.attempts)) {
-			tried = append(tried, g.attempts[z])
+			attempts = append(attempts, g.attempts[z])
 		}
-		done(*g.counters, some, tried)
+		done(*g.counters, reports, attempts)
 	})
 }
 
@@ -81,8 +81,9 @@
 // maxProbesPerSecond limits the probes per second of members in zones that load is moved away from.
 const maxProbesPerSecond = 3
 
-// ProbeZonesAway implements fleet.Gateway. It probes whether some members of zones that load is moved away from accept connections,
-// other ones each time. That is weak evidence, but enough for returning a first small fraction of the load.
+// ProbeZonesAway implements fleet.Gateway. It probes whether some members of zones that load is moved away from accept
+// connections, other ones each time. That is weak evidence, but enough for returning a first small fraction of the
+// load.
 func (g *fleetAdapter) ProbeZonesAway() {
 	if g.overlay == nil {
 		return
@@ -125,31 +126,31 @@
 }
 
 // SetConnectionFraction implements fleet.Gateway.
-func (g *fleetAdapter) SetConnectionFraction(part float64) {
-	d := g.listener.Load()
-	if d == nil {
+func (g *fleetAdapter) SetConnectionFraction(fraction float64) {
+	toggle := g.listener.Load()
+	if toggle == nil {
 		return
 	}
-	g.front.Quiesce(part == 0)
-	if part == 0 || part < 1 && float64(g.front.OpenConnections()) >= part*float64(g.maxClients) {
-		d.Disable()
-	} else if err := d.Enable(); err != nil {
-		g.options.Log.Error("the clients' address can't be opened again", "listen", d.addr, "err", err)
+	g.front.Quiesce(fraction == 0)
+	if fraction == 0 || fraction < 1 && float64(g.front.OpenConnections()) >= fraction*float64(g.maxClients) {
+		toggle.Disable()
+	} else if err := toggle.Enable(); err != nil {
+		g.options.Log.Error("the clients' address can't be opened again", "listen", toggle.addr, "err", err)
 	}
 }
 
 // OpenConnections implements fleet.Gateway.
 func (g *fleetAdapter) OpenConnections() int { return g.front.OpenConnections() }
 
-// coreWitness implements core.Witness: it reports to the fleet what the core observes.
-type coreWitness struct {
+// coreObserver implements core.Observer: it reports what the core observes to the fleet.
+type coreObserver struct {
 	fleet    *fleet.Fleet
 	counters *subscribe.Counts
 	adapter  *fleetAdapter
 }
 
-// AttemptEnded implements core.Witness.
-func (s coreWitness) AttemptEnded(member string, r decide.Result) {
+// AttemptEnded implements core.Observer.
+func (s coreObserver) AttemptEnded(member string, r decide.Result) {
 	if s.adapter.overlay != nil {
 		if zone := s.adapter.overlay.zoneOf(member); zone != "" {
 			s.adapter.countAttempt(zone, r)
@@ -157,8 +158,8 @@
 	}
 }
 
-// RequestEnded implements core.Witness.
-func (s coreWitness) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
+// RequestEnded implements core.Observer.
+func (s coreObserver) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
 	c := &s.counters.Classes[min(q.ClassIndex, agreed.ClassesMost-1)]
 	c.Requests++
 	if v != core.Served {
@@ -171,8 +172,8 @@
 	s.counters.Latency[agreed.Bucket(took.Microseconds())]++
 }
 
-// MemberChanged implements core.Witness.
-func (s coreWitness) MemberChanged(c decide.Change, member string) {
+// MemberChanged implements core.Observer.
+func (s coreObserver) MemberChanged(c decide.Change, member string) {
 	switch c {
 	case decide.Suspected:
 		s.fleet.RecordObservation(member, observation.Silent, 0)
@@ -186,14 +187,14 @@
 	}
 }
 
-// Answered implements core.Witness.
-func (s coreWitness) Answered(member string) { s.fleet.RecordAnswer(member) }
+// Answered implements core.Observer.
+func (s coreObserver) Answered(member string) { s.fleet.RecordAnswer(member) }
 
-// Probed implements core.Witness.
-func (s coreWitness) Probed(member string, answered bool) { s.fleet.RecordProbe(member, answered) }
+// Probed implements core.Observer.
+func (s coreObserver) Probed(member string, answered bool) { s.fleet.RecordProbe(member, answered) }
 
-// DiscoveryAnswered implements core.Witness.
-func (s coreWitness) DiscoveryAnswered() { s.fleet.RecordDiscovery() }
+// DiscoveryAnswered implements core.Observer.
+func (s coreObserver) DiscoveryAnswered() { s.fleet.RecordDiscovery() }
 
 // startFleet starts the fleet subsystem of g, which has a number of full-size buffers.
 func startFleet(conf *fleet.Config, g *instance, buffers int) (subsystem, error) {
@@ -201,17 +202,17 @@
 	if wall == nil {
 		wall = time.Now
 	}
-	own := *conf
-	own.Version = g.options.Version
-	counts := new(subscribe.Counts)
-	way := &fleetAdapter{instance: g, counters: counts, attempts: map[string]subscribe.ZoneAttempts{}}
-	f, err := fleet.Start(own, fleet.Deps{Log: g.options.Log, Zone: g.config.Decide.Zone, Wall: wall, Gateway: way,
+	fleetConfig := *conf
+	fleetConfig.Version = g.options.Version
+	counters := new(subscribe.Counts)
+	adapter := &fleetAdapter{instance: g, counters: counters, attempts: map[string]subscribe.ZoneAttempts{}}
+	f, err := fleet.Start(fleetConfig, fleet.Deps{Log: g.options.Log, Zone: g.config.Decide.Zone, Wall: wall, Gateway: adapter,
 		Longest: maxShutdown(g.config.active.Current().MaxDeadline),
-		Load:    func() float64 { return float64(g.claims.Len()) / float64(max(1, buffers)) }})
+		Load:    func() float64 { return float64(g.activeIDs.Len()) / float64(max(1, buffers)) }})
 	if err != nil {
 		return subsystem{}, err
 	}
-	g.core.SetObserver(coreWitness{f, counts, way})
+	g.core.SetObserver(coreObserver{f, counters, adapter})
 	g.fleet = f
 	return subsystem{
 		name: "fleet",
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,8 +55,8 @@
 	maxCountedDeadline      = 3 * time.Second // the platform counts longer deadlines as this one
 	startupTimeout          = 2500 * time.Millisecond
 	writeTimeout            = 5 * time.Second
-	refusalTimeout          = time.Second
-	maxClientIdle           = 2 * time.Second
+	lingerTimeout           = time.Second
+	clientIdleTimeout       = 2 * time.Second
 	minBuffers              = 16
 	passThroughReserve      = 0.5  // of the buffers, withheld from answers that are passed through: these can do without buffers
 	memberAnswerReserve     = 0.15 // of the buffers, for members' answers, which hold them only briefly
@@ -122,7 +122,7 @@
 	buffers    *pgwire.Pool
 	discovery  *discovery.Client
 	front      *pgfront.Server
-	claims     *call.ActiveIDs
+	activeIDs  *call.ActiveIDs
 	subsystems []subsystem
 	overlay    *overlay                       // nil: no council is configured
 	admin      *adminOperator                 // nil: no admin API
@@ -133,19 +133,20 @@
 	termAt     func() time.Time               // when SIGTERM arrived; waits for it
 }
 
-// Sizes are the lengths of the tables that could grow with time or with peers' input; docs/design/fleet.md lists their bounds.
+// Sizes are the lengths of the tables that could grow with time or with peers' input; docs/design/fleet.md lists their
+// bounds.
 type Sizes struct {
-	Decide decide.Sizes
-	Core   core.Sizes
-	Pool   pgmember.Sizes
-	Claims int // ids of requests in progress
+	Decide    decide.Sizes
+	Core      core.Sizes
+	Pool      pgmember.Sizes
+	ActiveIDs int // ids of requests in progress
 }
 
 // sizes collects them on the core's goroutine, which must be running.
 func (g *instance) sizes() (s Sizes) {
 	done := make(chan struct{})
 	g.core.Post(func() {
-		s = Sizes{Decide: g.router.Sizes(), Core: g.core.Sizes(), Pool: g.pool.Sizes(), Claims: g.claims.Len()}
+		s = Sizes{Decide: g.router.Sizes(), Core: g.core.Sizes(), Pool: g.pool.Sizes(), ActiveIDs: g.activeIDs.Len()}
 		close(done)
 	})
 	<-done
@@ -173,12 +174,12 @@
 				if err != nil {
 					break
 				}
-				f, e := p.prepare(edge)
-				if err = e; err != nil {
+				applyOne, prepareErr := p.prepare(edge)
+				if err = prepareErr; err != nil {
 					err = fmt.Errorf("%s: %w", p.name, err)
 					break
 				}
-				apply = append(apply, f)
+				apply = append(apply, applyOne)
 			}
 		}
 	}
@@ -196,12 +197,12 @@
 
 // Run serves listener until term ends.
 func Run(term context.Context, hup <-chan os.Signal, c *Config, listener net.Listener, o Options) error {
-	came := endTime(term) // SIGTERM may arrive while the gateway is being built
+	termAt := endTime(term) // SIGTERM may arrive while the gateway is being built
 	g, err := build(c, o)
 	if err != nil {
 		return err
 	}
-	g.termAt = came
+	g.termAt = termAt
 	return g.run(term, hup, listener)
 }
 
@@ -223,54 +224,54 @@
 	if o.Dial != nil {
 		dial = o.Dial
 	}
-	share := c.Budget(edge)
-	bufs := pgwire.NewPool(share.Buffers, share.SmallBuffers)
-	owner := core.New(core.NewClock(), router, log)
-	pool := pgmember.New(owner, memberPoolConfig(c.settings, share.MemberConnections, int(passThroughReserve*float64(share.Buffers))), bufs, dial, log)
-	list := discovery.Sink(owner.List)
-	line := openHandover(o.HandoverDir, c, owner.Now, log)
-	line.loadList(c)
-	line.saveConfig(c.source)
+	budget := c.Budget(edge)
+	buffers := pgwire.NewPool(budget.Buffers, budget.SmallBuffers)
+	engine := core.New(core.NewClock(), router, log)
+	pool := pgmember.New(engine, memberPoolConfig(c.settings, budget.MemberConnections, int(passThroughReserve*float64(budget.Buffers))), buffers, dial, log)
+	sink := discovery.Sink(engine.List)
+	handover := openHandover(o.HandoverDir, c, engine.Now, log)
+	handover.loadList(c)
+	handover.saveConfig(c.source)
 	c.source = nil
-	var ops *adminOperator
+	var admin *adminOperator
 	if c.Admin != "" {
-		ops = newAdminOperator(c.adminConfig(), owner, log)
-		ops.handover = line
-		list = ops.List
-		if line != nil {
-			line.importSuspensions = ops.importSuspensions
-			ops.importSuspensions(0)
+		admin = newAdminOperator(c.adminConfig(), engine, log)
+		admin.handover = handover
+		sink = admin.List
+		if handover != nil {
+			handover.importSuspensions = admin.importSuspensions
+			admin.importSuspensions(0)
 		}
 	}
-	var over *overlay
+	var councilOverlay *overlay
 	if edge.Fleet != nil && len(edge.Fleet.Council) > 0 {
-		over = newOverlay(c.Name, list)
-		list = over.List
+		councilOverlay = newOverlay(c.Name, sink)
+		sink = councilOverlay.List
 	}
-	if line != nil {
-		owner.SetSharedCommits(line)
-		next := list
-		list = func(kind decide.EventKind, members []core.ListedMember) {
-			line.List(kind, members)
+	if handover != nil {
+		engine.SetSharedCommits(handover)
+		next := sink
+		sink = func(kind decide.EventKind, members []core.ListedMember) {
+			handover.List(kind, members)
 			next(kind, members)
 		}
 	}
-	dir := discovery.New(discovery.Config{Addr: c.Discovery, Version: c.listVersion, Gateways: c.Decide.Fronts, Seed: c.seed,
-		Pushed: !c.Decide.ListOnRequest}, list, dial, log)
-	if line != nil {
-		line.listVersion = dir.Version
+	discoveryClient := discovery.New(discovery.Config{Addr: c.Discovery, Version: c.listVersion, Gateways: c.Decide.Fronts, Seed: c.seed,
+		Pushed: !c.Decide.ListOnRequest}, sink, dial, log)
+	if handover != nil {
+		handover.listVersion = discoveryClient.Version
 	}
-	owner.Connect(pool, dir)
-	g := &instance{options: o, config: c, router: router, core: owner, pool: pool, buffers: bufs, discovery: dir, claims: call.NewActiveIDs(), overlay: over, handover: line, admin: ops, maxClients: share.ClientConnections}
+	engine.Connect(pool, discoveryClient)
+	g := &instance{options: o, config: c, router: router, core: engine, pool: pool, buffers: buffers, discovery: discoveryClient, activeIDs: call.NewActiveIDs(), overlay: councilOverlay, handover: handover, admin: admin, maxClients: budget.ClientConnections}
 	if edge.Syslog != nil {
-		p, err := startSyslog(edge.Syslog, owner, c.Decide.SlowStartTime, o)
+		p, err := startSyslog(edge.Syslog, engine, c.Decide.SlowStartTime, o)
 		if err != nil {
 			return nil, fmt.Errorf("syslog: %w", err)
 		}
 		g.subsystems = append(g.subsystems, p)
 	}
 	if edge.REST != nil {
-		p, err := startREST(edge.REST, owner, g.claims, log)
+		p, err := startREST(edge.REST, engine, g.activeIDs, log)
 		if err != nil {
 			g.stop()
 			return nil, fmt.Errorf("rest: %w", err)
@@ -278,21 +279,21 @@
 		g.subsystems = append(g.subsystems, p)
 	}
 	if edge.Fleet != nil {
-		p, err := startFleet(edge.Fleet, g, share.Buffers)
+		p, err := startFleet(edge.Fleet, g, budget.Buffers)
 		if err != nil {
 			g.stop()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 		g.subsystems = append(g.subsystems, p)
 	}
-	list(decide.ListSaved, c.Known)
-	g.front = pgfront.New(owner, pgfront.Config{Settings: c.active,
-		MaxConnections: share.ClientConnections, SpareConnections: int(closingFraction * float64(share.DividedSockets)),
-		ReservedBuffers: int(memberAnswerReserve * float64(share.Buffers)),
-		StartupTimeout:  startupTimeout, WriteTimeout: writeTimeout, LingerTimeout: refusalTimeout, IdleTimeout: maxClientIdle, MaxIdleConnections: int(idleClientFraction * float64(share.DividedSockets)), Transfer: line.passFunc(), Claims: g.claims}, bufs, log)
-	if line != nil {
-		line.applyLimits = g.limiter(bufs, share)
-		go line.run(share.DividedSockets)
+	sink(decide.ListSaved, c.Known)
+	g.front = pgfront.New(engine, pgfront.Config{Settings: c.active,
+		MaxConnections: budget.ClientConnections, SpareConnections: int(closingFraction * float64(budget.DividedSockets)),
+		ReservedBuffers: int(memberAnswerReserve * float64(budget.Buffers)),
+		StartupTimeout:  startupTimeout, WriteTimeout: writeTimeout, LingerTimeout: lingerTimeout, IdleTimeout: clientIdleTimeout, MaxIdleConnections: int(idleClientFraction * float64(budget.DividedSockets)), Transfer: handover.passFunc(), Claims: g.activeIDs}, buffers, log)
+	if handover != nil {
+		handover.applyLimits = g.limiter(buffers, budget)
+		go handover.run(budget.DividedSockets)
 	}
 	return g, nil
 }
@@ -304,9 +305,9 @@
 		g.termAt = endTime(term)
 	}
 	if g.fleet != nil {
-		d := newToggleListener(listener)
-		g.listener.Store(d)
-		listener = d
+		toggle := newToggleListener(listener)
+		g.listener.Store(toggle)
+		listener = toggle
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -398,11 +399,11 @@
 	exitBy               time.Time // the process exits
 }
 
-// planShutdown returns the schedule after a SIGTERM at came; longest is the longest deadline of any class.
-func planShutdown(came time.Time, longest time.Duration) shutdownPlan {
+// planShutdown returns the schedule after a SIGTERM at termAt; longest is the longest deadline of any class.
+func planShutdown(termAt time.Time, longest time.Duration) shutdownPlan {
 	longest = min(longest, maxCountedDeadline)
-	return shutdownPlan{termAt: came, acceptUntil: came.Add(acceptAfterTerm), answerBy: came.Add(longest + answerMargin),
-		partialCommandsUntil: came.Add(longest + partialCommandMargin), exitBy: came.Add(maxShutdown(longest))}
+	return shutdownPlan{termAt: termAt, acceptUntil: termAt.Add(acceptAfterTerm), answerBy: termAt.Add(longest + answerMargin),
+		partialCommandsUntil: termAt.Add(longest + partialCommandMargin), exitBy: termAt.Add(maxShutdown(longest))}
 }
 
 // shutDown keeps accepting while clients may still be routed here, then answers accepted
@@ -410,10 +411,10 @@
 // sends SIGKILL.
 func shutDown(p shutdownPlan, front *pgfront.Server, listener net.Listener, served <-chan error, log *slog.Logger) {
 	log.Info("stopping", "accept_for", time.Until(p.acceptUntil).Round(time.Millisecond))
-	late := time.NewTimer(time.Until(p.exitBy))
-	defer late.Stop()
-	word := time.AfterFunc(time.Until(p.partialCommandsUntil), front.AbandonPartialMessages)
-	defer word.Stop()
+	exitTimer := time.NewTimer(time.Until(p.exitBy))
+	defer exitTimer.Stop()
+	abandonTimer := time.AfterFunc(time.Until(p.partialCommandsUntil), front.AbandonPartialMessages)
+	defer abandonTimer.Stop()
 	time.Sleep(time.Until(p.acceptUntil))
 	if p.acceptUntil.After(p.termAt) { // otherwise waiting connections belong to the successor
 		acceptBacklog(listener, front.Handle, log)
@@ -428,7 +429,7 @@
 	select {
 	case <-done:
 		log.Info("stopped")
-	case <-late.C:
+	case <-exitTimer.C:
 		log.Warn("stopped with connections open", "open", front.OpenConnections())
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestMaxShutdown: the gateway exits before SIGKILL may come, which is 0.7 s past the longest deadline or 3 s, whichever is less.
+// TestMaxShutdown: the gateway exits before SIGKILL may come, which is 0.7 s past the longest deadline or 3 s,
+// whichever is less.
 func TestMaxShutdown(t *testing.T) {
 	for deadline, kill := range map[time.Duration]time.Duration{time.Second: 1700 * time.Millisecond,
 		3 * time.Second: 3700 * time.Millisecond, 9 * time.Second: 3700 * time.Millisecond} {
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -83,9 +83,9 @@
 	return l, nil
 }
 
-// processHandover is this process's side of the handover from one process of the gateway to the next: it shares state with the
-// other processes, passes client connections on and takes them over. See docs/design/handover.md. A nil processHandover
-// does nothing.
+// processHandover is this process's side of the handover from one process of the gateway to the next: it shares state
+// with the other processes, passes client connections on and takes them over. See docs/design/handover.md. A nil
+// processHandover does nothing.
 type processHandover struct {
 	shared        *handover.SharedState
 	log           *slog.Logger
@@ -101,7 +101,7 @@
 	otherCount        atomic.Int32                    // number of other processes
 	listReceived      chan struct{}                   // closed with the first list that discovery sends
 	closeListReceived sync.Once                       // closes listReceived
-	applyLimits       func(part float64, sockets int) // limits this process to part of the memory and to so many descriptors
+	applyLimits       func(part float64, sockets int) // limits this process to a fraction of the memory and to so many descriptors
 	importSuspensions func(count uint64)              // reads the shared suspensions and acknowledges that count changes of them were seen
 
 	mu           sync.Mutex
@@ -138,20 +138,20 @@
 		return
 	}
 	text, err := s.shared.Load(listFile)
-	var l struct {
+	var list struct {
 		Discovery string
 		discovery.List
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &l)
+		err = json.Unmarshal(text, &list)
 	}
-	switch members, e := l.Members(); {
+	switch members, listErr := list.Members(); {
 	case errors.Is(err, handover.ErrMissing):
-	case cmp.Or(err, e) != nil:
-		s.log.Warn("handover: the list of the former process is not used", "err", cmp.Or(err, e))
-	case l.Discovery == c.Discovery && l.Generation >= c.listVersion:
-		c.Known, c.listVersion = members, l.Generation
-		s.log.Info("handover: the list of the former process is taken over", "version", l.Generation, "entries", len(members))
+	case cmp.Or(err, listErr) != nil:
+		s.log.Warn("handover: the list of the former process is not used", "err", cmp.Or(err, listErr))
+	case list.Discovery == c.Discovery && list.Generation >= c.listVersion:
+		c.Known, c.listVersion = members, list.Generation
+		s.log.Info("handover: the list of the former process is taken over", "version", list.Generation, "entries", len(members))
 	}
 }
 
@@ -170,10 +170,10 @@
 	if s == nil || !kind.HasList() {
 		return
 	}
-	news := len(members) > 0
+	changed := len(members) > 0
 	if kind != decide.ListSaved {
 		s.closeListReceived.Do(func() {
-			news = true
+			changed = true
 			close(s.listReceived)
 		})
 	}
@@ -189,7 +189,7 @@
 			s.listed[m.ID] = m
 		}
 	}
-	if kind == decide.ListSaved || !news {
+	if kind == decide.ListSaved || !changed {
 		return
 	}
 	if s.saveAgain = s.saving; !s.saving {
@@ -202,16 +202,16 @@
 func (s *processHandover) saveList() {
 	for {
 		s.mu.Lock()
-		l := struct {
+		list := struct {
 			Discovery string
 			discovery.List
 		}{s.discoveryAddr, discovery.List{Generation: s.listVersion(), Reset: true}}
 		for _, id := range slices.Sorted(maps.Keys(s.listed)) {
-			l.Instances = append(l.Instances, discovery.EntryOf(s.listed[id]))
+			list.Instances = append(list.Instances, discovery.EntryOf(s.listed[id]))
 		}
 		s.saveAgain = false
 		s.mu.Unlock()
-		text, err := json.Marshal(l)
+		text, err := json.Marshal(list)
 		if err == nil {
 			err = s.shared.Save(listFile, text)
 		}
@@ -220,24 +220,24 @@
 		}
 		s.mu.Lock()
 		s.saving = s.saveAgain
-		more := s.saving
+		again := s.saving
 		s.mu.Unlock()
-		if !more {
+		if !again {
 			return
 		}
 	}
 }
 
-// RecordCommit implements core.Ledger.
+// RecordCommit implements core.SharedCommits.
 func (s *processHandover) RecordCommit(group int64, session string, p core.Time) {
 	s.shared.RecordCommit(group, session, p)
 }
 
-// LastCommit implements core.Ledger.
+// LastCommit implements core.SharedCommits.
 func (s *processHandover) LastCommit(group int64, session string) core.Time {
 	at := s.shared.LastCommit(group, session)
-	if f := core.Time(s.readFloor.Load()); f > at {
-		at = min(f, s.now())
+	if floor := core.Time(s.readFloor.Load()); floor > at {
+		at = min(floor, s.now())
 	}
 	return at
 }
@@ -262,10 +262,10 @@
 	for _, o := range others {
 		shared = shared && o.Joined
 	}
-	switch f := s.readFloor.Load(); {
+	switch floor := s.readFloor.Load(); {
 	case !shared && n > 0:
 		s.readFloor.Store(unboundedFloor)
-	case f == unboundedFloor:
+	case floor == unboundedFloor:
 		s.readFloor.Store(int64(s.now()))
 	}
 	return others
@@ -274,29 +274,29 @@
 // run checks for other processes, and adapts this process's limits to them, until stop. sockets is the descriptors that
 // all processes divide.
 func (s *processHandover) run(sockets int) {
-	last, ticks, seen := sockets, 0, uint64(0)
+	lastAllowed, polls, seenChanges := sockets, 0, uint64(0)
 	for {
 		others := s.checkOthers()
-		if n := s.shared.ChangeCount(); s.importSuspensions != nil && (n != seen || s.readFloor.Load() == unboundedFloor && ticks%pollsPerReading == 0) {
+		if n := s.shared.ChangeCount(); s.importSuspensions != nil && (n != seenChanges || s.readFloor.Load() == unboundedFloor && polls%pollsPerReading == 0) {
 			s.importSuspensions(n)
-			seen = n
+			seenChanges = n
 		}
 		wait := pollAlone
 		if len(others) > 0 {
 			wait = pollTogether
-			if ticks%pollsPerCount == 0 {
+			if polls%pollsPerCount == 0 {
 				s.shared.SetDescriptors(countDescriptors(ownDescriptorDir, sockets))
 			}
-			ticks++
+			polls++
 		}
 		older := len(others) > 0 && !others[0].Older
-		if may := handover.AllowedShare(sockets, others, older); may != last {
-			part := 1.0
+		if allowed := handover.AllowedShare(sockets, others, older); allowed != lastAllowed {
+			memoryFraction := 1.0
 			if len(others) > 0 {
-				part = 0.5
+				memoryFraction = 0.5
 			}
-			s.applyLimits(part, may)
-			last = may
+			s.applyLimits(memoryFraction, allowed)
+			lastAllowed = allowed
 		}
 		select {
 		case <-s.done:
@@ -306,16 +306,17 @@
 	}
 }
 
-// refuseAdoptions stops taking connections over, as this process begins to end: former processes keep theirs or pass them on to
-// another process. Connections received by then are taken over and answered. It may be called more than once.
+// refuseAdoptions stops taking connections over, as this process begins to end: former processes keep theirs or pass
+// them on to another process. Connections received by then are taken over and answered. It may be called more than
+// once.
 func (s *processHandover) refuseAdoptions() {
 	s.mu.Lock()
-	end := s.stopAdopting
+	stopAdopting := s.stopAdopting
 	s.leaving, s.stopAdopting = true, nil
 	s.mu.Unlock()
 	s.shared.SetReady(false)
-	if end != nil {
-		end()
+	if stopAdopting != nil {
+		stopAdopting()
 	}
 }
 
@@ -331,23 +332,24 @@
 
 const ownDescriptorDir = "/proc/self/fd" // has an entry for each descriptor that this process holds
 
-// countDescriptors counts the entries of a folder, which is ownDescriptorDir outside tests. It returns most if the folder can't be
-// read, most likely for lack of a descriptor: reporting too few would let another process use descriptors that are not free.
-func countDescriptors(folder string, most int) int {
+// countDescriptors counts the entries of a folder, which is ownDescriptorDir outside tests. It returns limit if the
+// folder can't be read, most likely for lack of a descriptor: reporting too few would let another process use
+// descriptors that are not free.
+func countDescriptors(folder string, limit int) int {
 	d, err := os.Open(folder)
 	if err != nil {
-		return most
+		return limit
 	}
 	defer func() { _ = d.Close() }()
 	names, err := d.Readdirnames(-1)
 	if err != nil {
-		return most
+		return limit
 	}
 	return len(names)
 }
 
-// importSuspensions takes over the suspensions that operators made through other processes, and then acknowledges that it has seen
-// count changes of them.
+// importSuspensions takes over the suspensions that operators made through other processes, and then acknowledges that
+// it has seen count changes of them.
 func (o *adminOperator) importSuspensions(count uint64) {
 	all, err := o.handover.loadSuspensions()
 	if err != nil && !errors.Is(err, handover.ErrMissing) {
@@ -375,26 +377,26 @@
 	return all, err
 }
 
-// shareSuspensions publishes this process's suspensions to the other processes of this gateway, unless err says that the operator's
-// call failed; it returns err then. It waits for their acknowledgment for a short time only: a process that is
-// stopped sends nothing to members either, and reads the suspensions first when it continues.
+// shareSuspensions publishes this process's suspensions to the other processes of this gateway, unless err says that
+// the operator's call failed; it returns err then. It waits for their acknowledgment for a short time only: a process
+// that is stopped sends nothing to members either, and reads the suspensions first when it continues.
 func (o *adminOperator) shareSuspensions(ctx context.Context, err error) error {
 	if err != nil || o.handover == nil {
 		return err
 	}
-	count, err := o.handover.shared.Update(suspensionFile, func(was []byte) ([]byte, error) {
+	count, err := o.handover.shared.Update(suspensionFile, func(saved []byte) ([]byte, error) {
 		var all []suspend.Entry
-		if was != nil {
-			if err := json.Unmarshal(was, &all); err != nil {
+		if saved != nil {
+			if err := json.Unmarshal(saved, &all); err != nil {
 				o.log.Error("handover: what operators said to other processes is not known", "err", err)
 			}
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		whole := suspend.New()
-		whole.Import(all)
-		whole.Import(o.suspensions.Export())
-		return json.Marshal(whole.Export())
+		merged := suspend.New()
+		merged.Import(all)
+		merged.Import(o.suspensions.Export())
+		return json.Marshal(merged.Export())
 	})
 	if err != nil {
 		o.log.Error("handover: what operators said is not kept for the next process", "err", err)
@@ -413,8 +415,8 @@
 	return nil
 }
 
-// awaitDiscovery delays the first accept while another process serves: until discovery has sent a list, at most maxDiscoveryWait. Once term
-// is closed no more connections are taken over.
+// awaitDiscovery delays the first accept while another process serves: until discovery has sent a list, at most
+// maxDiscoveryWait. Once term is closed no more connections are taken over.
 func (s *processHandover) awaitDiscovery(term <-chan struct{}) {
 	if s == nil {
 		return
@@ -429,14 +431,14 @@
 	if s.otherCount.Load() == 0 {
 		return
 	}
-	least, most := time.After(minAcceptDelay), time.After(maxDiscoveryWait)
+	minDelay, maxDelay := time.After(minAcceptDelay), time.After(maxDiscoveryWait)
 	select {
 	case <-s.listReceived:
 		select {
-		case <-least:
+		case <-minDelay:
 		case <-term:
 		}
-	case <-most:
+	case <-maxDelay:
 		s.log.Info("handover: serving before discovery answered")
 	case <-term:
 	}
@@ -490,10 +492,10 @@
 }
 
 // limiter returns a function that limits the gateway to a fraction of its memory and to a number of descriptors, which are
-// divided as in share.
-func (g *instance) limiter(bufs *pgwire.Pool, share Budget) func(part float64, sockets int) {
+// divided as in budget.
+func (g *instance) limiter(buffers *pgwire.Pool, budget Budget) func(part float64, sockets int) {
 	return func(part float64, sockets int) {
-		bufs.SetLimits(int(part*float64(share.Buffers)), int(part*float64(share.SmallBuffers)))
+		buffers.SetLimits(int(part*float64(budget.Buffers)), int(part*float64(budget.SmallBuffers)))
 		g.front.SetMaxConnections(int(clientFraction * float64(sockets)))
 		g.core.Post(func() { g.pool.SetMaxConns(int(memberFraction * float64(sockets))) })
 		if g.config.memoryBytes > 0 {
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// toggleListener is the client-facing listener. It can be disabled and enabled again while the gateway runs. While it is disabled
-// its socket is closed, so that connections are refused at once and clients go elsewhere. Connections already
-// established when it is disabled are accepted first.
+// toggleListener is the client-facing listener. It can be disabled and enabled again while the gateway runs. While it
+// is disabled its socket is closed, so that connections are refused at once and clients go elsewhere. Connections
+// already established when it is disabled are accepted first.
 type toggleListener struct {
 	addr string
 
@@ -21,9 +21,9 @@
 	stateChange chan struct{} // closed and replaced at each change of state
 }
 
-// When the listener is disabled or closed, its socket is closed once no connection has arrived for closeAfterIdle: connections
-// that wait in the backlog of a socket when it is closed are reset, and their clients lose what they sent. Where
-// connections keep arriving the socket is closed after maxCloseDelay.
+// When the listener is disabled or closed, its socket is closed once no connection has arrived for closeAfterIdle:
+// connections that wait in the backlog of a socket when it is closed are reset, and their clients lose what they sent.
+// Where connections keep arriving the socket is closed after maxCloseDelay.
 const (
 	closeAfterIdle = 3 * time.Millisecond
 	maxCloseDelay  = 100 * time.Millisecond
@@ -43,8 +43,8 @@
 func (d *toggleListener) Accept() (net.Conn, error) {
 	for {
 		d.mu.Lock()
-		l, shut, closed, change := d.inner, d.disabled || d.closed, d.closed, d.stateChange
-		if l != nil && shut {
+		l, disabled, closed, stateChange := d.inner, d.disabled || d.closed, d.closed, d.stateChange
+		if l != nil && disabled {
 			until := time.Now().Add(closeAfterIdle)
 			if until.After(d.closeBy) {
 				until = d.closeBy
@@ -56,7 +56,7 @@
 		case l == nil && closed:
 			return nil, net.ErrClosed
 		case l == nil:
-			<-change
+			<-stateChange
 			continue
 		}
 		c, err := l.Accept()
@@ -64,8 +64,8 @@
 			return c, nil
 		}
 		d.mu.Lock()
-		var late net.Error
-		switch timeout := errors.As(err, &late) && late.Timeout(); {
+		var netErr net.Error
+		switch timeout := errors.As(err, &netErr) && netErr.Timeout(); {
 		case d.inner != l:
 		case timeout && d.disabled, d.closed:
 			_ = l.Close()
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -11,17 +11,17 @@
 	"reachwind/internal/core"
 )
 
-// TestListenerToggled: while the listener is disabled and enabled again and again, clients that have connected are accepted: at most
-// one in a hundred is reset without having been accepted, and refused clients notice it at once.
+// TestListenerToggled: while the listener is disabled and enabled again and again, clients that have connected are
+// accepted: at most one in a hundred is reset without having been accepted, and refused clients notice it at once.
 func TestListenerToggled(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newToggleListener(l)
+	toggle := newToggleListener(l)
 	go func() {
 		for {
-			c, err := d.Accept()
+			c, err := toggle.Accept()
 			if err != nil {
 				return
 			}
@@ -29,7 +29,7 @@
 			_ = c.Close()
 		}
 	}()
-	var served, refused, lost atomic.Int64
+	var served, refused, reset atomic.Int64
 	var done sync.WaitGroup
 	stop := make(chan struct{})
 	for range 4 {
@@ -42,7 +42,7 @@
 					return
 				default:
 				}
-				c, err := net.Dial("tcp", d.addr)
+				c, err := net.Dial("tcp", toggle.addr)
 				if err != nil {
 					refused.Add(1)
 					time.Sleep(time.Millisecond)
@@ -52,7 +52,7 @@
 				if n, _ := c.Read(make([]byte, 1)); n == 1 {
 					served.Add(1)
 				} else {
-					lost.Add(1)
+					reset.Add(1)
 				}
 				_ = c.Close()
 				time.Sleep(200 * time.Microsecond)
@@ -61,33 +61,33 @@
 	}
 	for range 40 {
 		time.Sleep(10 * time.Millisecond)
-		d.Disable()
+		toggle.Disable()
 		time.Sleep(15 * time.Millisecond)
-		if err := d.Enable(); err != nil {
+		if err := toggle.Enable(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	close(stop)
 	done.Wait()
-	t.Logf("%d served, %d refused, %d reset without being accepted", served.Load(), refused.Load(), lost.Load())
+	t.Logf("%d served, %d refused, %d reset without being accepted", served.Load(), refused.Load(), reset.Load())
 	if served.Load() < 100 || refused.Load() == 0 {
 		t.Errorf("%d served, %d refused: want at least 100 and 1, else the test shows little", served.Load(), refused.Load())
 	}
-	if lost.Load()*100 > served.Load() {
-		t.Errorf("%d connections were reset without being accepted, %d served", lost.Load(), served.Load())
+	if reset.Load()*100 > served.Load() {
+		t.Errorf("%d connections were reset without being accepted, %d served", reset.Load(), served.Load())
 	}
-	if err := d.Close(); err != nil {
+	if err := toggle.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := d.Enable(); err != nil || d.Close() != nil {
+	if err := toggle.Enable(); err != nil || toggle.Close() != nil {
 		t.Error("a closed listener can be enabled, or closing it again fails")
 	}
 }
 
-// TestListenerAcceptsBeforeClosing: connections that wait to be accepted when the listener is disabled or closed are accepted, with what they
-// sent. Then connections are refused, even if clients keep connecting.
+// TestListenerAcceptsBeforeClosing: connections that wait to be accepted when the listener is disabled or closed are
+// accepted, with what they sent. Then connections are refused, even if clients keep connecting.
 func TestListenerAcceptsBeforeClosing(t *testing.T) {
-	for name, end := range map[string]func(*toggleListener){"shut": (*toggleListener).Disable, "closed": func(d *toggleListener) { _ = d.Close() }} {
+	for name, end := range map[string]func(*toggleListener){"shut": (*toggleListener).Disable, "closed": func(toggle *toggleListener) { _ = toggle.Close() }} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -145,11 +145,11 @@
 	}
 }
 
-// TestOverlayDrains: a member that is permitted to go out of service is listed as draining, whatever discovery says, until the
-// permit ends; but never the last usable member of its group.
+// TestOverlayDrains: a member that is permitted to go out of service is listed as draining, whatever discovery says,
+// until the permit ends; but never the last usable member of its group.
 func TestOverlayDrains(t *testing.T) {
 	state := map[string]decide.MemberState{}
-	o := newOverlay("g", func(kind decide.EventKind, members []core.ListedMember) {
+	overlay := newOverlay("g", func(kind decide.EventKind, members []core.ListedMember) {
 		if kind != decide.ListChange {
 			clear(state)
 		}
@@ -167,21 +167,21 @@
 			t.Errorf("%s: %s is %v, want %v", what, id, state[id], s)
 		}
 	}
-	o.List(decide.ListSaved, all)
-	o.SetDrains([]string{"a", "c"})
+	overlay.List(decide.ListSaved, all)
+	overlay.SetDrains([]string{"a", "c"})
 	want("permitted", "a", decide.Draining)
 	want("the last of its group", "c", decide.Up)
-	if o.lastInGroup != 1 {
-		t.Errorf("%d members kept in use, want 1", o.lastInGroup)
+	if overlay.lastInGroup != 1 {
+		t.Errorf("%d members kept in use, want 1", overlay.lastInGroup)
 	}
-	o.List(decide.ListSaved, all)
+	overlay.List(decide.ListSaved, all)
 	want("listed anew", "a", decide.Draining)
-	o.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Draining)})
-	o.SetDrains([]string{"a"}) // discovery lists b as draining: a is the last usable one
+	overlay.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Draining)})
+	overlay.SetDrains([]string{"a"}) // discovery lists b as draining: a is the last usable one
 	want("the other one drains", "a", decide.Up)
-	o.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Up)})
-	o.SetDrains([]string{"a"})
+	overlay.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Up)})
+	overlay.SetDrains([]string{"a"})
 	want("again", "a", decide.Draining)
-	o.SetDrains(nil)
+	overlay.SetDrains(nil)
 	want("no longer", "a", decide.Up)
 }
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -25,8 +25,8 @@
 	return adminapi.Config{Addr: c.Admin, MaxConnections: min(max(c.maxSockets/socketsPerAdminConnection, minAdminConnections), adminapi.DefaultMaxConnections)}
 }
 
-// adminOperator carries out the calls of the admin API. It sits between discovery, or the council's overlay, and the core, and
-// lists suspended members as such to the core.
+// adminOperator carries out the calls of the admin API. It sits between discovery, or the council's overlay, and the
+// core, and lists suspended members as such to the core.
 type adminOperator struct {
 	core     *core.Core
 	log      *slog.Logger
@@ -41,8 +41,8 @@
 	serving     atomic.Bool // this process accepts clients
 }
 
-func newAdminOperator(conf adminapi.Config, owner *core.Core, log *slog.Logger) *adminOperator {
-	o := &adminOperator{core: owner, log: log, suspensions: suspend.New()}
+func newAdminOperator(conf adminapi.Config, engine *core.Core, log *slog.Logger) *adminOperator {
+	o := &adminOperator{core: engine, log: log, suspensions: suspend.New()}
 	o.api = adminapi.New(conf, o, log)
 	return o
 }
@@ -123,25 +123,25 @@
 	return o.shareSuspensions(ctx, o.change(ctx, id, "db machine resumed", (*suspend.Set).Resume))
 }
 
-// change applies an operator's change of a member on the core's goroutine, and waits until it is in force. If ctx ends first it
-// returns adminapi.NotDone, and the change never happens; or adminapi.Unconfirmed, if the change has begun but is not
-// confirmed within confirmTimeout.
-func (o *adminOperator) change(ctx context.Context, id, line string, do func(*suspend.Set, string, core.Time) ([]core.ListedMember, error)) error {
-	var begun atomic.Bool // set by whichever comes first: the change, or the end of ctx
+// change applies an operator's change of a member on the core's goroutine, and waits until it is in force. If ctx ends
+// first it returns adminapi.NotDone, and the change never happens; or adminapi.Unconfirmed, if the change has begun but
+// is not confirmed within confirmTimeout.
+func (o *adminOperator) change(ctx context.Context, id, message string, apply func(*suspend.Set, string, core.Time) ([]core.ListedMember, error)) error {
+	var claimed atomic.Bool // set by whichever comes first: the change, or the end of ctx
 	start := time.Now()
 	done := make(chan error, 1)
 	o.core.Post(func() {
-		if begun.Swap(true) {
+		if claimed.Swap(true) {
 			return
 		}
 		o.mu.Lock()
-		change, err := do(o.suspensions, id, o.core.Now())
+		change, err := apply(o.suspensions, id, o.core.Now())
 		if len(change) > 0 {
 			o.core.List(decide.ListChange, change)
 		}
 		o.mu.Unlock()
 		if err == nil {
-			o.log.Info(line, "member", id, "changes", len(change))
+			o.log.Info(message, "member", id, "changes", len(change))
 		}
 		o.core.Post(func() { done <- err }) // queued behind the change, which is then in force
 	})
@@ -150,14 +150,14 @@
 		return err
 	case <-ctx.Done():
 	}
-	took := adminapi.NotDoneError{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
-	if !begun.Swap(true) {
-		return took
+	notDone := adminapi.NotDoneError{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
+	if !claimed.Swap(true) {
+		return notDone
 	}
 	select {
 	case err := <-done:
 		return err
 	case <-time.After(confirmTimeout):
-		return adminapi.UnconfirmedError{NotDoneError: took}
+		return adminapi.UnconfirmedError{NotDoneError: notDone}
 	}
 }
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestSuspendUnderLoad: a gateway with emulated members is under load while its member list keeps changing. Once the admin API
-// has confirmed a suspension, no request reaches the member after the grace time until it is resumed, not even across
-// reloads; then it is used again.
+// TestSuspendUnderLoad: a gateway with emulated members is under load while its member list keeps changing. Once the
+// admin API has confirmed a suspension, no request reaches the member after the grace time until it is resumed, not
+// even across reloads; then it is used again.
 func TestSuspendUnderLoad(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 2, Replicas: 2, Lag: 2 * time.Millisecond})
 	if err != nil {
@@ -100,8 +100,8 @@
 		}
 		return err == nil
 	})
-	door := "http://" + admin + "/v1/"
-	waitFor(t, "ready", func() bool { code, _ := callAdmin(t, "GET", door+"readyz"); return code == 200 })
+	base := "http://" + admin + "/v1/"
+	waitFor(t, "ready", func() bool { code, _ := callAdmin(t, "GET", base+"readyz"); return code == 200 })
 
 	load, end := context.WithCancel(t.Context())
 	var work sync.WaitGroup
@@ -141,7 +141,7 @@
 		before := took(m)
 		waitFor(t, "requests before the suspension of "+m.ID, func() bool { return took(m) > before+3 })
 		for range 2 {
-			if code, text := callAdmin(t, "POST", door+"db-machines/"+m.ID+"/suspend"); code != 200 {
+			if code, text := callAdmin(t, "POST", base+"db-machines/"+m.ID+"/suspend"); code != 200 {
 				t.Fatal(code, text)
 			}
 		}
@@ -167,7 +167,7 @@
 		if after := took(m); after != before {
 			t.Errorf("%s was sent %d requests while it was suspended", m.ID, after-before)
 		}
-		if code, text := callAdmin(t, "POST", door+"db-machines/"+m.ID+"/resume"); code != 200 {
+		if code, text := callAdmin(t, "POST", base+"db-machines/"+m.ID+"/resume"); code != 200 {
 			t.Fatal(code, text)
 		}
 		waitFor(t, "requests after the suspension of "+m.ID, func() bool { return took(m) > before })
@@ -175,7 +175,7 @@
 	// All members of a group may be suspended: its requests are refused then, and served once they are resumed.
 	all := slices.DeleteFunc(members, func(m *cluster.Member) bool { return m.Group != 1 })
 	for _, m := range all {
-		callAdmin(t, "POST", door+"db-machines/"+m.ID+"/suspend")
+		callAdmin(t, "POST", base+"db-machines/"+m.ID+"/suspend")
 	}
 	conn, err := pgclient.Dial(l.Addr().String(), 10*time.Second)
 	if err != nil {
@@ -193,7 +193,7 @@
 		t.Errorf("verdict %v from a group whose members are all suspended", pgclient.Names[v])
 	}
 	for _, m := range all {
-		callAdmin(t, "POST", door+"db-machines/"+m.ID+"/resume")
+		callAdmin(t, "POST", base+"db-machines/"+m.ID+"/resume")
 	}
 	n := 0
 	waitFor(t, "served again", func() bool { n++; return ask(fmt.Sprint("again", n)) == pgclient.Served })
@@ -202,13 +202,14 @@
 		code         int
 	}{{"POST", "db-machines/nobody/suspend", 404}, {"POST", "db-machines/nobody/resume", 404}, {"GET", "db-machines/" + members[0].ID + "/resume", 405},
 		{"POST", "readyz", 405}, {"POST", "db-machines/" + members[0].ID + "/drain", 404}, {"GET", "", 404}, {"POST", "db-machines/" + members[0].ID + "/resume", 200}} {
-		if code, text := callAdmin(t, want.method, door+want.path); code != want.code || len(text) < 4 {
+		if code, text := callAdmin(t, want.method, base+want.path); code != want.code || len(text) < 4 {
 			t.Errorf("%s %s: %d %q, want %d", want.method, want.path, code, text, want.code)
 		}
 	}
 }
 
-// TestSuspendWithStalledCore: while the core's goroutine is stalled a suspension fails at its deadline, and is not carried out later.
+// TestSuspendWithStalledCore: while the core's goroutine is stalled a suspension fails at its deadline, and is not
+// carried out later.
 func TestSuspendWithStalledCore(t *testing.T) {
 	owner := core.New(core.NewClock(), nil, slog.New(slog.DiscardHandler))
 	o := newAdminOperator(adminapi.Config{}, owner, slog.New(slog.DiscardHandler))
--- a/internal/gateway/overlay.go
+++ b/internal/gateway/overlay.go
@@ -53,32 +53,33 @@
 			o.listed[m.ID] = m
 		}
 	}
-	was := maps.Clone(o.drained)
+	before := maps.Clone(o.drained)
 	o.selectDrained()
-	out := members
+	passed := members
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) { // members outside this list whose drain starts or ends because of it, e.g. as the last of their group
 		m := o.listed[id]
-		if o.drained[id] != was[id] && m.State == decide.Up && !slices.ContainsFunc(members, func(x core.ListedMember) bool { return x.ID == id }) {
-			out = append(slices.Clone(out), m)
+		if o.drained[id] != before[id] && m.State == decide.Up && !slices.ContainsFunc(members, func(x core.ListedMember) bool { return x.ID == id }) {
+			passed = append(slices.Clone(passed), m)
 		}
 	}
 	if len(o.drained) > 0 {
-		out = slices.Clone(out)
-		for i := range out {
-			if o.drained[out[i].ID] && out[i].State == decide.Up {
-				out[i].State = decide.Draining
+		passed = slices.Clone(passed)
+		for i := range passed {
+			if o.drained[passed[i].ID] && passed[i].State == decide.Up {
+				passed[i].State = decide.Draining
 			}
 		}
 	}
-	o.next(kind, out)
+	o.next(kind, passed)
 }
 
-// selectDrained selects the members to list as draining: in the order of their ids, and never the last usable one of a group.
+// selectDrained selects the members to list as draining: in the order of their ids, and never the last usable one of a
+// group.
 func (o *overlay) selectDrained() {
-	up := map[int64]int{}
+	usable := map[int64]int{}
 	for _, m := range o.listed {
 		if m.State == decide.Up {
-			up[m.Group]++
+			usable[m.Group]++
 		}
 	}
 	clear(o.drained)
@@ -88,29 +89,30 @@
 		if !ok || m.State != decide.Up {
 			continue
 		}
-		if up[m.Group] <= 1 {
+		if usable[m.Group] <= 1 {
 			o.lastInGroup++
 			continue
 		}
-		up[m.Group]--
+		usable[m.Group]--
 		o.drained[id] = true
 	}
 	if len(o.zonesAway) == 0 {
 		return
 	}
-	// Each gateway drains a different selection of a zone's members; over all gateways they make up the fraction in the plan.
-	// A primary is never drained for its zone: no other member accepts its writes until the cluster has elected another.
+	// Each gateway drains a different selection of a zone's members; over all gateways they make up the fraction in the
+	// plan. A primary is never drained for its zone: no other member accepts its writes until the cluster has elected
+	// another.
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		m := o.listed[id]
 		away := o.zonesAway[m.Zone]
 		if away <= 0 || m.State != decide.Up || o.drained[id] || o.primaries[m.Group] == id || hashFraction(o.gateway, id) >= away {
 			continue
 		}
-		if up[m.Group] <= 1 {
+		if usable[m.Group] <= 1 {
 			o.lastInGroup++
 			continue
 		}
-		up[m.Group]--
+		usable[m.Group]--
 		o.drained[id] = true
 	}
 }
@@ -137,7 +139,8 @@
 	}
 }
 
-// DivertedMembers returns the members of zones that load is moved away from, sorted by id. They are probed from time to time.
+// DivertedMembers returns the members of zones that load is moved away from, sorted by id. They are probed from time to
+// time.
 func (o *overlay) DivertedMembers() (all []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -169,11 +172,11 @@
 
 // reselect repeats the selection and passes on the members whose state changes. The caller holds the lock.
 func (o *overlay) reselect() {
-	was := maps.Clone(o.drained)
+	before := maps.Clone(o.drained)
 	o.selectDrained()
 	var change []core.ListedMember
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
-		if m := o.listed[id]; o.drained[id] != was[id] && m.State == decide.Up {
+		if m := o.listed[id]; o.drained[id] != before[id] && m.State == decide.Up {
 			if o.drained[id] {
 				m.State = decide.Draining
 			}
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -34,7 +34,8 @@
 	return c
 }
 
-// startFronts runs a gateway with both fronts before a cluster, and returns their addresses. settings is added to the rest block.
+// startFronts runs a gateway with both fronts before a cluster, and returns their addresses. settings is added to the
+// rest block.
 func startFronts(t *testing.T, c *cluster.Cluster, settings string) (pg, rest string) {
 	t.Helper()
 	edge := filepath.Join(t.TempDir(), "edge.hcl")
@@ -164,13 +165,13 @@
 	}
 	res, text := requestREST(t, rest, "GET", "/v1/clusters/9/items/x", nil, "Reachwind-Class", "field-info")
 	a, err := conn.Do(&pgclient.Request{ID: "none", Class: "field-info", Tenant: "kea-basin", Wait: time.Second, Item: "x", Cluster: 9})
-	var p struct {
+	var problem struct {
 		Type         string
 		RetryAfterMs int
 		MayHaveRun   *bool
 	}
-	if e := json.Unmarshal(text, &p); err != nil || e != nil || res.StatusCode != 503 || a.Verdict != pgclient.Refused || p.Type != "urn:reachwind:problem:refused" ||
-		time.Duration(p.RetryAfterMs)*time.Millisecond != a.After || res.Header.Get("Retry-After") != "1" || p.MayHaveRun == nil || *p.MayHaveRun {
+	if e := json.Unmarshal(text, &problem); err != nil || e != nil || res.StatusCode != 503 || a.Verdict != pgclient.Refused || problem.Type != "urn:reachwind:problem:refused" ||
+		time.Duration(problem.RetryAfterMs)*time.Millisecond != a.After || res.Header.Get("Retry-After") != "1" || problem.MayHaveRun == nil || *problem.MayHaveRun {
 		t.Errorf("no such cluster: REST %d %s, PostgreSQL %+v, %v, %v", res.StatusCode, text, a, err, e)
 	}
 }
@@ -279,13 +280,13 @@
 	}
 }
 
-// TestListingsUnderFaults: while listings are paged through two gateways in turn, members die, lag and freeze, primaries are elected,
-// and items are added and changed. No page is older than the first, ids come in order and once, and items that existed
-// throughout are listed.
+// TestListingsUnderFaults: while listings are paged through two gateways in turn, members die, lag and freeze,
+// primaries are elected, and items are added and changed. No page is older than the first, ids come in order and once,
+// and items that existed throughout are listed.
 func TestListingsUnderFaults(t *testing.T) {
 	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2, Lag: 20 * time.Millisecond, Elect: 200 * time.Millisecond})
-	const old = 120
-	for i := range old {
+	const itemCount = 120
+	for i := range itemCount {
 		c.Seed(0, fmt.Sprintf("lift-%03d", i*3), fmt.Sprint("state ", i))
 	}
 	keys := filepath.Join(t.TempDir(), "keys")
@@ -339,7 +340,7 @@
 	pages, tries := 0, 0
 	for n := range listings {
 		class := []string{"field-info", "map-tiles", "my-notes"}[n%3]
-		path, first, last, have := "/v1/clusters/0/items?prefix=lift-&limit=7", int64(0), "", 0
+		path, first, last, seen := "/v1/clusters/0/items?prefix=lift-&limit=7", int64(0), "", 0
 		for page := 0; path != ""; {
 			if tries++; tries > 20000 {
 				t.Fatal("the listings did not end within 20000 requests")
@@ -373,7 +374,7 @@
 					t.Fatalf("id %q after %q", it.ID, last)
 				}
 				if last = it.ID; i%3 == 0 {
-					have++
+					seen++
 				}
 			}
 			pages++
@@ -387,8 +388,8 @@
 				}
 			}
 		}
-		if have != old {
-			t.Fatalf("listing %d of %s has %d of the %d items that were there throughout", n, class, have, old)
+		if seen != itemCount {
+			t.Fatalf("listing %d of %s has %d of the %d items that were there throughout", n, class, seen, itemCount)
 		}
 	}
 	close(end)
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -29,10 +29,10 @@
 	since  time.Time // of the effect, or of the class's removal
 }
 
-// TestReloadsUnderLoad runs a whole gateway on a fake clock, under load and with failing members, while its settings change at
-// random: classes are added, removed and change their effect, the limit of attempts changes, and many files are
-// truncated. Each request gets one answer, by the class that it named when it was sent. No request is refused for an
-// unknown class while its class is in the settings or was removed a moment ago, and a request that may run only once
+// TestReloadsUnderLoad runs a whole gateway on a fake clock, under load and with failing members, while its settings
+// change at random: classes are added, removed and change their effect, the limit of attempts changes, and many files
+// are truncated. Each request gets one answer, by the class that it named when it was sent. No request is refused for
+// an unknown class while its class is in the settings or was removed a moment ago, and a request that may run only once
 // does so, whatever the settings say later.
 func TestReloadsUnderLoad(t *testing.T) {
 	for seed := range uint64(2) {
@@ -65,7 +65,7 @@
 	go func() { ended <- g.run(term, nil, listener) }()
 
 	var mu sync.Mutex
-	now, served, unknown, twice := map[string]classState{}, 0, 0, 0
+	classes, served, unknown, ranTwice := map[string]classState{}, 0, 0, 0
 	stop := make(chan struct{})
 	var done sync.WaitGroup
 	for n := range 6 { // clients
@@ -93,7 +93,7 @@
 				q := pgclient.Request{ID: id, Class: fmt.Sprint("x", r.IntN(4)), Tenant: "kea-basin", Wait: 800 * time.Millisecond, Key: id, Item: id, Value: "v", Write: true}
 				sent := time.Now()
 				mu.Lock()
-				was := now[q.Class]
+				was := classes[q.Class]
 				mu.Unlock()
 				if was.last != "by_key" { // a key would make members drop repeated writes
 					q.Key = ""
@@ -108,7 +108,7 @@
 					continue
 				}
 				mu.Lock()
-				is := now[q.Class]
+				is := classes[q.Class]
 				out := sent.Sub(was.since)
 				switch {
 				case a.Verdict == pgclient.Served:
@@ -126,7 +126,7 @@
 				mu.Unlock()
 				if c.Versions(0, id) > 1 {
 					mu.Lock()
-					twice++
+					ranTwice++
 					mu.Unlock()
 				}
 				if runs := c.Versions(0, id); runs > 1 && was == is && was.effect != "repeatable" && was.effect != "" {
@@ -148,7 +148,7 @@
 	})
 
 	r := rand.New(rand.NewPCG(seed, 200))
-	good, bad := 0, 0
+	accepted, rejected := 0, 0
 	for range 60 {
 		time.Sleep(time.Duration(r.IntN(2000)) * time.Millisecond)
 		text, next := randomSettings(t, r, start)
@@ -166,22 +166,22 @@
 			t.Errorf("taken over: %v, broken: %v", took, broken)
 		}
 		if !broken {
-			good++
+			accepted++
 			for i := range 4 {
 				name := fmt.Sprint("x", i)
-				if was := now[name]; was.effect != next[name] {
-					now[name] = classState{next[name], cmp.Or(next[name], was.last), time.Now()}
+				if was := classes[name]; was.effect != next[name] {
+					classes[name] = classState{next[name], cmp.Or(next[name], was.last), time.Now()}
 				}
 			}
 		} else {
-			bad++
+			rejected++
 		}
 		mu.Unlock()
 	}
 	close(stop)
 	done.Wait()
-	if s := g.sizes(); s.Decide.Requests > 6 || served < 500 || unknown < 100 || twice < 5 || good < 25 || bad < 8 {
-		t.Errorf("%+v; %d served, %d unknown, %d ran twice, %d files taken over, %d broken", s, served, unknown, twice, good, bad)
+	if s := g.sizes(); s.Decide.Requests > 6 || served < 500 || unknown < 100 || ranTwice < 5 || accepted < 25 || rejected < 8 {
+		t.Errorf("%+v; %d served, %d unknown, %d ran twice, %d files taken over, %d broken", s, served, unknown, ranTwice, accepted, rejected)
 	}
 	end()
 	if err := <-ended; err != nil {
@@ -204,14 +204,14 @@
 		if r.IntN(3) == 0 {
 			continue
 		}
-		k := map[string]any{}
+		class := map[string]any{}
 		for key, v := range conf["Grades"].([]any)[4].(map[string]any) {
-			k[key] = v
+			class[key] = v
 		}
 		name := fmt.Sprint("x", i)
 		effects[name] = []string{"repeatable", "by_key", "once"}[r.IntN(3)]
-		k["Name"], k["Effect"], k["DeadlineUs"] = name, effects[name], 1_000_000+r.IntN(2_000_000)
-		conf["Grades"] = append(conf["Grades"].([]any), k)
+		class["Name"], class["Effect"], class["DeadlineUs"] = name, effects[name], 1_000_000+r.IntN(2_000_000)
+		conf["Grades"] = append(conf["Grades"].([]any), class)
 		info["Consistency"] = append(info["Consistency"].([]any), "write")
 		info["ClassBoundUs"] = append(info["ClassBoundUs"].([]any), 0)
 	}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -31,8 +31,8 @@
 	if err := json.Unmarshal(c.GatewayConfig("gw-1", "127.0.0.1:0", 192, 1024), &conf); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range conf["settings"].(map[string]any)["Grades"].([]any) {
-		k := k.(map[string]any)
+	for _, class := range conf["settings"].(map[string]any)["Grades"].([]any) {
+		k := class.(map[string]any)
 		k["Effect"], k["DeadlineUs"], k["AimUs"] = effect, deadline.Microseconds(), (deadline * 3 / 4).Microseconds()
 	}
 	text, err := json.Marshal(conf)
@@ -48,8 +48,8 @@
 		id, wait.Milliseconds(), id))
 }
 
-// readMessages reads from nc until the gateway closes it, and returns the types of the complete messages. A message that is cut
-// short is an error.
+// readMessages reads from nc until the gateway closes it, and returns the types of the complete messages. A message
+// that is cut short is an error.
 func readMessages(nc net.Conn) (types string, err error) {
 	text, err := io.ReadAll(nc)
 	for len(text) > 0 {
@@ -132,7 +132,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	end()
-	came := time.Now()
+	termAt := time.Now()
 	time.Sleep(400 * time.Millisecond)
 	for _, cl := range clients[:2] {
 		ask(cl)
@@ -147,7 +147,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if took, kill := time.Since(came), min(deadline, 3*time.Second)+700*time.Millisecond; took >= kill {
+	if took, kill := time.Since(termAt), min(deadline, 3*time.Second)+700*time.Millisecond; took >= kill {
 		t.Errorf("ended after %v, SIGKILL may come after %v", took, kill)
 	}
 	for i, cl := range clients {
@@ -256,9 +256,9 @@
 	}
 }
 
-// TestSignalsDuringShutdown: a gateway process whose members hang gets SIGTERM, SIGHUP and SIGTERM again, and the later signals must not
-// disturb the shutdown. Each request that it accepted before SIGTERM and after has a complete answer. An idle client sees
-// its connection closed, not reset. The process ends by itself and in order.
+// TestSignalsDuringShutdown: a gateway process whose members hang gets SIGTERM, SIGHUP and SIGTERM again, and the later
+// signals must not disturb the shutdown. Each request that it accepted before SIGTERM and after has a complete answer.
+// An idle client sees its connection closed, not reset. The process ends by itself and in order.
 func TestSignalsDuringShutdown(t *testing.T) {
 	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 1})
 	dir := t.TempDir()
--- a/internal/gateway/soak_test.go
+++ b/internal/gateway/soak_test.go
@@ -50,11 +50,11 @@
 		r := rand.New(rand.NewPCG(19, 5))
 		pause := func(mean time.Duration) { time.Sleep(time.Duration(r.ExpFloat64() * float64(mean))) }
 		stop := make(chan struct{})
-		troubled := make(chan struct{})
+		faultsEnded := make(chan struct{})
 		go func() { // members, one fault after another
-			defer close(troubled)
+			defer close(faultsEnded)
 			r := rand.New(rand.NewPCG(19, 6))
-			var grown []*cluster.Member
+			var added []*cluster.Member
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -72,7 +72,7 @@
 					if m, err := c.Grow(group, fmt.Sprint("grown-", n)); err != nil {
 						t.Error(err)
 					} else {
-						grown = append(grown, m)
+						added = append(added, m)
 					}
 				case 2:
 					m.Kill()
@@ -93,14 +93,14 @@
 						m.Freeze(r.IntN(2) == 0)
 					}
 				}
-				for len(grown) > 6 {
-					grown[0].Leave()
-					grown = grown[1:]
+				for len(added) > 6 {
+					added[0].Leave()
+					added = added[1:]
 				}
 			}
 		}()
 
-		var most, last Sizes
+		var maxSizes, last Sizes
 		var heap []uint64
 		outcomes := [4]int{}
 		var conn *pgclient.Conn
@@ -134,18 +134,18 @@
 			}
 			outcomes[a.Verdict]++
 			last = g.sizes()
-			most.Decide.Members = max(most.Decide.Members, last.Decide.Members)
-			most.Decide.Groups = max(most.Decide.Groups, last.Decide.Groups)
-			most.Decide.Requests = max(most.Decide.Requests, last.Decide.Requests)
-			most.Decide.Sessions = max(most.Decide.Sessions, last.Decide.Sessions)
-			most.Decide.OrphanedAttempts = max(most.Decide.OrphanedAttempts, last.Decide.OrphanedAttempts)
-			most.Core.Requests = max(most.Core.Requests, last.Core.Requests)
-			most.Core.Timers = max(most.Core.Timers, last.Core.Timers)
-			most.Core.Members = max(most.Core.Members, last.Core.Members)
-			most.Pool.Members = max(most.Pool.Members, last.Pool.Members)
-			most.Pool.Connections = max(most.Pool.Connections, last.Pool.Connections)
-			most.Pool.Jobs = max(most.Pool.Jobs, last.Pool.Jobs)
-			most.Claims = max(most.Claims, last.Claims)
+			maxSizes.Decide.Members = max(maxSizes.Decide.Members, last.Decide.Members)
+			maxSizes.Decide.Groups = max(maxSizes.Decide.Groups, last.Decide.Groups)
+			maxSizes.Decide.Requests = max(maxSizes.Decide.Requests, last.Decide.Requests)
+			maxSizes.Decide.Sessions = max(maxSizes.Decide.Sessions, last.Decide.Sessions)
+			maxSizes.Decide.OrphanedAttempts = max(maxSizes.Decide.OrphanedAttempts, last.Decide.OrphanedAttempts)
+			maxSizes.Core.Requests = max(maxSizes.Core.Requests, last.Core.Requests)
+			maxSizes.Core.Timers = max(maxSizes.Core.Timers, last.Core.Timers)
+			maxSizes.Core.Members = max(maxSizes.Core.Members, last.Core.Members)
+			maxSizes.Pool.Members = max(maxSizes.Pool.Members, last.Pool.Members)
+			maxSizes.Pool.Connections = max(maxSizes.Pool.Connections, last.Pool.Connections)
+			maxSizes.Pool.Jobs = max(maxSizes.Pool.Jobs, last.Pool.Jobs)
+			maxSizes.ActiveIDs = max(maxSizes.ActiveIDs, last.ActiveIDs)
 			if n%(perHour/2) == perHour/2-1 {
 				runtime.GC()
 				var m runtime.MemStats
@@ -153,15 +153,15 @@
 				heap = append(heap, m.HeapAlloc)
 			}
 		}
-		t.Logf("served %d, refused %d, failed %d, broken %d; records %d; most %+v; heap %v", outcomes[0], outcomes[1], outcomes[2], outcomes[3], sink.count, most, heap)
+		t.Logf("served %d, refused %d, failed %d, broken %d; records %d; most %+v; heap %v", outcomes[0], outcomes[1], outcomes[2], outcomes[3], sink.count, maxSizes, heap)
 		close(stop)
-		<-troubled
+		<-faultsEnded
 		// At most 14 members are listed at a time; removed ones are kept for a minute, in which at most 20 are added.
 		for what, v := range map[string][2]int{
-			"members known to the module": {most.Decide.Members, 34}, "groups": {most.Decide.Groups, 24},
-			"requests of the module": {most.Decide.Requests, 4}, "sessions kept": {most.Decide.Sessions, 4096 + 1}, "orphaned attempts": {most.Decide.OrphanedAttempts, 64},
-			"requests of the core": {most.Core.Requests, 4}, "timers": {most.Core.Timers, 64}, "members in records": {most.Core.Members, 16},
-			"members of the pool": {most.Pool.Members, 34}, "member connections": {most.Pool.Connections, 64}, "jobs": {most.Pool.Jobs, 8}, "ids of requests in progress": {most.Claims, 4},
+			"members known to the module": {maxSizes.Decide.Members, 34}, "groups": {maxSizes.Decide.Groups, 24},
+			"requests of the module": {maxSizes.Decide.Requests, 4}, "sessions kept": {maxSizes.Decide.Sessions, 4096 + 1}, "orphaned attempts": {maxSizes.Decide.OrphanedAttempts, 64},
+			"requests of the core": {maxSizes.Core.Requests, 4}, "timers": {maxSizes.Core.Timers, 64}, "members in records": {maxSizes.Core.Members, 16},
+			"members of the pool": {maxSizes.Pool.Members, 34}, "member connections": {maxSizes.Pool.Connections, 64}, "jobs": {maxSizes.Pool.Jobs, 8}, "ids of requests in progress": {maxSizes.ActiveIDs, 4},
 		} {
 			if v[0] > v[1] {
 				t.Errorf("%s: maximum %d, want at most %d", what, v[0], v[1])
