--- a/cmd/reachwind/council.go
+++ b/cmd/reachwind/council.go
@@ -99,23 +99,25 @@
 
 // result is the council's answer to a command.
 type result struct {
-	OK      bool    `json:"ok"`
-	Refused string  `json:"refused"`
-	Permit  *permit `json:"permit"`
-	Fence   uint64  `json:"fence"`
-	State   string  `json:"state"`
-	Back    bool    `json:"back"`
+	OK            bool    `json:"ok"`
+	RefusalReason string  `json:"refused"`
+	Permit        *permit `json:"permit"`
+	Fence         uint64  `json:"fence"`
+	State         string  `json:"state"`
+	RollingBack   bool    `json:"back"`
 }
 
+// permit is a permit to take Target out of service. Times are the council's.
 type permit struct {
-	Target  string `json:"target"`
-	Holder  string `json:"holder"`
-	Fence   uint64 `json:"fence"`
-	UntilMs int64  `json:"until_ms"`
-	Overdue bool   `json:"overdue"`
-	Reason  string `json:"reason"`
+	Target    string `json:"target"`
+	Holder    string `json:"holder"`
+	Fence     uint64 `json:"fence"`
+	ExpiresMs int64  `json:"until_ms"`
+	Overdue   bool   `json:"overdue"`
+	Reason    string `json:"reason"`
 }
 
+// status is the council's state as one voter reports it. Times are the council's, in milliseconds.
 type status struct {
 	Name    string `json:"name"`
 	Quorum  bool   `json:"quorum"`
@@ -125,29 +127,29 @@
 	Index   uint64 `json:"index"`
 	TimeMs  int64  `json:"time_ms"`
 	Budgets []struct {
-		Of    string  `json:"of"`
-		Zone  string  `json:"zone,omitempty"`
-		Group string  `json:"group,omitempty"`
-		Most  int     `json:"most"`
-		Share float64 `json:"share,omitempty"`
+		Of       string  `json:"of"`
+		Zone     string  `json:"zone,omitempty"`
+		Group    string  `json:"group,omitempty"`
+		Max      int     `json:"most"`
+		MaxShare float64 `json:"share,omitempty"`
 	} `json:"budgets"`
-	Permits  []permit         `json:"permits"`
-	Releases []agreed.Release `json:"releases"`
-	Targets  []agreed.Target  `json:"targets"`
-	Rules    agreed.Rules     `json:"rules"`
-	Serves   agreed.Serves    `json:"serves"`
-	Zones    *agreed.ZonePlan `json:"zones"`
-	Form     int              `json:"form"`
-	Identity uint64           `json:"identity"`
-	Listen   string           `json:"listen"`
-	ID       uint64           `json:"id"`
-	Voters   []struct {
-		Name    string `json:"name"`
-		ID      uint64 `json:"id"`
-		Address string `json:"address"`
-		Learns  bool   `json:"learns,omitempty"`
-		HeardMs int64  `json:"heard_ms"`
-		Form    int    `json:"form"`
+	Permits       []permit         `json:"permits"`
+	Releases      []agreed.Release `json:"releases"`
+	Targets       []agreed.Target  `json:"targets"`
+	Rules         agreed.Rules     `json:"rules"`
+	Serves        agreed.Serves    `json:"serves"`
+	Zones         *agreed.ZonePlan `json:"zones"`
+	FormatVersion int              `json:"form"`
+	Identity      uint64           `json:"identity"`
+	Listen        string           `json:"listen"`
+	ID            uint64           `json:"id"`
+	Voters        []struct {
+		Name          string `json:"name"`
+		ID            uint64 `json:"id"`
+		Address       string `json:"address"`
+		Learning      bool   `json:"learns,omitempty"`
+		LastHeardMs   int64  `json:"heard_ms"` // since the last message from it; 0: now, negative: none yet
+		FormatVersion int    `json:"form"`
 	} `json:"voters"`
 }
 
@@ -216,17 +218,17 @@
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		for _, v := range s.Voters {
 			heard := "now"
-			if v.HeardMs != 0 {
-				heard = (time.Duration(v.HeardMs) * time.Millisecond).String() + " ago"
+			if v.LastHeardMs != 0 {
+				heard = (time.Duration(v.LastHeardMs) * time.Millisecond).String() + " ago"
 			}
-			if v.HeardMs < 0 {
+			if v.LastHeardMs < 0 {
 				heard = "not yet"
 			}
 			kind := "votes"
-			if v.Learns {
+			if v.Learning {
 				kind = "learns"
 			}
-			_, _ = fmt.Fprintf(out, "voter %s at %s %s, heard %s, speaks form %d of %d in use\n", v.Name, v.Address, kind, heard, v.Form, s.Form)
+			_, _ = fmt.Fprintf(out, "voter %s at %s %s, heard %s, speaks form %d of %d in use\n", v.Name, v.Address, kind, heard, v.FormatVersion, s.FormatVersion)
 		}
 		if s.Rules.ZoneLost || s.Rules.Worth > 0 {
 			_, _ = fmt.Fprintf(out, "nothing new goes out while a zone is lost: %v; while less than %g is served in time (now %.3f)\n", s.Rules.ZoneLost, s.Rules.Worth, s.Serves.Worth)
@@ -236,11 +238,11 @@
 		}
 		_, _ = fmt.Fprintln(w, "BUDGET OF\tZONE\tGROUP\tMOST\tSHARE")
 		for _, b := range s.Budgets {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\n", b.Of, b.Zone, b.Group, b.Most, b.Share)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\n", b.Of, b.Zone, b.Group, b.Max, b.MaxShare)
 		}
 		_, _ = fmt.Fprintln(w, "PERMIT FOR\tHOLDER\tFENCE\tENDS IN\tREASON")
 		for _, p := range s.Permits {
-			left := (time.Duration(p.UntilMs-s.TimeMs) * time.Millisecond).Round(100 * time.Millisecond).String()
+			left := (time.Duration(p.ExpiresMs-s.TimeMs) * time.Millisecond).Round(100 * time.Millisecond).String()
 			if p.Overdue {
 				left = "overdue: counts as out"
 			}
@@ -292,7 +294,7 @@
 // checkResult returns err, or an error with the reason if the council refused a command.
 func checkResult(r *result, err error) error {
 	if err == nil && !r.OK {
-		err = errors.New(r.Refused)
+		err = errors.New(r.RefusalReason)
 	}
 	return err
 }
@@ -316,7 +318,7 @@
 		case r.OK:
 			grant = r.Permit
 		case time.Now().After(until):
-			return exitError{exTempFail, fmt.Errorf("no permit for %s: %s", target, r.Refused)}
+			return exitError{exTempFail, fmt.Errorf("no permit for %s: %s", target, r.RefusalReason)}
 		default:
 			time.Sleep(retryInterval)
 		}
--- a/cmd/reachwind/drain.go
+++ b/cmd/reachwind/drain.go
@@ -91,7 +91,7 @@
 			for _, a := range c.addresses {
 				var r result
 				if code, err := callAdmin(a, http.MethodPost, "/v1/voter", body, &r); err == nil && code == http.StatusOK && !r.OK {
-					lastErr = errors.New(r.Refused)
+					lastErr = errors.New(r.RefusalReason)
 				} else if err != nil {
 					continue
 				}
@@ -119,7 +119,7 @@
 		}
 		return change(map[string]any{"name": args[0], "address": address, "identity": s.Identity, "id": s.ID}, func(now *status) bool {
 			for _, v := range now.Voters {
-				if v.ID == s.ID && !v.Learns {
+				if v.ID == s.ID && !v.Learning {
 					return true
 				}
 			}
--- a/cmd/reachwind/release.go
+++ b/cmd/reachwind/release.go
@@ -117,7 +117,7 @@
 			}
 			var budgets []agreed.Budget
 			for _, b := range s.Budgets {
-				budgets = append(budgets, agreed.Budget{Of: b.Of, Zone: b.Zone, Group: b.Group, Most: b.Most, Share: b.Share})
+				budgets = append(budgets, agreed.Budget{Of: b.Of, Zone: b.Zone, Group: b.Group, Most: b.Max, Share: b.MaxShare})
 			}
 			forecast := r.Forecast(s.Targets, budgets)
 			if *asJSON {
@@ -298,7 +298,7 @@
 				d.fence, d.termEnd = res.Fence, now.Add(driveTerm)
 				renewAt = now.Add(driveRenewInterval)
 			case err == nil && res.State == agreed.Rival: // this release has not begun, and a competing one is in progress
-				return errors.New(res.Refused)
+				return errors.New(res.RefusalReason)
 			case err == nil:
 				d.fence, renewAt = 0, now.Add(time.Second) // another process drives
 			default:
@@ -333,7 +333,7 @@
 	p, fence := res.Permit, d.fence
 	command := r.Command
 	version := r.Version
-	if res.Back {
+	if res.RollingBack {
 		command, version = r.Undo, r.Former
 	}
 	d.mu.Lock()
--- a/cmd/reachwind/zones.go
+++ b/cmd/reachwind/zones.go
@@ -13,16 +13,16 @@
 
 // zoneLine is a line of `reachwind fleet zones`.
 type zoneLine struct {
-	Zone    string             `json:"zone"`
-	Region  string             `json:"region"`
-	State   string             `json:"state"`
-	Plan    uint64             `json:"plan"`
-	UntilMs int64              `json:"until_ms"`
-	Reason  string             `json:"reason"`
-	GoesTo  map[string]float64 `json:"goes_to"`
-	Away    float64            `json:"away"`
-	Shed    float64            `json:"shed"`
-	Held    bool               `json:"held"`
+	Zone         string             `json:"zone"`
+	Region       string             `json:"region"`
+	State        string             `json:"state"`
+	Plan         uint64             `json:"plan"`
+	UntilMs      int64              `json:"until_ms"`
+	Reason       string             `json:"reason"`
+	Destinations map[string]float64 `json:"goes_to"`
+	AwayFraction float64            `json:"away"`
+	ShedFraction float64            `json:"shed"`
+	Held         bool               `json:"held"`
 }
 
 // addZoneCommands adds the command that lists zones, and those by which an operator steers one.
@@ -48,7 +48,7 @@
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		_, _ = fmt.Fprintln(w, "ZONE\tREGION\tSTATE\tAWAY\tGOES TO\tSHED\tHELD\tREASON")
 		for _, l := range lines {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%s\t%.2f\t%v\t%s\n", l.Zone, l.Region, l.State, l.Away, formatMap(l.GoesTo), l.Shed, l.Held, l.Reason)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%s\t%.2f\t%v\t%s\n", l.Zone, l.Region, l.State, l.AwayFraction, formatMap(l.Destinations), l.ShedFraction, l.Held, l.Reason)
 		}
 		return w.Flush()
 	}})
--- a/internal/edgeconf/edgeconf_test.go
+++ b/internal/edgeconf/edgeconf_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestFaults: every fault of a file is told with its place, what was found and what is wanted, and nothing panics.
+// TestFaults: every fault of a file is reported with its position, what was found and what is wanted.
 func TestFaults(t *testing.T) {
 	const text = `
 box {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -101,7 +101,7 @@
 	return c, nil
 }
 
-// Parse is Load for the text of a file; env looks up environment variables.
+// Parse is Load for the text of a file; env returns the value of an environment variable, empty if it is not set.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Seed string
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -33,7 +33,7 @@
 	return loadEdge(path, c, c.active.Current().Names)
 }
 
-// loadEdge is LoadEdge with the names of classes, outcomes and so on that records may contain.
+// loadEdge is LoadEdge with the names of classes and tenants that records may contain.
 func loadEdge(path string, c *Config, names activesettings.Names) (*Edge, error) {
 	edge := new(Edge)
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	user     = "app"
-	database = "shop"
+	memberUser     = "app"
+	memberDatabase = "shop"
 
 	minSockets              = 64
 	minDividedSockets       = 16 // descriptors divided among clients and members, even where subsystems claim nearly all
@@ -77,6 +77,7 @@
 
 // Serve runs the gateway until SIGTERM or SIGINT, then shuts it down gracefully. SIGHUP
 // reloads the configuration. It is handled until Serve returns, since its default action ends the process.
+// The error is that of a start that failed, or of a listener that failed while serving.
 func Serve(c *Config, o Options) error {
 	hup := c.hup
 	if hup == nil {
@@ -191,11 +192,11 @@
 		f()
 	}
 	g.applyReload(next)
-	g.options.Log.Info("reloaded", "discovery", next.conf.Discovery)
-	g.discovery.SetAddr(next.conf.Discovery)
+	g.options.Log.Info("reloaded", "discovery", next.config.Discovery)
+	g.discovery.SetAddr(next.config.Discovery)
 }
 
-// Run serves listener until term ends.
+// Run is Serve without signals: it serves listener until term ends, and reloads the configuration at each value of hup.
 func Run(term context.Context, hup <-chan os.Signal, c *Config, listener net.Listener, o Options) error {
 	termAt := endTime(term) // SIGTERM may arrive while the gateway is being built
 	g, err := build(c, o)
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -90,28 +90,28 @@
 	shared        *handover.SharedState
 	log           *slog.Logger
 	now           func() core.Time
-	discoveryAddr string // of discovery
+	discoveryAddr string
 	memoryBytes   int64
 	done          chan struct{}    // closed by stop
 	shareFailure  logthrottle.Line // limits the log lines on failures to share
 	passed        atomic.Int64     // connections passed on
 	notPassed     atomic.Int64     // connections that could not be passed on
 
-	readFloor         atomic.Int64                    // position that session reads must see where commits are not shared; unboundedFloor while another process lives
-	otherCount        atomic.Int32                    // number of other processes
-	listReceived      chan struct{}                   // closed with the first list that discovery sends
-	closeListReceived sync.Once                       // closes listReceived
-	applyLimits       func(part float64, sockets int) // limits this process to a fraction of the memory and to so many descriptors
-	importSuspensions func(count uint64)              // reads the shared suspensions and acknowledges that count changes of them were seen
+	readFloor         atomic.Int64                              // position that session reads must see where commits are not shared; unboundedFloor while another process lives
+	otherCount        atomic.Int32                              // number of other processes
+	listReceived      chan struct{}                             // closed with the first list that discovery sends
+	closeListReceived sync.Once                                 // closes listReceived
+	applyLimits       func(memoryFraction float64, sockets int) // limits this process to a fraction of the memory and to so many descriptors
+	importSuspensions func(count uint64)                        // reads the shared suspensions and acknowledges that count changes of them were seen
 
 	mu           sync.Mutex
 	adopt        func(net.Conn, bool) // takes over a connection; nil: not serving yet
 	stopAdopting func()               // stops taking connections over; nil: not started, or stopped
 	leaving      bool                 // no more connections are taken over
 	listed       map[string]core.ListedMember
-	listVersion  func() int64 // of the list
-	saving       bool         // the list is being saved, or will be
-	saveAgain    bool         // the list changed meanwhile and must be saved once more
+	listVersion  func() int64
+	saving       bool // the list is being saved, or will be
+	saveAgain    bool // the list changed meanwhile and must be saved once more
 }
 
 // openHandover opens the state shared in folder dir. It returns nil if dir is empty or the folder can't be used at all.
@@ -119,14 +119,14 @@
 	if dir == "" {
 		return nil
 	}
-	b, err := handover.Open(dir)
+	state, err := handover.Open(dir)
 	if err != nil {
 		log.Error("handover: nothing is shared with another process of this gateway", "err", err)
-		if b == nil {
+		if state == nil {
 			return nil
 		}
 	}
-	s := &processHandover{shared: b, log: log, now: now, discoveryAddr: c.Discovery, memoryBytes: c.memoryBytes, done: make(chan struct{}),
+	s := &processHandover{shared: state, log: log, now: now, discoveryAddr: c.Discovery, memoryBytes: c.memoryBytes, done: make(chan struct{}),
 		listReceived: make(chan struct{}), listed: map[string]core.ListedMember{}}
 	s.checkOthers()
 	return s
@@ -493,13 +493,13 @@
 
 // limiter returns a function that limits the gateway to a fraction of its memory and to a number of descriptors, which are
 // divided as in budget.
-func (g *instance) limiter(buffers *pgwire.Pool, budget Budget) func(part float64, sockets int) {
-	return func(part float64, sockets int) {
-		buffers.SetLimits(int(part*float64(budget.Buffers)), int(part*float64(budget.SmallBuffers)))
+func (g *instance) limiter(buffers *pgwire.Pool, budget Budget) func(memoryFraction float64, sockets int) {
+	return func(memoryFraction float64, sockets int) {
+		buffers.SetLimits(int(memoryFraction*float64(budget.Buffers)), int(memoryFraction*float64(budget.SmallBuffers)))
 		g.front.SetMaxConnections(int(clientFraction * float64(sockets)))
 		g.core.Post(func() { g.pool.SetMaxConns(int(memberFraction * float64(sockets))) })
 		if g.config.memoryBytes > 0 {
-			debug.SetMemoryLimit(int64(part * softLimitFraction * float64(g.config.memoryBytes)))
+			debug.SetMemoryLimit(int64(memoryFraction * softLimitFraction * float64(g.config.memoryBytes)))
 		}
 	}
 }
--- a/internal/gateway/retune.go
+++ b/internal/gateway/retune.go
@@ -16,7 +16,7 @@
 
 // reloadedConfig is a configuration file that was read and validated on SIGHUP, ready to be applied.
 type reloadedConfig struct {
-	conf   *Config // its Decide is what package decide is given
+	config *Config // its Decide is what package decide is given
 	active *activesettings.Snapshot
 	source []byte
 }
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", g.options.ConfigPath, err)
 	}
-	r := &reloadedConfig{conf: c, source: text}
+	r := &reloadedConfig{config: c, source: text}
 	r.active, c.Decide, err = g.config.active.Prepare(c.Decide, g.core.Now())
 	return r, err
 }
@@ -67,22 +67,22 @@
 	g.handover.saveConfig(r.source)
 	before := g.config.active.Current()
 	g.core.Post(func() {
-		if err := g.router.Reconfigure(*r.conf.Decide); err != nil { // readReload has validated it
+		if err := g.router.Reconfigure(*r.config.Decide); err != nil { // readReload has validated it
 			g.options.Log.Error("reloaded settings refused by the decision module", "err", err)
 			return
 		}
-		g.pool.Reconfigure(memberPoolConfig(r.conf.settings, 0, 0))
+		g.pool.Reconfigure(memberPoolConfig(r.config.settings, 0, 0))
 	})
 	g.config.active.Activate(r.active)
 	added, changed, removed := r.active.ClassChanges(before)
-	g.options.Log.Info("retuned", "classes", len(r.conf.Decide.Classes), "came", added, "changed", changed, "left", removed,
-		"attempts", r.conf.Decide.MaxAttempts)
+	g.options.Log.Info("retuned", "classes", len(r.config.Decide.Classes), "came", added, "changed", changed, "left", removed,
+		"attempts", r.config.Decide.MaxAttempts)
 }
 
 // memberPoolConfig returns the configuration of connections to members. maxConnections is their maximum number,
 // reservedBuffers the number of buffers that answers passed through may not use.
 func memberPoolConfig(s *settings.Settings, maxConnections, reservedBuffers int) pgmember.Config {
-	return pgmember.Config{User: user, Database: database, MaxConns: maxConnections, ReservedBuffers: reservedBuffers,
+	return pgmember.Config{User: memberUser, Database: memberDatabase, MaxConns: maxConnections, ReservedBuffers: reservedBuffers,
 		MemberIdleTimeout: microsecondsOr(s.Allowed.IdleCloseUs, defaultIdleClose),
 		ConnectTimeout:    microsecondsOr(s.Allowed.ConnectTimeoutUs, defaultConnectTimeout),
 		DrainGrace:        microsecondsOr(s.Rules.StopSendingWithinUs, defaultStopSendingGrace), KeepDelisted: s.Rules.DrainBindsAlone,
