--- a/cmd/reachwind/overlap_test.go
+++ b/cmd/reachwind/overlap_test.go
@@ -365,7 +365,7 @@
 	}
 	former.Signal(syscall.SIGTERM)
 	waitFor(t, former, "stopping", func() bool { return strings.Contains(former.Log(), "msg=stopping") })
-	waitFor(t, former, "a link to the next process", func() bool {
+	waitFor(t, former, "a connection to the next process", func() bool {
 		text, _ := os.ReadFile("/proc/net/unix")
 		n := 0
 		for line := range strings.Lines(string(text)) {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -47,7 +47,7 @@
 	return o
 }
 
-// start opens the admin API's listener. Like leave, serve and stop it does nothing where there is no admin API.
+// start opens the admin API's listener. Like setStopping, setServing and stop it does nothing where there is no admin API.
 func (o *adminOperator) start() error {
 	if o == nil {
 		return nil
@@ -100,7 +100,7 @@
 	return o.suspensions.IsSuspended(id)
 }
 
-// Ready implements adminapi.Operator.
+// Ready implements adminapi.Backend. The error is an adminapi.NotReadyError.
 func (o *adminOperator) Ready() error {
 	switch {
 	case o.stopping.Load():
@@ -113,19 +113,19 @@
 	return nil
 }
 
-// Suspend implements adminapi.Operator.
+// Suspend implements adminapi.Backend.
 func (o *adminOperator) Suspend(ctx context.Context, id string) error {
 	return o.shareSuspensions(ctx, o.change(ctx, id, "db machine suspended", (*suspend.Set).Suspend))
 }
 
-// Resume implements adminapi.Operator.
+// Resume implements adminapi.Backend.
 func (o *adminOperator) Resume(ctx context.Context, id string) error {
 	return o.shareSuspensions(ctx, o.change(ctx, id, "db machine resumed", (*suspend.Set).Resume))
 }
 
 // change applies an operator's change of a member on the core's goroutine, and waits until it is in force. If ctx ends
-// first it returns adminapi.NotDone, and the change never happens; or adminapi.Unconfirmed, if the change has begun but
-// is not confirmed within confirmTimeout.
+// first it returns an adminapi.NotDoneError, and the change never happens; or an adminapi.UnconfirmedError, if the
+// change has begun but is not confirmed within confirmTimeout.
 func (o *adminOperator) change(ctx context.Context, id, message string, apply func(*suspend.Set, string, core.Time) ([]core.ListedMember, error)) error {
 	var claimed atomic.Bool // set by whichever comes first: the change, or the end of ctx
 	start := time.Now()
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -217,7 +217,7 @@
 	short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := o.Suspend(short, "m"); !errors.As(err, new(adminapi.NotDoneError)) {
-		t.Errorf("suspension with a stalled core: %v, want NotDone", err)
+		t.Errorf("suspension with a stalled core: %v, want a NotDoneError", err)
 	}
 	if err := o.Ready(); err == nil {
 		t.Error("ready without a list")
--- a/internal/gateway/overlay.go
+++ b/internal/gateway/overlay.go
@@ -23,7 +23,7 @@
 	drains      map[string]bool              // members that the council has permitted to go out
 	zonesAway   map[string]float64           // by zone, the fraction of its load that goes elsewhere by the zone plan
 	primaries   map[int64]string             // by group, the member that this gateway considers its primary
-	gateway     string                       // of this gateway
+	gateway     string                       // name of this gateway
 	drained     map[string]bool              // members listed as draining to the core by this overlay
 	lastInGroup int                          // members that stay in use because they are the last of their group
 }
