--- a/cmd/reachwind/council.go
+++ b/cmd/reachwind/council.go
@@ -60,7 +60,7 @@
 			return fmt.Errorf("%s: %w", program, syscall.Exec(program, args, os.Environ()))
 		}}
 	c.Flags().BoolVar(&join, "join", false, "join an existing council: with an empty folder this voter does not found one but waits until it is added")
-	c.AddCommand(&cobra.Command{Use: "restore", Short: "make a new council from one voter's folder after the majority was lost for good; see --help", DisableFlagParsing: true,
+	c.AddCommand(&cobra.Command{Use: "restore", Short: "make a new council from one folder of a council that has lost its majority for good; see --help", DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			me, err := os.Executable()
 			if err != nil {
