--- a/cmd/reachwind/council.go
+++ b/cmd/reachwind/council.go
@@ -26,31 +26,31 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// Exit codes of `fleet permit`, beside the command's own.
+// Exit codes of `fleet permit`. Otherwise it exits with the code of the command that it ran.
 const (
-	exTempFail = 75 // not granted in time: the command was never started
-	exFenced   = 76 // stopped, as its permit had ended
+	exTempFail = 75 // no permit was granted in time, and the command was never started
+	exFenced   = 76 // the command was stopped because its permit ended
 )
 
 const (
-	retryEach = 200 * time.Millisecond
-	watchEach = 500 * time.Millisecond
-	noticeDB  = 400 * time.Millisecond // between a member's permit and the command: gateways are told at once and must stop within 250 ms
-	giveBack  = 5 * time.Second        // tries to give a permit back for so long
-	termGrace = 5 * time.Second        // from SIGTERM to SIGKILL at most, all before the permit ends
+	retryInterval     = 200 * time.Millisecond
+	watchInterval     = 500 * time.Millisecond
+	memberDrainNotice = 400 * time.Millisecond // between a member's permit and the command: gateways are notified at once and must stop sending to it within 250 ms
+	giveBackTimeout   = 5 * time.Second        // for giving a permit back, retries included
+	terminationGrace  = 5 * time.Second        // at most, from SIGTERM to SIGKILL; both come before the permit ends
 )
 
-// councilCommand starts a voter, which is a program of its own beside this one.
+// councilCommand runs a voter by replacing this process with the program reachwind-council of the same folder.
 func councilCommand() *cobra.Command {
 	var path, level string
 	var join bool
 	c := &cobra.Command{Use: "council", Short: "run one voter of the fleet's council until SIGTERM or SIGINT", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			me, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			program := filepath.Join(filepath.Dir(me), "reachwind-council")
+			program := filepath.Join(filepath.Dir(executable), "reachwind-council")
 			path, _ = c.Flags().GetString("config")
 			level, _ = c.Flags().GetString("log-level")
 			args := []string{program, "--config", path, "--log-level", level}
@@ -59,8 +59,8 @@
 			}
 			return fmt.Errorf("%s: %w", program, syscall.Exec(program, args, os.Environ()))
 		}}
-	c.Flags().BoolVar(&join, "join", false, "join a council that is there: with an empty folder this voter founds none, and waits until it is added")
-	c.AddCommand(&cobra.Command{Use: "restore", Short: "make a new council from one folder of one that has lost its majority for good; --help tells how", DisableFlagParsing: true,
+	c.Flags().BoolVar(&join, "join", false, "join an existing council: with an empty folder this voter does not found one but waits until it is added")
+	c.AddCommand(&cobra.Command{Use: "restore", Short: "make a new council from one folder of a council that has lost its majority for good; see --help", DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			me, err := os.Executable()
 			if err != nil {
@@ -72,50 +72,52 @@
 	return c
 }
 
-// councillors are the admin addresses of a council, and who asks there.
-type councillors struct {
-	admins []string
-	client string
-	number uint64
-	who    string
+// councilClient is a client of a council: the voters' admin addresses, and what identifies the client's commands.
+type councilClient struct {
+	addresses  []string
+	clientID   string
+	lastNumber uint64
+	requester  string
 }
 
-func newCouncillors(admin string) *councillors {
+func newCouncilClient(admin string) *councilClient {
 	id := make([]byte, 12)
-	_, _ = rand.Read(id) // it never fails
-	c := &councillors{client: hex.EncodeToString(id)}
+	_, _ = rand.Read(id) // never fails
+	c := &councilClient{clientID: hex.EncodeToString(id)}
 	for _, a := range strings.Split(admin, ",") {
 		if a = strings.TrimSpace(a); a != "" {
-			c.admins = append(c.admins, a)
+			c.addresses = append(c.addresses, a)
 		}
 	}
 	host, _ := os.Hostname()
-	c.who = host
+	c.requester = host
 	if u, err := user.Current(); err == nil {
-		c.who = u.Username + "@" + host
+		c.requester = u.Username + "@" + host
 	}
 	return c
 }
 
-// result is what a command gave.
+// result is the council's answer to a command.
 type result struct {
-	OK      bool    `json:"ok"`
-	Refused string  `json:"refused"`
-	Permit  *permit `json:"permit"`
-	Fence   uint64  `json:"fence"`
-	State   string  `json:"state"`
-	Back    bool    `json:"back"`
+	OK            bool    `json:"ok"`
+	RefusalReason string  `json:"refused"`
+	Permit        *permit `json:"permit"`
+	Fence         uint64  `json:"fence"`
+	State         string  `json:"state"`
+	RollingBack   bool    `json:"back"`
 }
 
+// permit is a permit to take Target out of service. Times are the council's.
 type permit struct {
-	Target  string `json:"target"`
-	Holder  string `json:"holder"`
-	Fence   uint64 `json:"fence"`
-	UntilMs int64  `json:"until_ms"`
-	Overdue bool   `json:"overdue"`
-	Reason  string `json:"reason"`
+	Target    string `json:"target"`
+	Holder    string `json:"holder"`
+	Fence     uint64 `json:"fence"`
+	ExpiresMs int64  `json:"until_ms"`
+	Overdue   bool   `json:"overdue"`
+	Reason    string `json:"reason"`
 }
 
+// status is the council's state as one voter reports it. Times are the council's, in milliseconds.
 type status struct {
 	Name    string `json:"name"`
 	Quorum  bool   `json:"quorum"`
@@ -125,67 +127,68 @@
 	Index   uint64 `json:"index"`
 	TimeMs  int64  `json:"time_ms"`
 	Budgets []struct {
-		Of    string  `json:"of"`
-		Zone  string  `json:"zone,omitempty"`
-		Group string  `json:"group,omitempty"`
-		Most  int     `json:"most"`
-		Share float64 `json:"share,omitempty"`
+		Of       string  `json:"of"`
+		Zone     string  `json:"zone,omitempty"`
+		Group    string  `json:"group,omitempty"`
+		Max      int     `json:"most"`
+		MaxShare float64 `json:"share,omitempty"`
 	} `json:"budgets"`
-	Permits  []permit         `json:"permits"`
-	Releases []agreed.Release `json:"releases"`
-	Targets  []agreed.Target  `json:"targets"`
-	Rules    agreed.Rules     `json:"rules"`
-	Serves   agreed.Serves    `json:"serves"`
-	Zones    *agreed.ZonePlan `json:"zones"`
-	Form     int              `json:"form"`
-	Identity uint64           `json:"identity"`
-	Listen   string           `json:"listen"`
-	ID       uint64           `json:"id"`
-	Voters   []struct {
-		Name    string `json:"name"`
-		ID      uint64 `json:"id"`
-		Address string `json:"address"`
-		Learns  bool   `json:"learns,omitempty"`
-		HeardMs int64  `json:"heard_ms"`
-		Form    int    `json:"form"`
+	Permits       []permit         `json:"permits"`
+	Releases      []agreed.Release `json:"releases"`
+	Targets       []agreed.Target  `json:"targets"`
+	Rules         agreed.Rules     `json:"rules"`
+	Serves        agreed.Serves    `json:"serves"`
+	Zones         *agreed.ZonePlan `json:"zones"`
+	FormatVersion int              `json:"form"`
+	Identity      uint64           `json:"identity"`
+	Listen        string           `json:"listen"`
+	ID            uint64           `json:"id"`
+	Voters        []struct {
+		Name          string `json:"name"`
+		ID            uint64 `json:"id"`
+		Address       string `json:"address"`
+		Learning      bool   `json:"learns,omitempty"`
+		LastHeardMs   int64  `json:"heard_ms"` // since the last message from it; 0: now, negative: none yet
+		FormatVersion int    `json:"form"`
 	} `json:"voters"`
 }
 
-// do gives a command to whoever leads, until it is decided or the time is up. It goes under one number however often
-// it is sent, so it is done once.
-func (c *councillors) do(until time.Time, q map[string]any) (*result, error) {
-	c.number++
-	q["client"], q["number"], q["who"] = c.client, c.number, c.who
-	body, err := json.Marshal(q)
+// submit submits a command to the voters, the last leader first, and retries until one of them reports its result or
+// until has passed. All attempts carry the same number, so that the council executes the command once. The error is an
+// exitError with exUnavailable if no voter answered in time.
+func (c *councilClient) submit(until time.Time, command map[string]any) (*result, error) {
+	c.lastNumber++
+	command["client"], command["number"], command["who"] = c.clientID, c.lastNumber, c.requester
+	body, err := json.Marshal(command)
 	if err != nil {
 		return nil, err
 	}
 	err = errors.New("no admin address, want --admin host:port,...")
 	for {
-		for i, a := range slices.Clone(c.admins) {
+		for i, a := range slices.Clone(c.addresses) {
 			var r result
 			var code int
-			if code, err = call(a, http.MethodPost, "/v1/command", body, &r); err == nil && code == http.StatusOK {
-				c.admins[0], c.admins[i] = c.admins[i], c.admins[0] // who leads is asked first the next time
+			if code, err = callAdmin(a, http.MethodPost, "/v1/command", body, &r); err == nil && code == http.StatusOK {
+				c.addresses[0], c.addresses[i] = c.addresses[i], c.addresses[0] // the leader is asked first next time
 				return &r, nil
 			}
 			if code == http.StatusBadRequest {
 				return nil, err
 			}
 		}
-		if time.Now().After(until) || len(c.admins) == 0 {
-			return nil, exitError{exUnavailable, fmt.Errorf("the council decides nothing: %w", err)}
+		if time.Now().After(until) || len(c.addresses) == 0 {
+			return nil, exitError{exUnavailable, fmt.Errorf("no decision from the council in time: %w", err)}
 		}
-		time.Sleep(retryEach)
+		time.Sleep(retryInterval)
 	}
 }
 
-// status asks for the state, the leader's if it can be had.
-func (c *councillors) status() (best *status, err error) {
+// status returns the council's state as the leader knows it or, if no leader answers, as the most up-to-date voter does.
+func (c *councilClient) status() (best *status, err error) {
 	err = errors.New("no admin address, want --admin host:port,...")
-	for _, a := range c.admins {
+	for _, a := range c.addresses {
 		var s status
-		if code, e := call(a, http.MethodGet, "/v1/status", nil, &s); e != nil || code != http.StatusOK {
+		if code, e := callAdmin(a, http.MethodGet, "/v1/status", nil, &s); e != nil || code != http.StatusOK {
 			err = e
 			continue
 		}
@@ -199,47 +202,47 @@
 	return best, nil
 }
 
-// addCouncil adds what is asked of the council to the fleet's commands.
-func addCouncil(c *cobra.Command, admin *string, asJSON *bool) {
+// addCouncilCommands adds the commands that are directed to the council to command `fleet`.
+func addCouncilCommands(c *cobra.Command, admin *string, asJSON *bool) {
 	c.AddCommand(&cobra.Command{Use: "status", Short: "the council's leader, budgets and permits", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		s, err := newCouncillors(*admin).status()
+		s, err := newCouncilClient(*admin).status()
 		if err != nil || *asJSON {
-			return show(c.OutOrStdout(), s, err)
+			return writeJSON(c.OutOrStdout(), s, err)
 		}
 		out := c.OutOrStdout()
-		lead := s.Leader
-		if lead == "" {
-			lead = "none: nothing new goes out"
+		leader := s.Leader
+		if leader == "" {
+			leader = "none: nothing new goes out"
 		}
-		_, _ = fmt.Fprintf(out, "leader %s, term %d, index %d, council time %v, as %s knows it\n", lead, s.Term, s.Index, time.Duration(s.TimeMs)*time.Millisecond, s.Name)
+		_, _ = fmt.Fprintf(out, "leader %s, term %d, index %d, council time %v, as %s knows it\n", leader, s.Term, s.Index, time.Duration(s.TimeMs)*time.Millisecond, s.Name)
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		for _, v := range s.Voters {
 			heard := "now"
-			if v.HeardMs != 0 {
-				heard = (time.Duration(v.HeardMs) * time.Millisecond).String() + " ago"
+			if v.LastHeardMs != 0 {
+				heard = (time.Duration(v.LastHeardMs) * time.Millisecond).String() + " ago"
 			}
-			if v.HeardMs < 0 {
+			if v.LastHeardMs < 0 {
 				heard = "not yet"
 			}
 			kind := "votes"
-			if v.Learns {
+			if v.Learning {
 				kind = "learns"
 			}
-			_, _ = fmt.Fprintf(out, "voter %s at %s %s, heard %s, speaks form %d of %d in use\n", v.Name, v.Address, kind, heard, v.Form, s.Form)
+			_, _ = fmt.Fprintf(out, "voter %s at %s %s, heard %s, speaks form %d of %d in use\n", v.Name, v.Address, kind, heard, v.FormatVersion, s.FormatVersion)
 		}
 		if s.Rules.ZoneLost || s.Rules.Worth > 0 {
 			_, _ = fmt.Fprintf(out, "nothing new goes out while a zone is lost: %v; while less than %g is served in time (now %.3f)\n", s.Rules.ZoneLost, s.Rules.Worth, s.Serves.Worth)
 		}
 		for i := range s.Releases {
-			_, _ = fmt.Fprintln(out, progress(&s.Releases[i], s.TimeMs))
+			_, _ = fmt.Fprintln(out, progressLine(&s.Releases[i], s.TimeMs))
 		}
 		_, _ = fmt.Fprintln(w, "BUDGET OF\tZONE\tGROUP\tMOST\tSHARE")
 		for _, b := range s.Budgets {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\n", b.Of, b.Zone, b.Group, b.Most, b.Share)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\n", b.Of, b.Zone, b.Group, b.Max, b.MaxShare)
 		}
 		_, _ = fmt.Fprintln(w, "PERMIT FOR\tHOLDER\tFENCE\tENDS IN\tREASON")
 		for _, p := range s.Permits {
-			left := (time.Duration(p.UntilMs-s.TimeMs) * time.Millisecond).Round(100 * time.Millisecond).String()
+			left := (time.Duration(p.ExpiresMs-s.TimeMs) * time.Millisecond).Round(100 * time.Millisecond).String()
 			if p.Overdue {
 				left = "overdue: counts as out"
 			}
@@ -247,99 +250,102 @@
 		}
 		return w.Flush()
 	}})
-	budget := &cobra.Command{Use: "budget", Short: "what may be out at once"}
+	budget := &cobra.Command{Use: "budget", Short: "how many gateways or members may be out of service at once"}
 	var of, zone, group string
 	var most int
 	var share float64
 	set := &cobra.Command{Use: "set", Short: "set a budget", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		r, err := newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "budget",
+		r, err := newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "budget",
 			"budget": map[string]any{"of": of, "zone": zone, "group": group, "most": most, "share": share}})
-		return granted(r, err)
+		return checkResult(r, err)
 	}}
 	set.Flags().StringVar(&of, "of", "", "gateways or members")
 	set.Flags().StringVar(&zone, "zone", "", "only those of this zone")
 	set.Flags().StringVar(&group, "group", "", "only those of this group")
-	set.Flags().IntVar(&most, "most", -1, "at most so many; -1: no bound by number")
-	set.Flags().Float64Var(&share, "share", 0, "at most this part of those that are there; 0: no bound by share")
+	set.Flags().IntVar(&most, "most", -1, "maximum number; -1: no limit by number")
+	set.Flags().Float64Var(&share, "share", 0, "maximum fraction of those that are present; 0: no limit by fraction")
 	var zoneLost bool
 	var worth float64
-	guard := &cobra.Command{Use: "guard", Short: "bar all that is new while a zone is lost or too little is served in time", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return granted(newCouncillors(*admin).do(time.Now().Add(10*time.Second), map[string]any{"op": "rules", "rules": map[string]any{"zone_lost": zoneLost, "worth": worth}}))
+	guard := &cobra.Command{Use: "guard", Short: "grant no new permits while a zone is lost or too few requests are served in time", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+		return checkResult(newCouncilClient(*admin).submit(time.Now().Add(10*time.Second), map[string]any{"op": "rules", "rules": map[string]any{"zone_lost": zoneLost, "worth": worth}}))
 	}}
-	guard.Flags().BoolVar(&zoneLost, "zone-lost", false, "nothing new goes out while more than half of a zone's gateways are out by themselves")
-	guard.Flags().Float64Var(&worth, "worth", 0, "nothing new goes out while less than this part is served in time; 0: no bound")
+	guard.Flags().BoolVar(&zoneLost, "zone-lost", false, "grant no new permits while more than half of a zone's gateways have failed")
+	guard.Flags().Float64Var(&worth, "worth", 0, "grant no new permits while less than this fraction of requests is served in time; 0: no limit")
 	budget.AddCommand(set, guard)
 	c.AddCommand(budget)
 
 	var term, wait time.Duration
 	var reason string
-	p := &cobra.Command{Use: "permit TARGET --for SPAN -- COMMAND...", Short: "hold a permit to take gateway/NAME or db/NAME out while a command runs", Args: cobra.MinimumNArgs(2),
+	p := &cobra.Command{Use: "permit TARGET --for SPAN -- COMMAND...", Short: "run a command under a permit to take gateway/NAME or db/NAME out of service", Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return hold(newCouncillors(*admin), args[0], reason, term, wait, args[1:])
+			return runWithPermit(newCouncilClient(*admin), args[0], reason, term, wait, args[1:])
 		}}
 	p.Flags().DurationVar(&term, "for", 0, "the permit's `span`; the command is stopped before it ends")
-	p.Flags().DurationVar(&wait, "wait", 0, "wait so long for the permit")
-	p.Flags().StringVar(&reason, "reason", "", "for the history")
+	p.Flags().DurationVar(&wait, "wait", 0, "how long to wait for the permit")
+	p.Flags().StringVar(&reason, "reason", "", "reason shown in the history")
 	c.AddCommand(p)
 
-	addDrain(c, admin, asJSON)
-	addVoters(c, admin)
-	addRelease(c, admin, asJSON)
-	addZones(c, admin, asJSON)
+	addDrainCommands(c, admin, asJSON)
+	addVoterCommands(c, admin)
+	addReleaseCommands(c, admin, asJSON)
+	addZoneCommands(c, admin, asJSON)
 }
 
-func granted(r *result, err error) error {
+// checkResult returns err, or an error with the reason if the council refused a command.
+func checkResult(r *result, err error) error {
 	if err == nil && !r.OK {
-		err = errors.New(r.Refused)
+		err = errors.New(r.RefusalReason)
 	}
 	return err
 }
 
-// hold runs a command under a permit. It counts the permit's span from before it asked, on its own clock, so that the
-// command has ended before the council takes the permit for ended.
-func hold(c *councillors, target, reason string, term, wait time.Duration, args []string) error {
+// runWithPermit runs a command under a permit. It counts the permit's term from before its request, on its own clock,
+// so that the command has ended before the permit ends by the council's clock. The error is an exitError with
+// exTempFail if there is no permit in time, exFenced if the command was stopped, and the command's own exit code if
+// that failed.
+func runWithPermit(c *councilClient, target, reason string, term, wait time.Duration, args []string) error {
 	if term < time.Second {
 		return fmt.Errorf("--for is %v, want a second at least", term)
 	}
 	var asked time.Time
-	var p *permit
-	for until := time.Now().Add(wait); p == nil; {
+	var grant *permit
+	for until := time.Now().Add(wait); grant == nil; {
 		asked = time.Now()
-		r, err := c.do(until, map[string]any{"op": "acquire", "target": target, "reason": reason, "term_ms": term.Milliseconds()})
+		r, err := c.submit(until, map[string]any{"op": "acquire", "target": target, "reason": reason, "term_ms": term.Milliseconds()})
 		switch {
 		case err != nil:
 			return exitError{exTempFail, fmt.Errorf("no permit for %s: %w", target, err)}
 		case r.OK:
-			p = r.Permit
+			grant = r.Permit
 		case time.Now().After(until):
-			return exitError{exTempFail, fmt.Errorf("no permit for %s: %s", target, r.Refused)}
+			return exitError{exTempFail, fmt.Errorf("no permit for %s: %s", target, r.RefusalReason)}
 		default:
-			time.Sleep(retryEach)
+			time.Sleep(retryInterval)
 		}
 	}
 	if strings.HasPrefix(target, "db/") { // gateways move work off the member first
-		time.Sleep(min(noticeDB, term/4))
+		time.Sleep(min(memberDrainNotice, term/4))
 	}
-	kill := asked.Add(term)
-	stop := kill.Add(-min(termGrace, term/5))
+	killAt := asked.Add(term)
+	stopAt := killAt.Add(-min(terminationGrace, term/5))
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
-	cmd.Env = append(os.Environ(), "REACHWIND_FENCE="+strconv.FormatUint(p.Fence, 10), "REACHWIND_TARGET="+target)
+	cmd.Env = append(os.Environ(), "REACHWIND_FENCE="+strconv.FormatUint(grant.Fence, 10), "REACHWIND_TARGET="+target)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM}
-	fenced := time.Now().After(stop)
+	fenced := time.Now().After(stopAt)
 	var err error
 	if !fenced {
-		fenced, err = c.run(cmd, p, stop, kill)
+		fenced, err = c.runUnderPermit(cmd, grant, stopAt, killAt)
 	}
 	if strings.HasPrefix(target, "db/") && err == nil && !fenced {
-		c.seenBack(target, asked.Add(term))
+		c.awaitMemberBack(target, asked.Add(term))
 	}
-	_, back := c.do(time.Now().Add(giveBack), map[string]any{"op": "give_back", "target": target, "fence": p.Fence})
-	if back != nil {
-		fmt.Fprintf(os.Stderr, "reachwind: the permit %d of %s was not given back, it counts as out: %v\n", p.Fence, target, back)
+	_, giveBackErr := c.submit(time.Now().Add(giveBackTimeout), map[string]any{"op": "give_back", "target": target, "fence": grant.Fence})
+	if giveBackErr != nil {
+		fmt.Fprintf(os.Stderr, "reachwind: permit %d of %s was not given back, its target still counts as out: %v\n", grant.Fence, target, giveBackErr)
 	}
 	if fenced {
-		return exitError{exFenced, fmt.Errorf("the permit %d of %s ended, the command was stopped", p.Fence, target)}
+		return exitError{exFenced, fmt.Errorf("permit %d of %s ended, the command was stopped", grant.Fence, target)}
 	}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -348,10 +354,10 @@
 	return err
 }
 
-// seenBack waits until gateways report a member as serving and caught up, until its permit ends at the latest. One that no
-// gateway reports is taken for back.
-func (c *councillors) seenBack(target string, until time.Time) {
-	for time.Now().Before(until.Add(-giveBack)) {
+// awaitMemberBack waits until gateways report a member as serving and caught up, at the latest until giveBackTimeout
+// before its permit ends. A member that no gateway reports counts as back.
+func (c *councilClient) awaitMemberBack(target string, until time.Time) {
+	for time.Now().Before(until.Add(-giveBackTimeout)) {
 		s, err := c.status()
 		if err == nil {
 			i := slices.IndexFunc(s.Targets, func(t agreed.Target) bool { return t.Name == target })
@@ -359,12 +365,13 @@
 				return
 			}
 		}
-		time.Sleep(watchEach)
+		time.Sleep(watchInterval)
 	}
 }
 
-// run runs the command until it ends, its time is up, or the council knows its permit no more.
-func (c *councillors) run(cmd *exec.Cmd, p *permit, stop, kill time.Time) (fenced bool, err error) {
+// runUnderPermit runs cmd until it ends, stopAt has passed, or the council no longer lists its permit. In the last two
+// cases it sends SIGTERM, then SIGKILL, and returns fenced = true.
+func (c *councilClient) runUnderPermit(cmd *exec.Cmd, p *permit, stopAt, killAt time.Time) (fenced bool, err error) {
 	if err := cmd.Start(); err != nil {
 		return false, err
 	}
@@ -375,16 +382,16 @@
 	revoked := make(chan struct{})
 	go func() {
 		for ctx.Err() == nil {
-			time.Sleep(watchEach)
+			time.Sleep(watchInterval)
 			s, err := c.status()
 			if err != nil || !s.Leading {
-				continue // who can't be asked has not taken it back
+				continue // only the leader's answer counts: without one the permit still holds
 			}
-			held := false
+			listed := false
 			for _, o := range s.Permits {
-				held = held || o.Target == p.Target && o.Fence == p.Fence && !o.Overdue
+				listed = listed || o.Target == p.Target && o.Fence == p.Fence && !o.Overdue
 			}
-			if !held {
+			if !listed {
 				close(revoked)
 				return
 			}
@@ -394,32 +401,33 @@
 	case err := <-ended:
 		return false, err
 	case <-revoked:
-		kill = time.Now().Add(termGrace)
-	case <-time.After(time.Until(stop)):
+		killAt = time.Now().Add(terminationGrace)
+	case <-time.After(time.Until(stopAt)):
 	}
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err = <-ended:
-	case <-time.After(time.Until(kill)):
+	case <-time.After(time.Until(killAt)):
 		_ = cmd.Process.Kill()
 		err = <-ended
 	}
 	return true, err
 }
 
-// call makes one call by HTTP/1.0 over a connection of its own.
-func call(addr, method, path string, body []byte, v any) (code int, err error) {
-	return callFor(addr, method, path, body, v, 2*askWait)
+// callAdmin makes one HTTP call to an admin address and decodes the JSON answer into v. A status other than 200 is an
+// error, and its code is returned with it; code is 0 if there was no answer.
+func callAdmin(addr, method, path string, body []byte, v any) (code int, err error) {
+	return callAdminWithin(addr, method, path, body, v, 2*adminTimeout)
 }
 
-// callFor is call for answers that may take so long.
-func callFor(addr, method, path string, body []byte, v any, within time.Duration) (code int, err error) {
+// callAdminWithin is callAdmin with a time limit.
+func callAdminWithin(addr, method, path string, body []byte, v any, within time.Duration) (code int, err error) {
 	res, err := roundTrip(addr, method, path, body, within)
 	if err != nil {
 		return 0, fmt.Errorf("asking %q: %w", addr, err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(res.Body, askMost))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, fmt.Errorf("asking %q: %w", addr, err)
 	}
--- a/cmd/reachwind/faults_test.go
+++ b/cmd/reachwind/faults_test.go
@@ -16,8 +16,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// configured writes a gateway's configuration with other settings and returns its path.
-func configured(t *testing.T, c *cluster.Cluster, discovery string, change func(settings map[string]any)) string {
+// writeEditedConfig writes a gateway's configuration whose settings were edited by change, and returns its path.
+func writeEditedConfig(t *testing.T, c *cluster.Cluster, discovery string, change func(settings map[string]any)) string {
 	t.Helper()
 	var conf map[string]any
 	if err := json.Unmarshal(c.GatewayConfig("n1", "127.0.0.1:0", 64, 256), &conf); err != nil {
@@ -36,8 +36,8 @@
 	return path
 }
 
-// askOnce sends one request on a connection of its own.
-func askOnce(t *testing.T, g *proc.Gateway, q *pgclient.Request) pgclient.Answer {
+// sendOnce sends one request on a connection of its own and returns the answer.
+func sendOnce(t *testing.T, g *proc.Gateway, q *pgclient.Request) pgclient.Answer {
 	t.Helper()
 	conn, err := pgclient.Dial(g.Addr, within)
 	if err != nil {
@@ -51,38 +51,39 @@
 	return answer
 }
 
-// TestOldAnswerOfOnceRequest guards against refusing or resending a request that a demoted primary has run.
-func TestOldAnswerOfOnceRequest(t *testing.T) {
+// TestOnceRequestRunByDemotedPrimary: a request that may run only once and that a demoted primary has run is answered
+// as failed. It is neither refused nor sent again, whether or not there is a successor.
+func TestOnceRequestRunByDemotedPrimary(t *testing.T) {
 	t.Parallel()
 	for _, successor := range []bool{true, false} {
 		t.Run(fmt.Sprintf("successor %v", successor), func(t *testing.T) {
 			t.Parallel()
-			c := started(t, cluster.Config{Groups: 1, Replicas: 2, Elect: 50 * time.Millisecond})
-			g := play(t, configured(t, c, c.Discovery(), func(settings map[string]any) {
+			c := startCluster(t, cluster.Config{Groups: 1, Replicas: 2, Elect: 50 * time.Millisecond})
+			g := startGateway(t, writeEditedConfig(t, c, c.Discovery(), func(settings map[string]any) {
 				for _, class := range settings["Grades"].([]any) {
 					class.(map[string]any)["Effect"] = "once"
 				}
 			}), "msg=serving")
 			read := &pgclient.Request{ID: "a1", Class: "run-status", Tenant: "kea-basin", Wait: 750 * time.Millisecond, Item: "hut"}
 			write := &pgclient.Request{ID: "a2", Class: "map-edits", Tenant: "kea-basin", Wait: 3 * time.Second, Item: "hut", Value: "open", Key: "k", Write: true}
-			if a := askOnce(t, g, write); a.Verdict != pgclient.Served {
-				t.Fatalf("the primary is to be known: %+v\n%s", a, g.Log())
+			if a := sendOnce(t, g, write); a.Verdict != pgclient.Served {
+				t.Fatalf("the primary is not known yet: %+v\n%s", a, g.Log())
 			}
-			old := c.Primary(0)
-			old.Hang(true)
-			eventually(t, g, "another primary", func() bool { return !old.IsPrimary() })
-			old.Freeze(true)
-			old.Hang(false)
+			formerPrimary := c.Primary(0)
+			formerPrimary.Hang(true)
+			waitFor(t, g, "a new primary is elected", func() bool { return !formerPrimary.IsPrimary() })
+			formerPrimary.Freeze(true)
+			formerPrimary.Hang(false)
 			if !successor {
 				for _, m := range c.Members() {
-					if m != old {
+					if m != formerPrimary {
 						m.Drain(true)
 					}
 				}
 			}
-			time.Sleep(200 * time.Millisecond) // the gateway takes the list
-			if a := askOnce(t, g, read); a.Verdict != pgclient.Failed {
-				t.Errorf("%s, want failed: the demoted primary ran it\n%s", pgclient.Names[a.Verdict], g.Log())
+			time.Sleep(200 * time.Millisecond) // for the gateway to apply the list
+			if a := sendOnce(t, g, read); a.Verdict != pgclient.Failed {
+				t.Errorf("verdict %s, want failed, since the demoted primary ran it\n%s", pgclient.Names[a.Verdict], g.Log())
 			}
 			if err := g.Stop(within); err != nil {
 				t.Error(err)
@@ -99,8 +100,9 @@
 	}
 }
 
-// crowded answers each call with 503 after the time that a call may queue.
-func crowded(nc net.Conn) {
+// overloadedDiscovery is an overloaded discovery: it answers each call with 503 after the longest time that a call may
+// queue there.
+func overloadedDiscovery(nc net.Conn) {
 	const queue = 2 * time.Second
 	buf := make([]byte, 4<<10)
 	for {
@@ -115,20 +117,21 @@
 	}
 }
 
-// TestDrainAfterCrowdedDiscovery guards against sends to a draining member when discovery has answered calls again for over 6 s.
-func TestDrainAfterCrowdedDiscovery(t *testing.T) {
+// TestDrainAfterOverloadedDiscovery: a member was listed as draining while discovery was overloaded. 6 s and the grace time
+// after discovery answers again, no more requests are sent to that member.
+func TestDrainAfterOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	const (
-		down  = 5 * time.Second
-		told  = 6 * time.Second
-		grace = 250*time.Millisecond + 50*time.Millisecond // of the settings, and the protocol's slack
-		rest  = 2 * time.Second
+		overloadedFor = 5 * time.Second
+		learnWait     = 6 * time.Second                            // for the gateway to learn of the drain
+		grace         = 250*time.Millisecond + 50*time.Millisecond // of the settings, and the tolerance of the protocol
+		observeFor    = 2 * time.Second
 	)
-	c := started(t, cluster.Config{Groups: 1, Replicas: 3})
+	c := startCluster(t, cluster.Config{Groups: 1, Replicas: 3})
 	r := newRelay(t, c.Discovery())
 	r.up(t, r.pass)
-	g := play(t, configured(t, c, r.addr, func(settings map[string]any) { settings["Instances"] = 300 }), "msg=serving")
-	eventually(t, g, "a watch", func() bool { return r.calls.Load() > 0 })
+	g := startGateway(t, writeEditedConfig(t, c, r.addr, func(settings map[string]any) { settings["Instances"] = 300 }), "msg=serving")
+	waitFor(t, g, "discovery is called", func() bool { return r.calls.Load() > 0 })
 	time.Sleep(200 * time.Millisecond)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -150,21 +153,21 @@
 		})
 	}
 	r.down()
-	r.up(t, crowded)
-	time.Sleep(down)
-	out := c.Members()[3]
-	out.Drain(true)
-	before := c.Took(out)
+	r.up(t, overloadedDiscovery)
+	time.Sleep(overloadedFor)
+	drained := c.Members()[3]
+	drained.Drain(true)
+	before := c.Took(drained)
 	r.down()
 	r.up(t, r.pass)
-	time.Sleep(told + grace)
-	took := c.Took(out)
-	time.Sleep(rest)
-	if n := c.Took(out) - took; n > 0 {
-		t.Errorf("%d requests reached a draining member over %v after discovery was back\n%s", n, told+grace, g.Log())
+	time.Sleep(learnWait + grace)
+	received := c.Took(drained)
+	time.Sleep(observeFor)
+	if n := c.Took(drained) - received; n > 0 {
+		t.Errorf("%d requests reached a draining member over %v after discovery was back\n%s", n, learnWait+grace, g.Log())
 	}
-	if took == before {
-		t.Error("no request reached the member before that: nothing is shown")
+	if received == before {
+		t.Error("no request reached the member before that, so the test shows nothing")
 	}
 	close(stop)
 	clients.Wait()
--- a/cmd/reachwind/main.go
+++ b/cmd/reachwind/main.go
@@ -1,6 +1,6 @@
-// Command reachwind is a database gateway: it takes statements from clients,
-// lets package decide pick the member of the cluster for each, and passes back
-// the one answer.
+// Command reachwind is a database gateway: it accepts statements from clients,
+// has package decide pick the member of the cluster for each, and returns exactly
+// one answer. Its other commands query and operate gateways and their council.
 package main
 
 import (
@@ -19,11 +19,11 @@
 	"reachwind/internal/record"
 )
 
-// version may be set by the linker.
+// version is the program's version. The linker may set it.
 var version = "0.1"
 
 func main() {
-	if err := command(os.Args[1:], os.Stdout, os.Stderr); err != nil {
+	if err := execute(os.Args[1:], os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "reachwind:", err)
 		code := 1
 		var e exitError
@@ -34,32 +34,32 @@
 	}
 }
 
-// command carries out one command line.
-func command(args []string, out, errs io.Writer) error {
-	root := commands()
+// execute executes one command line.
+func execute(args []string, out, errOut io.Writer) error {
+	root := newRootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(errOut)
 	return root.Execute()
 }
 
-// commands is the command line.
-func commands() *cobra.Command {
+// newRootCommand builds the tree of commands with their flags.
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "reachwind", Short: "A database gateway for a replicated store", SilenceUsage: true, SilenceErrors: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_ = c.Usage()
-			return errors.New("one command is wanted")
+			return errors.New("no command given, want one of those listed above")
 		}}
 	var path, edge, level string
 	flags := root.PersistentFlags()
 	flags.StringVarP(&path, "config", "c", os.Getenv("NODE_CONFIG"), "configuration `file` (NODE_CONFIG)")
 	flags.StringVarP(&edge, "edge", "e", os.Getenv("REACHWIND_EDGE"), "product configuration `file` (REACHWIND_EDGE)")
-	flags.StringVar(&level, "log-level", "info", "least `level` logged: debug, info, warn or error")
-	var offset time.Duration
-	var says string
-	var least slog.Level
+	flags.StringVar(&level, "log-level", "info", "lowest `level` logged: debug, info, warn or error")
+	var clockOffset time.Duration
+	var reportedVersion string
+	var minLevel slog.Level
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
-		if err := least.UnmarshalText([]byte(level)); err != nil {
+		if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 			return fmt.Errorf("log-level: %w", err)
 		}
 		return nil
@@ -68,29 +68,29 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			logs := newLogWriter(c.ErrOrStderr())
 			defer logs.flush()
-			records := record.NewHandler(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: least}))
-			conf, err := gateway.LoadServing(path, slog.New(records))
+			records := record.NewHandler(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: minLevel}))
+			conf, err := gateway.LoadForServing(path, slog.New(records))
 			if err != nil {
 				return err
 			}
-			return gateway.Serve(conf, gateway.Options{Path: path, Edge: edge, Version: cmp.Or(says, version), Log: slog.New(records), Records: records,
-				Wall: func() time.Time { return time.Now().Add(offset) }})
+			return gateway.Serve(conf, gateway.Options{ConfigPath: path, EdgePath: edge, Version: cmp.Or(reportedVersion, version), Log: slog.New(records), Records: records,
+				WallClock: func() time.Time { return time.Now().Add(clockOffset) }})
 		}}
-	serve.Flags().DurationVar(&offset, "clock-offset", 0, "set the fleet's wall clock off by this `span`; for laboratories")
-	serve.Flags().StringVar(&says, "say-version", "", "tell peers and the council this `version`; for laboratories")
+	serve.Flags().DurationVar(&clockOffset, "clock-offset", 0, "offset of the fleet's wall clock by this `span`; for test labs")
+	serve.Flags().StringVar(&reportedVersion, "say-version", "", "report this `version` to peers and the council; for test labs")
 	_ = serve.Flags().MarkHidden("clock-offset")
 	_ = serve.Flags().MarkHidden("say-version")
 	root.AddCommand(serve)
 	root.AddCommand(&cobra.Command{Use: "check", Short: "read the configuration, report its faults, and exit", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return check(c.OutOrStdout(), path, edge) }})
+		RunE: func(c *cobra.Command, _ []string) error { return printCheck(c.OutOrStdout(), path, edge) }})
 	root.AddCommand(&cobra.Command{Use: "version", Short: "print the version", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) { _, _ = fmt.Fprintln(c.OutOrStdout(), "reachwind", version) }})
 	root.AddCommand(spoolCommand(), fleetCommand(), councilCommand())
 	return root
 }
 
-// check reports what a configuration says, and how the limits are divided under it.
-func check(out io.Writer, path, edgePath string) error {
+// printCheck validates the configuration files and prints a summary of them and of how the limits are divided.
+func printCheck(out io.Writer, path, edgePath string) error {
 	c, err := gateway.Load(path)
 	if err != nil {
 		return err
@@ -104,8 +104,8 @@
 	_, _ = fmt.Fprintf(out, "ok: %s listens on %s, %d members known, %d classes\n",
 		c.Name, c.Listen, len(c.Known), len(c.Decide.Classes))
 	b := c.Budget(edge)
-	_, _ = fmt.Fprintf(out, "descriptors: %d for clients, %d for members, %d for parts\n", b.Clients, b.Members, b.Files)
-	_, _ = fmt.Fprintf(out, "memory: %d buffers and %d small ones of %s in all, %s for parts\n", b.Buffers, b.Small, edgeconf.FormatSize(b.Memory), edgeconf.FormatSize(b.Parts))
+	_, _ = fmt.Fprintf(out, "descriptors: %d for clients, %d for members, %d for parts\n", b.ClientConnections, b.MemberConnections, b.SubsystemDescriptors)
+	_, _ = fmt.Fprintf(out, "memory: %d buffers and %d small ones of %s in all, %s for parts\n", b.Buffers, b.SmallBuffers, edgeconf.FormatSize(b.BufferBytes), edgeconf.FormatSize(b.SubsystemBytes))
 	if s := edge.Syslog; s != nil {
 		_, _ = fmt.Fprintf(out, "syslog: %d collectors, %d routes, queue %s", len(s.Collectors), len(s.Routes), edgeconf.FormatSize(int64(s.Memory)))
 		if s.Spool != "" {
--- a/cmd/reachwind/main_test.go
+++ b/cmd/reachwind/main_test.go
@@ -22,12 +22,12 @@
 	"reachwind/internal/spool"
 )
 
-const good = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"generation":1,"instances":[{"instanceId":"a","lifecycle":"ready"}]},
 "settings":{"Instances":1,"Grades":[{"Name":"r","Effect":"repeatable","KeyScope":"all","AimUs":100000,"DeadlineUs":500000}],
 "FamilyInfo":{"Consistency":["any"],"ClassBoundUs":[0]}}}`
 
-// TestCheck: a bad configuration ends with one clear line.
+// TestCheck: command check accepts a valid configuration, and reports a faulty one in one line that names the fault.
 func TestCheck(t *testing.T) {
 	for name, tc := range map[string]struct{ old, new, want string }{
 		"good":      {"", "", ""},
@@ -44,11 +44,11 @@
 	} {
 		t.Setenv("NODE_DISCOVERY", "")
 		path := filepath.Join(t.TempDir(), "c.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(good, tc.old, tc.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(validConfig, tc.old, tc.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var out, errs strings.Builder
-		err := command([]string{"check", "--config", path}, &out, &errs)
+		err := execute([]string{"check", "--config", path}, &out, &errs)
 		if tc.want == "" {
 			if err != nil || !strings.HasPrefix(out.String(), "ok: n1") {
 				t.Errorf("%s: %v, %q", name, err, out.String())
@@ -62,20 +62,20 @@
 func TestCommands(t *testing.T) {
 	for _, args := range [][]string{{}, {"nonsense"}, {"serve", "twice"}, {"--nonsense"}, {"check", "--config", "/nonexistent"},
 		{"version", "--log-level", "odd"}} {
-		if err := command(args, new(strings.Builder), new(strings.Builder)); err == nil {
+		if err := execute(args, new(strings.Builder), new(strings.Builder)); err == nil {
 			t.Errorf("%q: no error", args)
 		}
 	}
 	var out strings.Builder
-	if err := command([]string{"version"}, &out, new(strings.Builder)); err != nil || out.String() != "reachwind "+version+"\n" {
+	if err := execute([]string{"version"}, &out, new(strings.Builder)); err != nil || out.String() != "reachwind "+version+"\n" {
 		t.Errorf("version: %q, %v", out.String(), err)
 	}
 }
 
-// TestRun: the parts wired together admit a client, refuse at once what no
-// member can serve, with a time to come back, and end when told to.
-func TestRun(t *testing.T) {
-	c, err := gateway.Parse([]byte(strings.Replace(good, `"settings":{`, `"settings":{"Allowed":{"RetryAfter":true,"MaxRetryAfterUs":70000},`, 1)),
+// TestRunWithoutMembers: a gateway without members admits a client, refuses its request at once with a
+// retry time, and ends on request.
+func TestRunWithoutMembers(t *testing.T) {
+	c, err := gateway.Parse([]byte(strings.Replace(validConfig, `"settings":{`, `"settings":{"Allowed":{"RetryAfter":true,"MaxRetryAfterUs":70000},`, 1)),
 		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -120,15 +120,15 @@
 	}
 	stop()
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection ended with %v", err)
+		t.Errorf("the idle connection ended with %v, want EOF", err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestReload: SIGHUP moves to the discovery that the file names now, keeps what it has when the file is bad,
-// and ends nothing, in the wind-down neither.
+// TestReload: on SIGHUP the gateway uses the discovery address that the file names now, and keeps the old configuration if
+// the file is broken. SIGHUP never ends the process, not even during shutdown.
 func TestReload(t *testing.T) {
 	t.Setenv("NODE_DISCOVERY", "")
 	path := filepath.Join(t.TempDir(), "c.json")
@@ -145,14 +145,14 @@
 				if err != nil {
 					return
 				}
-				_ = c.Close() // the call fails, and comes again
+				_ = c.Close() // the call fails and is repeated
 				select {
 				case called <- n:
 				case <-t.Context().Done():
 				}
 			}
 		}()
-		return strings.NewReplacer("127.0.0.1:1", l.Addr().String(), `"Instances":1,`, `"Instances":1,"Discovery":"ask",`).Replace(good)
+		return strings.NewReplacer("127.0.0.1:1", l.Addr().String(), `"Instances":1,`, `"Instances":1,"Discovery":"ask",`).Replace(validConfig)
 	}
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -173,8 +173,8 @@
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- gateway.Serve(c, gateway.Options{Path: path, Log: log}) }()
-	signal := func(s syscall.Signal) { // to the test's own process, which SIGHUP would end
+	go func() { done <- gateway.Serve(c, gateway.Options{ConfigPath: path, Log: log}) }()
+	signal := func(s syscall.Signal) { // to the test's own process, which an unhandled SIGHUP would end
 		if err := syscall.Kill(os.Getpid(), s); err != nil {
 			t.Fatal(err)
 		}
@@ -189,7 +189,7 @@
 	}
 	write(second)
 	signal(syscall.SIGHUP)
-	for n := <-called; n != 2; n = <-called { // the old address may have been called before
+	for n := <-called; n != 2; n = <-called { // calls of the old address may still be queued
 	}
 	<-logs
 	signal(syscall.SIGTERM)
@@ -203,7 +203,8 @@
 	}
 }
 
-// TestSpoolCommands: they list, print and verify what waits, of one collector or of all, and change nothing.
+// TestSpoolCommands: the spool commands list, print and verify waiting records, of one collector or of all, and change
+// nothing.
 func TestSpoolCommands(t *testing.T) {
 	root := t.TempDir()
 	dir := filepath.Join(root, "c-office")
@@ -218,10 +219,10 @@
 	}
 	run := func(args ...string) (string, error) {
 		var out strings.Builder
-		err := command(append([]string{"spool"}, args...), &out, io.Discard)
+		err := execute(append([]string{"spool"}, args...), &out, io.Discard)
 		return out.String(), err
 	}
-	for _, d := range []string{root, dir} { // beside the gateway that holds the folder
+	for _, d := range []string{root, dir} { // while another process holds the folder open
 		if out, err := run("cat", d); err != nil || out != "message 5\nmessage 6\nmessage 7\n" {
 			t.Errorf("cat: %q, %v", out, err)
 		}
@@ -241,26 +242,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text[len(text)-60]++ // in the second of three
+	text[len(text)-60]++ // in the second of three records
 	if err := os.WriteFile(files[0], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := run("verify", dir); err == nil {
-		t.Errorf("verify of a rotten record: %q", out)
+		t.Errorf("verify of a corrupt record: no error, printed %q", out)
 	}
 	if _, err := run("ls", filepath.Join(root, "nowhere")); err == nil {
 		t.Error("ls of no folder: no error")
 	}
 }
 
-// TestLogDrops: a reader that takes no line holds up nobody, and learns how many it missed.
-func TestLogDrops(t *testing.T) {
+// TestLogWriterDropsLines: a log reader that stalls does not block those who log, and is told how many lines were dropped.
+func TestLogWriterDropsLines(t *testing.T) {
 	gate, got := make(chan struct{}), new(strings.Builder)
 	w := newLogWriter(writerFunc(func(p []byte) (int, error) {
 		<-gate
 		return got.Write(p)
 	}))
-	const lines = 2 * logRoom
+	const lines = 2 * maxQueuedLines
 	for range lines {
 		_, _ = w.Write([]byte("line\n"))
 	}
@@ -268,7 +269,7 @@
 	w.lines <- nil
 	<-w.done
 	_, _ = w.Write([]byte("late\n"))
-	if n := strings.Count(got.String(), "line\n"); n < logRoom || n > logRoom+1 || !strings.Contains(got.String(), "dropped") {
+	if n := strings.Count(got.String(), "line\n"); n < maxQueuedLines || n > maxQueuedLines+1 || !strings.Contains(got.String(), "dropped") {
 		t.Errorf("%d lines, %.80q", n, got.String())
 	}
 }
@@ -277,24 +278,25 @@
 
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
-// TestFleetCommands: the table comes from the code that decides; a gateway that can't be asked is exit 69.
+// TestFleetCommands: `fleet rules` prints the table that the code uses, and a gateway that can't be reached gives exit
+// code 69.
 func TestFleetCommands(t *testing.T) {
 	var out strings.Builder
-	if err := command([]string{"fleet", "rules", "--json"}, &out, io.Discard); err != nil {
+	if err := execute([]string{"fleet", "rules", "--json"}, &out, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	var rules []view.Rule
 	if err := json.Unmarshal([]byte(out.String()), &rules); err != nil || len(rules) != 9*len(view.OperationNames) {
 		t.Fatalf("%d rules, %v", len(rules), err)
 	}
-	for _, r := range rules { // whatever is cut, every gateway serves; nobody borrows or drains towards who is cut off
+	for _, r := range rules { // whatever the partition, every gateway serves; only one whose verdict is "whole" borrows or starts a drain
 		if strings.HasPrefix(r.Operation, "serve") && !r.Allowed || (r.Operation == "start a drain" || r.Operation == "take larger budgets") && r.Allowed && r.OwnVerdict != "whole" {
 			t.Errorf("%+v", r)
 		}
 	}
 	for _, args := range [][]string{{"fleet", "view", "--admin", "127.0.0.1:1"}, {"fleet", "members"}} {
 		var e exitError
-		if err := command(args, io.Discard, io.Discard); !errors.As(err, &e) || e.code != 69 || strings.Contains(err.Error(), "\n") {
+		if err := execute(args, io.Discard, io.Discard); !errors.As(err, &e) || e.code != 69 || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
--- a/cmd/reachwind/release.go
+++ b/cmd/reachwind/release.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	driveTerm  = 10 * time.Second
-	driveEvery = 2 * time.Second // the driver's term is renewed, and the next target asked for, so often at the least
-	nextEvery  = 200 * time.Millisecond
-	tellFor    = time.Minute // how long a driver tries to tell how a command ended
+	driveTerm          = 10 * time.Second
+	driveRenewInterval = 2 * time.Second        // between renewals of the driver's term
+	drivePollInterval  = 200 * time.Millisecond // between requests for the next targets
+	reportTimeout      = time.Minute            // for reporting a command's result to the council, retries included
 )
 
-// readPlan reads a release's plan.
+// readPlan reads the plan of a release, which is an HCL file with one block `release`.
 func readPlan(path string) (r agreed.Release, err error) {
 	err = edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("release", true, func(b *edgeconf.Block) {
 			if r.Name != "" {
-				b.AddFault("a second release, want one in a file")
+				b.AddFault("a second block release, want one per file")
 				return
 			}
 			r = agreed.Release{Name: b.Label, Of: b.Enum("of", "gateways", "gateways", "members"), Version: b.String("version", ""), Former: b.String("former", ""),
@@ -52,10 +52,10 @@
 				b.AddFault("%s", why)
 			}
 			if r.Of == "gateways" && r.Version == "" && !r.Want.Off {
-				b.AddFault("health compares versions, and no version is named: want version = what the new gateways say")
+				b.AddFault("health compares versions, and no version is named: want version = what the new gateways report")
 			}
 			if r.AutoBack && len(r.Undo) == 0 {
-				b.AddFault("on_halt is \"back\", and no command back is named")
+				b.AddFault("on_halt is \"back\", and no command is named by back")
 			}
 		})
 		if r.Name == "" {
@@ -65,16 +65,16 @@
 	return r, err
 }
 
-// progress is one line on a release.
-func progress(r *agreed.Release, now int64) string {
-	n := map[string]int{}
+// progressLine describes a release in one line. now is the council's time in milliseconds.
+func progressLine(r *agreed.Release, now int64) string {
+	counts := map[string]int{}
 	for _, it := range r.Items {
-		n[it.State]++
+		counts[it.State]++
 	}
 	var parts []string
 	for _, s := range []string{agreed.ItemDone, agreed.ItemUndone, agreed.ItemOut, agreed.ItemGranted, agreed.ItemWaiting, agreed.ItemUndo, agreed.ItemFailed} {
-		if n[s] > 0 {
-			parts = append(parts, fmt.Sprintf("%d %s", n[s], s))
+		if counts[s] > 0 {
+			parts = append(parts, fmt.Sprintf("%d %s", counts[s], s))
 		}
 	}
 	line := fmt.Sprintf("release %s: %s, step %d of %d (%s), %s", r.Name, r.State, r.Step+1, len(r.Steps), r.Steps[r.Step].Name, strings.Join(parts, ", "))
@@ -87,8 +87,9 @@
 	return line
 }
 
-// released is a release as the council has it, the leader's word if it can be had.
-func (c *councillors) released(name string) (*agreed.Release, *status, error) {
+// release returns a release and the status that it is from, see status. If there is no such release the status comes with
+// the error; if the council does not answer it is nil.
+func (c *councilClient) release(name string) (*agreed.Release, *status, error) {
 	s, err := c.status()
 	if err != nil {
 		return nil, nil, err
@@ -101,74 +102,74 @@
 	return nil, s, fmt.Errorf("there is no release %q", name)
 }
 
-// addRelease adds the commands of releases.
-func addRelease(c *cobra.Command, admin *string, asJSON *bool) {
+// addReleaseCommands adds the commands on releases and the history.
+func addReleaseCommands(c *cobra.Command, admin *string, asJSON *bool) {
 	rel := &cobra.Command{Use: "release", Short: "plan, drive, halt and take back releases"}
-	rel.AddCommand(&cobra.Command{Use: "plan FILE", Short: "what would go out when, the longest time, and why it can't be kept; changes nothing", Args: cobra.ExactArgs(1),
+	rel.AddCommand(&cobra.Command{Use: "plan FILE", Short: "show the steps of a release, its longest duration, and why it can't be carried out, if so; changes nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := readPlan(args[0])
 			if err != nil {
 				return err
 			}
-			s, err := newCouncillors(*admin).status()
+			s, err := newCouncilClient(*admin).status()
 			if err != nil {
 				return err
 			}
 			var budgets []agreed.Budget
 			for _, b := range s.Budgets {
-				budgets = append(budgets, agreed.Budget{Of: b.Of, Zone: b.Zone, Group: b.Group, Most: b.Most, Share: b.Share})
+				budgets = append(budgets, agreed.Budget{Of: b.Of, Zone: b.Zone, Group: b.Group, Most: b.Max, Share: b.MaxShare})
 			}
-			legs := r.Forecast(s.Targets, budgets)
+			forecast := r.Forecast(s.Targets, budgets)
 			if *asJSON {
-				return show(cmd.OutOrStdout(), legs, nil)
+				return writeJSON(cmd.OutOrStdout(), forecast, nil)
 			}
-			return printPlan(cmd.OutOrStdout(), &r, legs)
+			return printForecast(cmd.OutOrStdout(), &r, forecast)
 		}})
-	rel.AddCommand(&cobra.Command{Use: "run FILE|NAME", Short: "drive a release, planning it first from FILE; or stand by, and go on when its driver is gone", Args: cobra.ExactArgs(1),
+	rel.AddCommand(&cobra.Command{Use: "run FILE|NAME", Short: "drive a release, planning it first from FILE; or stand by, and take over when its driver is gone", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := args[0]
-			c := newCouncillors(*admin)
+			c := newCouncilClient(*admin)
 			if _, err := os.Stat(name); err == nil {
 				r, err := readPlan(name)
 				if err != nil {
 					return err
 				}
 				name = r.Name
-				if _, _, err := c.released(name); err != nil {
-					if err := granted(c.do(time.Now().Add(10*time.Second), map[string]any{"op": "plan", "release": r})); err != nil {
+				if _, _, err := c.release(name); err != nil {
+					if err := checkResult(c.submit(time.Now().Add(10*time.Second), map[string]any{"op": "plan", "release": r})); err != nil {
 						return err
 					}
 				}
 			}
 			return drive(cmd.OutOrStdout(), c, name, agreed.Finished)
 		}})
-	rel.AddCommand(&cobra.Command{Use: "watch NAME", Short: "tell how a release goes until it ends or is halted", Args: cobra.ExactArgs(1),
+	rel.AddCommand(&cobra.Command{Use: "watch NAME", Short: "print the progress of a release until it ends or is halted", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, last := newCouncillors(*admin), ""
+			c, last := newCouncilClient(*admin), ""
 			for {
-				r, s, err := c.released(args[0])
+				r, s, err := c.release(args[0])
 				if err != nil {
 					return err
 				}
 				if *asJSON {
-					return show(cmd.OutOrStdout(), r, nil)
+					return writeJSON(cmd.OutOrStdout(), r, nil)
 				}
-				if line := progress(r, s.TimeMs); line != last {
+				if line := progressLine(r, s.TimeMs); line != last {
 					last = line
 					_, _ = fmt.Fprintln(cmd.OutOrStdout(), line)
 				}
 				if r.Ended() || r.State == agreed.Halted {
 					return nil
 				}
-				time.Sleep(watchEach)
+				time.Sleep(watchInterval)
 			}
 		}})
 	var reason string
 	steer := func(use, short, word, end string) {
 		var leave bool
 		s := &cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			c := newCouncillors(*admin)
-			if err := granted(c.do(time.Now().Add(10*time.Second), map[string]any{"op": "steer", "name": args[0], "steer": word, "reason": reason})); err != nil {
+			c := newCouncilClient(*admin)
+			if err := checkResult(c.submit(time.Now().Add(10*time.Second), map[string]any{"op": "steer", "name": args[0], "steer": word, "reason": reason})); err != nil {
 				return err
 			}
 			if end == "" || leave {
@@ -176,29 +177,29 @@
 			}
 			return drive(cmd.OutOrStdout(), c, args[0], end)
 		}}
-		s.Flags().StringVar(&reason, "reason", "", "for the history")
+		s.Flags().StringVar(&reason, "reason", "", "reason shown in the history")
 		if end != "" {
-			s.Flags().BoolVar(&leave, "no-drive", false, "another process drives it")
+			s.Flags().BoolVar(&leave, "no-drive", false, "do not drive it: another process does")
 		}
 		rel.AddCommand(s)
 	}
-	steer("halt", "let nothing more go out by a release; what is out comes back", "halt", "")
-	steer("resume", "go on with a halted release, what failed tried anew, and drive it", "resume", agreed.Finished)
-	steer("back", "take a release back, under the same budgets, and drive that", "back", agreed.Back)
+	steer("halt", "start no more targets of a release; those that are out come back", "halt", "")
+	steer("resume", "continue and drive a halted release; failed targets are retried", "resume", agreed.Finished)
+	steer("back", "roll a release back under the same budgets, and drive that", "back", agreed.Back)
 	history := func() *cobra.Command {
-		return &cobra.Command{Use: "history [NAME]", Short: "who asked what of the council, and what came of it", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			c := newCouncillors(*admin)
+		return &cobra.Command{Use: "history [NAME]", Short: "list the commands given to the council, by whom, and their results", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
+			c := newCouncilClient(*admin)
 			err := errors.New("no admin address, want --admin host:port,...")
-			for _, a := range c.admins {
+			for _, a := range c.addresses {
 				var all []agreed.Entry
-				if _, err = call(a, http.MethodGet, "/v1/history", nil, &all); err != nil {
+				if _, err = callAdmin(a, http.MethodGet, "/v1/history", nil, &all); err != nil {
 					continue
 				}
 				if len(args) > 0 {
 					all = slices.DeleteFunc(all, func(e agreed.Entry) bool { return e.Target != args[0] })
 				}
 				if *asJSON {
-					return show(cmd.OutOrStdout(), all, nil)
+					return writeJSON(cmd.OutOrStdout(), all, nil)
 				}
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 				_, _ = fmt.Fprintln(w, "COUNCIL TIME\tINDEX\tWHO\tWHAT\tOF\tFENCE\tRESULT")
@@ -214,158 +215,161 @@
 	c.AddCommand(rel, history())
 }
 
-func printPlan(out io.Writer, r *agreed.Release, legs []agreed.Leg) error {
+func printForecast(out io.Writer, r *agreed.Release, forecast []agreed.Leg) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "STEP\tTARGETS\tROUNDS\tAT MOST\tPAUSE\tWHICH")
-	var most int64
-	var cannot []string
-	for _, l := range legs {
+	var total int64
+	var obstacles []string
+	for _, l := range forecast {
 		which := strings.Join(l.Targets[:min(len(l.Targets), 6)], " ")
 		if len(l.Targets) > 6 {
 			which += " ..."
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%v\t%v\t%s\n", l.Step, len(l.Targets), l.Rounds, time.Duration(l.MostMs)*time.Millisecond, time.Duration(l.LeastMs)*time.Millisecond, which)
-		most += l.MostMs
+		total += l.MostMs
 		if l.Cannot != "" {
-			cannot = append(cannot, fmt.Sprintf("step %s: %s", l.Step, l.Cannot))
+			obstacles = append(obstacles, fmt.Sprintf("step %s: %s", l.Step, l.Cannot))
 		}
 	}
 	_ = w.Flush()
-	_, _ = fmt.Fprintf(out, "%s takes %v at the longest, with nothing else out\n", r.Name, time.Duration(most)*time.Millisecond)
-	if len(cannot) > 0 {
-		return errors.New("the plan can't be kept: " + strings.Join(cannot, "; "))
+	_, _ = fmt.Fprintf(out, "%s takes %v at the longest, with nothing else out\n", r.Name, time.Duration(total)*time.Millisecond)
+	if len(obstacles) > 0 {
+		return errors.New("the plan can't be carried out: " + strings.Join(obstacles, "; "))
 	}
 	return nil
 }
 
-// driver drives a release: it asks for one target after another, runs the plan's command for each, and tells how it ended.
-// What goes out and whether it is back is the council's to decide.
+// driver drives a release: it requests one target after another, runs the plan's command for each, and reports the result.
+// The council decides which target goes out, and whether it is back.
 type driver struct {
-	out  io.Writer
-	mu   sync.Mutex // one command to the council at a time, in the order of their numbers
-	c    *councillors
-	name string
+	out     io.Writer
+	mu      sync.Mutex // held during a command to the council, which takes them in the order of their numbers; guards running
+	council *councilClient
+	release string
 
-	fence uint64
-	until time.Time // of its term, by its own clock, counted from before it asked
-	runs  sync.WaitGroup
-	left  map[string]bool // targets whose commands run here
+	fence    uint64          // of its term as the driver; 0: it does not drive
+	termEnd  time.Time       // end of its term, by its own clock, counted from before its request
+	commands sync.WaitGroup  // commands that run here
+	running  map[string]bool // targets whose commands run here
 }
 
-func (d *driver) do(until time.Time, q map[string]any) (*result, error) {
+// submit submits a command on the release under the driver's fence, unless q has a fence.
+func (d *driver) submit(until time.Time, q map[string]any) (*result, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	q["name"] = d.name
+	q["name"] = d.release
 	if _, ok := q["fence"]; !ok {
 		q["fence"] = d.fence
 	}
-	return d.c.do(until, q)
+	return d.council.submit(until, q)
 }
 
-// drive drives a release until it ends or is halted, or stands by while another process does. It fails unless the
-// release ends as wanted.
-func drive(out io.Writer, c *councillors, name, want string) error {
-	d := &driver{out: out, c: c, name: name, left: map[string]bool{}}
-	defer d.runs.Wait()
+// drive drives a release until it ends or is halted, or stands by while another process drives it. It returns an error
+// unless the release ends in state wantState.
+func drive(out io.Writer, c *councilClient, name, wantState string) error {
+	d := &driver{out: out, council: c, release: name, running: map[string]bool{}}
+	defer d.commands.Wait()
 	last, renewAt := "", time.Time{}
-	unheard := time.Now()
+	lastHeard := time.Now()
 	for {
-		r, s, err := c.released(name)
+		r, s, err := c.release(name)
 		if err != nil && s != nil {
 			return err
 		}
 		if err == nil {
-			unheard = time.Now()
-			if line := progress(r, s.TimeMs); line != last {
+			lastHeard = time.Now()
+			if line := progressLine(r, s.TimeMs); line != last {
 				last = line
 				_, _ = fmt.Fprintln(out, line)
 			}
 			if s.Leading && (r.Ended() || r.State == agreed.Halted) && !d.busy() {
-				if r.State != want {
+				if r.State != wantState {
 					return fmt.Errorf("release %s is %s: %s", name, r.State, r.Why)
 				}
 				return nil
 			}
-		} else if time.Since(unheard) > 10*time.Minute {
+		} else if time.Since(lastHeard) > 10*time.Minute {
 			return exitError{exUnavailable, err}
 		}
 		if now := time.Now(); now.After(renewAt) {
-			res, err := d.do(now.Add(2*time.Second), map[string]any{"op": "drive", "term_ms": driveTerm.Milliseconds()})
+			res, err := d.submit(now.Add(2*time.Second), map[string]any{"op": "drive", "term_ms": driveTerm.Milliseconds()})
 			switch {
 			case err == nil && res.OK:
-				d.fence, d.until = res.Fence, now.Add(driveTerm)
-				renewAt = now.Add(driveEvery)
-			case err == nil && res.State == agreed.Rival: // it never began, and another one moves
-				return errors.New(res.Refused)
+				d.fence, d.termEnd = res.Fence, now.Add(driveTerm)
+				renewAt = now.Add(driveRenewInterval)
+			case err == nil && res.State == agreed.Rival: // this release has not begun, and a competing one is in progress
+				return errors.New(res.RefusalReason)
 			case err == nil:
-				d.fence, renewAt = 0, now.Add(time.Second) // another one drives
+				d.fence, renewAt = 0, now.Add(time.Second) // another process drives
 			default:
-				renewAt = now.Add(retryEach)
+				renewAt = now.Add(retryInterval)
 			}
 		}
-		if d.fence != 0 && time.Now().Before(d.until) && r != nil && (r.State == agreed.Running || r.State == agreed.GoingBack) {
-			for range r.Together { // as many as there is room for
-				if !d.next(r) {
+		if d.fence != 0 && time.Now().Before(d.termEnd) && r != nil && (r.State == agreed.Running || r.State == agreed.GoingBack) {
+			for range r.Together { // as many as the council grants
+				if !d.startNext(r) {
 					break
 				}
 			}
 		}
-		time.Sleep(nextEvery)
+		time.Sleep(drivePollInterval)
 	}
 }
 
+// busy reports whether commands run here.
 func (d *driver) busy() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.left) > 0
+	return len(d.running) > 0
 }
 
-// next asks for a target, and begins its command if one is granted, which it tells.
-func (d *driver) next(r *agreed.Release) bool {
+// startNext requests a target. If one is granted it starts the target's command and returns true.
+func (d *driver) startNext(r *agreed.Release) bool {
 	asked := time.Now()
-	res, err := d.do(asked.Add(2*time.Second), map[string]any{"op": "next"})
+	res, err := d.submit(asked.Add(2*time.Second), map[string]any{"op": "next"})
 	if err != nil || !res.OK || res.Permit == nil {
 		return false
 	}
 	p, fence := res.Permit, d.fence
-	words := r.Command
+	command := r.Command
 	version := r.Version
-	if res.Back {
-		words, version = r.Undo, r.Former
+	if res.RollingBack {
+		command, version = r.Undo, r.Former
 	}
 	d.mu.Lock()
-	d.left[p.Target] = true
+	d.running[p.Target] = true
 	d.mu.Unlock()
-	d.runs.Add(1)
+	d.commands.Add(1)
 	go func() {
-		defer d.runs.Done()
+		defer d.commands.Done()
 		defer func() {
 			d.mu.Lock()
-			delete(d.left, p.Target)
+			delete(d.running, p.Target)
 			d.mu.Unlock()
 		}()
-		kill := asked.Add(time.Duration(r.TermMs) * time.Millisecond)
+		killAt := asked.Add(time.Duration(r.TermMs) * time.Millisecond)
 		if strings.HasPrefix(p.Target, "db/") {
-			time.Sleep(noticeDB)
+			time.Sleep(memberDrainNotice)
 		}
-		res, err := d.do(kill, map[string]any{"op": "started", "target": p.Target, "fence": fence})
-		if err != nil || !res.OK || time.Now().After(kill) {
-			return // it never began: the council takes it back by itself
+		res, err := d.submit(killAt, map[string]any{"op": "started", "target": p.Target, "fence": fence})
+		if err != nil || !res.OK || time.Now().After(killAt) {
+			return // the command was not started, and the council takes the permit back by itself
 		}
 		_, _ = fmt.Fprintf(d.out, "%s goes out under permit %d\n", p.Target, p.Fence)
-		why := d.run(words, p, version, kill)
-		if why != "" {
-			_, _ = fmt.Fprintf(d.out, "%s failed: %s\n", p.Target, why)
+		failure := d.runCommand(command, p, version, killAt)
+		if failure != "" {
+			_, _ = fmt.Fprintf(d.out, "%s failed: %s\n", p.Target, failure)
 		}
-		_, _ = d.do(time.Now().Add(tellFor), map[string]any{"op": "ended", "target": p.Target, "fence": fence, "ok": why == "", "reason": why})
+		_, _ = d.submit(time.Now().Add(reportTimeout), map[string]any{"op": "ended", "target": p.Target, "fence": fence, "ok": failure == "", "reason": failure})
 	}()
 	return true
 }
 
-// run runs the plan's command for a target and returns why it failed, empty if it did not.
-func (d *driver) run(words []string, p *permit, version string, kill time.Time) string {
+// runCommand runs the plan's command for a target, and stops it before its permit ends at killAt. It returns the reason
+// of a failure, empty if there was none.
+func (d *driver) runCommand(command []string, p *permit, version string, killAt time.Time) string {
 	var args []string
-	for _, w := range words {
+	for _, w := range command {
 		args = append(args, strings.NewReplacer("{target}", p.Target, "{name}", p.Target[strings.IndexByte(p.Target, '/')+1:], "{version}", version).Replace(w))
 	}
 	cmd := exec.Command(args[0], args[1:]...)
@@ -377,19 +381,19 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	stop := kill.Add(-min(termGrace, time.Until(kill)/5))
+	stopAt := killAt.Add(-min(terminationGrace, time.Until(killAt)/5))
 	select {
 	case err := <-ended:
 		if err != nil {
 			return err.Error()
 		}
 		return ""
-	case <-time.After(time.Until(stop)):
+	case <-time.After(time.Until(stopAt)):
 	}
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-ended:
-	case <-time.After(time.Until(kill)):
+	case <-time.After(time.Until(killAt)):
 		_ = cmd.Process.Kill()
 		<-ended
 	}
--- a/cmd/reachwind/spool.go
+++ b/cmd/reachwind/spool.go
@@ -14,9 +14,9 @@
 	"reachwind/internal/spool"
 )
 
-// spoolCommand looks into spools. It changes nothing, so it may run beside the gateway.
+// spoolCommand builds the commands that inspect spools. They change nothing, so they may run beside the gateway.
 func spoolCommand() *cobra.Command {
-	root := &cobra.Command{Use: "spool", Short: "look into a folder of records that wait for collectors"}
+	root := &cobra.Command{Use: "spool", Short: "inspect a folder of records that wait for collectors"}
 	sub := func(name, short string, do func(out io.Writer, dir string) error) {
 		root.AddCommand(&cobra.Command{Use: name + " DIR", Short: short, Args: cobra.ExactArgs(1),
 			Long: short + ". DIR is one collector's folder, or the spool folder with those of all.",
@@ -33,13 +33,13 @@
 				return nil
 			}})
 	}
-	sub("ls", "list segments' totals: what waits, since when", spoolLs)
-	sub("cat", "print the messages that wait, a line each", spoolCat)
-	sub("verify", "read everything and fail if anything is rotten", spoolVerify)
+	sub("ls", "print totals: the records that wait, and the time of the oldest", spoolLs)
+	sub("cat", "print the messages that wait, one per line", spoolCat)
+	sub("verify", "read everything and fail if any record is corrupt", spoolVerify)
 	return root
 }
 
-// spoolDirs is dir itself, or the collectors' folders in it.
+// spoolDirs returns the collectors' folders in dir, or dir itself if it has none.
 func spoolDirs(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -57,10 +57,12 @@
 	return dirs, nil
 }
 
+// openSpool opens the spool in dir for reading.
 func openSpool(dir string) (*spool.Spool, spool.Found, error) {
 	return spool.Open(spool.Dir(dir), spool.Options{ReadOnly: true, Most: 1 << 62})
 }
 
+// spoolLs prints the totals of a spool.
 func spoolLs(out io.Writer, dir string) error {
 	s, found, err := openSpool(dir)
 	if err != nil {
@@ -68,7 +70,7 @@
 	}
 	defer s.Close()
 	first, last, oldest := uint64(0), uint64(0), time.Duration(0)
-	err = everyRecord(s, func(r *spool.Record) error {
+	err = forEachRecord(s, func(r *spool.Record) error {
 		if first == 0 || r.Seq < first {
 			first = r.Seq
 		}
@@ -87,18 +89,20 @@
 	return err
 }
 
+// spoolCat prints the messages of a spool.
 func spoolCat(out io.Writer, dir string) error {
 	s, _, err := openSpool(dir)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	return everyRecord(s, func(r *spool.Record) error {
+	return forEachRecord(s, func(r *spool.Record) error {
 		_, err := fmt.Fprintf(out, "%s\n", r.Msg)
 		return err
 	})
 }
 
+// spoolVerify reads a spool to its end. It returns an error if a record is corrupt.
 func spoolVerify(out io.Writer, dir string) error {
 	s, found, err := openSpool(dir)
 	if err != nil {
@@ -106,24 +110,25 @@
 	}
 	defer s.Close()
 	n := 0
-	if err := everyRecord(s, func(*spool.Record) error { n++; return nil }); err != nil {
+	if err := forEachRecord(s, func(*spool.Record) error { n++; return nil }); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(out, "%s: %d records read, %d rotten places, %d torn tails\n", dir, n, found.Rotten, found.Torn)
 	if found.Rotten > 0 {
-		return errors.New("rotten records")
+		return errors.New("the spool has corrupt records")
 	}
 	return nil
 }
 
-func everyRecord(s *spool.Spool, each func(*spool.Record) error) error {
+// forEachRecord calls handle with every record of a spool, and stops at the first error.
+func forEachRecord(s *spool.Spool, handle func(*spool.Record) error) error {
 	for {
 		records, _, err := s.Read(1<<20, func(uint64) bool { return true })
 		if err != nil || len(records) == 0 {
 			return err
 		}
 		for i := range records {
-			if err := each(&records[i]); err != nil {
+			if err := handle(&records[i]); err != nil {
 				return err
 			}
 		}
--- a/internal/edgeconf/edgeconf.go
+++ b/internal/edgeconf/edgeconf.go
@@ -1,7 +1,7 @@
 // Package edgeconf reads the product configuration, which is written in HCL. It
-// knows the form only: each subsystem owns a block and reads it by name. All faults
-// are gathered, each with file, line and column, what was found and what is wanted;
-// a name that nobody reads is a fault.
+// handles the syntax only: each subsystem owns a block and reads its attributes by name.
+// All faults are collected, each with file, line and column, what was found and what
+// is wanted. An attribute or block that nobody reads is a fault.
 package edgeconf
 
 import (
@@ -19,19 +19,20 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Faults are all faults of a file, in the order of their places.
+// Faults are all faults of a file, in the order of line and column. It is the error of Load and Parse.
 type Faults []Fault
 
-// Fault is one fault and its place.
+// Fault is one fault and its position in the file. Line and Column count from 1.
 type Fault struct {
 	File         string
 	Line, Column int
 	Text         string
 }
 
+// String returns the fault as FILE:LINE:COLUMN: TEXT.
 func (f Fault) String() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Text) }
 
-// Error gives a line for each fault.
+// Error returns a line for each fault.
 func (f Faults) Error() string {
 	var lines []string
 	for _, one := range f {
@@ -45,14 +46,15 @@
 type Block struct {
 	Type   string
 	Label  string
-	dir    string // names of files are relative to it
+	dir    string // file names are relative to it
 	body   *hclsyntax.Body
 	faults *Faults
-	seen   map[string]bool
-	place  hcl.Range
+	read   map[string]bool // attributes, and block types with a suffix " {", that were read
+	span   hcl.Range
 }
 
-// Load reads a file and has read take what it wants of it.
+// Load reads the file at path and calls read with its top level. It returns Faults if the file or what read found in it
+// is at fault, and another error if the file can't be read.
 func Load(path string, read func(*Block)) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return Parse(path, text, read)
 }
 
-// Parse is Load for a text; path stands in faults, and names of files in it are relative to its folder.
+// Parse is Load for the text of a file; path appears in faults, and file names in the text are relative to its folder.
 func Parse(path string, text []byte, read func(*Block)) error {
 	var faults Faults
 	file, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
@@ -73,9 +75,9 @@
 		faults.add(r, "%s: %s", d.Summary, d.Detail)
 	}
 	if body, ok := file.Body.(*hclsyntax.Body); ok && !diags.HasErrors() {
-		b := &Block{dir: filepath.Dir(path), body: body, faults: &faults, seen: map[string]bool{}, place: body.SrcRange}
+		b := &Block{dir: filepath.Dir(path), body: body, faults: &faults, read: map[string]bool{}, span: body.SrcRange}
 		read(b)
-		b.close()
+		b.reportUnread()
 	}
 	if len(faults) == 0 {
 		return nil
@@ -91,10 +93,10 @@
 	*f = append(*f, Fault{r.Filename, r.Start.Line, r.Start.Column, fmt.Sprintf(format, args...)})
 }
 
-// AddFault notes a fault of the block as a whole.
-func (b *Block) AddFault(format string, args ...any) { b.faults.add(b.place, format, args...) }
+// AddFault records a fault of the block as a whole.
+func (b *Block) AddFault(format string, args ...any) { b.faults.add(b.span, format, args...) }
 
-// AddFaultAt notes a fault of an attribute, or of the block where that is absent.
+// AddFaultAt records a fault of an attribute, or of the block if the attribute is absent.
 func (b *Block) AddFaultAt(name, format string, args ...any) {
 	if a := b.body.Attributes[name]; a != nil {
 		b.faults.add(a.Expr.Range(), format, args...)
@@ -103,25 +105,26 @@
 	b.AddFault(format, args...)
 }
 
-// Has tells whether an attribute is there.
+// Has reports whether an attribute is present.
 func (b *Block) Has(name string) bool { return b.body.Attributes[name] != nil }
 
+// value returns the value of an attribute, and false if it is absent or not a constant. want names the type in faults.
 func (b *Block) value(name, want string) (cty.Value, bool) {
-	b.seen[name] = true
+	b.read[name] = true
 	a := b.body.Attributes[name]
 	if a == nil {
 		return cty.NilVal, false
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() || v.IsNull() || !v.IsWhollyKnown() {
-		b.AddFaultAt(name, "%s is no plain value, want %s", name, want)
+		b.AddFaultAt(name, "%s is not a constant, want %s", name, want)
 		return cty.NilVal, false
 	}
 	return v, true
 }
 
-// found describes a value for people.
-func found(v cty.Value) string {
+// describe describes a value for a fault's text.
+func describe(v cty.Value) string {
 	switch v.Type() {
 	case cty.String:
 		return strconv.Quote(v.AsString())
@@ -134,19 +137,20 @@
 }
 
 // String reads a string.
-func (b *Block) String(name, usual string) string {
-	v, ok := b.value(name, "a text")
+func (b *Block) String(name, fallback string) string {
+	v, ok := b.value(name, "a string")
 	if !ok {
-		return usual
+		return fallback
 	}
 	if v.Type() != cty.String {
-		b.AddFaultAt(name, "%s is %s, want a text in quotes", name, found(v))
-		return usual
+		b.AddFaultAt(name, "%s is %s, want a string in quotes", name, describe(v))
+		return fallback
 	}
 	return v.AsString()
 }
 
-// FilePath reads the name of a file, relative to the configuration's folder.
+// FilePath reads the name of a file, which is relative to the configuration's folder. It returns an empty string if the
+// attribute is absent.
 func (b *Block) FilePath(name string) string {
 	f := b.String(name, "")
 	if f == "" || filepath.IsAbs(f) {
@@ -156,42 +160,42 @@
 }
 
 // Bool reads true or false.
-func (b *Block) Bool(name string, usual bool) bool {
+func (b *Block) Bool(name string, fallback bool) bool {
 	v, ok := b.value(name, "true or false")
 	if !ok {
-		return usual
+		return fallback
 	}
 	if v.Type() != cty.Bool {
-		b.AddFaultAt(name, "%s is %s, want true or false", name, found(v))
-		return usual
+		b.AddFaultAt(name, "%s is %s, want true or false", name, describe(v))
+		return fallback
 	}
 	return v.True()
 }
 
-// Number reads a number from least to most.
-func (b *Block) Number(name string, usual, least, most float64) float64 {
+// Number reads a number between minimum and maximum.
+func (b *Block) Number(name string, fallback, minimum, maximum float64) float64 {
 	v, ok := b.value(name, "a number")
 	if !ok {
-		return usual
+		return fallback
 	}
 	if v.Type() != cty.Number {
-		b.AddFaultAt(name, "%s is %s, want a number", name, found(v))
-		return usual
+		b.AddFaultAt(name, "%s is %s, want a number", name, describe(v))
+		return fallback
 	}
 	n, _ := v.AsBigFloat().Float64()
-	if n < least || n > most {
-		b.AddFaultAt(name, "%s is %s, want from %g to %g", name, found(v), least, most)
-		return usual
+	if n < minimum || n > maximum {
+		b.AddFaultAt(name, "%s is %s, want from %g to %g", name, describe(v), minimum, maximum)
+		return fallback
 	}
 	return n
 }
 
-// Int reads a whole number from least to most.
-func (b *Block) Int(name string, usual, least, most int64) int64 {
-	n := b.Number(name, float64(usual), float64(least), float64(most))
+// Int reads a whole number between minimum and maximum.
+func (b *Block) Int(name string, fallback, minimum, maximum int64) int64 {
+	n := b.Number(name, float64(fallback), float64(minimum), float64(maximum))
 	if n != math.Trunc(n) {
 		b.AddFaultAt(name, "%s is %g, want a whole number", name, n)
-		return usual
+		return fallback
 	}
 	return int64(n)
 }
@@ -201,11 +205,11 @@
 	n    float64
 }{{"KB", 1 << 10}, {"MB", 1 << 20}, {"GB", 1 << 30}, {"B", 1}}
 
-// Size reads bytes, as "4MB", from least to most.
-func (b *Block) Size(name string, usual, least, most int64) int64 {
+// Size reads a number of bytes, such as "4MB", between minimum and maximum.
+func (b *Block) Size(name string, fallback, minimum, maximum int64) int64 {
 	text := b.String(name, "")
 	if text == "" {
-		return usual
+		return fallback
 	}
 	for _, u := range units {
 		digits, ok := strings.CutSuffix(text, u.name)
@@ -216,17 +220,17 @@
 		if err != nil {
 			break
 		}
-		if size := n * u.n; size >= float64(least) && size <= float64(most) {
+		if size := n * u.n; size >= float64(minimum) && size <= float64(maximum) {
 			return int64(size)
 		}
-		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(least), FormatSize(most))
-		return usual
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, FormatSize(minimum), FormatSize(maximum))
+		return fallback
 	}
 	b.AddFaultAt(name, "%s is %q, want a size such as \"64KB\", \"4MB\" or \"1GB\"", name, text)
-	return usual
+	return fallback
 }
 
-// FormatSize writes a size as Size reads it.
+// FormatSize formats a number of bytes as Size reads it.
 func FormatSize(n int64) string {
 	for _, u := range []int{2, 1, 0} {
 		if n >= int64(units[u].n) && n%int64(units[u].n) == 0 {
@@ -236,38 +240,38 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-// Duration reads a time span, as "250ms", from least to most.
-func (b *Block) Duration(name string, usual, least, most time.Duration) time.Duration {
+// Duration reads a duration, such as "250ms", between minimum and maximum.
+func (b *Block) Duration(name string, fallback, minimum, maximum time.Duration) time.Duration {
 	text := b.String(name, "")
 	if text == "" {
-		return usual
+		return fallback
 	}
-	d, err := time.ParseDuration(text)
+	duration, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		b.AddFaultAt(name, "%s is %q, want a time span such as \"250ms\", \"5s\" or \"24h\"", name, text)
-	case d < least || d > most:
-		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, least, most)
+		b.AddFaultAt(name, "%s is %q, want a duration such as \"250ms\", \"5s\" or \"24h\"", name, text)
+	case duration < minimum || duration > maximum:
+		b.AddFaultAt(name, "%s is %q, want from %s to %s", name, text, minimum, maximum)
 	default:
-		return d
+		return duration
 	}
-	return usual
+	return fallback
 }
 
 // Strings reads a list of strings.
 func (b *Block) Strings(name string) []string {
-	v, ok := b.value(name, "a list of texts")
+	v, ok := b.value(name, "a list of strings")
 	if !ok {
 		return nil
 	}
 	if !v.Type().IsTupleType() && !v.Type().IsListType() {
-		b.AddFaultAt(name, "%s is %s, want a list of texts such as [\"a\", \"b\"]", name, found(v))
+		b.AddFaultAt(name, "%s is %s, want a list of strings such as [\"a\", \"b\"]", name, describe(v))
 		return nil
 	}
 	var texts []string
 	for _, e := range v.AsValueSlice() {
 		if e.Type() != cty.String {
-			b.AddFaultAt(name, "%s holds %s, want texts only", name, found(e))
+			b.AddFaultAt(name, "%s holds %s, want strings only", name, describe(e))
 			return nil
 		}
 		texts = append(texts, e.AsString())
@@ -275,97 +279,97 @@
 	return texts
 }
 
-// Enum reads a text that must be among those given.
-func (b *Block) Enum(name, usual string, among ...string) string {
-	text := b.String(name, usual)
-	for _, a := range among {
+// Enum reads a string that must be one of allowed.
+func (b *Block) Enum(name, fallback string, allowed ...string) string {
+	text := b.String(name, fallback)
+	for _, a := range allowed {
 		if text == a {
 			return text
 		}
 	}
 	if b.Has(name) {
-		b.AddFaultAt(name, "%s is %q, want one of %s", name, text, quoted(among))
+		b.AddFaultAt(name, "%s is %q, want one of %s", name, text, quoteAll(allowed))
 	}
-	return usual
+	return fallback
 }
 
-// EnumIndexes reads a list of texts that must be among those given, as their places.
-func (b *Block) EnumIndexes(name string, among []string) (places []int) {
+// EnumIndexes reads a list of strings that must each be one of allowed, and returns their indexes in allowed.
+func (b *Block) EnumIndexes(name string, allowed []string) (indexes []int) {
 	for _, text := range b.Strings(name) {
-		at := -1
-		for i, a := range among {
+		index := -1
+		for i, a := range allowed {
 			if a == text {
-				at = i
+				index = i
 			}
 		}
-		if at < 0 {
-			b.AddFaultAt(name, "%s holds %q, want some of %s", name, text, quoted(among))
+		if index < 0 {
+			b.AddFaultAt(name, "%s holds %q, want some of %s", name, text, quoteAll(allowed))
 			continue
 		}
-		places = append(places, at)
+		indexes = append(indexes, index)
 	}
-	return places
+	return indexes
 }
 
-func quoted(among []string) string {
-	var q []string
-	for _, a := range among {
-		q = append(q, strconv.Quote(a))
+func quoteAll(values []string) string {
+	var quoted []string
+	for _, a := range values {
+		quoted = append(quoted, strconv.Quote(a))
 	}
-	return strings.Join(q, ", ")
+	return strings.Join(quoted, ", ")
 }
 
-// Blocks reads the blocks of a type, in their order. Labelled ones have exactly one label, which none before
-// has; others have none, and there is at most one of them.
+// Blocks calls read for each block of a type, in their order. Labelled blocks must have exactly one label, which must be
+// unique; for other types there must be no label and at most one block.
 func (b *Block) Blocks(kind string, labelled bool, read func(*Block)) {
-	b.seen[kind+" {"] = true
+	b.read[kind+" {"] = true
 	labels := map[string]bool{}
-	n := 0
-	for _, h := range b.body.Blocks {
-		if h.Type != kind {
+	count := 0
+	for _, block := range b.body.Blocks {
+		if block.Type != kind {
 			continue
 		}
-		n++
-		in := &Block{Type: kind, dir: b.dir, body: h.Body, faults: b.faults, seen: map[string]bool{}, place: h.DefRange()}
+		count++
+		inner := &Block{Type: kind, dir: b.dir, body: block.Body, faults: b.faults, read: map[string]bool{}, span: block.DefRange()}
 		switch {
-		case labelled && (len(h.Labels) != 1 || h.Labels[0] == ""):
-			in.AddFault("block %s has %d labels, want one: its name", kind, len(h.Labels))
-		case !labelled && len(h.Labels) > 0:
-			in.AddFault("block %s has a label, want none", kind)
-		case !labelled && n > 1:
-			in.AddFault("a second block %s, want one at most", kind)
+		case labelled && (len(block.Labels) != 1 || block.Labels[0] == ""):
+			inner.AddFault("block %s has %d labels, want one: its name", kind, len(block.Labels))
+		case !labelled && len(block.Labels) > 0:
+			inner.AddFault("block %s has a label, want none", kind)
+		case !labelled && count > 1:
+			inner.AddFault("a second block %s, want one at most", kind)
 		}
-		if len(h.Labels) > 0 {
-			in.Label = h.Labels[0]
-			if labels[in.Label] {
-				in.AddFault("a second block %s %q, want a name that no other has", kind, in.Label)
+		if len(block.Labels) > 0 {
+			inner.Label = block.Labels[0]
+			if labels[inner.Label] {
+				inner.AddFault("a second block %s %q, want a name that no other has", kind, inner.Label)
 			}
-			labels[in.Label] = true
+			labels[inner.Label] = true
 		}
-		read(in)
-		in.close()
+		read(inner)
+		inner.reportUnread()
 	}
 }
 
-// close finds what nobody has read.
-func (b *Block) close() {
+// reportUnread records a fault for each attribute and block that nobody has read.
+func (b *Block) reportUnread() {
 	where := "at the top"
 	if b.Type != "" {
 		where = "in block " + b.Type
 	}
 	var known []string
-	for name := range b.seen {
+	for name := range b.read {
 		known = append(known, strings.TrimSuffix(name, " {"))
 	}
 	sort.Strings(known)
 	for name, a := range b.body.Attributes {
-		if !b.seen[name] {
-			b.faults.add(a.NameRange, "unknown setting %q %s, want one of %s", name, where, quoted(known))
+		if !b.read[name] {
+			b.faults.add(a.NameRange, "unknown setting %q %s, want one of %s", name, where, quoteAll(known))
 		}
 	}
 	for _, h := range b.body.Blocks {
-		if !b.seen[h.Type+" {"] {
-			b.faults.add(h.DefRange(), "unknown block %q %s, want one of %s", h.Type, where, quoted(known))
+		if !b.read[h.Type+" {"] {
+			b.faults.add(h.DefRange(), "unknown block %q %s, want one of %s", h.Type, where, quoteAll(known))
 		}
 	}
 }
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -8,27 +8,27 @@
 	"syscall"
 )
 
-const backlogMost = 4096 // connections taken out of a queue that is about to go; the system's own limit is no higher by default
+const maxBacklog = 4096 // connections accepted from a backlog before its socket is closed; Linux's default limit is no higher
 
-// takeBacklog accepts who has connected to l and waits to be accepted, without waiting itself: the close of a listener
-// resets them all, with what they have sent. It may run beside Accept.
-func takeBacklog(l net.Listener, take func(net.Conn), log *slog.Logger) (taken int) {
-	if d, ok := l.(*door); ok {
-		d.mu.Lock()
-		l = d.l
-		d.mu.Unlock()
+// acceptBacklog accepts the connections that wait in l's backlog, hands each to take, and returns their number. It does not
+// block. Without it, closing the listener would reset them and lose what they sent. It may run concurrently with Accept.
+func acceptBacklog(l net.Listener, take func(net.Conn), log *slog.Logger) (taken int) {
+	if toggle, ok := l.(*toggleListener); ok {
+		toggle.mu.Lock()
+		l = toggle.inner
+		toggle.mu.Unlock()
 	}
-	sc, ok := l.(syscall.Conn)
-	if !ok { // no socket, or shut
+	socket, ok := l.(syscall.Conn)
+	if !ok { // not a socket, or disabled
 		return 0
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return 0
 	}
-	_ = raw.Control(func(fd uintptr) { // whatever deadline the listener has
-		for taken < backlogMost {
-			nc, err := acceptNow(int(fd))
+	_ = raw.Control(func(fd uintptr) { // runs whatever deadline the listener has
+		for taken < maxBacklog {
+			nc, err := acceptPending(int(fd))
 			switch {
 			case errors.Is(err, syscall.EAGAIN):
 				return
@@ -45,13 +45,13 @@
 	return taken
 }
 
-// acceptNow accepts one connection that waits at a listening socket.
-func acceptNow(fd int) (net.Conn, error) {
+// acceptPending accepts one connection from the backlog of listening socket fd, or fails with EAGAIN if there is none.
+func acceptPending(fd int) (net.Conn, error) {
 	n, _, err := syscall.Accept4(fd, syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(n), "client")
-	defer func() { _ = f.Close() }() // FileConn has its own
+	defer func() { _ = f.Close() }() // FileConn duplicates the descriptor
 	return net.FileConn(f)
 }
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -20,8 +20,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// bulk is an answer with a value of n bytes, of which every eight tell where they stand.
-func bulk(n int) []byte {
+// bulkAnswer returns an answer with a value of n bytes, in which every eight bytes hold their index.
+func bulkAnswer(n int) []byte {
 	row := make([]byte, 6, 6+n)
 	row[1] = 1
 	binary.BigEndian.PutUint32(row[2:], uint32(n))
@@ -32,8 +32,8 @@
 	return pgwire.AppendReadyForQuery(pgwire.Append(pgwire.Append(out, 'D', string(row)), 'C', "SELECT 1\x00"))
 }
 
-// bulkMember answers on nc: statements with the answer, in pieces, probes with a report of a primary.
-func bulkMember(nc net.Conn, answer []byte, rnd *rand.Rand) {
+// serveBulk is a primary on nc: it answers probes with its state, and statements with answer in pieces of random length.
+func serveBulk(nc net.Conn, answer []byte, rnd *rand.Rand) {
 	defer func() { _ = nc.Close() }()
 	buf := make([]byte, 8<<10)
 	if _, err := nc.Read(buf); err != nil {
@@ -66,25 +66,28 @@
 	}
 }
 
-// tight is the size of socket buffers, so that the gateway feels how slow its clients are: else the kernel takes 4 MiB.
-const tight = 64 << 10
+// smallSocketBuffer is the size in bytes of socket buffers. With the kernel's default of up to 4 MiB whole values would
+// fit into them, and slow clients would not hold up the gateway.
+const smallSocketBuffer = 64 << 10
 
-type tightListener struct{ net.Listener }
+// smallBufferListener accepts connections with small write buffers.
+type smallBufferListener struct{ net.Listener }
 
-func (l tightListener) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
-		_ = nc.(*net.TCPConn).SetWriteBuffer(tight)
+		_ = nc.(*net.TCPConn).SetWriteBuffer(smallSocketBuffer)
 	}
 	return nc, err
 }
 
-// TestBulk: 200 clients that read slowly take values of 4 MiB at once through a gateway with 64 MB. Each gets its bytes
-// whole and in order, and the gateway holds none of them: what it has in memory stays a small part of what passes.
-func TestBulk(t *testing.T) {
+// TestSlowClientsOfLargeValues: 200 slow clients read values of 4 MiB at the same time through a gateway with 64 MB.
+// Each receives its value complete and in order. The gateway never holds whole values: its memory stays a small
+// fraction of the data in transit.
+func TestSlowClientsOfLargeValues(t *testing.T) {
 	const clients, size = 200, 4 << 20
-	answer := bulk(size)
-	c := before(t, cluster.Config{Groups: 1})
+	answer := bulkAnswer(size)
+	c := startCluster(t, cluster.Config{Groups: 1})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +99,7 @@
 			if err != nil {
 				return
 			}
-			go bulkMember(nc, answer, rand.New(rand.NewPCG(n, 7)))
+			go serveBulk(nc, answer, rand.New(rand.NewPCG(n, 7)))
 		}
 	}()
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
@@ -105,7 +108,7 @@
 		}
 		nc, err := pgmember.Dial(ctx, addr)
 		if err == nil {
-			_ = nc.(*net.TCPConn).SetReadBuffer(tight)
+			_ = nc.(*net.TCPConn).SetReadBuffer(smallSocketBuffer)
 		}
 		return nc, err
 	}
@@ -122,19 +125,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	free, small := g.bufs.FreeLarge(), g.bufs.FreeSmall()
+	free, small := g.buffers.FreeLarge(), g.buffers.FreeSmall()
 	done := make(chan error, 1)
-	go func() { done <- g.run(term, nil, tightListener{front}) }()
+	go func() { done <- g.run(term, nil, smallBufferListener{front}) }()
 
 	var all sync.WaitGroup
-	begun := make(chan bool, 4*clients) // a client has the head of its value and waits
-	goOn := make(chan struct{})
+	begun := make(chan bool, 4*clients) // one element for each client that has received the start of its value
+	readFaster := make(chan struct{})
 	for n := range clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for try := 0; ; try++ {
-				again, err := takeBulk(front.Addr().String(), fmt.Sprintf("%d-%d", n, try), answer, begun, goOn)
+				again, err := readBulk(front.Addr().String(), fmt.Sprintf("%d-%d", n, try), answer, begun, readFaster)
 				if err != nil {
 					t.Errorf("client %d: %v", n, err)
 				}
@@ -145,9 +148,10 @@
 			}
 		}()
 	}
-	under := 0
-	// Well under the 5 s after which a client that takes nothing is let go; how many are under way by then is logged only.
-	for late := time.After(2 * time.Second); under < clients; under++ {
+	inTransit := 0
+	// Well below the 5 s after which a client that reads nothing is disconnected. How many values are in transit by then is
+	// only logged.
+	for late := time.After(2 * time.Second); inTransit < clients; inTransit++ {
 		select {
 		case <-begun:
 			continue
@@ -158,32 +162,33 @@
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	if left := g.bufs.FreeLarge(); left < int(passReserve*float64(free)) {
-		t.Errorf("%d of %d full buffers in use", free-left, free)
+	if left := g.buffers.FreeLarge(); left < int(passThroughReserve*float64(free)) {
+		t.Errorf("%d of %d full-size buffers in use", free-left, free)
 	}
-	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // clients and members are in it too
-		t.Errorf("%d MB in use with %d values of 4 MiB under way, want at most %d", (m.HeapInuse+m.StackInuse)>>20, under, most>>20)
+	if most := uint64(64 << 20); m.HeapInuse+m.StackInuse > most { // includes the memory of the test's clients and members
+		t.Errorf("%d MB in use with %d values of 4 MiB in transit, want at most %d", (m.HeapInuse+m.StackInuse)>>20, inTransit, most>>20)
 	}
-	t.Logf("%d MB heap, %d MB stacks with %d values under way, %d small and %d full buffers in use", m.HeapInuse>>20, m.StackInuse>>20, under, small-g.bufs.FreeSmall(), free-g.bufs.FreeLarge())
-	close(goOn)
+	t.Logf("%d MB heap, %d MB stacks with %d values in transit, %d small and %d full-size buffers in use", m.HeapInuse>>20, m.StackInuse>>20, inTransit, small-g.buffers.FreeSmall(), free-g.buffers.FreeLarge())
+	close(readFaster)
 	all.Wait()
 	stop()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if g.bufs.FreeLarge() != free || g.bufs.FreeSmall() != small {
-		t.Errorf("%d of %d buffers came back, %d of %d small ones", g.bufs.FreeLarge(), free, g.bufs.FreeSmall(), small)
+	if g.buffers.FreeLarge() != free || g.buffers.FreeSmall() != small {
+		t.Errorf("%d of %d full-size buffers were returned, %d of %d small ones", g.buffers.FreeLarge(), free, g.buffers.FreeSmall(), small)
 	}
 }
 
-// takeBulk asks once, reads its value by the KiB until goOn, then faster. It tells whether it is to ask again.
-func takeBulk(addr, id string, answer []byte, begun chan<- bool, goOn <-chan struct{}) (again bool, err error) {
+// readBulk sends one request and reads the value by 1 KiB until readFaster is closed, then faster. It returns again =
+// true if the request was refused or cut off at its time limit and is to be repeated.
+func readBulk(addr, id string, answer []byte, begun chan<- bool, readFaster <-chan struct{}) (again bool, err error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = nc.Close() }()
-	_ = nc.(*net.TCPConn).SetReadBuffer(tight)
+	_ = nc.(*net.TCPConn).SetReadBuffer(smallSocketBuffer)
 	_ = nc.SetDeadline(time.Now().Add(2 * time.Minute))
 	if _, err := pgclient.Over(nc, time.Minute); err != nil {
 		return false, err
@@ -196,24 +201,24 @@
 	if _, err := io.ReadFull(nc, got[:1]); err != nil {
 		return false, err
 	}
-	if got[0] == 'E' { // there is much to do at once
+	if got[0] == 'E' { // refused under load
 		return true, nil
 	}
 	begun <- true
-	limit := time.Now().Add(50 * time.Second) // a minute is all it may take
-	want := answer[1:]
-	for len(want) > 0 {
+	limit := time.Now().Add(50 * time.Second) // the gateway cuts an answer off after a minute
+	rest := answer[1:]
+	for len(rest) > 0 {
 		n, err := nc.Read(got)
-		if !bytes.HasPrefix(want, got[:n]) {
-			return false, fmt.Errorf("other bytes, %d before the end", len(want))
+		if !bytes.HasPrefix(rest, got[:n]) {
+			return false, fmt.Errorf("value differs, %d bytes before its end", len(rest))
 		}
-		if want = want[n:]; err != nil && time.Now().After(limit) {
+		if rest = rest[n:]; err != nil && time.Now().After(limit) {
 			return true, nil
 		} else if err != nil {
-			return false, fmt.Errorf("%w, %d before the end", err, len(want))
+			return false, fmt.Errorf("%w, %d bytes before the value's end", err, len(rest))
 		}
 		select {
-		case <-goOn:
+		case <-readFaster:
 			if len(got) < 32<<10 {
 				got = make([]byte, 32<<10)
 			}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -20,34 +20,38 @@
 	"reachwind/internal/settings"
 )
 
-// Config is a gateway's configuration, read and checked.
+// Config is a gateway's configuration, read and validated.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // where operators call; empty: nowhere
+	Admin                   string // address of the admin API; empty: none
 	Known                   []core.ListedMember
 	Decide                  *decide.Config
 
-	seed    uint64
-	memory  int64 // bytes, 0 = no limit
-	sockets int
-	version int64
-	facts   *settings.Settings
-	text    []byte                 // that it was read from, until it is kept for the next process
-	hup     chan os.Signal         // SIGHUP, from before the file was read; nil: Serve begins to take it
-	terms   *activesettings.Holder // in force, once it runs
-	shape   *settings.Schema       // what a file read at SIGHUP must hold again
+	seed        uint64
+	memoryBytes int64 // limit in bytes; 0: none
+	maxSockets  int   // limit of descriptors
+	listVersion int64 // of Known
+	settings    *settings.Settings
+	source      []byte                 // the file's text, until it is saved for the next process
+	hup         chan os.Signal         // receives SIGHUP since before the file was read; nil: Serve registers for the signal
+	active      *activesettings.Holder // settings in force while the gateway runs
+	shape       *settings.Schema       // the keys that a file read on SIGHUP must contain
 }
 
 const defaultSockets = 1024
 
-// ownFiles are the descriptors that no client, member or operator may take, whatever the limit is: three of the standard
-// streams; the runtime's poller, its event and two of the processor's limit; the clients' listener, and a connection that
-// it has accepted and nobody has counted yet; the call to discovery; the configuration read at SIGHUP; and, beside another
-// process of this gateway, the lock, the socket that takes connections over, its connection, one taken over and its copy,
-// a state file, and the folder where descriptors are counted.
-const ownFiles = 3 + 4 + 2 + 1 + 1 + 7
+// reservedDescriptors is the number of descriptors reserved for the process itself, which no client, member or operator may use:
+//   - 3 standard streams;
+//   - 4 of the Go runtime: its poller, the poller's event descriptor, and two for the CPU limit;
+//   - 2 for the client listener and a connection that it has accepted but not yet counted;
+//   - 1 for the connection to discovery;
+//   - 1 for the configuration file read on SIGHUP;
+//   - 7 for the handover between processes of this gateway: the lock, the socket that receives connections, its
+//     connection, a connection taken over and its duplicate, a state file, and the folder in which descriptors are counted.
+const reservedDescriptors = 3 + 4 + 2 + 1 + 1 + 7
 
-// Load reads the configuration at path. The environment fills in names that it leaves out.
+// Load reads and validates the configuration at path. NODE_NAME, NODE_LISTEN and NODE_DISCOVERY stand in for values that
+// the file leaves empty; NODE_ADMIN_ADDR overrides the file's value.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration: use --config or NODE_CONFIG")
@@ -60,17 +64,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	c.text = text
+	c.source = text
 	return c, nil
 }
 
-// LoadServing is Load for a process that is to serve. One that replaces another, and finds a file that can't be used,
-// goes on with what the former process was told last: operators may be in the middle of mending it. From here on SIGHUP
-// ends the process no more: the file may change while it is read, or before Serve, and is read again then.
-func LoadServing(path string, log *slog.Logger) (*Config, error) {
+// LoadForServing is Load for a process that is going to serve. If it replaces another process and the file is unusable, it
+// uses the last configuration that the former process accepted: operators may be editing the file. From this call on
+// SIGHUP no longer ends the process: one that arrives while the file is read, or before Serve, makes Serve read it again.
+func LoadForServing(path string, log *slog.Logger) (*Config, error) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	c, err := loadServing(path, log)
+	c, err := loadOrPrevious(path, log)
 	if err != nil {
 		signal.Stop(hup)
 		return nil, err
@@ -79,27 +83,27 @@
 	return c, nil
 }
 
-func loadServing(path string, log *slog.Logger) (*Config, error) {
+func loadOrPrevious(path string, log *slog.Logger) (*Config, error) {
 	c, err := Load(path)
 	if err == nil || os.Getenv("NODE_SOCKET_FD") == "" {
 		return c, err
 	}
-	text, e := handover.Load(os.TempDir(), configFile)
-	if e != nil {
+	text, previousErr := handover.Load(os.TempDir(), configFile)
+	if previousErr != nil {
 		return nil, err
 	}
-	c, e = Parse(text, os.Getenv)
-	if e != nil {
+	c, previousErr = Parse(text, os.Getenv)
+	if previousErr != nil {
 		return nil, err
 	}
 	log.Error("configuration not used, what the former process was told holds", "err", err)
-	c.text = text
+	c.source = text
 	return c, nil
 }
 
-// Parse is Load for a text and an environment.
+// Parse is Load for the text of a file; env returns the value of an environment variable, empty if it is not set.
 func Parse(text []byte, env func(string) string) (*Config, error) {
-	var f struct {
+	var file struct {
 		Name, Listen, Discovery, Seed string
 		Limits                        struct {
 			Memory  float64 `json:"memory_mb"`
@@ -109,11 +113,11 @@
 		Settings json.RawMessage
 		Admin    string `json:"admin_addr"`
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, version: f.Known.Generation,
-		memory: int64(f.Limits.Memory * (1 << 20)), sockets: f.Limits.Sockets}
+	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, listVersion: file.Known.Generation,
+		memoryBytes: int64(file.Limits.Memory * (1 << 20)), maxSockets: file.Limits.Sockets}
 	for _, v := range []struct {
 		to   *string
 		name string
@@ -122,7 +126,7 @@
 			*v.to = env(v.name)
 		}
 	}
-	if admin := env("NODE_ADMIN_ADDR"); admin != "" { // each process has its own, also where the file is that of another
+	if admin := env("NODE_ADMIN_ADDR"); admin != "" { // overrides the file, which processes may share: each needs its own address
 		c.Admin = admin
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
@@ -133,28 +137,28 @@
 	}
 	if c.Admin != "" {
 		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
-			return nil, fmt.Errorf("admin_addr: %w; want HOST:PORT, or nothing for no door", err)
+			return nil, fmt.Errorf("admin_addr: %w; want HOST:PORT, or nothing to run no admin API", err)
 		}
 	}
-	if c.sockets == 0 {
-		c.sockets = defaultSockets
+	if c.maxSockets == 0 {
+		c.maxSockets = defaultSockets
 	}
-	if c.sockets < leastSockets || c.memory < 0 || c.memory > 0 && c.memory < leastMemory {
-		return nil, fmt.Errorf("limits: at least %d sockets and %d MB are needed", leastSockets, leastMemory>>20)
+	if c.maxSockets < minSockets || c.memoryBytes < 0 || c.memoryBytes > 0 && c.memoryBytes < minMemoryBytes {
+		return nil, fmt.Errorf("limits: at least %d sockets and %d MB are needed", minSockets, minMemoryBytes>>20)
 	}
 	var err error
-	if f.Seed == "" {
+	if file.Seed == "" {
 		c.seed = uint64(time.Now().UnixNano())
-	} else if c.seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number", f.Seed)
+	} else if c.seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", file.Seed)
 	}
-	if c.Known, err = f.Known.Members(); err != nil {
+	if c.Known, err = file.Known.Members(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if c.facts, err = settings.Parse(f.Settings); err != nil {
+	if c.settings, err = settings.Parse(file.Settings); err != nil {
 		return nil, err
 	}
-	if c.Decide, err = c.facts.Config(); err != nil {
+	if c.Decide, err = c.settings.Config(); err != nil {
 		return nil, err
 	}
 	c.Decide.AssumeCommittedAfter = core.AssumeCommittedAfter
@@ -164,6 +168,6 @@
 	if c.shape, err = settings.SchemaOf(text); err != nil {
 		return nil, err
 	}
-	c.terms, err = activesettings.NewHolder(c.Decide)
+	c.active, err = activesettings.NewHolder(c.Decide)
 	return c, err
 }
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -20,22 +20,22 @@
 	"reachwind/internal/restfront"
 )
 
-// Edge is the product configuration, read and checked. A part that is nil is off.
+// Edge is the product configuration, read and validated. A subsystem that is nil does not run.
 type Edge struct {
 	Syslog *logship.Config
 	REST   *restfront.Config
 	Fleet  *fleet.Config
 }
 
-// LoadEdge reads the product configuration at path for a gateway. An error may hold many faults, see
-// edgeconf.Faults.
+// LoadEdge reads the product configuration at path for the gateway with configuration c. An error may be a list of
+// faults, see edgeconf.Faults.
 func LoadEdge(path string, c *Config) (*Edge, error) {
-	return loadEdge(path, c, c.terms.Current().Names)
+	return loadEdge(path, c, c.active.Current().Names)
 }
 
-// loadEdge is LoadEdge with the names that records may hold.
+// loadEdge is LoadEdge with the names of classes and tenants that records may contain.
 func loadEdge(path string, c *Config, names activesettings.Names) (*Edge, error) {
-	e := new(Edge)
+	edge := new(Edge)
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("syslog", false, func(b *edgeconf.Block) {
 			s := logship.Read(b, logship.Names(names))
@@ -44,88 +44,88 @@
 			}
 			s.Syslog.ProcID = strconv.Itoa(os.Getpid())
 			s.Seed = c.seed
-			e.Syslog = &s
+			edge.Syslog = &s
 		})
 		b.Blocks("rest", false, func(b *edgeconf.Block) {
 			r := restfront.ReadConfig(b)
-			r.Settings = c.terms
-			e.REST = &r
+			r.Settings = c.active
+			edge.REST = &r
 		})
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
 			f := fleet.ReadConfig(b)
 			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.MaxNameBytes {
 				b.AddFault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.MaxNameBytes)
 			}
-			e.Fleet = &f
+			edge.Fleet = &f
 		})
 	})
 	if err != nil {
 		return nil, err
 	}
-	if e.Syslog != nil {
-		if err := e.Syslog.Defaults(); err != nil {
+	if edge.Syslog != nil {
+		if err := edge.Syslog.Defaults(); err != nil {
 			return nil, err
 		}
 	}
-	return e, nil
+	return edge, nil
 }
 
 // Budget is how descriptors and memory are divided.
 type Budget struct {
-	Sockets int // that are divided by shares, after the parts took theirs: what the shares leave holds ownFiles
-	Clients int
-	Members int
-	Buffers int   // statements and answers,
-	Small   int   // and those for small ones
-	Memory  int64 // bytes, of the buffers
-	Parts   int64 // bytes that the parts of the product configuration hold at most
-	Files   int   // descriptors of these
+	DividedSockets       int   // descriptors divided by fractions, without the subsystems' ones: what the fractions leave covers reservedDescriptors
+	ClientConnections    int   // client connections
+	MemberConnections    int   // member connections
+	Buffers              int   // full-size buffers for statements and answers
+	SmallBuffers         int   // small buffers for statements and answers
+	BufferBytes          int64 // bytes of all buffers
+	SubsystemBytes       int64 // bytes that subsystems and the admin API hold at most
+	SubsystemDescriptors int   // descriptors that subsystems and the admin API hold at most
 }
 
-// Budget divides the limits. Without parts it is the platform's division.
+// Budget divides the limits. Without subsystems and admin API it is the division that the platform expects.
 func (c *Config) Budget(e *Edge) Budget {
 	var b Budget
-	memory := c.memory
+	memory := c.memoryBytes
 	if memory == 0 {
-		memory = freeMemory
+		memory = defaultMemoryBytes
 	}
 	if e.Syslog != nil {
-		b.Parts, b.Files = e.Syslog.Footprint()
+		b.SubsystemBytes, b.SubsystemDescriptors = e.Syslog.Footprint()
 	}
 	if e.REST != nil {
 		memory, files := e.REST.Footprint()
-		b.Parts, b.Files = b.Parts+memory, b.Files+files
+		b.SubsystemBytes, b.SubsystemDescriptors = b.SubsystemBytes+memory, b.SubsystemDescriptors+files
 	}
 	if e.Fleet != nil {
 		memory, files := e.Fleet.Footprint()
-		b.Parts, b.Files = b.Parts+memory, b.Files+files
+		b.SubsystemBytes, b.SubsystemDescriptors = b.SubsystemBytes+memory, b.SubsystemDescriptors+files
 	}
 	if c.Admin != "" {
-		memory, files := c.door().Footprint()
-		b.Parts, b.Files = b.Parts+memory, b.Files+files
+		memory, files := c.adminConfig().Footprint()
+		b.SubsystemBytes, b.SubsystemDescriptors = b.SubsystemBytes+memory, b.SubsystemDescriptors+files
 	}
-	left := c.sockets - b.Files
-	b.Sockets = max(leastShared, min(left, int(float64(left-ownFiles)/(clientPart+sparePart+memberPart))))
-	b.Clients, b.Members = int(clientPart*float64(b.Sockets)), int(memberPart*float64(b.Sockets))
-	room := bufferPart * float64(max(0, memory-b.Parts))
-	b.Small = int(smallPart*room) / pgwire.SmallBufSize
-	b.Buffers = max(buffersLeast, int((1-smallPart)*room)/pgwire.LargeBufSize)
-	b.Memory = int64(b.Buffers)*pgwire.LargeBufSize + int64(b.Small)*pgwire.SmallBufSize
+	available := c.maxSockets - b.SubsystemDescriptors
+	b.DividedSockets = max(minDividedSockets, min(available, int(float64(available-reservedDescriptors)/(clientFraction+closingFraction+memberFraction))))
+	b.ClientConnections, b.MemberConnections = int(clientFraction*float64(b.DividedSockets)), int(memberFraction*float64(b.DividedSockets))
+	bufferMemory := bufferFraction * float64(max(0, memory-b.SubsystemBytes))
+	b.SmallBuffers = int(smallBufferFraction*bufferMemory) / pgwire.SmallBufSize
+	b.Buffers = max(minBuffers, int((1-smallBufferFraction)*bufferMemory)/pgwire.LargeBufSize)
+	b.BufferBytes = int64(b.Buffers)*pgwire.LargeBufSize + int64(b.SmallBuffers)*pgwire.SmallBufSize
 	return b
 }
 
-var errRestart = errors.New("a block that comes or goes, and what a front listens on, take a restart")
+var errRestart = errors.New("adding or removing the block, or changing what a front listens on, takes a restart of the gateway")
 
-// startREST starts the REST front.
-func startREST(conf *restfront.Config, owner *core.Core, claims *call.ActiveIDs, log *slog.Logger) (part, error) {
-	s, err := restfront.New(owner, *conf, claims, log)
+// startREST starts the REST front. It returns an error if the front can't be configured or its address not listened on.
+func startREST(conf *restfront.Config, engine *core.Core, claims *call.ActiveIDs, log *slog.Logger) (subsystem, error) {
+	s, err := restfront.New(engine, *conf, claims, log)
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
 	if err := s.Start(); err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
-	return part{
+	return subsystem{
 		name: "rest",
 		prepare: func(e *Edge) (func(), error) {
 			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.MaxConnections != conf.MaxConnections {
@@ -137,36 +137,36 @@
 	}, nil
 }
 
-// startSyslog starts the shipper and has the core and the log give it their records.
-func startSyslog(conf *logship.Config, owner *core.Core, cold time.Duration, o Options) (part, error) {
-	start := owner.Now()
-	key := make([]byte, 32) // sessions are told apart as long as this process lives, and by nobody else
-	if _, err := rand.Read(key); err != nil {
-		return part{}, err
+// startSyslog starts the log shipper and registers it as the sink of the core's and the log's records.
+func startSyslog(conf *logship.Config, engine *core.Core, slowStart time.Duration, o Options) (subsystem, error) {
+	start := engine.Now()
+	sessionKey := make([]byte, 32) // for hashed session names: comparable while this process lives, and not outside it
+	if _, err := rand.Read(sessionKey); err != nil {
+		return subsystem{}, err
 	}
-	own := o.Log
-	if o.Records != nil { // what the shipper itself says must not become records: it would feed itself
-		own = slog.New(o.Records.Handler)
+	ownLog := o.Log
+	if o.Records != nil { // the shipper's own log lines must not become records, since each would cause another
+		ownLog = slog.New(o.Records.Handler)
 	}
-	fill := func(c logship.Config) logship.Config {
-		c.Syslog.Start, c.Syslog.Key, c.Syslog.Version = start, key, o.Version
+	complete := func(c logship.Config) logship.Config {
+		c.Syslog.Start, c.Syslog.Key, c.Syslog.Version = start, sessionKey, o.Version
 		return c
 	}
-	s, err := logship.New(fill(*conf), owner.Now, own)
+	s, err := logship.New(complete(*conf), engine.Now, ownLog)
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
-	owner.SetRecordSink(s, cold)
+	engine.SetRecordSink(s, slowStart)
 	if o.Records != nil {
 		o.Records.SetSink(s)
 	}
-	return part{
+	return subsystem{
 		name: "syslog",
 		prepare: func(e *Edge) (func(), error) {
 			if e.Syslog == nil {
 				return nil, errRestart
 			}
-			return s.Prepare(fill(*e.Syslog))
+			return s.Prepare(complete(*e.Syslog))
 		},
 		stop: func(ctx context.Context) {
 			if o.Records != nil {
@@ -175,10 +175,10 @@
 			dropped := s.Close(ctx)
 			counts, lost := s.Counts()
 			for _, c := range counts {
-				own.Info("collector done", "collector", c.Name, "made", c.Made, "handed_over", c.Handed, "on_disk", c.Disk, "waiting", c.Memory)
+				ownLog.Info("collector done", "collector", c.Name, "made", c.Made, "handed_over", c.Handed, "on_disk", c.Disk, "waiting", c.Memory)
 			}
 			if dropped > 0 || lost > 0 {
-				own.Warn("records lost at the end", "waiting", dropped, "unrouted", lost)
+				ownLog.Warn("records lost at the end", "waiting", dropped, "unrouted", lost)
 			}
 		},
 	}, nil
--- a/internal/gateway/edge_test.go
+++ b/internal/gateway/edge_test.go
@@ -19,8 +19,8 @@
 	"reachwind/internal/standin/pgclient"
 )
 
-// fixed is the configuration as the operators fixed it, but for its files.
-const fixed = `syslog {
+// agreedConfig is the form of the product configuration that was agreed with the operators, except for the files it names.
+const agreedConfig = `syslog {
   hostname   = "gw-1"
   app_name   = "reachwind"
   enterprise = 32473
@@ -63,8 +63,9 @@
 	return conf
 }
 
-// TestEdge: the configuration as fixed is taken, also the example that ships; faults are told with their lines.
-func TestEdge(t *testing.T) {
+// TestLoadEdge: the agreed form of the product configuration and the example that ships with the program are accepted, and
+// faults are reported with line and column.
+func TestLoadEdge(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -78,21 +79,21 @@
 		}
 		return LoadEdge(path, conf)
 	}
-	e, err := load(fixed)
+	e, err := load(agreedConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := e.Syslog; s.Memory != 4<<20 || s.Disk != 256<<20 || s.MaxAge != 24*time.Hour || len(s.Collectors) != 2 || len(s.Routes) != 2 || s.Spool != filepath.Join(filepath.Dir(path), "spool") {
-		t.Errorf("read as %+v", s)
+		t.Errorf("syslog block read as %+v", s)
 	}
 	if _, err := LoadEdge("../../deploy/edge.hcl", conf); err != nil {
-		t.Errorf("the example: %v", err)
+		t.Errorf("deploy/edge.hcl: %v", err)
 	}
-	if b, off := conf.Budget(e), conf.Budget(new(Edge)); b.Sockets >= off.Sockets || b.Buffers >= off.Buffers || off.Clients != 512 || off.Members != 337 {
-		t.Errorf("budget with parts %+v, without %+v", b, off)
+	if b, off := conf.Budget(e), conf.Budget(new(Edge)); b.DividedSockets >= off.DividedSockets || b.Buffers >= off.Buffers || off.ClientConnections != 512 || off.MemberConnections != 337 {
+		t.Errorf("budget with subsystems %+v, without %+v", b, off)
 	}
 	_, err = load(strings.NewReplacer(`"32473"`, "", `transport = "tcp"`, `transport = "carrier"`, `to     = ["spare"]`, `to = ["spar"]`, `"failed"]`, `"lost"]`,
-		`sample = 0.1`, `sample = 2`, `"24h"`, `"1 day"`).Replace(fixed))
+		`sample = 0.1`, `sample = 2`, `"24h"`, `"1 day"`).Replace(agreedConfig))
 	for _, want := range []string{`:10:15: max_age is "1 day"`, `:19:17: transport is "carrier"`, `:23:15: outcome holds "lost"`, `:29:14: sample is 2, want from 1e-06 to 1`, `:30:10: route "rest": there is no collector "spar"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("no %q in %v", want, err)
@@ -100,23 +101,23 @@
 	}
 }
 
-// TestRecordsMatchAnswers: through a gateway with a collector, each answer that clients got has its record, changes
-// of members and the gateway's own lines come too, and a reload with a fault changes nothing.
+// TestRecordsMatchAnswers: a gateway with a collector ships a record for each answer that clients received, as well as
+// changes of members and its own log lines. A reload of a faulty product configuration changes nothing.
 func TestRecordsMatchAnswers(t *testing.T) {
 	c, err := cluster.Start(cluster.Config{Groups: 1, Replicas: 1, Lag: 5 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	k, err := standin.Start(standin.Config{Network: "tcp", Address: "127.0.0.1:0", Check: true})
+	collector, err := standin.Start(standin.Config{Network: "tcp", Address: "127.0.0.1:0", Check: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Stop(true)
+	defer collector.Stop(true)
 	dir := t.TempDir()
 	path, edge := filepath.Join(dir, "config.json"), filepath.Join(dir, "edge.hcl")
 	text := func(extra string) string {
-		return fmt.Sprintf("syslog {\n collector \"office\" { address = %q }\n route \"all\" { to = [\"office\"] }\n %s\n}\n", k.Addr, extra)
+		return fmt.Sprintf("syslog {\n collector \"office\" { address = %q }\n route \"all\" { to = [\"office\"] }\n %s\n}\n", collector.Addr, extra)
 	}
 	write := func(name, text string) {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -148,7 +149,7 @@
 	defer stop()
 	hup, done := make(chan os.Signal), make(chan error, 1)
 	go func() {
-		done <- Run(term, hup, conf, l, Options{Path: path, Edge: edge, Version: "test", Log: slog.New(records), Records: records})
+		done <- Run(term, hup, conf, l, Options{ConfigPath: path, EdgePath: edge, Version: "test", Log: slog.New(records), Records: records})
 	}()
 	logged := func(part string) {
 		t.Helper()
@@ -170,7 +171,7 @@
 	}
 	defer conn.Close()
 	want, all := map[string]int{}, 60
-	for i := 0; want["served"] == 0 && i < 500; i++ { // until the primary is known
+	for i := 0; want["served"] == 0 && i < 500; i++ { // until the primary has been found
 		q := pgclient.Request{ID: fmt.Sprint("w", i), Class: "map-edits", Tenant: "kea-basin", Wait: time.Second, Key: fmt.Sprint("w", i), Item: "note", Value: "v", Write: true}
 		a, err := conn.Do(&q)
 		if err != nil {
@@ -186,9 +187,9 @@
 		case 1:
 			q = pgclient.Request{ID: q.ID, Class: "my-notes", Tenant: "red-saddle", Wait: time.Second, Item: "note"}
 		case 2:
-			q = pgclient.Request{ID: q.ID, Class: "field-info", Tenant: "red-saddle", Wait: time.Second, Item: "note", Cluster: 7} // there is no such group
+			q = pgclient.Request{ID: q.ID, Class: "field-info", Tenant: "red-saddle", Wait: time.Second, Item: "note", Cluster: 7} // this group does not exist
 			if i > 30 {
-				q.Tenant = "" // the front can't read that
+				q.Tenant = "" // the front can't parse that
 			}
 		}
 		a, err := conn.Do(&q)
@@ -211,9 +212,9 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s := k.Book.Summary()
+	s := collector.Book.Summary()
 	for range 500 {
-		if s = k.Book.Summary(); s.Kinds["request"] == all && s.Kinds["member"] >= 3 && s.Kinds["log"] >= 3 {
+		if s = collector.Book.Summary(); s.Kinds["request"] == all && s.Kinds["member"] >= 3 && s.Kinds["log"] >= 3 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -224,6 +225,6 @@
 		}
 	}
 	if s.Kinds["member"] < 3 || s.Kinds["log"] < 3 || s.Missing > 0 || s.Invalid > 0 {
-		t.Errorf("collected %+v, %v", s, k.Book.Faults())
+		t.Errorf("collected %+v, %v", s, collector.Book.Faults())
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,101 +16,102 @@
 	"reachwind/internal/fleet/subscribe"
 )
 
-// told joins the gateway to the fleet: what peers say goes to the module as events, and what it asked of the shared
-// budgets comes back.
-type told struct {
-	*running
-	counts *subscribe.Counts                 // the owner's
-	tried  map[string]subscribe.ZoneAttempts // by zone, the owner's
-	looks  int
-	at     int // of the members told of last
+// fleetAdapter implements fleet.Gateway: it passes peers' reports and quotas to package decide as events, and gives the
+// fleet the counters and observations of this gateway.
+type fleetAdapter struct {
+	*instance
+	counters     *subscribe.Counts                 // owned by the core's goroutine
+	attempts     map[string]subscribe.ZoneAttempts // attempts by zone; owned by the core's goroutine
+	probeCount   int                               // number of probes so far, which selects the next member to probe
+	lastReported int                               // index of the member reported last
 }
 
 // ApplyAdvice implements fleet.Gateway.
-func (g *told) ApplyAdvice(member string, look, try, guess bool) {
-	if guess {
-		g.owner.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Role: decide.Primary})
+func (g *fleetAdapter) ApplyAdvice(member string, probe, tryAgain, likelyPrimary bool) {
+	if likelyPrimary {
+		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Role: decide.Primary})
 	}
-	if try {
-		g.owner.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.Served})
+	if tryAgain {
+		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.Served})
 	}
-	if look {
-		g.owner.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.TimedOut})
+	if probe {
+		g.core.PostEvent(decide.Event{Kind: decide.PeerReport, Member: member, Result: decide.TimedOut})
 	}
 }
 
 // SetQuotas implements fleet.Gateway.
-func (g *told) SetQuotas(parts [quota.BudgetCount]float64, done func([quota.BudgetCount]float64)) {
-	g.owner.PostEvent(decide.Event{Kind: decide.BudgetShares, BudgetShares: parts})
-	g.owner.Post(func() { done(g.router.BudgetDemand()) })
+func (g *fleetAdapter) SetQuotas(quotas [quota.BudgetCount]float64, done func([quota.BudgetCount]float64)) {
+	g.core.PostEvent(decide.Event{Kind: decide.BudgetShares, BudgetShares: quotas})
+	g.core.Post(func() { done(g.router.BudgetDemand()) })
 }
 
 // CollectCounts implements fleet.Gateway.
-func (g *told) CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts)) {
-	g.owner.Post(func() {
+func (g *fleetAdapter) CollectCounts(done func(subscribe.Counts, []subscribe.MemberReport, []subscribe.ZoneAttempts)) {
+	g.core.Post(func() {
 		all := g.router.Members()
-		var some []subscribe.MemberReport
+		var reports []subscribe.MemberReport
 		for range min(len(all), subscribe.MaxMembersPerReport) {
-			g.at = (g.at + 1) % len(all)
-			k := &all[g.at]
-			some = append(some, subscribe.MemberReport{Member: k.Member, Group: k.Group, Zone: k.Zone, Primary: k.Role == decide.Primary,
-				Position: k.Position.Milliseconds(), Out: k.Unavailable})
+			g.lastReported = (g.lastReported + 1) % len(all)
+			member := &all[g.lastReported]
+			reports = append(reports, subscribe.MemberReport{Member: member.Member, Group: member.Group, Zone: member.Zone, Primary: member.Role == decide.Primary,
+				Position: member.Position.Milliseconds(), Out: member.Unavailable})
 		}
-		var tried []subscribe.ZoneAttempts
-		for _, z := range slices.Sorted(maps.Keys(g.tried)) {
-			tried = append(tried, g.tried[z])
+		var attempts []subscribe.ZoneAttempts
+		for _, z := range slices.Sorted(maps.Keys(g.attempts)) {
+			attempts = append(attempts, g.attempts[z])
 		}
-		done(*g.counts, some, tried)
+		done(*g.counters, reports, attempts)
 	})
 }
 
 // SetDrainingMembers implements fleet.Gateway.
-func (g *told) SetDrainingMembers(members []string) {
-	if g.over != nil {
-		g.over.Drain(members)
+func (g *fleetAdapter) SetDrainingMembers(members []string) {
+	if g.overlay != nil {
+		g.overlay.SetDrains(members)
 	}
 }
 
 // SetZonesAway implements fleet.Gateway.
-func (g *told) SetZonesAway(away map[string]float64) {
-	if g.over != nil {
-		g.over.Zones(away)
+func (g *fleetAdapter) SetZonesAway(away map[string]float64) {
+	if g.overlay != nil {
+		g.overlay.SetZones(away)
 	}
 }
 
-// looksMost are the looks a second at members of zones that load goes away from.
-const looksMost = 3
+// maxProbesPerSecond limits the probes per second of members in zones that load is moved away from.
+const maxProbesPerSecond = 3
 
-// ProbeZonesAway implements fleet.Gateway: it tries whether members of zones that load goes away from take connections, some each
-// time. It is weak evidence, and enough to send a first trial part there again.
-func (g *told) ProbeZonesAway() {
-	if g.over == nil {
+// ProbeZonesAway implements fleet.Gateway. It probes whether some members of zones that load is moved away from accept
+// connections, other ones each time. That is weak evidence, but enough for returning a first small fraction of the
+// load.
+func (g *fleetAdapter) ProbeZonesAway() {
+	if g.overlay == nil {
 		return
 	}
-	all := g.over.Left()
-	for range min(looksMost, len(all)) {
-		g.looks++
-		m := all[g.looks%len(all)]
-		if g.ops.out(m.ID) {
+	all := g.overlay.DivertedMembers()
+	for range min(maxProbesPerSecond, len(all)) {
+		g.probeCount++
+		m := all[g.probeCount%len(all)]
+		if g.admin.isSuspended(m.ID) {
 			continue
 		}
 		go func() {
-			c, err := net.DialTimeout("tcp", m.Addr, connectUsual)
+			c, err := net.DialTimeout("tcp", m.Addr, defaultConnectTimeout)
 			r := decide.Served
 			if err != nil {
 				r = decide.Unreachable
 			} else {
 				_ = c.Close()
 			}
-			g.owner.Post(func() { g.try(m.Zone, r) })
+			g.core.Post(func() { g.countAttempt(m.Zone, r) })
 		}()
 	}
 }
 
-// try counts an attempt at a member of a zone. It is the owner's.
-func (g *told) try(zone string, r decide.Result) {
-	t, ok := g.tried[zone]
-	if !ok && len(g.tried) >= agreed.ZonesMost {
+// countAttempt counts an attempt at a member of a zone. It runs on the core's goroutine.
+func (g *fleetAdapter) countAttempt(zone string, r decide.Result) {
+	t, ok := g.attempts[zone]
+	if !ok && len(g.attempts) >= agreed.ZonesMost {
 		return
 	}
 	t.Zone = zone
@@ -121,45 +122,45 @@
 		t.Failed++
 	}
 	t.Attempts++
-	g.tried[zone] = t
+	g.attempts[zone] = t
 }
 
 // SetConnectionFraction implements fleet.Gateway.
-func (g *told) SetConnectionFraction(part float64) {
-	d := g.door.Load()
-	if d == nil {
+func (g *fleetAdapter) SetConnectionFraction(fraction float64) {
+	toggle := g.listener.Load()
+	if toggle == nil {
 		return
 	}
-	g.front.Quiesce(part == 0)
-	if part == 0 || part < 1 && float64(g.front.OpenConnections()) >= part*float64(g.most) {
-		d.Shut()
-	} else if err := d.Open(); err != nil {
-		g.o.Log.Error("the clients' address can't be opened again", "listen", d.addr, "err", err)
+	g.front.Quiesce(fraction == 0)
+	if fraction == 0 || fraction < 1 && float64(g.front.OpenConnections()) >= fraction*float64(g.maxClients) {
+		toggle.Disable()
+	} else if err := toggle.Enable(); err != nil {
+		g.options.Log.Error("the clients' address can't be opened again", "listen", toggle.addr, "err", err)
 	}
 }
 
 // OpenConnections implements fleet.Gateway.
-func (g *told) OpenConnections() int { return g.front.OpenConnections() }
+func (g *fleetAdapter) OpenConnections() int { return g.front.OpenConnections() }
 
-// sees is the way back: what the gateway sees, for the fleet.
-type sees struct {
-	f      *fleet.Fleet
-	counts *subscribe.Counts
-	g      *told
+// coreObserver implements core.Observer: it reports what the core observes to the fleet.
+type coreObserver struct {
+	fleet    *fleet.Fleet
+	counters *subscribe.Counts
+	adapter  *fleetAdapter
 }
 
-// AttemptEnded implements core.Witness.
-func (s sees) AttemptEnded(member string, r decide.Result) {
-	if s.g.over != nil {
-		if zone := s.g.over.zone(member); zone != "" {
-			s.g.try(zone, r)
+// AttemptEnded implements core.Observer.
+func (s coreObserver) AttemptEnded(member string, r decide.Result) {
+	if s.adapter.overlay != nil {
+		if zone := s.adapter.overlay.zoneOf(member); zone != "" {
+			s.adapter.countAttempt(zone, r)
 		}
 	}
 }
 
-// RequestEnded implements core.Witness.
-func (s sees) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
-	c := &s.counts.Classes[min(q.ClassIndex, agreed.ClassesMost-1)]
+// RequestEnded implements core.Observer.
+func (s coreObserver) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
+	c := &s.counters.Classes[min(q.ClassIndex, agreed.ClassesMost-1)]
 	c.Requests++
 	if v != core.Served {
 		c.Refused++
@@ -168,52 +169,52 @@
 	if took > q.Class.LatencyTarget {
 		c.Late++
 	}
-	s.counts.Latency[agreed.Bucket(took.Microseconds())]++
+	s.counters.Latency[agreed.Bucket(took.Microseconds())]++
 }
 
-// MemberChanged implements core.Witness.
-func (s sees) MemberChanged(c decide.Change, member string) {
+// MemberChanged implements core.Observer.
+func (s coreObserver) MemberChanged(c decide.Change, member string) {
 	switch c {
 	case decide.Suspected:
-		s.f.RecordObservation(member, observation.Silent, 0)
+		s.fleet.RecordObservation(member, observation.Silent, 0)
 	case decide.Recovered:
-		s.f.RecordObservation(member, observation.Answers, 0)
+		s.fleet.RecordObservation(member, observation.Answers, 0)
 	case decide.PrimaryFound:
-		if s.g.over != nil {
-			s.g.over.Primary(member)
+		if s.adapter.overlay != nil {
+			s.adapter.overlay.SetPrimary(member)
 		}
-		s.f.RecordObservation(member, observation.Primary, 0)
+		s.fleet.RecordObservation(member, observation.Primary, 0)
 	}
 }
 
-// Answered implements core.Witness.
-func (s sees) Answered(member string) { s.f.RecordAnswer(member) }
+// Answered implements core.Observer.
+func (s coreObserver) Answered(member string) { s.fleet.RecordAnswer(member) }
 
-// Probed implements core.Witness.
-func (s sees) Probed(member string, answered bool) { s.f.RecordProbe(member, answered) }
+// Probed implements core.Observer.
+func (s coreObserver) Probed(member string, answered bool) { s.fleet.RecordProbe(member, answered) }
 
-// DiscoveryAnswered implements core.Witness.
-func (s sees) DiscoveryAnswered() { s.f.RecordDiscovery() }
+// DiscoveryAnswered implements core.Observer.
+func (s coreObserver) DiscoveryAnswered() { s.fleet.RecordDiscovery() }
 
-// startFleet has the gateway know its peers.
-func startFleet(conf *fleet.Config, g *running, buffers int) (part, error) {
-	wall := g.o.Wall
+// startFleet starts the fleet subsystem of g, which has a number of full-size buffers.
+func startFleet(conf *fleet.Config, g *instance, buffers int) (subsystem, error) {
+	wall := g.options.WallClock
 	if wall == nil {
 		wall = time.Now
 	}
-	own := *conf
-	own.Version = g.o.Version
-	counts := new(subscribe.Counts)
-	way := &told{running: g, counts: counts, tried: map[string]subscribe.ZoneAttempts{}}
-	f, err := fleet.Start(own, fleet.Deps{Log: g.o.Log, Zone: g.c.Decide.Zone, Wall: wall, Gateway: way,
-		Longest: lastCall(g.c.terms.Current().MaxDeadline),
-		Load:    func() float64 { return float64(g.claims.Len()) / float64(max(1, buffers)) }})
+	fleetConfig := *conf
+	fleetConfig.Version = g.options.Version
+	counters := new(subscribe.Counts)
+	adapter := &fleetAdapter{instance: g, counters: counters, attempts: map[string]subscribe.ZoneAttempts{}}
+	f, err := fleet.Start(fleetConfig, fleet.Deps{Log: g.options.Log, Zone: g.config.Decide.Zone, Wall: wall, Gateway: adapter,
+		Longest: maxShutdown(g.config.active.Current().MaxDeadline),
+		Load:    func() float64 { return float64(g.activeIDs.Len()) / float64(max(1, buffers)) }})
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
-	g.owner.SetObserver(sees{f, counts, way})
+	g.core.SetObserver(coreObserver{f, counters, adapter})
 	g.fleet = f
-	return part{
+	return subsystem{
 		name: "fleet",
 		prepare: func(e *Edge) (func(), error) {
 			if e.Fleet == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway puts the parts of a gateway together: it starts them in order,
-// has them reread their configuration, and stops them in order under one deadline.
+// Package gateway assembles a gateway process from its subsystems: it starts them in
+// order, reloads their configuration on SIGHUP, and stops them in order under one deadline.
 package gateway
 
 import (
@@ -29,54 +29,55 @@
 )
 
 const (
-	user     = "app"
-	database = "shop"
+	memberUser     = "app"
+	memberDatabase = "shop"
 
-	leastSockets  = 64
-	leastShared   = 16 // of them, where parts of the product configuration take nearly all
-	leastMemory   = 32 << 20
-	clientPart    = 0.5   // of the descriptors, for client connections
-	idlePart      = 0.08  // of those, for such as are idle
-	sparePart     = 0.08  // for those being ended or refused
-	memberPart    = 0.33  // for member connections; the rest is for ownFiles
-	bufferPart    = 0.5   // of the memory, for buffers
-	smallPart     = 0.125 // of these, for small ones: more of them than there are connections
-	softPart      = 0.8   // of the memory, above which the collector works harder
-	garbagePart   = 25    // per cent of what is in use: buffers are most of that, and garbage may grow with it
-	freeMemory    = 512 << 20
-	partsMost     = 2 * time.Second        // what other parts may take to end, after the last client has
-	acceptAfter   = 500 * time.Millisecond // clients keep coming for 0.4 s after SIGTERM
-	answerMoment  = 350 * time.Millisecond // past the longest deadline: what was taken has its answer by then,
-	wordMoment    = 400 * time.Millisecond // nobody waits for the rest of a command by then,
-	lastMoment    = 600 * time.Millisecond // and the process ends by then; SIGKILL may come 0.1 s later
-	connectUsual  = 250 * time.Millisecond
-	idleUsual     = 15 * time.Second
-	graceUsual    = 250 * time.Millisecond
-	longestMost   = 3 * time.Second // which the platform takes the longest deadline for where it is longer
-	startWait     = 2500 * time.Millisecond
-	writeWait     = 5 * time.Second
-	refuseWait    = time.Second
-	idleMost      = 2 * time.Second
-	buffersLeast  = 16
-	passReserve   = 0.5  // of the buffers, for all but answers that pass through, which can do without
-	bufferReserve = 0.15 // of the buffers, for the members' answers, which hold them for moments only
+	minSockets              = 64
+	minDividedSockets       = 16 // descriptors divided among clients and members, even where subsystems claim nearly all
+	minMemoryBytes          = 32 << 20
+	clientFraction          = 0.5   // of the divided descriptors, for client connections
+	idleClientFraction      = 0.08  // of the divided descriptors, for idle client connections
+	closingFraction         = 0.08  // of the divided descriptors, for connections being closed or refused
+	memberFraction          = 0.33  // of the divided descriptors, for member connections; the remainder covers the process's own descriptors
+	bufferFraction          = 0.5   // of the memory, for buffers
+	smallBufferFraction     = 0.125 // of the buffer memory, for small buffers: there must be more of them than connections
+	softLimitFraction       = 0.8   // of the memory: the soft limit of Go's garbage collector
+	gcPercent               = 25    // GOGC in per cent: most live memory is buffers, and the heap may grow in proportion to it
+	defaultMemoryBytes      = 512 << 20
+	stopTimeout             = 2 * time.Second        // for all subsystems to stop, after the last client has left
+	acceptAfterTerm         = 500 * time.Millisecond // after SIGTERM: clients are still routed here for 0.4 s
+	answerMargin            = 350 * time.Millisecond // past the longest deadline: every accepted request has been answered
+	partialCommandMargin    = 400 * time.Millisecond // past the longest deadline: incomplete commands are no longer waited for
+	exitMargin              = 600 * time.Millisecond // past the longest deadline: the process exits; SIGKILL may follow 0.1 s later
+	defaultConnectTimeout   = 250 * time.Millisecond
+	defaultIdleClose        = 15 * time.Second
+	defaultStopSendingGrace = 250 * time.Millisecond
+	maxCountedDeadline      = 3 * time.Second // the platform counts longer deadlines as this one
+	startupTimeout          = 2500 * time.Millisecond
+	writeTimeout            = 5 * time.Second
+	lingerTimeout           = time.Second
+	clientIdleTimeout       = 2 * time.Second
+	minBuffers              = 16
+	passThroughReserve      = 0.5  // of the buffers, withheld from answers that are passed through: these can do without buffers
+	memberAnswerReserve     = 0.15 // of the buffers, for members' answers, which hold them only briefly
 )
 
-// Options are what the command line says.
+// Options hold the settings of a process that come from its command line.
 type Options struct {
-	Path    string // of the configuration, for SIGHUP
-	Edge    string // of the product configuration; empty: none, and no part of it runs
-	Version string
-	Log     *slog.Logger
-	Records *record.Handler // that Log goes through; takes the sink of records
-	Dial    pgmember.Dialer // to members and discovery; nil: TCP
-	// Handover is the folder where processes of this gateway that replace each other share what binds them; empty: none does.
-	Handover string
-	Wall     func() time.Time // nil: the system's; another one only in laboratories, where clocks are set apart
+	ConfigPath string // of the configuration file; read again on SIGHUP
+	EdgePath   string // path of the product configuration; empty: none, and its subsystems do not run
+	Version    string
+	Log        *slog.Logger
+	Records    *record.Handler // the handler behind Log, which is given the sink of records
+	Dial       pgmember.Dialer // to members and discovery; nil: TCP
+	// HandoverDir is the folder in which successive processes of this gateway share state; empty: no handover.
+	HandoverDir string
+	WallClock   func() time.Time // nil: the system's clock; test labs set it to simulate clock offsets
 }
 
-// Serve runs the gateway until SIGTERM or SIGINT, then winds it down. SIGHUP has
-// it read its configuration again; until the very end, as it would end the program.
+// Serve runs the gateway until SIGTERM or SIGINT, then shuts it down gracefully. SIGHUP
+// reloads the configuration. It is handled until Serve returns, since its default action ends the process.
+// The error is that of a start that failed, or of a listener that failed while serving.
 func Serve(c *Config, o Options) error {
 	hup := c.hup
 	if hup == nil {
@@ -85,10 +86,10 @@
 	}
 	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	runtime.GOMAXPROCS(1) // a gateway has one core: more threads would only take turns on it
-	if c.memory > 0 {
-		debug.SetMemoryLimit(int64(softPart * float64(c.memory)))
-		debug.SetGCPercent(garbagePart)
+	runtime.GOMAXPROCS(1) // a gateway is given one CPU core: more threads would only compete for it
+	if c.memoryBytes > 0 {
+		debug.SetMemoryLimit(int64(softLimitFraction * float64(c.memoryBytes)))
+		debug.SetGCPercent(gcPercent)
 	}
 	fd := os.Getenv("NODE_SOCKET_FD")
 	listener, err := listen(c.Listen, fd)
@@ -96,72 +97,73 @@
 		return err
 	}
 	if fd != "" {
-		o.Handover = os.TempDir()
+		o.HandoverDir = os.TempDir()
 	}
 	defer func() { _ = listener.Close() }()
 	return Run(term, hup, c, listener, o)
 }
 
-// part is a subsystem of the product configuration.
-type part struct {
+// subsystem is a subsystem that the product configuration enables.
+type subsystem struct {
 	name string
-	// prepare checks a new configuration; apply takes it over. Where it runs and the new one has it no more, or
-	// the other way round, that is an error: it takes a restart.
+	// prepare checks a new configuration; apply puts it into force. A configuration that adds or removes the
+	// subsystem is an error, since that takes a restart.
 	prepare func(*Edge) (apply func(), err error)
-	drain   func(context.Context) // a front: take nothing new and answer what was taken; nil: none
-	stop    func(context.Context) // end, once all fronts have; nil: nothing to do
+	drain   func(context.Context) // for fronts: accept nothing new and answer accepted requests; nil: nothing to do
+	stop    func(context.Context) // called once all fronts have drained; nil: nothing to do
 }
 
-// running is a gateway at work.
-type running struct {
-	o      Options
-	c      *Config
-	router *decide.Router
-	owner  *core.Core
-	pool   *pgmember.Pool
-	bufs   *pgwire.Pool
-	dir    *discovery.Client
-	front  *pgfront.Server
-	claims *call.ActiveIDs
-	parts  []part
-	over   *overlay   // nil: nobody agrees on drains
-	ops    *operators // nil: operators have no door
-	fleet  *fleet.Fleet
-	line   *succession          // nil: no other process takes this one's place
-	most   int                  // client connections
-	door   atomic.Pointer[door] // nil: not serving yet
-	came   func() time.Time     // when SIGTERM came, once it has
+// instance is a running gateway.
+type instance struct {
+	options    Options
+	config     *Config
+	router     *decide.Router
+	core       *core.Core
+	pool       *pgmember.Pool
+	buffers    *pgwire.Pool
+	discovery  *discovery.Client
+	front      *pgfront.Server
+	activeIDs  *call.ActiveIDs
+	subsystems []subsystem
+	overlay    *overlay                       // nil: no council is configured
+	admin      *adminOperator                 // nil: no admin API
+	fleet      *fleet.Fleet                   // nil: no fleet is configured
+	handover   *processHandover               // nil: no handover between processes
+	maxClients int                            // maximum number of client connections
+	listener   atomic.Pointer[toggleListener] // nil: not serving yet, or no fleet
+	termAt     func() time.Time               // when SIGTERM arrived; waits for it
 }
 
-// Sizes are the lengths of the tables that peers and time could grow; docs/design/fleet.md has their bounds.
+// Sizes are the lengths of the tables that could grow with time or with peers' input; docs/design/fleet.md lists their
+// bounds.
 type Sizes struct {
-	Decide decide.Sizes
-	Core   core.Sizes
-	Pool   pgmember.Sizes
-	Claims int // ids in work
+	Decide    decide.Sizes
+	Core      core.Sizes
+	Pool      pgmember.Sizes
+	ActiveIDs int // ids of requests in progress
 }
 
-// sizes asks the owner for them; it must be at work.
-func (g *running) sizes() (s Sizes) {
+// sizes collects them on the core's goroutine, which must be running.
+func (g *instance) sizes() (s Sizes) {
 	done := make(chan struct{})
-	g.owner.Post(func() {
-		s = Sizes{Decide: g.router.Sizes(), Core: g.owner.Sizes(), Pool: g.pool.Sizes(), Claims: g.claims.Len()}
+	g.core.Post(func() {
+		s = Sizes{Decide: g.router.Sizes(), Core: g.core.Sizes(), Pool: g.pool.Sizes(), ActiveIDs: g.activeIDs.Len()}
 		close(done)
 	})
 	<-done
 	return s
 }
 
-// reload takes from the configuration what may change while the gateway runs: all of it, or nothing where any
-// part of it can't be used.
-func (g *running) reload() {
-	next, err := g.reread()
+// reload applies the changes of the configuration files that are possible while the gateway runs. If any part of them is
+// unusable nothing is applied.
+func (g *instance) reload() {
+	next, err := g.readReload()
 	var apply []func()
-	if err == nil && g.o.Edge != "" {
+	if err == nil && g.options.EdgePath != "" {
 		var edge *Edge
-		if edge, err = loadEdge(g.o.Edge, g.c, next.terms.Names); err == nil {
+		if edge, err = loadEdge(g.options.EdgePath, g.config, next.active.Names); err == nil {
 			running := map[string]bool{}
-			for _, p := range g.parts {
+			for _, p := range g.subsystems {
 				running[p.name] = true
 			}
 			for name, wanted := range map[string]bool{"syslog": edge.Syslog != nil, "rest": edge.REST != nil, "fleet": edge.Fleet != nil} {
@@ -169,49 +171,49 @@
 					err = fmt.Errorf("%s: %w", name, errRestart)
 				}
 			}
-			for _, p := range g.parts {
+			for _, p := range g.subsystems {
 				if err != nil {
 					break
 				}
-				f, e := p.prepare(edge)
-				if err = e; err != nil {
+				applyOne, prepareErr := p.prepare(edge)
+				if err = prepareErr; err != nil {
 					err = fmt.Errorf("%s: %w", p.name, err)
 					break
 				}
-				apply = append(apply, f)
+				apply = append(apply, applyOne)
 			}
 		}
 	}
 	if err != nil {
-		g.o.Log.Error("reload failed, the old configuration holds", "err", err)
+		g.options.Log.Error("reload failed, the old configuration holds", "err", err)
 		return
 	}
 	for _, f := range apply {
 		f()
 	}
-	g.retune(next)
-	g.o.Log.Info("reloaded", "discovery", next.conf.Discovery)
-	g.dir.SetAddr(next.conf.Discovery)
+	g.applyReload(next)
+	g.options.Log.Info("reloaded", "discovery", next.config.Discovery)
+	g.discovery.SetAddr(next.config.Discovery)
 }
 
-// Run serves listener until term ends.
+// Run is Serve without signals: it serves listener until term ends, and reloads the configuration at each value of hup.
 func Run(term context.Context, hup <-chan os.Signal, c *Config, listener net.Listener, o Options) error {
-	came := noticed(term) // it may come while the gateway is built
+	termAt := endTime(term) // SIGTERM may arrive while the gateway is being built
 	g, err := build(c, o)
 	if err != nil {
 		return err
 	}
-	g.came = came
+	g.termAt = termAt
 	return g.run(term, hup, listener)
 }
 
-// build puts a gateway together. Its parts are started, the gateway proper is not.
-func build(c *Config, o Options) (*running, error) {
+// build assembles a gateway. Its subsystems are started; the core, discovery and the PostgreSQL front are not.
+func build(c *Config, o Options) (*instance, error) {
 	log := o.Log
 	edge := new(Edge)
-	if o.Edge != "" {
+	if o.EdgePath != "" {
 		var err error
-		if edge, err = LoadEdge(o.Edge, c); err != nil {
+		if edge, err = LoadEdge(o.EdgePath, c); err != nil {
 			return nil, err
 		}
 	}
@@ -223,99 +225,99 @@
 	if o.Dial != nil {
 		dial = o.Dial
 	}
-	share := c.Budget(edge)
-	bufs := pgwire.NewPool(share.Buffers, share.Small)
-	owner := core.New(core.NewClock(), router, log)
-	pool := pgmember.New(owner, members(c.facts, share.Members, int(passReserve*float64(share.Buffers))), bufs, dial, log)
-	list := discovery.Sink(owner.List)
-	line := succeed(o.Handover, c, owner.Now, log)
-	line.inherit(c)
-	line.keep(c.text)
-	c.text = nil
-	var ops *operators
+	budget := c.Budget(edge)
+	buffers := pgwire.NewPool(budget.Buffers, budget.SmallBuffers)
+	engine := core.New(core.NewClock(), router, log)
+	pool := pgmember.New(engine, memberPoolConfig(c.settings, budget.MemberConnections, int(passThroughReserve*float64(budget.Buffers))), buffers, dial, log)
+	sink := discovery.Sink(engine.List)
+	handover := openHandover(o.HandoverDir, c, engine.Now, log)
+	handover.loadList(c)
+	handover.saveConfig(c.source)
+	c.source = nil
+	var admin *adminOperator
 	if c.Admin != "" {
-		ops = newOperators(c.door(), owner, log)
-		ops.line = line
-		list = ops.List
-		if line != nil {
-			line.changed = ops.inherit
-			ops.inherit(0)
+		admin = newAdminOperator(c.adminConfig(), engine, log)
+		admin.handover = handover
+		sink = admin.List
+		if handover != nil {
+			handover.importSuspensions = admin.importSuspensions
+			admin.importSuspensions(0)
 		}
 	}
-	var over *overlay
+	var councilOverlay *overlay
 	if edge.Fleet != nil && len(edge.Fleet.Council) > 0 {
-		over = newOverlay(c.Name, list)
-		list = over.List
+		councilOverlay = newOverlay(c.Name, sink)
+		sink = councilOverlay.List
 	}
-	if line != nil {
-		owner.SetSharedCommits(line)
-		next := list
-		list = func(kind decide.EventKind, members []core.ListedMember) {
-			line.List(kind, members)
+	if handover != nil {
+		engine.SetSharedCommits(handover)
+		next := sink
+		sink = func(kind decide.EventKind, members []core.ListedMember) {
+			handover.List(kind, members)
 			next(kind, members)
 		}
 	}
-	dir := discovery.New(discovery.Config{Addr: c.Discovery, Version: c.version, Gateways: c.Decide.Fronts, Seed: c.seed,
-		Pushed: !c.Decide.ListOnRequest}, list, dial, log)
-	if line != nil {
-		line.version = dir.Version
+	discoveryClient := discovery.New(discovery.Config{Addr: c.Discovery, Version: c.listVersion, Gateways: c.Decide.Fronts, Seed: c.seed,
+		Pushed: !c.Decide.ListOnRequest}, sink, dial, log)
+	if handover != nil {
+		handover.listVersion = discoveryClient.Version
 	}
-	owner.Connect(pool, dir)
-	g := &running{o: o, c: c, router: router, owner: owner, pool: pool, bufs: bufs, dir: dir, claims: call.NewActiveIDs(), over: over, line: line, ops: ops, most: share.Clients}
+	engine.Connect(pool, discoveryClient)
+	g := &instance{options: o, config: c, router: router, core: engine, pool: pool, buffers: buffers, discovery: discoveryClient, activeIDs: call.NewActiveIDs(), overlay: councilOverlay, handover: handover, admin: admin, maxClients: budget.ClientConnections}
 	if edge.Syslog != nil {
-		p, err := startSyslog(edge.Syslog, owner, c.Decide.SlowStartTime, o)
+		p, err := startSyslog(edge.Syslog, engine, c.Decide.SlowStartTime, o)
 		if err != nil {
 			return nil, fmt.Errorf("syslog: %w", err)
 		}
-		g.parts = append(g.parts, p)
+		g.subsystems = append(g.subsystems, p)
 	}
 	if edge.REST != nil {
-		p, err := startREST(edge.REST, owner, g.claims, log)
+		p, err := startREST(edge.REST, engine, g.activeIDs, log)
 		if err != nil {
 			g.stop()
 			return nil, fmt.Errorf("rest: %w", err)
 		}
-		g.parts = append(g.parts, p)
+		g.subsystems = append(g.subsystems, p)
 	}
 	if edge.Fleet != nil {
-		p, err := startFleet(edge.Fleet, g, share.Buffers)
+		p, err := startFleet(edge.Fleet, g, budget.Buffers)
 		if err != nil {
 			g.stop()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		g.parts = append(g.parts, p)
+		g.subsystems = append(g.subsystems, p)
 	}
-	list(decide.ListSaved, c.Known)
-	g.front = pgfront.New(owner, pgfront.Config{Settings: c.terms,
-		MaxConnections: share.Clients, SpareConnections: int(sparePart * float64(share.Sockets)),
-		ReservedBuffers: int(bufferReserve * float64(share.Buffers)),
-		StartupTimeout:  startWait, WriteTimeout: writeWait, LingerTimeout: refuseWait, IdleTimeout: idleMost, MaxIdleConnections: int(idlePart * float64(share.Sockets)), Transfer: line.passes(), Claims: g.claims}, bufs, log)
-	if line != nil {
-		line.apply = g.limit(bufs, share)
-		go line.run(share.Sockets)
+	sink(decide.ListSaved, c.Known)
+	g.front = pgfront.New(engine, pgfront.Config{Settings: c.active,
+		MaxConnections: budget.ClientConnections, SpareConnections: int(closingFraction * float64(budget.DividedSockets)),
+		ReservedBuffers: int(memberAnswerReserve * float64(budget.Buffers)),
+		StartupTimeout:  startupTimeout, WriteTimeout: writeTimeout, LingerTimeout: lingerTimeout, IdleTimeout: clientIdleTimeout, MaxIdleConnections: int(idleClientFraction * float64(budget.DividedSockets)), Transfer: handover.passFunc(), Claims: g.activeIDs}, buffers, log)
+	if handover != nil {
+		handover.applyLimits = g.limiter(buffers, budget)
+		go handover.run(budget.DividedSockets)
 	}
 	return g, nil
 }
 
-// run serves listener until term ends, then winds down.
-func (g *running) run(term context.Context, hup <-chan os.Signal, listener net.Listener) error {
-	c, log := g.c, g.o.Log
-	if g.came == nil {
-		g.came = noticed(term)
+// run serves listener until term ends, then shuts down gracefully.
+func (g *instance) run(term context.Context, hup <-chan os.Signal, listener net.Listener) error {
+	c, log := g.config, g.options.Log
+	if g.termAt == nil {
+		g.termAt = endTime(term)
 	}
 	if g.fleet != nil {
-		d := newDoor(listener)
-		g.door.Store(d)
-		listener = d
+		toggle := newToggleListener(listener)
+		g.listener.Store(toggle)
+		listener = toggle
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if err := g.ops.start(); err != nil {
+	if err := g.admin.start(); err != nil {
 		return err
 	}
-	defer g.ops.stop()
-	go g.owner.Run(ctx)
-	go g.dir.Run(ctx)
+	defer g.admin.stop()
+	go g.core.Run(ctx)
+	go g.discovery.Run(ctx)
 	go func() {
 		for {
 			select {
@@ -327,46 +329,46 @@
 		}
 	}()
 	failed := make(chan error, 1)
-	g.line.warm(term.Done())
+	g.handover.awaitDiscovery(term.Done())
 	go func() { failed <- g.front.Serve(listener) }()
-	g.line.ready(g.front.Adopt)
-	g.ops.serve()
-	log.Info("serving", "name", c.Name, "listen", listener.Addr().String(), "members", len(c.Known), "version", g.o.Version)
+	g.handover.setReady(g.front.Adopt)
+	g.admin.setServing()
+	log.Info("serving", "name", c.Name, "listen", listener.Addr().String(), "members", len(c.Known), "version", g.options.Version)
 
 	select {
 	case err := <-failed:
 		return fmt.Errorf("accept: %w", err)
 	case <-term.Done():
 	}
-	plan := planOf(g.came(), c.terms.Current().MaxDeadline)
-	g.owner.EndBy(g.owner.Now() + time.Until(plan.answer))
-	g.ops.leave()
-	if g.line.succeeded() { // who comes from now on waits for the other on the socket that both hold
-		plan.accept = plan.came
+	plan := planShutdown(g.termAt(), c.active.Current().MaxDeadline)
+	g.core.EndBy(g.core.Now() + time.Until(plan.answerBy))
+	g.admin.setStopping()
+	if g.handover.hasSuccessor() { // new connections wait for the successor on the socket that both processes hold
+		plan.acceptUntil = plan.termAt
 	}
-	if g.fleet != nil { // asks for a permit, and waits for it no longer than configured
-		wait, stop := context.WithDeadline(context.Background(), plan.answer)
+	if g.fleet != nil { // requests a permit, and waits for it no longer than configured
+		wait, stop := context.WithDeadline(context.Background(), plan.answerBy)
 		g.fleet.AwaitStopPermit(wait)
 		stop()
 	}
 	drained := make(chan struct{})
 	go func() {
-		g.drain(plan.last)
+		g.drain(plan.exitBy)
 		close(drained)
 	}()
-	windDown(plan, g.front, listener, failed, log)
+	shutDown(plan, g.front, listener, failed, log)
 	<-drained
 	g.stop()
-	g.line.stop()
+	g.handover.stop()
 	return nil
 }
 
-// drain has all fronts of the parts answer what they took, until then at the latest.
-func (g *running) drain(until time.Time) {
+// drain lets the fronts of all subsystems answer the requests they have accepted, and returns at until at the latest.
+func (g *instance) drain(until time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	var done sync.WaitGroup
-	for _, p := range g.parts {
+	for _, p := range g.subsystems {
 		if p.drain != nil {
 			done.Add(1)
 			go func() {
@@ -378,69 +380,70 @@
 	done.Wait()
 }
 
-// stop ends the parts in the reverse order of their start, all under one deadline.
-func (g *running) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), partsMost)
+// stop stops the subsystems in the reverse order of their start, all under one deadline.
+func (g *instance) stop() {
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	for _, p := range slices.Backward(g.parts) {
+	for _, p := range slices.Backward(g.subsystems) {
 		if p.stop != nil {
 			p.stop(ctx)
 		}
 	}
 }
 
-// plan says when what happens in a graceful shutdown. All of it counts from SIGTERM, as the platform counts.
-type plan struct {
-	came   time.Time // SIGTERM
-	accept time.Time // connections are accepted until then: clients may still be sent here
-	answer time.Time // what was taken has its answer by then
-	word   time.Time // and commands that are not whole by then are not waited for
-	last   time.Time // the process ends
+// shutdownPlan is the schedule of a graceful shutdown. All times count from SIGTERM, as the platform counts.
+type shutdownPlan struct {
+	termAt               time.Time // SIGTERM arrived
+	acceptUntil          time.Time // connections are accepted until then: clients may still be routed here
+	answerBy             time.Time // accepted requests have been answered by then
+	partialCommandsUntil time.Time // incomplete commands are no longer waited for
+	exitBy               time.Time // the process exits
 }
 
-// planOf plans for a SIGTERM that came then, longest being the longest deadline.
-func planOf(came time.Time, longest time.Duration) plan {
-	longest = min(longest, longestMost)
-	return plan{came: came, accept: came.Add(acceptAfter), answer: came.Add(longest + answerMoment),
-		word: came.Add(longest + wordMoment), last: came.Add(lastCall(longest))}
+// planShutdown returns the schedule after a SIGTERM at termAt; longest is the longest deadline of any class.
+func planShutdown(termAt time.Time, longest time.Duration) shutdownPlan {
+	longest = min(longest, maxCountedDeadline)
+	return shutdownPlan{termAt: termAt, acceptUntil: termAt.Add(acceptAfterTerm), answerBy: termAt.Add(longest + answerMargin),
+		partialCommandsUntil: termAt.Add(longest + partialCommandMargin), exitBy: termAt.Add(maxShutdown(longest))}
 }
 
-// windDown keeps accepting while clients may still be sent here, then answers
-// what was taken and ends when all connections are gone, at the latest before
-// the platform would end it.
-func windDown(p plan, front *pgfront.Server, listener net.Listener, served <-chan error, log *slog.Logger) {
-	log.Info("stopping", "accept_for", time.Until(p.accept).Round(time.Millisecond))
-	late := time.NewTimer(time.Until(p.last))
-	defer late.Stop()
-	word := time.AfterFunc(time.Until(p.word), front.AbandonPartialMessages)
-	defer word.Stop()
-	time.Sleep(time.Until(p.accept))
-	if p.accept.After(p.came) { // else who waits there is the successor's
-		takeBacklog(listener, front.Handle, log)
+// shutDown keeps accepting while clients may still be routed here, then answers accepted
+// requests and returns when all connections are closed, at the latest before the platform
+// sends SIGKILL.
+func shutDown(p shutdownPlan, front *pgfront.Server, listener net.Listener, served <-chan error, log *slog.Logger) {
+	log.Info("stopping", "accept_for", time.Until(p.acceptUntil).Round(time.Millisecond))
+	exitTimer := time.NewTimer(time.Until(p.exitBy))
+	defer exitTimer.Stop()
+	abandonTimer := time.AfterFunc(time.Until(p.partialCommandsUntil), front.AbandonPartialMessages)
+	defer abandonTimer.Stop()
+	time.Sleep(time.Until(p.acceptUntil))
+	if p.acceptUntil.After(p.termAt) { // otherwise waiting connections belong to the successor
+		acceptBacklog(listener, front.Handle, log)
 	}
 	_ = listener.Close()
 	done := make(chan struct{})
 	go func() {
-		<-served // else the process could end with a connection that was accepted and that nobody has counted yet
+		<-served // otherwise the process could exit with an accepted connection that is not yet counted as open
 		front.Shutdown()
 		close(done)
 	}()
 	select {
 	case <-done:
 		log.Info("stopped")
-	case <-late.C:
+	case <-exitTimer.C:
 		log.Warn("stopped with connections open", "open", front.OpenConnections())
 	}
 }
 
-// lastCall is how long after SIGTERM the gateway may still run: SIGKILL follows
-// the longest deadline, which the platform takes as 3 s where it is longer.
-func lastCall(longest time.Duration) time.Duration {
-	return min(longest, longestMost) + lastMoment
+// maxShutdown returns how long the gateway may run after SIGTERM. SIGKILL follows
+// the longest deadline, which the platform counts as 3 s where it is longer.
+func maxShutdown(longest time.Duration) time.Duration {
+	return min(longest, maxCountedDeadline) + exitMargin
 }
 
-// noticed returns a function that tells when ctx ended, counted from its end also where nobody looked yet.
-func noticed(ctx context.Context) func() time.Time {
+// endTime returns a function that waits for the end of ctx and returns its time, recorded when ctx ended and not when
+// the function is called.
+func endTime(ctx context.Context) func() time.Time {
 	at := make(chan time.Time, 1)
 	context.AfterFunc(ctx, func() { at <- time.Now() })
 	return sync.OnceValue(func() time.Time { return <-at })
--- a/internal/gateway/handover.go
+++ b/internal/gateway/handover.go
@@ -28,23 +28,23 @@
 )
 
 const (
-	lookAlone    = 50 * time.Millisecond   // between looks for another process of this gateway
-	lookTogether = 20 * time.Millisecond   // and at what it changed, while there is one
-	countEach    = 5                       // such looks between two counts of the descriptors in use
-	warmMost     = 1500 * time.Millisecond // a successor waits so long for discovery before it accepts: the other still serves
-	warmLeast    = 3 * lookAlone           // and so long in any case, till the other has seen it
+	pollAlone        = 50 * time.Millisecond   // between checks for another process of this gateway, while there is none
+	pollTogether     = 20 * time.Millisecond   // between checks of the shared state, while there is one
+	pollsPerCount    = 5                       // checks per count of the descriptors in use, while there is one
+	maxDiscoveryWait = 1500 * time.Millisecond // that a successor waits for discovery before it accepts: the former process still serves
+	minAcceptDelay   = 3 * pollAlone           // that a successor waits in any case, so that the former process notices it
 
-	listFile    = "reachwind.list"
-	machineFile = "reachwind.machines" // what operators said of db machines
+	listFile       = "reachwind.list"     // last list of members
+	suspensionFile = "reachwind.machines" // members suspended or resumed by operators
 
-	configFile = "reachwind.config" // the configuration as last taken
+	configFile = "reachwind.config" // last accepted configuration
 
-	takeWait  = 250 * time.Millisecond // for another process to take over what operators said
-	takeLeast = 50 * time.Millisecond
-	readEach  = 5 // looks between two readings of that where changes can't be counted
+	maxAckWait      = 250 * time.Millisecond // that a suspension waits for the other processes' acknowledgment
+	minAckWait      = 50 * time.Millisecond  // the same, where the operator's deadline is closer
+	pollsPerReading = 5                      // checks per reading of suspensionFile, where its changes can't be counted
 )
 
-// SocketError says that the listening socket that the platform holds can't be used.
+// SocketError reports that the listening socket passed on by the platform can't be used.
 type SocketError struct {
 	Found string
 	Err   error
@@ -54,125 +54,127 @@
 	return fmt.Sprintf("NODE_SOCKET_FD is %q (%v), wanted the number of an open listening TCP socket: have the platform pass it on, or unset NODE_SOCKET_FD to listen on the address", e.Found, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SocketError) Unwrap() error { return e.Err }
 
-// listen opens the clients' listener, or takes the one that the platform holds.
+// listen listens on addr, or on the socket passed on by the platform if fd is not empty. That fails with a *SocketError if
+// fd is not the number of a listening TCP socket.
 func listen(addr, fd string) (net.Listener, error) {
 	if fd == "" {
 		return net.Listen("tcp", addr)
 	}
 	n, err := strconv.ParseUint(fd, 10, 16)
 	if err != nil {
-		return nil, &SocketError{fd, errors.New("no number of a descriptor")}
+		return nil, &SocketError{fd, errors.New("not the number of a descriptor")}
 	}
 	f := os.NewFile(uintptr(n), "clients")
 	if f == nil {
-		return nil, &SocketError{fd, errors.New("no descriptor")}
+		return nil, &SocketError{fd, errors.New("not a descriptor")}
 	}
-	defer func() { _ = f.Close() }() // FileListener has its own
+	defer func() { _ = f.Close() }() // FileListener duplicates the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, &SocketError{fd, err}
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		_ = l.Close()
-		return nil, &SocketError{fd, errors.New("a socket, but none of TCP")}
+		return nil, &SocketError{fd, errors.New("a socket, but not of TCP")}
 	}
 	return l, nil
 }
 
-// succession is this process's part in the replacement of one process by another: it shares what binds both. See
-// docs/design/handover.md. A nil succession shares nothing and costs nothing.
-type succession struct {
-	board   *handover.SharedState
-	log     *slog.Logger
-	now     func() core.Time
-	addr    string // of discovery
-	memory  int64
-	done    chan struct{}
-	failing logthrottle.Line
-	passed  atomic.Int64
-	kept    atomic.Int64
-
-	floor   atomic.Int64 // what session reads must see where commits can't be shared; forever while another lives
-	others  atomic.Int32
-	heard   chan struct{} // closed with the first whole list of discovery
-	once    sync.Once
-	apply   func(part float64, sockets int)
-	changed func(count uint64) // what operators said is to be read, and then count to be said to be seen
-
-	mu      sync.Mutex
-	adopt   func(net.Conn, bool) // takes over a connection; nil: not serving yet
-	end     func()               // of taking connections over; nil: not begun, or over
-	leaving bool                 // it takes over none any more
-	listed  map[string]core.ListedMember
-	version func() int64 // of the list
-	pending bool         // a save is on, or will be
-	again   bool         // and once more after it
+// processHandover is this process's side of the handover from one process of the gateway to the next: it shares state
+// with the other processes, passes client connections on and takes them over. See docs/design/handover.md. A nil
+// processHandover does nothing.
+type processHandover struct {
+	shared        *handover.SharedState
+	log           *slog.Logger
+	now           func() core.Time
+	discoveryAddr string
+	memoryBytes   int64
+	done          chan struct{}    // closed by stop
+	shareFailure  logthrottle.Line // limits the log lines on failures to share
+	passed        atomic.Int64     // connections passed on
+	notPassed     atomic.Int64     // connections that could not be passed on
+
+	readFloor         atomic.Int64                              // position that session reads must see where commits are not shared; unboundedFloor while another process lives
+	otherCount        atomic.Int32                              // number of other processes
+	listReceived      chan struct{}                             // closed with the first list that discovery sends
+	closeListReceived sync.Once                                 // closes listReceived
+	applyLimits       func(memoryFraction float64, sockets int) // limits this process to a fraction of the memory and to so many descriptors
+	importSuspensions func(count uint64)                        // reads the shared suspensions and acknowledges that count changes of them were seen
+
+	mu           sync.Mutex
+	adopt        func(net.Conn, bool) // takes over a connection; nil: not serving yet
+	stopAdopting func()               // stops taking connections over; nil: not started, or stopped
+	leaving      bool                 // no more connections are taken over
+	listed       map[string]core.ListedMember
+	listVersion  func() int64
+	saving       bool // the list is being saved, or will be
+	saveAgain    bool // the list changed meanwhile and must be saved once more
 }
 
-// succeed takes part in the succession in folder dir, "" being none.
-func succeed(dir string, c *Config, now func() core.Time, log *slog.Logger) *succession {
+// openHandover opens the state shared in folder dir. It returns nil if dir is empty or the folder can't be used at all.
+func openHandover(dir string, c *Config, now func() core.Time, log *slog.Logger) *processHandover {
 	if dir == "" {
 		return nil
 	}
-	b, err := handover.Open(dir)
+	state, err := handover.Open(dir)
 	if err != nil {
 		log.Error("handover: nothing is shared with another process of this gateway", "err", err)
-		if b == nil {
+		if state == nil {
 			return nil
 		}
 	}
-	s := &succession{board: b, log: log, now: now, addr: c.Discovery, memory: c.memory, done: make(chan struct{}),
-		heard: make(chan struct{}), listed: map[string]core.ListedMember{}}
-	s.look()
+	s := &processHandover{shared: state, log: log, now: now, discoveryAddr: c.Discovery, memoryBytes: c.memoryBytes, done: make(chan struct{}),
+		listReceived: make(chan struct{}), listed: map[string]core.ListedMember{}}
+	s.checkOthers()
 	return s
 }
 
-// inherit gives the list that the former process had, if it is newer than what the configuration says.
-func (s *succession) inherit(c *Config) {
+// loadList replaces the list of c with the former process's if that is of the same discovery and not older.
+func (s *processHandover) loadList(c *Config) {
 	if s == nil {
 		return
 	}
-	text, err := s.board.Load(listFile)
-	var l struct {
+	text, err := s.shared.Load(listFile)
+	var list struct {
 		Discovery string
 		discovery.List
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &l)
+		err = json.Unmarshal(text, &list)
 	}
-	switch members, e := l.Members(); {
+	switch members, listErr := list.Members(); {
 	case errors.Is(err, handover.ErrMissing):
-	case cmp.Or(err, e) != nil:
-		s.log.Warn("handover: the list of the former process is not used", "err", cmp.Or(err, e))
-	case l.Discovery == c.Discovery && l.Generation >= c.version:
-		c.Known, c.version = members, l.Generation
-		s.log.Info("handover: the list of the former process is taken over", "version", l.Generation, "entries", len(members))
+	case cmp.Or(err, listErr) != nil:
+		s.log.Warn("handover: the list of the former process is not used", "err", cmp.Or(err, listErr))
+	case list.Discovery == c.Discovery && list.Generation >= c.listVersion:
+		c.Known, c.listVersion = members, list.Generation
+		s.log.Info("handover: the list of the former process is taken over", "version", list.Generation, "entries", len(members))
 	}
 }
 
-// keep keeps the text of a configuration that was taken for the next process, should it find a file that can't be used.
-func (s *succession) keep(text []byte) {
+// saveConfig saves the text of an accepted configuration, which the next process uses if it finds the file unusable.
+func (s *processHandover) saveConfig(text []byte) {
 	if s == nil || len(text) == 0 {
 		return
 	}
-	if err := s.board.Save(configFile, text); err != nil {
+	if err := s.shared.Save(configFile, text); err != nil {
 		s.log.Warn("handover: the configuration is not kept for the next process", "err", err)
 	}
 }
 
-// List notes what discovery says, for a process that follows.
-func (s *succession) List(kind decide.EventKind, members []core.ListedMember) {
+// List implements discovery.Sink. It keeps the list and saves it for the next process.
+func (s *processHandover) List(kind decide.EventKind, members []core.ListedMember) {
 	if s == nil || !kind.HasList() {
 		return
 	}
-	news := len(members) > 0
+	changed := len(members) > 0
 	if kind != decide.ListSaved {
-		s.once.Do(func() {
-			news = true
-			close(s.heard)
+		s.closeListReceived.Do(func() {
+			changed = true
+			close(s.listReceived)
 		})
 	}
 	s.mu.Lock()
@@ -183,117 +185,118 @@
 	for _, m := range members {
 		if m.State == decide.Removed {
 			delete(s.listed, m.ID)
-		} else if len(s.listed) < listedMost {
+		} else if len(s.listed) < maxListed {
 			s.listed[m.ID] = m
 		}
 	}
-	if kind == decide.ListSaved || !news {
+	if kind == decide.ListSaved || !changed {
 		return
 	}
-	if s.again = s.pending; !s.pending {
-		s.pending = true
-		go s.save()
+	if s.saveAgain = s.saving; !s.saving {
+		s.saving = true
+		go s.saveList()
 	}
 }
 
-// save writes the list, and once more where it changed meanwhile.
-func (s *succession) save() {
+// saveList writes the list to the shared state, and repeats that while the list changes.
+func (s *processHandover) saveList() {
 	for {
 		s.mu.Lock()
-		l := struct {
+		list := struct {
 			Discovery string
 			discovery.List
-		}{s.addr, discovery.List{Generation: s.version(), Reset: true}}
+		}{s.discoveryAddr, discovery.List{Generation: s.listVersion(), Reset: true}}
 		for _, id := range slices.Sorted(maps.Keys(s.listed)) {
-			l.Instances = append(l.Instances, discovery.EntryOf(s.listed[id]))
+			list.Instances = append(list.Instances, discovery.EntryOf(s.listed[id]))
 		}
-		s.again = false
+		s.saveAgain = false
 		s.mu.Unlock()
-		text, err := json.Marshal(l)
+		text, err := json.Marshal(list)
 		if err == nil {
-			err = s.board.Save(listFile, text)
+			err = s.shared.Save(listFile, text)
 		}
 		if err != nil {
 			s.log.Warn("handover: the list is not kept for the next process", "err", err)
 		}
 		s.mu.Lock()
-		s.pending = s.again
-		more := s.pending
+		s.saving = s.saveAgain
+		again := s.saving
 		s.mu.Unlock()
-		if !more {
+		if !again {
 			return
 		}
 	}
 }
 
-// RecordCommit implements core.Ledger.
-func (s *succession) RecordCommit(group int64, session string, p core.Time) {
-	s.board.RecordCommit(group, session, p)
+// RecordCommit implements core.SharedCommits.
+func (s *processHandover) RecordCommit(group int64, session string, p core.Time) {
+	s.shared.RecordCommit(group, session, p)
 }
 
-// LastCommit implements core.Ledger.
-func (s *succession) LastCommit(group int64, session string) core.Time {
-	at := s.board.LastCommit(group, session)
-	if f := core.Time(s.floor.Load()); f > at {
-		at = min(f, s.now())
+// LastCommit implements core.SharedCommits.
+func (s *processHandover) LastCommit(group int64, session string) core.Time {
+	at := s.shared.LastCommit(group, session)
+	if floor := core.Time(s.readFloor.Load()); floor > at {
+		at = min(floor, s.now())
 	}
 	return at
 }
 
-const forever = 1<<63 - 1 // floor while another process lives that does not share
+const unboundedFloor = 1<<63 - 1 // floor while there is another process and commits are not shared with it
 
-// look sees who else lives, and takes the consequences.
-func (s *succession) look() []handover.Peer {
-	others := s.board.Peers()
+// checkOthers finds the other processes, retries sharing where it failed, and sets the floor of session reads.
+func (s *processHandover) checkOthers() []handover.Peer {
+	others := s.shared.Peers()
 	n := int32(len(others))
-	if was := s.others.Swap(n); was != n {
+	if was := s.otherCount.Swap(n); was != n {
 		s.log.Info("handover: processes of this gateway", "others", n)
 	}
-	if n == 0 && !s.board.Joined() {
-		if err := s.board.Join(); err != nil {
-			s.failing.Warn(s.log, "handover: still nothing can be shared", "err", err)
+	if n == 0 && !s.shared.Joined() {
+		if err := s.shared.Join(); err != nil {
+			s.shareFailure.Warn(s.log, "handover: still nothing can be shared", "err", err)
 		} else {
-			s.receive()
+			s.startAdopting()
 		}
 	}
-	shared := s.board.Joined()
+	shared := s.shared.Joined()
 	for _, o := range others {
 		shared = shared && o.Joined
 	}
-	switch f := s.floor.Load(); {
+	switch floor := s.readFloor.Load(); {
 	case !shared && n > 0:
-		s.floor.Store(forever)
-	case f == forever:
-		s.floor.Store(int64(s.now()))
+		s.readFloor.Store(unboundedFloor)
+	case floor == unboundedFloor:
+		s.readFloor.Store(int64(s.now()))
 	}
 	return others
 }
 
-// run keeps to what this process may use beside others, until stop.
-func (s *succession) run(sockets int) {
-	last, ticks, seen := sockets, 0, uint64(0)
+// run checks for other processes, and adapts this process's limits to them, until stop. sockets is the descriptors that
+// all processes divide.
+func (s *processHandover) run(sockets int) {
+	lastAllowed, polls, seenChanges := sockets, 0, uint64(0)
 	for {
-		others := s.look()
-		if n := s.board.ChangeCount(); s.changed != nil && (n != seen || s.floor.Load() == forever && ticks%readEach == 0) {
-			s.changed(n)
-			seen = n
+		others := s.checkOthers()
+		if n := s.shared.ChangeCount(); s.importSuspensions != nil && (n != seenChanges || s.readFloor.Load() == unboundedFloor && polls%pollsPerReading == 0) {
+			s.importSuspensions(n)
+			seenChanges = n
 		}
-		wait := lookAlone
+		wait := pollAlone
 		if len(others) > 0 {
-			wait = lookTogether
-			if ticks%countEach == 0 {
-				s.board.SetDescriptors(descriptors(ownFolder, sockets))
+			wait = pollTogether
+			if polls%pollsPerCount == 0 {
+				s.shared.SetDescriptors(countDescriptors(ownDescriptorDir, sockets))
 			}
-			ticks++
+			polls++
 		}
 		older := len(others) > 0 && !others[0].Older
-		if may := handover.AllowedShare(sockets, others, older); may != last {
-			part := 1.0
+		if allowed := handover.AllowedShare(sockets, others, older); allowed != lastAllowed {
+			memoryFraction := 1.0
 			if len(others) > 0 {
-				part = 0.5
+				memoryFraction = 0.5
 			}
-			s.apply(part, may)
-			last = may
+			s.applyLimits(memoryFraction, allowed)
+			lastAllowed = allowed
 		}
 		select {
 		case <-s.done:
@@ -303,195 +306,200 @@
 	}
 }
 
-// leave has former processes keep their connections, or pass them on to others, as this one begins to end: what it has
-// been given by then it takes over, and answers. It may be called more than once.
-func (s *succession) leave() {
+// refuseAdoptions stops taking connections over, as this process begins to end: former processes keep theirs or pass
+// them on to another process. Connections received by then are taken over and answered. It may be called more than
+// once.
+func (s *processHandover) refuseAdoptions() {
 	s.mu.Lock()
-	end := s.end
-	s.leaving, s.end = true, nil
+	stopAdopting := s.stopAdopting
+	s.leaving, s.stopAdopting = true, nil
 	s.mu.Unlock()
-	s.board.SetReady(false)
-	if end != nil {
-		end()
+	s.shared.SetReady(false)
+	if stopAdopting != nil {
+		stopAdopting()
 	}
 }
 
-func (s *succession) stop() {
+// stop ends run and the taking over of connections, and logs how many were passed on.
+func (s *processHandover) stop() {
 	if s == nil {
 		return
 	}
 	close(s.done)
-	s.leave()
-	s.log.Info("handover: ending", "passed_on", s.passed.Load(), "not_passed_on", s.kept.Load())
+	s.refuseAdoptions()
+	s.log.Info("handover: ending", "passed_on", s.passed.Load(), "not_passed_on", s.notPassed.Load())
 }
 
-const ownFolder = "/proc/self/fd" // a name for each descriptor that this process holds
+const ownDescriptorDir = "/proc/self/fd" // has an entry for each descriptor that this process holds
 
-// descriptors counts those in a folder. Where it can't be read, for want of a descriptor most likely, they are all that there
-// may be: another process that is told of too few would take what is not free.
-func descriptors(folder string, most int) int {
+// countDescriptors counts the entries of a folder, which is ownDescriptorDir outside tests. It returns limit if the
+// folder can't be read, most likely for lack of a descriptor: reporting too few would let another process use
+// descriptors that are not free.
+func countDescriptors(folder string, limit int) int {
 	d, err := os.Open(folder)
 	if err != nil {
-		return most
+		return limit
 	}
 	defer func() { _ = d.Close() }()
 	names, err := d.Readdirnames(-1)
 	if err != nil {
-		return most
+		return limit
 	}
 	return len(names)
 }
 
-// inherit takes over what operators said to other processes, and then says that it has seen count changes.
-func (o *operators) inherit(count uint64) {
-	all, err := o.line.said()
+// importSuspensions takes over the suspensions that operators made through other processes, and then acknowledges that
+// it has seen count changes of them.
+func (o *adminOperator) importSuspensions(count uint64) {
+	all, err := o.handover.loadSuspensions()
 	if err != nil && !errors.Is(err, handover.ErrMissing) {
 		o.log.Error("handover: what operators said to other processes is not known", "err", err)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	change, dropped := o.set.Import(all)
+	change, dropped := o.suspensions.Import(all)
 	if dropped > 0 {
 		o.log.Error("handover: some db machines that operators took out are not known here", "entries", dropped)
 	}
 	if len(change) > 0 {
-		o.owner.List(decide.ListChange, change)
+		o.core.List(decide.ListChange, change)
 		o.log.Info("handover: db machines taken out or called back through another process", "changes", len(change))
 	}
-	o.owner.Post(func() { o.line.board.SetAppliedChanges(count) })
+	o.core.Post(func() { o.handover.shared.SetAppliedChanges(count) })
 }
 
-// said reads what operators said, to any process.
-func (s *succession) said() (all []suspend.Entry, err error) {
-	text, err := s.board.Load(machineFile)
+// loadSuspensions reads the suspensions that operators made through any process.
+func (s *processHandover) loadSuspensions() (all []suspend.Entry, err error) {
+	text, err := s.shared.Load(suspensionFile)
 	if err == nil {
 		err = json.Unmarshal(text, &all)
 	}
 	return all, err
 }
 
-// share has the other processes of this gateway know what operators said here, err being how that went. While one
-// lives it waits until they have taken it over, but not for long: one that does not run does not send either, and
-// reads it first when it goes on.
-func (o *operators) share(ctx context.Context, err error) error {
-	if err != nil || o.line == nil {
+// shareSuspensions publishes this process's suspensions to the other processes of this gateway, unless err says that
+// the operator's call failed; it returns err then. It waits for their acknowledgment for a short time only: a process
+// that is stopped sends nothing to members either, and reads the suspensions first when it continues.
+func (o *adminOperator) shareSuspensions(ctx context.Context, err error) error {
+	if err != nil || o.handover == nil {
 		return err
 	}
-	count, err := o.line.board.Update(machineFile, func(was []byte) ([]byte, error) {
+	count, err := o.handover.shared.Update(suspensionFile, func(saved []byte) ([]byte, error) {
 		var all []suspend.Entry
-		if was != nil {
-			if err := json.Unmarshal(was, &all); err != nil {
+		if saved != nil {
+			if err := json.Unmarshal(saved, &all); err != nil {
 				o.log.Error("handover: what operators said to other processes is not known", "err", err)
 			}
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		whole := suspend.New()
-		whole.Import(all)
-		whole.Import(o.set.Export())
-		return json.Marshal(whole.Export())
+		merged := suspend.New()
+		merged.Import(all)
+		merged.Import(o.suspensions.Export())
+		return json.Marshal(merged.Export())
 	})
 	if err != nil {
 		o.log.Error("handover: what operators said is not kept for the next process", "err", err)
-		if o.line.others.Load() > 0 {
+		if o.handover.otherCount.Load() > 0 {
 			return err
 		}
 		return nil
 	}
-	wait := takeWait
+	wait := maxAckWait
 	if until, ok := ctx.Deadline(); ok {
-		wait = min(max(time.Until(until), takeLeast), takeWait)
+		wait = min(max(time.Until(until), minAckWait), maxAckWait)
 	}
-	if !o.line.board.AwaitApplied(count, wait) {
+	if !o.handover.shared.AwaitApplied(count, wait) {
 		o.log.Warn("handover: another process has not yet said that it took this over", "waited", wait)
 	}
 	return nil
 }
 
-// warm waits before the first accept while another process serves: for discovery's list, but not for long. From the end
-// of term on nothing more is taken over.
-func (s *succession) warm(term <-chan struct{}) {
+// awaitDiscovery delays the first accept while another process serves: until discovery has sent a list, at most
+// maxDiscoveryWait. Once term is closed no more connections are taken over.
+func (s *processHandover) awaitDiscovery(term <-chan struct{}) {
 	if s == nil {
 		return
 	}
 	go func() {
 		select {
 		case <-term:
-			s.leave()
+			s.refuseAdoptions()
 		case <-s.done:
 		}
 	}()
-	if s.others.Load() == 0 {
+	if s.otherCount.Load() == 0 {
 		return
 	}
-	least, most := time.After(warmLeast), time.After(warmMost)
+	minDelay, maxDelay := time.After(minAcceptDelay), time.After(maxDiscoveryWait)
 	select {
-	case <-s.heard:
+	case <-s.listReceived:
 		select {
-		case <-least:
+		case <-minDelay:
 		case <-term:
 		}
-	case <-most:
+	case <-maxDelay:
 		s.log.Info("handover: serving before discovery answered")
 	case <-term:
 	}
 }
 
-// ready says that this process serves, and takes over the connections of those that end.
-func (s *succession) ready(adopt func(net.Conn, bool)) {
+// setReady announces that this process serves, and starts to take over the connections of processes that end.
+func (s *processHandover) setReady(adopt func(net.Conn, bool)) {
 	if s != nil {
 		s.mu.Lock()
 		s.adopt = adopt
 		s.mu.Unlock()
-		s.receive()
+		s.startAdopting()
 	}
 }
 
-// receive begins to take connections over, once this process serves and has a board.
-func (s *succession) receive() {
+// startAdopting starts to take connections over, once this process serves and shares its state.
+func (s *processHandover) startAdopting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.adopt == nil || s.leaving || s.end != nil || !s.board.Joined() {
+	if s.adopt == nil || s.leaving || s.stopAdopting != nil || !s.shared.Joined() {
 		return
 	}
-	stop, err := s.board.ReceiveConns(s.adopt)
+	stop, err := s.shared.ReceiveConns(s.adopt)
 	if err != nil {
 		s.log.Warn("handover: clients' connections can't be taken over", "err", err)
 	}
-	s.end = stop
-	s.board.SetReady(true)
+	s.stopAdopting = stop
+	s.shared.SetReady(true)
 }
 
-// passes gives this process's connections to its successor, nil if there can't be one.
-func (s *succession) passes() pgfront.TransferFunc {
+// passFunc returns the function that passes a client connection to the successor, nil if there is no handover.
+func (s *processHandover) passFunc() pgfront.TransferFunc {
 	if s == nil {
 		return nil
 	}
-	p := s.board.NewConnSender()
+	p := s.shared.NewConnSender()
 	return func(nc net.Conn, began bool) bool {
 		err := p.Send(nc, began)
 		if err == nil {
 			s.passed.Add(1)
-		} else if s.kept.Add(1) == 1 {
+		} else if s.notPassed.Add(1) == 1 {
 			s.log.Warn("handover: connections are closed when they are idle", "err", err)
 		}
 		return err == nil
 	}
 }
 
-// succeeded tells whether another process of this gateway is ready to serve.
-func (s *succession) succeeded() bool {
-	return s != nil && slices.ContainsFunc(s.board.Peers(), func(o handover.Peer) bool { return o.Ready && !o.Older })
+// hasSuccessor reports whether a newer process of this gateway is ready to serve.
+func (s *processHandover) hasSuccessor() bool {
+	return s != nil && slices.ContainsFunc(s.shared.Peers(), func(o handover.Peer) bool { return o.Ready && !o.Older })
 }
 
-// limit has the gateway use so much of its memory and so many descriptors from now on.
-func (g *running) limit(bufs *pgwire.Pool, share Budget) func(part float64, sockets int) {
-	return func(part float64, sockets int) {
-		bufs.SetLimits(int(part*float64(share.Buffers)), int(part*float64(share.Small)))
-		g.front.SetMaxConnections(int(clientPart * float64(sockets)))
-		g.owner.Post(func() { g.pool.SetMaxConns(int(memberPart * float64(sockets))) })
-		if g.c.memory > 0 {
-			debug.SetMemoryLimit(int64(part * softPart * float64(g.c.memory)))
+// limiter returns a function that limits the gateway to a fraction of its memory and to a number of descriptors, which are
+// divided as in budget.
+func (g *instance) limiter(buffers *pgwire.Pool, budget Budget) func(memoryFraction float64, sockets int) {
+	return func(memoryFraction float64, sockets int) {
+		buffers.SetLimits(int(memoryFraction*float64(budget.Buffers)), int(memoryFraction*float64(budget.SmallBuffers)))
+		g.front.SetMaxConnections(int(clientFraction * float64(sockets)))
+		g.core.Post(func() { g.pool.SetMaxConns(int(memberFraction * float64(sockets))) })
+		if g.config.memoryBytes > 0 {
+			debug.SetMemoryLimit(int64(memoryFraction * softLimitFraction * float64(g.config.memoryBytes)))
 		}
 	}
 }
--- a/internal/gateway/door_test.go
+++ b/internal/gateway/listener_test.go
@@ -11,17 +11,17 @@
 	"reachwind/internal/core"
 )
 
-// TestDoor: while the door is shut and opened again and again, a client that has connected is let in: none is reset unseen
-// by the hundred, and those that are refused know it at once.
-func TestDoor(t *testing.T) {
+// TestListenerToggled: while the listener is disabled and enabled again and again, clients that have connected are
+// accepted: at most one in a hundred is reset without having been accepted, and refused clients notice it at once.
+func TestListenerToggled(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDoor(l)
+	toggle := newToggleListener(l)
 	go func() {
 		for {
-			c, err := d.Accept()
+			c, err := toggle.Accept()
 			if err != nil {
 				return
 			}
@@ -29,7 +29,7 @@
 			_ = c.Close()
 		}
 	}()
-	var served, refused, lost atomic.Int64
+	var served, refused, reset atomic.Int64
 	var done sync.WaitGroup
 	stop := make(chan struct{})
 	for range 4 {
@@ -42,7 +42,7 @@
 					return
 				default:
 				}
-				c, err := net.Dial("tcp", d.addr)
+				c, err := net.Dial("tcp", toggle.addr)
 				if err != nil {
 					refused.Add(1)
 					time.Sleep(time.Millisecond)
@@ -52,7 +52,7 @@
 				if n, _ := c.Read(make([]byte, 1)); n == 1 {
 					served.Add(1)
 				} else {
-					lost.Add(1)
+					reset.Add(1)
 				}
 				_ = c.Close()
 				time.Sleep(200 * time.Microsecond)
@@ -61,38 +61,38 @@
 	}
 	for range 40 {
 		time.Sleep(10 * time.Millisecond)
-		d.Shut()
+		toggle.Disable()
 		time.Sleep(15 * time.Millisecond)
-		if err := d.Open(); err != nil {
+		if err := toggle.Enable(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	close(stop)
 	done.Wait()
-	t.Logf("%d served, %d refused, %d reset unseen", served.Load(), refused.Load(), lost.Load())
+	t.Logf("%d served, %d refused, %d reset without being accepted", served.Load(), refused.Load(), reset.Load())
 	if served.Load() < 100 || refused.Load() == 0 {
-		t.Errorf("%d served, %d refused: this shows little", served.Load(), refused.Load())
+		t.Errorf("%d served, %d refused: want at least 100 and 1, else the test shows little", served.Load(), refused.Load())
 	}
-	if lost.Load()*100 > served.Load() {
-		t.Errorf("%d connections were reset unseen, %d served", lost.Load(), served.Load())
+	if reset.Load()*100 > served.Load() {
+		t.Errorf("%d connections were reset without being accepted, %d served", reset.Load(), served.Load())
 	}
-	if err := d.Close(); err != nil {
+	if err := toggle.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := d.Open(); err != nil || d.Close() != nil {
-		t.Error("a door that is closed for good can be opened")
+	if err := toggle.Enable(); err != nil || toggle.Close() != nil {
+		t.Error("a closed listener can be enabled, or closing it again fails")
 	}
 }
 
-// TestDoorCloses: who has connected when the door is shut or closed for good, and whom nobody has let in, is let in with
-// what it sent; then connections are refused, also where clients come all the time.
-func TestDoorCloses(t *testing.T) {
-	for name, end := range map[string]func(*door){"shut": (*door).Shut, "closed": func(d *door) { _ = d.Close() }} {
+// TestListenerAcceptsBeforeClosing: connections that wait to be accepted when the listener is disabled or closed are
+// accepted, with what they sent. Then connections are refused, even if clients keep connecting.
+func TestListenerAcceptsBeforeClosing(t *testing.T) {
+	for name, end := range map[string]func(*toggleListener){"shut": (*toggleListener).Disable, "closed": func(toggle *toggleListener) { _ = toggle.Close() }} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := newDoor(l)
+		d := newToggleListener(l)
 		const many = 20
 		var clients []net.Conn
 		for i := range many {
@@ -107,7 +107,7 @@
 			}
 			clients = append(clients, c)
 		}
-		end(d) // nobody has accepted any
+		end(d) // none of them has been accepted
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -129,7 +129,7 @@
 				t.Errorf("%s: client %d: %v, %v", name, i, b, err)
 			}
 		}
-		until(t, "refused", func() bool {
+		waitFor(t, "refused", func() bool {
 			for range 10 { // without a pause
 				c, err := net.Dial("tcp", d.addr)
 				if err != nil {
@@ -145,11 +145,11 @@
 	}
 }
 
-// TestOverlay: a member that is permitted to go out is listed as draining whatever discovery says, until it no longer is;
-// never the last usable one of its group.
-func TestOverlay(t *testing.T) {
+// TestOverlayDrains: a member that is permitted to go out of service is listed as draining, whatever discovery says,
+// until the permit ends; but never the last usable member of its group.
+func TestOverlayDrains(t *testing.T) {
 	state := map[string]decide.MemberState{}
-	o := newOverlay("g", func(kind decide.EventKind, members []core.ListedMember) {
+	overlay := newOverlay("g", func(kind decide.EventKind, members []core.ListedMember) {
 		if kind != decide.ListChange {
 			clear(state)
 		}
@@ -167,21 +167,21 @@
 			t.Errorf("%s: %s is %v, want %v", what, id, state[id], s)
 		}
 	}
-	o.List(decide.ListSaved, all)
-	o.Drain([]string{"a", "c"})
+	overlay.List(decide.ListSaved, all)
+	overlay.SetDrains([]string{"a", "c"})
 	want("permitted", "a", decide.Draining)
 	want("the last of its group", "c", decide.Up)
-	if o.Kept != 1 {
-		t.Errorf("%d were kept in use, want 1", o.Kept)
+	if overlay.lastInGroup != 1 {
+		t.Errorf("%d members kept in use, want 1", overlay.lastInGroup)
 	}
-	o.List(decide.ListSaved, all)
+	overlay.List(decide.ListSaved, all)
 	want("listed anew", "a", decide.Draining)
-	o.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Draining)})
-	o.Drain([]string{"a"}) // b drains by discovery: a is the last
+	overlay.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Draining)})
+	overlay.SetDrains([]string{"a"}) // discovery lists b as draining: a is the last usable one
 	want("the other one drains", "a", decide.Up)
-	o.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Up)})
-	o.Drain([]string{"a"})
+	overlay.List(decide.ListChange, []core.ListedMember{member("b", 1, decide.Up)})
+	overlay.SetDrains([]string{"a"})
 	want("again", "a", decide.Draining)
-	o.Drain(nil)
+	overlay.SetDrains(nil)
 	want("no longer", "a", decide.Up)
 }
