--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -14,149 +14,150 @@
 )
 
 const (
-	doorPart  = 16 // of the descriptors there is one of so many for the door, within
-	doorLeast = 8  // so many
+	socketsPerAdminConnection = 16 // descriptors per connection of the admin API, which has at least minAdminConnections
+	minAdminConnections       = 8
 
-	beginWait = 100 * time.Millisecond // for the owner to end what it has begun when the caller's time is up
+	confirmTimeout = 100 * time.Millisecond // for a change that is under way when the caller's deadline passes
 )
 
-// door is the configuration of the operators' door.
-func (c *Config) door() adminapi.Config {
-	return adminapi.Config{Addr: c.Admin, MaxConnections: min(max(c.sockets/doorPart, doorLeast), adminapi.DefaultMaxConnections)}
+// adminConfig returns the configuration of the admin API.
+func (c *Config) adminConfig() adminapi.Config {
+	return adminapi.Config{Addr: c.Admin, MaxConnections: min(max(c.maxSockets/socketsPerAdminConnection, minAdminConnections), adminapi.DefaultMaxConnections)}
 }
 
-// operators is the gateway's side of the door: it has the owner do what operators say, and stands between discovery's
-// list, or the council's overlay, and the core.
-type operators struct {
-	owner *core.Core
-	log   *slog.Logger
-	door  *adminapi.Server
-	line  *succession // nil: no other process takes this one's place
+// adminOperator carries out the calls of the admin API. It sits between discovery, or the council's overlay, and the
+// core, and lists suspended members as such to the core.
+type adminOperator struct {
+	core     *core.Core
+	log      *slog.Logger
+	api      *adminapi.Server
+	handover *processHandover // nil: no handover between processes
 
-	mu  sync.Mutex // held while the core is told, so that it is told in the order of the changes
-	set *suspend.Set
+	mu          sync.Mutex // held while the core is notified, so that it gets changes in their order
+	suspensions *suspend.Set
 
-	taken   atomic.Bool // the owner has taken a list with a member
-	leaving atomic.Bool
-	serving atomic.Bool
+	listApplied atomic.Bool // the core has applied a list with at least one member
+	stopping    atomic.Bool // this process is shutting down
+	serving     atomic.Bool // this process accepts clients
 }
 
-func newOperators(conf adminapi.Config, owner *core.Core, log *slog.Logger) *operators {
-	o := &operators{owner: owner, log: log, set: suspend.New()}
-	o.door = adminapi.New(conf, o, log)
+func newAdminOperator(conf adminapi.Config, engine *core.Core, log *slog.Logger) *adminOperator {
+	o := &adminOperator{core: engine, log: log, suspensions: suspend.New()}
+	o.api = adminapi.New(conf, o, log)
 	return o
 }
 
-// start opens the door; without one it does nothing, like leave and stop.
-func (o *operators) start() error {
+// start opens the admin API's listener. Like setStopping, setServing and stop it does nothing where there is no admin API.
+func (o *adminOperator) start() error {
 	if o == nil {
 		return nil
 	}
-	if err := o.door.Start(); err != nil {
+	if err := o.api.Start(); err != nil {
 		return err
 	}
-	o.log.Info("operators' door open", "listen", o.door.Addr().String())
+	o.log.Info("operators' door open", "listen", o.api.Addr().String())
 	return nil
 }
 
-// leave has the gateway no longer be ready.
-func (o *operators) leave() {
+// setStopping makes Ready fail from now on, as the process shuts down.
+func (o *adminOperator) setStopping() {
 	if o != nil {
-		o.leaving.Store(true)
+		o.stopping.Store(true)
 	}
 }
 
-// serve has the gateway be ready, once it accepts clients.
-func (o *operators) serve() {
+// setServing is called once the gateway accepts clients; Ready fails before.
+func (o *adminOperator) setServing() {
 	if o != nil {
 		o.serving.Store(true)
 	}
 }
 
-// stop closes the door.
-func (o *operators) stop() {
+// stop closes the admin API.
+func (o *adminOperator) stop() {
 	if o != nil {
-		o.door.Close()
+		o.api.Close()
 	}
 }
 
-// List takes what discovery says and passes it on.
-func (o *operators) List(kind decide.EventKind, members []core.ListedMember) {
+// List implements discovery.Sink. It passes the list on to the core with the suspensions applied.
+func (o *adminOperator) List(kind decide.EventKind, members []core.ListedMember) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.owner.List(kind, o.set.ApplyList(kind, members))
-	if o.set.ListedCount() > 0 && !o.taken.Load() {
-		o.owner.Post(func() { o.taken.Store(true) })
+	o.core.List(kind, o.suspensions.ApplyList(kind, members))
+	if o.suspensions.ListedCount() > 0 && !o.listApplied.Load() {
+		o.core.Post(func() { o.listApplied.Store(true) })
 	}
 }
 
-// out tells whether a member is suspended: then not even a look at it is taken.
-func (o *operators) out(id string) bool {
+// isSuspended reports whether a member is suspended. A suspended member must not even be probed.
+func (o *adminOperator) isSuspended(id string) bool {
 	if o == nil {
 		return false
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.set.IsSuspended(id)
+	return o.suspensions.IsSuspended(id)
 }
 
-// Ready implements adminapi.Operator.
-func (o *operators) Ready() error {
+// Ready implements adminapi.Backend. The error is an adminapi.NotReadyError.
+func (o *adminOperator) Ready() error {
 	switch {
-	case o.leaving.Load():
-		return adminapi.NotReadyError{Found: "this process is ending", Remedy: "call the one that replaces it"}
+	case o.stopping.Load():
+		return adminapi.NotReadyError{Found: "this process is shutting down", Remedy: "call the process that replaces it"}
 	case !o.serving.Load():
-		return adminapi.NotReadyError{Found: "this process does not accept clients yet", Remedy: "ask again in a second"}
-	case !o.taken.Load():
-		return adminapi.NotReadyError{Found: "no list of db machines yet", Remedy: "look at discovery, or give the configuration a list"}
+		return adminapi.NotReadyError{Found: "this process does not accept clients yet", Remedy: "call again in a second"}
+	case !o.listApplied.Load():
+		return adminapi.NotReadyError{Found: "no list of db machines yet", Remedy: "check discovery, or put a list into the configuration"}
 	}
 	return nil
 }
 
-// Suspend implements adminapi.Operator.
-func (o *operators) Suspend(ctx context.Context, id string) error {
-	return o.share(ctx, o.say(ctx, id, "db machine suspended", (*suspend.Set).Suspend))
+// Suspend implements adminapi.Backend.
+func (o *adminOperator) Suspend(ctx context.Context, id string) error {
+	return o.shareSuspensions(ctx, o.change(ctx, id, "db machine suspended", (*suspend.Set).Suspend))
 }
 
-// Resume implements adminapi.Operator.
-func (o *operators) Resume(ctx context.Context, id string) error {
-	return o.share(ctx, o.say(ctx, id, "db machine resumed", (*suspend.Set).Resume))
+// Resume implements adminapi.Backend.
+func (o *adminOperator) Resume(ctx context.Context, id string) error {
+	return o.shareSuspensions(ctx, o.change(ctx, id, "db machine resumed", (*suspend.Set).Resume))
 }
 
-// say has the owner do what an operator says of a member, and waits until it is in force. By the end of ctx what the
-// owner did not begin is taken back.
-func (o *operators) say(ctx context.Context, id, line string, do func(*suspend.Set, string, core.Time) ([]core.ListedMember, error)) error {
-	var begun atomic.Bool // set by whoever comes first: the owner, or the caller who leaves
+// change applies an operator's change of a member on the core's goroutine, and waits until it is in force. If ctx ends
+// first it returns an adminapi.NotDoneError, and the change never happens; or an adminapi.UnconfirmedError, if the
+// change has begun but is not confirmed within confirmTimeout.
+func (o *adminOperator) change(ctx context.Context, id, message string, apply func(*suspend.Set, string, core.Time) ([]core.ListedMember, error)) error {
+	var claimed atomic.Bool // set by whichever comes first: the change, or the end of ctx
 	start := time.Now()
 	done := make(chan error, 1)
-	o.owner.Post(func() {
-		if begun.Swap(true) {
+	o.core.Post(func() {
+		if claimed.Swap(true) {
 			return
 		}
 		o.mu.Lock()
-		change, err := do(o.set, id, o.owner.Now())
+		change, err := apply(o.suspensions, id, o.core.Now())
 		if len(change) > 0 {
-			o.owner.List(decide.ListChange, change)
+			o.core.List(decide.ListChange, change)
 		}
 		o.mu.Unlock()
 		if err == nil {
-			o.log.Info(line, "member", id, "changes", len(change))
+			o.log.Info(message, "member", id, "changes", len(change))
 		}
-		o.owner.Post(func() { done <- err }) // behind the change, so that it is in force
+		o.core.Post(func() { done <- err }) // queued behind the change, which is then in force
 	})
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
 	}
-	took := adminapi.NotDoneError{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
-	if !begun.Swap(true) {
-		return took
+	notDone := adminapi.NotDoneError{ID: id, Waited: time.Since(start).Round(time.Millisecond)}
+	if !claimed.Swap(true) {
+		return notDone
 	}
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(beginWait):
-		return adminapi.UnconfirmedError{NotDoneError: took}
+	case <-time.After(confirmTimeout):
+		return adminapi.UnconfirmedError{NotDoneError: notDone}
 	}
 }
--- a/internal/gateway/retune.go
+++ b/internal/gateway/retune.go
@@ -14,82 +14,85 @@
 	"reachwind/internal/settings"
 )
 
-// retuning is a file that was read and checked, with all that will be needed to take it over.
-type retuning struct {
-	conf  *Config // its Decide is as the module must have it
-	terms *activesettings.Snapshot
-	text  []byte
+// reloadedConfig is a configuration file that was read and validated on SIGHUP, ready to be applied.
+type reloadedConfig struct {
+	config *Config // its Decide is what package decide is given
+	active *activesettings.Snapshot
+	source []byte
 }
 
-// reread reads the file that SIGHUP means, strictly: it must hold all that the file of the start held. It changes nothing.
-func (g *running) reread() (*retuning, error) {
-	f, err := os.OpenFile(g.o.Path, os.O_RDONLY|syscall.O_NONBLOCK, 0) // a pipe without a writer would keep all later SIGHUPs waiting
+// readReload reads and validates the configuration file on SIGHUP. The file must contain every key that it had at the
+// start. It changes nothing.
+func (g *instance) readReload() (*reloadedConfig, error) {
+	f, err := os.OpenFile(g.options.ConfigPath, os.O_RDONLY|syscall.O_NONBLOCK, 0) // opening a pipe without a writer would block, and all later SIGHUPs with it
 	if err != nil {
-		return nil, fmt.Errorf("%w; nothing was taken: put the file there, readable, and send SIGHUP again", err)
+		return nil, fmt.Errorf("%w; nothing was changed: put a readable file there, and send SIGHUP again", err)
 	}
 	defer func() { _ = f.Close() }()
-	if s, err := f.Stat(); err != nil || !s.Mode().IsRegular() { // guards against a pipe, which may never end
-		return nil, fmt.Errorf("%s: found no regular file, want one; nothing was taken: put it there, and send SIGHUP again", g.o.Path)
+	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() { // reading a pipe may never end
+		return nil, fmt.Errorf("%s: want a regular file, found none; nothing was changed: put one there, and send SIGHUP again", g.options.ConfigPath)
 	}
 	text, err := settings.Read(f)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", g.o.Path, err)
+		return nil, fmt.Errorf("%s: %w", g.options.ConfigPath, err)
 	}
-	c, err := g.c.follow(text, os.Getenv)
+	c, err := g.config.parseReload(text, os.Getenv)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", g.o.Path, err)
+		return nil, fmt.Errorf("%s: %w", g.options.ConfigPath, err)
 	}
-	r := &retuning{conf: c, text: text}
-	r.terms, c.Decide, err = g.c.terms.Prepare(c.Decide, g.owner.Now())
+	r := &reloadedConfig{config: c, source: text}
+	r.active, c.Decide, err = g.config.active.Prepare(c.Decide, g.core.Now())
 	return r, err
 }
 
-// follow reads a configuration that is to follow c, the one of the start.
-func (c *Config) follow(text []byte, env func(string) string) (*Config, error) {
+// parseReload validates the text of a configuration that is to replace c, the one of the start.
+func (c *Config) parseReload(text []byte, env func(string) string) (*Config, error) {
 	if err := c.shape.Check(text); err != nil {
 		return nil, err
 	}
 	next, err := Parse(text, env)
-	var typ *json.UnmarshalTypeError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &typ): // a key that the start did not hold
-		return nil, &settings.Fault{Kind: settings.BadValue, Key: strings.TrimPrefix(typ.Field, "."), Found: typ.Value, Want: "what fits " + typ.Type.String()}
+	case errors.As(err, &typeErr): // in a key that the file of the start did not contain
+		return nil, &settings.Fault{Kind: settings.BadValue, Key: strings.TrimPrefix(typeErr.Field, "."), Found: typeErr.Value, Want: "what fits " + typeErr.Type.String()}
 	case err != nil:
-		return nil, fmt.Errorf("%w; nothing was taken from the file: mend it, and send SIGHUP again", err)
+		return nil, fmt.Errorf("%w; nothing was changed: correct the file, and send SIGHUP again", err)
 	}
 	return next, nil
 }
 
-// retune takes a configuration over. The owner's queue keeps the order: the module has it before any request of the
-// new terms comes.
-func (g *running) retune(r *retuning) {
-	g.line.keep(r.text)
-	was := g.c.terms.Current()
-	g.owner.Post(func() {
-		if err := g.router.Reconfigure(*r.conf.Decide); err != nil { // reread has checked it
-			g.o.Log.Error("retuning refused", "err", err)
+// applyReload applies a configuration. The core's queue keeps the order: package decide has the new settings before the
+// first request that is admitted under them.
+func (g *instance) applyReload(r *reloadedConfig) {
+	g.handover.saveConfig(r.source)
+	before := g.config.active.Current()
+	g.core.Post(func() {
+		if err := g.router.Reconfigure(*r.config.Decide); err != nil { // readReload has validated it
+			g.options.Log.Error("reloaded settings refused by the decision module", "err", err)
 			return
 		}
-		g.pool.Reconfigure(members(r.conf.facts, 0, 0))
+		g.pool.Reconfigure(memberPoolConfig(r.config.settings, 0, 0))
 	})
-	g.c.terms.Activate(r.terms)
-	came, changed, left := r.terms.ClassChanges(was)
-	g.o.Log.Info("retuned", "classes", len(r.conf.Decide.Classes), "came", came, "changed", changed, "left", left,
-		"attempts", r.conf.Decide.MaxAttempts)
+	g.config.active.Activate(r.active)
+	added, changed, removed := r.active.ClassChanges(before)
+	g.options.Log.Info("retuned", "classes", len(r.config.Decide.Classes), "came", added, "changed", changed, "left", removed,
+		"attempts", r.config.Decide.MaxAttempts)
 }
 
-// members is what the settings say of connections to members, of which there may be most.
-func members(f *settings.Settings, most, keep int) pgmember.Config {
-	return pgmember.Config{User: user, Database: database, MaxConns: most, ReservedBuffers: keep,
-		MemberIdleTimeout: span(f.Allowed.IdleCloseUs, idleUsual),
-		ConnectTimeout:    span(f.Allowed.ConnectTimeoutUs, connectUsual),
-		DrainGrace:        span(f.Rules.StopSendingWithinUs, graceUsual), KeepDelisted: f.Rules.DrainBindsAlone,
-		ReportFigures: f.Feedback.Names}
+// memberPoolConfig returns the configuration of connections to members. maxConnections is their maximum number,
+// reservedBuffers the number of buffers that answers passed through may not use.
+func memberPoolConfig(s *settings.Settings, maxConnections, reservedBuffers int) pgmember.Config {
+	return pgmember.Config{User: memberUser, Database: memberDatabase, MaxConns: maxConnections, ReservedBuffers: reservedBuffers,
+		MemberIdleTimeout: microsecondsOr(s.Allowed.IdleCloseUs, defaultIdleClose),
+		ConnectTimeout:    microsecondsOr(s.Allowed.ConnectTimeoutUs, defaultConnectTimeout),
+		DrainGrace:        microsecondsOr(s.Rules.StopSendingWithinUs, defaultStopSendingGrace), KeepDelisted: s.Rules.DrainBindsAlone,
+		ReportFigures: s.Feedback.Names}
 }
 
-func span(us int64, usual time.Duration) time.Duration {
+// microsecondsOr returns us microseconds, or fallback if us is not positive.
+func microsecondsOr(us int64, fallback time.Duration) time.Duration {
 	if us <= 0 {
-		return usual
+		return fallback
 	}
 	return time.Duration(us) * time.Microsecond
 }
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -22,24 +22,25 @@
 	"reachwind/internal/standin/pipenet"
 )
 
-// tuned is what the test knows of the settings: since when a class has its effect, or is out.
-type tuned struct {
-	effect string // empty: out
-	last   string // the last that it had
-	since  time.Time
+// classState is the state of a class in the settings as the test knows it.
+type classState struct {
+	effect string    // empty: the class is not in the settings
+	last   string    // the last effect that it had
+	since  time.Time // of the effect, or of the class's removal
 }
 
-// TestRetune plays a whole gateway in a fake clock, under load and with members in trouble, whose settings change at
-// random: classes come, go and change their effect, attempts go up and down, and many files are broken. Each request
-// gets its one answer, by the class that it named when it was sent: none is called unknown while its class is in the
-// settings or left them a moment ago, and what may run once only does, whatever the settings say later.
-func TestRetune(t *testing.T) {
+// TestReloadsUnderLoad runs a whole gateway on a fake clock, under load and with failing members, while its settings
+// change at random: classes are added, removed and change their effect, the limit of attempts changes, and many files
+// are truncated. Each request gets one answer, by the class that it named when it was sent. No request is refused for
+// an unknown class while its class is in the settings or was removed a moment ago, and a request that may run only once
+// does so, whatever the settings say later.
+func TestReloadsUnderLoad(t *testing.T) {
 	for seed := range uint64(2) {
-		synctest.Test(t, func(t *testing.T) { playRetunes(t, seed) })
+		synctest.Test(t, func(t *testing.T) { runReloads(t, seed) })
 	}
 }
 
-func playRetunes(t *testing.T, seed uint64) {
+func runReloads(t *testing.T, seed uint64) {
 	pipes := new(pipenet.Net)
 	c, err := cluster.Start(cluster.Config{Groups: 1, Replicas: 2, Lag: 20 * time.Millisecond, Work: 8 * time.Millisecond, Net: pipes})
 	if err != nil {
@@ -51,7 +52,7 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	g, err := build(conf, Options{Path: path, Log: slog.New(slog.DiscardHandler), Dial: pipes.Dial})
+	g, err := build(conf, Options{ConfigPath: path, Log: slog.New(slog.DiscardHandler), Dial: pipes.Dial})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +65,7 @@
 	go func() { ended <- g.run(term, nil, listener) }()
 
 	var mu sync.Mutex
-	now, served, unknown, twice := map[string]tuned{}, 0, 0, 0
+	classes, served, unknown, ranTwice := map[string]classState{}, 0, 0, 0
 	stop := make(chan struct{})
 	var done sync.WaitGroup
 	for n := range 6 { // clients
@@ -92,9 +93,9 @@
 				q := pgclient.Request{ID: id, Class: fmt.Sprint("x", r.IntN(4)), Tenant: "kea-basin", Wait: 800 * time.Millisecond, Key: id, Item: id, Value: "v", Write: true}
 				sent := time.Now()
 				mu.Lock()
-				was := now[q.Class]
+				was := classes[q.Class]
 				mu.Unlock()
-				if was.last != "by_key" { // members drop what comes twice under a key
+				if was.last != "by_key" { // a key would make members drop repeated writes
 					q.Key = ""
 				}
 				a, err := conn.Do(&q)
@@ -107,7 +108,7 @@
 					continue
 				}
 				mu.Lock()
-				is := now[q.Class]
+				is := classes[q.Class]
 				out := sent.Sub(was.since)
 				switch {
 				case a.Verdict == pgclient.Served:
@@ -115,7 +116,7 @@
 				case a.Code == pgwire.SyntaxError:
 					unknown++
 				}
-				needsKey := q.Key == "" && is.last == "by_key" && was != is // it became so meanwhile
+				needsKey := q.Key == "" && is.last == "by_key" && was != is // its class requires a key since a moment ago
 				if a.Code == pgwire.SyntaxError && !needsKey && (was.effect != "" || is.effect != "" || out < activesettings.RemovedClassGrace-time.Millisecond && !was.since.IsZero()) {
 					t.Errorf("request %s of class %s is unknown: %+v, now %+v", id, q.Class, was, is)
 				}
@@ -125,7 +126,7 @@
 				mu.Unlock()
 				if c.Versions(0, id) > 1 {
 					mu.Lock()
-					twice++
+					ranTwice++
 					mu.Unlock()
 				}
 				if runs := c.Versions(0, id); runs > 1 && was == is && was.effect != "repeatable" && was.effect != "" {
@@ -147,10 +148,10 @@
 	})
 
 	r := rand.New(rand.NewPCG(seed, 200))
-	good, bad := 0, 0
+	accepted, rejected := 0, 0
 	for range 60 {
 		time.Sleep(time.Duration(r.IntN(2000)) * time.Millisecond)
-		text, next := retuned(t, r, start)
+		text, next := randomSettings(t, r, start)
 		broken := r.IntN(3) == 0
 		if broken {
 			text = text[:r.IntN(len(text))]
@@ -158,29 +159,29 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := g.c.terms.Current()
-		mu.Lock() // no request may see the settings change in between
+		before := g.config.active.Current()
+		mu.Lock() // clients must not read now between the reload and its update
 		g.reload()
-		if took := g.c.terms.Current() != before; took == broken {
+		if took := g.config.active.Current() != before; took == broken {
 			t.Errorf("taken over: %v, broken: %v", took, broken)
 		}
 		if !broken {
-			good++
+			accepted++
 			for i := range 4 {
 				name := fmt.Sprint("x", i)
-				if was := now[name]; was.effect != next[name] {
-					now[name] = tuned{next[name], cmp.Or(next[name], was.last), time.Now()}
+				if was := classes[name]; was.effect != next[name] {
+					classes[name] = classState{next[name], cmp.Or(next[name], was.last), time.Now()}
 				}
 			}
 		} else {
-			bad++
+			rejected++
 		}
 		mu.Unlock()
 	}
 	close(stop)
 	done.Wait()
-	if s := g.sizes(); s.Decide.Requests > 6 || served < 500 || unknown < 100 || twice < 5 || good < 25 || bad < 8 {
-		t.Errorf("%+v; %d served, %d unknown, %d ran twice, %d files taken over, %d broken", s, served, unknown, twice, good, bad)
+	if s := g.sizes(); s.Decide.Requests > 6 || served < 500 || unknown < 100 || ranTwice < 5 || accepted < 25 || rejected < 8 {
+		t.Errorf("%+v; %d served, %d unknown, %d ran twice, %d files taken over, %d broken", s, served, unknown, ranTwice, accepted, rejected)
 	}
 	end()
 	if err := <-ended; err != nil {
@@ -189,8 +190,8 @@
 	c.Close()
 }
 
-// retuned is a good file with some of the classes x0 to x3, and their effects.
-func retuned(t *testing.T, r *rand.Rand, start []byte) ([]byte, map[string]string) {
+// randomSettings returns a valid file with a random selection of the classes x0 to x3, and their effects.
+func randomSettings(t *testing.T, r *rand.Rand, start []byte) ([]byte, map[string]string) {
 	var file map[string]any
 	if err := json.Unmarshal(start, &file); err != nil {
 		t.Fatal(err)
@@ -203,14 +204,14 @@
 		if r.IntN(3) == 0 {
 			continue
 		}
-		k := map[string]any{}
+		class := map[string]any{}
 		for key, v := range conf["Grades"].([]any)[4].(map[string]any) {
-			k[key] = v
+			class[key] = v
 		}
 		name := fmt.Sprint("x", i)
 		effects[name] = []string{"repeatable", "by_key", "once"}[r.IntN(3)]
-		k["Name"], k["Effect"], k["DeadlineUs"] = name, effects[name], 1_000_000+r.IntN(2_000_000)
-		conf["Grades"] = append(conf["Grades"].([]any), k)
+		class["Name"], class["Effect"], class["DeadlineUs"] = name, effects[name], 1_000_000+r.IntN(2_000_000)
+		conf["Grades"] = append(conf["Grades"].([]any), class)
 		info["Consistency"] = append(info["Consistency"].([]any), "write")
 		info["ClassBoundUs"] = append(info["ClassBoundUs"].([]any), 0)
 	}
--- a/internal/gateway/soak_test.go
+++ b/internal/gateway/soak_test.go
@@ -16,14 +16,14 @@
 	"reachwind/internal/standin/pipenet"
 )
 
-// counting is a sink of records that keeps none.
-type counting struct{ n int }
+// countingSink is a sink that counts records and keeps none.
+type countingSink struct{ count int }
 
-func (c *counting) Put(*record.Record) { c.n++ }
+func (c *countingSink) Put(*record.Record) { c.count++ }
 
-// TestSoak plays hours of a whole gateway in a fake clock: members come under ever new names in ever new groups,
-// leave, restart, hang, drain and stop following; customers, connections, ids and keys are ever new, and clients
-// leave early. Nothing that time or peers grow may pass its bound (docs/design/fleet.md), nor grow by the hour.
+// TestSoak runs a whole gateway for hours of a fake clock. Members with new names and in new groups keep joining; they
+// leave, restart, hang, drain and stop replicating. Tenants, connections, request ids and keys are always new, and clients
+// leave early. Tables that could grow with time or with peers' input must stay within their bounds (docs/design/fleet.md).
 func TestSoak(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hours, perHour = 2, 3000 // requests
@@ -37,8 +37,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sink := new(counting)
-		g.owner.SetRecordSink(sink, conf.Decide.SlowStartTime)
+		sink := new(countingSink)
+		g.core.SetRecordSink(sink, conf.Decide.SlowStartTime)
 		listener, err := pipes.Listen("gateway:0")
 		if err != nil {
 			t.Fatal(err)
@@ -50,11 +50,11 @@
 		r := rand.New(rand.NewPCG(19, 5))
 		pause := func(mean time.Duration) { time.Sleep(time.Duration(r.ExpFloat64() * float64(mean))) }
 		stop := make(chan struct{})
-		troubled := make(chan struct{})
-		go func() { // members, one trouble after another
-			defer close(troubled)
+		faultsEnded := make(chan struct{})
+		go func() { // members, one fault after another
+			defer close(faultsEnded)
 			r := rand.New(rand.NewPCG(19, 6))
-			var grown []*cluster.Member
+			var added []*cluster.Member
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -64,7 +64,7 @@
 				all := c.Members()
 				m := all[r.IntN(len(all))]
 				switch r.IntN(7) {
-				case 0, 1: // a member more, now and then in a group of its own
+				case 0, 1: // one more member, sometimes in a group of its own
 					group := int64(r.IntN(2))
 					if r.IntN(3) == 0 {
 						group = int64(100 + n)
@@ -72,7 +72,7 @@
 					if m, err := c.Grow(group, fmt.Sprint("grown-", n)); err != nil {
 						t.Error(err)
 					} else {
-						grown = append(grown, m)
+						added = append(added, m)
 					}
 				case 2:
 					m.Kill()
@@ -89,18 +89,18 @@
 					time.Sleep(time.Duration(r.IntN(3000)) * time.Millisecond)
 					m.Drain(false)
 				case 5:
-					if !m.IsPrimary() { // it lags for good: sessions' commits are kept for its sake
+					if !m.IsPrimary() { // it lags for long: sessions' commits are kept because of it
 						m.Freeze(r.IntN(2) == 0)
 					}
 				}
-				for len(grown) > 6 {
-					grown[0].Leave()
-					grown = grown[1:]
+				for len(added) > 6 {
+					added[0].Leave()
+					added = added[1:]
 				}
 			}
 		}()
 
-		var most, last Sizes
+		var maxSizes, last Sizes
 		var heap []uint64
 		outcomes := [4]int{}
 		var conn *pgclient.Conn
@@ -124,7 +124,7 @@
 			if r.IntN(3) == 0 {
 				q.Class, q.Key, q.Value, q.Write = "map-edits", fmt.Sprint("key-", n), "v", true
 			}
-			if r.IntN(20) == 0 { // its client has no patience
+			if r.IntN(20) == 0 { // a deadline too short to be met
 				q.Wait = time.Millisecond
 			}
 			a, err := conn.Do(&q)
@@ -134,18 +134,18 @@
 			}
 			outcomes[a.Verdict]++
 			last = g.sizes()
-			most.Decide.Members = max(most.Decide.Members, last.Decide.Members)
-			most.Decide.Groups = max(most.Decide.Groups, last.Decide.Groups)
-			most.Decide.Requests = max(most.Decide.Requests, last.Decide.Requests)
-			most.Decide.Sessions = max(most.Decide.Sessions, last.Decide.Sessions)
-			most.Decide.OrphanedAttempts = max(most.Decide.OrphanedAttempts, last.Decide.OrphanedAttempts)
-			most.Core.Requests = max(most.Core.Requests, last.Core.Requests)
-			most.Core.Timers = max(most.Core.Timers, last.Core.Timers)
-			most.Core.Members = max(most.Core.Members, last.Core.Members)
-			most.Pool.Members = max(most.Pool.Members, last.Pool.Members)
-			most.Pool.Connections = max(most.Pool.Connections, last.Pool.Connections)
-			most.Pool.Jobs = max(most.Pool.Jobs, last.Pool.Jobs)
-			most.Claims = max(most.Claims, last.Claims)
+			maxSizes.Decide.Members = max(maxSizes.Decide.Members, last.Decide.Members)
+			maxSizes.Decide.Groups = max(maxSizes.Decide.Groups, last.Decide.Groups)
+			maxSizes.Decide.Requests = max(maxSizes.Decide.Requests, last.Decide.Requests)
+			maxSizes.Decide.Sessions = max(maxSizes.Decide.Sessions, last.Decide.Sessions)
+			maxSizes.Decide.OrphanedAttempts = max(maxSizes.Decide.OrphanedAttempts, last.Decide.OrphanedAttempts)
+			maxSizes.Core.Requests = max(maxSizes.Core.Requests, last.Core.Requests)
+			maxSizes.Core.Timers = max(maxSizes.Core.Timers, last.Core.Timers)
+			maxSizes.Core.Members = max(maxSizes.Core.Members, last.Core.Members)
+			maxSizes.Pool.Members = max(maxSizes.Pool.Members, last.Pool.Members)
+			maxSizes.Pool.Connections = max(maxSizes.Pool.Connections, last.Pool.Connections)
+			maxSizes.Pool.Jobs = max(maxSizes.Pool.Jobs, last.Pool.Jobs)
+			maxSizes.ActiveIDs = max(maxSizes.ActiveIDs, last.ActiveIDs)
 			if n%(perHour/2) == perHour/2-1 {
 				runtime.GC()
 				var m runtime.MemStats
@@ -153,22 +153,22 @@
 				heap = append(heap, m.HeapAlloc)
 			}
 		}
-		t.Logf("served %d, refused %d, failed %d, broken %d; records %d; most %+v; heap %v", outcomes[0], outcomes[1], outcomes[2], outcomes[3], sink.n, most, heap)
+		t.Logf("served %d, refused %d, failed %d, broken %d; records %d; most %+v; heap %v", outcomes[0], outcomes[1], outcomes[2], outcomes[3], sink.count, maxSizes, heap)
 		close(stop)
-		<-troubled
-		// At most 14 members are listed at a time; gone ones are kept for a minute, in which at most twenty come.
+		<-faultsEnded
+		// At most 14 members are listed at a time; removed ones are kept for a minute, in which at most 20 are added.
 		for what, v := range map[string][2]int{
-			"members known to the module": {most.Decide.Members, 34}, "groups": {most.Decide.Groups, 24},
-			"requests of the module": {most.Decide.Requests, 4}, "sessions kept": {most.Decide.Sessions, 4096 + 1}, "work called off": {most.Decide.OrphanedAttempts, 64},
-			"requests of the core": {most.Core.Requests, 4}, "timers": {most.Core.Timers, 64}, "members in records": {most.Core.Members, 16},
-			"members of the pool": {most.Pool.Members, 34}, "member connections": {most.Pool.Connections, 64}, "jobs": {most.Pool.Jobs, 8}, "ids in work": {most.Claims, 4},
+			"members known to the module": {maxSizes.Decide.Members, 34}, "groups": {maxSizes.Decide.Groups, 24},
+			"requests of the module": {maxSizes.Decide.Requests, 4}, "sessions kept": {maxSizes.Decide.Sessions, 4096 + 1}, "orphaned attempts": {maxSizes.Decide.OrphanedAttempts, 64},
+			"requests of the core": {maxSizes.Core.Requests, 4}, "timers": {maxSizes.Core.Timers, 64}, "members in records": {maxSizes.Core.Members, 16},
+			"members of the pool": {maxSizes.Pool.Members, 34}, "member connections": {maxSizes.Pool.Connections, 64}, "jobs": {maxSizes.Pool.Jobs, 8}, "ids of requests in progress": {maxSizes.ActiveIDs, 4},
 		} {
 			if v[0] > v[1] {
-				t.Errorf("%s: %d at the most, want %d at the most", what, v[0], v[1])
+				t.Errorf("%s: maximum %d, want at most %d", what, v[0], v[1])
 			}
 		}
 		if served := outcomes[pgclient.Served]; served < hours*perHour/2 {
-			t.Errorf("%d of %d requests served: this was no service", served, hours*perHour)
+			t.Errorf("%d of %d requests served, want at least half", served, hours*perHour)
 		}
 		if conn != nil {
 			conn.Close()
