--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -21,11 +21,11 @@
 
 const full = `{"generation":3,"reset":true,"instances":[]}`
 
-// told collects what a client passes on.
+// told records what a client passes to its sink.
 type told struct {
 	mu    sync.Mutex
 	words []string
-	also  func(kind decide.EventKind) // called too, before
+	also  func(kind decide.EventKind) // called before each record, if not nil
 }
 
 func (s *told) sink(kind decide.EventKind, list []core.Listed) {
@@ -50,12 +50,12 @@
 	return strings.Join(s.calls, " ")
 }
 
-// TestVersionsBack: a service that began its versions anew has changes that would never be told, as they lie before the
-// version that is held here. Whatever it answers, the whole list is asked for; what it calls changes is not taken.
+// TestVersionsBack: a service that restarted its versions would never report changes up to the version that is held here.
+// The client then fetches the whole list, whatever the service answered, and ignores that answer.
 func TestVersionsBack(t *testing.T) {
 	const change = `{"generation":2,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"gone"}]}`
 	for name, tc := range map[string]struct {
-		answers     []string // of one call after another, "" is a reset; then silence
+		answers     []string // to the calls in order, "" is a reset; no answer after the last
 		calls, told string
 	}{
 		"at once":        {[]string{change, full}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000", "full"},
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestMoveBetweenCalls: the address changes between the end of a watch's call and the beginning of its next, which
-// asks the new one for the whole list. That call does not wait, so its silence is no watch's; and the word that Move
-// left is used up, so that a crowd there is not asked twice.
+// TestMoveBetweenCalls: the address changes between two calls of a watch, and the second fetches the whole list at the new
+// address. That call asks for no wait, so its silence must be noticed sooner than that of a watch. It also answers the
+// signal of the change, so that a service that refuses it with a full queue is not called twice.
 func TestMoveBetweenCalls(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first       func(net.Conn)
@@ -134,9 +134,8 @@
 	}
 }
 
-// TestMoveFromAnywhere: in whatever state the call at the old address is, and however the first one at the new one
-// fails, the new one's whole list is told within the 4 s after which it counts (the standing page), and nothing more
-// of the old one.
+// TestMoveFromAnywhere: whatever the state of the call at the old address, and however the first call to the new one
+// fails, the whole list of the new address is known within the required 4 s, and the old address is not called again.
 func TestMoveFromAnywhere(t *testing.T) {
 	states := map[string]func(net.Conn){
 		"no dial": nil, "refused": nil,
@@ -146,7 +145,7 @@
 		"503":     func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
 		"no list": func(c net.Conn) { write(c, `{"generation":`) },
 		"back":    func(c net.Conn) { write(c, `{"generation":1}`) },
-		"watch":   func(c net.Conn) { write(c, `{"generation":9}`) }, // and then nothing
+		"watch":   func(c net.Conn) { write(c, `{"generation":9}`) }, // no answer after this one
 		"crowd": func(c net.Conn) {
 			time.Sleep(queueMost)
 			fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
@@ -160,7 +159,7 @@
 					gateways = 300
 				}
 				if is == "crowd" || is == "watch" {
-					continue // not one that fails, or at the module's pace
+					continue // this call does not fail, or the module paces the next one
 				}
 				t.Run(fmt.Sprint(was, ", then ", is, ", pushed ", pushed), func(t *testing.T) {
 					t.Parallel()
@@ -224,7 +223,7 @@
 	}
 }
 
-// TestWaitsNot: a service that does not wait, as a cache between would, is not asked without end.
+// TestWaitsNot: a service that answers watches without waiting, as a cache in between may, is not called in a tight loop.
 func TestWaitsNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &serve{begin: time.Now()}
@@ -240,8 +239,8 @@
 	})
 }
 
-// TestKeptNot: a service that closes a connection after its answer, and does not say so, breaks no watch. One that resets
-// every connection is not asked on and on at once.
+// TestKeptNot: a service that closes a connection after its answer without announcing it does not break a watch. A service
+// that resets every connection is not called in a tight loop.
 func TestKeptNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &serve{begin: time.Now()}
@@ -268,7 +267,7 @@
 	})
 }
 
-// TestDownLogs: a service that is down for long makes a line a second at most.
+// TestDownLogs: a service that is down for long causes at most one log line a second.
 func TestDownLogs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -300,8 +299,8 @@
 	return l.w.Write(p)
 }
 
-// TestNoLength: an answer without length ends where its connection is closed, not where it is reset, be it whole or not.
-// Real sockets, as a pipe knows no reset.
+// TestNoLength: an answer without a length ends where its connection is closed, not where it is reset, be it whole or not.
+// It needs real sockets, as a pipe cannot be reset.
 func TestNoLength(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -334,7 +333,7 @@
 			}
 			if how != "" {
 				conn.Close()
-			} // else the watch that follows is left on
+			} // else the watch that follows gets no answer
 		}
 	}()
 	got := make(chan string, 9)
@@ -359,7 +358,7 @@
 	}
 }
 
-// begin runs a client that logs nothing until the test ends.
+// begin runs a client without a log until the test ends.
 func begin(t *testing.T, conf Config, sink Sink, dial func(context.Context, string) (net.Conn, error)) *Client {
 	c := New(conf, sink, dial, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery asks the list of members over HTTP/1.1: the whole list, or
-// a watch on its changes by one long call after another.
+// Package discovery is a client for the discovery service. Over HTTP/1.1 it
+// fetches the whole list of members, or watches the list for changes by one
+// long poll after another.
 package discovery
 
 import (
@@ -19,14 +20,15 @@
 	"reachwind/internal/often"
 )
 
-// List is a list of members, or a change of one, in discovery's form.
+// List is an answer of the discovery service: the whole list of members, or a
+// change of it.
 type List struct {
 	Generation int64   `json:"generation"`
-	Reset      bool    `json:"reset"` // the whole list
+	Reset      bool    `json:"reset"` // Instances is the whole list, not a change
 	Instances  []Entry `json:"instances"`
 }
 
-// Entry is one member in a List.
+// Entry is one member of a List.
 type Entry struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -41,7 +43,7 @@
 var states = map[string]decide.MemberState{
 	"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}
 
-// EntryOf gives a member in discovery's form.
+// EntryOf converts a member to the form that discovery uses.
 func EntryOf(m core.Listed) Entry {
 	e := Entry{InstanceID: m.ID, HostPort: m.Addr, Zone: m.Zone, MachineType: m.Kind, Cell: m.Group, Lifecycle: "ready", Weight: m.Weight,
 		StartedAtMs: m.Started.Milliseconds()}
@@ -53,7 +55,8 @@
 	return e
 }
 
-// Members translates the entries.
+// Members converts the entries. It fails if an entry has no id or an unknown
+// lifecycle.
 func (l *List) Members() ([]core.Listed, error) {
 	list := make([]core.Listed, 0, len(l.Instances))
 	for _, e := range l.Instances {
@@ -70,76 +73,82 @@
 
 const (
 	path = "/v1/endpoints"
-	// waitLeast and waitEach make up the wait of a watch's calls: a connection that has fallen silent is noticed
-	// after it, and each end of a wait is work for discovery, the same for any number of gateways.
-	waitLeast = toldAfter - slack - patience // then a call begun anew has all of its patience left
-	waitEach  = 250 * time.Millisecond       // for each gateway of the fleet: four ends of a wait a second in all
-	waitMost  = 60 * time.Second             // that discovery takes
-
-	// What a call that fell silent misses counts as told 6 s after the silence began, for a watch 2 s after its wait
-	// if that is later; after any other failed call a change does 6 s after discovery had it and could be reached (the
-	// standing page). By then the answer of a call begun anew has to be here.
+	// waitLeast and waitEach give the wait that a watch's calls ask for. A connection that has gone silent is noticed
+	// only after the wait, so it is to be short; but each wait that ends is work for discovery, so it grows with the
+	// fleet and that load stays the same for any number of gateways.
+	waitLeast = toldAfter - slack - patience // leaves a retry all of its first-byte timeout
+	waitEach  = 250 * time.Millisecond       // per gateway of the fleet: four waits end per second in all
+	waitMost  = 60 * time.Second             // the longest that discovery accepts
+
+	// toldAfter is the time within which a gateway must know a change that a failed call missed. After a call that
+	// went silent it counts from the beginning of the silence; for a watch it ends no sooner than 2 s after its wait.
+	// After any other failed call it counts from when discovery has the change and can be reached. By then the answer
+	// of a retry must have arrived.
 	toldAfter = 6 * time.Second
-	// patience is how long the first byte of an answer may take that need not wait. Discovery serves one call after
-	// another and fails what has waited for queueMost: who leaves before has it work for nobody and asks once more, which
-	// makes the queue longer. What is unanswered for longer, its own work added, is in no queue.
+	// patience bounds the time to the first byte of an answer to a call that asks for no wait. Discovery serves calls
+	// one after another and fails those that have queued for queueMost. A client that gives up sooner leaves discovery
+	// to work for nobody and then asks again, which lengthens the queue. A call without an answer for longer than
+	// queueMost and its own work is in no queue.
 	patience  = 2400 * time.Millisecond
 	queueMost = 2 * time.Second
-	workEach  = 70 * time.Millisecond  // that a call takes discovery, the most that was measured
-	slack     = 600 * time.Millisecond // for the first byte after the wait asked for
-	pause     = 700 * time.Millisecond // between two pieces of an answer
-	whole     = 2 * time.Second        // for an answer, from its first byte
-	wholeLate = 800 * time.Millisecond // but from when the first byte had to be there no more than this
+	workEach  = 70 * time.Millisecond  // the longest that one call takes discovery
+	slack     = 600 * time.Millisecond // for the first byte, beyond the wait asked for
+	pause     = 700 * time.Millisecond // between two reads within an answer
+	whole     = 2 * time.Second        // for the whole answer, from its first byte
+	wholeLate = 800 * time.Millisecond // for the whole answer, from the time limit of its first byte
 	dialWait  = 500 * time.Millisecond
 
-	// crowded: a call that need not wait and is refused after so long stood in the queue of a service that is up. Any
-	// other refusal comes at once, of one that is down or that lost what it had.
+	// crowded: a call without a wait that is refused after at least this time stood in the queue of a service that is
+	// up. A service that is down, or that lost its queue, refuses sooner.
 	crowded = queueMost / 2
-	// unqueued: a call that is refused so soon has not stood in a queue.
+	// unqueued: a call that is refused within this time has not been in a queue.
 	unqueued = 100 * time.Millisecond
 
-	// cycle is the longest from the beginning of a call that brought nothing to that of the next: the first may have
-	// been lost just before discovery could be reached, and the next one may have to queue.
+	// cycle bounds the time from the start of a failed call to the start of the next: the first may have failed just
+	// before discovery became reachable, and the next may have to queue.
 	cycle = toldAfter - patience - 600*time.Millisecond
 
-	// A call that broke off is begun anew within a part of nearEach for each gateway, of nearMost at most, as a watch's
-	// silence leaves little time; one that was refused within what the fleet's calls take beyond the queue. After
-	// anewTimes in a row the backoff, from the beginning of a call to the next's, doubles from backLeast up to backMost or
-	// that spread, with a jitter of a quarter.
+	// Retries start after a random part of a spread, so that the gateways of a fleet do not retry at the same moment.
+	// For a call that broke off the spread is nearEach per gateway, up to nearMost: a watch that went silent leaves
+	// little time. For a refused call it is the time that the calls of the whole fleet take beyond the longest queue.
+	// After anewTimes retries in a row the interval between the starts of two calls doubles from backLeast up to the
+	// larger of backMost and that spread, with a jitter of a quarter.
 	nearEach  = 5 * time.Millisecond
 	nearMost  = 200 * time.Millisecond
 	anewTimes = 2
 	backLeast = 100 * time.Millisecond
 	backMost  = time.Second
-	// Where lists are pushed, what discovery has at its return counts at once.
+	// backPushed replaces backMost where lists are pushed: a gateway must then know what discovery has as soon as
+	// discovery is back.
 	backPushed = 150 * time.Millisecond
-	// idleLeast is the least span between two calls of a watch of which the first brought nothing. A watch goes on
-	// if its next call comes within 200 ms (the protocol page).
+	// idleLeast is the shortest time between the starts of two calls of a watch if the first brought no change.
+	// Discovery takes a call for the continuation of a watch if it comes within 200 ms.
 	idleLeast = 50 * time.Millisecond
 )
 
-// Broken is a call that discovery may hold for answered, or never heard of: nothing came of the answer, or not all.
+// Broken is the error of a call without a usable answer: nothing of it arrived, or not all, or it is no list. Discovery
+// may count the call as answered, or may never have received it.
 type Broken struct {
 	Addr  string
-	Begun bool // a part of the answer came
+	Begun bool // some of the answer arrived
 	Err   error
 }
 
 // Error implements error.
 func (e *Broken) Error() string {
-	found, do := "silent", "see whether it runs and is reached from here"
+	found, do := "silent", "check that it is running and reachable from this gateway"
 	if e.Begun {
-		found, do = "half an answer, or one that is no list", "see what it writes there"
+		found, do = "an incomplete answer, or one that is not a list of members", "check what it serves there"
 	}
-	return fmt.Sprintf("discovery at %s: %s (%v), wanted a list; if this goes on, %s", e.Addr, found, e.Err, do)
+	return fmt.Sprintf("discovery at %s: %s (%v), wanted a list of members; if this persists, %s", e.Addr, found, e.Err, do)
 }
 
 // Unwrap returns the cause.
 func (e *Broken) Unwrap() error { return e.Err }
 
-// refusal is a call that reached discovery and ended without a byte of a list.
+// refusal is the error of a call that reached discovery and ended without any part of a list.
 type refusal struct {
-	took time.Duration // since it was asked
+	took time.Duration // from the request to the refusal
 	err  error
 }
 
@@ -149,20 +158,21 @@
 // Unwrap returns the cause.
 func (e *refusal) Unwrap() error { return e.err }
 
-// Sink takes what discovery says.
+// Sink receives lists, changes and failures. The client calls it on the goroutine of Run.
 type Sink func(kind decide.EventKind, members []core.Listed)
 
-// Client asks discovery. Watch, Fetch and Move only leave word for Run.
+// Client makes the calls to discovery, on the goroutine of Run. Watch, Fetch and Move return at once; they only signal
+// Run.
 type Client struct {
 	version atomic.Int64
 	pushed  bool
-	wait    time.Duration // of a watch's calls
-	near    time.Duration // within which a call that broke off is begun anew
-	wide    time.Duration // the same for one that was refused
-	most    time.Duration // between the beginnings of two calls, while discovery is down
-	beyond  time.Duration // what the fleet's calls take, all made at once, past the longest queue
+	wait    time.Duration // that a watch's calls ask for
+	near    time.Duration // spread of the retries of calls that broke off
+	wide    time.Duration // spread of the retries of refused calls
+	most    time.Duration // between the starts of two calls, while discovery is down
+	beyond  time.Duration // that the fleet's calls, all made at once, take past the longest queue
 	rng     *rand.Rand
-	pace    decide.CallPace // after a crowd, where lists are pushed
+	pace    decide.CallPace // of watches after a refusal by a full queue, where lists are pushed
 	sink    Sink
 	log     *slog.Logger
 	dial    func(ctx context.Context, addr string) (net.Conn, error)
@@ -172,26 +182,27 @@
 
 	mu      sync.Mutex
 	next    string // the address for the next call
-	abandon func() // ends the call that is on
+	abandon func() // cancels the current call
 
-	addr  string // of the call that is on
-	moved bool   // to addr, or it began its versions anew; and its whole list has not come yet
-	idle  bool   // the last answer brought nothing
+	// Owned by the goroutine of Run.
+	addr  string // of the current call
+	moved bool   // the whole list is needed, as the address changed or the service restarted its versions
+	idle  bool   // the last answer brought no change
 	conn  *conn  // kept for the next call
 
 	failed, broke, back often.Line
 }
 
-// Config is what a Client starts from.
+// Config is the configuration of a Client.
 type Config struct {
-	Addr     string
-	Version  int64  // of the list that it holds
-	Gateways int    // that ask there, this one among them
-	Seed     uint64 // another for each of them: it spreads what all would do at once
-	Pushed   bool   // what discovery has counts as told, asked or not: Run watches by itself, all the time
+	Addr     string // of the discovery service, host:port
+	Version  int64  // of the list that the gateway holds
+	Gateways int    // that use this service, this one included
+	Seed     uint64 // of the random delays; differs per gateway, so that they do not all act at once
+	Pushed   bool   // the gateway must know each change as soon as discovery has it: Run always watches, unasked
 }
 
-// New returns a client that has not begun.
+// New returns a client that makes its first call once Run runs. It opens connections with dial.
 func New(conf Config, sink Sink, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) *Client {
 	fleet := time.Duration(conf.Gateways)
 	c := &Client{next: conf.Addr, addr: conf.Addr, pushed: conf.Pushed,
@@ -208,16 +219,16 @@
 	return c
 }
 
-// Version is that of the list as last told. It may be called from the sink and from any goroutine.
+// Version returns the version of the list as last received. Any goroutine may call it, and the sink too.
 func (c *Client) Version() int64 { return c.version.Load() }
 
-// Watch asks for changes from now on. While a watch is on it does nothing.
+// Watch starts a watch for changes. It has no effect while a watch is running.
 func (c *Client) Watch() { leave(c.watch) }
 
-// Fetch asks for the whole list once. A watch that is on brings all changes by itself.
+// Fetch requests the whole list once. It has no effect while a watch is running, which brings all changes.
 func (c *Client) Fetch() { leave(c.fetch) }
 
-// Move leaves the old address at once and asks at addr from now on: first for
+// Move cancels the current call and makes all further calls to addr: first for
 // the whole list, as the versions of two services need not agree, then for changes.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
@@ -232,6 +243,7 @@
 	}
 }
 
+// leave sends a signal on a channel of capacity 1, unless one is pending.
 func leave(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -239,6 +251,7 @@
 	}
 }
 
+// taken clears a pending signal.
 func taken(ch chan struct{}) {
 	select {
 	case <-ch:
@@ -274,23 +287,24 @@
 	}
 }
 
-// follow watches until a crowd is before it or the address changes. The first call does not wait, so that what was missed
-// is told at once; each next one follows the last answer directly, which keeps the watch unbroken.
+// follow watches for changes until a call is refused by a full queue or the address changes. The first call asks for no
+// wait, so that missed changes arrive at once; each further call directly follows the last answer, so that discovery
+// sees one unbroken watch.
 func (c *Client) follow(ctx context.Context) {
 	for wait := time.Duration(0); ctx.Err() == nil; wait = c.wait {
 		began := time.Now()
 		if !c.call(ctx, false, wait) {
 			return
 		}
-		taken(c.watch) // asked for while on: it is on
+		taken(c.watch) // requests for what is running
 		taken(c.fetch)
-		if left := idleLeast - time.Since(began); wait > 0 && c.idle && left > 0 { // it does not wait: it would be asked without end
+		if left := idleLeast - time.Since(began); wait > 0 && c.idle && left > 0 { // discovery does not wait: it would be called in a tight loop
 			c.rest(ctx, left)
 		}
 	}
 }
 
-// rest waits, and tells whether it was for the whole time.
+// rest sleeps for d and reports whether it did so to the end; it returns early when ctx ends.
 func (c *Client) rest(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -300,17 +314,17 @@
 	}
 }
 
-// part is a part of d by chance.
+// part returns a random duration from 0 to d.
 func (c *Client) part(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Float64() * float64(d))
 }
 
-// begin returns a context for one call, which Move ends.
+// begin prepares a call to the current address and returns a context for it, which Move cancels.
 func (c *Client) begin(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken(c.move) // this call goes there
+	taken(c.move) // this call goes to the new address
 	if c.next != c.addr {
 		c.hangUp()
 		c.addr, c.moved = c.next, true
@@ -319,9 +333,10 @@
 	return ctx, cancel
 }
 
-// call makes one call, for the whole list or for changes, and passes on its list, or that a crowd was before it:
-// then discovery has too much to do, and who asks again at once makes it more. Any other call that fails is begun anew
-// until one is answered: nobody works for it any longer, while what it would have brought counts as told.
+// call requests the whole list or changes, and passes the answer to the sink. It retries a failed call until one is
+// answered, as discovery no longer works on the failed one while the gateway must know what it would have brought. The
+// exception is a call that a full queue refused: discovery is then overloaded and retries at once would make it worse,
+// so call reports the failure to the sink. It reports whether there was an answer.
 func (c *Client) call(ctx context.Context, full bool, wait time.Duration) bool {
 	ctx, done := c.begin(ctx)
 	defer done()
@@ -337,8 +352,8 @@
 		var members []core.Listed
 		if err == nil {
 			if members, err = list.Members(); err == nil && target == path && !list.Reset {
-				if list.Reset = len(members) > 0; !list.Reset { // not so marked, an empty one is no answer to this call
-					err = errors.New("a change, wanted the whole list")
+				if list.Reset = len(members) > 0; !list.Reset { // an empty list without the mark is no whole list
+					err = errors.New("got a change, wanted the whole list")
 				}
 			}
 			if err != nil {
@@ -347,12 +362,12 @@
 		}
 		took := time.Since(began)
 		switch {
-		case ctx.Err() != nil: // moved, or over: what the old address says counts no more
+		case ctx.Err() != nil: // the address changed, or Run ends: the answer no longer counts
 			c.hangUp()
 			return false
 		case err == nil && target != path && !list.Reset && list.Generation < c.version.Load():
-			// It began its versions anew: what it changed up to the one that is held here would never be told.
-			c.back.Warn(c.log, "discovery's versions went back, the whole list is asked for", "call", target, "version", list.Generation)
+			// The service restarted its versions: it would never report changes up to the version that is held here.
+			c.back.Warn(c.log, "discovery restarted its versions, fetching the whole list", "call", target, "version", list.Generation)
 			c.moved = true
 			if !c.rest(ctx, idleLeast) {
 				return false
@@ -369,7 +384,7 @@
 		var refused *refusal
 		if errors.As(err, &refused) && wait == 0 && refused.took >= crowded {
 			c.failed.Warn(c.log, "discovery failed", "call", target, "took", took, "err", err)
-			taken(c.watch) // left while the call was on: it is answered by this
+			taken(c.watch) // requests made during the call; this failure answers them
 			taken(c.fetch)
 			c.sink(decide.ListError, nil)
 			return false
@@ -378,15 +393,15 @@
 			c.sink(decide.ListUnreachable, nil)
 		}
 		c.broke.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
-		wait = 0 // what was missed is told at once
+		wait = 0 // missed changes are to arrive at once
 		if !c.rest(ctx, c.pause(err, again, took)) {
 			return false
 		}
 	}
 }
 
-// unreachable tells that a call failed because discovery is down or its machine says that it can't be reached: not that
-// it fell silent, which says nothing, nor that the call queued there.
+// unreachable reports whether a call failed because discovery is down or its host refuses connections. Silence proves
+// neither, and a call that was refused after queueing reached a service that is up.
 func unreachable(err error, wait time.Duration) bool {
 	var broken *Broken
 	if errors.As(err, &broken) {
@@ -396,11 +411,11 @@
 	return !errors.As(err, &refused) || wait == 0 && refused.took < unqueued
 }
 
-// pause is how long to wait after a call that failed with err and took so long, and so many before it.
+// pause returns the delay before the retry of a call that failed with err after took; again counts the retries before.
 func (c *Client) pause(err error, again int, took time.Duration) time.Duration {
 	spread := c.wide
 	var broken *Broken
-	if errors.As(err, &broken) || c.moved { // what a new address has counts 4 s after it was given (the standing page)
+	if errors.As(err, &broken) || c.moved { // the list of a new address must be known 4 s after the change of address
 		spread = c.near
 	}
 	if again < anewTimes {
@@ -410,7 +425,7 @@
 	return max(span-c.part(span/4)-took, c.part(c.near))
 }
 
-// pass takes over an answer's list.
+// pass records an answer and passes its list to the sink.
 func (c *Client) pass(list *List, members []core.Listed) {
 	c.moved, c.idle = false, len(members) == 0 && !list.Reset
 	c.version.Store(list.Generation)
@@ -424,7 +439,7 @@
 	c.sink(kind, members)
 }
 
-// get makes one call on the connection kept, or on a new one.
+// get makes one call on the kept connection, or on a new one.
 func (c *Client) get(ctx context.Context, target string, wait time.Duration) (*List, error) {
 	kept := c.conn != nil
 	if !kept {
@@ -439,7 +454,7 @@
 		}
 		c.conn = newConn(nc)
 	}
-	conn := c.conn // the field may be cleared while the function runs
+	conn := c.conn // the field may be cleared before the function below runs
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	asked := time.Now()
@@ -447,7 +462,7 @@
 	switch {
 	case err != nil && (conn.begun || timedOut(err)):
 		return nil, &Broken{c.addr, conn.begun, err}
-	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < idleLeast: // it was closed before the call, which nobody has read
+	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < idleLeast: // the kept connection had been closed: discovery has not read the call
 		c.hangUp()
 		return c.get(ctx, target, wait)
 	case err != nil:
@@ -459,7 +474,7 @@
 	if err := json.Unmarshal(resp.body, list); err != nil {
 		return nil, &Broken{c.addr, true, fmt.Errorf("list: %w", err)}
 	}
-	if !resp.keep || conn.r.Buffered() > 0 { // what nobody asked for would be taken for the next answer
+	if !resp.keep || conn.r.Buffered() > 0 { // surplus bytes would be taken for the next answer
 		c.hangUp()
 	}
 	return list, nil
@@ -470,6 +485,7 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
+// hangUp closes the kept connection, if there is one.
 func (c *Client) hangUp() {
 	if c.conn != nil {
 		_ = c.conn.Close()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -55,9 +55,10 @@
 	})
 }
 
-// TestFollow: a watch begins with a call that does not wait, goes on at once after each answer from the version told
-// last, and is begun anew by a call that does not wait when it is refused. It ends with the first call that a crowd was
-// before, which is told; it begins anew only when asked for, and word that was left meanwhile is answered by the failure.
+// TestFollow: a watch starts with a call that asks for no wait, continues at once after each answer from the version last
+// received, and restarts with a call without a wait when it is refused. It ends with the first call that a full queue
+// refuses, which it reports; it starts again only on request, and requests made during the failed call are answered by
+// that failure.
 func TestFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &serve{begin: time.Now()}
@@ -108,10 +109,10 @@
 	})
 }
 
-// serve is discovery for tests of how calls end. Each call, numbered from 0, is answered as answer says.
+// serve is a fake discovery service. It answers each call, numbered from 0, by the function answer.
 type serve struct {
 	mu     sync.Mutex
-	calls  []string // what was asked, and when
+	calls  []string // the queries, each after its time in seconds since begin
 	begin  time.Time
 	answer func(n int, call string, conn net.Conn)
 }
@@ -144,14 +145,14 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// TestBroken: a call that broke is begun anew at once on another connection, so that its answer is there before
-// what it missed counts as told: 6 s after the silence began, for a watch 2 s after its wait. So is one that was refused,
-// but after a queue's time: that is left to the module's pace.
+// TestBroken: a call that broke off is retried at once on another connection, so that its answer arrives before the gateway
+// must know what the call missed: 6 s after the silence began, for a watch 2 s after its wait. A refused call is retried
+// too, unless it was refused after the time of a full queue: the module paces the next call then.
 func TestBroken(t *testing.T) {
 	const refusal503 = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 	const list = `{"generation":8,"reset":true,"instances":[]}`
 	for name, tc := range map[string]struct {
-		broken, from int // calls that do not go well, the first of them
+		broken, from int // number of calls that fail, and the first of them
 		how          func(net.Conn)
 		calls        string
 		failed       bool
@@ -216,8 +217,8 @@
 	}
 }
 
-// TestMove: at a new address the old one's call ends at once and untold, its connection closes, and the
-// whole list is asked for before the changes; a watch that is on goes on there.
+// TestMove: a change of the address cancels the current call without a report and closes its connection. At the new
+// address the whole list is fetched before changes, and a running watch continues.
 func TestMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -271,7 +272,7 @@
 	})
 }
 
-// TestLargeListIsTaken guards against lists of 3,200 members that are refused for their length, indented as they may come.
+// TestLargeListIsTaken guards against refusing an indented list of 3,200 members for its length.
 func TestLargeListIsTaken(t *testing.T) {
 	list := List{Generation: 7, Reset: true}
 	for i := range 3200 {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -19,31 +19,31 @@
 	"reachwind/internal/core"
 )
 
-// fleet is so many gateways, clients and modules, that begin at one moment before a discovery that takes 70 ms for a
-// call and fails what has waited 2 s. It works for one call after another, also for those that it fails in the
-// end, or whose callers have left.
+// fleet is a simulation of n gateways, each a client and a decision module, that start at the same moment against one
+// discovery service. The service works 70 ms on a call and fails a call that has queued for 2 s. It handles calls one
+// after another, including those that it fails in the end or whose callers have gone.
 type fleet struct {
 	n      int
-	span   time.Duration
-	lost   func(now time.Duration, draw float64) bool // nil: none; calls that are not answered
-	refuse bool                                       // those are refused instead, with as much work
+	span   time.Duration                              // of the simulation
+	lost   func(now time.Duration, draw float64) bool // which calls get no answer; nil: none
+	refuse bool                                       // refuse those calls instead, after as much work
 
-	// Discovery is down from cut to back, in the way of how, in which watches that were on then end as well. What is told
-	// is counted from back on.
+	// Discovery is down from cut to back, failing as how says; watches that run at cut end in the same way. Deliveries
+	// are counted from back on.
 	cut, back time.Duration
 	how       string        // see end
-	pushed    bool          // and not asked for
-	size      int           // the number of gateways that the settings tell, if not n
+	pushed    bool          // lists are pushed
+	size      int           // the number of gateways in the settings, if larger than n
 	seed      uint64        // of the gateways
-	each      time.Duration // work for a call, if not 70 ms
-	work      time.Duration // the same after back
-	asked     int           // gateways whose call came to it soon enough after back to be told in time
-	late      int           // told, but too late
-	up        bool          // it is back
-	watch     time.Duration // the end of a watch's wait that was on at cut
+	each      time.Duration // work per call, if not 70 ms
+	work      time.Duration // the same from back on
+	asked     int           // gateways whose call arrived soon enough after back for an answer in time
+	late      int           // gateways that learnt the list too late
+	up        bool          // discovery is back
+	watch     time.Duration // the end of the wait of a watch that ran at cut
 
-	calls, failed, told int
-	last, busy, queue   time.Duration
+	calls, failed, told int           // calls that arrived, those that failed, gateways that learnt the list
+	last, busy, queue   time.Duration // last delivery, end of the work at hand, longest queue
 }
 
 func (f *fleet) play(t *testing.T) {
@@ -68,7 +68,7 @@
 						mu.Unlock()
 						d, ends = max(left, 0), true
 					}
-					time.Sleep(d) // nothing changes
+					time.Sleep(d) // there are no changes
 				}
 				if ends {
 					f.end(conn, watch)
@@ -76,7 +76,7 @@
 				}
 				mu.Lock()
 				now := time.Since(begin)
-				if f.back > 0 && now >= f.back && !f.up { // what was queued when it went down is gone
+				if f.back > 0 && now >= f.back && !f.up { // calls queued at cut are gone
 					f.up, f.busy = true, 0
 				}
 				if f.back > 0 && now >= f.back && now <= f.back+toldAfter-patience && !seen {
@@ -159,16 +159,16 @@
 		}
 		time.Sleep(f.span)
 		cancel()
-		time.Sleep(waitMost + 10*time.Second) // discovery's last answers
+		time.Sleep(waitMost + 10*time.Second) // for the last answers of discovery
 	})
 	if f.n > 1 || f.size == 0 {
 		t.Logf("%d told, the last after %v, by %d calls that came to it, of which %d failed; queue of %v at most", f.told, f.last, f.calls, f.failed, f.queue)
 	}
 }
 
-// TestFleetAsks restarts all gateways of a fleet at one moment. Were they to ask at once, to give up before their
-// turn or to ask again soon, discovery's time would go to calls that fail, for good. Counted over the fleet: all are
-// told soon, by few calls.
+// TestFleetAsks starts all gateways of a fleet at the same moment. If they called at once, gave up before their turn or
+// retried soon, discovery would spend its time on calls that fail, without end. All must learn the list soon, with few
+// calls in all.
 func TestFleetAsks(t *testing.T) {
 	for _, n := range []int{1, 5, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestFleetSilence: what is begun anew at once, as it fell silent, must not keep discovery much busier than the
-// same calls do that are refused, which come again at the module's pace; also not where all fall silent.
+// TestFleetSilence: calls that went silent are retried at once. They must not load discovery much more than refused calls
+// do, which are retried at the module's pace, even if all calls go silent.
 func TestFleetSilence(t *testing.T) {
 	for name, lost := range map[string]func(now time.Duration, draw float64) bool{
 		"one in ten":  func(_ time.Duration, draw float64) bool { return draw < 0.1 },
@@ -203,7 +203,8 @@
 	}
 }
 
-// due is when what discovery has at back counts as told. A watch that fell silent may be noticed later, by its wait.
+// due returns when a gateway must know what discovery has at back. It is later for a watch that went silent, which is
+// noticed only after its wait.
 func (f *fleet) due() time.Duration {
 	due := f.back + toldAfter
 	if f.how == "no dial" || f.how == "silent" {
@@ -212,11 +213,11 @@
 	return due
 }
 
-// end is what becomes of a call while discovery is down.
+// end ends a call while discovery is down, in the way that f.how names.
 func (f *fleet) end(conn net.Conn, watch bool) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"
 	switch f.how {
-	case "no dial", "silent": // a call that was on hears no more
+	case "no dial", "silent": // a running call gets nothing more
 	case "refused", "reset":
 		conn.Close()
 	case "crowd":
@@ -248,9 +249,9 @@
 	}
 }
 
-// TestToldAfterReturn: in whatever way calls failed, however long, and whatever the size of the fleet, a gateway is told
-// 6 s after discovery is back, be its call the last that the queue lets pass. Of 300 whose lists are pushed, and who have
-// seen a call take 70 ms, the calls alone fill the queue for 21 s.
+// TestToldAfterReturn: however calls failed, for however long and whatever the size of the fleet, a gateway knows the list
+// within 6 s of discovery's return, even if its call is the last that the queue admits. The combination of 300 gateways,
+// pushed lists and a full queue is left out: at 70 ms a call the calls alone fill the queue for 21 s.
 func TestToldAfterReturn(t *testing.T) {
 	for _, how := range []string{"no dial", "refused", "503", "reset", "silent", "silent midway", "reset midway", "no length", "no list", "trickle", "huge", "crowd"} {
 		t.Run(how, func(t *testing.T) {
@@ -263,7 +264,7 @@
 						}
 						f := &fleet{n: 1, size: size, seed: seed, pushed: pushed, how: how, work: 2 * time.Second, cut: 12 * time.Second}
 						after := 8 * time.Second
-						if how == "no dial" || how == "silent" { // a watch's silence is noticed late
+						if how == "no dial" || how == "silent" { // a silent watch is noticed only after its wait
 							after += waitMost
 							if size > 5 {
 								f.work = time.Second
@@ -282,8 +283,9 @@
 	}
 }
 
-// TestFleetReturn: discovery is down for a whole fleet, and every watch ended at one moment; or only the watches ended.
-// All of a fleet that it can serve in time are told in time, and of a larger one calls that fail do not keep it busy for good.
+// TestFleetReturn: discovery goes down for a whole fleet and every watch ends at the same moment; or only the watches end.
+// A fleet that discovery can serve in time learns the list in time; for a larger one, failing calls must not keep
+// discovery busy without end.
 func TestFleetReturn(t *testing.T) {
 	play := func(t *testing.T, n int, how string, down time.Duration, pushed bool) {
 		t.Run(fmt.Sprintf("%s for %v, %d, pushed %v", how, down, n, pushed), func(t *testing.T) {
@@ -294,7 +296,7 @@
 				t.Error("not told in time")
 			}
 			if f.calls > n*(4+int(f.span/max(waitLeast, time.Duration(n)*waitEach)))+4 || f.queue > time.Duration(n)*70*time.Millisecond {
-				t.Error("a herd")
+				t.Error("a thundering herd")
 			}
 		})
 	}
@@ -314,11 +316,12 @@
 	}
 }
 
-// TestFleetAfterCrowd guards against a fleet that discovery can serve in time, but that asks too late, or too often, once a crowd has gone.
+// TestFleetAfterCrowd guards against a fleet that discovery could serve in time, but whose gateways call too late or too
+// often once a full queue has cleared.
 func TestFleetAfterCrowd(t *testing.T) {
 	for _, tc := range []struct {
 		n    int
-		work time.Duration // of all
+		work time.Duration // for one call of each gateway
 	}{{30, 2 * time.Second}, {60, 4500 * time.Millisecond}, {300, time.Second}, {300, 4500 * time.Millisecond}, {900, 4500 * time.Millisecond}} {
 		n, work := tc.n, tc.work
 		for _, down := range []time.Duration{3 * time.Second, 8 * time.Second, 20 * time.Second} {
@@ -335,7 +338,8 @@
 	}
 }
 
-// TestFleetRestart guards against first calls that come so late that changes count as told, or so soon that they are refused.
+// TestFleetRestart guards against first calls that come too late for the gateway to know changes in time, or so soon that
+// a full queue refuses them.
 func TestFleetRestart(t *testing.T) {
 	for _, n := range []int{1, 5, 30, 60, 300, 900} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	maxLine    = 8 << 10
-	maxHeaders = 64
-	maxInterim = 4
-	maxBody    = decide.MembersMost * 640 // an indented entry takes up to some 530 bytes
+	maxLine    = 8 << 10                  // bytes of a status, header or chunk size line
+	maxHeaders = 64                       // header fields of an answer
+	maxInterim = 4                        // answers read for one request, interim ones (1xx) included
+	maxBody    = decide.MembersMost * 640 // bytes; an indented entry takes up to some 530
 )
 
 var errHTTP = errors.New("malformed HTTP answer")
@@ -25,11 +25,11 @@
 // response is an HTTP/1.1 answer.
 type response struct {
 	status int
-	keep   bool // the connection may be used again
+	keep   bool // the connection may be reused
 	body   []byte
 }
 
-// appendGet appends a request.
+// appendGet appends a GET request to b.
 func appendGet(b []byte, host, target string) []byte {
 	return fmt.Appendf(b, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", target, host)
 }
@@ -38,9 +38,9 @@
 type conn struct {
 	net.Conn
 	r     *bufio.Reader
-	begun bool      // of the answer that is read, some has come
-	last  time.Time // by which it has to be whole
-	end   time.Time // the same, or sooner, once it has begun
+	begun bool      // some of the current answer arrived
+	last  time.Time // when the current answer must be complete at the latest
+	end   time.Time // when an answer that has begun must be complete; not after last
 }
 
 func newConn(nc net.Conn) *conn {
@@ -49,7 +49,7 @@
 	return c
 }
 
-// Read keeps to the pace of an answer once it has begun.
+// Read enforces the time limits of an answer that has begun: on the whole of it, and on the gap between two reads.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -69,7 +69,7 @@
 	return b
 }
 
-// ask makes a request and reads its answer, of which the first byte may take so long.
+// ask sends a request and reads its answer, whose first byte must arrive within first.
 func (c *conn) ask(request []byte, first time.Duration) (*response, error) {
 	end := time.Now().Add(first)
 	c.last = end.Add(wholeLate)
@@ -84,8 +84,7 @@
 	return readResponse(c.r, wait)
 }
 
-// readResponse reads one answer, its body whole, and passes over interim ones before it, after each of which it
-// calls interim.
+// readResponse reads one answer with its whole body. It skips interim answers before it, and calls interim after each.
 func readResponse(r *bufio.Reader, interim func()) (*response, error) {
 	for range maxInterim {
 		if resp, err := readOne(r); err != nil || resp.status >= 200 {
@@ -93,9 +92,10 @@
 		}
 		interim()
 	}
-	return nil, fmt.Errorf("%w: interim answers only", errHTTP)
+	return nil, fmt.Errorf("%w: too many interim answers, want a final one", errHTTP)
 }
 
+// readOne reads one answer, interim or final.
 func readOne(r *bufio.Reader) (*response, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -151,7 +151,7 @@
 	return resp, nil
 }
 
-// readLine reads a line of bounded length, without its end.
+// readLine reads a line of at most maxLine bytes and returns it without its line ending.
 func readLine(r *bufio.Reader) (string, error) {
 	var line []byte
 	for {
@@ -169,6 +169,7 @@
 	}
 }
 
+// readChunks reads a body in chunked transfer coding, trailers included.
 func readChunks(r *bufio.Reader) ([]byte, error) {
 	var body []byte
 	for {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -19,9 +19,9 @@
 	"reachwind/internal/core"
 )
 
-// TestToldInTime plays random faults against the rule: whatever a call misses that fell silent, all that was
-// published until the next call came, is known to the client when it counts as told. Two faults in a row are held
-// to it too, but for a watch, of which 1.4 s are left when its silence is noticed.
+// TestToldInTime injects random faults: after a call went silent, the client must know all that was published before the
+// next call arrived by the time at which it must know what the silent call missed. Two faults in a row are checked too,
+// except for a watch, which has only 1.4 s left when its silence is noticed.
 func TestToldInTime(t *testing.T) {
 	checks, skipped := 0, 0
 	for seed := range uint64(150) {
@@ -88,7 +88,7 @@
 					fault(n, wait, came)
 					return
 				}
-				end := came.Add(span(700 * time.Millisecond)) // its turn
+				end := came.Add(span(700 * time.Millisecond)) // the end of its time in the queue
 				stuck := came.Add(span(wait))
 				for late := came.Add(wait); ; time.Sleep(20 * time.Millisecond) {
 					if mu.Lock(); time.Now().After(end) && (published > have || !time.Now().Before(late)) {
@@ -124,7 +124,7 @@
 					row++
 				}
 				mu.Unlock()
-				if hang { // it never comes up
+				if hang { // the connection is never established
 					<-ctx.Done()
 					return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 				}
@@ -162,7 +162,7 @@
 				}
 			}
 			cancel()
-			time.Sleep(waitMost + 10*time.Second) // discovery's last answers
+			time.Sleep(waitMost + 10*time.Second) // for the last answers of discovery
 		})
 	}
 	t.Logf("%d silences checked, %d left out", checks, skipped)
@@ -178,7 +178,7 @@
 	return b
 }
 
-// TestPushed: where lists are pushed, the client watches by itself from its start on, and again after a failure.
+// TestPushed: where lists are pushed, the client watches unasked from its start on, and again after a failure.
 func TestPushed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &serve{begin: time.Now()}
--- a/internal/pgmember/conn.go
+++ b/internal/pgmember/conn.go
@@ -20,7 +20,7 @@
 	"reachwind/internal/wake"
 )
 
-// Dialer opens a connection.
+// Dialer opens a connection to addr, host:port. It gives up when ctx ends.
 type Dialer func(ctx context.Context, addr string) (net.Conn, error)
 
 // Dial is the Dialer for TCP.
@@ -29,15 +29,15 @@
 }
 
 const (
-	readSize    = 4 << 10
-	chunkSize   = 32 << 10
+	readSize    = 4 << 10                // bytes of a connection's read buffer
+	chunkSize   = 32 << 10               // bytes of a streamed answer that are read at a time
 	answerParts = 64                     // messages in one answer
-	stallWait   = 100 * time.Millisecond // a member that pauses for so long within an answer won't end it
-	passWait    = 5 * time.Second        // the same for one that passes through, which cannot be tried elsewhere
+	stallWait   = 100 * time.Millisecond // a member that pauses for this long within an answer is taken to be stuck
+	passWait    = 5 * time.Second        // the same for a streamed answer, which cannot be retried elsewhere
 )
 
-// order is a message to a connection: run job, stop it, look for a stall in
-// its answer, or with no job close.
+// order is a message to a connection's goroutine: run job, stop it, check its
+// answer for a stall, or, without a job, close the connection.
 type order struct {
 	job   *job
 	stop  bool
@@ -45,22 +45,23 @@
 	why   decide.Result
 }
 
-// conn is one connection. Its goroutine runs serve; the pool's fields are m and since.
+// conn is one connection to a member. Its goroutine runs serve; m, since and
+// roomFor belong to the owner goroutine.
 type conn struct {
 	*wake.Conn[order]
 	p     *Pool
 	m     *member
 	addr  string
 	since core.Time // idle since
-	used  bool      // some answer came on it
+	used  bool      // it has served an answer
 
-	roomFor *member // the pool's: told to end so that a connection to this member may be made; nil: not for one
+	roomFor *member // evicted to make room for a connection to this member; nil: not evicted, or for no member
 
-	// What bounds the write of a statement. The owner may change it while the write is on.
+	// Time limits of writing a statement. The owner may change them during the write.
 	mu      sync.Mutex
-	sendBy  core.Time // nothing is written after, 0 = no bound
+	sendBy  core.Time // nothing is written after it, 0 = no limit
 	writing *job      // whose statement is being written
-	writeBy core.Time // the write's own bound
+	writeBy core.Time // limit of that write
 }
 
 var (
@@ -82,7 +83,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.p.conf.Load().Connect)
 		result, err := c.connect(ctx)
-		if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) { // may be chance: if the member is down, the next is refused
+		if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) { // perhaps a passing fault: if the member is down, the next dial is refused
 			if c.Conn != nil {
 				c.End()
 			}
@@ -108,16 +109,16 @@
 // close asks the goroutine to end.
 func (c *conn) close() { c.Leave(order{}) }
 
-// forsake has the close that follows drop what the member's side has not yet taken in. Else the system would still
-// deliver a statement to a member that is cut off or hangs, seconds after its attempt was given up and perhaps made anew.
+// forsake makes the close that follows drop the data that the member's host has not yet received. Otherwise the system
+// could still deliver a statement to a member that is cut off or hangs, seconds after its attempt was abandoned and
+// perhaps retried.
 func (c *conn) forsake() {
 	if t, ok := c.Conn.Conn.(interface{ SetLinger(sec int) error }); ok {
 		_ = t.SetLinger(0)
 	}
 }
 
-// limit sets until when a statement may be written on the connection, 0 = always. It holds for one that is being
-// written too.
+// limit sets until when statements may be written on the connection, 0 = no limit. It also applies to a write under way.
 func (c *conn) limit(t core.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +129,7 @@
 	}
 }
 
-// withdraw has no byte of j's statement written from now on, unless it has been written whole.
+// withdraw stops the write of j's statement, unless it has been written whole.
 func (c *conn) withdraw(j *job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +138,9 @@
 	}
 }
 
-// begin tells whether a job may be written, whose decision may be old by now, and bounds its write, which must end by
-// then or never. It is asked right before the write: what ends the job from here on cuts the write short.
+// begin reports whether a job may still be written, as time has passed since its decision, and sets the deadline of the
+// write; a statement that is not written whole by then is not finished. It is called right before the write: whatever
+// ends the job from here on cuts the write short.
 func (c *conn) begin(j *job, until core.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,19 +158,19 @@
 	return true
 }
 
-// written ends what begin began.
+// written marks the end of the write that begin allowed.
 func (c *conn) written() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writing = nil
 }
 
-// connect dials and passes the startup, all within the time for connecting.
+// connect dials the member and completes the startup before ctx ends. It returns 0 and nil on success.
 func (c *conn) connect(ctx context.Context) (decide.Result, error) {
 	nc, err := c.p.dial(ctx, c.addr)
 	switch {
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.EADDRNOTAVAIL):
-		return decide.NotSent, err // for want of something here: no fault of the member's
+		return decide.NotSent, err // a shortage in this process or host, not a fault of the member
 	case err != nil:
 		return decide.Unreachable, err
 	}
@@ -183,7 +185,7 @@
 		return decide.Unreachable, err
 	}
 	if a.code != "" {
-		return outcomeOf(&a), errors.New("turned away: " + a.code)
+		return outcomeOf(&a), errors.New("member refused the startup: SQLSTATE " + a.code)
 	}
 	if c.R.Buffered() > 0 {
 		return decide.Unreachable, errSpoilt
@@ -191,11 +193,11 @@
 	return 0, nc.SetDeadline(time.Time{})
 }
 
-// serve carries out orders until the connection ends, and returns those it did not begin.
+// serve carries out orders until the connection ends, and returns those that it did not begin.
 func (c *conn) serve() []order {
 	var job *job
 	for {
-		// At a message boundary. The read also sees the member close.
+		// At a message boundary. The read below also notices that the member closes the connection.
 		orders := c.Take()
 		for i, o := range orders {
 			switch {
@@ -204,7 +206,7 @@
 					orders = append(orders, order{job: job})
 				}
 				return append(c.End(), orders[i:]...)
-			case o.stall: // of an answer that has ended since
+			case o.stall: // check of an answer that has ended since
 			case !o.stop:
 				job = o.job
 			case o.job == job: // stopped before its first byte
@@ -214,8 +216,8 @@
 		}
 		if job != nil {
 			if !c.Quiet() {
-				// What has come belongs to no request, and would be taken for this one's answer; or the member
-				// has closed. The job begins anew on another connection.
+				// Unread bytes belong to no request and would be taken for this one's answer; or the member has
+				// closed the connection. The job restarts on another one.
 				return append(c.End(), order{job: job})
 			}
 			j := job
@@ -226,12 +228,12 @@
 			continue
 		}
 		if _, err := c.R.Peek(1); !errors.Is(err, wake.ErrWoken) {
-			return c.End() // closed, or a word out of turn, which no member means well
+			return c.End() // closed, or a message out of turn: a fatal error of the member, or noise
 		}
 	}
 }
 
-// done reports a job and that the connection is free.
+// done reports a job's outcome and that the connection is free.
 func (c *conn) done(j *job, o core.Outcome) {
 	c.p.core.Post(func() {
 		c.p.finish(j, o)
@@ -239,7 +241,7 @@
 	})
 }
 
-// run carries out one job and tells whether the connection may be used again.
+// run carries out one job and reports whether the connection may be reused.
 func (c *conn) run(j *job) bool {
 	a := answer{job: j}
 	o := c.exchange(j, &a)
@@ -253,12 +255,12 @@
 	default:
 		a.buf.Release()
 	}
-	if a.ready && !a.drained && c.R.Buffered() == 0 { // else more came than belongs to the answer
+	if a.ready && !a.drained && c.R.Buffered() == 0 { // otherwise there are bytes beyond the answer
 		c.done(j, o)
 		return true
 	}
-	// The connection is closed before the outcome is told: the next attempt of
-	// this request may follow at once, and two must never be out.
+	// The connection is closed before the outcome is reported: the request's
+	// next attempt may follow at once, and two must never be under way.
 	if a.partly || o.Result == decide.TimedOut || o.Result == decide.Cancelled {
 		c.forsake()
 	}
@@ -267,14 +269,14 @@
 	return false
 }
 
-// write writes a job's statement whole. If it could not, it returns false and the outcome: the member never ran it.
+// write writes a job's statement whole. If it could not, it returns false and the outcome: the member has not run it.
 func (c *conn) write(j *job, a *answer) (core.Outcome, bool) {
 	query, until := net.Buffers{pgwire.Append(nil, 'Q', "SHOW health\x00")}, c.p.core.Now()+c.p.conf.Load().Connect
 	if j.attempt != nil {
 		until = j.attempt.Until
 		wait := max((until - c.p.core.Now()).Milliseconds(), 1)
 		switch c := j.attempt.Request.Call.(type) {
-		case *pgwire.Statement: // as it came
+		case *pgwire.Statement: // passed on as received
 			query = c.Query(wait)
 		case *call.Request:
 			query = pgwire.Form(c, wait)
@@ -293,9 +295,9 @@
 	n, err := query.WriteTo(c.Conn.Conn)
 	c.written()
 	switch {
-	case err == nil || n == size: // whole: whatever becomes of it shows in the read
+	case err == nil || n == size: // written whole: the read shows its outcome
 		return core.Outcome{}, true
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.p.core.Now() < until: // withdrawn, or not to be written so late
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.p.core.Now() < until: // withdrawn, or limited to an earlier time
 		a.partly = n > 0
 		return core.Outcome{Result: decide.NotSent}, false
 	}
@@ -329,7 +331,7 @@
 		}
 		return nil
 	})
-	if a.done != nil { // the client's side waits for the end
+	if a.done != nil { // the front waits for the end of the streamed answer
 		defer func() {
 			if o.Result != decide.Served {
 				a.tail = nil
@@ -346,10 +348,10 @@
 		return core.Outcome{Result: decide.Cancelled}
 	case errors.Is(err, pgwire.ErrTooLong), errors.Is(err, pgwire.ErrMalformed), errors.Is(err, errSpoilt), errors.Is(err, errStalled),
 		errors.Is(err, errNoBuffer):
-		// The member has run it, and is there: but for this answer nothing is amiss. Nor is what it tells believed.
-		c.p.spoilt.Warn(c.p.log, "answer spoilt", "member", c.m.id, "err", err)
+		// The member is up and has run the statement; only the answer is invalid, so nothing that it reported is used.
+		c.p.spoilt.Warn(c.p.log, "invalid answer from member", "member", c.m.id, "err", err)
 		return core.Outcome{Result: decide.Errored}
-	case a.done != nil && a.code != "": // whatever the code says, it has run
+	case a.done != nil && a.code != "": // whatever the code says, the statement has run
 		o.Result = decide.Errored
 	case a.code != "" || a.complete:
 		o.Result = outcomeOf(a)
@@ -366,10 +368,10 @@
 	return o
 }
 
-// drain ends an attempt that was given up. What its member has told by then is still read: the answer may be whole,
-// and a role or a position is worth knowing. The read goes on over that and ends there, without waiting for more.
+// drain ends an attempt that was abandoned. Bytes that its member has sent by then are still read: the answer may be
+// complete, and a role or a position is useful. The read continues over these bytes and ends there without waiting.
 func (c *conn) drain(a *answer) error {
-	if a.done != nil { // it is passing through, and its client has gone
+	if a.done != nil { // a streamed answer whose client has gone
 		return errStopped
 	}
 	have, _ := c.R.Peek(c.R.Buffered())
@@ -379,7 +381,7 @@
 	return nil
 }
 
-// waiting reads what has come on a socket and was not read, up to about most bytes, without waiting for more.
+// waiting reads the unread bytes of a socket, up to about most, without waiting for more.
 func waiting(nc net.Conn, most int) (got []byte) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -397,13 +399,14 @@
 	return got
 }
 
-// stopped is the end of what was there when an attempt was given up.
+// stopped marks the end of the bytes that were there when an attempt was abandoned.
 type stopped struct{}
 
 func (stopped) Read([]byte) (int, error) { return 0, errStopped }
 
-// guess stands in for the commit of a write whose answer broke off after CommandComplete and before it was told, where
-// members tell it: the write is answered, and its session's reads must see it. It was committed by now.
+// guess sets a position for a write whose answer broke off after CommandComplete and before the position of its commit,
+// if members report positions: the write is answered as done, and later reads of its session must see it. The present
+// time is safe, as the commit was made before.
 func (c *conn) guess(a *answer) {
 	if a.job.attempt == nil || !a.complete || a.ready || a.stamped || !c.p.stamps.Load() {
 		return
@@ -413,7 +416,7 @@
 	}
 }
 
-// report reads the figures that the settings name.
+// report reads the figures of a load report that the settings name.
 func (c *conn) report(r *decide.Report, text []byte) {
 	pgwire.Pairs(text, func(name string, v float64) {
 		for _, n := range c.p.conf.Load().Names {
@@ -424,7 +427,7 @@
 	})
 }
 
-// outcomeOf maps an answer as the protocol's table does.
+// outcomeOf maps an answer's SQLSTATE to a result, as the protocol defines it.
 func outcomeOf(a *answer) decide.Result {
 	if pgwire.Unusable(a.code) {
 		return decide.Rejected
@@ -440,25 +443,25 @@
 	return decide.Errored
 }
 
-// answer is what came back so far.
+// answer is the state of an answer that is being read.
 type answer struct {
-	buf     *pgwire.Buf // takes RowDescription, DataRow and CommandComplete as they are; nil at the startup
-	job     *job        // that it answers
-	drained bool        // it was given up, and no more is read than had come
-	partly  bool        // its statement was not written whole, but perhaps some of it
-	watched bool        // a stall will be noticed
-	begun   bool        // a byte of it came
+	buf     *pgwire.Buf // holds RowDescription, DataRow and CommandComplete as received; nil during the startup
+	job     *job        // that it answers; nil during the startup
+	drained bool        // abandoned: only bytes that had arrived are read
+	partly  bool        // the statement was not written whole; some of it may have been
+	watched bool        // a check for a stall is due
+	begun   bool        // a byte of it arrived
 	row     []byte      // the value, within buf
 	described,
-	complete bool // RowDescription, CommandComplete came
-	code  string // of an ErrorResponse
-	ready bool   // ReadyForQuery came
+	complete bool // RowDescription, CommandComplete arrived
+	code  string // SQLSTATE of an ErrorResponse
+	ready bool   // ReadyForQuery arrived
 
-	// Of one that passes through.
-	done   func(tail []byte) // tells the client's side of the end; nil: it is held whole
+	// Of a streamed answer.
+	done   func(tail []byte) // tells the front that the answer has ended; nil: the answer is buffered whole
 	tail   []byte            // CommandComplete
-	passed int               // bytes of the value
-	last   time.Time         // when some of it had been passed on
+	passed int               // bytes of the value that were read
+	last   time.Time         // when a part of it was last passed on
 
 	role     decide.Role
 	stamped  bool
@@ -466,14 +469,14 @@
 	report   decide.Report
 }
 
-// read reads messages through ReadyForQuery. What is not exactly one answer
-// ends it: a member that writes noise must not be believed in any part of it.
+// read reads messages up to ReadyForQuery. It fails on anything but exactly one
+// answer: no part of an invalid answer may be trusted.
 func (c *conn) read(a *answer, woken func() error) error {
 	var small [1 << 10]byte
 	for n := range answerParts {
 		if n > 0 {
 			c.watch(a, 5)
-		} else if _, err := c.Peek(1, woken); err != nil { // the member may take its time until here
+		} else if _, err := c.Peek(1, woken); err != nil { // no limit on pauses until the answer begins
 			return err
 		}
 		a.begun = true
@@ -520,9 +523,9 @@
 	return errSpoilt
 }
 
-// room sees that the answer's buffer takes a message of n bytes and what follows it.
+// room makes sure that the answer's buffer has room for a message of n bytes and for those that follow it.
 func (c *conn) room(a *answer, typ byte, n int) error {
-	if typ == 'D' { // a row stays where it is: CommandComplete finds its room
+	if typ == 'D' { // a row must not move later, so room for CommandComplete is needed now
 		n += tagMost
 	}
 	n += len(readyForQuery)
@@ -550,7 +553,7 @@
 
 const readyForQuery = "Z\x00\x00\x00\x05I"
 
-// patience is how long the member may pause within the answer.
+// patience returns how long the member may pause within the answer.
 func (a *answer) patience() time.Duration {
 	if a.done != nil {
 		return passWait
@@ -558,7 +561,7 @@
 	return stallWait
 }
 
-// large tells whether head begins a row that must pass through. One that answers a call of another protocol can't.
+// large reports whether head begins a row that must be streamed. Only answers to PostgreSQL clients can be.
 func (a *answer) large(head []byte) bool {
 	if a.job == nil || a.job.attempt == nil || !a.described || a.row != nil || a.code != "" || !pgwire.Large(head) {
 		return false
@@ -567,9 +570,10 @@
 	return ok
 }
 
-// pass passes a row on as it comes, and what came before it. From its begin on no other attempt can answer.
+// pass streams a row to the client as it arrives, after the messages before it. Once it starts, no other attempt can
+// answer the request.
 func (c *conn) pass(a *answer, woken func() error) error {
-	if a.drained { // given up, and no more of it will come
+	if a.drained { // abandoned: the rest of the row will not arrive
 		return errStopped
 	}
 	c.watch(a, pgwire.RowHead)
@@ -588,7 +592,7 @@
 		if err := woken(); err != nil {
 			return err
 		}
-		if a.drained { // it was stopped
+		if a.drained { // stopped meanwhile
 			return errStopped
 		}
 		return errNotTaken
@@ -599,7 +603,7 @@
 	if _, err := w.Write(a.buf.B); err != nil {
 		return errClient
 	}
-	// Large chunks take a quarter of the work of small ones, and are had while there are buffers enough.
+	// Large chunks take a quarter of the CPU time of small ones; they are used while enough buffers are free.
 	if large := c.p.bufs.Get(chunkSize, c.p.keep); large != nil {
 		a.buf.Release()
 		a.buf = large
@@ -629,7 +633,7 @@
 	return nil
 }
 
-// watch has a member noticed that stalls before the next n bytes of an answer it has begun.
+// watch schedules a check for a stall, unless one is due or the next n bytes of the answer are buffered.
 func (c *conn) watch(a *answer, n int) {
 	if a.job == nil || a.watched || c.R.Buffered() >= n {
 		return
@@ -637,14 +641,14 @@
 	c.look(a, a.patience())
 }
 
-// look has the goroutine look for a stall after so long.
+// look makes the goroutine check for a stall after the given time.
 func (c *conn) look(a *answer, after time.Duration) {
 	a.watched = true
 	j := a.job
 	time.AfterFunc(after, func() { c.Leave(order{job: j, stall: true}) })
 }
 
-// take takes one message of an answer: RowDescription, DataRow and
+// take handles one message of an answer. It accepts RowDescription, DataRow and
 // CommandComplete in this order, or an ErrorResponse; then ReadyForQuery.
 func (c *conn) take(a *answer, typ byte, body []byte) (err error) {
 	over := a.complete || a.code != ""
@@ -674,7 +678,7 @@
 	return err
 }
 
-// status takes a ParameterStatus.
+// status handles a ParameterStatus: the member's role, log position or load report.
 func (c *conn) status(a *answer, body []byte) {
 	switch name, value := pgwire.Status(body); name {
 	case "recovery":
--- a/internal/pgmember/evict_test.go
+++ b/internal/pgmember/evict_test.go
@@ -12,7 +12,7 @@
 	"reachwind/internal/core"
 )
 
-// open counts the gateway's own ends that are open: its descriptors.
+// open counts the gateway's open ends of connections, and their maximum: its descriptors.
 type open struct {
 	mu        sync.Mutex
 	now, most int
@@ -37,8 +37,8 @@
 	return err
 }
 
-// TestEvictWithinLimit: where requests for other members come at once, idle connections that make room are closed before
-// new ones are opened: the pool never holds more descriptors than its share.
+// TestEvictWithinLimit: when several jobs for other members arrive at once, idle connections are closed to make room before
+// new ones are opened, so that the pool never holds more descriptors than its limit.
 func TestEvictWithinLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const most = 4
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -20,13 +20,13 @@
 	"reachwind/internal/pgwire"
 )
 
-// line is the gateway's end of a real connection to a scripted member. While held is set, a read that was woken waits
-// for it to be closed before it returns: what happens meanwhile crosses what woke it.
+// line is the gateway's end of a real connection to a scripted member. While held is set, an interrupted read returns only
+// once held is closed: the test can have events happen between the interruption and the return of the read.
 type line struct {
 	*net.TCPConn
 	mu    sync.Mutex
 	held  chan struct{}
-	woken chan struct{} // a read was woken and waits
+	woken chan struct{} // a read was interrupted and waits
 }
 
 func (l *line) Read(p []byte) (int, error) {
@@ -43,7 +43,7 @@
 	return n, err
 }
 
-// hold has woken reads wait until let is called, once.
+// hold makes interrupted reads wait until let is called, once.
 func (l *line) hold() (let func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// unread waits until n bytes lie unread in c's socket.
+// unread waits until c's socket holds n unread bytes.
 func unread(t *testing.T, c net.Conn, n int) {
 	t.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
@@ -72,6 +72,7 @@
 	})
 }
 
+// until waits until f returns true, for 20 s at most.
 func until(t *testing.T, f func() bool) {
 	t.Helper()
 	for range 20_000 {
@@ -80,22 +81,22 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it never came to pass")
+	t.Fatal("the awaited condition did not come about within 20,000 polls")
 }
 
-// wires is a pool on real sockets with one scripted member, which the test plays itself.
+// wires is a pool on real sockets with one member, whose side the test plays.
 type wires struct {
 	t        *testing.T
 	script   *script
 	core     *core.Core
 	pool     *Pool
 	bufs     *pgwire.Pool
-	lines    chan *line    // the gateway's ends, as they are dialled
+	lines    chan *line    // the gateway's ends, in the order of dialing
 	accepted chan net.Conn // the member's ends
-	n        int
+	n        int           // number of requests so far; the last one's id
 
-	sendBuffer int           // of the gateway's ends
-	before     time.Duration // sends must be written within it, 0 = any time
+	sendBuffer int           // socket send buffer of the gateway's ends, in bytes
+	before     time.Duration // time limit for writing each send, 0 = none
 }
 
 func newWires(t *testing.T) *wires {
@@ -149,7 +150,7 @@
 	return w
 }
 
-// owner runs f on the owner's goroutine and waits for it.
+// owner runs f on the owner goroutine and waits for it.
 func (w *wires) owner(f func()) {
 	done := make(chan struct{})
 	w.core.Post(func() {
@@ -159,7 +160,7 @@
 	<-done
 }
 
-// ask hands over a request of the class and has it sent to the member; value fills its statement.
+// ask passes the core a request of class k and has it sent to the member; value pads its statement.
 func (w *wires) ask(k *decide.Class, value string) (*core.Request, *sink) {
 	buf := w.bufs.Get(200+len(value), 0)
 	w.n++
@@ -174,7 +175,7 @@
 	return q, q.Client.(*sink)
 }
 
-// send has the module send the last request to the member.
+// send makes the fake module send the last request to the member.
 func (w *wires) send() {
 	w.owner(func() {
 		a := decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"}
@@ -183,7 +184,7 @@
 		}
 		w.script.actions = append(w.script.actions, a)
 	})
-	w.core.List(decide.ListError, nil) // an event, so that there is a step
+	w.core.List(decide.ListError, nil) // an event, which causes a step
 }
 
 // outcome waits for the one outcome of the last request.
@@ -200,13 +201,14 @@
 	return e
 }
 
-// welcome plays the member's side of a startup.
+// welcome accepts a connection and plays the member's side of its startup.
 func (w *wires) welcome() (*line, net.Conn) {
 	l, c := <-w.lines, <-w.accepted
 	w.greet(c)
 	return l, c
 }
 
+// greet plays the member's side of the startup on c.
 func (w *wires) greet(c net.Conn) {
 	head := make([]byte, 4)
 	_, _ = io.ReadFull(c, head)
@@ -215,7 +217,7 @@
 	_, _ = c.Write(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
 }
 
-// statement reads one message off a member's connection.
+// statement reads one message from the member's end of a connection and returns its body.
 func statement(t *testing.T, c net.Conn) string {
 	t.Helper()
 	head := make([]byte, 5)
@@ -254,7 +256,7 @@
 	return l, c
 }
 
-// nothing sees that a member's connection brings no statement: the next thing on it is end.
+// nothing checks that no other statement precedes end on a member's connection.
 func nothing(t *testing.T, c net.Conn, end string) {
 	t.Helper()
 	if got := statement(t, c); !strings.Contains(got, end) {
@@ -262,9 +264,9 @@
 	}
 }
 
-// TestNoneBeginsAfterGone: of a request whose client has left or cancelled it no attempt begins, wherever it stands then:
-// in the owner's hands, waiting for a connection, or at the very line before its first byte. That holds for writes too,
-// which the module calls off nowhere.
+// TestNoneBeginsAfterGone: once a request's client has left or cancelled it, no attempt of it begins, whatever its state:
+// with the owner goroutine, waiting for a connection, or right before its first byte is written. That includes writes,
+// which the module never cancels.
 func TestNoneBeginsAfterGone(t *testing.T) {
 	for _, k := range []*decide.Class{readClass, writeClass} {
 		for name, leave := range map[string]func(*core.Core, *core.Request){"gone": (*core.Core).Gone, "cancelled": (*core.Core).Cancel} {
@@ -285,11 +287,11 @@
 				q, s := w.ask(k, "")
 				<-at
 				blocked := make(chan struct{})
-				w.core.Post(func() { <-blocked }) // the owner does not hear of it: the mark alone must do
+				w.core.Post(func() { <-blocked }) // the owner cannot react: the request's mark alone must suffice
 				leave(w.core, q)
 				on <- struct{}{}
 				<-at
-				go func() { // the next one's write
+				go func() { // lets the next request be written
 					<-at
 					on <- struct{}{}
 					<-at
@@ -315,7 +317,7 @@
 				w := newWires(t)
 				q, _ := w.ask(k, "")
 				<-w.lines
-				c := <-w.accepted // up, but not greeted
+				c := <-w.accepted // established, but the startup is not answered
 				leave(w.core, q)
 				if e := w.outcome(); e.Result != decide.NotSent {
 					t.Errorf("outcome %d, want not sent", e.Result)
@@ -333,7 +335,7 @@
 				st, _ := pgwire.Parse(buf)
 				q := &core.Request{Class: k, Until: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
 				w.core.Arrive(q)
-				w.owner(func() { // it leaves while the module decides to send it
+				w.owner(func() { // the client leaves while the module decides to send the request
 					w.script.actions = append(w.script.actions, decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"})
 					w.core.List(decide.ListError, nil)
 					leave(w.core, q)
@@ -348,8 +350,8 @@
 	}
 }
 
-// TestStopCrossesEnd: an attempt that was handed to a connection which ends before it writes it, and is called off before
-// word of that end has come, is not begun anew on another connection.
+// TestStopCrossesEnd: an attempt is given to a connection that ends before it writes it. If the attempt is cancelled before
+// that end is reported, it is not restarted on another connection.
 func TestStopCrossesEnd(t *testing.T) {
 	w := newWires(t)
 	l, c := w.idle()
@@ -360,9 +362,9 @@
 		w.pool.beforeWrite = func(*job) { t.Error("it was begun anew") }
 	})
 	w.ask(readClass, "")
-	<-l.woken        // the connection has been given the job, and has not looked yet
-	w.owner(func() { // who stands here until the connection has ended
-		_, _ = c.Write([]byte{'N'}) // half a line, out of turn
+	<-l.woken        // the connection was given the job, and has not taken it yet
+	w.owner(func() { // keeps the owner busy until the connection has ended
+		_, _ = c.Write([]byte{'N'}) // part of a message, out of turn
 		unread(t, l, 1)
 		let()
 		until(t, func() bool { return !conn.Leave(order{stall: true}) })
@@ -380,8 +382,8 @@
 	})
 }
 
-// TestStopCrossesAnswer: what a member had told when its attempt was given up is still learnt: a whole answer is the
-// answer, a role and a position in part of one are passed on with the outcome.
+// TestStopCrossesAnswer: what a member had sent when its attempt was abandoned is still used: a whole answer is the answer,
+// and a role and a position in a partial one are reported with the outcome.
 func TestStopCrossesAnswer(t *testing.T) {
 	long := pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x9c\x40"+strings.Repeat("v", 40_000)), 'C', "SELECT 1\x00")
 	for name, tc := range map[string]struct {
@@ -407,7 +409,7 @@
 			statement(t, c)
 			if tc.before != "" {
 				_, _ = c.Write([]byte(tc.before))
-				until(t, func() bool { // read
+				until(t, func() bool { // the gateway has read it
 					raw, _ := l.SyscallConn()
 					n := 0
 					_ = raw.Control(func(fd uintptr) {
@@ -426,7 +428,7 @@
 			_, _ = c.Write([]byte(tc.after))
 			if tc.after != "" {
 				unread(t, l, min(len(tc.after), 2000))
-				if len(tc.after) > 2000 { // larger than the member's own buffer, so it may yet be on its way
+				if len(tc.after) > 2000 { // larger than the member's send buffer, so a part may still be in transit
 					unread(t, l, len(tc.after))
 				}
 			}
@@ -438,15 +440,15 @@
 			if roleTold := e.Role == decide.Primary; name != "half of what it told" && (e.Stamped != tc.told || roleTold != tc.told) {
 				t.Errorf("outcome %+v", e)
 			}
-			if _, err := bufio.NewReader(c).ReadByte(); err == nil { // else a part of it might be the next one's answer
+			if _, err := bufio.NewReader(c).ReadByte(); err == nil { // otherwise the rest of it might be taken for the next request's answer
 				t.Error("the connection is kept")
 			}
 		})
 	}
 }
 
-// TestWriteCutShort: a statement of which the member has taken a part is not finished once its request is over, or the
-// time in which its member may still be written to: its last byte would begin an attempt then.
+// TestWriteCutShort: a partly written statement is not finished once its request is over or the member may no longer be
+// written to: its last byte would start an attempt then.
 func TestWriteCutShort(t *testing.T) {
 	for name, tc := range map[string]struct {
 		end    func(w *wires, q *core.Request)
@@ -472,10 +474,10 @@
 			_, c := w.idle()
 			value := strings.Repeat("x", 120_000)
 			if name == "too old" {
-				w.before = 2 * time.Second // of it a moment is needed to begin
+				w.before = 2 * time.Second // long enough for the write to begin
 			}
 			q, _ := w.ask(writeClass, value)
-			unread(t, c, 1) // it is being written, and does not fit
+			unread(t, c, 1) // the write is under way, and does not fit the buffers
 			tc.end(w, q)
 			if name == "member goes" {
 				_ = c.(*net.TCPConn).SetLinger(0)
@@ -493,7 +495,7 @@
 	}
 }
 
-// TestGoneLeavesWritten: a write that is out whole when its client leaves is left to run, and what it tells is learnt.
+// TestGoneLeavesWritten: a write that was sent whole when its client leaves may run to its end, and its answer is used.
 func TestGoneLeavesWritten(t *testing.T) {
 	w := newWires(t)
 	q, s := w.ask(writeClass, "")
@@ -507,8 +509,8 @@
 	}
 }
 
-// TestBrokenAfterCommand: a write whose answer breaks off between CommandComplete and its commit is served; its commit
-// counts as made by now where members tell such, so that its session reads nothing older.
+// TestBrokenAfterCommand: a write whose answer breaks off between CommandComplete and the position of its commit is served.
+// If members report positions, the present time is its position, so that its session reads nothing older.
 func TestBrokenAfterCommand(t *testing.T) {
 	for _, stamps := range []bool{true, false} {
 		w := newWires(t)
@@ -530,8 +532,8 @@
 	}
 }
 
-// TestGivenUpInTransit: a statement that has been written, but not yet taken in by its member, which hangs or is cut off,
-// does not reach it any more once its attempt was told as given up: it would begin then, beside the next one.
+// TestGivenUpInTransit: a statement was written, but its member, which hangs or is cut off, has not received it yet. Once
+// its attempt was reported as abandoned it must not reach the member: it would run beside the next attempt.
 func TestGivenUpInTransit(t *testing.T) {
 	for _, why := range []decide.Result{decide.TimedOut, decide.Cancelled} {
 		w := newWires(t)
@@ -561,21 +563,21 @@
 	}
 }
 
-// TestClosedAsPicked: an idle connection that its member closes as it is given a request is left, and the request is
-// made on another; it was written on none before. One that breaks once it is written is told as reset, of a used
-// connection, and the module has the say.
+// TestClosedAsPicked: if the member closes an idle connection as it is given a request, the request is not written on it,
+// but on another connection. If the connection breaks once the request is written, the outcome is a reset of a reused
+// connection, and the module decides what follows.
 func TestClosedAsPicked(t *testing.T) {
 	w := newWires(t)
 	l, c := w.idle()
 	let := l.hold()
 	_, s := w.ask(writeClass, "")
-	<-l.woken // it has been given the request, and has not looked yet
+	<-l.woken // the connection was given the request, and has not taken it yet
 	_ = c.(*net.TCPConn).CloseWrite()
 	raw, err := l.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool { // the end has come
+	until(t, func() bool { // the close has arrived
 		n, got := 0, error(nil)
 		_ = raw.Control(func(fd uintptr) {
 			n, _, got = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/pgmember/pool.go
+++ b/internal/pgmember/pool.go
@@ -1,7 +1,8 @@
-// Package pgmember is the members' side of the gateway for members that speak
-// PostgreSQL: their connections, attempts and probes. The pool's records
-// belong to the core's owner goroutine; each connection has a goroutine of its
-// own, told by its mailbox and heard through the core's queue.
+// Package pgmember connects the gateway to members that speak the PostgreSQL
+// protocol: it holds their connections and carries out attempts and probes. The
+// pool's state belongs to the core's owner goroutine, which all methods of Pool
+// must run on. Each connection has a goroutine of its own, which gets its orders
+// from a mailbox and reports through the core's queue.
 package pgmember
 
 import (
@@ -16,69 +17,69 @@
 	"reachwind/internal/pgwire"
 )
 
-// Config holds what the pool is told.
+// Config is the configuration of a Pool.
 type Config struct {
-	User, Database string
+	User, Database string        // sent in the startup message to members
 	Max            int           // connections to all members together
-	Idle           time.Duration // members close connections idle for so long
-	Connect        time.Duration // a connection not up by then has failed
+	Idle           time.Duration // members close connections that are idle for this long
+	Connect        time.Duration // time limit for dialing, startup included, and for probes
 	Grace          time.Duration // sends to a draining member must end within it
-	DrainOnly      bool          // a member that leaves the list without draining may still be used
-	Keep           int           // buffers left to others when answers that pass through take the rest
-	Names          []string      // what a load report holds, as the settings name it
+	DrainOnly      bool          // a member that is missing from the list without having drained may still be used
+	Keep           int           // buffers that streamed answers leave to others
+	Names          []string      // the figures of a load report, as the settings name them
 }
 
 const (
-	idlePart    = 0.8 // of Idle after which the pool closes a connection, so that no request crosses the member's close
-	gracePart   = 0.6 // of Grace after which nothing more is written
+	idlePart    = 0.8 // of Idle; the pool closes idle connections by then, so that no request crosses the member's close
+	gracePart   = 0.6 // of Grace; no statement is written after it
 	sweepEvery  = time.Second
-	membersMost = 2 * decide.MembersMost // kept in all, those that left the list and still have connections among them
-	boundMargin = 2 * time.Millisecond   // data ages until the last byte is out
+	membersMost = 2 * decide.MembersMost // kept in all, including members off the list that still have connections
+	boundMargin = 2 * time.Millisecond   // data ages further until the last byte of the statement is written
 )
 
-// Pool keeps the connections to all members.
+// Pool holds the connections to all members.
 type Pool struct {
 	core    *core.Core
 	log     *slog.Logger
-	conf    atomic.Pointer[Config] // connections read it on their own goroutines; its Max and Keep count at the start only
-	most    int                    // connections
+	conf    atomic.Pointer[Config] // read by the connections' goroutines; Max and Keep count only in New
+	most    int                    // connections, see Limit
 	keep    int                    // see Config.Keep
 	bufs    *pgwire.Pool
 	dial    Dialer
-	members map[string]*member
-	open    int // connections, those being made included
+	members map[string]*member // by id
+	open    int                // connections, including those being established
 	jobs    map[*core.Attempt]*job
-	stamps  atomic.Bool // some member has told a log position
+	stamps  atomic.Bool // some member has reported a log position
 
 	spoilt, cut, failing, short, cutList often.Line
 
-	beforeWrite func(*job) // a seam for tests: called where a job is about to be written
+	beforeWrite func(*job) // test hook: called right before a job's statement is written
 }
 
-// member is what the pool knows of one member.
+// member is the pool's state of one member.
 type member struct {
 	id, addr string
-	unwanted core.Time // told so then; 0 = wanted
-	left     bool      // out of the list
+	unwanted core.Time // since when it may get no new work; 0 = it may
+	left     bool      // no longer in the list
 	idle     []*conn   // the most recently used last
 	busy     []*conn
-	waiting  []*job
-	making   int // connections being made
-	room     int // connections to other members that end so that one to this may be made
+	waiting  []*job // for a connection
+	making   int    // connections being established
+	room     int    // connections to other members that are closing to make room for one to this member
 }
 
 // job is an attempt or a probe.
 type job struct {
 	m       *member
 	attempt *core.Attempt // nil for a probe
-	c       *conn         // that carries it, nil while it waits
-	off     atomic.Bool   // stopped: it must not be written any more
+	c       *conn         // that it was given to, nil while it waits
+	off     atomic.Bool   // stopped: no byte of it may be written any more
 }
 
-// over tells that no byte of the job may be written any more. It may be called from any goroutine.
+// over reports whether no byte of the job may be written any more. Any goroutine may call it.
 func (j *job) over() bool { return j.off.Load() || j.attempt != nil && j.attempt.Request.Over() }
 
-// New returns a pool that reports to c.
+// New returns a pool that reports to c and opens connections with dial.
 func New(c *core.Core, conf Config, bufs *pgwire.Pool, dial Dialer, log *slog.Logger) *Pool {
 	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, most: conf.Max, keep: conf.Keep,
 		members: map[string]*member{}, jobs: map[*core.Attempt]*job{}}
@@ -87,25 +88,24 @@
 	return p
 }
 
-// Retune takes another configuration from now on, but for its Max, see Limit, and Keep. It is the owner's to call. Connections
-// and jobs that are open keep the waits that they began with.
+// Retune replaces the configuration, except for Max, see Limit, and Keep. Only the owner goroutine may call it. Connections
+// and jobs that are under way keep the time limits that they started with.
 func (p *Pool) Retune(conf Config) { p.conf.Store(&conf) }
 
 // Sizes are the lengths of the pool's tables.
 type Sizes struct{ Members, Connections, Jobs int }
 
-// Sizes tells how long the tables are. It is the owner's to call.
+// Sizes returns the lengths of the pool's tables. Only the owner goroutine may call it.
 func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.open, len(p.jobs)} }
 
-// Limit has the pool hold so many connections at most from now on; idle ones above that are closed. It is the owner's
-// to call.
+// Limit sets the maximum number of connections and closes idle ones above it. Only the owner goroutine may call it.
 func (p *Pool) Limit(most int) {
 	p.most = most
 	for n := p.open - most; n > 0 && p.evict(nil); n-- {
 	}
 }
 
-// List takes addresses and who is wanted.
+// List applies a list of members, or a change of it: their addresses, and which of them may get new work.
 func (p *Pool) List(kind decide.EventKind, list []core.Listed) {
 	named := map[string]bool{}
 	for _, l := range list {
@@ -142,9 +142,9 @@
 	}
 }
 
-// want notes whether a member may get new work. What still waits for a
-// connection to one that may not is not sent; what a connection has been given
-// but not begun to write must begin within the grace time.
+// want sets whether a member may get new work. If not, jobs that still wait for
+// a connection to it are not sent, and jobs that a connection was given must be
+// written within the grace time.
 func (p *Pool) want(m *member, yes bool) {
 	if yes {
 		m.unwanted = 0
@@ -160,7 +160,7 @@
 	}
 }
 
-// sendBy is until when m may be written to, 0 = always.
+// sendBy returns until when statements may be written to m, 0 = no limit.
 func (p *Pool) sendBy(m *member) core.Time {
 	if m.unwanted == 0 {
 		return 0
@@ -168,7 +168,7 @@
 	return m.unwanted + core.Time(gracePart*float64(p.conf.Load().Grace))
 }
 
-// Send starts an attempt.
+// Send starts an attempt. Exactly one Core.Done follows.
 func (p *Pool) Send(a *core.Attempt) {
 	m := p.members[a.Member]
 	j := &job{m: m, attempt: a}
@@ -180,7 +180,7 @@
 	p.start(j)
 }
 
-// Probe asks a member for its report.
+// Probe asks a member for its load report. Exactly one Core.Probed follows.
 func (p *Pool) Probe(id string) {
 	m := p.members[id]
 	if m == nil {
@@ -192,14 +192,15 @@
 	p.start(j)
 }
 
-// Stop gives up an attempt.
+// Stop abandons an attempt with why as its outcome, see core.Members.
 func (p *Pool) Stop(a *core.Attempt, why decide.Result) {
 	if j := p.jobs[a]; j != nil {
 		p.stop(j, why)
 	}
 }
 
-// stop gives up a job. Where its connection has just ended without writing it, the job comes back and is not begun anew.
+// stop abandons a job. If its connection has just ended without writing it, the job comes back to ended, which does not
+// restart it.
 func (p *Pool) stop(j *job, why decide.Result) {
 	j.off.Store(true)
 	switch {
@@ -213,7 +214,7 @@
 	}
 }
 
-// start gives a job the connection used last, or has it wait for a new one.
+// start gives a job to the most recently used idle connection, or lets it wait for a new one.
 func (p *Pool) start(j *job) {
 	m := j.m
 	if m.unwanted != 0 || j.over() {
@@ -229,16 +230,16 @@
 		if c.Leave(order{job: j}) {
 			return
 		}
-		j.c = nil // it has just ended; what became of it follows in the queue
+		j.c = nil // the connection has just ended; its report follows in the core's queue
 	}
 	m.waiting = append(m.waiting, j)
 	p.make(m)
 }
 
-// make opens connections for the jobs that wait, within the limit of descriptors.
+// make opens connections for the waiting jobs, within the limit of connections.
 func (p *Pool) make(m *member) {
 	for m.making+m.room < len(m.waiting) {
-		if p.open >= p.most { // the descriptor is another's until that one has ended
+		if p.open >= p.most { // a descriptor is free only once an evicted connection has ended
 			if !p.evict(m) {
 				p.short.Warn(p.log, "out of member connections", "open", p.open, "member", m.id)
 				p.finish(m.waiting[len(m.waiting)-1], core.Outcome{Result: decide.NotSent})
@@ -251,8 +252,8 @@
 	}
 }
 
-// evict closes the connection that has been idle longest and tells whether there was one. Once it has ended there is room
-// for one to the given member, if any.
+// evict closes the connection that has been idle longest and reports whether there was one. Once it has ended, a
+// connection to the given member takes its place, if that is not nil.
 func (p *Pool) evict(to *member) bool {
 	var oldest *conn
 	for _, m := range p.members {
@@ -271,8 +272,9 @@
 	return true
 }
 
-// sweep closes idle connections ahead of the members' limit, and forgets
-// members that have left for good: their like come under ever new ids.
+// sweep closes idle connections ahead of the members' limit, and removes
+// members that left the list and have no connections or jobs: new members come
+// under ever new ids, so the table would grow without end.
 func (p *Pool) sweep() {
 	for id, m := range p.members {
 		if m.left && m.unwanted != 0 && len(m.idle)+len(m.busy)+len(m.waiting)+m.making+m.room == 0 {
@@ -284,7 +286,7 @@
 	p.core.After(p.core.Now()+sweepEvery, p.sweep)
 }
 
-// closeIdle closes the idle connections of m that were last used before t, all for 0.
+// closeIdle closes the idle connections of m that were last used before t; all of them if t is 0.
 func (p *Pool) closeIdle(m *member, t core.Time) {
 	m.idle = slices.DeleteFunc(m.idle, func(c *conn) bool {
 		if t != 0 && c.since >= t {
@@ -295,7 +297,7 @@
 	})
 }
 
-// finish reports a job's end to the core.
+// finish reports a job's outcome to the core.
 func (p *Pool) finish(j *job, o core.Outcome) {
 	m := j.m
 	m.waiting = slices.DeleteFunc(m.waiting, func(o *job) bool { return o == j })
@@ -307,9 +309,9 @@
 	p.core.Done(j.attempt, o)
 }
 
-// The rest is posted by connections.
+// Connections post the functions below to the owner goroutine.
 
-// ready takes a connection that is free.
+// ready handles a connection that has become free.
 func (p *Pool) ready(c *conn) {
 	m := c.m
 	m.busy = slices.DeleteFunc(m.busy, func(o *conn) bool { return o == c })
@@ -333,9 +335,9 @@
 	}
 }
 
-// ended takes the end of a connection. What it had been given and did not
-// begin to write starts anew on another one: the connection was old, which says
-// nothing of the member now.
+// ended handles the end of a connection. Jobs that it was given and did not
+// begin to write restart on another one: an old connection that ended says
+// nothing about the present state of the member.
 func (p *Pool) ended(c *conn, left []order) {
 	m := c.m
 	p.open--
@@ -360,8 +362,8 @@
 	p.make(m)
 }
 
-// failed takes a connection that did not come up. The jobs that now have none
-// on the way share its fate.
+// failed handles a connection that could not be established. The waiting jobs
+// that now have no connection on the way end with the same result.
 func (p *Pool) failed(c *conn, result decide.Result, err error) {
 	m := c.m
 	m.making--
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -21,13 +21,13 @@
 	"reachwind/internal/pgwire"
 )
 
-// script stands in for the module: it notes events and lets the test act.
+// script is a fake decision module: it records events, and the test chooses its actions.
 type script struct {
 	outcomes map[uint64][]decide.Event
 	probes   []decide.Event
 	arrived  []uint64
 	actions  []decide.Action
-	again    int // outcomes that are followed by another send in the same step
+	again    int // number of outcomes that it answers by another send in the same step
 }
 
 func (s *script) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// ways in which a fake member meets a query, and what the protocol's table makes of each.
+// ways lists how a fake member may answer a query, each with the result that the protocol defines for it.
 var ways = []struct {
 	name   string
 	result decide.Result
@@ -65,21 +65,21 @@
 
 const description = "\x00\x01doc\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
 
-// rig is a pool with a fake member behind it.
+// rig is a pool with a fake member behind it, on pipes and fake time.
 type rig struct {
 	t      *testing.T
 	script *script
 	core   *core.Core
 	pool   *Pool
 	bufs   *pgwire.Pool
-	mu     sync.Mutex // held by the members' goroutines for what follows
-	way    int        // how the next query is met
+	mu     sync.Mutex // guards the fields below, which the members' goroutines use
+	way    int        // index in ways of the answer to the next query
 	down   bool       // connections are refused
 	delay  time.Duration
 	conns  int
-	out    map[string]int // attempts out on open connections, by request id
-	got    int            // queries that came
-	last   time.Time      // when the last came
+	out    map[string]int // attempts under way on open connections, by request id
+	got    int            // queries received
+	last   time.Time      // when the last one was received
 }
 
 func newRig(t *testing.T, most int) *rig {
@@ -121,7 +121,7 @@
 	return l, nil
 }
 
-// link is the gateway's end of a connection, which knows the attempt out on it.
+// link is the gateway's end of a connection. It records the attempt that is under way on it.
 type link struct {
 	net.Conn
 	r      *rig
@@ -152,7 +152,7 @@
 	r.conns += n
 }
 
-// look reads what the owner and the members' goroutines write.
+// look runs f on the owner goroutine with mu held, so that f may read what the owner and the members' goroutines write.
 func (r *rig) look(f func()) {
 	r.core.Post(func() {
 		r.mu.Lock()
@@ -162,13 +162,13 @@
 	synctest.Wait()
 }
 
-// sleep lets time pass and all that falls due in it be done.
+// sleep lets d pass and waits until all that falls due in it is done.
 func (r *rig) sleep(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// member serves one connection as a db machine does.
+// member serves one connection as a member does.
 func (r *rig) member(c net.Conn, l *link) {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c, head[:4]); err != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-// query meets one statement and tells whether the connection goes on.
+// query answers one statement and reports whether the connection stays open.
 func (r *rig) query(c net.Conn, l *link, text string) bool {
 	id, _, _ := strings.Cut(strings.TrimPrefix(text, "/* id="), ",")
 	if !strings.HasSuffix(text, "WHERE id = 'k'\x00") || !strings.Contains(text, ",c=r,d=") {
@@ -215,7 +215,7 @@
 	way := ways[r.way%len(ways)].name
 	r.way++
 	r.mu.Unlock()
-	_ = c.SetReadDeadline(time.Now().Add(3 * time.Millisecond)) // at work, while it sees the gateway close
+	_ = c.SetReadDeadline(time.Now().Add(3 * time.Millisecond)) // working, while it would notice that the gateway closes
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		way = "break"
 	}
@@ -269,7 +269,7 @@
 	return more
 }
 
-// sink takes a request's answer.
+// sink receives a request's answer.
 type sink struct {
 	r       *rig
 	answers []core.Answer
@@ -285,7 +285,7 @@
 	}
 }
 
-// arrive hands over a request that waits for the time given.
+// arrive passes the core a request with the given time to its deadline.
 func (r *rig) arrive(wait time.Duration) *sink {
 	buf := r.bufs.Get(200, 0)
 	buf.B = append(buf.B, "/* id="+strconv.Itoa(len(r.script.arrived)+1)+",c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k'"...)
@@ -299,16 +299,16 @@
 	return s
 }
 
-// act has the module do something.
+// act makes the fake module return an action.
 func (r *rig) act(a decide.Action) {
 	r.core.Post(func() { r.script.actions = append(r.script.actions, a) })
-	r.core.List(decide.ListError, nil) // an event, so that there is a step
+	r.core.List(decide.ListError, nil) // an event, which causes a step
 	synctest.Wait()
 }
 
 func (r *rig) send(id uint64) { r.act(decide.Action{Kind: decide.Send, Request: id, Member: "m"}) }
 
-// results returns how a request's attempts ended.
+// results returns the results of a request's attempts.
 func (r *rig) results(id uint64) (list []decide.Result) {
 	for _, e := range r.script.outcomes[id] {
 		list = append(list, e.Result)
@@ -323,7 +323,7 @@
 	}
 }
 
-// TestOutcomes holds every way in which an attempt ends against the protocol's table.
+// TestOutcomes checks the outcome of an attempt for every kind of answer against the protocol's definition.
 func TestOutcomes(t *testing.T) {
 	for i, w := range ways {
 		synctest.Test(t, func(t *testing.T) {
@@ -340,7 +340,7 @@
 				t.Errorf("%s: the note of a spoilt answer was believed: %+v", w.name, e)
 			}
 			if w.name != "row" && len(w.name) != len("25006") || w.name == "noise" || w.name == "extra" {
-				r.look(func() { // else what more comes would be the next request's answer
+				r.look(func() { // otherwise surplus bytes would be taken for the next request's answer
 					if r.conns != 0 {
 						t.Errorf("%s: the connection is kept", w.name)
 					}
@@ -354,7 +354,7 @@
 	}
 }
 
-// TestProbe: the report's figures come under their names, positions in seconds since 1970.
+// TestProbe: the figures of a load report arrive under their names, positions in seconds since 1970.
 func TestProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 4)
@@ -374,8 +374,8 @@
 	})
 }
 
-// TestOldDecision: a send that waits for a connection isn't written once the
-// member drains, the request is over or the data known of is too old.
+// TestOldDecision: a send that waits for a connection is not written once the
+// member drains, the request is over or the member's data is too old.
 func TestOldDecision(t *testing.T) {
 	for name, change := range map[string]func(r *rig){
 		"drained":   func(r *rig) { r.list(decide.Draining) },
@@ -406,12 +406,12 @@
 	})
 }
 
-// TestNoSecondCopy: when the outcome of a given-up attempt is told, its
-// connection is closed, as the module may send again in the same step.
+// TestNoSecondCopy: when the outcome of an abandoned attempt is reported, its
+// connection is closed already, as the module may send again in the same step.
 func TestNoSecondCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 4)
-		r.arrive(400 * time.Millisecond) // leaves a second connection to be used at once
+		r.arrive(400 * time.Millisecond) // leaves a second connection, which the retry uses at once
 		r.send(1)
 		r.arrive(400 * time.Millisecond)
 		r.send(2)
@@ -426,7 +426,7 @@
 	})
 }
 
-// TestIdle: connections are used again, the last one first, and closed ahead of the member's limit.
+// TestIdle: connections are reused, the most recently used first, and closed ahead of the member's idle limit.
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 4)
@@ -451,8 +451,8 @@
 	})
 }
 
-// TestReused: a reset tells whether the connection had served before, and whether an answer had begun on it:
-// only a new connection's tells of the member.
+// TestReused: the outcome of a reset says whether the connection had served before and no answer had begun on it: only
+// the reset of a new connection says anything about the member.
 func TestReused(t *testing.T) {
 	for _, tc := range []struct {
 		first, then string
@@ -479,8 +479,8 @@
 	}
 }
 
-// TestMembersLeave: members that come under ever new ids and leave again are forgotten, once their connections
-// have closed; so many at once are taken, and no more.
+// TestMembersLeave: members that join under ever new ids and leave again are removed once their connections have closed;
+// the number of members held at once is bounded.
 func TestMembersLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 4)
@@ -507,10 +507,10 @@
 	})
 }
 
-// FuzzPool plays random sends, cancels, probes, lists and faults. Guards: one
-// outcome a send, one answer a request, never two attempts of a request out, no
-// more connections than allowed, nothing written to a drained member after the
-// grace time, and nothing lost at the end.
+// FuzzPool plays random sends, cancels, probes, lists and faults. It checks:
+// one outcome per send, one answer per request, never two attempts of a request
+// under way, no more connections than allowed, nothing written to a drained
+// member after the grace time, and no buffer, job or connection left at the end.
 func FuzzPool(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 150 {
@@ -602,7 +602,7 @@
 	})
 }
 
-// TestLargeListIsHeld guards against members of a large list that get no connection.
+// TestLargeListIsHeld guards against dropping members of a large list, which then get no connection.
 func TestLargeListIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 4)
