--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,5 +1,5 @@
-// Package hangup tells whether a peer has ended its side of a connection behind bytes that nobody has read yet, where a
-// read can't tell.
+// Package hangup detects that a peer has closed its side of a connection while bytes before the close are still unread,
+// which a read cannot show.
 package hangup
 
 import (
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Every is how often to look: the standing page wants no attempt to begin 0.1 s after a client left, half of that.
+// Every is the interval between checks. No attempt may begin later than 100 ms after its client left; this is half of that.
 const Every = 50 * time.Millisecond
 
-// Seen tells whether the peer of a socket has ended its sending side or reset the connection, whatever lies before that
-// unread. It does not wait. Of what is no socket it knows nothing and says no.
+// Seen reports whether the peer of a socket has closed its sending side or reset the connection, regardless of unread
+// bytes before that. It does not block. It returns false if nc is not a socket.
 func Seen(nc any) (seen bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestSeen: the end of a peer's sending and a reset are seen behind unread bytes; bytes alone, or no socket, are no end.
+// TestSeen: a close of the peer's sending side and a reset are detected behind unread bytes; unread bytes alone, or a value
+// that is no socket, count as no close.
 func TestSeen(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"half-close": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -34,12 +35,12 @@
 				t.Fatal(err)
 			}
 			if Seen(nc) {
-				t.Error("seen while there are only bytes")
+				t.Error("reported while there are only unread bytes")
 			}
 			end(c.(*net.TCPConn))
 			for n := 0; !Seen(nc); n++ {
 				if n > 20_000 {
-					t.Fatal("never seen")
+					t.Fatal("the close was not reported within 20,000 checks")
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -48,6 +49,6 @@
 	a, b := net.Pipe()
 	_ = b.Close()
 	if Seen(a) || Seen(nil) {
-		t.Error("seen of what is no socket")
+		t.Error("reported for a value that is no socket")
 	}
 }
--- a/internal/often/often.go
+++ b/internal/often/often.go
@@ -1,5 +1,5 @@
-// Package often logs what a peer can cause at any rate, so that it costs little
-// and does not drown the rest.
+// Package often limits the rate of log lines that a peer can cause at any rate,
+// so that they cost little and do not hide other lines.
 package often
 
 import (
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// every is the least span between two lines of a kind: chosen for those who read the log, nothing in service depends on it.
+// every is the shortest time between two lines of a kind. It only serves the readers of the log.
 const every = time.Second
 
-// Line is one kind of log line. It is written at most once a second, and says
-// how often it came since. Its zero value is ready to use.
+// Line is one kind of log line. It is written at most once a second, with the
+// number of occurrences since the last one in the attribute times. The zero value
+// is ready to use, also by several goroutines.
 type Line struct {
 	mu    sync.Mutex
-	at    time.Time
-	times int
-	later func() // writes what came last, at the end of the second
+	at    time.Time // when the last line was written
+	times int       // occurrences since then
+	later func()    // writes the latest occurrence, at the end of the second; nil: none waits
 }
 
 // Warn logs a warning.
 func (l *Line) Warn(log *slog.Logger, msg string, args ...any) { l.log(log, slog.LevelWarn, msg, args) }
 
-// Info logs something usual.
+// Info logs at info level.
 func (l *Line) Info(log *slog.Logger, msg string, args ...any) { l.log(log, slog.LevelInfo, msg, args) }
 
 func (l *Line) log(log *slog.Logger, level slog.Level, msg string, args []any) {
@@ -46,6 +47,7 @@
 	l.later()
 }
 
+// flush writes the line that waits.
 func (l *Line) flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/often/often_test.go
+++ b/internal/often/often_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestLine: a flood makes one line a second, and none of it goes uncounted.
+// TestLine: a flood causes one line a second, and every occurrence is counted.
 func TestLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
--- a/internal/pgmember/pass_test.go
+++ b/internal/pgmember/pass_test.go
@@ -21,12 +21,12 @@
 	"reachwind/internal/terms"
 )
 
-// twice stands in for the module: it sends each request to m, and once more unless its answer has begun.
+// twice is a fake decision module: it sends each request to m, and once more unless its answer has begun.
 type twice struct {
 	core.Witness
 	sent, ended int
-	last        decide.Result   // that it was told
-	tried       []decide.Result // how attempts ended in the end
+	last        decide.Result   // of the last outcome that was reported to it
+	tried       []decide.Result // final results of attempts
 	verdicts    []core.Verdict
 }
 
@@ -55,7 +55,7 @@
 	return out
 }
 
-// fault is what goes wrong with one large answer, at a byte of it or for its client.
+// fault is what goes wrong with one large answer: at a byte of it, in its messages or at its client.
 type fault int
 
 const (
@@ -71,8 +71,9 @@
 	faults
 )
 
-// TestPass: a large value in pieces, broken in every way at every place, comes whole or is seen not to be; one outcome
-// for each attempt, none after the first byte, and all is given back.
+// TestPass streams a large value in random pieces, with each kind of fault at random places. The client gets the whole
+// answer or can tell that it is incomplete; each attempt has one outcome, none begins once the client has got a byte, and
+// all buffers and connections are released.
 func TestPass(t *testing.T) {
 	for seed := range uint64(450) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -89,7 +90,7 @@
 	tag := pgwire.Append(nil, 'C', "SELECT 1\x00")
 	note := pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
 	reply := pgwire.AppendReady(append(append(bytes.Clone(whole), tag...), note...))
-	want := pgwire.AppendReady(append(bytes.Clone(whole), tag...)) // what the client must get
+	want := pgwire.AppendReady(append(bytes.Clone(whole), tag...)) // the client's answer
 	at := []int{rnd.IntN(len(reply)), rnd.IntN(80), len(reply) - 1 - rnd.IntN(90)}[rnd.IntN(3)]
 	switch f {
 	case badHead:
@@ -186,13 +187,13 @@
 	time.Sleep(time.Minute + 15*time.Second)
 	synctest.Wait()
 
-	_, answer, _ := bytes.Cut(got.Bytes(), []byte("Z\x00\x00\x00\x05I")) // after the welcome
+	_, answer, _ := bytes.Cut(got.Bytes(), []byte("Z\x00\x00\x00\x05I")) // after the startup
 	begun, served, last := d.last == decide.Served, bytes.Equal(answer, want), append([]decide.Result{-1}, d.tried...)[len(d.tried)]
 	prefix := bytes.HasPrefix(want, answer) && len(answer) <= len(whole)
 	switch {
 	case d.ended > 1 || len(d.tried) > d.sent || f != leaves && (len(d.tried) < d.sent || d.ended != 1 || len(d.verdicts) != 1):
 		t.Errorf("%d sent, %d ended, tried %v, verdicts %v", d.sent, d.ended, d.tried, d.verdicts)
-	case f == leaves || f == deaf: // what it had taken is the beginning of the answer
+	case f == leaves || f == deaf: // the client got the beginning of the answer
 		if !bytes.HasPrefix(want, answer[:min(len(answer), len(want))]) {
 			t.Errorf("%d bytes, not the answer's", len(answer))
 		}
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -21,14 +21,14 @@
 	"reachwind/internal/terms"
 )
 
-// eager stands in for the module: it sends each request to m, again after each outcome that does not end it, and calls
-// off the reads that a client has left.
+// eager is a fake decision module: it sends each request to m, again after each outcome that does not end it, and cancels
+// reads whose client has left.
 type eager struct {
 	mu   sync.Mutex
-	sent map[uint64]int // attempts by request
-	out  int
-	gone int
-	runs map[uint64]bool // writes, which are left to run
+	sent map[uint64]int  // attempts by request
+	out  int             // attempts under way
+	gone int             // requests whose client has left
+	runs map[uint64]bool // writes, which it does not cancel
 }
 
 func (d *eager) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
@@ -60,14 +60,14 @@
 	return out
 }
 
-// through is a whole gateway of front, core and pool on real sockets, with a member that the test plays.
+// through is a whole gateway of front, core and pool on real sockets, with one member, whose side the test plays.
 type through struct {
 	t     *testing.T
 	mod   *eager
 	front *pgfront.Server
 	bufs  *pgwire.Pool
 	addr  string
-	came  chan net.Conn // members' ends
+	came  chan net.Conn // the member's ends of connections
 }
 
 func newThrough(t *testing.T) *through {
@@ -119,7 +119,7 @@
 	return g
 }
 
-// client connects one that asks, and returns the key of its connection.
+// client connects a client that sends one request, and returns its connection with the cancel key.
 func (g *through) client(id int, write bool) (*net.TCPConn, *bufio.Reader, []byte) {
 	g.t.Helper()
 	nc, err := net.Dial("tcp4", g.addr)
@@ -143,6 +143,7 @@
 	return nc.(*net.TCPConn), r, key
 }
 
+// message reads one message and returns its type and body.
 func message(t *testing.T, r io.Reader) (byte, []byte) {
 	t.Helper()
 	head := make([]byte, 5)
@@ -156,6 +157,7 @@
 	return head[0], body
 }
 
+// cancel sends a CancelRequest with key.
 func (g *through) cancel(key []byte) {
 	nc, err := net.Dial("tcp4", g.addr)
 	if err != nil {
@@ -169,7 +171,7 @@
 
 func (g *through) greet(c net.Conn) { (&wires{}).greet(c) }
 
-// ends waits until clients have ended, every attempt has its outcome and every buffer is back.
+// ends waits until all clients are closed, every attempt has its outcome and every buffer is released.
 func (g *through) ends() {
 	g.t.Helper()
 	until(g.t, func() bool {
@@ -179,8 +181,8 @@
 	})
 }
 
-// TestBurstLeaves: clients that all leave while their requests wait for connections that are slow to come up, by half-close,
-// reset or cancel: once the connections are up, none of the requests is written on them.
+// TestBurstLeaves: many clients leave, by half-close, reset or cancel, while their requests wait for member connections that
+// are slow to be established. Once these are up, none of the requests is written on them.
 func TestBurstLeaves(t *testing.T) {
 	g := newThrough(t)
 	const n = 30
@@ -205,7 +207,7 @@
 			g.cancel(keys[i])
 		}
 	}
-	until(t, func() bool { // each is heard of
+	until(t, func() bool { // the module knows of each
 		g.mod.mu.Lock()
 		defer g.mod.mu.Unlock()
 		return g.mod.gone == n
@@ -217,7 +219,7 @@
 		_ = c.Close()
 	}
 	g.ends()
-	g.client(1000, false) // what comes on the connections now is its own
+	g.client(1000, false) // only this request may be written now
 	got := make(chan string, n)
 	for _, m := range members {
 		go func() {
@@ -235,8 +237,8 @@
 	}
 }
 
-// TestCancelWhilePassing: of a large answer on its way the rest is not passed on, the client sees that it is not whole by
-// the connection's end, and the member's connection is closed.
+// TestCancelWhilePassing: after a cancel the rest of a large answer is not passed on, the client's connection ends, which
+// shows that the answer is incomplete, and the member's connection is closed.
 func TestCancelWhilePassing(t *testing.T) {
 	g := newThrough(t)
 	_, r, key := g.client(1, false)
@@ -261,12 +263,12 @@
 	if rest, _ := io.ReadAll(r); len(rest) != 0 {
 		t.Errorf("%d bytes more, %.40q", len(rest), rest)
 	}
-	_, _ = io.Copy(io.Discard, m) // until it is closed
+	_, _ = io.Copy(io.Discard, m) // until the gateway closes it
 	g.ends()
 }
 
-// TestCancelGoesOn: a request that its client cancels while a member has it is called off there, its client is told so
-// once, and what it asks next is served.
+// TestCancelGoesOn: a request that its client cancels while a member works on it is abandoned there, the client gets one
+// error for it, and its next request is served.
 func TestCancelGoesOn(t *testing.T) {
 	g := newThrough(t)
 	c, r, key := g.client(1, false)
@@ -280,7 +282,7 @@
 	if typ, _ := message(t, r); typ != 'Z' {
 		t.Errorf("%c after the answer", typ)
 	}
-	_, _ = io.Copy(io.Discard, m) // until it is closed
+	_, _ = io.Copy(io.Discard, m) // until the gateway closes it
 	_, _ = c.Write(pgwire.Append(nil, 'Q', "/* id=2,c=r,d=60000,cluster=0 */ SELECT doc FROM items WHERE id = 'k'\x00"))
 	m = <-g.came
 	g.greet(m)
--- a/internal/settings/foreign_test.go
+++ b/internal/settings/foreign_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// foreign are settings of deployments unlike the one that the gateway was built for, and what the module must be told of
-// each. Every figure stands in the text alone: none is what another place of the program would fill in.
+// foreign holds settings of deployments unlike the one that the gateway was built for, each with the configuration that
+// the decision module must get. No figure in them equals a default or a constant of the program.
 var foreign = map[string]decide.Config{
 	"foothill": {Self: 4, Fronts: 5, Zone: "valley-mid", Resolution: 5 * ms, OverShare: 0.25, MaxAttempts: 3, MaxRetryAfter: 150 * ms,
 		MayCancel: true, AskList: true, RemembersSessions: true, AnswersStamped: true,
@@ -46,17 +46,17 @@
 			{Name: "cargo", Share: 0.2, Rate: 60}, {Name: "pilots", Share: 0.15, Rate: 45}, {Name: "yachts", Share: 0.1, Rate: 30}}},
 }
 
-// unread are the keys that nothing is taken from: what the gateway does is right whatever they say.
+// unread lists the keys that are ignored: the gateway's behaviour is right whatever their values.
 var unread = map[string]bool{
-	".Allowed.CpuUsPerRequest": true, ".Allowed.CpuUsPerS": true, // the platform measures; there is no more or less thorough way
-	".Allowed.MaxOpen":          true, // descriptors: the limits beside the settings say
+	".Allowed.CpuUsPerRequest": true, ".Allowed.CpuUsPerS": true, // the platform measures CPU time; there is no cheaper way of working
+	".Allowed.MaxOpen":          true, // descriptors: the limits next to the settings apply
 	".Allowed.StreamsPerConn":   true, // 1 in PostgreSQL's protocol
 	".Family":                   true,
-	".FamilyInfo.CatchUpWaitUs": true, // a read that waits there ends by its own time
-	".FamilyInfo.RoleListed":    true, // roles come with the list, or not
+	".FamilyInfo.CatchUpWaitUs": true, // a read that waits at a member ends by its own deadline
+	".FamilyInfo.RoleListed":    true, // the list itself shows whether it has roles
 	".FamilyInfo.WaitsForCopy":  true,
-	".Rules.AnswerSlackUs":      true, // answers come before the deadline
-	".Rules.AskWithinUs":        true, // a watch is always kept
+	".Rules.AnswerSlackUs":      true, // answers are sent before the deadline
+	".Rules.AskWithinUs":        true, // a watch is always running
 	".Tier":                     true,
 	".Tiers[0]":                 true,
 	".WeightSource":             true,
@@ -71,9 +71,9 @@
 	".Grades[5].Stream":         true,
 }
 
-// unpassed are the keys that [Facts] holds for others than the module.
+// unpassed lists the keys of [Facts] that are used, but not by the decision module.
 var unpassed = map[string]bool{
-	".Allowed.ConnectTimeoutUs": true, ".Allowed.IdleCloseUs": true, ".Rules.StopSendingWithinUs": true, // the members' side
+	".Allowed.ConnectTimeoutUs": true, ".Allowed.IdleCloseUs": true, ".Rules.StopSendingWithinUs": true, // for member connections
 	".Allowed.Peers": true, ".FailureDomains[0]": true, ".FailureDomains[1]": true, ".FailureDomains[2]": true,
 	".FamilyInfo.CountedFromUs": true, ".Feedback.How": true, ".Feedback.Names[0]": true, ".Feedback.Names[1]": true, ".Feedback.Names[2]": true,
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// others are values of the same kind as old, some of which the settings know.
+// others returns other values of the type of old; of texts, also names that the settings know.
 func others(path string, old any) []any {
 	switch old := old.(type) {
 	case bool:
@@ -114,8 +114,8 @@
 	panic(path)
 }
 
-// TestForeign: settings of other deployments reach the module whole, and each key of them counts: another value there
-// makes another configuration, unless the key is one of those that nothing is taken from.
+// TestForeign: settings of other deployments reach the module whole, and each of their keys counts: another value gives
+// another configuration, unless the key is listed as ignored.
 func TestForeign(t *testing.T) {
 	for name, want := range foreign {
 		text, err := os.ReadFile("testdata/" + name + ".json")
@@ -158,7 +158,7 @@
 			if isRead == unread[path] {
 				t.Errorf("%s: another value of %s is read: %v, want %v", name, path, isRead, !unread[path])
 			}
-			// Without RetryAfter clients are told no time, whatever the longest is.
+			// Without RetryAfter clients get no retry time, whatever its maximum is.
 			want := !unread[path] && !unpassed[path] && (path != ".Allowed.MaxRetryAfterUs" || facts.Allowed.RetryAfter)
 			if passed != want {
 				t.Errorf("%s: another value of %s is passed to the module: %v, want %v", name, path, passed, want)
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestNothingFilledIn: a key that is missing is read as nothing, 0 or false, and never as a figure of some other deployment; where it
-// can't be done without, that is a fault.
+// TestNothingFilledIn: a missing key reads as the zero value and is never filled in with a figure of another deployment; if
+// the gateway needs the key, the file is refused.
 func TestNothingFilledIn(t *testing.T) {
 	flat := func(c *decide.Config) map[string]any {
 		text, err := json.Marshal(c)
@@ -215,8 +215,8 @@
 					continue
 				}
 				for path, v := range flat(c) {
-					if v != whole[path] && !reflect.ValueOf(v).IsZero() && path != ".Fronts" { // of which there are as many as Me says
-						t.Errorf("%s without %s.%s: %s is %v, want nothing there, or a fault", name, in, key, path, v)
+					if v != whole[path] && !reflect.ValueOf(v).IsZero() && path != ".Fronts" { // which follows from Me
+						t.Errorf("%s without %s.%s: %s is %v, want the zero value, or an error", name, in, key, path, v)
 					}
 				}
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the settings object that the simulator's first
-// message and a gateway's configuration both hold, and translates it for
-// package decide. It is the only such translation in the tree.
+// message and a gateway's configuration both contain, and converts it to the
+// configuration of package decide. It is the only such conversion in the tree.
 package settings
 
 import (
@@ -12,7 +12,8 @@
 	"reachwind/decide"
 )
 
-// Facts are the settings as they come. Keys that are not named here are skipped.
+// Facts is the settings object. Its fields are named after the keys; other
+// keys are ignored. Names in Us are microseconds.
 type Facts struct {
 	Allowed struct {
 		MaxRetryAfterUs, IdleCloseUs, ConnectTimeoutUs     int64
@@ -54,14 +55,15 @@
 	Zone string
 }
 
-// Parse reads the settings.
+// Parse decodes the settings. It fails if the text is not valid JSON, if there
+// are no Grades, or if Consistency or ClassBoundUs do not have one entry each.
 func Parse(text []byte) (*Facts, error) {
 	f := new(Facts)
 	if err := json.Unmarshal(text, f); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if n := len(f.Grades); n == 0 || len(f.FamilyInfo.Consistency) != n || len(f.FamilyInfo.ClassBoundUs) != n {
-		return nil, fmt.Errorf("settings: %d Grades, %d Consistency and %d ClassBoundUs do not match",
+		return nil, fmt.Errorf("settings: found %d Grades, %d Consistency and %d ClassBoundUs, want the same number of each, at least 1",
 			n, len(f.FamilyInfo.Consistency), len(f.FamilyInfo.ClassBoundUs))
 	}
 	return f, nil
@@ -78,13 +80,15 @@
 		"off": decide.ChecksOff, "refuse": decide.ChecksRefuse, "wait": decide.ChecksWait}
 )
 
+// us converts microseconds.
 func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Config translates the settings for the decision module.
+// Config converts the settings to the configuration of the decision module.
+// It fails on an unknown ServerChecks, Effect, KeyScope or Consistency.
 func (f *Facts) Config() (*decide.Config, error) {
 	a, fi := &f.Allowed, &f.FamilyInfo
 	c := &decide.Config{
-		// Where the number of gateways is missing, or less than this one's own says, there are at least so many.
+		// If the number of gateways is missing, or does not fit this gateway's own index Me, the least number that fits.
 		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: us(f.ResolutionUs), OverShare: f.OverShareWorth,
 		MaxAttempts: a.TryLimit, MayCancel: a.MayCancel, MayDuplicate: a.MayDuplicate,
 		MayProbe: a.Probes, MarksRetry: f.ClientHabits.MarksRetry,
@@ -121,8 +125,8 @@
 	return c, nil
 }
 
-// Report translates named load figures; those it does not know are skipped.
-// Positions are counted from zero, in seconds.
+// Report sets the field of r that belongs to a named load figure; it ignores
+// unknown names. Positions are in seconds after zero.
 func Report(r *decide.Report, zero time.Duration, key string, v float64) {
 	switch key {
 	case "x0":
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -12,57 +12,59 @@
 	"strings"
 )
 
-// FaultKind tells faults of a file of settings apart.
+// FaultKind classifies the faults of a configuration file.
 type FaultKind int
 
-// The kinds.
+// Kinds of faults. Up to NotJSON they are faults of the file itself, not of a key.
 const (
-	Empty    FaultKind = iota // there is nothing in it
-	TooLong                   // it is longer than FileMost
-	NotJSON                   // it is cut off, half overwritten, or followed by something
-	Missing                   // a key that the start held, or without which the rules can't be kept
-	Twice                     // a key or a name that should stand once
-	BadValue                  // a value of another kind or beyond its bounds
+	Empty    FaultKind = iota // the file is empty
+	TooLong                   // the file is longer than FileMost
+	NotJSON                   // the file is cut off, partly overwritten, or has more after the object
+	Missing                   // a key is missing that the file had at the start, or that the gateway needs
+	Twice                     // a key or a name appears more than once
+	BadValue                  // a value has another type or is out of bounds
 )
 
-// Fault is why a file was refused as a whole. Every fault has a key, empty for the file itself.
+// Fault is the error for a file that is refused as a whole.
 type Fault struct {
 	Kind        FaultKind
-	Key         string // as settings.Grades[2].DeadlineUs
+	Key         string // path of the key, as settings.Grades[2].DeadlineUs; empty for the file itself
 	Found, Want string
 }
 
+// Error implements error.
 func (f *Fault) Error() string {
-	do := "mend that key"
+	do := "correct that key"
 	if f.Kind <= NotJSON {
-		do = "write the whole file anew, best under another name that is then moved over it"
+		do = "write the whole file again, preferably under another name that is then renamed to this one"
 	}
 	key := f.Key
 	if key == "" {
 		key = "the file"
 	}
-	return fmt.Sprintf("%s: found %s, want %s; nothing was taken from the file: %s, and send SIGHUP again", key, f.Found, f.Want, do)
+	return fmt.Sprintf("%s: found %s, want %s; the file was not applied: %s, and send SIGHUP again", key, f.Found, f.Want, do)
 }
 
-// FileMost bounds the length of a file, in bytes.
+// FileMost is the maximum length of a configuration file, in bytes.
 const FileMost = 4 << 20
 
-// Bounds beyond which a figure is taken for a slip of the pen, far above those of any deployment.
+// Bounds far above the values of any deployment: a figure beyond them is taken for a mistake.
 const (
 	dayUs     = int64(24 * 3600 * 1e6)
 	countMost = 1 << 20
 )
 
-// Shape is which keys an object held, with the kinds of their values. It is made of a file that was found good and
-// told of later ones, see Check.
+// Shape is a schema of a configuration file: the keys of its objects, with the types of their values. It is derived from
+// a valid file, and later files are checked against it, see Check.
 type Shape struct {
 	kind byte              // '{', '[', 's', 'n', 'b', or 0: any
 	keys map[string]*Shape // of an object
-	each *Shape            // what every entry of a list has; nil for an empty list
+	each *Shape            // common to all entries of a list; nil for an empty list
 }
 
 var kinds = map[byte]string{'{': "an object", '[': "a list", 's': "a text", 'n': "a number", 'b': "true or false", '0': "null"}
 
+// kindOf returns the JSON type of a decoded value, as a key of kinds.
 func kindOf(v any) byte {
 	switch v.(type) {
 	case map[string]any:
@@ -79,7 +81,7 @@
 	return '0'
 }
 
-// ShapeOf is the shape of a text that was read without a fault. Of the members known only the kind counts, as they
+// ShapeOf derives the schema of a valid text. Of the key known, which lists members, it keeps only the type, as members
 // come and go.
 func ShapeOf(text []byte) (*Shape, error) {
 	var v any
@@ -95,6 +97,7 @@
 	return s, nil
 }
 
+// shapeOf derives the schema of a decoded value.
 func shapeOf(v any) *Shape {
 	s := &Shape{kind: kindOf(v)}
 	switch v := v.(type) {
@@ -118,7 +121,7 @@
 	return s
 }
 
-// common is what two shapes have in common.
+// common returns the schema that two schemas have in common.
 func common(a, b *Shape) *Shape {
 	if a == nil || b == nil || a.kind != b.kind {
 		return &Shape{}
@@ -137,8 +140,8 @@
 	return s
 }
 
-// Check reports the first fault of a text that is to follow the one that s was made of: whatever the text of the
-// start held, and what the rules can't do without, must be held again; more may come. A fault is a *[Fault].
+// Check returns the first fault of a text that is to replace the one that s was derived from, as a *[Fault]. The new text
+// must have all keys of the old one, with values of the same types, and the keys that the gateway needs; it may have more.
 func (s *Shape) Check(text []byte) error {
 	v, err := tree(text)
 	if err != nil {
@@ -150,6 +153,7 @@
 	return values(v)
 }
 
+// check compares the value at a key path with the schema.
 func (s *Shape) check(key string, v any) error {
 	if s.kind != 0 && kindOf(v) != s.kind {
 		return &Fault{BadValue, key, show(v), kinds[s.kind]}
@@ -178,12 +182,12 @@
 	return nil
 }
 
-// values checks what the rules can't do without, whatever the start held.
+// values checks the keys that the gateway needs, and the bounds of values, whatever the file at the start had.
 func values(file any) error {
 	w := walker{}
 	conf := w.object(file, "settings")
 	info := w.object(conf, "settings.FamilyInfo")
-	for _, name := range []string{"Allowed", "Rules"} { // which a site may have without
+	for _, name := range []string{"Allowed", "Rules"} { // optional
 		in, _ := conf[name].(map[string]any)
 		w.spans(in, "settings."+name)
 	}
@@ -250,7 +254,7 @@
 	return w.err
 }
 
-// walker keeps the first fault.
+// walker reads values of the decoded file and keeps the first fault.
 type walker struct{ err error }
 
 func (w *walker) fault(f *Fault) {
@@ -259,7 +263,7 @@
 	}
 }
 
-// get is the value under the last word of a key; in is the object that holds it.
+// get returns the value of a key path; in is the object that has its last element. A missing key is a fault.
 func (w *walker) get(in any, key string) any {
 	o, _ := in.(map[string]any)
 	v, ok := o[key[strings.LastIndexByte(key, '.')+1:]]
@@ -269,6 +273,7 @@
 	return v
 }
 
+// typed returns the value of a key path as a T; another type is a fault.
 func typed[T any](w *walker, in any, key string, kind byte) T {
 	v := w.get(in, key)
 	t, ok := v.(T)
@@ -289,7 +294,7 @@
 	w.within(w.get(in, key), key, least, most)
 }
 
-// spans checks the spans of an object, which are in microseconds as their names say.
+// spans checks the durations of an object: its keys that end in Us, for microseconds.
 func (w *walker) spans(in map[string]any, key string) {
 	for _, name := range sorted(in) {
 		if strings.HasSuffix(name, "Us") {
@@ -298,6 +303,7 @@
 	}
 }
 
+// within checks that v is a whole number within bounds.
 func (w *walker) within(v any, key string, least, most int64) {
 	n, _ := v.(json.Number)
 	if i, err := strconv.ParseInt(string(n), 10, 64); err != nil || i < least || i > most {
@@ -305,7 +311,7 @@
 	}
 }
 
-// least0 checks that what an object holds of some keys is no number below 0.
+// least0 checks that the given keys of an object are missing or numbers that are not negative.
 func (w *walker) least0(in any, key string, names ...string) {
 	o, _ := in.(map[string]any)
 	for _, name := range names {
@@ -316,7 +322,7 @@
 	}
 }
 
-// word checks that a value is one of the words that the settings know.
+// word checks that a value is one of the known names.
 func word[V any](w *walker, v any, key string, known map[string]V) {
 	name, ok := v.(string)
 	if _, is := known[name]; !ok || !is {
@@ -324,6 +330,7 @@
 	}
 }
 
+// show returns a short value as JSON, and the type of a long one.
 func show(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil || len(b) > 40 {
@@ -332,6 +339,7 @@
 	return string(b)
 }
 
+// join appends a name to a key path.
 func join(key, name string) string {
 	if key == "" {
 		return name
@@ -339,6 +347,7 @@
 	return key + "." + name
 }
 
+// sorted returns the keys of m in order.
 func sorted[V any](m map[string]V) []string {
 	var names []string
 	for name := range m {
@@ -348,16 +357,16 @@
 	return names
 }
 
-// tree reads a text into maps, lists and plain values. Unlike encoding/json it takes no key twice, not even in another
-// case, as the later one would count and the earlier would go unseen.
+// tree decodes a text into maps, slices and plain values. Unlike encoding/json it refuses duplicate keys, also those that
+// differ only in case: the last would win and the others would silently be ignored.
 func tree(text []byte) (any, error) {
 	if len(text) > FileMost {
-		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", FileMost), fmt.Sprintf("%d at most", FileMost)}
+		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", FileMost), fmt.Sprintf("at most %d", FileMost)}
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, &Fault{Empty, "", "nothing in it", "an object in JSON"}
 	}
-	if !json.Valid(text) { // bounds the depth, too
+	if !json.Valid(text) { // which also bounds the depth
 		var v any
 		err := json.Unmarshal(text, &v)
 		found := fmt.Sprint(err)
@@ -376,6 +385,7 @@
 	return v, err
 }
 
+// branch decodes the next value, which has the given key path.
 func branch(d *json.Decoder, key string) (any, error) {
 	token, err := d.Token()
 	if err != nil {
@@ -415,13 +425,13 @@
 	}
 	if n, ok := token.(json.Number); ok {
 		if f, err := n.Float64(); err != nil || math.IsInf(f, 0) {
-			return nil, &Fault{BadValue, key, n.String(), "a number that fits"}
+			return nil, &Fault{BadValue, key, n.String(), "a number within the range of a 64-bit float"}
 		}
 	}
 	return token, nil
 }
 
-// Read reads a text of settings whole, of FileMost bytes at most.
+// Read reads a configuration file whole. For one of more than FileMost bytes it returns a *[Fault].
 func Read(r io.Reader) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(r, FileMost+1))
 	if err == nil && len(text) > FileMost {
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -16,7 +16,7 @@
 {"AimUs":900000,"DeadlineUs":3000000,"Effect":"by_key","KeyScope":"cell","Name":"edits","Value":4.0}],
 "Rules":{"ColdShare":0.24,"ColdUs":18000000},"Tenants":[{"Name":"kea","Fraction":1,"QuotaRps":10}]}}`
 
-// TestCheck: what an operator may change passes, and each broken form is refused with the key that is at fault.
+// TestCheck: changes that an operator may make pass, and each invalid file is refused with the key at fault.
 func TestCheck(t *testing.T) {
 	s, err := ShapeOf([]byte(whole))
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestMutations: whatever is cut, left out or replaced in a good file, nothing panics, and what passes can be used.
+// TestMutations: whatever is cut off, left out or replaced in a valid file, nothing panics, and a file that passes is usable.
 func TestMutations(t *testing.T) {
 	s, _ := ShapeOf([]byte(whole))
 	for seed := range uint64(3000) {
@@ -77,7 +77,7 @@
 		if err := json.Unmarshal([]byte(strings.Replace(whole, `{"instances":[{"instanceId":"a"}]}`, "{}", 1)), &file); err != nil {
 			t.Fatal(err)
 		}
-		var number func(v any, n int) any // changes one value in n
+		var number func(v any, n int) any // changes about one value in n
 		gone := 0
 		number = func(v any, n int) any {
 			switch v := v.(type) {
@@ -112,7 +112,7 @@
 		if s.Check(text) != nil {
 			continue
 		}
-		// AimStretch alone may be left out, as not every class had it.
+		// Only AimStretch may be left out, as not every class has it.
 		if cut || gone > 1 || gone == 1 && strings.Contains(string(text), "AimStretch") {
 			t.Fatalf("seed %d: passed: %s", seed, text)
 		}
@@ -120,7 +120,7 @@
 		if err := json.Unmarshal(text, &whole); err != nil {
 			t.Fatal(err)
 		}
-		if f, err := Parse(whole.Settings); err == nil { // a fault here is refused by the caller
+		if f, err := Parse(whole.Settings); err == nil { // the caller refuses the file on an error here
 			if c, err := f.Config(); err != nil || c.MaxAttempts < 1 || c.Classes[0].Aim < 1 || c.Classes[1].Deadline < 1 {
 				t.Fatal(fmt.Sprint("seed ", seed), err, string(text))
 			}
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,5 +1,6 @@
-// Package suspend keeps what operators said of members: which of them get nothing more until they are called back,
-// whatever discovery says. It stands between discovery's list and the core's, and has no clock, lock or goroutine.
+// Package suspend records which members operators have suspended. A suspended member gets no new work until it is
+// resumed, whatever discovery says of it. The package rewrites discovery's list before the core gets it. It has no
+// clock, lock or goroutine of its own.
 package suspend
 
 import (
@@ -12,57 +13,59 @@
 	"reachwind/internal/core"
 )
 
-// Bounds of what is kept. Beyond them an entry of the list is not known here and passes as it is, a further
-// suspend is a no, and the members that left, or were resumed, longest ago are forgotten first.
+// Bounds on the tables. Entries of the list beyond the bound are not recorded and pass unchanged, and further suspends
+// are refused. Of members that left the list or were resumed, the earliest are removed first.
 const (
-	Most       = 1024    // members that are suspended at one time
+	Most       = 1024    // members that are suspended at the same time
 	listedMost = 1 << 14 // entries of the list; discovery's own bounds are lower
 	leftMost   = 1024    // members that have left the list
 	backMost   = 1024    // members that were resumed
 )
 
-// Entry is the last that operators said of a member. Of two, the later one by At holds.
+// Entry is the last decision of operators on a member. Of two entries of a member the one with the later At applies.
 type Entry struct {
 	ID    string    `json:"id"`
-	Out   bool      `json:"out"`
-	At    core.Time `json:"at"`    // when it was said, in nanoseconds of Unix time
-	Since core.Time `json:"since"` // when it was suspended, the first of several times
+	Out   bool      `json:"out"`   // suspended, not resumed
+	At    core.Time `json:"at"`    // time of the decision, in nanoseconds of Unix time
+	Since core.Time `json:"since"` // time of the suspend, the first of several; the same unit
 }
 
-// UnknownMachine is the error for an id that nobody has.
+// UnknownMachine is the error for an id that no member has.
 type UnknownMachine struct {
 	ID     string
-	Listed int // members that are listed now
+	Listed int // number of members in discovery's list
 }
 
+// Error implements error.
 func (e UnknownMachine) Error() string {
-	return fmt.Sprintf("db machine %q is not known: want an id that discovery lists (%d now), listed lately, or that is suspended; "+
-		"look the id up in discovery's list, nothing was changed", e.ID, e.Listed)
+	return fmt.Sprintf("db machine %q is not known: want an id that discovery lists (%d now), that it listed recently, or that is suspended; "+
+		"nothing was changed, look the id up in discovery's list", e.ID, e.Listed)
 }
 
 // Full is the error for a suspend beyond the bound.
 type Full struct{ ID string }
 
+// Error implements error.
 func (e Full) Error() string {
-	return fmt.Sprintf("db machine %q can't be suspended: %d are, and no more than that may be at a time; resume some first, nothing was changed", e.ID, Most)
+	return fmt.Sprintf("db machine %q can't be suspended: %d are suspended already, which is the limit; nothing was changed, resume some first", e.ID, Most)
 }
 
-// Set is what operators said, beside the list as discovery has it. It is for one goroutine at a time.
+// Set holds the operators' decisions and the list as discovery has it. It is not safe for concurrent use.
 type Set struct {
-	listed map[string]core.Listed // as discovery has them
-	left   map[string]core.Listed // as they were listed last
-	gone   []string               // the ids in left, those that left first in front
-	said   map[string]Entry
-	out    int // entries of said that are Out
+	listed map[string]core.Listed // members in discovery's list, by id
+	left   map[string]core.Listed // members that left the list, as they were last listed
+	gone   []string               // the ids in left, the earliest first
+	said   map[string]Entry       // the operators' decisions, by id
+	out    int                    // entries of said that are Out
 }
 
-// New returns a set in which nobody is listed or suspended.
+// New returns an empty set.
 func New() *Set {
 	return &Set{listed: map[string]core.Listed{}, left: map[string]core.Listed{}, said: map[string]Entry{}}
 }
 
-// List takes what discovery says and returns what is to be passed on for it: the same, but with each suspended member
-// draining. It does not change members.
+// List records a list from discovery, or a change of it, and returns what to pass on instead: the same members, but each
+// suspended one as draining. It does not modify members.
 func (s *Set) List(kind decide.EventKind, members []core.Listed) []core.Listed {
 	if !kind.HasList() {
 		return members
@@ -102,7 +105,7 @@
 	if kind == decide.ListChange {
 		return out
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.said)) { // to be left out of a list may not bind
+	for _, id := range slices.Sorted(maps.Keys(s.said)) { // the receiver may go on using members that a list omits
 		if m, ok := s.left[id]; ok && s.said[id].Out && !named[id] {
 			out = append(out, s.as(m))
 		}
@@ -110,12 +113,13 @@
 	return out
 }
 
+// has reports whether discovery lists id.
 func (s *Set) has(id string) bool {
 	_, ok := s.listed[id]
 	return ok
 }
 
-// leave takes id out of the list.
+// leave removes id from the list.
 func (s *Set) leave(id string) {
 	m, ok := s.listed[id]
 	if !ok {
@@ -125,7 +129,7 @@
 	m.State = decide.Removed
 	s.left[id] = m
 	s.gone = append(s.gone, id)
-	for i := 0; len(s.left) > leftMost && i < len(s.gone); { // those that are suspended stay: they must go on as draining
+	for i := 0; len(s.left) > leftMost && i < len(s.gone); { // suspended ones stay: they must still be passed on as draining
 		if s.said[s.gone[i]].Out && len(s.left) <= leftMost+Most {
 			i++
 			continue
@@ -135,14 +139,15 @@
 	}
 }
 
-// as is an entry as it is passed on. A member that was suspended was most likely restarted meanwhile: until discovery
-// tells when, it counts as started when it was resumed, so that it gets a cold member's share only.
+// as returns an entry of the list as it is passed on. A member that was suspended was most likely restarted meanwhile:
+// until discovery reports when, it counts as started when it was resumed, so that it gets the load of a member in slow
+// start only.
 func (s *Set) as(m core.Listed) core.Listed {
 	e, ok := s.said[m.ID]
 	switch {
 	case !ok:
 	case e.Out:
-		if m.State == decide.Removed { // as it was listed last, where that is known
+		if m.State == decide.Removed { // pass it on as last listed, if known
 			if l, ok := s.left[m.ID]; ok {
 				m = l
 			}
@@ -154,8 +159,8 @@
 	return m
 }
 
-// Suspend takes a member out from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
-// list. A second call for the same one changes nothing and is no error.
+// Suspend suspends a member from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
+// list. A second call for the same member changes nothing and is no error. The error is an [UnknownMachine] or [Full].
 func (s *Set) Suspend(id string, now core.Time) ([]core.Listed, error) {
 	e := s.said[id]
 	switch {
@@ -170,8 +175,9 @@
 	return s.say(Entry{ID: id, Out: true, At: now, Since: now}), nil
 }
 
-// Resume calls a member back, as Suspend took it out. One call is enough for any number of those. For a member that
-// is known and not suspended it changes nothing and is no error.
+// Resume ends the suspension of a member, however often it was suspended, at now in nanoseconds of Unix time, and returns
+// what to pass on as a change of the list. For a member that is known and not suspended it changes nothing and is no
+// error. The error is an [UnknownMachine].
 func (s *Set) Resume(id string, now core.Time) ([]core.Listed, error) {
 	e := s.said[id]
 	switch {
@@ -183,14 +189,14 @@
 	return nil, nil
 }
 
-// known tells that an id is or was lately that of a member.
+// known reports whether an id is that of a member, or recently was.
 func (s *Set) known(id string) bool {
 	_, said := s.said[id]
 	_, left := s.left[id]
 	return said || left || s.has(id)
 }
 
-// say notes e and returns the change that it makes to the list.
+// say records e and returns the change that it makes to the list.
 func (s *Set) say(e Entry) []core.Listed {
 	m, ok := s.listed[e.ID]
 	if !ok {
@@ -219,14 +225,14 @@
 	return []core.Listed{m}
 }
 
-// Export is all that was said, by id.
+// Export returns all entries, sorted by id.
 func (s *Set) Export() []Entry {
 	return slices.SortedFunc(maps.Values(s.said), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Import merges what another process of this gateway was told: of each member the later entry holds, in whatever order
-// and however often they come. It returns what to pass on as a change of the list. Members that are not known here are
-// taken as well; entries without an id, and suspends beyond the bound, are left out and counted.
+// Import merges the entries of another process of this gateway: of each member the later entry applies, in whatever order
+// and however often they arrive. It returns what to pass on as a change of the list. Entries of members that are not known
+// here are recorded as well; entries without an id, and suspends beyond the bound, are dropped and counted.
 func (s *Set) Import(all []Entry) (change []core.Listed, dropped int) {
 	for _, e := range all {
 		switch was, ok := s.said[e.ID]; {
@@ -239,10 +245,10 @@
 	return change, dropped
 }
 
-// Out tells whether a member is suspended.
+// Out reports whether a member is suspended.
 func (s *Set) Out(id string) bool { return s.said[id].Out }
 
-// Suspended are the ids of the members that are suspended, sorted.
+// Suspended returns the ids of the suspended members, sorted.
 func (s *Set) Suspended() (ids []string) {
 	for _, e := range s.Export() {
 		if e.Out {
@@ -252,11 +258,11 @@
 	return ids
 }
 
-// Listed tells how many members discovery lists.
+// Listed returns the number of members that discovery lists.
 func (s *Set) Listed() int { return len(s.listed) }
 
 // Sizes are the lengths of the tables.
 type Sizes struct{ Listed, Left, Said int }
 
-// Sizes tells how long the tables are.
+// Sizes returns the lengths of the tables.
 func (s *Set) Sizes() Sizes { return Sizes{len(s.listed), max(len(s.left), len(s.gone)), len(s.said)} }
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -12,7 +12,7 @@
 	"reachwind/internal/core"
 )
 
-// view is what the core has of the list.
+// view is a copy of the list that follows from what was passed on.
 type view map[string]core.Listed
 
 func (v view) take(kind decide.EventKind, members []core.Listed) {
@@ -30,14 +30,14 @@
 	}
 }
 
-// process is one of the two that exchange what they were told, with what its core has and what discovery told it.
+// process is one of two processes that exchange their entries, with the list that its core has and that of discovery.
 type process struct {
 	set        *Set
 	core, told view
 }
 
-// TestModel: random lists and calls at two processes that exchange what they were told now and then. What the core has
-// is, for each suspended member, draining from the call on, and for each other one exactly what discovery has.
+// TestModel plays random lists and operator calls at two processes that exchange their entries now and then. In the core's
+// list each suspended member is draining from the call on, and each other member is exactly as discovery has it.
 func TestModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 27))
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestBounds: ids that nobody has are a no, and so is one suspend too many; nothing grows beyond its bound, and what is
-// suspended is never what is forgotten.
+// TestBounds: unknown ids and suspends beyond the bound are refused; no table grows beyond its bound, and a suspended
+// member is never removed from it.
 func TestBounds(t *testing.T) {
 	s := New()
 	if _, err := s.Suspend("m", 1); !errors.As(err, new(UnknownMachine)) {
@@ -169,7 +169,7 @@
 			t.Fatalf("round %d: %d too many, %d suspended", round, full, len(s.Suspended()))
 		}
 		out := view{}
-		out.take(decide.ListFull, s.List(decide.ListFull, nil)) // all are gone
+		out.take(decide.ListFull, s.List(decide.ListFull, nil)) // all members leave the list
 		ids := slices.Sorted(maps.Keys(out))
 		if !slices.Equal(ids, s.Suspended()) {
 			t.Fatalf("round %d: %d are passed on of those suspended", round, len(ids))
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -1,6 +1,6 @@
-// Package terms is what fronts take requests by: the classes and customers that the settings name. Settings may
-// change while requests are on their way, so each request carries its class as it was when it was taken, and all
-// fronts of a gateway share one [Book], whose terms change in one moment.
+// Package terms holds the settings by which fronts accept requests: the classes and tenants. Settings may change while
+// requests are under way, so each request keeps its class as it was when the request was accepted, and all fronts of a
+// gateway share one [Book], which replaces its [Terms] atomically.
 package terms
 
 import (
@@ -12,41 +12,41 @@
 )
 
 const (
-	// Linger is how long a class that the settings no longer hold is served on, as it was: requests that name it
-	// may be on their way from clients that know no better. The operators' page on reloads promises it.
+	// Linger is how long a class that was removed from the settings is still served, as it was: clients that do not
+	// know of the change may still send requests of it. The documentation of reloads promises this time.
 	Linger = 1200 * time.Millisecond
-	// NamesMost bounds the names that a process gives places to, of classes and of customers each.
+	// NamesMost bounds the class names, and the tenant names, that a process may index in its life.
 	NamesMost = 1024
 )
 
 // Class is a class that requests may name.
 type Class struct {
-	*decide.Class               // never changes
-	Place         int           // of its name among Names.Classes; another class of its name has the same
-	until         time.Duration // it left the settings and is served until then; 0 = it is in them
+	*decide.Class               // immutable
+	Place         int           // of its name in Names.Classes; the same for each class of this name
+	until         time.Duration // until when it is served after its removal from the settings; 0 = not removed
 }
 
-// Names are the names of classes and customers by their places. A name keeps its place for the process's life.
+// Names lists the names of classes and tenants. A name keeps its index for the life of the process.
 type Names struct{ Classes, Customers []string }
 
-// Terms are what is served at a time. They never change.
+// Terms is a snapshot of the settings. It is immutable.
 type Terms struct {
 	Names    Names
-	Longest  time.Duration // the longest deadline that a request taken when they came to hold, or later, may have
-	ComeBack time.Duration // told to those refused for want of room, 0 = nothing
+	Longest  time.Duration // longest deadline of requests accepted under it, and of earlier ones still open at its start
+	ComeBack time.Duration // retry time for clients refused for lack of capacity, 0 = none
 	classes  map[string]Class
-	tenants  map[string]int
-	longest  time.Duration // deadline of any class served, those that linger among them
+	tenants  map[string]int // index by name
+	longest  time.Duration  // longest deadline of the classes served, removed ones included
 	before   former
 }
 
-// former is what requests that were taken under earlier terms may still need.
+// former bounds what requests accepted under earlier snapshots may need: their longest deadline, until the given time.
 type former struct{ longest, until time.Duration }
 
-// Book holds the terms in force. It is safe for concurrent use.
+// Book holds the active snapshot. It is safe for concurrent use; calls that replace the snapshot must not overlap.
 type Book struct{ now atomic.Pointer[Terms] }
 
-// NewBook returns a book that opens with cfg's terms.
+// NewBook returns a Book whose active snapshot is that of cfg.
 func NewBook(cfg *decide.Config) (*Book, error) {
 	b := new(Book)
 	b.now.Store(new(Terms))
@@ -58,19 +58,19 @@
 	return b, nil
 }
 
-// Now are the terms in force.
+// Now returns the active snapshot.
 func (b *Book) Now() *Terms { return b.now.Load() }
 
-// Turn has new terms hold from now on.
+// Turn makes t, which Next returned, the active snapshot.
 func (b *Book) Turn(t *Terms) { b.now.Store(t) }
 
-// Class finds the class of a name at a time.
+// Class returns the class of a name, and whether it is served at the time now.
 func (t *Terms) Class(name string, now time.Duration) (Class, bool) {
 	k, ok := t.classes[name]
 	return k, ok && (k.until == 0 || now < k.until)
 }
 
-// Tenant is the place of a customer, -1 for one that the settings don't hold.
+// Tenant returns the index of a tenant, -1 if the settings do not name it.
 func (t *Terms) Tenant(name string) int {
 	if place, ok := t.tenants[name]; ok {
 		return place
@@ -78,8 +78,9 @@
 	return -1
 }
 
-// Next makes the terms that follow those in force when the settings become cfg at a time, and cfg as the module must
-// have it: with customers at the places that they have, those that left without a share. It changes nothing.
+// Next returns the snapshot that follows the active one if the settings become cfg at the time now, and cfg as the
+// decision module must get it: with each tenant at its index, and removed tenants without a share. It does not change the
+// active snapshot. The error is a *[NamesError].
 func (b *Book) Next(cfg *decide.Config, now time.Duration) (*Terms, *decide.Config, error) {
 	was := b.Now()
 	t := &Terms{ComeBack: cfg.MaxRetryAfter, classes: map[string]Class{}, tenants: map[string]int{}}
@@ -111,8 +112,8 @@
 	for _, k := range t.classes {
 		t.longest = max(t.longest, k.Deadline)
 	}
-	// Requests that are under way keep their deadlines: a shutdown right after a change to shorter ones must still answer
-	// them. What they needed is counted until the next change: a shutdown ends sooner where nothing is open.
+	// Requests under way keep their deadlines: a shutdown right after a change to shorter ones must still wait for them.
+	// An earlier deadline is dropped only at the next change after its time; a shutdown ends sooner if nothing is open.
 	if t.before = (former{was.longest, now + was.longest}); now < was.before.until {
 		t.before = former{max(t.before.longest, was.before.longest), max(t.before.until, was.before.until)}
 	}
@@ -144,18 +145,19 @@
 	return t, &own, nil
 }
 
-// NamesError tells of settings that bring more names than a process may have seen.
+// NamesError is the error for settings that exceed the number of names that a process may index.
 type NamesError struct {
-	What  string // classes or customers
-	Found int
+	What  string // "classes" or "customers"
+	Found int    // names since the start of the process
 }
 
+// Error implements error.
 func (e *NamesError) Error() string {
-	return fmt.Sprintf("settings bring this process to %d names of %s since its start, want %d at most: start a new process, which counts anew",
+	return fmt.Sprintf("settings: found %d names of %s since the start of this process, want at most %d: start a new process, which counts from 0",
 		e.Found, e.What, NamesMost)
 }
 
-// Against tells which classes came, changed and left since the terms before.
+// Against compares the snapshot with an earlier one and returns the names of the classes added, changed and removed since.
 func (t *Terms) Against(was *Terms) (came, changed, left []string) {
 	for _, name := range t.Names.Classes {
 		k, now := t.classes[name]
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -10,8 +10,8 @@
 	"reachwind/decide"
 )
 
-// TestBook: through random changes of the settings a name keeps its place, a class that left is served for Linger as
-// it was and then is unknown, and the module's customers are at the places that requests name.
+// TestBook plays random changes of the settings: a name keeps its index, a removed class is served for Linger as it was
+// and is unknown afterwards, and the decision module has its tenants at the indexes that requests carry.
 func TestBook(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() *decide.Config {
@@ -36,7 +36,7 @@
 		conf, was := draw(), b.Now()
 		next, own, err := b.Next(conf, now)
 		if err != nil || b.Now() != was {
-			t.Fatal("refused, or turned too soon", err)
+			t.Fatal("refused, or activated too soon", err)
 		}
 		b.Turn(next)
 		in := map[string]decide.Class{}
@@ -57,10 +57,10 @@
 				t.Fatalf("%s at %v: %+v, %v; in %v, left until %v", name, now, k, ok, held, left[name])
 			}
 			if _, late := next.Class(name, now+Linger); late != held {
-				t.Fatalf("%s is served after it left", name)
+				t.Fatalf("%s is served too long after its removal", name)
 			}
 			if at, known := places[name]; ok && known && at != k.Place || ok && next.Names.Classes[k.Place] != name {
-				t.Fatalf("%s changed its place to %d", name, k.Place)
+				t.Fatalf("%s changed its index to %d", name, k.Place)
 			}
 			if ok {
 				places[name] = k.Place
@@ -68,7 +68,7 @@
 		}
 		for _, c := range conf.Tenants {
 			if at := next.Tenant(c.Name); at < 0 || own.Tenants[at] != c || next.Names.Customers[at] != c.Name {
-				t.Fatalf("customer %s is at %d", c.Name, at)
+				t.Fatalf("tenant %s is at %d", c.Name, at)
 			}
 		}
 	}
@@ -78,12 +78,12 @@
 	}
 	var names *NamesError
 	if _, _, err := b.Next(many, now); !errors.As(err, &names) {
-		t.Errorf("%d names more: %v", NamesMost, err)
+		t.Errorf("%d more names: %v", NamesMost, err)
 	}
 }
 
-// TestLongest: requests taken under terms that have changed since may be open as long as those allowed, and the last call of a
-// shutdown counts on it: a shorter deadline, a class that left and two changes in a row don't cut them off.
+// TestLongest: requests accepted under an earlier snapshot may stay open as long as that allowed, and a shutdown waits for
+// them: a shorter deadline, a removed class and two changes in a row do not cut them off.
 func TestLongest(t *testing.T) {
 	of := func(long time.Duration, names ...string) *decide.Config {
 		c := new(decide.Config)
