--- a/internal/terms/terms.go
+++ b/internal/activesettings/terms.go
@@ -1,7 +1,7 @@
-// Package terms holds the settings by which fronts accept requests: the classes and tenants. Settings may change while
+// Package activesettings holds the settings by which fronts accept requests: the classes and tenants. Settings may change while
 // requests are under way, so each request keeps its class as it was when the request was accepted, and all fronts of a
 // gateway share one [Book], which replaces its [Terms] atomically.
-package terms
+package activesettings
 
 import (
 	"fmt"
@@ -12,81 +12,81 @@
 )
 
 const (
-	// Linger is how long a class that was removed from the settings is still served, as it was: clients that do not
+	// RemovedClassGrace is how long a class that was removed from the settings is still served, as it was: clients that do not
 	// know of the change may still send requests of it. The documentation of reloads promises this time.
-	Linger = 1200 * time.Millisecond
-	// NamesMost bounds the class names, and the tenant names, that a process may index in its life.
-	NamesMost = 1024
+	RemovedClassGrace = 1200 * time.Millisecond
+	// MaxNames bounds the class names, and the tenant names, that a process may index in its life.
+	MaxNames = 1024
 )
 
 // Class is a class that requests may name.
 type Class struct {
 	*decide.Class               // immutable
-	Place         int           // of its name in Names.Classes; the same for each class of this name
+	Index         int           // of its name in Names.Classes; the same for each class of this name
 	until         time.Duration // until when it is served after its removal from the settings; 0 = not removed
 }
 
 // Names lists the names of classes and tenants. A name keeps its index for the life of the process.
-type Names struct{ Classes, Customers []string }
-
-// Terms is a snapshot of the settings. It is immutable.
-type Terms struct {
-	Names    Names
-	Longest  time.Duration // longest deadline of requests accepted under it, and of earlier ones still open at its start
-	ComeBack time.Duration // retry time for clients refused for lack of capacity, 0 = none
-	classes  map[string]Class
-	tenants  map[string]int // index by name
-	longest  time.Duration  // longest deadline of the classes served, removed ones included
-	before   former
+type Names struct{ Classes, Tenants []string }
+
+// Snapshot is a snapshot of the settings. It is immutable.
+type Snapshot struct {
+	Names       Names
+	MaxDeadline time.Duration // longest deadline of requests accepted under it, and of earlier ones still open at its start
+	RetryAfter  time.Duration // retry time for clients refused for lack of capacity, 0 = none
+	classes     map[string]Class
+	tenants     map[string]int // index by name
+	longest     time.Duration  // longest deadline of the classes served, removed ones included
+	before      former
 }
 
 // former bounds what requests accepted under earlier snapshots may need: their longest deadline, until the given time.
 type former struct{ longest, until time.Duration }
 
-// Book holds the active snapshot. It is safe for concurrent use; calls that replace the snapshot must not overlap.
-type Book struct{ now atomic.Pointer[Terms] }
+// Holder holds the active snapshot. It is safe for concurrent use; calls that replace the snapshot must not overlap.
+type Holder struct{ now atomic.Pointer[Snapshot] }
 
-// NewBook returns a Book whose active snapshot is that of cfg.
-func NewBook(cfg *decide.Config) (*Book, error) {
-	b := new(Book)
-	b.now.Store(new(Terms))
-	t, _, err := b.Next(cfg, 0)
+// NewHolder returns a Book whose active snapshot is that of cfg.
+func NewHolder(cfg *decide.Config) (*Holder, error) {
+	b := new(Holder)
+	b.now.Store(new(Snapshot))
+	t, _, err := b.Prepare(cfg, 0)
 	if err != nil {
 		return nil, err
 	}
-	b.Turn(t)
+	b.Activate(t)
 	return b, nil
 }
 
-// Now returns the active snapshot.
-func (b *Book) Now() *Terms { return b.now.Load() }
+// Current returns the active snapshot.
+func (b *Holder) Current() *Snapshot { return b.now.Load() }
 
-// Turn makes t, which Next returned, the active snapshot.
-func (b *Book) Turn(t *Terms) { b.now.Store(t) }
+// Activate makes t, which Next returned, the active snapshot.
+func (b *Holder) Activate(t *Snapshot) { b.now.Store(t) }
 
 // Class returns the class of a name, and whether it is served at the time now.
-func (t *Terms) Class(name string, now time.Duration) (Class, bool) {
+func (t *Snapshot) Class(name string, now time.Duration) (Class, bool) {
 	k, ok := t.classes[name]
 	return k, ok && (k.until == 0 || now < k.until)
 }
 
-// Tenant returns the index of a tenant, -1 if the settings do not name it.
-func (t *Terms) Tenant(name string) int {
+// TenantIndex returns the index of a tenant, -1 if the settings do not name it.
+func (t *Snapshot) TenantIndex(name string) int {
 	if place, ok := t.tenants[name]; ok {
 		return place
 	}
 	return -1
 }
 
-// Next returns the snapshot that follows the active one if the settings become cfg at the time now, and cfg as the
+// Prepare returns the snapshot that follows the active one if the settings become cfg at the time now, and cfg as the
 // decision module must get it: with each tenant at its index, and removed tenants without a share. It does not change the
 // active snapshot. The error is a *[NamesError].
-func (b *Book) Next(cfg *decide.Config, now time.Duration) (*Terms, *decide.Config, error) {
-	was := b.Now()
-	t := &Terms{ComeBack: cfg.MaxRetryAfter, classes: map[string]Class{}, tenants: map[string]int{}}
+func (b *Holder) Prepare(cfg *decide.Config, now time.Duration) (*Snapshot, *decide.Config, error) {
+	was := b.Current()
+	t := &Snapshot{RetryAfter: cfg.MaxRetryAfter, classes: map[string]Class{}, tenants: map[string]int{}}
 	for name, k := range was.classes {
 		if k.until == 0 {
-			k.until = now + Linger
+			k.until = now + RemovedClassGrace
 		}
 		if now < k.until {
 			t.classes[name] = k
@@ -107,7 +107,7 @@
 			places[k.Name] = place
 			t.Names.Classes = append(t.Names.Classes, k.Name)
 		}
-		t.classes[k.Name] = Class{Class: k, Place: place}
+		t.classes[k.Name] = Class{Class: k, Index: place}
 	}
 	for _, k := range t.classes {
 		t.longest = max(t.longest, k.Deadline)
@@ -117,10 +117,10 @@
 	if t.before = (former{was.longest, now + was.longest}); now < was.before.until {
 		t.before = former{max(t.before.longest, was.before.longest), max(t.before.until, was.before.until)}
 	}
-	t.Longest = max(t.longest, t.before.longest)
+	t.MaxDeadline = max(t.longest, t.before.longest)
 	own.Tenants = nil
 	at := map[string]int{}
-	for i, name := range was.Names.Customers {
+	for i, name := range was.Names.Tenants {
 		at[name] = i
 		own.Tenants = append(own.Tenants, decide.Tenant{Name: name})
 	}
@@ -135,30 +135,30 @@
 		t.tenants[c.Name] = place
 	}
 	for _, c := range own.Tenants {
-		t.Names.Customers = append(t.Names.Customers, c.Name)
+		t.Names.Tenants = append(t.Names.Tenants, c.Name)
 	}
-	for what, n := range map[string]int{"classes": len(t.Names.Classes), "customers": len(t.Names.Customers)} {
-		if n > NamesMost {
-			return nil, nil, &NamesError{What: what, Found: n}
+	for what, n := range map[string]int{"classes": len(t.Names.Classes), "customers": len(t.Names.Tenants)} {
+		if n > MaxNames {
+			return nil, nil, &TooManyNamesError{What: what, Found: n}
 		}
 	}
 	return t, &own, nil
 }
 
-// NamesError is the error for settings that exceed the number of names that a process may index.
-type NamesError struct {
+// TooManyNamesError is the error for settings that exceed the number of names that a process may index.
+type TooManyNamesError struct {
 	What  string // "classes" or "customers"
 	Found int    // names since the start of the process
 }
 
 // Error implements error.
-func (e *NamesError) Error() string {
+func (e *TooManyNamesError) Error() string {
 	return fmt.Sprintf("settings: found %d names of %s since the start of this process, want at most %d: start a new process, which counts from 0",
-		e.Found, e.What, NamesMost)
+		e.Found, e.What, MaxNames)
 }
 
-// Against compares the snapshot with an earlier one and returns the names of the classes added, changed and removed since.
-func (t *Terms) Against(was *Terms) (came, changed, left []string) {
+// ClassChanges compares the snapshot with an earlier one and returns the names of the classes added, changed and removed since.
+func (t *Snapshot) ClassChanges(was *Snapshot) (came, changed, left []string) {
 	for _, name := range t.Names.Classes {
 		k, now := t.classes[name]
 		o, before := was.classes[name]
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,7 +17,7 @@
 
 	"reachwind/decide"
 	"reachwind/internal/core"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 )
 
 // List is an answer of the discovery service: the whole list of members, or a
@@ -44,7 +44,7 @@
 	"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}
 
 // EntryOf converts a member to the form that discovery uses.
-func EntryOf(m core.Listed) Entry {
+func EntryOf(m core.ListedMember) Entry {
 	e := Entry{InstanceID: m.ID, HostPort: m.Addr, Zone: m.Zone, MachineType: m.Kind, Cell: m.Group, Lifecycle: "ready", Weight: m.Weight,
 		StartedAtMs: m.Started.Milliseconds()}
 	for name, state := range states {
@@ -57,14 +57,14 @@
 
 // Members converts the entries. It fails if an entry has no id or an unknown
 // lifecycle.
-func (l *List) Members() ([]core.Listed, error) {
-	list := make([]core.Listed, 0, len(l.Instances))
+func (l *List) Members() ([]core.ListedMember, error) {
+	list := make([]core.ListedMember, 0, len(l.Instances))
 	for _, e := range l.Instances {
 		state, ok := states[e.Lifecycle]
 		if !ok || e.InstanceID == "" {
 			return nil, fmt.Errorf("list: instance %q: unknown lifecycle %q", e.InstanceID, e.Lifecycle)
 		}
-		list = append(list, core.Listed{Addr: e.HostPort, Member: decide.Member{ID: e.InstanceID, Group: e.Cell,
+		list = append(list, core.ListedMember{Addr: e.HostPort, Member: decide.Member{ID: e.InstanceID, Group: e.Cell,
 			Zone: e.Zone, Kind: e.MachineType, Weight: e.Weight, State: state,
 			Started: core.Time(e.StartedAtMs) * time.Millisecond}})
 	}
@@ -126,16 +126,16 @@
 	idleLeast = 50 * time.Millisecond
 )
 
-// Broken is the error of a call without a usable answer: nothing of it arrived, or not all, or it is no list. Discovery
+// AnswerError is the error of a call without a usable answer: nothing of it arrived, or not all, or it is no list. Discovery
 // may count the call as answered, or may never have received it.
-type Broken struct {
+type AnswerError struct {
 	Addr  string
 	Begun bool // some of the answer arrived
 	Err   error
 }
 
 // Error implements error.
-func (e *Broken) Error() string {
+func (e *AnswerError) Error() string {
 	found, do := "silent", "check that it is running and reachable from this gateway"
 	if e.Begun {
 		found, do = "an incomplete answer, or one that is not a list of members", "check what it serves there"
@@ -144,7 +144,7 @@
 }
 
 // Unwrap returns the cause.
-func (e *Broken) Unwrap() error { return e.Err }
+func (e *AnswerError) Unwrap() error { return e.Err }
 
 // refusal is the error of a call that reached discovery and ended without any part of a list.
 type refusal struct {
@@ -159,7 +159,7 @@
 func (e *refusal) Unwrap() error { return e.err }
 
 // Sink receives lists, changes and failures. The client calls it on the goroutine of Run.
-type Sink func(kind decide.EventKind, members []core.Listed)
+type Sink func(kind decide.EventKind, members []core.ListedMember)
 
 // Client makes the calls to discovery, on the goroutine of Run. Watch, Fetch and Move return at once; they only signal
 // Run.
@@ -172,7 +172,7 @@
 	most    time.Duration // between the starts of two calls, while discovery is down
 	beyond  time.Duration // that the fleet's calls, all made at once, take past the longest queue
 	rng     *rand.Rand
-	pace    decide.CallPace // of watches after a refusal by a full queue, where lists are pushed
+	pace    decide.DiscoveryPacer // of watches after a refusal by a full queue, where lists are pushed
 	sink    Sink
 	log     *slog.Logger
 	dial    func(ctx context.Context, addr string) (net.Conn, error)
@@ -190,7 +190,7 @@
 	idle  bool   // the last answer brought no change
 	conn  *conn  // kept for the next call
 
-	failed, broke, back often.Line
+	failed, broke, back logthrottle.Line
 }
 
 // Config is the configuration of a Client.
@@ -214,7 +214,7 @@
 	if c.pushed {
 		c.wide, c.most = c.near, min(max(backPushed, c.beyond), backMost)
 	}
-	c.pace = decide.CallPace{Fronts: conf.Gateways, Random: c.rng.Float64}
+	c.pace = decide.DiscoveryPacer{Fronts: conf.Gateways, Random: c.rng.Float64}
 	c.version.Store(conf.Version)
 	return c
 }
@@ -228,9 +228,9 @@
 // Fetch requests the whole list once. It has no effect while a watch is running, which brings all changes.
 func (c *Client) Fetch() { leave(c.fetch) }
 
-// Move cancels the current call and makes all further calls to addr: first for
+// SetAddr cancels the current call and makes all further calls to addr: first for
 // the whole list, as the versions of two services need not agree, then for changes.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr == c.next {
@@ -268,7 +268,7 @@
 			select {
 			case <-ctx.Done():
 			case <-c.move:
-			case <-time.After(c.pace.Refused(1)):
+			case <-time.After(c.pace.PauseAfterRefusal(1)):
 			}
 		}
 		return
@@ -349,7 +349,7 @@
 		}
 		began := time.Now()
 		list, err := c.get(ctx, target, wait)
-		var members []core.Listed
+		var members []core.ListedMember
 		if err == nil {
 			if members, err = list.Members(); err == nil && target == path && !list.Reset {
 				if list.Reset = len(members) > 0; !list.Reset { // an empty list without the mark is no whole list
@@ -357,7 +357,7 @@
 				}
 			}
 			if err != nil {
-				err = &Broken{c.addr, true, err}
+				err = &AnswerError{c.addr, true, err}
 			}
 		}
 		took := time.Since(began)
@@ -390,7 +390,7 @@
 			return false
 		}
 		if unreachable(err, wait) {
-			c.sink(decide.ListUnreachable, nil)
+			c.sink(decide.DiscoveryUnreachable, nil)
 		}
 		c.broke.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
 		wait = 0 // missed changes are to arrive at once
@@ -403,7 +403,7 @@
 // unreachable reports whether a call failed because discovery is down or its host refuses connections. Silence proves
 // neither, and a call that was refused after queueing reached a service that is up.
 func unreachable(err error, wait time.Duration) bool {
-	var broken *Broken
+	var broken *AnswerError
 	if errors.As(err, &broken) {
 		return false
 	}
@@ -414,7 +414,7 @@
 // pause returns the delay before the retry of a call that failed with err after took; again counts the retries before.
 func (c *Client) pause(err error, again int, took time.Duration) time.Duration {
 	spread := c.wide
-	var broken *Broken
+	var broken *AnswerError
 	if errors.As(err, &broken) || c.moved { // the list of a new address must be known 4 s after the change of address
 		spread = c.near
 	}
@@ -426,7 +426,7 @@
 }
 
 // pass records an answer and passes its list to the sink.
-func (c *Client) pass(list *List, members []core.Listed) {
+func (c *Client) pass(list *List, members []core.ListedMember) {
 	c.moved, c.idle = false, len(members) == 0 && !list.Reset
 	c.version.Store(list.Generation)
 	kind := decide.ListChange
@@ -448,7 +448,7 @@
 		nc, err := c.dial(ctx, c.addr)
 		if err != nil {
 			if timedOut(err) {
-				err = &Broken{c.addr, false, err}
+				err = &AnswerError{c.addr, false, err}
 			}
 			return nil, err
 		}
@@ -461,7 +461,7 @@
 	resp, err := conn.ask(appendGet(nil, c.addr, target), max(wait+slack, patience))
 	switch {
 	case err != nil && (conn.begun || timedOut(err)):
-		return nil, &Broken{c.addr, conn.begun, err}
+		return nil, &AnswerError{c.addr, conn.begun, err}
 	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < idleLeast: // the kept connection had been closed: discovery has not read the call
 		c.hangUp()
 		return c.get(ctx, target, wait)
@@ -472,7 +472,7 @@
 	}
 	list := new(List)
 	if err := json.Unmarshal(resp.body, list); err != nil {
-		return nil, &Broken{c.addr, true, fmt.Errorf("list: %w", err)}
+		return nil, &AnswerError{c.addr, true, fmt.Errorf("list: %w", err)}
 	}
 	if !resp.keep || conn.r.Buffered() > 0 { // surplus bytes would be taken for the next answer
 		c.hangUp()
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	maxLine    = 8 << 10                  // bytes of a status, header or chunk size line
-	maxHeaders = 64                       // header fields of an answer
-	maxInterim = 4                        // answers read for one request, interim ones (1xx) included
-	maxBody    = decide.MembersMost * 640 // bytes; an indented entry takes up to some 530
+	maxLine    = 8 << 10                 // bytes of a status, header or chunk size line
+	maxHeaders = 64                      // header fields of an answer
+	maxInterim = 4                       // answers read for one request, interim ones (1xx) included
+	maxBody    = decide.MaxMembers * 640 // bytes; an indented entry takes up to some 530
 )
 
 var errHTTP = errors.New("malformed HTTP answer")
--- a/internal/often/often.go
+++ b/internal/logthrottle/often.go
@@ -1,6 +1,6 @@
-// Package often limits the rate of log lines that a peer can cause at any rate,
+// Package logthrottle limits the rate of log lines that a peer can cause at any rate,
 // so that they cost little and do not hide other lines.
-package often
+package logthrottle
 
 import (
 	"context"
--- a/internal/hangup/hangup.go
+++ b/internal/peerclose/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup detects that a peer has closed its side of a connection while bytes before the close are still unread,
+// Package peerclose detects that a peer has closed its side of a connection while bytes before the close are still unread,
 // which a read cannot show.
-package hangup
+package peerclose
 
 import (
 	"syscall"
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Every is the interval between checks. No attempt may begin later than 100 ms after its client left; this is half of that.
-const Every = 50 * time.Millisecond
+// CheckInterval is the interval between checks. No attempt may begin later than 100 ms after its client left; this is half of that.
+const CheckInterval = 50 * time.Millisecond
 
-// Seen reports whether the peer of a socket has closed its sending side or reset the connection, regardless of unread
+// Detected reports whether the peer of a socket has closed its sending side or reset the connection, regardless of unread
 // bytes before that. It does not block. It returns false if nc is not a socket.
-func Seen(nc any) (seen bool) {
+func Detected(nc any) (seen bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/pgmember/conn.go
+++ b/internal/pgmember/conn.go
@@ -15,9 +15,9 @@
 	"reachwind/decide"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/settings"
-	"reachwind/internal/wake"
 )
 
 // Dialer opens a connection to addr, host:port. It gives up when ctx ends.
@@ -48,7 +48,7 @@
 // conn is one connection to a member. Its goroutine runs serve; m, since and
 // roomFor belong to the owner goroutine.
 type conn struct {
-	*wake.Conn[order]
+	*interruptible.Conn[order]
 	p     *Pool
 	m     *member
 	addr  string
@@ -81,18 +81,18 @@
 // start connects in the background.
 func (c *conn) start() {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), c.p.conf.Load().Connect)
+		ctx, cancel := context.WithTimeout(context.Background(), c.p.conf.Load().ConnectTimeout)
 		result, err := c.connect(ctx)
 		if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) { // perhaps a passing fault: if the member is down, the next dial is refused
 			if c.Conn != nil {
-				c.End()
+				c.CloseAll()
 			}
 			result, err = c.connect(ctx)
 		}
 		cancel()
 		if err != nil {
 			if c.Conn != nil {
-				c.End()
+				c.CloseAll()
 			}
 			c.p.core.Post(func() { c.p.failed(c, result, err) })
 			return
@@ -107,7 +107,7 @@
 }
 
 // close asks the goroutine to end.
-func (c *conn) close() { c.Leave(order{}) }
+func (c *conn) close() { c.Post(order{}) }
 
 // forsake makes the close that follows drop the data that the member's host has not yet received. Otherwise the system
 // could still deliver a statement to a member that is cut off or hangs, seconds after its attempt was abandoned and
@@ -144,8 +144,8 @@
 func (c *conn) begin(j *job, until core.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := j.attempt; a != nil && a.Before != 0 {
-		until = min(until, a.Before-boundMargin)
+	if a := j.attempt; a != nil && a.WriteBy != 0 {
+		until = min(until, a.WriteBy-boundMargin)
 	}
 	if c.sendBy != 0 {
 		until = min(until, c.sendBy)
@@ -174,7 +174,7 @@
 	case err != nil:
 		return decide.Unreachable, err
 	}
-	c.Conn = wake.New[order](nc, readSize)
+	c.Conn = interruptible.New[order](nc, readSize)
 	until, _ := ctx.Deadline()
 	_ = nc.SetDeadline(until)
 	if _, err := nc.Write(pgwire.AppendStartup(nil, c.p.conf.Load().User, c.p.conf.Load().Database)); err != nil {
@@ -187,7 +187,7 @@
 	if a.code != "" {
 		return outcomeOf(&a), errors.New("member refused the startup: SQLSTATE " + a.code)
 	}
-	if c.R.Buffered() > 0 {
+	if c.Reader.Buffered() > 0 {
 		return decide.Unreachable, errSpoilt
 	}
 	return 0, nc.SetDeadline(time.Time{})
@@ -198,14 +198,14 @@
 	var job *job
 	for {
 		// At a message boundary. The read below also notices that the member closes the connection.
-		orders := c.Take()
+		orders := c.TakeMessages()
 		for i, o := range orders {
 			switch {
 			case o.job == nil:
 				if job != nil {
 					orders = append(orders, order{job: job})
 				}
-				return append(c.End(), orders[i:]...)
+				return append(c.CloseAll(), orders[i:]...)
 			case o.stall: // check of an answer that has ended since
 			case !o.stop:
 				job = o.job
@@ -215,20 +215,20 @@
 			}
 		}
 		if job != nil {
-			if !c.Quiet() {
+			if !c.NoPendingInput() {
 				// Unread bytes belong to no request and would be taken for this one's answer; or the member has
 				// closed the connection. The job restarts on another one.
-				return append(c.End(), order{job: job})
+				return append(c.CloseAll(), order{job: job})
 			}
 			j := job
 			job = nil
 			if !c.run(j) {
-				return c.End()
+				return c.CloseAll()
 			}
 			continue
 		}
-		if _, err := c.R.Peek(1); !errors.Is(err, wake.ErrWoken) {
-			return c.End() // closed, or a message out of turn: a fatal error of the member, or noise
+		if _, err := c.Reader.Peek(1); !errors.Is(err, interruptible.ErrInterrupted) {
+			return c.CloseAll() // closed, or a message out of turn: a fatal error of the member, or noise
 		}
 	}
 }
@@ -255,7 +255,7 @@
 	default:
 		a.buf.Release()
 	}
-	if a.ready && !a.drained && c.R.Buffered() == 0 { // otherwise there are bytes beyond the answer
+	if a.ready && !a.drained && c.Reader.Buffered() == 0 { // otherwise there are bytes beyond the answer
 		c.done(j, o)
 		return true
 	}
@@ -271,15 +271,15 @@
 
 // write writes a job's statement whole. If it could not, it returns false and the outcome: the member has not run it.
 func (c *conn) write(j *job, a *answer) (core.Outcome, bool) {
-	query, until := net.Buffers{pgwire.Append(nil, 'Q', "SHOW health\x00")}, c.p.core.Now()+c.p.conf.Load().Connect
+	query, until := net.Buffers{pgwire.Append(nil, 'Q', "SHOW health\x00")}, c.p.core.Now()+c.p.conf.Load().ConnectTimeout
 	if j.attempt != nil {
-		until = j.attempt.Until
+		until = j.attempt.Deadline
 		wait := max((until - c.p.core.Now()).Milliseconds(), 1)
 		switch c := j.attempt.Request.Call.(type) {
 		case *pgwire.Statement: // passed on as received
 			query = c.Query(wait)
 		case *call.Request:
-			query = pgwire.Form(c, wait)
+			query = pgwire.EncodeCall(c, wait)
 		}
 	}
 	size := int64(0)
@@ -312,7 +312,7 @@
 	}
 	why := decide.Reset
 	err := c.read(a, func() error {
-		for _, o := range c.Take() {
+		for _, o := range c.TakeMessages() {
 			switch {
 			case o.job == nil:
 				return errClosed
@@ -322,7 +322,7 @@
 				return c.drain(a)
 			case o.stall:
 				a.watched = false
-				left := a.patience() - min(c.Silent(), time.Since(a.last))
+				left := a.patience() - min(c.SilentFor(), time.Since(a.last))
 				if left <= 0 {
 					return errStalled
 				}
@@ -361,7 +361,7 @@
 		o.Reused = why == decide.Reset && c.used && !a.begun
 	}
 	c.used = true
-	o.Role, o.Stamped, o.Position, o.Report = a.role, a.stamped, a.position, a.report
+	o.Role, o.HasPosition, o.Position, o.Report = a.role, a.stamped, a.position, a.report
 	if j.attempt == nil && o.Result == decide.Served {
 		c.report(&o.Report, a.row)
 	}
@@ -374,10 +374,10 @@
 	if a.done != nil { // a streamed answer whose client has gone
 		return errStopped
 	}
-	have, _ := c.R.Peek(c.R.Buffered())
-	rest := append(bytes.Clone(have), waiting(c.Conn.Conn, pgwire.BufSize)...)
+	have, _ := c.Reader.Peek(c.Reader.Buffered())
+	rest := append(bytes.Clone(have), waiting(c.Conn.Conn, pgwire.LargeBufSize)...)
 	a.drained = true
-	c.R.Reset(io.MultiReader(bytes.NewReader(rest), stopped{}))
+	c.Reader.Reset(io.MultiReader(bytes.NewReader(rest), stopped{}))
 	return nil
 }
 
@@ -418,10 +418,10 @@
 
 // report reads the figures of a load report that the settings name.
 func (c *conn) report(r *decide.Report, text []byte) {
-	pgwire.Pairs(text, func(name string, v float64) {
-		for _, n := range c.p.conf.Load().Names {
+	pgwire.ForEachLoadValue(text, func(name string, v float64) {
+		for _, n := range c.p.conf.Load().ReportFigures {
 			if n == name {
-				settings.Report(r, 0, name, v)
+				settings.SetReportFigure(r, 0, name, v)
 			}
 		}
 	})
@@ -429,14 +429,14 @@
 
 // outcomeOf maps an answer's SQLSTATE to a result, as the protocol defines it.
 func outcomeOf(a *answer) decide.Result {
-	if pgwire.Unusable(a.code) {
+	if pgwire.IsStatementError(a.code) {
 		return decide.Rejected
 	}
 	switch a.code {
 	case "":
 		return decide.Served
 	case pgwire.ReadOnly, pgwire.TooFarBehind:
-		return decide.NotHere
+		return decide.Misdirected
 	case pgwire.TooManyConnections, pgwire.CannotConnectNow:
 		return decide.Full
 	}
@@ -504,16 +504,16 @@
 			at := len(a.buf.B)
 			a.buf.B = append(a.buf.B, head...)[:at+5+n]
 			body = a.buf.B[at+5:]
-		case n > pgwire.MaxSmall:
+		case n > pgwire.MaxSmallMessage:
 			return pgwire.ErrTooLong
 		case n > len(body):
 			body = make([]byte, n) // rare: a long error or parameter
 		default:
 			body = body[:n]
 		}
-		_, _ = c.R.Discard(5)
+		_, _ = c.Reader.Discard(5)
 		c.watch(a, n)
-		if err := c.Fill(body, woken); err != nil {
+		if err := c.ReadFull(body, woken); err != nil {
 			return err
 		}
 		if err := c.take(a, typ, body); err != nil || a.ready {
@@ -534,7 +534,7 @@
 		if have != nil {
 			n += len(have.B)
 		}
-		if n > pgwire.BufSize || a.row != nil {
+		if n > pgwire.LargeBufSize || a.row != nil {
 			return pgwire.ErrTooLong
 		}
 		if a.buf = c.p.bufs.Get(n, 0); a.buf == nil {
@@ -563,7 +563,7 @@
 
 // large reports whether head begins a row that must be streamed. Only answers to PostgreSQL clients can be.
 func (a *answer) large(head []byte) bool {
-	if a.job == nil || a.job.attempt == nil || !a.described || a.row != nil || a.code != "" || !pgwire.Large(head) {
+	if a.job == nil || a.job.attempt == nil || !a.described || a.row != nil || a.code != "" || !pgwire.IsLargeRow(head) {
 		return false
 	}
 	_, ok := a.job.attempt.Request.Call.(*pgwire.Statement)
@@ -576,18 +576,18 @@
 	if a.drained { // abandoned: the rest of the row will not arrive
 		return errStopped
 	}
-	c.watch(a, pgwire.RowHead)
-	head, err := c.Peek(pgwire.RowHead, woken)
+	c.watch(a, pgwire.RowHeaderSize)
+	head, err := c.Peek(pgwire.RowHeaderSize, woken)
 	if err != nil {
 		return err
 	}
-	left, err := pgwire.RowLen(head)
+	left, err := pgwire.LargeRowValueLen(head)
 	if err != nil {
 		return err
 	}
 	s := pgwire.NewStream()
-	c.p.core.Begun(a.job.attempt, s)
-	w, done := s.Taken()
+	c.p.core.AnswerStarted(a.job.attempt, s)
+	w, done := s.AwaitTaker()
 	if w == nil {
 		if err := woken(); err != nil {
 			return err
@@ -599,7 +599,7 @@
 	}
 	a.done, a.row = done, head[:0]
 	a.buf.B = append(a.buf.B, head...)
-	_, _ = c.R.Discard(len(head))
+	_, _ = c.Reader.Discard(len(head))
 	if _, err := w.Write(a.buf.B); err != nil {
 		return errClient
 	}
@@ -612,7 +612,7 @@
 	a.last = time.Now()
 	for left > 0 {
 		c.watch(a, 1)
-		n, err := c.R.Read(chunk[:min(left, len(chunk))])
+		n, err := c.Reader.Read(chunk[:min(left, len(chunk))])
 		if n > 0 {
 			left -= n
 			a.passed += n
@@ -621,7 +621,7 @@
 			}
 			a.last = time.Now()
 		}
-		if errors.Is(err, wake.ErrWoken) {
+		if errors.Is(err, interruptible.ErrInterrupted) {
 			err = woken()
 		}
 		if err != nil {
@@ -635,7 +635,7 @@
 
 // watch schedules a check for a stall, unless one is due or the next n bytes of the answer are buffered.
 func (c *conn) watch(a *answer, n int) {
-	if a.job == nil || a.watched || c.R.Buffered() >= n {
+	if a.job == nil || a.watched || c.Reader.Buffered() >= n {
 		return
 	}
 	c.look(a, a.patience())
@@ -645,7 +645,7 @@
 func (c *conn) look(a *answer, after time.Duration) {
 	a.watched = true
 	j := a.job
-	time.AfterFunc(after, func() { c.Leave(order{job: j, stall: true}) })
+	time.AfterFunc(after, func() { c.Post(order{job: j, stall: true}) })
 }
 
 // take handles one message of an answer. It accepts RowDescription, DataRow and
@@ -664,11 +664,11 @@
 		}
 	case a.job == nil && (typ == 'R' || typ == 'K'):
 	case typ == 'T' && !over && !a.described:
-		a.described, err = true, pgwire.OneColumn(body)
+		a.described, err = true, pgwire.CheckRowDescription(body)
 	case typ == 'D' && !over && a.described && a.row == nil:
-		a.row, err = pgwire.Column(body)
+		a.row, err = pgwire.DataRowValue(body)
 	case typ == 'C' && !over && a.row != nil:
-		a.complete, err = true, pgwire.Tag(body)
+		a.complete, err = true, pgwire.CheckCommandTag(body)
 		if a.done != nil {
 			a.tail = pgwire.Append(make([]byte, 0, len(body)+11), 'C', string(body))
 		}
@@ -680,7 +680,7 @@
 
 // status handles a ParameterStatus: the member's role, log position or load report.
 func (c *conn) status(a *answer, body []byte) {
-	switch name, value := pgwire.Status(body); name {
+	switch name, value := pgwire.ParseParameterStatus(body); name {
 	case "recovery":
 		a.role = decide.Replica
 		if value == "off" {
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -132,10 +132,10 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	w.core = core.New(core.NewClock(), w.script, log)
-	w.pool = New(w.core, Config{User: "app", Database: "shop", Max: 4, Idle: time.Hour, Connect: 20 * time.Second,
-		Grace: 50 * time.Millisecond}, w.bufs, dial, log)
+	w.pool = New(w.core, Config{User: "app", Database: "shop", MaxConns: 4, MemberIdleTimeout: time.Hour, ConnectTimeout: 20 * time.Second,
+		DrainGrace: 50 * time.Millisecond}, w.bufs, dial, log)
 	w.core.Connect(w.pool, nil)
-	w.core.List(decide.ListChange, []core.Listed{{Addr: l.Addr().String(), Member: decide.Member{ID: "m"}}})
+	w.core.List(decide.ListChange, []core.ListedMember{{Addr: l.Addr().String(), Member: decide.Member{ID: "m"}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := make(chan struct{})
 	go func() {
@@ -169,7 +169,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	q := &core.Request{Class: k, Until: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
+	q := &core.Request{Class: k, Deadline: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
 	w.core.Arrive(q)
 	w.send()
 	return q, q.Client.(*sink)
@@ -180,7 +180,7 @@
 	w.owner(func() {
 		a := decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"}
 		if w.before > 0 {
-			a.Before = w.core.Now() + w.before
+			a.WriteBy = w.core.Now() + w.before
 		}
 		w.script.actions = append(w.script.actions, a)
 	})
@@ -214,7 +214,7 @@
 	_, _ = io.ReadFull(c, head)
 	n, _ := pgwire.StartupLen(head)
 	_, _ = io.ReadFull(c, make([]byte, n))
-	_, _ = c.Write(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
+	_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
 }
 
 // statement reads one message from the member's end of a connection and returns its body.
@@ -239,7 +239,7 @@
 	readClass  = &decide.Class{Name: "r", Consistency: decide.AnyData}
 	writeClass = &decide.Class{Name: "w", Consistency: decide.Write, Effect: decide.Once}
 	served     = pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00\x01v"), 'C', "SELECT 1\x00")
-	told       = pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "off"), "lsn_ms", "1767225600123")
+	told       = pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "off"), "lsn_ms", "1767225600123")
 )
 
 // idle leaves the pool with one connection that has served and is idle.
@@ -247,7 +247,7 @@
 	w.ask(readClass, "")
 	l, c := w.welcome()
 	statement(w.t, c)
-	_, _ = c.Write(pgwire.AppendReady(served))
+	_, _ = c.Write(pgwire.AppendReadyForQuery(served))
 	w.outcome()
 	until(w.t, func() (idle bool) {
 		w.owner(func() { idle = len(w.pool.members["m"].idle) == 1 })
@@ -278,7 +278,7 @@
 					w.pool.beforeWrite = func(j *job) {
 						at <- struct{}{}
 						<-on
-						if j.attempt.Request.Over() && j.c.begin(j, w.core.Now()+time.Minute) {
+						if j.attempt.Request.Closed() && j.c.begin(j, w.core.Now()+time.Minute) {
 							t.Error("it could still have been written")
 						}
 						at <- struct{}{}
@@ -296,7 +296,7 @@
 					on <- struct{}{}
 					<-at
 				}()
-				if !q.Over() {
+				if !q.Closed() {
 					t.Error("not marked at once")
 				}
 				close(blocked)
@@ -305,7 +305,7 @@
 				}
 				w.ask(readClass, "the next")
 				nothing(t, c, "the next")
-				_, _ = c.Write(pgwire.AppendReady(served))
+				_, _ = c.Write(pgwire.AppendReadyForQuery(served))
 				w.outcome()
 				w.owner(func() {
 					if want := map[string]int{"gone": 0, "cancelled": 1}[name]; len(s.answers) != want {
@@ -333,7 +333,7 @@
 				buf := w.bufs.Get(200, 0)
 				buf.B = append(buf.B, "/* id=9,c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k'"...)
 				st, _ := pgwire.Parse(buf)
-				q := &core.Request{Class: k, Until: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
+				q := &core.Request{Class: k, Deadline: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
 				w.core.Arrive(q)
 				w.owner(func() { // the client leaves while the module decides to send the request
 					w.script.actions = append(w.script.actions, decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"})
@@ -367,7 +367,7 @@
 		_, _ = c.Write([]byte{'N'}) // part of a message, out of turn
 		unread(t, l, 1)
 		let()
-		until(t, func() bool { return !conn.Leave(order{stall: true}) })
+		until(t, func() bool { return !conn.Post(order{stall: true}) })
 		for a := range w.pool.jobs {
 			w.pool.Stop(a, decide.Cancelled)
 		}
@@ -391,16 +391,16 @@
 		result        decide.Result
 		told          bool
 	}{
-		"whole":                   {"", string(pgwire.AppendReady(append(append([]byte{}, served...), told...))), decide.Served, true},
-		"begun before":            {string(served[:9]), string(pgwire.AppendReady(append(append([]byte{}, served[9:]...), told...))), decide.Served, true},
-		"long":                    {"", string(pgwire.AppendReady(append(append([]byte{}, long...), told...))), decide.Served, true},
-		"turned away":             {"", string(pgwire.AppendReady(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), told...))), decide.NotHere, true},
+		"whole":                   {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...))), decide.Served, true},
+		"begun before":            {string(served[:9]), string(pgwire.AppendReadyForQuery(append(append([]byte{}, served[9:]...), told...))), decide.Served, true},
+		"long":                    {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, long...), told...))), decide.Served, true},
+		"turned away":             {"", string(pgwire.AppendReadyForQuery(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), told...))), decide.Misdirected, true},
 		"told, and no more":       {"", string(told) + string(served[:7]), decide.TimedOut, true},
 		"half a line":             {"", string(served[:7]), decide.TimedOut, false},
 		"nothing":                 {"", "", decide.TimedOut, false},
 		"half of what it told":    {"", string(told[:len(told)-2]), decide.TimedOut, false},
 		"noise":                   {"", "what is this?", decide.Errored, false},
-		"more than belongs to it": {"", string(pgwire.AppendReady(append(append([]byte{}, served...), told...))) + "N", decide.Served, true},
+		"more than belongs to it": {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...))) + "N", decide.Served, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWires(t)
@@ -434,10 +434,10 @@
 			}
 			let()
 			e := w.outcome()
-			if e.Result != tc.result || e.Stamped && e.Position != 1767225600123*time.Millisecond {
+			if e.Result != tc.result || e.HasPosition && e.Position != 1767225600123*time.Millisecond {
 				t.Errorf("outcome %+v", e)
 			}
-			if roleTold := e.Role == decide.Primary; name != "half of what it told" && (e.Stamped != tc.told || roleTold != tc.told) {
+			if roleTold := e.Role == decide.Primary; name != "half of what it told" && (e.HasPosition != tc.told || roleTold != tc.told) {
 				t.Errorf("outcome %+v", e)
 			}
 			if _, err := bufio.NewReader(c).ReadByte(); err == nil { // otherwise the rest of it might be taken for the next request's answer
@@ -464,7 +464,7 @@
 			})
 		}, decide.NotSent},
 		"drains": {func(w *wires, q *core.Request) {
-			w.core.List(decide.ListChange, []core.Listed{{Member: decide.Member{ID: "m", State: decide.Draining}}})
+			w.core.List(decide.ListChange, []core.ListedMember{{Member: decide.Member{ID: "m", State: decide.Draining}}})
 		}, decide.NotSent},
 		"too old":     {func(w *wires, q *core.Request) {}, decide.NotSent},
 		"member goes": {func(w *wires, q *core.Request) {}, decide.Unreachable},
@@ -503,8 +503,8 @@
 	statement(t, c)
 	w.core.Gone(q)
 	w.owner(func() {})
-	_, _ = c.Write(pgwire.AppendReady(append(append([]byte{}, served...), told...)))
-	if e := w.outcome(); e.Result != decide.Served || !e.Stamped || !e.Ended || len(s.answers) != 0 {
+	_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...)))
+	if e := w.outcome(); e.Result != decide.Served || !e.HasPosition || !e.Ended || len(s.answers) != 0 {
 		t.Errorf("outcome %+v, %d answers", e, len(s.answers))
 	}
 }
@@ -518,7 +518,7 @@
 		if stamps {
 			w.ask(readClass, "")
 			statement(t, c)
-			_, _ = c.Write(pgwire.AppendReady(append(append([]byte{}, served...), told...)))
+			_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...)))
 			w.outcome()
 		}
 		before := w.core.Now()
@@ -526,7 +526,7 @@
 		statement(t, c)
 		_, _ = c.Write(served)
 		_ = c.Close()
-		if e := w.outcome(); e.Result != decide.Served || e.Stamped != stamps || stamps && e.Position < before {
+		if e := w.outcome(); e.Result != decide.Served || e.HasPosition != stamps || stamps && e.Position < before {
 			t.Errorf("outcome %+v, sent at %v", e, before)
 		}
 	}
@@ -590,7 +590,7 @@
 		t.Errorf("%d bytes were written on the connection that was closing, %v", n, err)
 	}
 	statement(t, second)
-	_, _ = second.Write(pgwire.AppendReady(served))
+	_, _ = second.Write(pgwire.AppendReadyForQuery(served))
 	if e := w.outcome(); e.Result != decide.Served || e.Reused {
 		t.Errorf("outcome %+v", e)
 	}
--- a/internal/pgmember/pool.go
+++ b/internal/pgmember/pool.go
@@ -13,28 +13,28 @@
 
 	"reachwind/decide"
 	"reachwind/internal/core"
-	"reachwind/internal/often"
+	"reachwind/internal/logthrottle"
 	"reachwind/internal/pgwire"
 )
 
 // Config is the configuration of a Pool.
 type Config struct {
-	User, Database string        // sent in the startup message to members
-	Max            int           // connections to all members together
-	Idle           time.Duration // members close connections that are idle for this long
-	Connect        time.Duration // time limit for dialing, startup included, and for probes
-	Grace          time.Duration // sends to a draining member must end within it
-	DrainOnly      bool          // a member that is missing from the list without having drained may still be used
-	Keep           int           // buffers that streamed answers leave to others
-	Names          []string      // the figures of a load report, as the settings name them
+	User, Database    string        // sent in the startup message to members
+	MaxConns          int           // connections to all members together
+	MemberIdleTimeout time.Duration // members close connections that are idle for this long
+	ConnectTimeout    time.Duration // time limit for dialing, startup included, and for probes
+	DrainGrace        time.Duration // sends to a draining member must end within it
+	KeepDelisted      bool          // a member that is missing from the list without having drained may still be used
+	ReservedBuffers   int           // buffers that streamed answers leave to others
+	ReportFigures     []string      // the figures of a load report, as the settings name them
 }
 
 const (
 	idlePart    = 0.8 // of Idle; the pool closes idle connections by then, so that no request crosses the member's close
 	gracePart   = 0.6 // of Grace; no statement is written after it
 	sweepEvery  = time.Second
-	membersMost = 2 * decide.MembersMost // kept in all, including members off the list that still have connections
-	boundMargin = 2 * time.Millisecond   // data ages further until the last byte of the statement is written
+	membersMost = 2 * decide.MaxMembers // kept in all, including members off the list that still have connections
+	boundMargin = 2 * time.Millisecond  // data ages further until the last byte of the statement is written
 )
 
 // Pool holds the connections to all members.
@@ -51,7 +51,7 @@
 	jobs    map[*core.Attempt]*job
 	stamps  atomic.Bool // some member has reported a log position
 
-	spoilt, cut, failing, short, cutList often.Line
+	spoilt, cut, failing, short, cutList logthrottle.Line
 
 	beforeWrite func(*job) // test hook: called right before a job's statement is written
 }
@@ -77,20 +77,20 @@
 }
 
 // over reports whether no byte of the job may be written any more. Any goroutine may call it.
-func (j *job) over() bool { return j.off.Load() || j.attempt != nil && j.attempt.Request.Over() }
+func (j *job) over() bool { return j.off.Load() || j.attempt != nil && j.attempt.Request.Closed() }
 
 // New returns a pool that reports to c and opens connections with dial.
 func New(c *core.Core, conf Config, bufs *pgwire.Pool, dial Dialer, log *slog.Logger) *Pool {
-	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, most: conf.Max, keep: conf.Keep,
+	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, most: conf.MaxConns, keep: conf.ReservedBuffers,
 		members: map[string]*member{}, jobs: map[*core.Attempt]*job{}}
 	p.conf.Store(&conf)
 	c.Post(p.sweep)
 	return p
 }
 
-// Retune replaces the configuration, except for Max, see Limit, and Keep. Only the owner goroutine may call it. Connections
+// Reconfigure replaces the configuration, except for Max, see Limit, and Keep. Only the owner goroutine may call it. Connections
 // and jobs that are under way keep the time limits that they started with.
-func (p *Pool) Retune(conf Config) { p.conf.Store(&conf) }
+func (p *Pool) Reconfigure(conf Config) { p.conf.Store(&conf) }
 
 // Sizes are the lengths of the pool's tables.
 type Sizes struct{ Members, Connections, Jobs int }
@@ -98,15 +98,15 @@
 // Sizes returns the lengths of the pool's tables. Only the owner goroutine may call it.
 func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.open, len(p.jobs)} }
 
-// Limit sets the maximum number of connections and closes idle ones above it. Only the owner goroutine may call it.
-func (p *Pool) Limit(most int) {
+// SetMaxConns sets the maximum number of connections and closes idle ones above it. Only the owner goroutine may call it.
+func (p *Pool) SetMaxConns(most int) {
 	p.most = most
 	for n := p.open - most; n > 0 && p.evict(nil); n-- {
 	}
 }
 
 // List applies a list of members, or a change of it: their addresses, and which of them may get new work.
-func (p *Pool) List(kind decide.EventKind, list []core.Listed) {
+func (p *Pool) List(kind decide.EventKind, list []core.ListedMember) {
 	named := map[string]bool{}
 	for _, l := range list {
 		named[l.ID] = true
@@ -115,7 +115,7 @@
 			if l.State == decide.Removed {
 				continue
 			}
-			if len(p.members) >= decide.MembersMost {
+			if len(p.members) >= decide.MaxMembers {
 				p.cutList.Warn(p.log, "list of members is too long, the rest is not used", "kept", len(p.members), "member", l.ID)
 			}
 			if len(p.members) >= membersMost {
@@ -129,9 +129,9 @@
 			p.closeIdle(m, 0)
 		}
 		m.left = l.State == decide.Removed
-		p.want(m, l.State == decide.Up || m.left && p.conf.Load().DrainOnly)
+		p.want(m, l.State == decide.Up || m.left && p.conf.Load().KeepDelisted)
 	}
-	if kind == decide.ListChange || p.conf.Load().DrainOnly {
+	if kind == decide.ListChange || p.conf.Load().KeepDelisted {
 		return
 	}
 	for id, m := range p.members {
@@ -165,7 +165,7 @@
 	if m.unwanted == 0 {
 		return 0
 	}
-	return m.unwanted + core.Time(gracePart*float64(p.conf.Load().Grace))
+	return m.unwanted + core.Time(gracePart*float64(p.conf.Load().DrainGrace))
 }
 
 // Send starts an attempt. Exactly one Core.Done follows.
@@ -188,7 +188,7 @@
 		return
 	}
 	j := &job{m: m}
-	p.core.After(p.core.Now()+p.conf.Load().Connect, func() { p.stop(j, decide.TimedOut) })
+	p.core.RunAt(p.core.Now()+p.conf.Load().ConnectTimeout, func() { p.stop(j, decide.TimedOut) })
 	p.start(j)
 }
 
@@ -207,7 +207,7 @@
 	case j.c != nil:
 		j.c.withdraw(j)
 		if why != decide.NotSent {
-			j.c.Leave(order{job: j, stop: true, why: why})
+			j.c.Post(order{job: j, stop: true, why: why})
 		}
 	case slices.Contains(j.m.waiting, j): // no byte of it was written
 		p.finish(j, core.Outcome{Result: decide.NotSent})
@@ -227,7 +227,7 @@
 		m.busy = append(m.busy, c)
 		j.c = c
 		c.limit(0)
-		if c.Leave(order{job: j}) {
+		if c.Post(order{job: j}) {
 			return
 		}
 		j.c = nil // the connection has just ended; its report follows in the core's queue
@@ -281,9 +281,9 @@
 			delete(p.members, id)
 			continue
 		}
-		p.closeIdle(m, p.core.Now()-core.Time(idlePart*float64(p.conf.Load().Idle))+sweepEvery)
+		p.closeIdle(m, p.core.Now()-core.Time(idlePart*float64(p.conf.Load().MemberIdleTimeout))+sweepEvery)
 	}
-	p.core.After(p.core.Now()+sweepEvery, p.sweep)
+	p.core.RunAt(p.core.Now()+sweepEvery, p.sweep)
 }
 
 // closeIdle closes the idle connections of m that were last used before t; all of them if t is 0.
@@ -329,7 +329,7 @@
 	m.busy = append(m.busy, c)
 	j.c = c
 	c.limit(0)
-	if !c.Leave(order{job: j}) {
+	if !c.Post(order{job: j}) {
 		j.c = nil
 		m.waiting = append(m.waiting, j)
 	}
--- a/internal/settings/foreign_test.go
+++ b/internal/settings/foreign_test.go
@@ -16,32 +16,32 @@
 // foreign holds settings of deployments unlike the one that the gateway was built for, each with the configuration that
 // the decision module must get. No figure in them equals a default or a constant of the program.
 var foreign = map[string]decide.Config{
-	"foothill": {Self: 4, Fronts: 5, Zone: "valley-mid", Resolution: 5 * ms, OverShare: 0.25, MaxAttempts: 3, MaxRetryAfter: 150 * ms,
-		MayCancel: true, AskList: true, RemembersSessions: true, AnswersStamped: true,
-		ColdShare: 0.3, ColdTime: 11 * time.Second, FallMultiple: 2.1, FallTime: 700 * ms,
+	"foothill": {Self: 4, Fronts: 5, Zone: "valley-mid", Resolution: 5 * ms, OverShareFactor: 0.25, MaxAttempts: 3, MaxRetryAfter: 150 * ms,
+		MayCancel: true, ListOnRequest: true, RemembersSessions: true, AnswersHavePosition: true,
+		SlowStartFraction: 0.3, SlowStartTime: 11 * time.Second, OverloadMultiple: 2.1, OverloadTime: 700 * ms,
 		Classes: []decide.Class{
-			{Name: "lift-state", KeyWindow: 5 * time.Second, Aim: 110 * ms, Deadline: 250 * ms, Worth: 1, LateWorth: 0.1},
-			{Name: "hut-page", KeyWindow: 5 * time.Second, Aim: 450 * ms, Deadline: 1200 * ms, Worth: 2, LateWorth: 0.3, Consistency: decide.Session},
-			{Name: "season-report", KeyWindow: 5 * time.Second, Aim: 2 * time.Second, Deadline: 6500 * ms, Worth: 3, LateWorth: 0.5,
+			{Name: "lift-state", KeyWindow: 5 * time.Second, LatencyTarget: 110 * ms, Deadline: 250 * ms, Value: 1, LateValue: 0.1},
+			{Name: "hut-page", KeyWindow: 5 * time.Second, LatencyTarget: 450 * ms, Deadline: 1200 * ms, Value: 2, LateValue: 0.3, Consistency: decide.Session},
+			{Name: "season-report", KeyWindow: 5 * time.Second, LatencyTarget: 2 * time.Second, Deadline: 6500 * ms, Value: 3, LateValue: 0.5,
 				Consistency: decide.Bounded, Bound: 900 * ms},
-			{Name: "bed-free", KeyWindow: 5 * time.Second, Aim: 220 * ms, Deadline: 600 * ms, Worth: 2, Consistency: decide.Fresh},
-			{Name: "bed-hold", Effect: decide.Keyed, KeyWindow: 450 * ms, Aim: 600 * ms, Deadline: 2200 * ms, Worth: 5, LateWorth: 0.4,
+			{Name: "bed-free", KeyWindow: 5 * time.Second, LatencyTarget: 220 * ms, Deadline: 600 * ms, Value: 2, Consistency: decide.Fresh},
+			{Name: "bed-hold", Effect: decide.Keyed, KeyWindow: 450 * ms, LatencyTarget: 600 * ms, Deadline: 2200 * ms, Value: 5, LateValue: 0.4,
 				Consistency: decide.Write},
-			{Name: "charge", Effect: decide.Once, KeyWindow: 5 * time.Second, Aim: 1500 * ms, Deadline: 4500 * ms, Worth: 6, LateWorth: 0.6,
+			{Name: "charge", Effect: decide.Once, KeyWindow: 5 * time.Second, LatencyTarget: 1500 * ms, Deadline: 4500 * ms, Value: 6, LateValue: 0.6,
 				Consistency: decide.Write}},
 		Tenants: []decide.Tenant{{Name: "north-club", Share: 0.62, Rate: 140}, {Name: "guides", Share: 0.38, Rate: 86}}},
-	"harbour": {Self: 17, Fronts: 300, Zone: "islet", Resolution: 2 * ms, OverShare: 0.05, MaxAttempts: 2, MayDuplicate: true,
-		MayProbe: true, MarksRetry: true, Checks: decide.ChecksWait,
-		ColdShare: 0.2, ColdTime: 20 * time.Second, FallMultiple: 3, FallTime: 1500 * ms, OnlyDrainBinds: true,
+	"harbour": {Self: 17, Fronts: 300, Zone: "islet", Resolution: 2 * ms, OverShareFactor: 0.05, MaxAttempts: 2, MayDuplicate: true,
+		MayProbe: true, ClientsMarkRetries: true, StaleReads: decide.StaleReadWait,
+		SlowStartFraction: 0.2, SlowStartTime: 20 * time.Second, OverloadMultiple: 3, OverloadTime: 1500 * ms, UseUnlisted: true,
 		Classes: []decide.Class{
-			{Name: "priority", KeyWindow: 5 * time.Second, Aim: 160 * ms, Deadline: 350 * ms, Worth: 4},
-			{Name: "ticket", Effect: decide.Keyed, KeyScope: decide.ScopeGroup, KeyWindow: 700 * ms, Aim: 800 * ms, Deadline: 1800 * ms,
-				Worth: 5, LateWorth: 0.2, Consistency: decide.Write},
-			{Name: "timetable", KeyWindow: 5 * time.Second, Aim: 600 * ms, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.5,
+			{Name: "priority", KeyWindow: 5 * time.Second, LatencyTarget: 160 * ms, Deadline: 350 * ms, Value: 4},
+			{Name: "ticket", Effect: decide.Keyed, KeyScope: decide.ScopeGroup, KeyWindow: 700 * ms, LatencyTarget: 800 * ms, Deadline: 1800 * ms,
+				Value: 5, LateValue: 0.2, Consistency: decide.Write},
+			{Name: "timetable", KeyWindow: 5 * time.Second, LatencyTarget: 600 * ms, Deadline: 2 * time.Second, Value: 1, LateValue: 0.5,
 				Consistency: decide.Bounded, Bound: 5 * time.Second},
-			{Name: "books", KeyWindow: 5 * time.Second, Aim: 3200 * ms, Deadline: 8 * time.Second, Worth: 2, LateWorth: 0.6, Consistency: decide.Session},
-			{Name: "berth", Effect: decide.Keyed, KeyScope: decide.ScopeZone, KeyWindow: 12 * time.Second, Aim: 900 * ms, Deadline: 3500 * ms,
-				Worth: 3, LateWorth: 0.1, Consistency: decide.Write}},
+			{Name: "books", KeyWindow: 5 * time.Second, LatencyTarget: 3200 * ms, Deadline: 8 * time.Second, Value: 2, LateValue: 0.6, Consistency: decide.Session},
+			{Name: "berth", Effect: decide.Keyed, KeyScope: decide.ScopeZone, KeyWindow: 12 * time.Second, LatencyTarget: 900 * ms, Deadline: 3500 * ms,
+				Value: 3, LateValue: 0.1, Consistency: decide.Write}},
 		Tenants: []decide.Tenant{{Name: "line-one", Share: 0.3, Rate: 90}, {Name: "line-two", Share: 0.25, Rate: 75},
 			{Name: "cargo", Share: 0.2, Rate: 60}, {Name: "pilots", Share: 0.15, Rate: 45}, {Name: "yachts", Share: 0.1, Rate: 30}}},
 }
@@ -122,7 +122,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read := func(v any) (*Facts, *decide.Config, error) {
+		read := func(v any) (*Settings, *decide.Config, error) {
 			text, err := json.Marshal(v)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -17,12 +17,12 @@
 
 // Kinds of faults. Up to NotJSON they are faults of the file itself, not of a key.
 const (
-	Empty    FaultKind = iota // the file is empty
-	TooLong                   // the file is longer than FileMost
-	NotJSON                   // the file is cut off, partly overwritten, or has more after the object
-	Missing                   // a key is missing that the file had at the start, or that the gateway needs
-	Twice                     // a key or a name appears more than once
-	BadValue                  // a value has another type or is out of bounds
+	Empty     FaultKind = iota // the file is empty
+	TooLong                    // the file is longer than FileMost
+	NotJSON                    // the file is cut off, partly overwritten, or has more after the object
+	Missing                    // a key is missing that the file had at the start, or that the gateway needs
+	Duplicate                  // a key or a name appears more than once
+	BadValue                   // a value has another type or is out of bounds
 )
 
 // Fault is the error for a file that is refused as a whole.
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%s: found %s, want %s; the file was not applied: %s, and send SIGHUP again", key, f.Found, f.Want, do)
 }
 
-// FileMost is the maximum length of a configuration file, in bytes.
-const FileMost = 4 << 20
+// MaxFileBytes is the maximum length of a configuration file, in bytes.
+const MaxFileBytes = 4 << 20
 
 // Bounds far above the values of any deployment: a figure beyond them is taken for a mistake.
 const (
@@ -54,12 +54,12 @@
 	countMost = 1 << 20
 )
 
-// Shape is a schema of a configuration file: the keys of its objects, with the types of their values. It is derived from
+// Schema is a schema of a configuration file: the keys of its objects, with the types of their values. It is derived from
 // a valid file, and later files are checked against it, see Check.
-type Shape struct {
-	kind byte              // '{', '[', 's', 'n', 'b', or 0: any
-	keys map[string]*Shape // of an object
-	each *Shape            // common to all entries of a list; nil for an empty list
+type Schema struct {
+	kind byte               // '{', '[', 's', 'n', 'b', or 0: any
+	keys map[string]*Schema // of an object
+	each *Schema            // common to all entries of a list; nil for an empty list
 }
 
 var kinds = map[byte]string{'{': "an object", '[': "a list", 's': "a text", 'n': "a number", 'b': "true or false", '0': "null"}
@@ -81,9 +81,9 @@
 	return '0'
 }
 
-// ShapeOf derives the schema of a valid text. Of the key known, which lists members, it keeps only the type, as members
+// SchemaOf derives the schema of a valid text. Of the key known, which lists members, it keeps only the type, as members
 // come and go.
-func ShapeOf(text []byte) (*Shape, error) {
+func SchemaOf(text []byte) (*Schema, error) {
 	var v any
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -92,17 +92,17 @@
 	}
 	s := shapeOf(v)
 	if k := s.keys["known"]; k != nil {
-		s.keys["known"] = &Shape{kind: k.kind}
+		s.keys["known"] = &Schema{kind: k.kind}
 	}
 	return s, nil
 }
 
 // shapeOf derives the schema of a decoded value.
-func shapeOf(v any) *Shape {
-	s := &Shape{kind: kindOf(v)}
+func shapeOf(v any) *Schema {
+	s := &Schema{kind: kindOf(v)}
 	switch v := v.(type) {
 	case map[string]any:
-		s.keys = map[string]*Shape{}
+		s.keys = map[string]*Schema{}
 		for name, one := range v {
 			s.keys[name] = shapeOf(one)
 		}
@@ -122,13 +122,13 @@
 }
 
 // common returns the schema that two schemas have in common.
-func common(a, b *Shape) *Shape {
+func common(a, b *Schema) *Schema {
 	if a == nil || b == nil || a.kind != b.kind {
-		return &Shape{}
+		return &Schema{}
 	}
-	s := &Shape{kind: a.kind}
+	s := &Schema{kind: a.kind}
 	if a.kind == '{' {
-		s.keys = map[string]*Shape{}
+		s.keys = map[string]*Schema{}
 		for name := range a.keys {
 			if b.keys[name] != nil {
 				s.keys[name] = common(a.keys[name], b.keys[name])
@@ -142,7 +142,7 @@
 
 // Check returns the first fault of a text that is to replace the one that s was derived from, as a *[Fault]. The new text
 // must have all keys of the old one, with values of the same types, and the keys that the gateway needs; it may have more.
-func (s *Shape) Check(text []byte) error {
+func (s *Schema) Check(text []byte) error {
 	v, err := tree(text)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 }
 
 // check compares the value at a key path with the schema.
-func (s *Shape) check(key string, v any) error {
+func (s *Schema) check(key string, v any) error {
 	if s.kind != 0 && kindOf(v) != s.kind {
 		return &Fault{BadValue, key, show(v), kinds[s.kind]}
 	}
@@ -215,7 +215,7 @@
 		case name == "":
 			w.fault(&Fault{BadValue, key + ".Name", "an empty text", "a name"})
 		case names[name]:
-			w.fault(&Fault{Twice, key + ".Name", strconv.Quote(name) + " a second time", "a name of its own"})
+			w.fault(&Fault{Duplicate, key + ".Name", strconv.Quote(name) + " a second time", "a name of its own"})
 		}
 		names[name] = true
 		word(&w, w.get(k, key+".Effect"), key+".Effect", effects)
@@ -360,8 +360,8 @@
 // tree decodes a text into maps, slices and plain values. Unlike encoding/json it refuses duplicate keys, also those that
 // differ only in case: the last would win and the others would silently be ignored.
 func tree(text []byte) (any, error) {
-	if len(text) > FileMost {
-		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", FileMost), fmt.Sprintf("at most %d", FileMost)}
+	if len(text) > MaxFileBytes {
+		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", MaxFileBytes), fmt.Sprintf("at most %d", MaxFileBytes)}
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, &Fault{Empty, "", "nothing in it", "an object in JSON"}
@@ -401,7 +401,7 @@
 			}
 			name, _ := t.(string)
 			if low := strings.ToLower(name); seen[low] {
-				return nil, &Fault{Twice, join(key, name), "it a second time", "each key once"}
+				return nil, &Fault{Duplicate, join(key, name), "it a second time", "each key once"}
 			} else {
 				seen[low] = true
 			}
@@ -433,8 +433,8 @@
 
 // Read reads a configuration file whole. For one of more than FileMost bytes it returns a *[Fault].
 func Read(r io.Reader) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(r, FileMost+1))
-	if err == nil && len(text) > FileMost {
+	text, err := io.ReadAll(io.LimitReader(r, MaxFileBytes+1))
+	if err == nil && len(text) > MaxFileBytes {
 		_, err = tree(text)
 	}
 	return text, err
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -16,57 +16,57 @@
 // Bounds on the tables. Entries of the list beyond the bound are not recorded and pass unchanged, and further suspends
 // are refused. Of members that left the list or were resumed, the earliest are removed first.
 const (
-	Most       = 1024    // members that are suspended at the same time
-	listedMost = 1 << 14 // entries of the list; discovery's own bounds are lower
-	leftMost   = 1024    // members that have left the list
-	backMost   = 1024    // members that were resumed
+	MaxSuspended = 1024    // members that are suspended at the same time
+	listedMost   = 1 << 14 // entries of the list; discovery's own bounds are lower
+	leftMost     = 1024    // members that have left the list
+	backMost     = 1024    // members that were resumed
 )
 
 // Entry is the last decision of operators on a member. Of two entries of a member the one with the later At applies.
 type Entry struct {
-	ID    string    `json:"id"`
-	Out   bool      `json:"out"`   // suspended, not resumed
-	At    core.Time `json:"at"`    // time of the decision, in nanoseconds of Unix time
-	Since core.Time `json:"since"` // time of the suspend, the first of several; the same unit
+	ID          string    `json:"id"`
+	Suspended   bool      `json:"out"`   // suspended, not resumed
+	ChangedAt   core.Time `json:"at"`    // time of the decision, in nanoseconds of Unix time
+	SuspendedAt core.Time `json:"since"` // time of the suspend, the first of several; the same unit
 }
 
-// UnknownMachine is the error for an id that no member has.
-type UnknownMachine struct {
+// UnknownMemberError is the error for an id that no member has.
+type UnknownMemberError struct {
 	ID     string
 	Listed int // number of members in discovery's list
 }
 
 // Error implements error.
-func (e UnknownMachine) Error() string {
+func (e UnknownMemberError) Error() string {
 	return fmt.Sprintf("db machine %q is not known: want an id that discovery lists (%d now), that it listed recently, or that is suspended; "+
 		"nothing was changed, look the id up in discovery's list", e.ID, e.Listed)
 }
 
-// Full is the error for a suspend beyond the bound.
-type Full struct{ ID string }
+// TooManySuspendedError is the error for a suspend beyond the bound.
+type TooManySuspendedError struct{ ID string }
 
 // Error implements error.
-func (e Full) Error() string {
-	return fmt.Sprintf("db machine %q can't be suspended: %d are suspended already, which is the limit; nothing was changed, resume some first", e.ID, Most)
+func (e TooManySuspendedError) Error() string {
+	return fmt.Sprintf("db machine %q can't be suspended: %d are suspended already, which is the limit; nothing was changed, resume some first", e.ID, MaxSuspended)
 }
 
 // Set holds the operators' decisions and the list as discovery has it. It is not safe for concurrent use.
 type Set struct {
-	listed map[string]core.Listed // members in discovery's list, by id
-	left   map[string]core.Listed // members that left the list, as they were last listed
-	gone   []string               // the ids in left, the earliest first
-	said   map[string]Entry       // the operators' decisions, by id
-	out    int                    // entries of said that are Out
+	listed map[string]core.ListedMember // members in discovery's list, by id
+	left   map[string]core.ListedMember // members that left the list, as they were last listed
+	gone   []string                     // the ids in left, the earliest first
+	said   map[string]Entry             // the operators' decisions, by id
+	out    int                          // entries of said that are Out
 }
 
 // New returns an empty set.
 func New() *Set {
-	return &Set{listed: map[string]core.Listed{}, left: map[string]core.Listed{}, said: map[string]Entry{}}
+	return &Set{listed: map[string]core.ListedMember{}, left: map[string]core.ListedMember{}, said: map[string]Entry{}}
 }
 
-// List records a list from discovery, or a change of it, and returns what to pass on instead: the same members, but each
+// ApplyList records a list from discovery, or a change of it, and returns what to pass on instead: the same members, but each
 // suspended one as draining. It does not modify members.
-func (s *Set) List(kind decide.EventKind, members []core.Listed) []core.Listed {
+func (s *Set) ApplyList(kind decide.EventKind, members []core.ListedMember) []core.ListedMember {
 	if !kind.HasList() {
 		return members
 	}
@@ -96,7 +96,7 @@
 	if len(s.said) == 0 {
 		return members
 	}
-	out := make([]core.Listed, 0, len(members)+s.out)
+	out := make([]core.ListedMember, 0, len(members)+s.out)
 	named := make(map[string]bool, len(members))
 	for i := range members {
 		named[members[i].ID] = true
@@ -106,7 +106,7 @@
 		return out
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.said)) { // the receiver may go on using members that a list omits
-		if m, ok := s.left[id]; ok && s.said[id].Out && !named[id] {
+		if m, ok := s.left[id]; ok && s.said[id].Suspended && !named[id] {
 			out = append(out, s.as(m))
 		}
 	}
@@ -130,7 +130,7 @@
 	s.left[id] = m
 	s.gone = append(s.gone, id)
 	for i := 0; len(s.left) > leftMost && i < len(s.gone); { // suspended ones stay: they must still be passed on as draining
-		if s.said[s.gone[i]].Out && len(s.left) <= leftMost+Most {
+		if s.said[s.gone[i]].Suspended && len(s.left) <= leftMost+MaxSuspended {
 			i++
 			continue
 		}
@@ -142,49 +142,49 @@
 // as returns an entry of the list as it is passed on. A member that was suspended was most likely restarted meanwhile:
 // until discovery reports when, it counts as started when it was resumed, so that it gets the load of a member in slow
 // start only.
-func (s *Set) as(m core.Listed) core.Listed {
+func (s *Set) as(m core.ListedMember) core.ListedMember {
 	e, ok := s.said[m.ID]
 	switch {
 	case !ok:
-	case e.Out:
+	case e.Suspended:
 		if m.State == decide.Removed { // pass it on as last listed, if known
 			if l, ok := s.left[m.ID]; ok {
 				m = l
 			}
 		}
 		m.State = decide.Draining
-	case m.State == decide.Up && m.Started < e.Since:
-		m.Started = e.At
+	case m.State == decide.Up && m.Started < e.SuspendedAt:
+		m.Started = e.ChangedAt
 	}
 	return m
 }
 
 // Suspend suspends a member from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
 // list. A second call for the same member changes nothing and is no error. The error is an [UnknownMachine] or [Full].
-func (s *Set) Suspend(id string, now core.Time) ([]core.Listed, error) {
+func (s *Set) Suspend(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.said[id]
 	switch {
-	case e.Out:
+	case e.Suspended:
 		return nil, nil
 	case !s.known(id):
-		return nil, UnknownMachine{id, len(s.listed)}
-	case s.out >= Most:
-		return nil, Full{id}
+		return nil, UnknownMemberError{id, len(s.listed)}
+	case s.out >= MaxSuspended:
+		return nil, TooManySuspendedError{id}
 	}
-	now = max(now, e.At+1)
-	return s.say(Entry{ID: id, Out: true, At: now, Since: now}), nil
+	now = max(now, e.ChangedAt+1)
+	return s.say(Entry{ID: id, Suspended: true, ChangedAt: now, SuspendedAt: now}), nil
 }
 
 // Resume ends the suspension of a member, however often it was suspended, at now in nanoseconds of Unix time, and returns
 // what to pass on as a change of the list. For a member that is known and not suspended it changes nothing and is no
 // error. The error is an [UnknownMachine].
-func (s *Set) Resume(id string, now core.Time) ([]core.Listed, error) {
+func (s *Set) Resume(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.said[id]
 	switch {
-	case e.Out:
-		return s.say(Entry{ID: id, At: max(now, e.At+1), Since: e.Since}), nil
+	case e.Suspended:
+		return s.say(Entry{ID: id, ChangedAt: max(now, e.ChangedAt+1), SuspendedAt: e.SuspendedAt}), nil
 	case !s.known(id):
-		return nil, UnknownMachine{id, len(s.listed)}
+		return nil, UnknownMemberError{id, len(s.listed)}
 	}
 	return nil, nil
 }
@@ -197,14 +197,14 @@
 }
 
 // say records e and returns the change that it makes to the list.
-func (s *Set) say(e Entry) []core.Listed {
+func (s *Set) say(e Entry) []core.ListedMember {
 	m, ok := s.listed[e.ID]
 	if !ok {
 		m, ok = s.left[e.ID]
 	}
-	before, was := s.as(m), s.said[e.ID].Out
+	before, was := s.as(m), s.said[e.ID].Suspended
 	s.said[e.ID] = e
-	if e.Out != was {
+	if e.Suspended != was {
 		s.out++
 		if was {
 			s.out -= 2
@@ -213,7 +213,7 @@
 	if len(s.said)-s.out > backMost {
 		oldest := e
 		for _, o := range s.said {
-			if !o.Out && (o.At < oldest.At || o.At == oldest.At && o.ID < oldest.ID) {
+			if !o.Suspended && (o.ChangedAt < oldest.ChangedAt || o.ChangedAt == oldest.ChangedAt && o.ID < oldest.ID) {
 				oldest = o
 			}
 		}
@@ -222,7 +222,7 @@
 	if m = s.as(m); !ok || m == before {
 		return nil
 	}
-	return []core.Listed{m}
+	return []core.ListedMember{m}
 }
 
 // Export returns all entries, sorted by id.
@@ -233,36 +233,36 @@
 // Import merges the entries of another process of this gateway: of each member the later entry applies, in whatever order
 // and however often they arrive. It returns what to pass on as a change of the list. Entries of members that are not known
 // here are recorded as well; entries without an id, and suspends beyond the bound, are dropped and counted.
-func (s *Set) Import(all []Entry) (change []core.Listed, dropped int) {
+func (s *Set) Import(all []Entry) (change []core.ListedMember, dropped int) {
 	for _, e := range all {
 		switch was, ok := s.said[e.ID]; {
-		case e.ID == "" || e.Out && !was.Out && s.out >= Most:
+		case e.ID == "" || e.Suspended && !was.Suspended && s.out >= MaxSuspended:
 			dropped++
-		case !ok || e.At > was.At:
+		case !ok || e.ChangedAt > was.ChangedAt:
 			change = append(change, s.say(e)...)
 		}
 	}
 	return change, dropped
 }
 
-// Out reports whether a member is suspended.
-func (s *Set) Out(id string) bool { return s.said[id].Out }
+// IsSuspended reports whether a member is suspended.
+func (s *Set) IsSuspended(id string) bool { return s.said[id].Suspended }
 
 // Suspended returns the ids of the suspended members, sorted.
 func (s *Set) Suspended() (ids []string) {
 	for _, e := range s.Export() {
-		if e.Out {
+		if e.Suspended {
 			ids = append(ids, e.ID)
 		}
 	}
 	return ids
 }
 
-// Listed returns the number of members that discovery lists.
-func (s *Set) Listed() int { return len(s.listed) }
+// ListedCount returns the number of members that discovery lists.
+func (s *Set) ListedCount() int { return len(s.listed) }
 
 // Sizes are the lengths of the tables.
-type Sizes struct{ Listed, Left, Said int }
+type Sizes struct{ Listed, Delisted, Entries int }
 
 // Sizes returns the lengths of the tables.
 func (s *Set) Sizes() Sizes { return Sizes{len(s.listed), max(len(s.left), len(s.gone)), len(s.said)} }
