--- a/internal/activesettings/terms.go
+++ b/internal/activesettings/activesettings.go
@@ -23,7 +23,7 @@
 type Class struct {
 	*decide.Class               // immutable
 	Index         int           // of its name in Names.Classes; the same for each class of this name
-	until         time.Duration // until when it is served after its removal from the settings; 0 = not removed
+	servedUntil   time.Duration // until when it is served after its removal from the settings; 0 = not removed
 }
 
 // Names lists the names of classes and tenants. A name keeps its index for the life of the process.
@@ -31,25 +31,25 @@
 
 // Snapshot is a snapshot of the settings. It is immutable.
 type Snapshot struct {
-	Names       Names
-	MaxDeadline time.Duration // longest deadline of requests accepted under it, and of earlier ones still open at its start
-	RetryAfter  time.Duration // retry time for clients refused for lack of capacity, 0 = none
-	classes     map[string]Class
-	tenants     map[string]int // index by name
-	longest     time.Duration  // longest deadline of the classes served, removed ones included
-	before      former
+	Names            Names
+	MaxDeadline      time.Duration // longest deadline of requests accepted under it, and of earlier ones still open at its start
+	RetryAfter       time.Duration // retry time for clients refused for lack of capacity, 0 = none
+	classes          map[string]Class
+	tenantIndexes    map[string]int // index by name
+	maxClassDeadline time.Duration  // longest deadline of the classes served, removed ones included
+	earlier          earlierDeadline
 }
 
-// former bounds what requests accepted under earlier snapshots may need: their longest deadline, until the given time.
-type former struct{ longest, until time.Duration }
+// earlierDeadline bounds what requests accepted under earlier snapshots may need: their longest deadline, until the given time.
+type earlierDeadline struct{ deadline, until time.Duration }
 
 // Holder holds the active snapshot. It is safe for concurrent use; calls that replace the snapshot must not overlap.
-type Holder struct{ now atomic.Pointer[Snapshot] }
+type Holder struct{ current atomic.Pointer[Snapshot] }
 
 // NewHolder returns a Book whose active snapshot is that of cfg.
 func NewHolder(cfg *decide.Config) (*Holder, error) {
 	b := new(Holder)
-	b.now.Store(new(Snapshot))
+	b.current.Store(new(Snapshot))
 	t, _, err := b.Prepare(cfg, 0)
 	if err != nil {
 		return nil, err
@@ -59,20 +59,20 @@
 }
 
 // Current returns the active snapshot.
-func (b *Holder) Current() *Snapshot { return b.now.Load() }
+func (b *Holder) Current() *Snapshot { return b.current.Load() }
 
 // Activate makes t, which Next returned, the active snapshot.
-func (b *Holder) Activate(t *Snapshot) { b.now.Store(t) }
+func (b *Holder) Activate(t *Snapshot) { b.current.Store(t) }
 
 // Class returns the class of a name, and whether it is served at the time now.
 func (t *Snapshot) Class(name string, now time.Duration) (Class, bool) {
 	k, ok := t.classes[name]
-	return k, ok && (k.until == 0 || now < k.until)
+	return k, ok && (k.servedUntil == 0 || now < k.servedUntil)
 }
 
 // TenantIndex returns the index of a tenant, -1 if the settings do not name it.
 func (t *Snapshot) TenantIndex(name string) int {
-	if place, ok := t.tenants[name]; ok {
+	if place, ok := t.tenantIndexes[name]; ok {
 		return place
 	}
 	return -1
@@ -83,12 +83,12 @@
 // active snapshot. The error is a *[NamesError].
 func (b *Holder) Prepare(cfg *decide.Config, now time.Duration) (*Snapshot, *decide.Config, error) {
 	was := b.Current()
-	t := &Snapshot{RetryAfter: cfg.MaxRetryAfter, classes: map[string]Class{}, tenants: map[string]int{}}
+	t := &Snapshot{RetryAfter: cfg.MaxRetryAfter, classes: map[string]Class{}, tenantIndexes: map[string]int{}}
 	for name, k := range was.classes {
-		if k.until == 0 {
-			k.until = now + RemovedClassGrace
+		if k.servedUntil == 0 {
+			k.servedUntil = now + RemovedClassGrace
 		}
-		if now < k.until {
+		if now < k.servedUntil {
 			t.classes[name] = k
 		}
 	}
@@ -110,14 +110,14 @@
 		t.classes[k.Name] = Class{Class: k, Index: place}
 	}
 	for _, k := range t.classes {
-		t.longest = max(t.longest, k.Deadline)
+		t.maxClassDeadline = max(t.maxClassDeadline, k.Deadline)
 	}
 	// Requests under way keep their deadlines: a shutdown right after a change to shorter ones must still wait for them.
 	// An earlier deadline is dropped only at the next change after its time; a shutdown ends sooner if nothing is open.
-	if t.before = (former{was.longest, now + was.longest}); now < was.before.until {
-		t.before = former{max(t.before.longest, was.before.longest), max(t.before.until, was.before.until)}
+	if t.earlier = (earlierDeadline{was.maxClassDeadline, now + was.maxClassDeadline}); now < was.earlier.until {
+		t.earlier = earlierDeadline{max(t.earlier.deadline, was.earlier.deadline), max(t.earlier.until, was.earlier.until)}
 	}
-	t.MaxDeadline = max(t.longest, t.before.longest)
+	t.MaxDeadline = max(t.maxClassDeadline, t.earlier.deadline)
 	own.Tenants = nil
 	at := map[string]int{}
 	for i, name := range was.Names.Tenants {
@@ -132,7 +132,7 @@
 			own.Tenants = append(own.Tenants, c)
 		}
 		own.Tenants[place] = c
-		t.tenants[c.Name] = place
+		t.tenantIndexes[c.Name] = place
 	}
 	for _, c := range own.Tenants {
 		t.Names.Tenants = append(t.Names.Tenants, c.Name)
@@ -162,7 +162,7 @@
 	for _, name := range t.Names.Classes {
 		k, now := t.classes[name]
 		o, before := was.classes[name]
-		now, before = now && k.until == 0, before && o.until == 0
+		now, before = now && k.servedUntil == 0, before && o.servedUntil == 0
 		switch {
 		case now && !before:
 			came = append(came, name)
--- a/internal/activesettings/terms_test.go
+++ b/internal/activesettings/activesettings_test.go
@@ -45,7 +45,7 @@
 			delete(left, k.Name)
 		}
 		for name, k := range was.classes {
-			if _, ok := in[name]; !ok && k.until == 0 {
+			if _, ok := in[name]; !ok && k.servedUntil == 0 {
 				left[name] = now + RemovedClassGrace
 			}
 		}
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -97,7 +97,7 @@
 	}{
 		"silent": {func(net.Conn) {}, "0.0 2.4 2.4?index=3&wait=3000", "change full"},
 		"crowd": {func(c net.Conn) {
-			time.Sleep(queueMost)
+			time.Sleep(maxQueueTime)
 			fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 		}, "0.0", "change error"},
 	} {
@@ -147,7 +147,7 @@
 		"back":    func(c net.Conn) { write(c, `{"generation":1}`) },
 		"watch":   func(c net.Conn) { write(c, `{"generation":9}`) }, // no answer after this one
 		"crowd": func(c net.Conn) {
-			time.Sleep(queueMost)
+			time.Sleep(maxQueueTime)
 			fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 		},
 	}
@@ -233,7 +233,7 @@
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if n := len(s.calls); n > 2+int(time.Second/idleLeast) {
+		if n := len(s.calls); n > 2+int(time.Second/minEmptyCallInterval) {
 			t.Errorf("%d calls in a second", n)
 		}
 	})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -40,14 +40,14 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-var states = map[string]decide.MemberState{
+var lifecycleStates = map[string]decide.MemberState{
 	"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}
 
 // EntryOf converts a member to the form that discovery uses.
 func EntryOf(m core.ListedMember) Entry {
 	e := Entry{InstanceID: m.ID, HostPort: m.Addr, Zone: m.Zone, MachineType: m.Kind, Cell: m.Group, Lifecycle: "ready", Weight: m.Weight,
 		StartedAtMs: m.Started.Milliseconds()}
-	for name, state := range states {
+	for name, state := range lifecycleStates {
 		if state == m.State {
 			e.Lifecycle = name
 		}
@@ -60,7 +60,7 @@
 func (l *List) Members() ([]core.ListedMember, error) {
 	list := make([]core.ListedMember, 0, len(l.Instances))
 	for _, e := range l.Instances {
-		state, ok := states[e.Lifecycle]
+		state, ok := lifecycleStates[e.Lifecycle]
 		if !ok || e.InstanceID == "" {
 			return nil, fmt.Errorf("list: instance %q: unknown lifecycle %q", e.InstanceID, e.Lifecycle)
 		}
@@ -72,58 +72,58 @@
 }
 
 const (
-	path = "/v1/endpoints"
-	// waitLeast and waitEach give the wait that a watch's calls ask for. A connection that has gone silent is noticed
+	endpointsPath = "/v1/endpoints"
+	// minWatchWait and waitEach give the wait that a watch's calls ask for. A connection that has gone silent is noticed
 	// only after the wait, so it is to be short; but each wait that ends is work for discovery, so it grows with the
 	// fleet and that load stays the same for any number of gateways.
-	waitLeast = toldAfter - slack - patience // leaves a retry all of its first-byte timeout
-	waitEach  = 250 * time.Millisecond       // per gateway of the fleet: four waits end per second in all
-	waitMost  = 60 * time.Second             // the longest that discovery accepts
+	minWatchWait        = changeDeadline - waitSlack - firstByteTimeout // leaves a retry all of its first-byte timeout
+	watchWaitPerGateway = 250 * time.Millisecond                        // per gateway of the fleet: four waits end per second in all
+	maxWatchWait        = 60 * time.Second                              // the longest that discovery accepts
 
-	// toldAfter is the time within which a gateway must know a change that a failed call missed. After a call that
+	// changeDeadline is the time within which a gateway must know a change that a failed call missed. After a call that
 	// went silent it counts from the beginning of the silence; for a watch it ends no sooner than 2 s after its wait.
 	// After any other failed call it counts from when discovery has the change and can be reached. By then the answer
 	// of a retry must have arrived.
-	toldAfter = 6 * time.Second
-	// patience bounds the time to the first byte of an answer to a call that asks for no wait. Discovery serves calls
+	changeDeadline = 6 * time.Second
+	// firstByteTimeout bounds the time to the first byte of an answer to a call that asks for no wait. Discovery serves calls
 	// one after another and fails those that have queued for queueMost. A client that gives up sooner leaves discovery
 	// to work for nobody and then asks again, which lengthens the queue. A call without an answer for longer than
 	// queueMost and its own work is in no queue.
-	patience  = 2400 * time.Millisecond
-	queueMost = 2 * time.Second
-	workEach  = 70 * time.Millisecond  // the longest that one call takes discovery
-	slack     = 600 * time.Millisecond // for the first byte, beyond the wait asked for
-	pause     = 700 * time.Millisecond // between two reads within an answer
-	whole     = 2 * time.Second        // for the whole answer, from its first byte
-	wholeLate = 800 * time.Millisecond // for the whole answer, from the time limit of its first byte
-	dialWait  = 500 * time.Millisecond
-
-	// crowded: a call without a wait that is refused after at least this time stood in the queue of a service that is
+	firstByteTimeout  = 2400 * time.Millisecond
+	maxQueueTime      = 2 * time.Second
+	workPerCall       = 70 * time.Millisecond  // the longest that one call takes discovery
+	waitSlack         = 600 * time.Millisecond // for the first byte, beyond the wait asked for
+	maxReadGap        = 700 * time.Millisecond // between two reads within an answer
+	answerTimeout     = 2 * time.Second        // for the whole answer, from its first byte
+	lateAnswerTimeout = 800 * time.Millisecond // for the whole answer, from the time limit of its first byte
+	dialTimeout       = 500 * time.Millisecond
+
+	// minQueuedRefusal: a call without a wait that is refused after at least this time stood in the queue of a service that is
 	// up. A service that is down, or that lost its queue, refuses sooner.
-	crowded = queueMost / 2
-	// unqueued: a call that is refused within this time has not been in a queue.
-	unqueued = 100 * time.Millisecond
+	minQueuedRefusal = maxQueueTime / 2
+	// maxUnqueuedRefusal: a call that is refused within this time has not been in a queue.
+	maxUnqueuedRefusal = 100 * time.Millisecond
 
-	// cycle bounds the time from the start of a failed call to the start of the next: the first may have failed just
+	// maxCallCycle bounds the time from the start of a failed call to the start of the next: the first may have failed just
 	// before discovery became reachable, and the next may have to queue.
-	cycle = toldAfter - patience - 600*time.Millisecond
+	maxCallCycle = changeDeadline - firstByteTimeout - 600*time.Millisecond
 
 	// Retries start after a random part of a spread, so that the gateways of a fleet do not retry at the same moment.
 	// For a call that broke off the spread is nearEach per gateway, up to nearMost: a watch that went silent leaves
 	// little time. For a refused call it is the time that the calls of the whole fleet take beyond the longest queue.
 	// After anewTimes retries in a row the interval between the starts of two calls doubles from backLeast up to the
 	// larger of backMost and that spread, with a jitter of a quarter.
-	nearEach  = 5 * time.Millisecond
-	nearMost  = 200 * time.Millisecond
-	anewTimes = 2
-	backLeast = 100 * time.Millisecond
-	backMost  = time.Second
-	// backPushed replaces backMost where lists are pushed: a gateway must then know what discovery has as soon as
+	retrySpreadPerGateway = 5 * time.Millisecond
+	maxRetrySpread        = 200 * time.Millisecond
+	retriesBeforeBackoff  = 2
+	minBackoff            = 100 * time.Millisecond
+	maxBackoff            = time.Second
+	// maxBackoffPushed replaces backMost where lists are pushed: a gateway must then know what discovery has as soon as
 	// discovery is back.
-	backPushed = 150 * time.Millisecond
-	// idleLeast is the shortest time between the starts of two calls of a watch if the first brought no change.
+	maxBackoffPushed = 150 * time.Millisecond
+	// minEmptyCallInterval is the shortest time between the starts of two calls of a watch if the first brought no change.
 	// Discovery takes a call for the continuation of a watch if it comes within 200 ms.
-	idleLeast = 50 * time.Millisecond
+	minEmptyCallInterval = 50 * time.Millisecond
 )
 
 // AnswerError is the error of a call without a usable answer: nothing of it arrived, or not all, or it is no list. Discovery
@@ -146,17 +146,17 @@
 // Unwrap returns the cause.
 func (e *AnswerError) Unwrap() error { return e.Err }
 
-// refusal is the error of a call that reached discovery and ended without any part of a list.
-type refusal struct {
+// refusedError is the error of a call that reached discovery and ended without any part of a list.
+type refusedError struct {
 	took time.Duration // from the request to the refusal
 	err  error
 }
 
 // Error implements error.
-func (e *refusal) Error() string { return fmt.Sprintf("refused after %v: %v", e.took, e.err) }
+func (e *refusedError) Error() string { return fmt.Sprintf("refused after %v: %v", e.took, e.err) }
 
 // Unwrap returns the cause.
-func (e *refusal) Unwrap() error { return e.err }
+func (e *refusedError) Unwrap() error { return e.err }
 
 // Sink receives lists, changes and failures. The client calls it on the goroutine of Run.
 type Sink func(kind decide.EventKind, members []core.ListedMember)
@@ -164,33 +164,33 @@
 // Client makes the calls to discovery, on the goroutine of Run. Watch, Fetch and Move return at once; they only signal
 // Run.
 type Client struct {
-	version atomic.Int64
-	pushed  bool
-	wait    time.Duration // that a watch's calls ask for
-	near    time.Duration // spread of the retries of calls that broke off
-	wide    time.Duration // spread of the retries of refused calls
-	most    time.Duration // between the starts of two calls, while discovery is down
-	beyond  time.Duration // that the fleet's calls, all made at once, take past the longest queue
-	rng     *rand.Rand
-	pace    decide.DiscoveryPacer // of watches after a refusal by a full queue, where lists are pushed
-	sink    Sink
-	log     *slog.Logger
-	dial    func(ctx context.Context, addr string) (net.Conn, error)
-	watch   chan struct{}
-	fetch   chan struct{}
-	move    chan struct{}
-
-	mu      sync.Mutex
-	next    string // the address for the next call
-	abandon func() // cancels the current call
+	version         atomic.Int64
+	pushed          bool
+	watchWait       time.Duration // that a watch's calls ask for
+	brokenSpread    time.Duration // spread of the retries of calls that broke off
+	refusedSpread   time.Duration // spread of the retries of refused calls
+	callIntervalMax time.Duration // between the starts of two calls, while discovery is down
+	overQueueTime   time.Duration // that the fleet's calls, all made at once, take past the longest queue
+	rng             *rand.Rand
+	pace            decide.DiscoveryPacer // of watches after a refusal by a full queue, where lists are pushed
+	sink            Sink
+	log             *slog.Logger
+	dial            func(ctx context.Context, addr string) (net.Conn, error)
+	watchRequested  chan struct{}
+	fetchRequested  chan struct{}
+	addrChanged     chan struct{}
+
+	mu         sync.Mutex
+	nextAddr   string // the address for the next call
+	cancelCall func() // cancels the current call
 
 	// Owned by the goroutine of Run.
-	addr  string // of the current call
-	moved bool   // the whole list is needed, as the address changed or the service restarted its versions
-	idle  bool   // the last answer brought no change
-	conn  *conn  // kept for the next call
+	addr      string // of the current call
+	needFull  bool   // the whole list is needed, as the address changed or the service restarted its versions
+	lastEmpty bool   // the last answer brought no change
+	conn      *conn  // kept for the next call
 
-	failed, broke, back logthrottle.Line
+	failedLog, brokenLog, restartedLog logthrottle.Line
 }
 
 // Config is the configuration of a Client.
@@ -205,14 +205,14 @@
 // New returns a client that makes its first call once Run runs. It opens connections with dial.
 func New(conf Config, sink Sink, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) *Client {
 	fleet := time.Duration(conf.Gateways)
-	c := &Client{next: conf.Addr, addr: conf.Addr, pushed: conf.Pushed,
-		wait: min(max(waitLeast, fleet*waitEach), waitMost), near: min(fleet*nearEach, nearMost), beyond: fleet*workEach - queueMost,
+	c := &Client{nextAddr: conf.Addr, addr: conf.Addr, pushed: conf.Pushed,
+		watchWait: min(max(minWatchWait, fleet*watchWaitPerGateway), maxWatchWait), brokenSpread: min(fleet*retrySpreadPerGateway, maxRetrySpread), overQueueTime: fleet*workPerCall - maxQueueTime,
 		rng: rand.New(rand.NewPCG(conf.Seed, 0x646973636f766572)), sink: sink, dial: dial, log: log,
-		watch: make(chan struct{}, 1), fetch: make(chan struct{}, 1), move: make(chan struct{}, 1)}
-	c.wide = min(max(c.near, c.beyond), cycle)
-	c.most = max(c.wide, backMost)
+		watchRequested: make(chan struct{}, 1), fetchRequested: make(chan struct{}, 1), addrChanged: make(chan struct{}, 1)}
+	c.refusedSpread = min(max(c.brokenSpread, c.overQueueTime), maxCallCycle)
+	c.callIntervalMax = max(c.refusedSpread, maxBackoff)
 	if c.pushed {
-		c.wide, c.most = c.near, min(max(backPushed, c.beyond), backMost)
+		c.refusedSpread, c.callIntervalMax = c.brokenSpread, min(max(maxBackoffPushed, c.overQueueTime), maxBackoff)
 	}
 	c.pace = decide.DiscoveryPacer{Fronts: conf.Gateways, Random: c.rng.Float64}
 	c.version.Store(conf.Version)
@@ -223,36 +223,36 @@
 func (c *Client) Version() int64 { return c.version.Load() }
 
 // Watch starts a watch for changes. It has no effect while a watch is running.
-func (c *Client) Watch() { leave(c.watch) }
+func (c *Client) Watch() { signal(c.watchRequested) }
 
 // Fetch requests the whole list once. It has no effect while a watch is running, which brings all changes.
-func (c *Client) Fetch() { leave(c.fetch) }
+func (c *Client) Fetch() { signal(c.fetchRequested) }
 
 // SetAddr cancels the current call and makes all further calls to addr: first for
 // the whole list, as the versions of two services need not agree, then for changes.
 func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if addr == c.next {
+	if addr == c.nextAddr {
 		return
 	}
-	c.next = addr
-	leave(c.move)
-	if c.abandon != nil {
-		c.abandon()
+	c.nextAddr = addr
+	signal(c.addrChanged)
+	if c.cancelCall != nil {
+		c.cancelCall()
 	}
 }
 
-// leave sends a signal on a channel of capacity 1, unless one is pending.
-func leave(ch chan struct{}) {
+// signal sends a signal on a channel of capacity 1, unless one is pending.
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// taken clears a pending signal.
-func taken(ch chan struct{}) {
+// clearSignal clears a pending signal.
+func clearSignal(ch chan struct{}) {
 	select {
 	case <-ch:
 	default:
@@ -261,13 +261,13 @@
 
 // Run makes the calls until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConn()
 	if c.pushed {
 		for ctx.Err() == nil {
-			c.follow(ctx)
+			c.watchChanges(ctx)
 			select {
 			case <-ctx.Done():
-			case <-c.move:
+			case <-c.addrChanged:
 			case <-time.After(c.pace.PauseAfterRefusal(1)):
 			}
 		}
@@ -277,35 +277,35 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.fetch:
+		case <-c.fetchRequested:
 			c.call(ctx, true, 0)
-		case <-c.watch:
-			c.follow(ctx)
-		case <-c.move:
-			c.follow(ctx)
+		case <-c.watchRequested:
+			c.watchChanges(ctx)
+		case <-c.addrChanged:
+			c.watchChanges(ctx)
 		}
 	}
 }
 
-// follow watches for changes until a call is refused by a full queue or the address changes. The first call asks for no
+// watchChanges watches for changes until a call is refused by a full queue or the address changes. The first call asks for no
 // wait, so that missed changes arrive at once; each further call directly follows the last answer, so that discovery
 // sees one unbroken watch.
-func (c *Client) follow(ctx context.Context) {
-	for wait := time.Duration(0); ctx.Err() == nil; wait = c.wait {
+func (c *Client) watchChanges(ctx context.Context) {
+	for wait := time.Duration(0); ctx.Err() == nil; wait = c.watchWait {
 		began := time.Now()
 		if !c.call(ctx, false, wait) {
 			return
 		}
-		taken(c.watch) // requests for what is running
-		taken(c.fetch)
-		if left := idleLeast - time.Since(began); wait > 0 && c.idle && left > 0 { // discovery does not wait: it would be called in a tight loop
-			c.rest(ctx, left)
+		clearSignal(c.watchRequested) // requests for what is running
+		clearSignal(c.fetchRequested)
+		if left := minEmptyCallInterval - time.Since(began); wait > 0 && c.lastEmpty && left > 0 { // discovery does not wait: it would be called in a tight loop
+			c.sleep(ctx, left)
 		}
 	}
 }
 
-// rest sleeps for d and reports whether it did so to the end; it returns early when ctx ends.
-func (c *Client) rest(ctx context.Context, d time.Duration) bool {
+// sleep sleeps for d and reports whether it did so to the end; it returns early when ctx ends.
+func (c *Client) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -314,22 +314,22 @@
 	}
 }
 
-// part returns a random duration from 0 to d.
-func (c *Client) part(d time.Duration) time.Duration {
+// randomUpTo returns a random duration from 0 to d.
+func (c *Client) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Float64() * float64(d))
 }
 
-// begin prepares a call to the current address and returns a context for it, which Move cancels.
-func (c *Client) begin(ctx context.Context) (context.Context, func()) {
+// beginCall prepares a call to the current address and returns a context for it, which Move cancels.
+func (c *Client) beginCall(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken(c.move) // this call goes to the new address
-	if c.next != c.addr {
-		c.hangUp()
-		c.addr, c.moved = c.next, true
+	clearSignal(c.addrChanged) // this call goes to the new address
+	if c.nextAddr != c.addr {
+		c.closeConn()
+		c.addr, c.needFull = c.nextAddr, true
 	}
-	c.abandon = cancel
+	c.cancelCall = cancel
 	return ctx, cancel
 }
 
@@ -338,20 +338,20 @@
 // exception is a call that a full queue refused: discovery is then overloaded and retries at once would make it worse,
 // so call reports the failure to the sink. It reports whether there was an answer.
 func (c *Client) call(ctx context.Context, full bool, wait time.Duration) bool {
-	ctx, done := c.begin(ctx)
+	ctx, done := c.beginCall(ctx)
 	defer done()
 	for again := 0; ; again++ {
-		target := path
-		if full || c.moved {
+		target := endpointsPath
+		if full || c.needFull {
 			wait = 0
 		} else {
-			target = fmt.Sprintf("%s?index=%d&wait=%d", path, c.version.Load(), wait.Milliseconds())
+			target = fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, c.version.Load(), wait.Milliseconds())
 		}
 		began := time.Now()
 		list, err := c.get(ctx, target, wait)
 		var members []core.ListedMember
 		if err == nil {
-			if members, err = list.Members(); err == nil && target == path && !list.Reset {
+			if members, err = list.Members(); err == nil && target == endpointsPath && !list.Reset {
 				if list.Reset = len(members) > 0; !list.Reset { // an empty list without the mark is no whole list
 					err = errors.New("got a change, wanted the whole list")
 				}
@@ -363,13 +363,13 @@
 		took := time.Since(began)
 		switch {
 		case ctx.Err() != nil: // the address changed, or Run ends: the answer no longer counts
-			c.hangUp()
+			c.closeConn()
 			return false
-		case err == nil && target != path && !list.Reset && list.Generation < c.version.Load():
+		case err == nil && target != endpointsPath && !list.Reset && list.Generation < c.version.Load():
 			// The service restarted its versions: it would never report changes up to the version that is held here.
-			c.back.Warn(c.log, "discovery restarted its versions, fetching the whole list", "call", target, "version", list.Generation)
-			c.moved = true
-			if !c.rest(ctx, idleLeast) {
+			c.restartedLog.Warn(c.log, "discovery restarted its versions, fetching the whole list", "call", target, "version", list.Generation)
+			c.needFull = true
+			if !c.sleep(ctx, minEmptyCallInterval) {
 				return false
 			}
 			continue
@@ -377,57 +377,57 @@
 			if wait == 0 {
 				c.pace.Answered(took)
 			}
-			c.pass(list, members)
+			c.deliver(list, members)
 			return true
 		}
-		c.hangUp()
-		var refused *refusal
-		if errors.As(err, &refused) && wait == 0 && refused.took >= crowded {
-			c.failed.Warn(c.log, "discovery failed", "call", target, "took", took, "err", err)
-			taken(c.watch) // requests made during the call; this failure answers them
-			taken(c.fetch)
+		c.closeConn()
+		var refused *refusedError
+		if errors.As(err, &refused) && wait == 0 && refused.took >= minQueuedRefusal {
+			c.failedLog.Warn(c.log, "discovery failed", "call", target, "took", took, "err", err)
+			clearSignal(c.watchRequested) // requests made during the call; this failure answers them
+			clearSignal(c.fetchRequested)
 			c.sink(decide.ListError, nil)
 			return false
 		}
-		if unreachable(err, wait) {
+		if isUnreachable(err, wait) {
 			c.sink(decide.DiscoveryUnreachable, nil)
 		}
-		c.broke.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
+		c.brokenLog.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
 		wait = 0 // missed changes are to arrive at once
-		if !c.rest(ctx, c.pause(err, again, took)) {
+		if !c.sleep(ctx, c.retryDelay(err, again, took)) {
 			return false
 		}
 	}
 }
 
-// unreachable reports whether a call failed because discovery is down or its host refuses connections. Silence proves
+// isUnreachable reports whether a call failed because discovery is down or its host refuses connections. Silence proves
 // neither, and a call that was refused after queueing reached a service that is up.
-func unreachable(err error, wait time.Duration) bool {
+func isUnreachable(err error, wait time.Duration) bool {
 	var broken *AnswerError
 	if errors.As(err, &broken) {
 		return false
 	}
-	var refused *refusal
-	return !errors.As(err, &refused) || wait == 0 && refused.took < unqueued
+	var refused *refusedError
+	return !errors.As(err, &refused) || wait == 0 && refused.took < maxUnqueuedRefusal
 }
 
-// pause returns the delay before the retry of a call that failed with err after took; again counts the retries before.
-func (c *Client) pause(err error, again int, took time.Duration) time.Duration {
-	spread := c.wide
+// retryDelay returns the delay before the retry of a call that failed with err after took; again counts the retries before.
+func (c *Client) retryDelay(err error, again int, took time.Duration) time.Duration {
+	spread := c.refusedSpread
 	var broken *AnswerError
-	if errors.As(err, &broken) || c.moved { // the list of a new address must be known 4 s after the change of address
-		spread = c.near
+	if errors.As(err, &broken) || c.needFull { // the list of a new address must be known 4 s after the change of address
+		spread = c.brokenSpread
 	}
-	if again < anewTimes {
-		return c.part(spread)
+	if again < retriesBeforeBackoff {
+		return c.randomUpTo(spread)
 	}
-	span := min(max(backLeast<<min(again-anewTimes, 8), spread), c.most)
-	return max(span-c.part(span/4)-took, c.part(c.near))
+	span := min(max(minBackoff<<min(again-retriesBeforeBackoff, 8), spread), c.callIntervalMax)
+	return max(span-c.randomUpTo(span/4)-took, c.randomUpTo(c.brokenSpread))
 }
 
-// pass records an answer and passes its list to the sink.
-func (c *Client) pass(list *List, members []core.ListedMember) {
-	c.moved, c.idle = false, len(members) == 0 && !list.Reset
+// deliver records an answer and passes its list to the sink.
+func (c *Client) deliver(list *List, members []core.ListedMember) {
+	c.needFull, c.lastEmpty = false, len(members) == 0 && !list.Reset
 	c.version.Store(list.Generation)
 	kind := decide.ListChange
 	if list.Reset {
@@ -443,11 +443,11 @@
 func (c *Client) get(ctx context.Context, target string, wait time.Duration) (*List, error) {
 	kept := c.conn != nil
 	if !kept {
-		ctx, cancel := context.WithTimeout(ctx, dialWait)
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		nc, err := c.dial(ctx, c.addr)
 		if err != nil {
-			if timedOut(err) {
+			if isTimeout(err) {
 				err = &AnswerError{c.addr, false, err}
 			}
 			return nil, err
@@ -458,35 +458,35 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	asked := time.Now()
-	resp, err := conn.ask(appendGet(nil, c.addr, target), max(wait+slack, patience))
+	resp, err := conn.roundTrip(appendGet(nil, c.addr, target), max(wait+waitSlack, firstByteTimeout))
 	switch {
-	case err != nil && (conn.begun || timedOut(err)):
-		return nil, &AnswerError{c.addr, conn.begun, err}
-	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < idleLeast: // the kept connection had been closed: discovery has not read the call
-		c.hangUp()
+	case err != nil && (conn.answerBegun || isTimeout(err)):
+		return nil, &AnswerError{c.addr, conn.answerBegun, err}
+	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < minEmptyCallInterval: // the kept connection had been closed: discovery has not read the call
+		c.closeConn()
 		return c.get(ctx, target, wait)
 	case err != nil:
-		return nil, &refusal{time.Since(asked), err}
+		return nil, &refusedError{time.Since(asked), err}
 	case resp.status != 200:
-		return nil, &refusal{time.Since(asked), fmt.Errorf("status %d", resp.status)}
+		return nil, &refusedError{time.Since(asked), fmt.Errorf("status %d", resp.status)}
 	}
 	list := new(List)
 	if err := json.Unmarshal(resp.body, list); err != nil {
 		return nil, &AnswerError{c.addr, true, fmt.Errorf("list: %w", err)}
 	}
-	if !resp.keep || conn.r.Buffered() > 0 { // surplus bytes would be taken for the next answer
-		c.hangUp()
+	if !resp.keepAlive || conn.r.Buffered() > 0 { // surplus bytes would be taken for the next answer
+		c.closeConn()
 	}
 	return list, nil
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// hangUp closes the kept connection, if there is one.
-func (c *Client) hangUp() {
+// closeConn closes the kept connection, if there is one.
+func (c *Client) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -37,7 +37,7 @@
 		"headers":    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", maxHeaders+1) + "\r\n", "", false, false},
 	} {
 		r, err := readResponse(bufio.NewReader(strings.NewReader(tc.in)), func() {})
-		if (err == nil) != tc.ok || tc.ok && (string(r.body) != tc.body || r.keep != tc.keep) {
+		if (err == nil) != tc.ok || tc.ok && (string(r.body) != tc.body || r.keepAlive != tc.keep) {
 			t.Errorf("%s: %+v, %v", name, r, err)
 		}
 	}
@@ -72,7 +72,7 @@
 			case 3, 4:
 				c.Watch()
 				c.Fetch()
-				time.Sleep(queueMost)
+				time.Sleep(maxQueueTime)
 				fallthrough
 			default:
 				fmt.Fprint(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
@@ -130,7 +130,7 @@
 			if err != nil {
 				return
 			}
-			call := strings.TrimPrefix(strings.Fields(line)[1], path)
+			call := strings.TrimPrefix(strings.Fields(line)[1], endpointsPath)
 			s.mu.Lock()
 			n := len(s.calls)
 			s.calls = append(s.calls, fmt.Sprintf("%.1f%s", time.Since(s.begin).Seconds(), call))
@@ -168,18 +168,18 @@
 		"reset":             {1, 0, func(c net.Conn) { c.Close() }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
 		"refused":           {1, 0, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
 		"watch reset":       {1, 1, func(c net.Conn) { time.Sleep(time.Second); c.Close() }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 1.0?index=8&wait=0 1.0?index=8&wait=3000", false},
-		"watch refused":     {1, 1, func(c net.Conn) { time.Sleep(queueMost); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 2.0?index=8&wait=0 2.0?index=8&wait=3000", false},
-		"a crowd":           {1, 0, func(c net.Conn) { time.Sleep(queueMost); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0", true},
-		"a crowd, by reset": {1, 0, func(c net.Conn) { time.Sleep(queueMost); c.Close() }, "0.0?index=7&wait=0", true},
+		"watch refused":     {1, 1, func(c net.Conn) { time.Sleep(maxQueueTime); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 2.0?index=8&wait=0 2.0?index=8&wait=3000", false},
+		"a crowd":           {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0", true},
+		"a crowd, by reset": {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); c.Close() }, "0.0?index=7&wait=0", true},
 		"late, then a trickle": {1, 0, func(c net.Conn) {
-			time.Sleep(patience - 100*time.Millisecond)
+			time.Sleep(firstByteTimeout - 100*time.Millisecond)
 			for _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(c, " ") {
-				time.Sleep(pause / 2)
+				time.Sleep(maxReadGap / 2)
 			}
 		}, "0.0?index=7&wait=0 3.2?index=7&wait=0 3.2?index=8&wait=3000", false},
 		"an endless trickle": {1, 0, func(c net.Conn) {
 			for _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(c, " ") {
-				time.Sleep(pause / 2)
+				time.Sleep(maxReadGap / 2)
 			}
 		}, "0.0?index=7&wait=0 2.0?index=7&wait=0 2.0?index=8&wait=3000", false},
 	} {
@@ -241,7 +241,7 @@
 					for rest := "x"; strings.TrimSpace(rest) != ""; {
 						rest, _ = r.ReadString('\n')
 					}
-					call := strings.TrimPrefix(strings.Fields(line)[1], path)
+					call := strings.TrimPrefix(strings.Fields(line)[1], endpointsPath)
 					note(&calls, addr+call)
 					if !strings.HasSuffix(call, "wait=3000") {
 						text := `{"generation":3,"reset":true,"instances":[]}`
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -79,7 +79,7 @@
 				if f.back > 0 && now >= f.back && !f.up { // calls queued at cut are gone
 					f.up, f.busy = true, 0
 				}
-				if f.back > 0 && now >= f.back && now <= f.back+toldAfter-patience && !seen {
+				if f.back > 0 && now >= f.back && now <= f.back+changeDeadline-firstByteTimeout && !seen {
 					seen = true
 					f.asked++
 				}
@@ -159,7 +159,7 @@
 		}
 		time.Sleep(f.span)
 		cancel()
-		time.Sleep(waitMost + 10*time.Second) // for the last answers of discovery
+		time.Sleep(maxWatchWait + 10*time.Second) // for the last answers of discovery
 	})
 	if f.n > 1 || f.size == 0 {
 		t.Logf("%d told, the last after %v, by %d calls that came to it, of which %d failed; queue of %v at most", f.told, f.last, f.calls, f.failed, f.queue)
@@ -206,9 +206,9 @@
 // due returns when a gateway must know what discovery has at back. It is later for a watch that went silent, which is
 // noticed only after its wait.
 func (f *fleet) due() time.Duration {
-	due := f.back + toldAfter
+	due := f.back + changeDeadline
 	if f.how == "no dial" || f.how == "silent" {
-		due = max(due, f.cut+toldAfter, f.watch+2*time.Second)
+		due = max(due, f.cut+changeDeadline, f.watch+2*time.Second)
 	}
 	return due
 }
@@ -237,10 +237,10 @@
 		write(conn, `{"generation":3,"instances":[{"instanceId":"a"}]}`)
 	case "trickle":
 		if !watch {
-			time.Sleep(patience - 100*time.Millisecond)
+			time.Sleep(firstByteTimeout - 100*time.Millisecond)
 		}
 		for _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(conn, " ") {
-			time.Sleep(pause / 2)
+			time.Sleep(maxReadGap / 2)
 		}
 	case "huge":
 		_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{")
@@ -265,7 +265,7 @@
 						f := &fleet{n: 1, size: size, seed: seed, pushed: pushed, how: how, work: 2 * time.Second, cut: 12 * time.Second}
 						after := 8 * time.Second
 						if how == "no dial" || how == "silent" { // a silent watch is noticed only after its wait
-							after += waitMost
+							after += maxWatchWait
 							if size > 5 {
 								f.work = time.Second
 							}
@@ -295,7 +295,7 @@
 			if n <= 30 && (f.told != n || f.late > 0) || n == 80 && f.told != n {
 				t.Error("not told in time")
 			}
-			if f.calls > n*(4+int(f.span/max(waitLeast, time.Duration(n)*waitEach)))+4 || f.queue > time.Duration(n)*70*time.Millisecond {
+			if f.calls > n*(4+int(f.span/max(minWatchWait, time.Duration(n)*watchWaitPerGateway)))+4 || f.queue > time.Duration(n)*70*time.Millisecond {
 				t.Error("a thundering herd")
 			}
 		})
@@ -346,7 +346,7 @@
 			t.Parallel()
 			f := &fleet{n: n, each: 4500 * time.Millisecond / time.Duration(max(n, 30)), span: 10 * time.Second}
 			f.play(t)
-			if f.told != n || f.last > toldAfter || f.failed > 0 {
+			if f.told != n || f.last > changeDeadline || f.failed > 0 {
 				t.Errorf("%d of %d told, the last after %v; %d calls failed", f.told, n, f.last, f.failed)
 			}
 		})
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -24,9 +24,9 @@
 
 // response is an HTTP/1.1 answer.
 type response struct {
-	status int
-	keep   bool // the connection may be reused
-	body   []byte
+	status    int
+	keepAlive bool // the connection may be reused
+	body      []byte
 }
 
 // appendGet appends a GET request to b.
@@ -37,10 +37,10 @@
 // conn is a connection to discovery, for one call at a time.
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	begun bool      // some of the current answer arrived
-	last  time.Time // when the current answer must be complete at the latest
-	end   time.Time // when an answer that has begun must be complete; not after last
+	r           *bufio.Reader
+	answerBegun bool      // some of the current answer arrived
+	latestEnd   time.Time // when the current answer must be complete at the latest
+	answerEnd   time.Time // when an answer that has begun must be complete; not after last
 }
 
 func newConn(nc net.Conn) *conn {
@@ -54,10 +54,10 @@
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		now := time.Now()
-		if !c.begun {
-			c.begun, c.end = true, earlier(now.Add(whole), c.last)
+		if !c.answerBegun {
+			c.answerBegun, c.answerEnd = true, earlier(now.Add(answerTimeout), c.latestEnd)
 		}
-		_ = c.SetReadDeadline(earlier(c.end, now.Add(pause)))
+		_ = c.SetReadDeadline(earlier(c.answerEnd, now.Add(maxReadGap)))
 	}
 	return n, err
 }
@@ -69,12 +69,12 @@
 	return b
 }
 
-// ask sends a request and reads its answer, whose first byte must arrive within first.
-func (c *conn) ask(request []byte, first time.Duration) (*response, error) {
+// roundTrip sends a request and reads its answer, whose first byte must arrive within first.
+func (c *conn) roundTrip(request []byte, first time.Duration) (*response, error) {
 	end := time.Now().Add(first)
-	c.last = end.Add(wholeLate)
+	c.latestEnd = end.Add(lateAnswerTimeout)
 	wait := func() {
-		c.begun = false
+		c.answerBegun = false
 		_ = c.SetDeadline(end)
 	}
 	wait()
@@ -87,7 +87,7 @@
 // readResponse reads one answer with its whole body. It skips interim answers before it, and calls interim after each.
 func readResponse(r *bufio.Reader, interim func()) (*response, error) {
 	for range maxInterim {
-		if resp, err := readOne(r); err != nil || resp.status >= 200 {
+		if resp, err := readAnyResponse(r); err != nil || resp.status >= 200 {
 			return resp, err
 		}
 		interim()
@@ -95,8 +95,8 @@
 	return nil, fmt.Errorf("%w: too many interim answers, want a final one", errHTTP)
 }
 
-// readOne reads one answer, interim or final.
-func readOne(r *bufio.Reader) (*response, error) {
+// readAnyResponse reads one answer, interim or final.
+func readAnyResponse(r *bufio.Reader) (*response, error) {
 	line, err := readLine(r)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 100 || status > 999 {
 		return nil, fmt.Errorf("%w: status line %.40q", errHTTP, line)
 	}
-	resp := &response{status: status, keep: proto != "HTTP/1.0"}
+	resp := &response{status: status, keepAlive: proto != "HTTP/1.0"}
 	length, chunked := int64(-1), false
 	for n := 0; ; n++ {
 		if line, err = readLine(r); err != nil {
@@ -129,7 +129,7 @@
 		case "transfer-encoding":
 			chunked = value == "chunked"
 		case "connection":
-			resp.keep = resp.keep && value != "close"
+			resp.keepAlive = resp.keepAlive && value != "close"
 		}
 	}
 	switch {
@@ -140,7 +140,7 @@
 		resp.body = make([]byte, length)
 		_, err = io.ReadFull(r, resp.body)
 	default:
-		resp.keep = false
+		resp.keepAlive = false
 		if resp.body, err = io.ReadAll(io.LimitReader(r, maxBody+1)); err == nil && len(resp.body) > maxBody {
 			err = fmt.Errorf("%w: body too long", errHTTP)
 		}
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -162,7 +162,7 @@
 				}
 			}
 			cancel()
-			time.Sleep(waitMost + 10*time.Second) // for the last answers of discovery
+			time.Sleep(maxWatchWait + 10*time.Second) // for the last answers of discovery
 		})
 	}
 	t.Logf("%d silences checked, %d left out", checks, skipped)
--- a/internal/interruptible/wake.go
+++ b/internal/interruptible/interruptible.go
@@ -19,26 +19,26 @@
 // ErrInterrupted is returned by a read that was woken: look into the mailbox and read on.
 var ErrInterrupted = errors.New("woken")
 
-var past = time.Unix(1, 0)
+var distantPast = time.Unix(1, 0)
 
 // Conn is a connection with a mailbox of messages M.
 type Conn[M any] struct {
 	net.Conn
 	Reader *bufio.Reader
 
-	OnRead func(n int) // called when n bytes were read, on the goroutine; nil: nobody wants to know
-	heard  time.Time   // when bytes were last read; the goroutine's
+	OnRead   func(n int) // called when n bytes were read, on the goroutine; nil: nobody wants to know
+	lastRead time.Time   // when bytes were last read; the goroutine's
 
-	mu     sync.Mutex
-	mail   sync.Cond // signalled with each message
-	box    []M
-	closed bool
+	mu           sync.Mutex
+	messageAdded sync.Cond // signalled with each message
+	mailbox      []M
+	closed       bool
 }
 
 // New wraps c with a reader of the given size.
 func New[M any](c net.Conn, size int) *Conn[M] {
 	w := &Conn[M]{Conn: c}
-	w.mail.L = &w.mu
+	w.messageAdded.L = &w.mu
 	w.Reader = bufio.NewReaderSize(w, size)
 	return w
 }
@@ -47,7 +47,7 @@
 func (w *Conn[M]) Read(p []byte) (int, error) {
 	n, err := w.Conn.Read(p)
 	if n > 0 {
-		w.heard = time.Now()
+		w.lastRead = time.Now()
 		if w.OnRead != nil {
 			w.OnRead(n)
 		}
@@ -70,28 +70,28 @@
 		w.mu.Unlock()
 		return false
 	}
-	w.box = append(w.box, m)
-	w.mail.Signal()
+	w.mailbox = append(w.mailbox, m)
+	w.messageAdded.Signal()
 	w.mu.Unlock()
-	_ = w.Conn.SetReadDeadline(past) // a broken connection shows in the read
+	_ = w.Conn.SetReadDeadline(distantPast) // a broken connection shows in the read
 	return true
 }
 
 // NoPendingInput tells that nothing has come that was not read, neither bytes nor the
 // peer's end. It looks past a read deadline, which hides both. A connection that
 // is no socket counts as quiet once R holds nothing.
-func (w *Conn[M]) NoPendingInput() bool { return w.Reader.Buffered() == 0 && w.dry() }
+func (w *Conn[M]) NoPendingInput() bool { return w.Reader.Buffered() == 0 && w.socketEmpty() }
 
 // SilentFor returns for how long the peer has sent nothing, 0 if bytes or its end wait to be read.
 func (w *Conn[M]) SilentFor() time.Duration {
-	if !w.dry() {
+	if !w.socketEmpty() {
 		return 0
 	}
-	return time.Since(w.heard)
+	return time.Since(w.lastRead)
 }
 
-// dry tells that nothing waits in the socket.
-func (w *Conn[M]) dry() bool {
+// socketEmpty tells that nothing waits in the socket.
+func (w *Conn[M]) socketEmpty() bool {
 	sc, ok := w.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -111,8 +111,8 @@
 func (w *Conn[M]) WaitForMessage() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for len(w.box) == 0 {
-		w.mail.Wait()
+	for len(w.mailbox) == 0 {
+		w.messageAdded.Wait()
 	}
 }
 
@@ -120,8 +120,8 @@
 func (w *Conn[M]) TakeMessages() []M {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	box := w.box
-	w.box = nil
+	box := w.mailbox
+	w.mailbox = nil
 	return box
 }
 
@@ -130,8 +130,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
-	box := w.box
-	w.box = nil
+	box := w.mailbox
+	w.mailbox = nil
 	return box
 }
 
@@ -146,27 +146,27 @@
 // sends from then on is read and thrown away, as a close over unread bytes would reset the connection, which takes with
 // it what the peer has not yet read. The connection is closed once the peer has closed its side, after so many bytes
 // and at until in any case. Closing it from elsewhere ends the wait.
-func LingeringClose(c net.Conn, until time.Time, most int) {
+func LingeringClose(c net.Conn, until time.Time, maxBytes int) {
 	defer func() { _ = c.Close() }()
 	half, ok := c.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	scrap := make([]byte, scrapSize)
-	for most > 0 {
+	buf := make([]byte, discardBufSize)
+	for maxBytes > 0 {
 		_ = c.SetReadDeadline(until) // each time: a message that was left just before the mailbox was shut sets one too
-		n, err := c.Read(scrap)
-		most -= n
+		n, err := c.Read(buf)
+		maxBytes -= n
 		if err != nil && !(errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(until)) {
 			return
 		}
 	}
 }
 
-const scrapSize = 2 << 10 // bytes read at a time of what is thrown away
+const discardBufSize = 2 << 10 // bytes read at a time of what is thrown away
 
 // ReadFull reads len(p) bytes. When woken it calls woken, and ends with its error if it has one.
-func (w *Conn[M]) ReadFull(p []byte, woken func() error) error {
+func (w *Conn[M]) ReadFull(p []byte, onInterrupt func() error) error {
 	for len(p) > 0 {
 		n, err := io.ReadFull(w.Reader, p)
 		p = p[n:]
@@ -176,7 +176,7 @@
 		if !errors.Is(err, ErrInterrupted) {
 			return err
 		}
-		if err := woken(); err != nil {
+		if err := onInterrupt(); err != nil {
 			return err
 		}
 	}
@@ -184,13 +184,13 @@
 }
 
 // Peek is R.Peek that calls woken when woken.
-func (w *Conn[M]) Peek(n int, woken func() error) ([]byte, error) {
+func (w *Conn[M]) Peek(n int, onInterrupt func() error) ([]byte, error) {
 	for {
 		b, err := w.Reader.Peek(n)
 		if !errors.Is(err, ErrInterrupted) {
 			return b, err
 		}
-		if err := woken(); err != nil {
+		if err := onInterrupt(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/logthrottle/often.go
+++ b/internal/logthrottle/logthrottle.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// every is the shortest time between two lines of a kind. It only serves the readers of the log.
-const every = time.Second
+// minInterval is the shortest time between two lines of a kind. It only serves the readers of the log.
+const minInterval = time.Second
 
 // Line is one kind of log line. It is written at most once a second, with the
 // number of occurrences since the last one in the attribute times. The zero value
 // is ready to use, also by several goroutines.
 type Line struct {
-	mu    sync.Mutex
-	at    time.Time // when the last line was written
-	times int       // occurrences since then
-	later func()    // writes the latest occurrence, at the end of the second; nil: none waits
+	mu           sync.Mutex
+	lastWritten  time.Time // when the last line was written
+	count        int       // occurrences since then
+	writePending func()    // writes the latest occurrence, at the end of the second; nil: none waits
 }
 
 // Warn logs a warning.
@@ -31,25 +31,25 @@
 func (l *Line) log(log *slog.Logger, level slog.Level, msg string, args []any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.times++
-	waits := l.later != nil
-	l.later = func() {
-		log.Log(context.Background(), level, msg, append(args, "times", l.times)...)
-		l.at, l.times, l.later = time.Now(), 0, nil
+	l.count++
+	waits := l.writePending != nil
+	l.writePending = func() {
+		log.Log(context.Background(), level, msg, append(args, "times", l.count)...)
+		l.lastWritten, l.count, l.writePending = time.Now(), 0, nil
 	}
 	if waits {
 		return
 	}
-	if left := every - time.Since(l.at); left > 0 {
+	if left := minInterval - time.Since(l.lastWritten); left > 0 {
 		time.AfterFunc(left, l.flush)
 		return
 	}
-	l.later()
+	l.writePending()
 }
 
 // flush writes the line that waits.
 func (l *Line) flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.later()
+	l.writePending()
 }
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -278,7 +278,7 @@
 					w.pool.beforeWrite = func(j *job) {
 						at <- struct{}{}
 						<-on
-						if j.attempt.Request.Closed() && j.c.begin(j, w.core.Now()+time.Minute) {
+						if j.attempt.Request.Closed() && j.conn.beginWrite(j, w.core.Now()+time.Minute) {
 							t.Error("it could still have been written")
 						}
 						at <- struct{}{}
@@ -367,7 +367,7 @@
 		_, _ = c.Write([]byte{'N'}) // part of a message, out of turn
 		unread(t, l, 1)
 		let()
-		until(t, func() bool { return !conn.Post(order{stall: true}) })
+		until(t, func() bool { return !conn.Post(order{checkStall: true}) })
 		for a := range w.pool.jobs {
 			w.pool.Stop(a, decide.Cancelled)
 		}
--- a/internal/pgmember/pool.go
+++ b/internal/pgmember/pool.go
@@ -30,58 +30,60 @@
 }
 
 const (
-	idlePart    = 0.8 // of Idle; the pool closes idle connections by then, so that no request crosses the member's close
-	gracePart   = 0.6 // of Grace; no statement is written after it
-	sweepEvery  = time.Second
-	membersMost = 2 * decide.MaxMembers // kept in all, including members off the list that still have connections
-	boundMargin = 2 * time.Millisecond  // data ages further until the last byte of the statement is written
+	idleFraction       = 0.8 // of Idle; the pool closes idle connections by then, so that no request crosses the member's close
+	drainGraceFraction = 0.6 // of Grace; no statement is written after it
+	sweepInterval      = time.Second
+	maxMembersHeld     = 2 * decide.MaxMembers // kept in all, including members off the list that still have connections
+	boundMargin        = 2 * time.Millisecond  // data ages further until the last byte of the statement is written
 )
 
 // Pool holds the connections to all members.
 type Pool struct {
-	core    *core.Core
-	log     *slog.Logger
-	conf    atomic.Pointer[Config] // read by the connections' goroutines; Max and Keep count only in New
-	most    int                    // connections, see Limit
-	keep    int                    // see Config.Keep
-	bufs    *pgwire.Pool
-	dial    Dialer
-	members map[string]*member // by id
-	open    int                // connections, including those being established
-	jobs    map[*core.Attempt]*job
-	stamps  atomic.Bool // some member has reported a log position
-
-	spoilt, cut, failing, short, cutList logthrottle.Line
+	core              *core.Core
+	log               *slog.Logger
+	conf              atomic.Pointer[Config] // read by the connections' goroutines; Max and Keep count only in New
+	maxConns          int                    // connections, see Limit
+	reservedBuffers   int                    // see Config.Keep
+	bufs              *pgwire.Pool
+	dial              Dialer
+	members           map[string]*member // by id
+	openCount         int                // connections, including those being established
+	jobs              map[*core.Attempt]*job
+	positionsReported atomic.Bool // some member has reported a log position
+
+	invalidAnswerLog, brokenStreamLog, connectFailedLog, noConnsLog, listTooLongLog logthrottle.Line
 
 	beforeWrite func(*job) // test hook: called right before a job's statement is written
 }
 
 // member is the pool's state of one member.
 type member struct {
-	id, addr string
-	unwanted core.Time // since when it may get no new work; 0 = it may
-	left     bool      // no longer in the list
-	idle     []*conn   // the most recently used last
-	busy     []*conn
-	waiting  []*job // for a connection
-	making   int    // connections being established
-	room     int    // connections to other members that are closing to make room for one to this member
+	id, addr         string
+	excludedSince    core.Time // since when it may get no new work; 0 = it may
+	delisted         bool      // no longer in the list
+	idle             []*conn   // the most recently used last
+	busy             []*conn
+	waiting          []*job // for a connection
+	connecting       int    // connections being established
+	pendingEvictions int    // connections to other members that are closing to make room for one to this member
 }
 
 // job is an attempt or a probe.
 type job struct {
-	m       *member
+	member  *member
 	attempt *core.Attempt // nil for a probe
-	c       *conn         // that it was given to, nil while it waits
-	off     atomic.Bool   // stopped: no byte of it may be written any more
+	conn    *conn         // that it was given to, nil while it waits
+	stopped atomic.Bool   // stopped: no byte of it may be written any more
 }
 
-// over reports whether no byte of the job may be written any more. Any goroutine may call it.
-func (j *job) over() bool { return j.off.Load() || j.attempt != nil && j.attempt.Request.Closed() }
+// abandoned reports whether no byte of the job may be written any more. Any goroutine may call it.
+func (j *job) abandoned() bool {
+	return j.stopped.Load() || j.attempt != nil && j.attempt.Request.Closed()
+}
 
 // New returns a pool that reports to c and opens connections with dial.
 func New(c *core.Core, conf Config, bufs *pgwire.Pool, dial Dialer, log *slog.Logger) *Pool {
-	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, most: conf.MaxConns, keep: conf.ReservedBuffers,
+	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, maxConns: conf.MaxConns, reservedBuffers: conf.ReservedBuffers,
 		members: map[string]*member{}, jobs: map[*core.Attempt]*job{}}
 	p.conf.Store(&conf)
 	c.Post(p.sweep)
@@ -96,12 +98,12 @@
 type Sizes struct{ Members, Connections, Jobs int }
 
 // Sizes returns the lengths of the pool's tables. Only the owner goroutine may call it.
-func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.open, len(p.jobs)} }
+func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.openCount, len(p.jobs)} }
 
 // SetMaxConns sets the maximum number of connections and closes idle ones above it. Only the owner goroutine may call it.
 func (p *Pool) SetMaxConns(most int) {
-	p.most = most
-	for n := p.open - most; n > 0 && p.evict(nil); n-- {
+	p.maxConns = most
+	for n := p.openCount - most; n > 0 && p.evictOldest(nil); n-- {
 	}
 }
 
@@ -116,9 +118,9 @@
 				continue
 			}
 			if len(p.members) >= decide.MaxMembers {
-				p.cutList.Warn(p.log, "list of members is too long, the rest is not used", "kept", len(p.members), "member", l.ID)
+				p.listTooLongLog.Warn(p.log, "list of members is too long, the rest is not used", "kept", len(p.members), "member", l.ID)
 			}
-			if len(p.members) >= membersMost {
+			if len(p.members) >= maxMembersHeld {
 				continue
 			}
 			m = &member{id: l.ID}
@@ -128,56 +130,56 @@
 			m.addr = l.Addr
 			p.closeIdle(m, 0)
 		}
-		m.left = l.State == decide.Removed
-		p.want(m, l.State == decide.Up || m.left && p.conf.Load().KeepDelisted)
+		m.delisted = l.State == decide.Removed
+		p.setUsable(m, l.State == decide.Up || m.delisted && p.conf.Load().KeepDelisted)
 	}
 	if kind == decide.ListChange || p.conf.Load().KeepDelisted {
 		return
 	}
 	for id, m := range p.members {
 		if !named[id] {
-			m.left = true
-			p.want(m, false)
+			m.delisted = true
+			p.setUsable(m, false)
 		}
 	}
 }
 
-// want sets whether a member may get new work. If not, jobs that still wait for
+// setUsable sets whether a member may get new work. If not, jobs that still wait for
 // a connection to it are not sent, and jobs that a connection was given must be
 // written within the grace time.
-func (p *Pool) want(m *member, yes bool) {
+func (p *Pool) setUsable(m *member, yes bool) {
 	if yes {
-		m.unwanted = 0
-	} else if m.unwanted == 0 {
-		m.unwanted = p.core.Now()
+		m.excludedSince = 0
+	} else if m.excludedSince == 0 {
+		m.excludedSince = p.core.Now()
 		p.closeIdle(m, 0)
 		for len(m.waiting) > 0 {
-			p.finish(m.waiting[0], core.Outcome{Result: decide.NotSent})
+			p.finishJob(m.waiting[0], core.Outcome{Result: decide.NotSent})
 		}
 	}
 	for _, c := range m.busy {
-		c.limit(p.sendBy(m))
+		c.setWriteLimit(p.writeLimit(m))
 	}
 }
 
-// sendBy returns until when statements may be written to m, 0 = no limit.
-func (p *Pool) sendBy(m *member) core.Time {
-	if m.unwanted == 0 {
+// writeLimit returns until when statements may be written to m, 0 = no limit.
+func (p *Pool) writeLimit(m *member) core.Time {
+	if m.excludedSince == 0 {
 		return 0
 	}
-	return m.unwanted + core.Time(gracePart*float64(p.conf.Load().DrainGrace))
+	return m.excludedSince + core.Time(drainGraceFraction*float64(p.conf.Load().DrainGrace))
 }
 
 // Send starts an attempt. Exactly one Core.Done follows.
 func (p *Pool) Send(a *core.Attempt) {
 	m := p.members[a.Member]
-	j := &job{m: m, attempt: a}
+	j := &job{member: m, attempt: a}
 	if m == nil {
 		p.core.Done(a, core.Outcome{Result: decide.NotSent})
 		return
 	}
 	p.jobs[a] = j
-	p.start(j)
+	p.startJob(j)
 }
 
 // Probe asks a member for its load report. Exactly one Core.Probed follows.
@@ -187,86 +189,86 @@
 		p.core.Probed(id, decide.NotSent, decide.Report{})
 		return
 	}
-	j := &job{m: m}
-	p.core.RunAt(p.core.Now()+p.conf.Load().ConnectTimeout, func() { p.stop(j, decide.TimedOut) })
-	p.start(j)
+	j := &job{member: m}
+	p.core.RunAt(p.core.Now()+p.conf.Load().ConnectTimeout, func() { p.stopJob(j, decide.TimedOut) })
+	p.startJob(j)
 }
 
 // Stop abandons an attempt with why as its outcome, see core.Members.
 func (p *Pool) Stop(a *core.Attempt, why decide.Result) {
 	if j := p.jobs[a]; j != nil {
-		p.stop(j, why)
+		p.stopJob(j, why)
 	}
 }
 
-// stop abandons a job. If its connection has just ended without writing it, the job comes back to ended, which does not
+// stopJob abandons a job. If its connection has just ended without writing it, the job comes back to ended, which does not
 // restart it.
-func (p *Pool) stop(j *job, why decide.Result) {
-	j.off.Store(true)
+func (p *Pool) stopJob(j *job, why decide.Result) {
+	j.stopped.Store(true)
 	switch {
-	case j.c != nil:
-		j.c.withdraw(j)
+	case j.conn != nil:
+		j.conn.cancelWrite(j)
 		if why != decide.NotSent {
-			j.c.Post(order{job: j, stop: true, why: why})
+			j.conn.Post(order{job: j, stop: true, result: why})
 		}
-	case slices.Contains(j.m.waiting, j): // no byte of it was written
-		p.finish(j, core.Outcome{Result: decide.NotSent})
+	case slices.Contains(j.member.waiting, j): // no byte of it was written
+		p.finishJob(j, core.Outcome{Result: decide.NotSent})
 	}
 }
 
-// start gives a job to the most recently used idle connection, or lets it wait for a new one.
-func (p *Pool) start(j *job) {
-	m := j.m
-	if m.unwanted != 0 || j.over() {
-		p.finish(j, core.Outcome{Result: decide.NotSent})
+// startJob gives a job to the most recently used idle connection, or lets it wait for a new one.
+func (p *Pool) startJob(j *job) {
+	m := j.member
+	if m.excludedSince != 0 || j.abandoned() {
+		p.finishJob(j, core.Outcome{Result: decide.NotSent})
 		return
 	}
 	for n := len(m.idle); n > 0; n-- {
 		c := m.idle[n-1]
 		m.idle = m.idle[:n-1]
 		m.busy = append(m.busy, c)
-		j.c = c
-		c.limit(0)
+		j.conn = c
+		c.setWriteLimit(0)
 		if c.Post(order{job: j}) {
 			return
 		}
-		j.c = nil // the connection has just ended; its report follows in the core's queue
+		j.conn = nil // the connection has just ended; its report follows in the core's queue
 	}
 	m.waiting = append(m.waiting, j)
-	p.make(m)
+	p.connectWaiting(m)
 }
 
-// make opens connections for the waiting jobs, within the limit of connections.
-func (p *Pool) make(m *member) {
-	for m.making+m.room < len(m.waiting) {
-		if p.open >= p.most { // a descriptor is free only once an evicted connection has ended
-			if !p.evict(m) {
-				p.short.Warn(p.log, "out of member connections", "open", p.open, "member", m.id)
-				p.finish(m.waiting[len(m.waiting)-1], core.Outcome{Result: decide.NotSent})
+// connectWaiting opens connections for the waiting jobs, within the limit of connections.
+func (p *Pool) connectWaiting(m *member) {
+	for m.connecting+m.pendingEvictions < len(m.waiting) {
+		if p.openCount >= p.maxConns { // a descriptor is free only once an evicted connection has ended
+			if !p.evictOldest(m) {
+				p.noConnsLog.Warn(p.log, "out of member connections", "open", p.openCount, "member", m.id)
+				p.finishJob(m.waiting[len(m.waiting)-1], core.Outcome{Result: decide.NotSent})
 			}
 			continue
 		}
-		m.making++
-		p.open++
+		m.connecting++
+		p.openCount++
 		newConn(p, m).start()
 	}
 }
 
-// evict closes the connection that has been idle longest and reports whether there was one. Once it has ended, a
+// evictOldest closes the connection that has been idle longest and reports whether there was one. Once it has ended, a
 // connection to the given member takes its place, if that is not nil.
-func (p *Pool) evict(to *member) bool {
+func (p *Pool) evictOldest(to *member) bool {
 	var oldest *conn
 	for _, m := range p.members {
-		if len(m.idle) > 0 && (oldest == nil || m.idle[0].since < oldest.since) {
+		if len(m.idle) > 0 && (oldest == nil || m.idle[0].idleSince < oldest.idleSince) {
 			oldest = m.idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.m.idle = oldest.m.idle[1:]
-	if oldest.roomFor = to; to != nil {
-		to.room++
+	oldest.member.idle = oldest.member.idle[1:]
+	if oldest.evictedFor = to; to != nil {
+		to.pendingEvictions++
 	}
 	oldest.close()
 	return true
@@ -277,19 +279,19 @@
 // under ever new ids, so the table would grow without end.
 func (p *Pool) sweep() {
 	for id, m := range p.members {
-		if m.left && m.unwanted != 0 && len(m.idle)+len(m.busy)+len(m.waiting)+m.making+m.room == 0 {
+		if m.delisted && m.excludedSince != 0 && len(m.idle)+len(m.busy)+len(m.waiting)+m.connecting+m.pendingEvictions == 0 {
 			delete(p.members, id)
 			continue
 		}
-		p.closeIdle(m, p.core.Now()-core.Time(idlePart*float64(p.conf.Load().MemberIdleTimeout))+sweepEvery)
+		p.closeIdle(m, p.core.Now()-core.Time(idleFraction*float64(p.conf.Load().MemberIdleTimeout))+sweepInterval)
 	}
-	p.core.RunAt(p.core.Now()+sweepEvery, p.sweep)
+	p.core.RunAt(p.core.Now()+sweepInterval, p.sweep)
 }
 
 // closeIdle closes the idle connections of m that were last used before t; all of them if t is 0.
 func (p *Pool) closeIdle(m *member, t core.Time) {
 	m.idle = slices.DeleteFunc(m.idle, func(c *conn) bool {
-		if t != 0 && c.since >= t {
+		if t != 0 && c.idleSince >= t {
 			return false
 		}
 		c.close()
@@ -297,9 +299,9 @@
 	})
 }
 
-// finish reports a job's outcome to the core.
-func (p *Pool) finish(j *job, o core.Outcome) {
-	m := j.m
+// finishJob reports a job's outcome to the core.
+func (p *Pool) finishJob(j *job, o core.Outcome) {
+	m := j.member
 	m.waiting = slices.DeleteFunc(m.waiting, func(o *job) bool { return o == j })
 	if j.attempt == nil {
 		p.core.Probed(m.id, o.Result, o.Report)
@@ -311,65 +313,65 @@
 
 // Connections post the functions below to the owner goroutine.
 
-// ready handles a connection that has become free.
-func (p *Pool) ready(c *conn) {
-	m := c.m
+// connReady handles a connection that has become free.
+func (p *Pool) connReady(c *conn) {
+	m := c.member
 	m.busy = slices.DeleteFunc(m.busy, func(o *conn) bool { return o == c })
-	if m.unwanted != 0 || c.addr != m.addr {
+	if m.excludedSince != 0 || c.addr != m.addr {
 		c.close()
 		return
 	}
 	if len(m.waiting) == 0 {
-		c.since = p.core.Now()
+		c.idleSince = p.core.Now()
 		m.idle = append(m.idle, c)
 		return
 	}
 	j := m.waiting[0]
 	m.waiting = m.waiting[1:]
 	m.busy = append(m.busy, c)
-	j.c = c
-	c.limit(0)
+	j.conn = c
+	c.setWriteLimit(0)
 	if !c.Post(order{job: j}) {
-		j.c = nil
+		j.conn = nil
 		m.waiting = append(m.waiting, j)
 	}
 }
 
-// ended handles the end of a connection. Jobs that it was given and did not
+// connEnded handles the end of a connection. Jobs that it was given and did not
 // begin to write restart on another one: an old connection that ended says
 // nothing about the present state of the member.
-func (p *Pool) ended(c *conn, left []order) {
-	m := c.m
-	p.open--
+func (p *Pool) connEnded(c *conn, left []order) {
+	m := c.member
+	p.openCount--
 	same := func(o *conn) bool { return o == c }
 	m.busy = slices.DeleteFunc(m.busy, same)
 	m.idle = slices.DeleteFunc(m.idle, same)
 	for _, o := range left {
-		if o.job == nil || o.stop || o.stall || o.job.c != c {
+		if o.job == nil || o.stop || o.checkStall || o.job.conn != c {
 			continue
 		}
-		o.job.c = nil
+		o.job.conn = nil
 		if slices.ContainsFunc(left, func(s order) bool { return s.stop && s.job == o.job }) {
-			p.finish(o.job, core.Outcome{Result: decide.NotSent})
+			p.finishJob(o.job, core.Outcome{Result: decide.NotSent})
 		} else {
-			p.start(o.job)
+			p.startJob(o.job)
 		}
 	}
-	if to := c.roomFor; to != nil {
-		to.room--
-		p.make(to)
+	if to := c.evictedFor; to != nil {
+		to.pendingEvictions--
+		p.connectWaiting(to)
 	}
-	p.make(m)
+	p.connectWaiting(m)
 }
 
-// failed handles a connection that could not be established. The waiting jobs
+// connFailed handles a connection that could not be established. The waiting jobs
 // that now have no connection on the way end with the same result.
-func (p *Pool) failed(c *conn, result decide.Result, err error) {
-	m := c.m
-	m.making--
-	p.open--
-	p.failing.Info(p.log, "member connect failed", "member", m.id, "result", int(result), "err", err)
-	for len(m.waiting) > m.making+m.room {
-		p.finish(m.waiting[0], core.Outcome{Result: result})
+func (p *Pool) connFailed(c *conn, result decide.Result, err error) {
+	m := c.member
+	m.connecting--
+	p.openCount--
+	p.connectFailedLog.Info(p.log, "member connect failed", "member", m.id, "result", int(result), "err", err)
+	for len(m.waiting) > m.connecting+m.pendingEvictions {
+		p.finishJob(m.waiting[0], core.Outcome{Result: result})
 	}
 }
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -444,8 +444,8 @@
 		})
 		r.sleep(10 * time.Second)
 		r.look(func() {
-			if r.conns != 0 || r.pool.open != 0 {
-				t.Errorf("%d connections open after 15 s of idleness, %d counted", r.conns, r.pool.open)
+			if r.conns != 0 || r.pool.openCount != 0 {
+				t.Errorf("%d connections open after 15 s of idleness, %d counted", r.conns, r.pool.openCount)
 			}
 		})
 	})
@@ -487,21 +487,21 @@
 		r.arrive(400 * time.Millisecond)
 		r.send(1)
 		r.sleep(100 * time.Millisecond)
-		list := make([]core.ListedMember, 2*membersMost)
+		list := make([]core.ListedMember, 2*maxMembersHeld)
 		for i := range list {
 			list[i].ID = strconv.Itoa(i)
 		}
 		r.core.List(decide.ListChange, list)
 		r.look(func() {
-			if n := len(r.pool.members); n != membersMost {
+			if n := len(r.pool.members); n != maxMembersHeld {
 				t.Errorf("%d members", n)
 			}
 		})
 		r.core.List(decide.ListFull, list[:1])
-		r.sleep(2 * sweepEvery)
+		r.sleep(2 * sweepInterval)
 		r.look(func() {
-			if n := len(r.pool.members); n != 1 || r.pool.open != 0 {
-				t.Errorf("%d members, %d connections", n, r.pool.open)
+			if n := len(r.pool.members); n != 1 || r.pool.openCount != 0 {
+				t.Errorf("%d members, %d connections", n, r.pool.openCount)
 			}
 		})
 	})
@@ -595,9 +595,9 @@
 				t.Errorf("request %d: %d outcomes of %d sends", id, got, sends[id])
 			}
 		}
-		if len(r.script.probes) != probes || r.bufs.FreeLarge() != 40 || r.bufs.FreeSmall() != 20 || r.pool.open != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
+		if len(r.script.probes) != probes || r.bufs.FreeLarge() != 40 || r.bufs.FreeSmall() != 20 || r.pool.openCount != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
 			t.Errorf("%d of %d probes ended; %d of 40 buffers back; %d connections counted, %d open; %d jobs",
-				len(r.script.probes), probes, r.bufs.FreeLarge(), r.pool.open, r.conns, len(r.pool.jobs))
+				len(r.script.probes), probes, r.bufs.FreeLarge(), r.pool.openCount, r.conns, len(r.pool.jobs))
 		}
 	})
 }
--- a/internal/settings/foreign_test.go
+++ b/internal/settings/foreign_test.go
@@ -90,7 +90,7 @@
 	}
 	switch v := v.(type) {
 	case map[string]any:
-		for _, name := range sorted(v) {
+		for _, name := range sortedKeys(v) {
 			each(path+"."+name, v[name], func(x any) { v[name] = x })
 		}
 	case []any:
@@ -198,7 +198,7 @@
 			if in != "" {
 				o = tree[in].(map[string]any)
 			}
-			for _, key := range sorted(o) {
+			for _, key := range sortedKeys(o) {
 				old := o[key]
 				delete(o, key)
 				text, err := json.Marshal(tree)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,14 +74,14 @@
 		"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
 	scopes = map[string]decide.Scope{
 		"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeGroup}
-	needs = map[string]decide.Consistency{"any": decide.AnyData, "bounded": decide.Bounded,
+	consistencies = map[string]decide.Consistency{"any": decide.AnyData, "bounded": decide.Bounded,
 		"session": decide.Session, "fresh": decide.Fresh, "write": decide.Write}
 	checks = map[string]decide.StaleReadPolicy{"": decide.StaleReadAnswer,
 		"off": decide.StaleReadAnswer, "refuse": decide.StaleReadRefuse, "wait": decide.StaleReadWait}
 )
 
-// us converts microseconds.
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+// micros converts microseconds.
+func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Config converts the settings to the configuration of the decision module.
 // It fails on an unknown ServerChecks, Effect, KeyScope or Consistency.
@@ -89,16 +89,16 @@
 	a, fi := &f.Allowed, &f.FamilyInfo
 	c := &decide.Config{
 		// If the number of gateways is missing, or does not fit this gateway's own index Me, the least number that fits.
-		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: us(f.ResolutionUs), OverShareFactor: f.OverShareWorth,
+		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: micros(f.ResolutionUs), OverShareFactor: f.OverShareWorth,
 		MaxAttempts: a.TryLimit, MayCancel: a.MayCancel, MayDuplicate: a.MayDuplicate,
 		MayProbe: a.Probes, ClientsMarkRetries: f.ClientHabits.MarksRetry,
 		ListOnRequest: f.Discovery == "ask", RemembersSessions: fi.SessionMarks == "remembered",
-		AnswersHavePosition: fi.AnswersStamped, SlowStartFraction: f.Rules.ColdShare, SlowStartTime: us(f.Rules.ColdUs),
-		OverloadMultiple: f.Rules.FallMultiple, OverloadTime: us(f.Rules.OverloadForUs),
+		AnswersHavePosition: fi.AnswersStamped, SlowStartFraction: f.Rules.ColdShare, SlowStartTime: micros(f.Rules.ColdUs),
+		OverloadMultiple: f.Rules.FallMultiple, OverloadTime: micros(f.Rules.OverloadForUs),
 		UseUnlisted: f.Rules.DrainBindsAlone,
 	}
 	if a.RetryAfter {
-		c.MaxRetryAfter = us(a.MaxRetryAfterUs)
+		c.MaxRetryAfter = micros(a.MaxRetryAfterUs)
 	}
 	var ok bool
 	if c.StaleReads, ok = checks[fi.ServerChecks]; !ok {
@@ -106,15 +106,15 @@
 	}
 	for i := range f.Grades {
 		g := &f.Grades[i]
-		k := decide.Class{Name: g.Name, KeyWindow: us(g.WindowUs), LatencyTarget: us(g.AimUs), Deadline: us(g.DeadlineUs),
-			Value: g.Value, LateValue: g.LateValue, Bound: us(fi.ClassBoundUs[i])}
+		k := decide.Class{Name: g.Name, KeyWindow: micros(g.WindowUs), LatencyTarget: micros(g.AimUs), Deadline: micros(g.DeadlineUs),
+			Value: g.Value, LateValue: g.LateValue, Bound: micros(fi.ClassBoundUs[i])}
 		if k.Effect, ok = effects[g.Effect]; !ok {
 			return nil, fmt.Errorf("settings: class %q: unknown Effect %q", g.Name, g.Effect)
 		}
 		if k.KeyScope, ok = scopes[g.KeyScope]; !ok && g.Effect == "by_key" {
 			return nil, fmt.Errorf("settings: class %q: unknown KeyScope %q", g.Name, g.KeyScope)
 		}
-		if k.Consistency, ok = needs[fi.Consistency[i]]; !ok {
+		if k.Consistency, ok = consistencies[fi.Consistency[i]]; !ok {
 			return nil, fmt.Errorf("settings: class %q: unknown Consistency %q", g.Name, fi.Consistency[i])
 		}
 		c.Classes = append(c.Classes, k)
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -50,8 +50,8 @@
 
 // Bounds far above the values of any deployment: a figure beyond them is taken for a mistake.
 const (
-	dayUs     = int64(24 * 3600 * 1e6)
-	countMost = 1 << 20
+	dayUs    = int64(24 * 3600 * 1e6)
+	maxCount = 1 << 20
 )
 
 // Schema is a schema of a configuration file: the keys of its objects, with the types of their values. It is derived from
@@ -59,10 +59,10 @@
 type Schema struct {
 	kind byte               // '{', '[', 's', 'n', 'b', or 0: any
 	keys map[string]*Schema // of an object
-	each *Schema            // common to all entries of a list; nil for an empty list
+	elem *Schema            // common to all entries of a list; nil for an empty list
 }
 
-var kinds = map[byte]string{'{': "an object", '[': "a list", 's': "a text", 'n': "a number", 'b': "true or false", '0': "null"}
+var kindNames = map[byte]string{'{': "an object", '[': "a list", 's': "a text", 'n': "a number", 'b': "true or false", '0': "null"}
 
 // kindOf returns the JSON type of a decoded value, as a key of kinds.
 func kindOf(v any) byte {
@@ -90,28 +90,28 @@
 	if err := d.Decode(&v); err != nil {
 		return nil, err
 	}
-	s := shapeOf(v)
+	s := schemaOf(v)
 	if k := s.keys["known"]; k != nil {
 		s.keys["known"] = &Schema{kind: k.kind}
 	}
 	return s, nil
 }
 
-// shapeOf derives the schema of a decoded value.
-func shapeOf(v any) *Schema {
+// schemaOf derives the schema of a decoded value.
+func schemaOf(v any) *Schema {
 	s := &Schema{kind: kindOf(v)}
 	switch v := v.(type) {
 	case map[string]any:
 		s.keys = map[string]*Schema{}
 		for name, one := range v {
-			s.keys[name] = shapeOf(one)
+			s.keys[name] = schemaOf(one)
 		}
 	case []any:
 		for i, one := range v {
-			if t := shapeOf(one); i == 0 {
-				s.each = t
+			if t := schemaOf(one); i == 0 {
+				s.elem = t
 			} else {
-				s.each = common(s.each, t)
+				s.elem = intersect(s.elem, t)
 			}
 		}
 	}
@@ -121,8 +121,8 @@
 	return s
 }
 
-// common returns the schema that two schemas have in common.
-func common(a, b *Schema) *Schema {
+// intersect returns the schema that two schemas have in common.
+func intersect(a, b *Schema) *Schema {
 	if a == nil || b == nil || a.kind != b.kind {
 		return &Schema{}
 	}
@@ -131,11 +131,11 @@
 		s.keys = map[string]*Schema{}
 		for name := range a.keys {
 			if b.keys[name] != nil {
-				s.keys[name] = common(a.keys[name], b.keys[name])
+				s.keys[name] = intersect(a.keys[name], b.keys[name])
 			}
 		}
-	} else if a.each != nil && b.each != nil {
-		s.each = common(a.each, b.each)
+	} else if a.elem != nil && b.elem != nil {
+		s.elem = intersect(a.elem, b.elem)
 	}
 	return s
 }
@@ -143,38 +143,38 @@
 // Check returns the first fault of a text that is to replace the one that s was derived from, as a *[Fault]. The new text
 // must have all keys of the old one, with values of the same types, and the keys that the gateway needs; it may have more.
 func (s *Schema) Check(text []byte) error {
-	v, err := tree(text)
+	v, err := decodeTree(text)
 	if err != nil {
 		return err
 	}
 	if err := s.check("", v); err != nil {
 		return err
 	}
-	return values(v)
+	return checkValues(v)
 }
 
 // check compares the value at a key path with the schema.
 func (s *Schema) check(key string, v any) error {
 	if s.kind != 0 && kindOf(v) != s.kind {
-		return &Fault{BadValue, key, show(v), kinds[s.kind]}
+		return &Fault{BadValue, key, display(v), kindNames[s.kind]}
 	}
 	switch v := v.(type) {
 	case map[string]any:
-		for _, name := range sorted(s.keys) {
+		for _, name := range sortedKeys(s.keys) {
 			one, ok := v[name]
 			if !ok {
-				return &Fault{Missing, join(key, name), "nothing", "it, as the file of the start held it"}
+				return &Fault{Missing, joinKey(key, name), "nothing", "it, as the file of the start held it"}
 			}
-			if err := s.keys[name].check(join(key, name), one); err != nil {
+			if err := s.keys[name].check(joinKey(key, name), one); err != nil {
 				return err
 			}
 		}
 	case []any:
 		for i, one := range v {
-			if s.each == nil {
+			if s.elem == nil {
 				break
 			}
-			if err := s.each.check(fmt.Sprintf("%s[%d]", key, i), one); err != nil {
+			if err := s.elem.check(fmt.Sprintf("%s[%d]", key, i), one); err != nil {
 				return err
 			}
 		}
@@ -182,21 +182,21 @@
 	return nil
 }
 
-// values checks the keys that the gateway needs, and the bounds of values, whatever the file at the start had.
-func values(file any) error {
-	w := walker{}
+// checkValues checks the keys that the gateway needs, and the bounds of values, whatever the file at the start had.
+func checkValues(file any) error {
+	w := checker{}
 	conf := w.object(file, "settings")
 	info := w.object(conf, "settings.FamilyInfo")
 	for _, name := range []string{"Allowed", "Rules"} { // optional
 		in, _ := conf[name].(map[string]any)
-		w.spans(in, "settings."+name)
+		w.durations(in, "settings."+name)
 	}
 	allowed, _ := conf["Allowed"].(map[string]any)
 	if _, ok := allowed["TryLimit"]; ok {
-		w.number(allowed, "settings.Allowed.TryLimit", 1, countMost)
+		w.number(allowed, "settings.Allowed.TryLimit", 1, maxCount)
 	}
 	if _, ok := conf["Instances"]; ok {
-		w.number(conf, "settings.Instances", 1, countMost)
+		w.number(conf, "settings.Instances", 1, maxCount)
 	}
 	grades := w.list(conf, "settings.Grades")
 	if len(grades) == 0 {
@@ -207,7 +207,7 @@
 		key := fmt.Sprintf("settings.Grades[%d]", i)
 		k, ok := g.(map[string]any)
 		if !ok {
-			w.fault(&Fault{BadValue, key, show(g), kinds['{']})
+			w.fault(&Fault{BadValue, key, display(g), kindNames['{']})
 			break
 		}
 		name := w.text(k, key+".Name")
@@ -218,14 +218,14 @@
 			w.fault(&Fault{Duplicate, key + ".Name", strconv.Quote(name) + " a second time", "a name of its own"})
 		}
 		names[name] = true
-		word(&w, w.get(k, key+".Effect"), key+".Effect", effects)
+		oneOf(&w, w.get(k, key+".Effect"), key+".Effect", effects)
 		if k["Effect"] == "by_key" {
-			word(&w, k["KeyScope"], key+".KeyScope", scopes)
+			oneOf(&w, k["KeyScope"], key+".KeyScope", scopes)
 		}
-		w.least0(k, key, "Value", "LateValue")
+		w.nonNegative(k, key, "Value", "LateValue")
 		w.number(k, key+".AimUs", 1, dayUs)
 		w.number(k, key+".DeadlineUs", 1, dayUs)
-		w.spans(k, key)
+		w.durations(k, key)
 	}
 	for _, name := range []string{"Consistency", "ClassBoundUs"} {
 		key := "settings.FamilyInfo." + name
@@ -234,37 +234,37 @@
 		} else {
 			for i, v := range l {
 				if at := fmt.Sprintf("%s[%d]", key, i); name == "ClassBoundUs" {
-					w.within(v, at, 0, dayUs)
+					w.inRange(v, at, 0, dayUs)
 				} else {
-					word(&w, v, at, needs)
+					oneOf(&w, v, at, consistencies)
 				}
 			}
 		}
 	}
 	if v, ok := info["ServerChecks"]; ok {
-		word(&w, v, "settings.FamilyInfo.ServerChecks", checks)
+		oneOf(&w, v, "settings.FamilyInfo.ServerChecks", checks)
 	}
-	w.spans(conf, "settings")
-	w.least0(conf, "settings", "OverShareWorth")
-	w.least0(conf["Rules"], "settings.Rules", "ColdShare", "FallMultiple")
+	w.durations(conf, "settings")
+	w.nonNegative(conf, "settings", "OverShareWorth")
+	w.nonNegative(conf["Rules"], "settings.Rules", "ColdShare", "FallMultiple")
 	tenants, _ := conf["Tenants"].([]any)
 	for i, one := range tenants {
-		w.least0(one, fmt.Sprintf("settings.Tenants[%d]", i), "Fraction", "QuotaRps")
+		w.nonNegative(one, fmt.Sprintf("settings.Tenants[%d]", i), "Fraction", "QuotaRps")
 	}
 	return w.err
 }
 
-// walker reads values of the decoded file and keeps the first fault.
-type walker struct{ err error }
+// checker reads values of the decoded file and keeps the first fault.
+type checker struct{ err error }
 
-func (w *walker) fault(f *Fault) {
+func (w *checker) fault(f *Fault) {
 	if w.err == nil {
 		w.err = f
 	}
 }
 
 // get returns the value of a key path; in is the object that has its last element. A missing key is a fault.
-func (w *walker) get(in any, key string) any {
+func (w *checker) get(in any, key string) any {
 	o, _ := in.(map[string]any)
 	v, ok := o[key[strings.LastIndexByte(key, '.')+1:]]
 	if !ok {
@@ -274,81 +274,81 @@
 }
 
 // typed returns the value of a key path as a T; another type is a fault.
-func typed[T any](w *walker, in any, key string, kind byte) T {
+func typed[T any](w *checker, in any, key string, kind byte) T {
 	v := w.get(in, key)
 	t, ok := v.(T)
 	if !ok {
-		w.fault(&Fault{BadValue, key, show(v), kinds[kind]})
+		w.fault(&Fault{BadValue, key, display(v), kindNames[kind]})
 	}
 	return t
 }
 
-func (w *walker) object(in any, key string) map[string]any {
+func (w *checker) object(in any, key string) map[string]any {
 	return typed[map[string]any](w, in, key, '{')
 }
-func (w *walker) list(in any, key string) []any { return typed[[]any](w, in, key, '[') }
-func (w *walker) text(in any, key string) string {
+func (w *checker) list(in any, key string) []any { return typed[[]any](w, in, key, '[') }
+func (w *checker) text(in any, key string) string {
 	return typed[string](w, in, key, 's')
 }
-func (w *walker) number(in any, key string, least, most int64) {
-	w.within(w.get(in, key), key, least, most)
+func (w *checker) number(in any, key string, least, most int64) {
+	w.inRange(w.get(in, key), key, least, most)
 }
 
-// spans checks the durations of an object: its keys that end in Us, for microseconds.
-func (w *walker) spans(in map[string]any, key string) {
-	for _, name := range sorted(in) {
+// durations checks the durations of an object: its keys that end in Us, for microseconds.
+func (w *checker) durations(in map[string]any, key string) {
+	for _, name := range sortedKeys(in) {
 		if strings.HasSuffix(name, "Us") {
-			w.within(in[name], join(key, name), 0, dayUs)
+			w.inRange(in[name], joinKey(key, name), 0, dayUs)
 		}
 	}
 }
 
-// within checks that v is a whole number within bounds.
-func (w *walker) within(v any, key string, least, most int64) {
+// inRange checks that v is a whole number within bounds.
+func (w *checker) inRange(v any, key string, least, most int64) {
 	n, _ := v.(json.Number)
 	if i, err := strconv.ParseInt(string(n), 10, 64); err != nil || i < least || i > most {
-		w.fault(&Fault{BadValue, key, show(v), fmt.Sprintf("a whole number from %d to %d", least, most)})
+		w.fault(&Fault{BadValue, key, display(v), fmt.Sprintf("a whole number from %d to %d", least, most)})
 	}
 }
 
-// least0 checks that the given keys of an object are missing or numbers that are not negative.
-func (w *walker) least0(in any, key string, names ...string) {
+// nonNegative checks that the given keys of an object are missing or numbers that are not negative.
+func (w *checker) nonNegative(in any, key string, names ...string) {
 	o, _ := in.(map[string]any)
 	for _, name := range names {
 		n, _ := o[name].(json.Number)
 		if f, err := n.Float64(); o[name] != nil && (err != nil || f < 0) {
-			w.fault(&Fault{BadValue, join(key, name), show(o[name]), "a number that is not below 0"})
+			w.fault(&Fault{BadValue, joinKey(key, name), display(o[name]), "a number that is not below 0"})
 		}
 	}
 }
 
-// word checks that a value is one of the known names.
-func word[V any](w *walker, v any, key string, known map[string]V) {
+// oneOf checks that a value is one of the known names.
+func oneOf[V any](w *checker, v any, key string, known map[string]V) {
 	name, ok := v.(string)
 	if _, is := known[name]; !ok || !is {
-		w.fault(&Fault{BadValue, key, show(v), "one of " + strings.Join(sorted(known), ", ")})
+		w.fault(&Fault{BadValue, key, display(v), "one of " + strings.Join(sortedKeys(known), ", ")})
 	}
 }
 
-// show returns a short value as JSON, and the type of a long one.
-func show(v any) string {
+// display returns a short value as JSON, and the type of a long one.
+func display(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil || len(b) > 40 {
-		return kinds[kindOf(v)]
+		return kindNames[kindOf(v)]
 	}
 	return string(b)
 }
 
-// join appends a name to a key path.
-func join(key, name string) string {
+// joinKey appends a name to a key path.
+func joinKey(key, name string) string {
 	if key == "" {
 		return name
 	}
 	return key + "." + name
 }
 
-// sorted returns the keys of m in order.
-func sorted[V any](m map[string]V) []string {
+// sortedKeys returns the keys of m in order.
+func sortedKeys[V any](m map[string]V) []string {
 	var names []string
 	for name := range m {
 		names = append(names, name)
@@ -357,9 +357,9 @@
 	return names
 }
 
-// tree decodes a text into maps, slices and plain values. Unlike encoding/json it refuses duplicate keys, also those that
+// decodeTree decodes a text into maps, slices and plain values. Unlike encoding/json it refuses duplicate keys, also those that
 // differ only in case: the last would win and the others would silently be ignored.
-func tree(text []byte) (any, error) {
+func decodeTree(text []byte) (any, error) {
 	if len(text) > MaxFileBytes {
 		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", MaxFileBytes), fmt.Sprintf("at most %d", MaxFileBytes)}
 	}
@@ -378,15 +378,15 @@
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
-	v, err := branch(d, "")
+	v, err := decodeValue(d, "")
 	if err == nil && kindOf(v) != '{' {
-		err = &Fault{BadValue, "", show(v), kinds['{']}
+		err = &Fault{BadValue, "", display(v), kindNames['{']}
 	}
 	return v, err
 }
 
-// branch decodes the next value, which has the given key path.
-func branch(d *json.Decoder, key string) (any, error) {
+// decodeValue decodes the next value, which has the given key path.
+func decodeValue(d *json.Decoder, key string) (any, error) {
 	token, err := d.Token()
 	if err != nil {
 		return nil, err
@@ -401,11 +401,11 @@
 			}
 			name, _ := t.(string)
 			if low := strings.ToLower(name); seen[low] {
-				return nil, &Fault{Duplicate, join(key, name), "it a second time", "each key once"}
+				return nil, &Fault{Duplicate, joinKey(key, name), "it a second time", "each key once"}
 			} else {
 				seen[low] = true
 			}
-			if o[name], err = branch(d, join(key, name)); err != nil {
+			if o[name], err = decodeValue(d, joinKey(key, name)); err != nil {
 				return nil, err
 			}
 		}
@@ -414,7 +414,7 @@
 	case json.Delim('['):
 		l := []any{}
 		for d.More() {
-			v, err := branch(d, fmt.Sprintf("%s[%d]", key, len(l)))
+			v, err := decodeValue(d, fmt.Sprintf("%s[%d]", key, len(l)))
 			if err != nil {
 				return nil, err
 			}
@@ -435,7 +435,7 @@
 func Read(r io.Reader) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(r, MaxFileBytes+1))
 	if err == nil && len(text) > MaxFileBytes {
-		_, err = tree(text)
+		_, err = decodeTree(text)
 	}
 	return text, err
 }
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -82,7 +82,7 @@
 		number = func(v any, n int) any {
 			switch v := v.(type) {
 			case map[string]any:
-				for _, key := range sorted(v) {
+				for _, key := range sortedKeys(v) {
 					if r.IntN(n) == 0 {
 						gone++
 						delete(v, key)
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -17,9 +17,9 @@
 // are refused. Of members that left the list or were resumed, the earliest are removed first.
 const (
 	MaxSuspended = 1024    // members that are suspended at the same time
-	listedMost   = 1 << 14 // entries of the list; discovery's own bounds are lower
-	leftMost     = 1024    // members that have left the list
-	backMost     = 1024    // members that were resumed
+	maxListed    = 1 << 14 // entries of the list; discovery's own bounds are lower
+	maxDelisted  = 1024    // members that have left the list
+	maxResumed   = 1024    // members that were resumed
 )
 
 // Entry is the last decision of operators on a member. Of two entries of a member the one with the later At applies.
@@ -52,16 +52,16 @@
 
 // Set holds the operators' decisions and the list as discovery has it. It is not safe for concurrent use.
 type Set struct {
-	listed map[string]core.ListedMember // members in discovery's list, by id
-	left   map[string]core.ListedMember // members that left the list, as they were last listed
-	gone   []string                     // the ids in left, the earliest first
-	said   map[string]Entry             // the operators' decisions, by id
-	out    int                          // entries of said that are Out
+	listed         map[string]core.ListedMember // members in discovery's list, by id
+	delisted       map[string]core.ListedMember // members that left the list, as they were last listed
+	delistedOrder  []string                     // the ids in left, the earliest first
+	entries        map[string]Entry             // the operators' decisions, by id
+	suspendedCount int                          // entries of said that are Out
 }
 
 // New returns an empty set.
 func New() *Set {
-	return &Set{listed: map[string]core.ListedMember{}, left: map[string]core.ListedMember{}, said: map[string]Entry{}}
+	return &Set{listed: map[string]core.ListedMember{}, delisted: map[string]core.ListedMember{}, entries: map[string]Entry{}}
 }
 
 // ApplyList records a list from discovery, or a change of it, and returns what to pass on instead: the same members, but each
@@ -77,78 +77,78 @@
 		}
 		for id := range s.listed {
 			if !named[id] {
-				s.leave(id)
+				s.delist(id)
 			}
 		}
 	}
 	for i := range members {
 		switch m := &members[i]; {
 		case m.State == decide.Removed:
-			s.leave(m.ID)
-		case len(s.listed) < listedMost || s.has(m.ID):
+			s.delist(m.ID)
+		case len(s.listed) < maxListed || s.isListed(m.ID):
 			s.listed[m.ID] = *m
-			if _, ok := s.left[m.ID]; ok {
-				delete(s.left, m.ID)
-				s.gone = slices.DeleteFunc(s.gone, func(id string) bool { return id == m.ID })
+			if _, ok := s.delisted[m.ID]; ok {
+				delete(s.delisted, m.ID)
+				s.delistedOrder = slices.DeleteFunc(s.delistedOrder, func(id string) bool { return id == m.ID })
 			}
 		}
 	}
-	if len(s.said) == 0 {
+	if len(s.entries) == 0 {
 		return members
 	}
-	out := make([]core.ListedMember, 0, len(members)+s.out)
+	out := make([]core.ListedMember, 0, len(members)+s.suspendedCount)
 	named := make(map[string]bool, len(members))
 	for i := range members {
 		named[members[i].ID] = true
-		out = append(out, s.as(members[i]))
+		out = append(out, s.rewrite(members[i]))
 	}
 	if kind == decide.ListChange {
 		return out
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.said)) { // the receiver may go on using members that a list omits
-		if m, ok := s.left[id]; ok && s.said[id].Suspended && !named[id] {
-			out = append(out, s.as(m))
+	for _, id := range slices.Sorted(maps.Keys(s.entries)) { // the receiver may go on using members that a list omits
+		if m, ok := s.delisted[id]; ok && s.entries[id].Suspended && !named[id] {
+			out = append(out, s.rewrite(m))
 		}
 	}
 	return out
 }
 
-// has reports whether discovery lists id.
-func (s *Set) has(id string) bool {
+// isListed reports whether discovery lists id.
+func (s *Set) isListed(id string) bool {
 	_, ok := s.listed[id]
 	return ok
 }
 
-// leave removes id from the list.
-func (s *Set) leave(id string) {
+// delist removes id from the list.
+func (s *Set) delist(id string) {
 	m, ok := s.listed[id]
 	if !ok {
 		return
 	}
 	delete(s.listed, id)
 	m.State = decide.Removed
-	s.left[id] = m
-	s.gone = append(s.gone, id)
-	for i := 0; len(s.left) > leftMost && i < len(s.gone); { // suspended ones stay: they must still be passed on as draining
-		if s.said[s.gone[i]].Suspended && len(s.left) <= leftMost+MaxSuspended {
+	s.delisted[id] = m
+	s.delistedOrder = append(s.delistedOrder, id)
+	for i := 0; len(s.delisted) > maxDelisted && i < len(s.delistedOrder); { // suspended ones stay: they must still be passed on as draining
+		if s.entries[s.delistedOrder[i]].Suspended && len(s.delisted) <= maxDelisted+MaxSuspended {
 			i++
 			continue
 		}
-		delete(s.left, s.gone[i])
-		s.gone = slices.Delete(s.gone, i, i+1)
+		delete(s.delisted, s.delistedOrder[i])
+		s.delistedOrder = slices.Delete(s.delistedOrder, i, i+1)
 	}
 }
 
-// as returns an entry of the list as it is passed on. A member that was suspended was most likely restarted meanwhile:
+// rewrite returns an entry of the list as it is passed on. A member that was suspended was most likely restarted meanwhile:
 // until discovery reports when, it counts as started when it was resumed, so that it gets the load of a member in slow
 // start only.
-func (s *Set) as(m core.ListedMember) core.ListedMember {
-	e, ok := s.said[m.ID]
+func (s *Set) rewrite(m core.ListedMember) core.ListedMember {
+	e, ok := s.entries[m.ID]
 	switch {
 	case !ok:
 	case e.Suspended:
 		if m.State == decide.Removed { // pass it on as last listed, if known
-			if l, ok := s.left[m.ID]; ok {
+			if l, ok := s.delisted[m.ID]; ok {
 				m = l
 			}
 		}
@@ -162,27 +162,27 @@
 // Suspend suspends a member from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
 // list. A second call for the same member changes nothing and is no error. The error is an [UnknownMachine] or [Full].
 func (s *Set) Suspend(id string, now core.Time) ([]core.ListedMember, error) {
-	e := s.said[id]
+	e := s.entries[id]
 	switch {
 	case e.Suspended:
 		return nil, nil
 	case !s.known(id):
 		return nil, UnknownMemberError{id, len(s.listed)}
-	case s.out >= MaxSuspended:
+	case s.suspendedCount >= MaxSuspended:
 		return nil, TooManySuspendedError{id}
 	}
 	now = max(now, e.ChangedAt+1)
-	return s.say(Entry{ID: id, Suspended: true, ChangedAt: now, SuspendedAt: now}), nil
+	return s.record(Entry{ID: id, Suspended: true, ChangedAt: now, SuspendedAt: now}), nil
 }
 
 // Resume ends the suspension of a member, however often it was suspended, at now in nanoseconds of Unix time, and returns
 // what to pass on as a change of the list. For a member that is known and not suspended it changes nothing and is no
 // error. The error is an [UnknownMachine].
 func (s *Set) Resume(id string, now core.Time) ([]core.ListedMember, error) {
-	e := s.said[id]
+	e := s.entries[id]
 	switch {
 	case e.Suspended:
-		return s.say(Entry{ID: id, ChangedAt: max(now, e.ChangedAt+1), SuspendedAt: e.SuspendedAt}), nil
+		return s.record(Entry{ID: id, ChangedAt: max(now, e.ChangedAt+1), SuspendedAt: e.SuspendedAt}), nil
 	case !s.known(id):
 		return nil, UnknownMemberError{id, len(s.listed)}
 	}
@@ -191,35 +191,35 @@
 
 // known reports whether an id is that of a member, or recently was.
 func (s *Set) known(id string) bool {
-	_, said := s.said[id]
-	_, left := s.left[id]
-	return said || left || s.has(id)
+	_, said := s.entries[id]
+	_, left := s.delisted[id]
+	return said || left || s.isListed(id)
 }
 
-// say records e and returns the change that it makes to the list.
-func (s *Set) say(e Entry) []core.ListedMember {
+// record records e and returns the change that it makes to the list.
+func (s *Set) record(e Entry) []core.ListedMember {
 	m, ok := s.listed[e.ID]
 	if !ok {
-		m, ok = s.left[e.ID]
+		m, ok = s.delisted[e.ID]
 	}
-	before, was := s.as(m), s.said[e.ID].Suspended
-	s.said[e.ID] = e
+	before, was := s.rewrite(m), s.entries[e.ID].Suspended
+	s.entries[e.ID] = e
 	if e.Suspended != was {
-		s.out++
+		s.suspendedCount++
 		if was {
-			s.out -= 2
+			s.suspendedCount -= 2
 		}
 	}
-	if len(s.said)-s.out > backMost {
+	if len(s.entries)-s.suspendedCount > maxResumed {
 		oldest := e
-		for _, o := range s.said {
+		for _, o := range s.entries {
 			if !o.Suspended && (o.ChangedAt < oldest.ChangedAt || o.ChangedAt == oldest.ChangedAt && o.ID < oldest.ID) {
 				oldest = o
 			}
 		}
-		delete(s.said, oldest.ID)
+		delete(s.entries, oldest.ID)
 	}
-	if m = s.as(m); !ok || m == before {
+	if m = s.rewrite(m); !ok || m == before {
 		return nil
 	}
 	return []core.ListedMember{m}
@@ -227,7 +227,7 @@
 
 // Export returns all entries, sorted by id.
 func (s *Set) Export() []Entry {
-	return slices.SortedFunc(maps.Values(s.said), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	return slices.SortedFunc(maps.Values(s.entries), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // Import merges the entries of another process of this gateway: of each member the later entry applies, in whatever order
@@ -235,18 +235,18 @@
 // here are recorded as well; entries without an id, and suspends beyond the bound, are dropped and counted.
 func (s *Set) Import(all []Entry) (change []core.ListedMember, dropped int) {
 	for _, e := range all {
-		switch was, ok := s.said[e.ID]; {
-		case e.ID == "" || e.Suspended && !was.Suspended && s.out >= MaxSuspended:
+		switch was, ok := s.entries[e.ID]; {
+		case e.ID == "" || e.Suspended && !was.Suspended && s.suspendedCount >= MaxSuspended:
 			dropped++
 		case !ok || e.ChangedAt > was.ChangedAt:
-			change = append(change, s.say(e)...)
+			change = append(change, s.record(e)...)
 		}
 	}
 	return change, dropped
 }
 
 // IsSuspended reports whether a member is suspended.
-func (s *Set) IsSuspended(id string) bool { return s.said[id].Suspended }
+func (s *Set) IsSuspended(id string) bool { return s.entries[id].Suspended }
 
 // Suspended returns the ids of the suspended members, sorted.
 func (s *Set) Suspended() (ids []string) {
@@ -265,4 +265,6 @@
 type Sizes struct{ Listed, Delisted, Entries int }
 
 // Sizes returns the lengths of the tables.
-func (s *Set) Sizes() Sizes { return Sizes{len(s.listed), max(len(s.left), len(s.gone)), len(s.said)} }
+func (s *Set) Sizes() Sizes {
+	return Sizes{len(s.listed), max(len(s.delisted), len(s.delistedOrder)), len(s.entries)}
+}
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -55,7 +55,7 @@
 			t.Helper()
 			p := ps[i]
 			for id, yes := range ever[i] {
-				e, got := p.set.said[id], p.core[id]
+				e, got := p.set.entries[id], p.core[id]
 				if !yes {
 					continue
 				}
@@ -81,7 +81,7 @@
 			i := rng.IntN(2)
 			p := ps[i]
 			id := ids[rng.IntN(len(ids))]
-			was := p.set.said[id].Suspended
+			was := p.set.entries[id].Suspended
 			switch k := rng.IntN(10); k {
 			case 0, 1, 2, 3:
 				kind := []decide.EventKind{decide.ListFull, decide.ListSaved, decide.ListChange, decide.ListError}[k]
@@ -103,13 +103,13 @@
 			case 4, 5, 6:
 				change, err := p.set.Suspend(id, now)
 				p.core.take(decide.ListChange, change)
-				if e := p.set.said[id]; (err == nil) != e.Suspended || was && (err != nil || len(change) > 0) || err == nil && !was && e.SuspendedAt != e.ChangedAt {
+				if e := p.set.entries[id]; (err == nil) != e.Suspended || was && (err != nil || len(change) > 0) || err == nil && !was && e.SuspendedAt != e.ChangedAt {
 					t.Fatalf("seed %d at %d: suspend %s: %v %v", seed, now, id, change, err)
 				}
 			case 7, 8:
 				change, err := p.set.Resume(id, now)
 				p.core.take(decide.ListChange, change)
-				if p.set.said[id].Suspended || was && err != nil || !was && len(change) > 0 {
+				if p.set.entries[id].Suspended || was && err != nil || !was && len(change) > 0 {
 					t.Fatalf("seed %d at %d: resume %s: %v %v", seed, now, id, change, err)
 				}
 			case 9:
@@ -123,7 +123,7 @@
 					}
 				}
 				for _, e := range from {
-					if p.set.said[e.ID].ChangedAt < e.ChangedAt {
+					if p.set.entries[e.ID].ChangedAt < e.ChangedAt {
 						t.Fatalf("seed %d: %+v was not taken over", seed, e)
 					}
 				}
@@ -182,7 +182,7 @@
 				}
 			}
 		}
-		if z := s.Sizes(); z.Delisted > leftMost+MaxSuspended || z.Entries > MaxSuspended+backMost || z.Listed > listedMost {
+		if z := s.Sizes(); z.Delisted > maxDelisted+MaxSuspended || z.Entries > MaxSuspended+maxResumed || z.Listed > maxListed {
 			t.Fatalf("round %d: %+v", round, z)
 		}
 	}
