--- a/internal/activesettings/activesettings_test.go
+++ b/internal/activesettings/activesettings_test.go
@@ -10,11 +10,12 @@
 	"reachwind/decide"
 )
 
-// TestBook plays random changes of the settings: a name keeps its index, a removed class is served for Linger as it was
-// and is unknown afterwards, and the decision module has its tenants at the indexes that requests carry.
-func TestBook(t *testing.T) {
+// TestHolder plays random changes of the settings: a name keeps its index, a removed class is served for
+// RemovedClassGrace as it was and is unknown afterwards, and the decision module has its tenants at the indexes that
+// requests carry.
+func TestHolder(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	draw := func() *decide.Config {
+	randomConfig := func() *decide.Config {
 		c := new(decide.Config)
 		for i := range 5 {
 			if i == 0 || r.IntN(2) == 0 {
@@ -26,44 +27,44 @@
 		}
 		return c
 	}
-	b, err := NewHolder(draw())
+	h, err := NewHolder(randomConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, left, places := time.Duration(0), map[string]time.Duration{}, map[string]int{}
+	now, removedUntil, indexes := time.Duration(0), map[string]time.Duration{}, map[string]int{}
 	for range 2000 {
 		now += time.Duration(r.IntN(1000)) * time.Millisecond
-		conf, was := draw(), b.Current()
-		next, own, err := b.Prepare(conf, now)
-		if err != nil || b.Current() != was {
+		conf, was := randomConfig(), h.Current()
+		next, own, err := h.Prepare(conf, now)
+		if err != nil || h.Current() != was {
 			t.Fatal("refused, or activated too soon", err)
 		}
-		b.Activate(next)
+		h.Activate(next)
 		in := map[string]decide.Class{}
 		for _, k := range conf.Classes {
 			in[k.Name] = k
-			delete(left, k.Name)
+			delete(removedUntil, k.Name)
 		}
 		for name, k := range was.classes {
 			if _, ok := in[name]; !ok && k.servedUntil == 0 {
-				left[name] = now + RemovedClassGrace
+				removedUntil[name] = now + RemovedClassGrace
 			}
 		}
 		for i := range 5 {
 			name := fmt.Sprint("c", i)
 			k, ok := next.Class(name, now)
 			want, held := in[name]
-			if ok != (held || now < left[name]) || held && *k.Class != want || ok && !held && *k.Class != *was.classes[name].Class {
-				t.Fatalf("%s at %v: %+v, %v; in %v, left until %v", name, now, k, ok, held, left[name])
+			if ok != (held || now < removedUntil[name]) || held && *k.Class != want || ok && !held && *k.Class != *was.classes[name].Class {
+				t.Fatalf("%s at %v: %+v, %v; in %v, left until %v", name, now, k, ok, held, removedUntil[name])
 			}
 			if _, late := next.Class(name, now+RemovedClassGrace); late != held {
 				t.Fatalf("%s is served too long after its removal", name)
 			}
-			if at, known := places[name]; ok && known && at != k.Index || ok && next.Names.Classes[k.Index] != name {
+			if at, known := indexes[name]; ok && known && at != k.Index || ok && next.Names.Classes[k.Index] != name {
 				t.Fatalf("%s changed its index to %d", name, k.Index)
 			}
 			if ok {
-				places[name] = k.Index
+				indexes[name] = k.Index
 			}
 		}
 		for _, c := range conf.Tenants {
@@ -77,14 +78,14 @@
 		many.Classes = append(many.Classes, decide.Class{Name: fmt.Sprint("m", i)})
 	}
 	var names *TooManyNamesError
-	if _, _, err := b.Prepare(many, now); !errors.As(err, &names) {
+	if _, _, err := h.Prepare(many, now); !errors.As(err, &names) {
 		t.Errorf("%d more names: %v", MaxNames, err)
 	}
 }
 
-// TestLongest: requests accepted under an earlier snapshot may stay open as long as that allowed, and a shutdown waits for
-// them: a shorter deadline, a removed class and two changes in a row do not cut them off.
-func TestLongest(t *testing.T) {
+// TestMaxDeadline: requests accepted under an earlier snapshot may stay open as long as that allowed, and a shutdown
+// waits for them: a shorter deadline, a removed class and two changes in a row do not cut them off.
+func TestMaxDeadline(t *testing.T) {
 	of := func(long time.Duration, names ...string) *decide.Config {
 		c := new(decide.Config)
 		for i, name := range names {
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -19,63 +19,63 @@
 	"reachwind/internal/core"
 )
 
-const full = `{"generation":3,"reset":true,"instances":[]}`
+const fullList = `{"generation":3,"reset":true,"instances":[]}`
 
-// told records what a client passes to its sink.
-type told struct {
-	mu    sync.Mutex
-	words []string
-	also  func(kind decide.EventKind) // called before each record, if not nil
+// sinkRecorder records what a client passes to its sink.
+type sinkRecorder struct {
+	mu      sync.Mutex
+	reports []string
+	before  func(kind decide.EventKind) // called before each record, if not nil
 }
 
-func (s *told) sink(kind decide.EventKind, list []core.ListedMember) {
-	if s.also != nil {
-		s.also(kind)
+func (s *sinkRecorder) sink(kind decide.EventKind, list []core.ListedMember) {
+	if s.before != nil {
+		s.before(kind)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	word := map[decide.EventKind]string{decide.ListFull: "full", decide.ListChange: "change", decide.ListError: "error"}[kind]
-	s.words = append(s.words, word+strings.Repeat("+", len(list)))
+	s.reports = append(s.reports, word+strings.Repeat("+", len(list)))
 }
 
-func (s *told) all() string {
+func (s *sinkRecorder) all() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Join(s.words, " ")
+	return strings.Join(s.reports, " ")
 }
 
-func (s *serve) all() string {
+func (s *fakeService) all() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Join(s.calls, " ")
+	return strings.Join(s.queries, " ")
 }
 
-// TestVersionsBack: a service that restarted its versions would never report changes up to the version that is held here.
-// The client then fetches the whole list, whatever the service answered, and ignores that answer.
-func TestVersionsBack(t *testing.T) {
+// TestVersionsRestarted: a service that restarted its versions would never report changes up to the version that is
+// held here. The client then fetches the whole list, whatever the service answered, and ignores that answer.
+func TestVersionsRestarted(t *testing.T) {
 	const change = `{"generation":2,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"gone"}]}`
 	for name, tc := range map[string]struct {
 		answers     []string // to the calls in order, "" is a reset; no answer after the last
 		calls, told string
 	}{
-		"at once":        {[]string{change, full}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000", "full"},
-		"nothing new":    {[]string{`{"generation":0}`, full}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000", "full"},
-		"in a watch":     {[]string{`{"generation":8}`, change, full}, "0.0?index=7&wait=0 0.0?index=8&wait=3000 0.1 0.1?index=3&wait=3000", "change full"},
-		"and broken off": {[]string{change, "", full}, "0.0?index=7&wait=0 0.1 0.1 0.1?index=3&wait=3000", "full"},
-		"by itself":      {[]string{full}, "0.0?index=7&wait=0 0.0?index=3&wait=3000", "full"},
-		"back and forth": {[]string{change, full, `{"generation":9}`, change, full}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000 0.1?index=9&wait=3000 0.1 0.1?index=3&wait=3000", "full change full"},
+		"at once":        {[]string{change, fullList}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000", "full"},
+		"nothing new":    {[]string{`{"generation":0}`, fullList}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000", "full"},
+		"in a watch":     {[]string{`{"generation":8}`, change, fullList}, "0.0?index=7&wait=0 0.0?index=8&wait=3000 0.1 0.1?index=3&wait=3000", "change full"},
+		"and broken off": {[]string{change, "", fullList}, "0.0?index=7&wait=0 0.1 0.1 0.1?index=3&wait=3000", "full"},
+		"by itself":      {[]string{fullList}, "0.0?index=7&wait=0 0.0?index=3&wait=3000", "full"},
+		"back and forth": {[]string{change, fullList, `{"generation":9}`, change, fullList}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000 0.1?index=9&wait=3000 0.1 0.1?index=3&wait=3000", "full change full"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, got := &serve{begin: time.Now()}, new(told)
+				s, got := &fakeService{started: time.Now()}, new(sinkRecorder)
 				s.answer = func(n int, _ string, conn net.Conn) {
 					if n < len(tc.answers) && tc.answers[n] != "" {
-						write(conn, tc.answers[n])
+						writeJSON(conn, tc.answers[n])
 					} else if n < len(tc.answers) {
 						conn.Close()
 					}
 				}
-				c := begin(t, Config{Addr: "h:0", Version: 7, Gateways: 1}, got.sink, s.dial)
+				c := runClient(t, Config{Addr: "h:0", Version: 7, Gateways: 1}, got.sink, s.dial)
 				c.Watch()
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
@@ -87,10 +87,10 @@
 	}
 }
 
-// TestMoveBetweenCalls: the address changes between two calls of a watch, and the second fetches the whole list at the new
-// address. That call asks for no wait, so its silence must be noticed sooner than that of a watch. It also answers the
-// signal of the change, so that a service that refuses it with a full queue is not called twice.
-func TestMoveBetweenCalls(t *testing.T) {
+// TestAddrChangeBetweenCalls: the address changes between two calls of a watch, and the second fetches the whole list
+// at the new address. That call asks for no wait, so its silence must be noticed sooner than that of a watch. It also
+// answers the signal of the change, so that a service that refuses it with a full queue is not called twice.
+func TestAddrChangeBetweenCalls(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first       func(net.Conn)
 		calls, told string
@@ -103,13 +103,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				before, after, got := &serve{begin: time.Now()}, &serve{begin: time.Now()}, new(told)
-				before.answer = func(_ int, _ string, conn net.Conn) { write(conn, `{"generation":8}`) }
+				before, after, got := &fakeService{started: time.Now()}, &fakeService{started: time.Now()}, new(sinkRecorder)
+				before.answer = func(_ int, _ string, conn net.Conn) { writeJSON(conn, `{"generation":8}`) }
 				after.answer = func(n int, call string, conn net.Conn) {
 					if n == 0 {
 						tc.first(conn)
 					} else if call == "" {
-						write(conn, full)
+						writeJSON(conn, fullList)
 					}
 				}
 				dial := func(ctx context.Context, addr string) (net.Conn, error) {
@@ -119,7 +119,7 @@
 					return before.dial(ctx, addr)
 				}
 				c := New(Config{Addr: "old", Version: 7, Gateways: 1}, got.sink, dial, slog.New(slog.DiscardHandler))
-				got.also = func(decide.EventKind) { c.SetAddr("new") }
+				got.before = func(decide.EventKind) { c.SetAddr("new") }
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go c.Run(ctx)
@@ -134,18 +134,19 @@
 	}
 }
 
-// TestMoveFromAnywhere: whatever the state of the call at the old address, and however the first call to the new one
-// fails, the whole list of the new address is known within the required 4 s, and the old address is not called again.
-func TestMoveFromAnywhere(t *testing.T) {
+// TestAddrChangeInAnyState: whatever the state of the call at the old address, and however the first call to the new
+// one fails, the whole list of the new address is known within the required 4 s, and the old address is not called
+// again.
+func TestAddrChangeInAnyState(t *testing.T) {
 	states := map[string]func(net.Conn){
 		"no dial": nil, "refused": nil,
 		"silent":  func(net.Conn) {},
 		"midway":  func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{") },
 		"reset":   func(c net.Conn) { c.Close() },
 		"503":     func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
-		"no list": func(c net.Conn) { write(c, `{"generation":`) },
-		"back":    func(c net.Conn) { write(c, `{"generation":1}`) },
-		"watch":   func(c net.Conn) { write(c, `{"generation":9}`) }, // no answer after this one
+		"no list": func(c net.Conn) { writeJSON(c, `{"generation":`) },
+		"back":    func(c net.Conn) { writeJSON(c, `{"generation":1}`) },
+		"watch":   func(c net.Conn) { writeJSON(c, `{"generation":9}`) }, // no answer after this one
 		"crowd": func(c net.Conn) {
 			time.Sleep(maxQueueTime)
 			fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
@@ -165,7 +166,7 @@
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
 						begin := time.Now()
-						before, after, got := &serve{begin: begin}, &serve{begin: begin}, new(told)
+						before, after, got := &fakeService{started: begin}, &fakeService{started: begin}, new(sinkRecorder)
 						before.answer = func(n int, _ string, conn net.Conn) {
 							if was != "watch" || n == 0 {
 								old(conn)
@@ -176,7 +177,7 @@
 							if n == 0 && dials.Load() == 1 {
 								first(conn)
 							} else if call == "" {
-								write(conn, full)
+								writeJSON(conn, fullList)
 							}
 						}
 						dial := func(ctx context.Context, addr string) (net.Conn, error) {
@@ -198,7 +199,7 @@
 						}
 						var fulls []time.Duration
 						c := New(Config{Addr: "old", Version: 7, Gateways: gateways, Pushed: pushed}, got.sink, dial, slog.New(slog.DiscardHandler))
-						got.also = func(kind decide.EventKind) {
+						got.before = func(kind decide.EventKind) {
 							if kind == decide.ListFull {
 								fulls = append(fulls, time.Since(begin))
 							}
@@ -223,36 +224,37 @@
 	}
 }
 
-// TestWaitsNot: a service that answers watches without waiting, as a cache in between may, is not called in a tight loop.
-func TestWaitsNot(t *testing.T) {
+// TestServiceWithoutWait: a service that answers watches without waiting, as a cache in between may, is not called in a
+// tight loop.
+func TestServiceWithoutWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &serve{begin: time.Now()}
-		s.answer = func(_ int, _ string, conn net.Conn) { write(conn, `{"generation":7}`) }
-		c := begin(t, Config{Addr: "h:0", Version: 7, Gateways: 1}, new(told).sink, s.dial)
+		s := &fakeService{started: time.Now()}
+		s.answer = func(_ int, _ string, conn net.Conn) { writeJSON(conn, `{"generation":7}`) }
+		c := runClient(t, Config{Addr: "h:0", Version: 7, Gateways: 1}, new(sinkRecorder).sink, s.dial)
 		c.Watch()
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if n := len(s.calls); n > 2+int(time.Second/minEmptyCallInterval) {
+		if n := len(s.queries); n > 2+int(time.Second/minEmptyCallInterval) {
 			t.Errorf("%d calls in a second", n)
 		}
 	})
 }
 
-// TestKeptNot: a service that closes a connection after its answer without announcing it does not break a watch. A service
-// that resets every connection is not called in a tight loop.
-func TestKeptNot(t *testing.T) {
+// TestConnectionNotKept: a service that closes a connection after its answer without announcing it does not break a
+// watch. A service that resets every connection is not called in a tight loop.
+func TestConnectionNotKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &serve{begin: time.Now()}
+		s := &fakeService{started: time.Now()}
 		s.answer = func(n int, _ string, conn net.Conn) {
 			if n < 2 {
-				write(conn, `{"generation":8}`)
+				writeJSON(conn, `{"generation":8}`)
 			}
 			if n < 4 {
 				conn.Close()
 			}
 		}
-		c := begin(t, Config{Addr: "h:0", Version: 7, Gateways: 300}, new(told).sink, s.dial)
+		c := runClient(t, Config{Addr: "h:0", Version: 7, Gateways: 300}, new(sinkRecorder).sink, s.dial)
 		c.Watch()
 		time.Sleep(40 * time.Millisecond)
 		synctest.Wait()
@@ -267,14 +269,14 @@
 	})
 }
 
-// TestDownLogs: a service that is down for long causes at most one log line a second.
-func TestDownLogs(t *testing.T) {
+// TestOutageLogRate: a service that is down for long causes at most one log line a second.
+func TestOutageLogRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var out strings.Builder
-		c := New(Config{Addr: "h:0", Version: 7, Gateways: 1, Pushed: true}, new(told).sink, func(context.Context, string) (net.Conn, error) {
+		c := New(Config{Addr: "h:0", Version: 7, Gateways: 1, Pushed: true}, new(sinkRecorder).sink, func(context.Context, string) (net.Conn, error) {
 			return nil, errors.New("refused")
-		}, slog.New(slog.NewTextHandler(locked{&mu, &out}, nil)))
+		}, slog.New(slog.NewTextHandler(lockedBuilder{&mu, &out}, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		time.Sleep(20 * time.Second)
@@ -288,20 +290,20 @@
 	})
 }
 
-type locked struct {
+type lockedBuilder struct {
 	mu *sync.Mutex
 	w  *strings.Builder
 }
 
-func (l locked) Write(p []byte) (int, error) {
+func (l lockedBuilder) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.w.Write(p)
 }
 
-// TestNoLength: an answer without a length ends where its connection is closed, not where it is reset, be it whole or not.
-// It needs real sockets, as a pipe cannot be reset.
-func TestNoLength(t *testing.T) {
+// TestAnswerWithoutLength: an answer without a length ends where its connection is closed, not where it is reset, be it
+// whole or not. It needs real sockets, as a pipe cannot be reset.
+func TestAnswerWithoutLength(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -358,8 +360,8 @@
 	}
 }
 
-// begin runs a client without a log until the test ends.
-func begin(t *testing.T, conf Config, sink Sink, dial func(context.Context, string) (net.Conn, error)) *Client {
+// runClient runs a client without a log until the test ends.
+func runClient(t *testing.T, conf Config, sink Sink, dial func(context.Context, string) (net.Conn, error)) *Client {
 	c := New(conf, sink, dial, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -73,9 +73,9 @@
 
 const (
 	endpointsPath = "/v1/endpoints"
-	// minWatchWait and waitEach give the wait that a watch's calls ask for. A connection that has gone silent is noticed
-	// only after the wait, so it is to be short; but each wait that ends is work for discovery, so it grows with the
-	// fleet and that load stays the same for any number of gateways.
+	// minWatchWait and watchWaitPerGateway give the wait that a watch's calls ask for. A connection that has gone
+	// silent is noticed only after the wait, so it is to be short; but each wait that ends is work for discovery, so it
+	// grows with the fleet and that load stays the same for any number of gateways.
 	minWatchWait        = changeDeadline - waitSlack - firstByteTimeout // leaves a retry all of its first-byte timeout
 	watchWaitPerGateway = 250 * time.Millisecond                        // per gateway of the fleet: four waits end per second in all
 	maxWatchWait        = 60 * time.Second                              // the longest that discovery accepts
@@ -85,10 +85,10 @@
 	// After any other failed call it counts from when discovery has the change and can be reached. By then the answer
 	// of a retry must have arrived.
 	changeDeadline = 6 * time.Second
-	// firstByteTimeout bounds the time to the first byte of an answer to a call that asks for no wait. Discovery serves calls
-	// one after another and fails those that have queued for queueMost. A client that gives up sooner leaves discovery
-	// to work for nobody and then asks again, which lengthens the queue. A call without an answer for longer than
-	// queueMost and its own work is in no queue.
+	// firstByteTimeout bounds the time to the first byte of an answer to a call that asks for no wait. Discovery serves
+	// calls one after another and fails those that have queued for maxQueueTime. A client that gives up sooner leaves
+	// discovery to work for nobody and then asks again, which lengthens the queue. A call without an answer for longer
+	// than maxQueueTime and its own work is in no queue.
 	firstByteTimeout  = 2400 * time.Millisecond
 	maxQueueTime      = 2 * time.Second
 	workPerCall       = 70 * time.Millisecond  // the longest that one call takes discovery
@@ -98,36 +98,36 @@
 	lateAnswerTimeout = 800 * time.Millisecond // for the whole answer, from the time limit of its first byte
 	dialTimeout       = 500 * time.Millisecond
 
-	// minQueuedRefusal: a call without a wait that is refused after at least this time stood in the queue of a service that is
-	// up. A service that is down, or that lost its queue, refuses sooner.
+	// minQueuedRefusal: a call without a wait that is refused after at least this time stood in the queue of a service
+	// that is up. A service that is down, or that lost its queue, refuses sooner.
 	minQueuedRefusal = maxQueueTime / 2
 	// maxUnqueuedRefusal: a call that is refused within this time has not been in a queue.
 	maxUnqueuedRefusal = 100 * time.Millisecond
 
-	// maxCallCycle bounds the time from the start of a failed call to the start of the next: the first may have failed just
-	// before discovery became reachable, and the next may have to queue.
+	// maxCallCycle bounds the time from the start of a failed call to the start of the next: the first may have failed
+	// just before discovery became reachable, and the next may have to queue.
 	maxCallCycle = changeDeadline - firstByteTimeout - 600*time.Millisecond
 
 	// Retries start after a random part of a spread, so that the gateways of a fleet do not retry at the same moment.
-	// For a call that broke off the spread is nearEach per gateway, up to nearMost: a watch that went silent leaves
-	// little time. For a refused call it is the time that the calls of the whole fleet take beyond the longest queue.
-	// After anewTimes retries in a row the interval between the starts of two calls doubles from backLeast up to the
-	// larger of backMost and that spread, with a jitter of a quarter.
+	// For a call that broke off the spread is retrySpreadPerGateway per gateway, up to maxRetrySpread: a watch that
+	// went silent leaves little time. For a refused call it is the time that the calls of the whole fleet take beyond
+	// the longest queue. After retriesBeforeBackoff retries in a row the interval between the starts of two calls
+	// doubles from minBackoff up to the larger of maxBackoff and that spread, with a jitter of a quarter.
 	retrySpreadPerGateway = 5 * time.Millisecond
 	maxRetrySpread        = 200 * time.Millisecond
 	retriesBeforeBackoff  = 2
 	minBackoff            = 100 * time.Millisecond
 	maxBackoff            = time.Second
-	// maxBackoffPushed replaces backMost where lists are pushed: a gateway must then know what discovery has as soon as
-	// discovery is back.
+	// maxBackoffPushed replaces maxBackoff where lists are pushed: a gateway must then know what discovery has as soon
+	// as discovery is back.
 	maxBackoffPushed = 150 * time.Millisecond
-	// minEmptyCallInterval is the shortest time between the starts of two calls of a watch if the first brought no change.
-	// Discovery takes a call for the continuation of a watch if it comes within 200 ms.
+	// minEmptyCallInterval is the shortest time between the starts of two calls of a watch if the first brought no
+	// change. Discovery takes a call for the continuation of a watch if it comes within 200 ms.
 	minEmptyCallInterval = 50 * time.Millisecond
 )
 
-// AnswerError is the error of a call without a usable answer: nothing of it arrived, or not all, or it is no list. Discovery
-// may count the call as answered, or may never have received it.
+// AnswerError is the error of a call without a usable answer: nothing of it arrived, or not all, or it is no list.
+// Discovery may count the call as answered, or may never have received it.
 type AnswerError struct {
 	Addr  string
 	Begun bool // some of the answer arrived
@@ -136,11 +136,11 @@
 
 // Error implements error.
 func (e *AnswerError) Error() string {
-	found, do := "silent", "check that it is running and reachable from this gateway"
+	found, action := "silent", "check that it is running and reachable from this gateway"
 	if e.Begun {
-		found, do = "an incomplete answer, or one that is not a list of members", "check what it serves there"
+		found, action = "an incomplete answer, or one that is not a list of members", "check what it serves there"
 	}
-	return fmt.Sprintf("discovery at %s: %s (%v), wanted a list of members; if this persists, %s", e.Addr, found, e.Err, do)
+	return fmt.Sprintf("discovery at %s: %s (%v), wanted a list of members; if this persists, %s", e.Addr, found, e.Err, action)
 }
 
 // Unwrap returns the cause.
@@ -161,15 +161,15 @@
 // Sink receives lists, changes and failures. The client calls it on the goroutine of Run.
 type Sink func(kind decide.EventKind, members []core.ListedMember)
 
-// Client makes the calls to discovery, on the goroutine of Run. Watch, Fetch and Move return at once; they only signal
-// Run.
+// Client makes the calls to discovery, on the goroutine of Run. Watch, Fetch and SetAddr return at once; they only
+// signal Run.
 type Client struct {
 	version         atomic.Int64
 	pushed          bool
 	watchWait       time.Duration // that a watch's calls ask for
 	brokenSpread    time.Duration // spread of the retries of calls that broke off
 	refusedSpread   time.Duration // spread of the retries of refused calls
-	callIntervalMax time.Duration // between the starts of two calls, while discovery is down
+	maxCallInterval time.Duration // between the starts of two calls, while discovery is down
 	overQueueTime   time.Duration // that the fleet's calls, all made at once, take past the longest queue
 	rng             *rand.Rand
 	pace            decide.DiscoveryPacer // of watches after a refusal by a full queue, where lists are pushed
@@ -203,19 +203,20 @@
 }
 
 // New returns a client that makes its first call once Run runs. It opens connections with dial.
-func New(conf Config, sink Sink, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) *Client {
-	fleet := time.Duration(conf.Gateways)
-	c := &Client{nextAddr: conf.Addr, addr: conf.Addr, pushed: conf.Pushed,
-		watchWait: min(max(minWatchWait, fleet*watchWaitPerGateway), maxWatchWait), brokenSpread: min(fleet*retrySpreadPerGateway, maxRetrySpread), overQueueTime: fleet*workPerCall - maxQueueTime,
-		rng: rand.New(rand.NewPCG(conf.Seed, 0x646973636f766572)), sink: sink, dial: dial, log: log,
+func New(cfg Config, sink Sink, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) *Client {
+	gateways := time.Duration(cfg.Gateways)
+	c := &Client{nextAddr: cfg.Addr, addr: cfg.Addr, pushed: cfg.Pushed,
+		watchWait:    min(max(minWatchWait, gateways*watchWaitPerGateway), maxWatchWait),
+		brokenSpread: min(gateways*retrySpreadPerGateway, maxRetrySpread), overQueueTime: gateways*workPerCall - maxQueueTime,
+		rng: rand.New(rand.NewPCG(cfg.Seed, 0x646973636f766572)), sink: sink, dial: dial, log: log,
 		watchRequested: make(chan struct{}, 1), fetchRequested: make(chan struct{}, 1), addrChanged: make(chan struct{}, 1)}
 	c.refusedSpread = min(max(c.brokenSpread, c.overQueueTime), maxCallCycle)
-	c.callIntervalMax = max(c.refusedSpread, maxBackoff)
+	c.maxCallInterval = max(c.refusedSpread, maxBackoff)
 	if c.pushed {
-		c.refusedSpread, c.callIntervalMax = c.brokenSpread, min(max(maxBackoffPushed, c.overQueueTime), maxBackoff)
+		c.refusedSpread, c.maxCallInterval = c.brokenSpread, min(max(maxBackoffPushed, c.overQueueTime), maxBackoff)
 	}
-	c.pace = decide.DiscoveryPacer{Fronts: conf.Gateways, Random: c.rng.Float64}
-	c.version.Store(conf.Version)
+	c.pace = decide.DiscoveryPacer{Fronts: cfg.Gateways, Random: c.rng.Float64}
+	c.version.Store(cfg.Version)
 	return c
 }
 
@@ -287,9 +288,9 @@
 	}
 }
 
-// watchChanges watches for changes until a call is refused by a full queue or the address changes. The first call asks for no
-// wait, so that missed changes arrive at once; each further call directly follows the last answer, so that discovery
-// sees one unbroken watch.
+// watchChanges watches for changes until a call is refused by a full queue or the address changes. The first call asks
+// for no wait, so that missed changes arrive at once; each further call directly follows the last answer, so that
+// discovery sees one unbroken watch.
 func (c *Client) watchChanges(ctx context.Context) {
 	for wait := time.Duration(0); ctx.Err() == nil; wait = c.watchWait {
 		began := time.Now()
@@ -319,7 +320,7 @@
 	return time.Duration(c.rng.Float64() * float64(d))
 }
 
-// beginCall prepares a call to the current address and returns a context for it, which Move cancels.
+// beginCall prepares a call to the current address and returns a context for it, which SetAddr cancels.
 func (c *Client) beginCall(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -340,7 +341,7 @@
 func (c *Client) call(ctx context.Context, full bool, wait time.Duration) bool {
 	ctx, done := c.beginCall(ctx)
 	defer done()
-	for again := 0; ; again++ {
+	for retries := 0; ; retries++ {
 		target := endpointsPath
 		if full || c.needFull {
 			wait = 0
@@ -394,7 +395,7 @@
 		}
 		c.brokenLog.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
 		wait = 0 // missed changes are to arrive at once
-		if !c.sleep(ctx, c.retryDelay(err, again, took)) {
+		if !c.sleep(ctx, c.retryDelay(err, retries, took)) {
 			return false
 		}
 	}
@@ -411,18 +412,19 @@
 	return !errors.As(err, &refused) || wait == 0 && refused.took < maxUnqueuedRefusal
 }
 
-// retryDelay returns the delay before the retry of a call that failed with err after took; again counts the retries before.
-func (c *Client) retryDelay(err error, again int, took time.Duration) time.Duration {
+// retryDelay returns the delay before the retry of a call that failed with err after took; retries counts the retries
+// before.
+func (c *Client) retryDelay(err error, retries int, took time.Duration) time.Duration {
 	spread := c.refusedSpread
 	var broken *AnswerError
 	if errors.As(err, &broken) || c.needFull { // the list of a new address must be known 4 s after the change of address
 		spread = c.brokenSpread
 	}
-	if again < retriesBeforeBackoff {
+	if retries < retriesBeforeBackoff {
 		return c.randomUpTo(spread)
 	}
-	span := min(max(minBackoff<<min(again-retriesBeforeBackoff, 8), spread), c.callIntervalMax)
-	return max(span-c.randomUpTo(span/4)-took, c.randomUpTo(c.brokenSpread))
+	interval := min(max(minBackoff<<min(retries-retriesBeforeBackoff, 8), spread), c.maxCallInterval)
+	return max(interval-c.randomUpTo(interval/4)-took, c.randomUpTo(c.brokenSpread))
 }
 
 // deliver records an answer and passes its list to the sink.
@@ -441,8 +443,8 @@
 
 // get makes one call on the kept connection, or on a new one.
 func (c *Client) get(ctx context.Context, target string, wait time.Duration) (*List, error) {
-	kept := c.conn != nil
-	if !kept {
+	reused := c.conn != nil
+	if !reused {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		nc, err := c.dial(ctx, c.addr)
@@ -457,18 +459,18 @@
 	conn := c.conn // the field may be cleared before the function below runs
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	asked := time.Now()
+	start := time.Now()
 	resp, err := conn.roundTrip(appendGet(nil, c.addr, target), max(wait+waitSlack, firstByteTimeout))
 	switch {
 	case err != nil && (conn.answerBegun || isTimeout(err)):
 		return nil, &AnswerError{c.addr, conn.answerBegun, err}
-	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < minEmptyCallInterval: // the kept connection had been closed: discovery has not read the call
+	case err != nil && reused && ctx.Err() == nil && time.Since(start) < minEmptyCallInterval: // the kept connection had been closed: discovery has not read the call
 		c.closeConn()
 		return c.get(ctx, target, wait)
 	case err != nil:
-		return nil, &refusedError{time.Since(asked), err}
+		return nil, &refusedError{time.Since(start), err}
 	case resp.status != 200:
-		return nil, &refusedError{time.Since(asked), fmt.Errorf("status %d", resp.status)}
+		return nil, &refusedError{time.Since(start), fmt.Errorf("status %d", resp.status)}
 	}
 	list := new(List)
 	if err := json.Unmarshal(resp.body, list); err != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -55,20 +55,20 @@
 	})
 }
 
-// TestFollow: a watch starts with a call that asks for no wait, continues at once after each answer from the version last
-// received, and restarts with a call without a wait when it is refused. It ends with the first call that a full queue
-// refuses, which it reports; it starts again only on request, and requests made during the failed call are answered by
-// that failure.
-func TestFollow(t *testing.T) {
+// TestWatch: a watch starts with a call that asks for no wait, continues at once after each answer from the version
+// last received, and restarts with a call without a wait when it is refused. It ends with the first call that a full
+// queue refuses, which it reports; it starts again only on request, and requests made during the failed call are
+// answered by that failure.
+func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &serve{begin: time.Now()}
+		s := &fakeService{started: time.Now()}
 		var c *Client
 		s.answer = func(n int, _ string, conn net.Conn) {
 			switch n {
 			case 0:
-				write(conn, `{"generation":8,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"gone"}]}`)
+				writeJSON(conn, `{"generation":8,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"gone"}]}`)
 			case 1:
-				write(conn, `{"generation":9,"reset":true,"instances":[{"instanceId":"b","hostPort":"h:2","lifecycle":"ready","startedAtMs":5}]}`)
+				writeJSON(conn, `{"generation":9,"reset":true,"instances":[{"instanceId":"b","hostPort":"h:2","lifecycle":"ready","startedAtMs":5}]}`)
 			case 3, 4:
 				c.Watch()
 				c.Fetch()
@@ -78,7 +78,7 @@
 				fmt.Fprint(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 			}
 		}
-		var told []string
+		var reports []string
 		c = New(Config{Addr: "h:0", Version: 7, Gateways: 1}, func(kind decide.EventKind, list []core.ListedMember) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 			for _, l := range list {
 				word += fmt.Sprintf(" %s %s %d %v", l.ID, l.Addr, l.State, l.Started)
 			}
-			told = append(told, word)
+			reports = append(reports, word)
 		}, s.dial, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -99,25 +99,25 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		want := "0.0?index=7&wait=0 0.0?index=8&wait=3000 0.0?index=9&wait=3000 0.0?index=9&wait=0 10.0?index=9&wait=0"
-		if got := strings.Join(s.calls, " "); got != want {
+		if got := strings.Join(s.queries, " "); got != want {
 			t.Errorf("calls %s, want %s", got, want)
 		}
 		want = fmt.Sprintf("%d a h:1 2 0s|%d b h:2 0 5ms|%d|%d", decide.ListChange, decide.ListFull, decide.ListError, decide.ListError)
-		if got := strings.Join(told, "|"); got != want {
+		if got := strings.Join(reports, "|"); got != want {
 			t.Errorf("told %s, want %s", got, want)
 		}
 	})
 }
 
-// serve is a fake discovery service. It answers each call, numbered from 0, by the function answer.
-type serve struct {
-	mu     sync.Mutex
-	calls  []string // the queries, each after its time in seconds since begin
-	begin  time.Time
-	answer func(n int, call string, conn net.Conn)
+// fakeService is a fake discovery service. It answers each call, numbered from 0, by the function answer.
+type fakeService struct {
+	mu      sync.Mutex
+	queries []string // the queries, each after its time in seconds since begin
+	started time.Time
+	answer  func(n int, call string, conn net.Conn)
 }
 
-func (s *serve) dial(context.Context, string) (net.Conn, error) {
+func (s *fakeService) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
 		defer far.Close()
@@ -132,8 +132,8 @@
 			}
 			call := strings.TrimPrefix(strings.Fields(line)[1], endpointsPath)
 			s.mu.Lock()
-			n := len(s.calls)
-			s.calls = append(s.calls, fmt.Sprintf("%.1f%s", time.Since(s.begin).Seconds(), call))
+			n := len(s.queries)
+			s.queries = append(s.queries, fmt.Sprintf("%.1f%s", time.Since(s.started).Seconds(), call))
 			s.mu.Unlock()
 			s.answer(n, call, far)
 		}
@@ -141,14 +141,15 @@
 	return near, nil
 }
 
-func write(conn net.Conn, body string) {
+func writeJSON(conn net.Conn, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// TestBroken: a call that broke off is retried at once on another connection, so that its answer arrives before the gateway
-// must know what the call missed: 6 s after the silence began, for a watch 2 s after its wait. A refused call is retried
-// too, unless it was refused after the time of a full queue: the module paces the next call then.
-func TestBroken(t *testing.T) {
+// TestFailedCallRetried: a call that broke off is retried at once on another connection, so that its answer arrives
+// before the gateway must know what the call missed: 6 s after the silence began, for a watch 2 s after its wait. A
+// refused call is retried too, unless it was refused after the time of a full queue: the module paces the next call
+// then.
+func TestFailedCallRetried(t *testing.T) {
 	const refusal503 = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 	const list = `{"generation":8,"reset":true,"instances":[]}`
 	for name, tc := range map[string]struct {
@@ -163,8 +164,8 @@
 		"watch silent":      {1, 1, func(net.Conn) {}, "0.0?index=7&wait=0 0.0?index=8&wait=3000 3.6?index=8&wait=0 3.6?index=8&wait=3000", false},
 		"body stops":        {1, 1, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{") }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 0.7?index=8&wait=0 0.7?index=8&wait=3000", false},
 		"head, then reset":  {1, 0, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 200"); c.Close() }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
-		"no list":           {1, 0, func(c net.Conn) { write(c, `{"generation":`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
-		"no such lifecycle": {9, 0, func(c net.Conn) { write(c, `{"instances":[{"instanceId":"a"}]}`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=7&wait=0 0.1?index=7&wait=0", false},
+		"no list":           {1, 0, func(c net.Conn) { writeJSON(c, `{"generation":`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
+		"no such lifecycle": {9, 0, func(c net.Conn) { writeJSON(c, `{"instances":[{"instanceId":"a"}]}`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=7&wait=0 0.1?index=7&wait=0", false},
 		"reset":             {1, 0, func(c net.Conn) { c.Close() }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
 		"refused":           {1, 0, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
 		"watch reset":       {1, 1, func(c net.Conn) { time.Sleep(time.Second); c.Close() }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 1.0?index=8&wait=0 1.0?index=8&wait=3000", false},
@@ -185,13 +186,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &serve{begin: time.Now()}
+				s := &fakeService{started: time.Now()}
 				s.answer = func(n int, call string, conn net.Conn) {
 					switch {
 					case n >= tc.from && n < tc.from+tc.broken:
 						tc.how(conn)
 					case strings.HasSuffix(call, "wait=0"):
-						write(conn, list)
+						writeJSON(conn, list)
 					}
 				}
 				failed := false
@@ -208,7 +209,7 @@
 				synctest.Wait()
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				got := strings.Join(s.calls, " ")
+				got := strings.Join(s.queries, " ")
 				if !strings.HasPrefix(got, tc.calls) || tc.failed != failed || failed && got != tc.calls {
 					t.Errorf("failed %v, calls %s, want %v, %s", failed, got, tc.failed, tc.calls)
 				}
@@ -217,13 +218,13 @@
 	}
 }
 
-// TestMove: a change of the address cancels the current call without a report and closes its connection. At the new
-// address the whole list is fetched before changes, and a running watch continues.
-func TestMove(t *testing.T) {
+// TestAddrChange: a change of the address cancels the current call without a report and closes its connection. At the
+// new address the whole list is fetched before changes, and a running watch continues.
+func TestAddrChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		var calls, told, closed []string
-		note := func(list *[]string, s string) {
+		var calls, reports, closed []string
+		record := func(list *[]string, s string) {
 			mu.Lock()
 			defer mu.Unlock()
 			*list = append(*list, s)
@@ -235,14 +236,14 @@
 				for {
 					line, err := r.ReadString('\n')
 					if err != nil {
-						note(&closed, addr)
+						record(&closed, addr)
 						return
 					}
 					for rest := "x"; strings.TrimSpace(rest) != ""; {
 						rest, _ = r.ReadString('\n')
 					}
 					call := strings.TrimPrefix(strings.Fields(line)[1], endpointsPath)
-					note(&calls, addr+call)
+					record(&calls, addr+call)
 					if !strings.HasSuffix(call, "wait=3000") {
 						text := `{"generation":3,"reset":true,"instances":[]}`
 						_, _ = fmt.Fprintf(b, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -252,7 +253,7 @@
 			return a, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		c := New(Config{Addr: "old", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.ListedMember) { note(&told, fmt.Sprint(kind)) }, dial,
+		c := New(Config{Addr: "old", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.ListedMember) { record(&reports, fmt.Sprint(kind)) }, dial,
 			slog.New(slog.DiscardHandler))
 		go c.Run(ctx)
 		c.Watch()
@@ -261,7 +262,7 @@
 		c.SetAddr("new")
 		synctest.Wait()
 		mu.Lock()
-		got := strings.Join(calls, " ") + "|" + strings.Join(told, " ") + "|" + strings.Join(closed, " ")
+		got := strings.Join(calls, " ") + "|" + strings.Join(reports, " ") + "|" + strings.Join(closed, " ")
 		mu.Unlock()
 		full := fmt.Sprint(decide.ListFull)
 		if want := "old?index=7&wait=0 old?index=3&wait=3000 new new?index=3&wait=3000|" + full + " " + full + "|old"; got != want {
@@ -272,8 +273,8 @@
 	})
 }
 
-// TestLargeListIsTaken guards against refusing an indented list of 3,200 members for its length.
-func TestLargeListIsTaken(t *testing.T) {
+// TestLargeListAccepted guards against refusing an indented list of 3,200 members for its length.
+func TestLargeListAccepted(t *testing.T) {
 	list := List{Generation: 7, Reset: true}
 	for i := range 3200 {
 		list.Instances = append(list.Instances, Entry{InstanceID: fmt.Sprintf("s-%08x", i), HostPort: "127.215.215.215:65432", Zone: "wellington-north", MachineType: "standard-sixteen-cores",
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -19,84 +19,84 @@
 	"reachwind/internal/core"
 )
 
-// fleet is a simulation of n gateways, each a client and a decision module, that start at the same moment against one
-// discovery service. The service works 70 ms on a call and fails a call that has queued for 2 s. It handles calls one
-// after another, including those that it fails in the end or whose callers have gone.
-type fleet struct {
-	n      int
-	span   time.Duration                              // of the simulation
-	lost   func(now time.Duration, draw float64) bool // which calls get no answer; nil: none
-	refuse bool                                       // refuse those calls instead, after as much work
+// fleetSim is a simulation of n gateways, each a client and a decision module, that start at the same moment against
+// one discovery service. The service works 70 ms on a call and fails a call that has queued for 2 s. It handles calls
+// one after another, including those that it fails in the end or whose callers have gone.
+type fleetSim struct {
+	n          int
+	duration   time.Duration                              // of the simulation
+	unanswered func(now time.Duration, draw float64) bool // which calls get no answer; nil: none
+	refuse     bool                                       // refuse those calls instead, after as much work
 
 	// Discovery is down from cut to back, failing as how says; watches that run at cut end in the same way. Deliveries
 	// are counted from back on.
-	cut, back time.Duration
-	how       string        // see end
-	pushed    bool          // lists are pushed
-	size      int           // the number of gateways in the settings, if larger than n
-	seed      uint64        // of the gateways
-	each      time.Duration // work per call, if not 70 ms
-	work      time.Duration // the same from back on
-	asked     int           // gateways whose call arrived soon enough after back for an answer in time
-	late      int           // gateways that learnt the list too late
-	up        bool          // discovery is back
-	watch     time.Duration // the end of the wait of a watch that ran at cut
+	downFrom, backAt time.Duration
+	failure          string        // see end
+	pushed           bool          // lists are pushed
+	size             int           // the number of gateways in the settings, if larger than n
+	seed             uint64        // of the gateways
+	workPerCall      time.Duration // work per call, if not 70 ms
+	workPerCallAfter time.Duration // the same from back on
+	calledInTime     int           // gateways whose call arrived soon enough after back for an answer in time
+	knownLate        int           // gateways that learnt the list too late
+	isBack           bool          // discovery is back
+	watchEnd         time.Duration // the end of the wait of a watch that ran at cut
 
-	calls, failed, told int           // calls that arrived, those that failed, gateways that learnt the list
-	last, busy, queue   time.Duration // last delivery, end of the work at hand, longest queue
+	calls, failed, known               int           // calls that arrived, those that failed, gateways that learnt the list
+	lastKnown, busyUntil, longestQueue time.Duration // last delivery, end of the work at hand, longest queue
 }
 
-func (f *fleet) play(t *testing.T) {
+func (f *fleetSim) run(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		ctx, cancel := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		r := rand.New(rand.NewPCG(27, 300))
 		for i := range f.n {
-			s, seen := &serve{begin: begin}, false
-			down := func() bool { now := time.Since(begin); return now >= f.cut && now < f.back }
+			s, seen := &fakeService{started: begin}, false
+			down := func() bool { now := time.Since(begin); return now >= f.downFrom && now < f.backAt }
 			s.answer = func(_ int, call string, conn net.Conn) {
-				ends := f.back > 0 && down()
+				ends := f.backAt > 0 && down()
 				_, ms, _ := strings.Cut(call, "wait=")
 				d, _ := time.ParseDuration(ms + "ms")
 				watch := d > 0
 				if watch {
-					left := f.cut - time.Since(begin)
-					if f.back > 0 && left < d && !(left < 0 && !ends) {
+					left := f.downFrom - time.Since(begin)
+					if f.backAt > 0 && left < d && !(left < 0 && !ends) {
 						mu.Lock()
-						f.watch = time.Since(begin) + d
+						f.watchEnd = time.Since(begin) + d
 						mu.Unlock()
 						d, ends = max(left, 0), true
 					}
 					time.Sleep(d) // there are no changes
 				}
 				if ends {
-					f.end(conn, watch)
+					f.endCall(conn, watch)
 					return
 				}
 				mu.Lock()
 				now := time.Since(begin)
-				if f.back > 0 && now >= f.back && !f.up { // calls queued at cut are gone
-					f.up, f.busy = true, 0
+				if f.backAt > 0 && now >= f.backAt && !f.isBack { // calls queued at cut are gone
+					f.isBack, f.busyUntil = true, 0
 				}
-				if f.back > 0 && now >= f.back && now <= f.back+changeDeadline-firstByteTimeout && !seen {
+				if f.backAt > 0 && now >= f.backAt && now <= f.backAt+changeDeadline-firstByteTimeout && !seen {
 					seen = true
-					f.asked++
+					f.calledInTime++
 				}
-				lost := f.lost != nil && f.lost(now, r.Float64())
+				lost := f.unanswered != nil && f.unanswered(now, r.Float64())
 				if ctx.Err() != nil || lost && !f.refuse {
 					mu.Unlock()
 					return
 				}
 				const wait = 2 * time.Second
-				work := cmp.Or(f.each, 70*time.Millisecond)
-				if f.work > 0 && now >= f.back {
-					work = f.work
+				work := cmp.Or(f.workPerCall, 70*time.Millisecond)
+				if f.workPerCallAfter > 0 && now >= f.backAt {
+					work = f.workPerCallAfter
 				}
-				turn := max(f.busy-now, 0)
-				f.busy = now + turn + work
+				turn := max(f.busyUntil-now, 0)
+				f.busyUntil = now + turn + work
 				f.calls++
-				f.queue = max(f.queue, turn)
+				f.longestQueue = max(f.longestQueue, turn)
 				ok := turn <= wait && !lost
 				if !ok {
 					f.failed++
@@ -106,7 +106,7 @@
 					_, _ = fmt.Fprint(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 					return
 				}
-				write(conn, `{"generation":3,"instances":[]}`)
+				writeJSON(conn, `{"generation":3,"instances":[]}`)
 			}
 			router, err := decide.New(decide.Config{Self: i, Fronts: max(f.size, f.n), ListOnRequest: !f.pushed, Classes: []decide.Class{
 				{Name: "any", LatencyTarget: time.Second, Deadline: time.Second}}}, f.seed+uint64(i))
@@ -116,20 +116,20 @@
 			events, known := make(chan decide.EventKind, 9), false
 			dial := func(ctx context.Context, addr string) (net.Conn, error) {
 				switch {
-				case down() && f.how == "no dial":
+				case down() && f.failure == "no dial":
 					<-ctx.Done()
 					return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
-				case down() && f.how == "refused":
+				case down() && f.failure == "refused":
 					return nil, errors.New("refused")
 				}
 				return s.dial(ctx, addr)
 			}
 			client := New(Config{Addr: "h:1", Version: 3, Gateways: max(f.size, f.n), Seed: f.seed + uint64(i), Pushed: f.pushed}, func(kind decide.EventKind, _ []core.ListedMember) {
-				if kind == decide.ListChange && !known && time.Since(begin) >= f.back {
+				if kind == decide.ListChange && !known && time.Since(begin) >= f.backAt {
 					mu.Lock()
-					known, f.last, f.told = true, time.Since(begin), f.told+1
+					known, f.lastKnown, f.known = true, time.Since(begin), f.known+1
 					if time.Since(begin) > f.due() {
-						f.late++
+						f.knownLate++
 					}
 					mu.Unlock()
 				}
@@ -157,26 +157,26 @@
 				}
 			}()
 		}
-		time.Sleep(f.span)
+		time.Sleep(f.duration)
 		cancel()
 		time.Sleep(maxWatchWait + 10*time.Second) // for the last answers of discovery
 	})
 	if f.n > 1 || f.size == 0 {
-		t.Logf("%d told, the last after %v, by %d calls that came to it, of which %d failed; queue of %v at most", f.told, f.last, f.calls, f.failed, f.queue)
+		t.Logf("%d told, the last after %v, by %d calls that came to it, of which %d failed; queue of %v at most", f.known, f.lastKnown, f.calls, f.failed, f.longestQueue)
 	}
 }
 
-// TestFleetAsks starts all gateways of a fleet at the same moment. If they called at once, gave up before their turn or
-// retried soon, discovery would spend its time on calls that fail, without end. All must learn the list soon, with few
-// calls in all.
-func TestFleetAsks(t *testing.T) {
+// TestFleetStart starts all gateways of a fleet at the same moment. If they called at once, gave up before their turn
+// or retried soon, discovery would spend its time on calls that fail, without end. All must learn the list soon, with
+// few calls in all.
+func TestFleetStart(t *testing.T) {
 	for _, n := range []int{1, 5, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			work := time.Duration(n) * 70 * time.Millisecond
-			f := &fleet{n: n, span: 4*work + 10*time.Second}
-			f.play(t)
-			if f.told != n || f.last > 4*work+5*time.Second {
-				t.Errorf("%d of %d told, the last after %v; its work is %v", f.told, n, f.last, work)
+			f := &fleetSim{n: n, duration: 4*work + 10*time.Second}
+			f.run(t)
+			if f.known != n || f.lastKnown > 4*work+5*time.Second {
+				t.Errorf("%d of %d told, the last after %v; its work is %v", f.known, n, f.lastKnown, work)
 			}
 			if f.calls > 4*n+4 || f.failed > 2*n {
 				t.Errorf("%d calls, %d failed, by %d gateways", f.calls, f.failed, n)
@@ -185,18 +185,18 @@
 	}
 }
 
-// TestFleetSilence: calls that went silent are retried at once. They must not load discovery much more than refused calls
-// do, which are retried at the module's pace, even if all calls go silent.
+// TestFleetSilence: calls that went silent are retried at once. They must not load discovery much more than refused
+// calls do, which are retried at the module's pace, even if all calls go silent.
 func TestFleetSilence(t *testing.T) {
 	for name, lost := range map[string]func(now time.Duration, draw float64) bool{
 		"one in ten":  func(_ time.Duration, draw float64) bool { return draw < 0.1 },
 		"all for 5 s": func(now time.Duration, _ float64) bool { return now < 5*time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
-			silent, refused := fleet{n: 300, span: 60 * time.Second, lost: lost}, fleet{n: 300, span: 60 * time.Second, lost: lost, refuse: true}
-			silent.play(t)
-			refused.play(t)
-			if silent.queue > refused.queue+5*time.Second || silent.calls > refused.calls+30 || silent.told < refused.told-30 {
+			silent, refused := fleetSim{n: 300, duration: 60 * time.Second, unanswered: lost}, fleetSim{n: 300, duration: 60 * time.Second, unanswered: lost, refuse: true}
+			silent.run(t)
+			refused.run(t)
+			if silent.longestQueue > refused.longestQueue+5*time.Second || silent.calls > refused.calls+30 || silent.known < refused.known-30 {
 				t.Error("silence costs more than refusals")
 			}
 		})
@@ -205,18 +205,18 @@
 
 // due returns when a gateway must know what discovery has at back. It is later for a watch that went silent, which is
 // noticed only after its wait.
-func (f *fleet) due() time.Duration {
-	due := f.back + changeDeadline
-	if f.how == "no dial" || f.how == "silent" {
-		due = max(due, f.cut+changeDeadline, f.watch+2*time.Second)
+func (f *fleetSim) due() time.Duration {
+	due := f.backAt + changeDeadline
+	if f.failure == "no dial" || f.failure == "silent" {
+		due = max(due, f.downFrom+changeDeadline, f.watchEnd+2*time.Second)
 	}
 	return due
 }
 
-// end ends a call while discovery is down, in the way that f.how names.
-func (f *fleet) end(conn net.Conn, watch bool) {
+// endCall ends a call while discovery is down, in the way that f.how names.
+func (f *fleetSim) endCall(conn net.Conn, watch bool) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"
-	switch f.how {
+	switch f.failure {
 	case "no dial", "silent": // a running call gets nothing more
 	case "refused", "reset":
 		conn.Close()
@@ -234,7 +234,7 @@
 		_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n{ \"generation\" : ")
 		conn.Close()
 	case "no list":
-		write(conn, `{"generation":3,"instances":[{"instanceId":"a"}]}`)
+		writeJSON(conn, `{"generation":3,"instances":[{"instanceId":"a"}]}`)
 	case "trickle":
 		if !watch {
 			time.Sleep(firstByteTimeout - 100*time.Millisecond)
@@ -245,14 +245,14 @@
 	case "huge":
 		_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{")
 	default:
-		panic(f.how)
+		panic(f.failure)
 	}
 }
 
-// TestToldAfterReturn: however calls failed, for however long and whatever the size of the fleet, a gateway knows the list
-// within 6 s of discovery's return, even if its call is the last that the queue admits. The combination of 300 gateways,
-// pushed lists and a full queue is left out: at 70 ms a call the calls alone fill the queue for 21 s.
-func TestToldAfterReturn(t *testing.T) {
+// TestListKnownAfterReturn: however calls failed, for however long and whatever the size of the fleet, a gateway knows
+// the list within 6 s of discovery's return, even if its call is the last that the queue admits. The combination of 300
+// gateways, pushed lists and a full queue is left out: at 70 ms a call the calls alone fill the queue for 21 s.
+func TestListKnownAfterReturn(t *testing.T) {
 	for _, how := range []string{"no dial", "refused", "503", "reset", "silent", "silent midway", "reset midway", "no length", "no list", "trickle", "huge", "crowd"} {
 		t.Run(how, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -262,19 +262,19 @@
 						if how == "crowd" && pushed && size > 80 {
 							continue
 						}
-						f := &fleet{n: 1, size: size, seed: seed, pushed: pushed, how: how, work: 2 * time.Second, cut: 12 * time.Second}
+						f := &fleetSim{n: 1, size: size, seed: seed, pushed: pushed, failure: how, workPerCallAfter: 2 * time.Second, downFrom: 12 * time.Second}
 						after := 8 * time.Second
 						if how == "no dial" || how == "silent" { // a silent watch is noticed only after its wait
 							after += maxWatchWait
 							if size > 5 {
-								f.work = time.Second
+								f.workPerCallAfter = time.Second
 							}
 						}
-						f.cut += time.Duration(r.Float64() * float64(5*time.Second))
-						f.back = f.cut + time.Duration(r.Float64()*r.Float64()*float64(40*time.Second))
-						f.span = f.back + after
-						if f.play(t); f.told != 1 || f.late > 0 {
-							t.Errorf("%d gateways, pushed %v, seed %d: down from %v to %v, told at %v", size, pushed, seed, f.cut, f.back, f.last)
+						f.downFrom += time.Duration(r.Float64() * float64(5*time.Second))
+						f.backAt = f.downFrom + time.Duration(r.Float64()*r.Float64()*float64(40*time.Second))
+						f.duration = f.backAt + after
+						if f.run(t); f.known != 1 || f.knownLate > 0 {
+							t.Errorf("%d gateways, pushed %v, seed %d: down from %v to %v, told at %v", size, pushed, seed, f.downFrom, f.backAt, f.lastKnown)
 						}
 					}
 				}
@@ -283,19 +283,19 @@
 	}
 }
 
-// TestFleetReturn: discovery goes down for a whole fleet and every watch ends at the same moment; or only the watches end.
-// A fleet that discovery can serve in time learns the list in time; for a larger one, failing calls must not keep
+// TestFleetReturn: discovery goes down for a whole fleet and every watch ends at the same moment; or only the watches
+// end. A fleet that discovery can serve in time learns the list in time; for a larger one, failing calls must not keep
 // discovery busy without end.
 func TestFleetReturn(t *testing.T) {
 	play := func(t *testing.T, n int, how string, down time.Duration, pushed bool) {
 		t.Run(fmt.Sprintf("%s for %v, %d, pushed %v", how, down, n, pushed), func(t *testing.T) {
-			f := &fleet{n: n, span: 40 * time.Second, cut: 12 * time.Second, back: 12*time.Second + down, how: how, pushed: pushed}
-			f.play(t)
-			t.Logf("%d asked in time, %d told too late", f.asked, f.late)
-			if n <= 30 && (f.told != n || f.late > 0) || n == 80 && f.told != n {
+			f := &fleetSim{n: n, duration: 40 * time.Second, downFrom: 12 * time.Second, backAt: 12*time.Second + down, failure: how, pushed: pushed}
+			f.run(t)
+			t.Logf("%d asked in time, %d told too late", f.calledInTime, f.knownLate)
+			if n <= 30 && (f.known != n || f.knownLate > 0) || n == 80 && f.known != n {
 				t.Error("not told in time")
 			}
-			if f.calls > n*(4+int(f.span/max(minWatchWait, time.Duration(n)*watchWaitPerGateway)))+4 || f.queue > time.Duration(n)*70*time.Millisecond {
+			if f.calls > n*(4+int(f.duration/max(minWatchWait, time.Duration(n)*watchWaitPerGateway)))+4 || f.longestQueue > time.Duration(n)*70*time.Millisecond {
 				t.Error("a thundering herd")
 			}
 		})
@@ -316,9 +316,9 @@
 	}
 }
 
-// TestFleetAfterCrowd guards against a fleet that discovery could serve in time, but whose gateways call too late or too
-// often once a full queue has cleared.
-func TestFleetAfterCrowd(t *testing.T) {
+// TestFleetAfterFullQueue guards against a fleet that discovery could serve in time, but whose gateways call too late
+// or too often once a full queue has cleared.
+func TestFleetAfterFullQueue(t *testing.T) {
 	for _, tc := range []struct {
 		n    int
 		work time.Duration // for one call of each gateway
@@ -328,26 +328,26 @@
 			t.Run(fmt.Sprintf("%d of %v for %v", n, work, down), func(t *testing.T) {
 				t.Parallel()
 				each := work / time.Duration(n)
-				f := &fleet{n: n, each: each, cut: 12 * time.Second, back: 12*time.Second + down, how: "crowd", span: 32*time.Second + down}
-				f.play(t)
-				if f.told != n || f.late > 0 || f.failed > 0 {
-					t.Errorf("%d of %d told, %d too late, %d calls failed in a fleet whose work is %v", f.told, n, f.late, f.failed, each*time.Duration(n))
+				f := &fleetSim{n: n, workPerCall: each, downFrom: 12 * time.Second, backAt: 12*time.Second + down, failure: "crowd", duration: 32*time.Second + down}
+				f.run(t)
+				if f.known != n || f.knownLate > 0 || f.failed > 0 {
+					t.Errorf("%d of %d told, %d too late, %d calls failed in a fleet whose work is %v", f.known, n, f.knownLate, f.failed, each*time.Duration(n))
 				}
 			})
 		}
 	}
 }
 
-// TestFleetRestart guards against first calls that come too late for the gateway to know changes in time, or so soon that
-// a full queue refuses them.
-func TestFleetRestart(t *testing.T) {
+// TestFleetFirstCalls guards against first calls that come too late for the gateway to know changes in time, or so soon
+// that a full queue refuses them.
+func TestFleetFirstCalls(t *testing.T) {
 	for _, n := range []int{1, 5, 30, 60, 300, 900} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			f := &fleet{n: n, each: 4500 * time.Millisecond / time.Duration(max(n, 30)), span: 10 * time.Second}
-			f.play(t)
-			if f.told != n || f.last > changeDeadline || f.failed > 0 {
-				t.Errorf("%d of %d told, the last after %v; %d calls failed", f.told, n, f.last, f.failed)
+			f := &fleetSim{n: n, workPerCall: 4500 * time.Millisecond / time.Duration(max(n, 30)), duration: 10 * time.Second}
+			f.run(t)
+			if f.known != n || f.lastKnown > changeDeadline || f.failed > 0 {
+				t.Errorf("%d of %d told, the last after %v; %d calls failed", f.known, n, f.lastKnown, f.failed)
 			}
 		})
 	}
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -70,18 +70,18 @@
 }
 
 // roundTrip sends a request and reads its answer, whose first byte must arrive within first.
-func (c *conn) roundTrip(request []byte, first time.Duration) (*response, error) {
-	end := time.Now().Add(first)
-	c.latestEnd = end.Add(lateAnswerTimeout)
-	wait := func() {
+func (c *conn) roundTrip(request []byte, firstByteIn time.Duration) (*response, error) {
+	firstByteBy := time.Now().Add(firstByteIn)
+	c.latestEnd = firstByteBy.Add(lateAnswerTimeout)
+	expectAnswer := func() {
 		c.answerBegun = false
-		_ = c.SetDeadline(end)
+		_ = c.SetDeadline(firstByteBy)
 	}
-	wait()
+	expectAnswer()
 	if _, err := c.Write(request); err != nil {
 		return nil, err
 	}
-	return readResponse(c.r, wait)
+	return readResponse(c.r, expectAnswer)
 }
 
 // readResponse reads one answer with its whole body. It skips interim answers before it, and calls interim after each.
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -19,10 +19,10 @@
 	"reachwind/internal/core"
 )
 
-// TestToldInTime injects random faults: after a call went silent, the client must know all that was published before the
-// next call arrived by the time at which it must know what the silent call missed. Two faults in a row are checked too,
-// except for a watch, which has only 1.4 s left when its silence is noticed.
-func TestToldInTime(t *testing.T) {
+// TestChangesKnownInTime injects random faults: after a call went silent, the client must know all that was published
+// before the next call arrived by the time at which it must know what the silent call missed. Two faults in a row are
+// checked too, except for a watch, which has only 1.4 s left when its silence is noticed.
+func TestChangesKnownInTime(t *testing.T) {
 	checks, skipped := 0, 0
 	for seed := range uint64(150) {
 		synctest.Test(t, func(t *testing.T) {
@@ -40,13 +40,13 @@
 			}
 			var published, known int64
 			var arrivals []arrival
-			row := 0 // faults in a row
+			faultsInRow := 0 // faults in a row
 			gateways := []int{1, 8, 30, 300}[seed%4]
-			s := &serve{begin: time.Now()}
+			s := &fakeService{started: time.Now()}
 			ctx, cancel := context.WithCancel(t.Context())
-			fault := func(n int, wait time.Duration, came time.Time) {
+			wentSilent := func(n int, wait time.Duration, arrived time.Time) {
 				silent := time.Now()
-				due := later(silent.Add(6*time.Second), came.Add(wait+2*time.Second))
+				due := later(silent.Add(6*time.Second), arrived.Add(wait+2*time.Second))
 				go func() {
 					if time.Sleep(time.Until(due)); ctx.Err() != nil {
 						return
@@ -59,7 +59,7 @@
 					}
 					checks++
 					if len(arrivals) <= n+1 || known < arrivals[n+1].version {
-						t.Errorf("seed %d: call %d fell silent, %v later (wait %v) version %d is known, of %d; calls %v", seed, n, time.Since(silent), wait, known, published, s.calls)
+						t.Errorf("seed %d: call %d fell silent, %v later (wait %v) version %d is known, of %d; calls %v", seed, n, time.Since(silent), wait, known, published, s.queries)
 					}
 				}()
 			}
@@ -69,12 +69,12 @@
 				if _, err := fmt.Sscanf(call, "?index=%d&wait=%d", &have, &ms); err != nil && !full {
 					t.Error(call)
 				}
-				came, wait := time.Now(), time.Duration(ms)*time.Millisecond
+				arrived, wait := time.Now(), time.Duration(ms)*time.Millisecond
 				mu.Lock()
-				bad := row < 2 && r.Float64() < 0.2
-				refuse := !bad && row == 0 && r.Float64() < 0.03
-				if row++; !bad {
-					row = 0
+				bad := faultsInRow < 2 && r.Float64() < 0.2
+				refuse := !bad && faultsInRow == 0 && r.Float64() < 0.03
+				if faultsInRow++; !bad {
+					faultsInRow = 0
 				}
 				arrivals = append(arrivals, arrival{published, bad, refuse})
 				kind := r.IntN(4)
@@ -85,18 +85,18 @@
 					return
 				}
 				if bad && kind == 0 {
-					fault(n, wait, came)
+					wentSilent(n, wait, arrived)
 					return
 				}
-				end := came.Add(span(700 * time.Millisecond)) // the end of its time in the queue
-				stuck := came.Add(span(wait))
-				for late := came.Add(wait); ; time.Sleep(20 * time.Millisecond) {
+				end := arrived.Add(span(700 * time.Millisecond)) // the end of its time in the queue
+				stuck := arrived.Add(span(wait))
+				for late := arrived.Add(wait); ; time.Sleep(20 * time.Millisecond) {
 					if mu.Lock(); time.Now().After(end) && (published > have || !time.Now().Before(late)) {
 						break
 					}
 					mu.Unlock()
 					if bad && kind == 1 && time.Now().After(stuck) {
-						fault(n, wait, came)
+						wentSilent(n, wait, arrived)
 						return
 					}
 				}
@@ -107,7 +107,7 @@
 					text = fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n%x\r\n%s\r\n0\r\n\r\n", len(body)-1, body[1:])
 				}
 				if bad {
-					fault(n, wait, came)
+					wentSilent(n, wait, arrived)
 					fmt.Fprint(conn, text[:1+int(span(time.Duration(len(text)-2)))])
 					if kind == 2 {
 						conn.Close()
@@ -116,12 +116,12 @@
 				}
 				fmt.Fprint(conn, text)
 			}
-			again := make(chan struct{}, 9)
+			failed := make(chan struct{}, 9)
 			dial := func(ctx context.Context, addr string) (net.Conn, error) {
 				mu.Lock()
-				hang := row < 2 && r.Float64() < 0.05
+				hang := faultsInRow < 2 && r.Float64() < 0.05
 				if hang {
-					row++
+					faultsInRow++
 				}
 				mu.Unlock()
 				if hang { // the connection is never established
@@ -133,7 +133,7 @@
 			var c *Client
 			c = New(Config{Addr: "h:0", Gateways: gateways, Seed: seed}, func(kind decide.EventKind, _ []core.ListedMember) {
 				if kind == decide.ListError {
-					again <- struct{}{}
+					failed <- struct{}{}
 					return
 				}
 				mu.Lock()
@@ -144,7 +144,7 @@
 			go func() {
 				for ctx.Err() == nil {
 					select {
-					case <-again:
+					case <-failed:
 						time.Sleep(time.Second/2 + span(time.Duration(gateways)*75*time.Millisecond))
 						c.Watch()
 					case <-ctx.Done():
@@ -181,10 +181,10 @@
 // TestPushed: where lists are pushed, the client watches unasked from its start on, and again after a failure.
 func TestPushed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &serve{begin: time.Now()}
+		s := &fakeService{started: time.Now()}
 		s.answer = func(n int, call string, conn net.Conn) {
 			if strings.HasSuffix(call, "wait=0") && n != 2 {
-				write(conn, `{"generation":8,"reset":true,"instances":[]}`)
+				writeJSON(conn, `{"generation":8,"reset":true,"instances":[]}`)
 			} else if n < 3 {
 				conn.Close()
 			}
@@ -208,8 +208,8 @@
 		synctest.Wait()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if got := len(s.calls); got != 5 || !strings.HasSuffix(s.calls[4], "?index=8&wait=3000") {
-			t.Errorf("calls %v", s.calls)
+		if got := len(s.queries); got != 5 || !strings.HasSuffix(s.queries[4], "?index=8&wait=3000") {
+			t.Errorf("calls %v", s.queries)
 		}
 	})
 }
--- a/internal/interruptible/interruptible.go
+++ b/internal/interruptible/interruptible.go
@@ -142,10 +142,10 @@
 	return box
 }
 
-// LingeringClose is a lingering close. What was written goes out, and the peer is told that no more comes (half-close); what it
-// sends from then on is read and thrown away, as a close over unread bytes would reset the connection, which takes with
-// it what the peer has not yet read. The connection is closed once the peer has closed its side, after so many bytes
-// and at until in any case. Closing it from elsewhere ends the wait.
+// LingeringClose is a lingering close. What was written goes out, and the peer is told that no more comes (half-close);
+// what it sends from then on is read and thrown away, as a close over unread bytes would reset the connection, which
+// takes with it what the peer has not yet read. The connection is closed once the peer has closed its side, after so
+// many bytes and at until in any case. Closing it from elsewhere ends the wait.
 func LingeringClose(c net.Conn, until time.Time, maxBytes int) {
 	defer func() { _ = c.Close() }()
 	half, ok := c.(interface{ CloseWrite() error })
--- a/internal/interruptible/interruptible_test.go
+++ b/internal/interruptible/interruptible_test.go
@@ -9,17 +9,17 @@
 	"testing/synctest"
 )
 
-// TestNoLostMessage: whenever a message is left, before a read, during it or
+// TestNoMessageLost: whenever a message is left, before a read, during it or
 // between the reset of the deadline and the next read, the reader gets it.
-func TestNoLostMessage(t *testing.T) {
+func TestNoMessageLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		w := New[int](a, 16)
-		const most = 1000
+		const messages = 1000
 		got := 0
 		done := make(chan error, 1)
 		go func() {
-			for got < most {
+			for got < messages {
 				if _, err := w.Peek(1, func() error {
 					for _, m := range w.TakeMessages() {
 						if m != got {
@@ -27,7 +27,7 @@
 						}
 						got++
 					}
-					if got == most {
+					if got == messages {
 						return io.EOF
 					}
 					return nil
@@ -37,7 +37,7 @@
 				}
 			}
 		}()
-		for i := range most {
+		for i := range messages {
 			if !w.Post(i) {
 				t.Fatal("mailbox closed")
 			}
@@ -45,10 +45,10 @@
 				synctest.Wait()
 			}
 		}
-		if err := <-done; err != io.EOF || got != most {
-			t.Errorf("%d of %d messages, %v", got, most, err)
+		if err := <-done; err != io.EOF || got != messages {
+			t.Errorf("%d of %d messages, %v", got, messages, err)
 		}
-		w.Post(most)
+		w.Post(messages)
 		if left := w.CloseAll(); len(left) != 1 || w.Post(0) {
 			t.Errorf("%d messages left at the end, or the mailbox is open", len(left))
 		}
@@ -56,15 +56,15 @@
 	})
 }
 
-// TestFill: a wake in the middle of a message loses no byte of it.
-func TestFill(t *testing.T) {
+// TestReadFull: a wake in the middle of a message loses no byte of it.
+func TestReadFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		w := New[int](a, 16)
 		body := make([]byte, 64)
-		woken := 0
+		interrupts := 0
 		done := make(chan error, 1)
-		go func() { done <- w.ReadFull(body, func() error { woken++; return nil }) }()
+		go func() { done <- w.ReadFull(body, func() error { interrupts++; return nil }) }()
 		for i := range 64 {
 			_, _ = b.Write([]byte{byte(i)})
 			if i%7 == 0 {
@@ -72,8 +72,8 @@
 				synctest.Wait()
 			}
 		}
-		if err := <-done; err != nil || woken == 0 {
-			t.Fatal(err, woken)
+		if err := <-done; err != nil || interrupts == 0 {
+			t.Fatal(err, interrupts)
 		}
 		for i, c := range body {
 			if int(c) != i {
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestQuiet: what came unread shows even while a read deadline hides it.
-func TestQuiet(t *testing.T) {
+// TestNoPendingInput: what came unread shows even while a read deadline hides it.
+func TestNoPendingInput(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/logthrottle/logthrottle.go
+++ b/internal/logthrottle/logthrottle.go
@@ -32,12 +32,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count++
-	waits := l.writePending != nil
+	scheduled := l.writePending != nil
 	l.writePending = func() {
 		log.Log(context.Background(), level, msg, append(args, "times", l.count)...)
 		l.lastWritten, l.count, l.writePending = time.Now(), 0, nil
 	}
-	if waits {
+	if scheduled {
 		return
 	}
 	if left := minInterval - time.Since(l.lastWritten); left > 0 {
--- a/internal/logthrottle/logthrottle_test.go
+++ b/internal/logthrottle/logthrottle_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestLine: a flood causes one line a second, and every occurrence is counted.
-func TestLine(t *testing.T) {
+// TestLineRate: a flood causes one line a second, and every occurrence is counted.
+func TestLineRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
 		log, l := slog.New(slog.NewTextHandler(&out, nil)), new(Line)
--- a/internal/peerclose/peerclose_test.go
+++ b/internal/peerclose/peerclose_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSeen: a close of the peer's sending side and a reset are detected behind unread bytes; unread bytes alone, or a value
-// that is no socket, count as no close.
-func TestSeen(t *testing.T) {
+// TestDetected: a close of the peer's sending side and a reset are detected behind unread bytes; unread bytes alone, or
+// a value that is no socket, count as no close.
+func TestDetected(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"half-close": func(c *net.TCPConn) { _ = c.CloseWrite() },
 		"close":      func(c *net.TCPConn) { _ = c.Close() },
--- a/internal/pgmember/conn.go
+++ b/internal/pgmember/conn.go
@@ -42,18 +42,18 @@
 	job        *job
 	stop       bool
 	checkStall bool
-	result     decide.Result
+	result     decide.Result // the outcome of a stopped job
 }
 
-// conn is one connection to a member. Its goroutine runs serve; m, since and
-// roomFor belong to the owner goroutine.
+// conn is one connection to a member. Its goroutine runs serve; member,
+// idleSince and evictedFor belong to the owner goroutine.
 type conn struct {
 	*interruptible.Conn[order]
 	pool      *Pool
 	member    *member
 	addr      string
-	idleSince core.Time // idle since
-	served    bool      // it has served an answer
+	idleSince core.Time // of a connection in member.idle
+	answered  bool      // an answer was read on it before
 
 	evictedFor *member // evicted to make room for a connection to this member; nil: not evicted, or for no member
 
@@ -109,16 +109,17 @@
 // close asks the goroutine to end.
 func (c *conn) close() { c.Post(order{}) }
 
-// discardUnsent makes the close that follows drop the data that the member's host has not yet received. Otherwise the system
-// could still deliver a statement to a member that is cut off or hangs, seconds after its attempt was abandoned and
-// perhaps retried.
+// discardUnsent makes the close that follows drop the data that the member's host has not yet received. Otherwise the
+// system could still deliver a statement to a member that is cut off or hangs, seconds after its attempt was abandoned
+// and perhaps retried.
 func (c *conn) discardUnsent() {
 	if t, ok := c.Conn.Conn.(interface{ SetLinger(sec int) error }); ok {
 		_ = t.SetLinger(0)
 	}
 }
 
-// setWriteLimit sets until when statements may be written on the connection, 0 = no limit. It also applies to a write under way.
+// setWriteLimit sets until when statements may be written on the connection, 0 = no limit. It also applies to a write
+// under way.
 func (c *conn) setWriteLimit(t core.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,9 +139,9 @@
 	}
 }
 
-// beginWrite reports whether a job may still be written, as time has passed since its decision, and sets the deadline of the
-// write; a statement that is not written whole by then is not finished. It is called right before the write: whatever
-// ends the job from here on cuts the write short.
+// beginWrite reports whether a job may still be written, as time has passed since its decision, and sets the deadline
+// of the write; a statement that is not written whole by then is not finished. It is called right before the write:
+// whatever ends the job from here on cuts the write short.
 func (c *conn) beginWrite(j *job, until core.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +159,7 @@
 	return true
 }
 
-// endWrite marks the end of the write that begin allowed.
+// endWrite marks the end of the write that beginWrite allowed.
 func (c *conn) endWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,7 +270,8 @@
 	return false
 }
 
-// writeStatement writes a job's statement whole. If it could not, it returns false and the outcome: the member has not run it.
+// writeStatement writes a job's statement whole. If it could not, it returns false and the outcome: the member has not
+// run it.
 func (c *conn) writeStatement(j *job, a *answer) (core.Outcome, bool) {
 	query, until := net.Buffers{pgwire.Append(nil, 'Q', "SHOW health\x00")}, c.pool.core.Now()+c.pool.conf.Load().ConnectTimeout
 	if j.attempt != nil {
@@ -297,7 +299,7 @@
 	switch {
 	case err == nil || n == size: // written whole: the read shows its outcome
 		return core.Outcome{}, true
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.pool.core.Now() < until: // withdrawn, or limited to an earlier time
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.pool.core.Now() < until: // cancelled, or limited to an earlier time
 		a.partlyWritten = n > 0
 		return core.Outcome{Result: decide.NotSent}, false
 	}
@@ -310,7 +312,7 @@
 	if o, ok := c.writeStatement(j, a); !ok {
 		return o
 	}
-	why := decide.Reset
+	stopResult := decide.Reset
 	err := c.readAnswer(a, func() error {
 		for _, o := range c.TakeMessages() {
 			switch {
@@ -318,7 +320,7 @@
 				return errClosed
 			case o.job != j:
 			case o.stop:
-				why = o.result
+				stopResult = o.result
 				return c.stopReading(a)
 			case o.checkStall:
 				a.stallCheckDue = false
@@ -357,19 +359,19 @@
 		o.Result = resultOf(a)
 		c.assumePosition(a)
 	default:
-		o.Result = why
-		o.Reused = why == decide.Reset && c.served && !a.begun
+		o.Result = stopResult
+		o.Reused = stopResult == decide.Reset && c.answered && !a.begun
 	}
-	c.served = true
-	o.Role, o.HasPosition, o.Position, o.Report = a.role, a.stamped, a.position, a.report
+	c.answered = true
+	o.Role, o.HasPosition, o.Position, o.Report = a.role, a.hasPosition, a.position, a.report
 	if j.attempt == nil && o.Result == decide.Served {
 		c.readReport(&o.Report, a.row)
 	}
 	return o
 }
 
-// stopReading ends an attempt that was abandoned. Bytes that its member has sent by then are still read: the answer may be
-// complete, and a role or a position is useful. The read continues over these bytes and ends there without waiting.
+// stopReading ends an attempt that was abandoned. Bytes that its member has sent by then are still read: the answer may
+// be complete, and a role or a position is useful. The read continues over these bytes and ends there without waiting.
 func (c *conn) stopReading(a *answer) error {
 	if a.endStream != nil { // a streamed answer whose client has gone
 		return errStopped
@@ -381,8 +383,8 @@
 	return nil
 }
 
-// readAvailable reads the unread bytes of a socket, up to about most, without waiting for more.
-func readAvailable(nc net.Conn, most int) (got []byte) {
+// readAvailable reads the unread bytes of a socket, up to about limit, without waiting for more.
+func readAvailable(nc net.Conn, limit int) (got []byte) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return nil
@@ -392,7 +394,7 @@
 		return nil
 	}
 	part := make([]byte, readBufSize)
-	for n := 1; n > 0 && len(got) < most; got = append(got, part[:max(n, 0)]...) {
+	for n := 1; n > 0 && len(got) < limit; got = append(got, part[:max(n, 0)]...) {
 		n = 0
 		_ = raw.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), part, syscall.MSG_DONTWAIT) })
 	}
@@ -404,15 +406,15 @@
 
 func (abandonedReader) Read([]byte) (int, error) { return 0, errStopped }
 
-// assumePosition sets a position for a write whose answer broke off after CommandComplete and before the position of its commit,
-// if members report positions: the write is answered as done, and later reads of its session must see it. The present
-// time is safe, as the commit was made before.
+// assumePosition sets a position for a write whose answer broke off after CommandComplete and before the position of
+// its commit, if members report positions: the write is answered as done, and later reads of its session must see it.
+// The present time is safe, as the commit was made before.
 func (c *conn) assumePosition(a *answer) {
-	if a.job.attempt == nil || !a.complete || a.ready || a.stamped || !c.pool.positionsReported.Load() {
+	if a.job.attempt == nil || !a.complete || a.ready || a.hasPosition || !c.pool.positionsReported.Load() {
 		return
 	}
 	if k := a.job.attempt.Request.Class; k != nil && k.Writes() {
-		a.stamped, a.position = true, c.pool.core.Now()
+		a.hasPosition, a.position = true, c.pool.core.Now()
 	}
 }
 
@@ -447,7 +449,7 @@
 type answer struct {
 	buf           *pgwire.Buf // holds RowDescription, DataRow and CommandComplete as received; nil during the startup
 	job           *job        // that it answers; nil during the startup
-	abandoned     bool        // abandoned: only bytes that had arrived are read
+	abandoned     bool        // only the bytes that had arrived by then are read
 	partlyWritten bool        // the statement was not written whole; some of it may have been
 	stallCheckDue bool        // a check for a stall is due
 	begun         bool        // a byte of it arrived
@@ -463,29 +465,29 @@
 	streamedBytes int               // bytes of the value that were read
 	lastStreamed  time.Time         // when a part of it was last passed on
 
-	role     decide.Role
-	stamped  bool
-	position core.Time
-	report   decide.Report
+	role        decide.Role
+	hasPosition bool
+	position    core.Time
+	report      decide.Report
 }
 
 // readAnswer reads messages up to ReadyForQuery. It fails on anything but exactly one
 // answer: no part of an invalid answer may be trusted.
-func (c *conn) readAnswer(a *answer, woken func() error) error {
+func (c *conn) readAnswer(a *answer, onInterrupt func() error) error {
 	var small [1 << 10]byte
 	for n := range maxAnswerMessages {
 		if n > 0 {
 			c.watchForStall(a, 5)
-		} else if _, err := c.Peek(1, woken); err != nil { // no limit on pauses until the answer begins
+		} else if _, err := c.Peek(1, onInterrupt); err != nil { // no limit on pauses until the answer begins
 			return err
 		}
 		a.begun = true
-		head, err := c.Peek(5, woken)
+		head, err := c.Peek(5, onInterrupt)
 		if err != nil {
 			return err
 		}
 		if a.mustStream(head) {
-			if err := c.streamRow(a, woken); err != nil {
+			if err := c.streamRow(a, onInterrupt); err != nil {
 				return err
 			}
 			continue
@@ -513,7 +515,7 @@
 		}
 		_, _ = c.Reader.Discard(5)
 		c.watchForStall(a, n)
-		if err := c.ReadFull(body, woken); err != nil {
+		if err := c.ReadFull(body, onInterrupt); err != nil {
 			return err
 		}
 		if err := c.handleMessage(a, typ, body); err != nil || a.ready {
@@ -570,14 +572,14 @@
 	return ok
 }
 
-// streamRow streams a row to the client as it arrives, after the messages before it. Once it starts, no other attempt can
-// answer the request.
-func (c *conn) streamRow(a *answer, woken func() error) error {
+// streamRow streams a row to the client as it arrives, after the messages before it. Once it starts, no other attempt
+// can answer the request.
+func (c *conn) streamRow(a *answer, onInterrupt func() error) error {
 	if a.abandoned { // abandoned: the rest of the row will not arrive
 		return errStopped
 	}
 	c.watchForStall(a, pgwire.RowHeaderSize)
-	head, err := c.Peek(pgwire.RowHeaderSize, woken)
+	head, err := c.Peek(pgwire.RowHeaderSize, onInterrupt)
 	if err != nil {
 		return err
 	}
@@ -589,7 +591,7 @@
 	c.pool.core.AnswerStarted(a.job.attempt, s)
 	w, done := s.AwaitTaker()
 	if w == nil {
-		if err := woken(); err != nil {
+		if err := onInterrupt(); err != nil {
 			return err
 		}
 		if a.abandoned { // stopped meanwhile
@@ -622,7 +624,7 @@
 			a.lastStreamed = time.Now()
 		}
 		if errors.Is(err, interruptible.ErrInterrupted) {
-			err = woken()
+			err = onInterrupt()
 		}
 		if err != nil {
 			return err
@@ -642,32 +644,32 @@
 }
 
 // scheduleStallCheck makes the goroutine check for a stall after the given time.
-func (c *conn) scheduleStallCheck(a *answer, after time.Duration) {
+func (c *conn) scheduleStallCheck(a *answer, delay time.Duration) {
 	a.stallCheckDue = true
 	j := a.job
-	time.AfterFunc(after, func() { c.Post(order{job: j, checkStall: true}) })
+	time.AfterFunc(delay, func() { c.Post(order{job: j, checkStall: true}) })
 }
 
 // handleMessage handles one message of an answer. It accepts RowDescription, DataRow and
 // CommandComplete in this order, or an ErrorResponse; then ReadyForQuery.
 func (c *conn) handleMessage(a *answer, typ byte, body []byte) (err error) {
-	over := a.complete || a.code != ""
+	answered := a.complete || a.code != ""
 	switch {
 	case typ == 'S':
 		c.handleStatus(a, body)
 	case typ == 'N':
-	case typ == 'Z' && len(body) == 1 && (over || a.job == nil):
+	case typ == 'Z' && len(body) == 1 && (answered || a.job == nil):
 		a.ready = true
-	case typ == 'E' && !over:
+	case typ == 'E' && !answered:
 		if a.code, err = pgwire.ErrorCode(body); err == nil && a.described && a.endStream == nil && !resultOf(a).MayHaveRun() {
 			err = errInvalidAnswer
 		}
 	case a.job == nil && (typ == 'R' || typ == 'K'):
-	case typ == 'T' && !over && !a.described:
+	case typ == 'T' && !answered && !a.described:
 		a.described, err = true, pgwire.CheckRowDescription(body)
-	case typ == 'D' && !over && a.described && a.row == nil:
+	case typ == 'D' && !answered && a.described && a.row == nil:
 		a.row, err = pgwire.DataRowValue(body)
-	case typ == 'C' && !over && a.row != nil:
+	case typ == 'C' && !answered && a.row != nil:
 		a.complete, err = true, pgwire.CheckCommandTag(body)
 		if a.endStream != nil {
 			a.tail = pgwire.Append(make([]byte, 0, len(body)+11), 'C', string(body))
@@ -688,7 +690,7 @@
 		}
 	case "lsn_ms":
 		if ms, err := strconv.ParseInt(value, 10, 64); err == nil && ms > 0 && ms < 1<<43 {
-			a.stamped, a.position = true, core.Time(ms)*time.Millisecond
+			a.hasPosition, a.position = true, core.Time(ms)*time.Millisecond
 			c.pool.positionsReported.Store(true)
 		}
 	case "health":
--- a/internal/pgmember/evict_test.go
+++ b/internal/pgmember/evict_test.go
@@ -12,43 +12,43 @@
 	"reachwind/internal/core"
 )
 
-// open counts the gateway's open ends of connections, and their maximum: its descriptors.
-type open struct {
+// openCounter counts the gateway's open ends of connections, and their maximum: its descriptors.
+type openCounter struct {
 	mu        sync.Mutex
 	now, most int
 }
 
-func (o *open) add(n int) {
+func (o *openCounter) add(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.now += n
 	o.most = max(o.most, o.now)
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	o    *open
+	o    *openCounter
 	once sync.Once
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { c.o.add(-1) })
 	return err
 }
 
-// TestEvictWithinLimit: when several jobs for other members arrive at once, idle connections are closed to make room before
-// new ones are opened, so that the pool never holds more descriptors than its limit.
+// TestEvictWithinLimit: when several jobs for other members arrive at once, idle connections are closed to make room
+// before new ones are opened, so that the pool never holds more descriptors than its limit.
 func TestEvictWithinLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const most = 4
-		r := newRig(t, most)
-		o := new(open)
+		r := newPipeFixture(t, most)
+		o := new(openCounter)
 		r.pool.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			nc, err := r.dial(ctx, addr)
 			if err == nil {
 				o.add(1)
-				nc = &counted{Conn: nc, o: o}
+				nc = &countedConn{Conn: nc, o: o}
 			}
 			return nc, err
 		}
@@ -69,7 +69,7 @@
 		ask("a", "b", "c", "d")
 		ask("e", "f", "g", "h")
 		served := 0
-		for _, e := range r.script.probes {
+		for _, e := range r.module.probes {
 			if e.Result == decide.Served {
 				served++
 			}
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -20,31 +20,32 @@
 	"reachwind/internal/pgwire"
 )
 
-// line is the gateway's end of a real connection to a scripted member. While held is set, an interrupted read returns only
-// once held is closed: the test can have events happen between the interruption and the return of the read.
-type line struct {
+// heldConn is the gateway's end of a real connection to a scripted member. While held is set, an interrupted read
+// returns only once held is closed: the test can have events happen between the interruption and the return of the
+// read.
+type heldConn struct {
 	*net.TCPConn
-	mu    sync.Mutex
-	held  chan struct{}
-	woken chan struct{} // a read was interrupted and waits
+	mu          sync.Mutex
+	held        chan struct{}
+	interrupted chan struct{} // a read was interrupted and waits
 }
 
-func (l *line) Read(p []byte) (int, error) {
+func (l *heldConn) Read(p []byte) (int, error) {
 	n, err := l.TCPConn.Read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		l.mu.Lock()
 		held := l.held
 		l.mu.Unlock()
 		if held != nil {
-			l.woken <- struct{}{}
+			l.interrupted <- struct{}{}
 			<-held
 		}
 	}
 	return n, err
 }
 
-// hold makes interrupted reads wait until let is called, once.
-func (l *line) hold() (let func()) {
+// holdReads makes interrupted reads wait until let is called, once.
+func (l *heldConn) holdReads() (let func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held = make(chan struct{})
@@ -56,14 +57,14 @@
 	}
 }
 
-// unread waits until c's socket holds n unread bytes.
-func unread(t *testing.T, c net.Conn, n int) {
+// waitUnread waits until c's socket holds n unread bytes.
+func waitUnread(t *testing.T, c net.Conn, n int) {
 	t.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool {
+	waitFor(t, func() bool {
 		got := 0
 		_ = raw.Control(func(fd uintptr) {
 			got, _, _ = syscall.Recvfrom(int(fd), make([]byte, n), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -72,8 +73,8 @@
 	})
 }
 
-// until waits until f returns true, for 20 s at most.
-func until(t *testing.T, f func() bool) {
+// waitFor waits until f returns true, for 20 s at most.
+func waitFor(t *testing.T, f func() bool) {
 	t.Helper()
 	for range 20_000 {
 		if f() {
@@ -84,24 +85,24 @@
 	t.Fatal("the awaited condition did not come about within 20,000 polls")
 }
 
-// wires is a pool on real sockets with one member, whose side the test plays.
-type wires struct {
+// socketFixture is a pool on real sockets with one member, whose side the test plays.
+type socketFixture struct {
 	t        *testing.T
-	script   *script
+	module   *fakeModule
 	core     *core.Core
 	pool     *Pool
 	bufs     *pgwire.Pool
-	lines    chan *line    // the gateway's ends, in the order of dialing
-	accepted chan net.Conn // the member's ends
-	n        int           // number of requests so far; the last one's id
+	dialled  chan *heldConn // the gateway's ends, in the order of dialing
+	accepted chan net.Conn  // the member's ends
+	requests int            // number of requests so far; the last one's id
 
-	sendBuffer int           // socket send buffer of the gateway's ends, in bytes
-	before     time.Duration // time limit for writing each send, 0 = none
+	sendBuffer  int           // socket send buffer of the gateway's ends, in bytes
+	writeWithin time.Duration // time limit for writing each send, 0 = none
 }
 
-func newWires(t *testing.T) *wires {
-	w := &wires{t: t, script: &script{outcomes: map[uint64][]decide.Event{}}, bufs: pgwire.NewPool(40, 20),
-		lines: make(chan *line, 16), accepted: make(chan net.Conn, 16), sendBuffer: 4096}
+func newSocketFixture(t *testing.T) *socketFixture {
+	w := &socketFixture{t: t, module: &fakeModule{outcomes: map[uint64][]decide.Event{}}, bufs: pgwire.NewPool(40, 20),
+		dialled: make(chan *heldConn, 16), accepted: make(chan net.Conn, 16), sendBuffer: 4096}
 	small := func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}
@@ -126,12 +127,12 @@
 		}
 		tc := c.(*net.TCPConn)
 		_ = tc.SetWriteBuffer(w.sendBuffer)
-		line := &line{TCPConn: tc, woken: make(chan struct{}, 16)}
-		w.lines <- line
+		line := &heldConn{TCPConn: tc, interrupted: make(chan struct{}, 16)}
+		w.dialled <- line
 		return line, nil
 	}
 	log := slog.New(slog.DiscardHandler)
-	w.core = core.New(core.NewClock(), w.script, log)
+	w.core = core.New(core.NewClock(), w.module, log)
 	w.pool = New(w.core, Config{User: "app", Database: "shop", MaxConns: 4, MemberIdleTimeout: time.Hour, ConnectTimeout: 20 * time.Second,
 		DrainGrace: 50 * time.Millisecond}, w.bufs, dial, log)
 	w.core.Connect(w.pool, nil)
@@ -150,8 +151,8 @@
 	return w
 }
 
-// owner runs f on the owner goroutine and waits for it.
-func (w *wires) owner(f func()) {
+// onOwner runs f on the owner goroutine and waits for it.
+func (w *socketFixture) onOwner(f func()) {
 	done := make(chan struct{})
 	w.core.Post(func() {
 		f()
@@ -160,11 +161,11 @@
 	<-done
 }
 
-// ask passes the core a request of class k and has it sent to the member; value pads its statement.
-func (w *wires) ask(k *decide.Class, value string) (*core.Request, *sink) {
+// request passes the core a request of class k and has it sent to the member; value pads its statement.
+func (w *socketFixture) request(k *decide.Class, value string) (*core.Request, *sink) {
 	buf := w.bufs.Get(200+len(value), 0)
-	w.n++
-	buf.B = fmt.Appendf(buf.B, "/* id=%d,c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k' -- %s", w.n, value)
+	w.requests++
+	buf.B = fmt.Appendf(buf.B, "/* id=%d,c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k' -- %s", w.requests, value)
 	st, err := pgwire.Parse(buf)
 	if err != nil {
 		w.t.Fatal(err)
@@ -176,23 +177,23 @@
 }
 
 // send makes the fake module send the last request to the member.
-func (w *wires) send() {
-	w.owner(func() {
-		a := decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"}
-		if w.before > 0 {
-			a.WriteBy = w.core.Now() + w.before
+func (w *socketFixture) send() {
+	w.onOwner(func() {
+		a := decide.Action{Kind: decide.Send, Request: uint64(w.requests), Member: "m"}
+		if w.writeWithin > 0 {
+			a.WriteBy = w.core.Now() + w.writeWithin
 		}
-		w.script.actions = append(w.script.actions, a)
+		w.module.actions = append(w.module.actions, a)
 	})
 	w.core.List(decide.ListError, nil) // an event, which causes a step
 }
 
 // outcome waits for the one outcome of the last request.
-func (w *wires) outcome() (e decide.Event) {
+func (w *socketFixture) outcome() (e decide.Event) {
 	w.t.Helper()
-	until(w.t, func() (ok bool) {
-		w.owner(func() {
-			if all := w.script.outcomes[uint64(w.n)]; len(all) > 0 {
+	waitFor(w.t, func() (ok bool) {
+		w.onOwner(func() {
+			if all := w.module.outcomes[uint64(w.requests)]; len(all) > 0 {
 				e, ok = all[0], true
 			}
 		})
@@ -201,15 +202,15 @@
 	return e
 }
 
-// welcome accepts a connection and plays the member's side of its startup.
-func (w *wires) welcome() (*line, net.Conn) {
-	l, c := <-w.lines, <-w.accepted
-	w.greet(c)
+// acceptStartup accepts a connection and plays the member's side of its startup.
+func (w *socketFixture) acceptStartup() (*heldConn, net.Conn) {
+	l, c := <-w.dialled, <-w.accepted
+	w.answerStartup(c)
 	return l, c
 }
 
-// greet plays the member's side of the startup on c.
-func (w *wires) greet(c net.Conn) {
+// answerStartup plays the member's side of the startup on c.
+func (w *socketFixture) answerStartup(c net.Conn) {
 	head := make([]byte, 4)
 	_, _ = io.ReadFull(c, head)
 	n, _ := pgwire.StartupLen(head)
@@ -217,8 +218,8 @@
 	_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
 }
 
-// statement reads one message from the member's end of a connection and returns its body.
-func statement(t *testing.T, c net.Conn) string {
+// readStatement reads one message from the member's end of a connection and returns its body.
+func readStatement(t *testing.T, c net.Conn) string {
 	t.Helper()
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c, head); err != nil {
@@ -236,45 +237,45 @@
 }
 
 var (
-	readClass  = &decide.Class{Name: "r", Consistency: decide.AnyData}
-	writeClass = &decide.Class{Name: "w", Consistency: decide.Write, Effect: decide.Once}
-	served     = pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00\x01v"), 'C', "SELECT 1\x00")
-	told       = pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "off"), "lsn_ms", "1767225600123")
+	readClass       = &decide.Class{Name: "r", Consistency: decide.AnyData}
+	writeClass      = &decide.Class{Name: "w", Consistency: decide.Write, Effect: decide.Once}
+	servedAnswer    = pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00\x01v"), 'C', "SELECT 1\x00")
+	roleAndPosition = pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "off"), "lsn_ms", "1767225600123")
 )
 
-// idle leaves the pool with one connection that has served and is idle.
-func (w *wires) idle() (*line, net.Conn) {
-	w.ask(readClass, "")
-	l, c := w.welcome()
-	statement(w.t, c)
-	_, _ = c.Write(pgwire.AppendReadyForQuery(served))
+// idleConn leaves the pool with one connection that has served and is idle.
+func (w *socketFixture) idleConn() (*heldConn, net.Conn) {
+	w.request(readClass, "")
+	l, c := w.acceptStartup()
+	readStatement(w.t, c)
+	_, _ = c.Write(pgwire.AppendReadyForQuery(servedAnswer))
 	w.outcome()
-	until(w.t, func() (idle bool) {
-		w.owner(func() { idle = len(w.pool.members["m"].idle) == 1 })
+	waitFor(w.t, func() (idle bool) {
+		w.onOwner(func() { idle = len(w.pool.members["m"].idle) == 1 })
 		return idle
 	})
 	return l, c
 }
 
-// nothing checks that no other statement precedes end on a member's connection.
-func nothing(t *testing.T, c net.Conn, end string) {
+// wantOnlyStatement checks that no other statement precedes end on a member's connection.
+func wantOnlyStatement(t *testing.T, c net.Conn, end string) {
 	t.Helper()
-	if got := statement(t, c); !strings.Contains(got, end) {
+	if got := readStatement(t, c); !strings.Contains(got, end) {
 		t.Errorf("the member got %.80q", got)
 	}
 }
 
-// TestNoneBeginsAfterGone: once a request's client has left or cancelled it, no attempt of it begins, whatever its state:
-// with the owner goroutine, waiting for a connection, or right before its first byte is written. That includes writes,
-// which the module never cancels.
-func TestNoneBeginsAfterGone(t *testing.T) {
+// TestNoAttemptAfterClientGone: once a request's client has left or cancelled it, no attempt of it begins, whatever its
+// state: with the owner goroutine, waiting for a connection, or right before its first byte is written. That includes
+// writes, which the module never cancels.
+func TestNoAttemptAfterClientGone(t *testing.T) {
 	for _, k := range []*decide.Class{readClass, writeClass} {
 		for name, leave := range map[string]func(*core.Core, *core.Request){"gone": (*core.Core).Gone, "cancelled": (*core.Core).Cancel} {
 			t.Run(k.Name+" "+name+" at the write", func(t *testing.T) {
-				w := newWires(t)
-				_, c := w.idle()
+				w := newSocketFixture(t)
+				_, c := w.idleConn()
 				at, on := make(chan struct{}), make(chan struct{})
-				w.owner(func() {
+				w.onOwner(func() {
 					w.pool.beforeWrite = func(j *job) {
 						at <- struct{}{}
 						<-on
@@ -284,7 +285,7 @@
 						at <- struct{}{}
 					}
 				})
-				q, s := w.ask(k, "")
+				q, s := w.request(k, "")
 				<-at
 				blocked := make(chan struct{})
 				w.core.Post(func() { <-blocked }) // the owner cannot react: the request's mark alone must suffice
@@ -303,71 +304,71 @@
 				if e := w.outcome(); e.Result != decide.NotSent {
 					t.Errorf("outcome %d, want not sent", e.Result)
 				}
-				w.ask(readClass, "the next")
-				nothing(t, c, "the next")
-				_, _ = c.Write(pgwire.AppendReadyForQuery(served))
+				w.request(readClass, "the next")
+				wantOnlyStatement(t, c, "the next")
+				_, _ = c.Write(pgwire.AppendReadyForQuery(servedAnswer))
 				w.outcome()
-				w.owner(func() {
+				w.onOwner(func() {
 					if want := map[string]int{"gone": 0, "cancelled": 1}[name]; len(s.answers) != want {
 						t.Errorf("%d answers, want %d", len(s.answers), want)
 					}
 				})
 			})
 			t.Run(k.Name+" "+name+" in the handshake", func(t *testing.T) {
-				w := newWires(t)
-				q, _ := w.ask(k, "")
-				<-w.lines
+				w := newSocketFixture(t)
+				q, _ := w.request(k, "")
+				<-w.dialled
 				c := <-w.accepted // established, but the startup is not answered
 				leave(w.core, q)
 				if e := w.outcome(); e.Result != decide.NotSent {
 					t.Errorf("outcome %d, want not sent", e.Result)
 				}
-				w.greet(c)
-				w.ask(readClass, "the next")
-				nothing(t, c, "the next")
+				w.answerStartup(c)
+				w.request(readClass, "the next")
+				wantOnlyStatement(t, c, "the next")
 			})
 			t.Run(k.Name+" "+name+" before the send", func(t *testing.T) {
-				w := newWires(t)
-				_, c := w.idle()
-				w.n++
+				w := newSocketFixture(t)
+				_, c := w.idleConn()
+				w.requests++
 				buf := w.bufs.Get(200, 0)
 				buf.B = append(buf.B, "/* id=9,c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k'"...)
 				st, _ := pgwire.Parse(buf)
 				q := &core.Request{Class: k, Deadline: w.core.Now() + time.Minute, Call: st, Client: &sink{}}
 				w.core.Arrive(q)
-				w.owner(func() { // the client leaves while the module decides to send the request
-					w.script.actions = append(w.script.actions, decide.Action{Kind: decide.Send, Request: uint64(w.n), Member: "m"})
+				w.onOwner(func() { // the client leaves while the module decides to send the request
+					w.module.actions = append(w.module.actions, decide.Action{Kind: decide.Send, Request: uint64(w.requests), Member: "m"})
 					w.core.List(decide.ListError, nil)
 					leave(w.core, q)
 				})
 				if e := w.outcome(); e.Result != decide.NotSent {
 					t.Errorf("outcome %d, want not sent", e.Result)
 				}
-				w.ask(readClass, "the next")
-				nothing(t, c, "the next")
+				w.request(readClass, "the next")
+				wantOnlyStatement(t, c, "the next")
 			})
 		}
 	}
 }
 
-// TestStopCrossesEnd: an attempt is given to a connection that ends before it writes it. If the attempt is cancelled before
-// that end is reported, it is not restarted on another connection.
-func TestStopCrossesEnd(t *testing.T) {
-	w := newWires(t)
-	l, c := w.idle()
-	let := l.hold()
+// TestStopWhileConnectionEnds: an attempt is given to a connection that ends before it writes it. If the attempt is
+// cancelled before that end is reported, it is not restarted on another connection.
+func TestStopWhileConnectionEnds(t *testing.T) {
+	w := newSocketFixture(t)
+	l, c := w.idleConn()
+	let := l.holdReads()
 	var conn *conn
-	w.owner(func() {
+	w.onOwner(func() {
 		conn = w.pool.members["m"].idle[0]
 		w.pool.beforeWrite = func(*job) { t.Error("it was begun anew") }
 	})
-	w.ask(readClass, "")
-	<-l.woken        // the connection was given the job, and has not taken it yet
-	w.owner(func() { // keeps the owner busy until the connection has ended
+	w.request(readClass, "")
+	<-l.interrupted    // the connection was given the job, and has not taken it yet
+	w.onOwner(func() { // keeps the owner busy until the connection has ended
 		_, _ = c.Write([]byte{'N'}) // part of a message, out of turn
-		unread(t, l, 1)
+		waitUnread(t, l, 1)
 		let()
-		until(t, func() bool { return !conn.Post(order{checkStall: true}) })
+		waitFor(t, func() bool { return !conn.Post(order{checkStall: true}) })
 		for a := range w.pool.jobs {
 			w.pool.Stop(a, decide.Cancelled)
 		}
@@ -375,41 +376,41 @@
 	if e := w.outcome(); e.Result != decide.NotSent {
 		t.Errorf("outcome %d, want not sent", e.Result)
 	}
-	w.owner(func() {
-		if n := len(w.script.outcomes[uint64(w.n)]); n != 1 || w.pool.Sizes().Jobs != 0 {
+	w.onOwner(func() {
+		if n := len(w.module.outcomes[uint64(w.requests)]); n != 1 || w.pool.Sizes().Jobs != 0 {
 			t.Errorf("%d outcomes, %d jobs", n, w.pool.Sizes().Jobs)
 		}
 	})
 }
 
-// TestStopCrossesAnswer: what a member had sent when its attempt was abandoned is still used: a whole answer is the answer,
-// and a role and a position in a partial one are reported with the outcome.
-func TestStopCrossesAnswer(t *testing.T) {
+// TestStopWhileAnswerArrives: what a member had sent when its attempt was abandoned is still used: a whole answer is
+// the answer, and a role and a position in a partial one are reported with the outcome.
+func TestStopWhileAnswerArrives(t *testing.T) {
 	long := pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x9c\x40"+strings.Repeat("v", 40_000)), 'C', "SELECT 1\x00")
 	for name, tc := range map[string]struct {
 		before, after string // the stop
 		result        decide.Result
 		told          bool
 	}{
-		"whole":                   {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...))), decide.Served, true},
-		"begun before":            {string(served[:9]), string(pgwire.AppendReadyForQuery(append(append([]byte{}, served[9:]...), told...))), decide.Served, true},
-		"long":                    {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, long...), told...))), decide.Served, true},
-		"turned away":             {"", string(pgwire.AppendReadyForQuery(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), told...))), decide.Misdirected, true},
-		"told, and no more":       {"", string(told) + string(served[:7]), decide.TimedOut, true},
-		"half a line":             {"", string(served[:7]), decide.TimedOut, false},
+		"whole":                   {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...))), decide.Served, true},
+		"begun before":            {string(servedAnswer[:9]), string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer[9:]...), roleAndPosition...))), decide.Served, true},
+		"long":                    {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, long...), roleAndPosition...))), decide.Served, true},
+		"turned away":             {"", string(pgwire.AppendReadyForQuery(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), roleAndPosition...))), decide.Misdirected, true},
+		"told, and no more":       {"", string(roleAndPosition) + string(servedAnswer[:7]), decide.TimedOut, true},
+		"half a line":             {"", string(servedAnswer[:7]), decide.TimedOut, false},
 		"nothing":                 {"", "", decide.TimedOut, false},
-		"half of what it told":    {"", string(told[:len(told)-2]), decide.TimedOut, false},
+		"half of what it told":    {"", string(roleAndPosition[:len(roleAndPosition)-2]), decide.TimedOut, false},
 		"noise":                   {"", "what is this?", decide.Errored, false},
-		"more than belongs to it": {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...))) + "N", decide.Served, true},
+		"more than belongs to it": {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...))) + "N", decide.Served, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWires(t)
-			w.ask(readClass, "")
-			l, c := w.welcome()
-			statement(t, c)
+			w := newSocketFixture(t)
+			w.request(readClass, "")
+			l, c := w.acceptStartup()
+			readStatement(t, c)
 			if tc.before != "" {
 				_, _ = c.Write([]byte(tc.before))
-				until(t, func() bool { // the gateway has read it
+				waitFor(t, func() bool { // the gateway has read it
 					raw, _ := l.SyscallConn()
 					n := 0
 					_ = raw.Control(func(fd uintptr) {
@@ -418,18 +419,18 @@
 					return n < 1
 				})
 			}
-			let := l.hold()
-			w.owner(func() {
+			let := l.holdReads()
+			w.onOwner(func() {
 				for a := range w.pool.jobs {
 					w.pool.Stop(a, decide.TimedOut)
 				}
 			})
-			<-l.woken
+			<-l.interrupted
 			_, _ = c.Write([]byte(tc.after))
 			if tc.after != "" {
-				unread(t, l, min(len(tc.after), 2000))
+				waitUnread(t, l, min(len(tc.after), 2000))
 				if len(tc.after) > 2000 { // larger than the member's send buffer, so a part may still be in transit
-					unread(t, l, len(tc.after))
+					waitUnread(t, l, len(tc.after))
 				}
 			}
 			let()
@@ -451,33 +452,33 @@
 // written to: its last byte would start an attempt then.
 func TestWriteCutShort(t *testing.T) {
 	for name, tc := range map[string]struct {
-		end    func(w *wires, q *core.Request)
+		end    func(w *socketFixture, q *core.Request)
 		result decide.Result
 	}{
-		"gone":      {func(w *wires, q *core.Request) { w.core.Gone(q) }, decide.NotSent},
-		"cancelled": {func(w *wires, q *core.Request) { w.core.Cancel(q) }, decide.NotSent},
-		"stopped": {func(w *wires, q *core.Request) {
-			w.owner(func() {
+		"gone":      {func(w *socketFixture, q *core.Request) { w.core.Gone(q) }, decide.NotSent},
+		"cancelled": {func(w *socketFixture, q *core.Request) { w.core.Cancel(q) }, decide.NotSent},
+		"stopped": {func(w *socketFixture, q *core.Request) {
+			w.onOwner(func() {
 				for a := range w.pool.jobs {
 					w.pool.Stop(a, decide.Cancelled)
 				}
 			})
 		}, decide.NotSent},
-		"drains": {func(w *wires, q *core.Request) {
+		"drains": {func(w *socketFixture, q *core.Request) {
 			w.core.List(decide.ListChange, []core.ListedMember{{Member: decide.Member{ID: "m", State: decide.Draining}}})
 		}, decide.NotSent},
-		"too old":     {func(w *wires, q *core.Request) {}, decide.NotSent},
-		"member goes": {func(w *wires, q *core.Request) {}, decide.Unreachable},
+		"too old":     {func(w *socketFixture, q *core.Request) {}, decide.NotSent},
+		"member goes": {func(w *socketFixture, q *core.Request) {}, decide.Unreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWires(t)
-			_, c := w.idle()
+			w := newSocketFixture(t)
+			_, c := w.idleConn()
 			value := strings.Repeat("x", 120_000)
 			if name == "too old" {
-				w.before = 2 * time.Second // long enough for the write to begin
+				w.writeWithin = 2 * time.Second // long enough for the write to begin
 			}
-			q, _ := w.ask(writeClass, value)
-			unread(t, c, 1) // the write is under way, and does not fit the buffers
+			q, _ := w.request(writeClass, value)
+			waitUnread(t, c, 1) // the write is under way, and does not fit the buffers
 			tc.end(w, q)
 			if name == "member goes" {
 				_ = c.(*net.TCPConn).SetLinger(0)
@@ -495,36 +496,37 @@
 	}
 }
 
-// TestGoneLeavesWritten: a write that was sent whole when its client leaves may run to its end, and its answer is used.
-func TestGoneLeavesWritten(t *testing.T) {
-	w := newWires(t)
-	q, s := w.ask(writeClass, "")
-	_, c := w.welcome()
-	statement(t, c)
+// TestClientGoneAfterWrite: a write that was sent whole when its client leaves may run to its end, and its answer is
+// used.
+func TestClientGoneAfterWrite(t *testing.T) {
+	w := newSocketFixture(t)
+	q, s := w.request(writeClass, "")
+	_, c := w.acceptStartup()
+	readStatement(t, c)
 	w.core.Gone(q)
-	w.owner(func() {})
-	_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...)))
+	w.onOwner(func() {})
+	_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...)))
 	if e := w.outcome(); e.Result != decide.Served || !e.HasPosition || !e.Ended || len(s.answers) != 0 {
 		t.Errorf("outcome %+v, %d answers", e, len(s.answers))
 	}
 }
 
-// TestBrokenAfterCommand: a write whose answer breaks off between CommandComplete and the position of its commit is served.
-// If members report positions, the present time is its position, so that its session reads nothing older.
+// TestBrokenAfterCommand: a write whose answer breaks off between CommandComplete and the position of its commit is
+// served. If members report positions, the present time is its position, so that its session reads nothing older.
 func TestBrokenAfterCommand(t *testing.T) {
 	for _, stamps := range []bool{true, false} {
-		w := newWires(t)
-		_, c := w.idle()
+		w := newSocketFixture(t)
+		_, c := w.idleConn()
 		if stamps {
-			w.ask(readClass, "")
-			statement(t, c)
-			_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, served...), told...)))
+			w.request(readClass, "")
+			readStatement(t, c)
+			_, _ = c.Write(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...)))
 			w.outcome()
 		}
 		before := w.core.Now()
-		w.ask(writeClass, "")
-		statement(t, c)
-		_, _ = c.Write(served)
+		w.request(writeClass, "")
+		readStatement(t, c)
+		_, _ = c.Write(servedAnswer)
 		_ = c.Close()
 		if e := w.outcome(); e.Result != decide.Served || e.HasPosition != stamps || stamps && e.Position < before {
 			t.Errorf("outcome %+v, sent at %v", e, before)
@@ -532,24 +534,24 @@
 	}
 }
 
-// TestGivenUpInTransit: a statement was written, but its member, which hangs or is cut off, has not received it yet. Once
-// its attempt was reported as abandoned it must not reach the member: it would run beside the next attempt.
-func TestGivenUpInTransit(t *testing.T) {
+// TestAbandonedInTransit: a statement was written, but its member, which hangs or is cut off, has not received it yet.
+// Once its attempt was reported as abandoned it must not reach the member: it would run beside the next attempt.
+func TestAbandonedInTransit(t *testing.T) {
 	for _, why := range []decide.Result{decide.TimedOut, decide.Cancelled} {
-		w := newWires(t)
+		w := newSocketFixture(t)
 		w.sendBuffer = 1 << 20
-		_, c := w.idle()
+		_, c := w.idleConn()
 		value := strings.Repeat("x", 120_000)
-		w.ask(writeClass, value)
-		unread(t, c, 1)
+		w.request(writeClass, value)
+		waitUnread(t, c, 1)
 		var conn *conn
-		w.owner(func() { conn = w.pool.members["m"].busy[0] })
-		until(t, func() bool { // its write is over
+		w.onOwner(func() { conn = w.pool.members["m"].busy[0] })
+		waitFor(t, func() bool { // its write is over
 			conn.mu.Lock()
 			defer conn.mu.Unlock()
 			return conn.writing == nil
 		})
-		w.owner(func() {
+		w.onOwner(func() {
 			for a := range w.pool.jobs {
 				w.pool.Stop(a, why)
 			}
@@ -563,21 +565,21 @@
 	}
 }
 
-// TestClosedAsPicked: if the member closes an idle connection as it is given a request, the request is not written on it,
-// but on another connection. If the connection breaks once the request is written, the outcome is a reset of a reused
-// connection, and the module decides what follows.
-func TestClosedAsPicked(t *testing.T) {
-	w := newWires(t)
-	l, c := w.idle()
-	let := l.hold()
-	_, s := w.ask(writeClass, "")
-	<-l.woken // the connection was given the request, and has not taken it yet
+// TestClosedWhenAssigned: if the member closes an idle connection as it is given a request, the request is not written
+// on it, but on another connection. If the connection breaks once the request is written, the outcome is a reset of a
+// reused connection, and the module decides what follows.
+func TestClosedWhenAssigned(t *testing.T) {
+	w := newSocketFixture(t)
+	l, c := w.idleConn()
+	let := l.holdReads()
+	_, s := w.request(writeClass, "")
+	<-l.interrupted // the connection was given the request, and has not taken it yet
 	_ = c.(*net.TCPConn).CloseWrite()
 	raw, err := l.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool { // the close has arrived
+	waitFor(t, func() bool { // the close has arrived
 		n, got := 0, error(nil)
 		_ = raw.Control(func(fd uintptr) {
 			n, _, got = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -585,23 +587,23 @@
 		return n == 0 && got == nil
 	})
 	let()
-	_, second := w.welcome()
+	_, second := w.acceptStartup()
 	if n, err := io.Copy(io.Discard, c); n != 0 || err != nil {
 		t.Errorf("%d bytes were written on the connection that was closing, %v", n, err)
 	}
-	statement(t, second)
-	_, _ = second.Write(pgwire.AppendReadyForQuery(served))
+	readStatement(t, second)
+	_, _ = second.Write(pgwire.AppendReadyForQuery(servedAnswer))
 	if e := w.outcome(); e.Result != decide.Served || e.Reused {
 		t.Errorf("outcome %+v", e)
 	}
-	w.owner(func() {
+	w.onOwner(func() {
 		if len(s.answers) != 1 {
 			t.Errorf("%d answers", len(s.answers))
 		}
 	})
 
-	w.ask(writeClass, "")
-	statement(t, second)
+	w.request(writeClass, "")
+	readStatement(t, second)
 	_ = second.(*net.TCPConn).SetLinger(0)
 	_ = second.Close()
 	if e := w.outcome(); e.Result != decide.Reset || !e.Reused {
--- a/internal/pgmember/pass_test.go
+++ b/internal/pgmember/pass_test.go
@@ -21,29 +21,29 @@
 	"reachwind/internal/pgwire"
 )
 
-// twice is a fake decision module: it sends each request to m, and once more unless its answer has begun.
-type twice struct {
+// retryOnce is a fake decision module: it sends each request to m, and once more unless its answer has begun.
+type retryOnce struct {
 	core.Observer
 	sent, ended int
-	last        decide.Result   // of the last outcome that was reported to it
+	lastResult  decide.Result   // of the last outcome that was reported to it
 	tried       []decide.Result // final results of attempts
 	verdicts    []core.Verdict
 }
 
-func (d *twice) AttemptEnded(_ string, r decide.Result) { d.tried = append(d.tried, r) }
-func (d *twice) RequestEnded(_ *core.Request, v core.Verdict, _ core.Time) {
+func (d *retryOnce) AttemptEnded(_ string, r decide.Result) { d.tried = append(d.tried, r) }
+func (d *retryOnce) RequestEnded(_ *core.Request, v core.Verdict, _ core.Time) {
 	d.verdicts = append(d.verdicts, v)
 }
-func (d *twice) Answered(string)    {}
-func (d *twice) DiscoveryAnswered() {}
+func (d *retryOnce) Answered(string)    {}
+func (d *retryOnce) DiscoveryAnswered() {}
 
-func (d *twice) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
+func (d *retryOnce) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
 	for _, e := range events {
 		switch {
 		case e.Kind == decide.Outcome && e.Ended:
-			d.ended, d.last = d.ended+1, e.Result
+			d.ended, d.lastResult = d.ended+1, e.Result
 		case e.Kind == decide.Outcome && d.sent == 2:
-			d.ended, d.last = d.ended+1, e.Result
+			d.ended, d.lastResult = d.ended+1, e.Result
 			out = append(out, decide.Action{Kind: decide.Fail, Request: e.Request})
 		case e.Kind == decide.Outcome, e.Kind == decide.Arrive:
 			d.sent++
@@ -59,30 +59,32 @@
 type fault int
 
 const (
-	none fault = iota
-	breaks
-	stalls
+	noFault fault = iota
+	memberBreaks
+	memberStalls
 	badHead
 	errorAfter
 	badTag
 	moreAfter
-	leaves
-	deaf
-	faults
+	clientLeaves
+	clientStopsReading
+	faultKinds
 )
 
-// TestPass streams a large value in random pieces, with each kind of fault at random places. The client gets the whole
-// answer or can tell that it is incomplete; each attempt has one outcome, none begins once the client has got a byte, and
-// all buffers and connections are released.
-func TestPass(t *testing.T) {
+// TestStreamedAnswer streams a large value in random pieces, with each kind of fault at random places. The client gets
+// the whole answer or can tell that it is incomplete; each attempt has one outcome, none begins once the client has got
+// a byte, and all buffers and connections are released.
+func TestStreamedAnswer(t *testing.T) {
 	for seed := range uint64(450) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { pass(t, rand.New(rand.NewPCG(seed, 1)), fault(seed%uint64(faults))) })
+			synctest.Test(t, func(t *testing.T) {
+				checkStreamedAnswer(t, rand.New(rand.NewPCG(seed, 1)), fault(seed%uint64(faultKinds)))
+			})
 		})
 	}
 }
 
-func pass(t *testing.T, rnd *rand.Rand, f fault) {
+func checkStreamedAnswer(t *testing.T, rnd *rand.Rand, f fault) {
 	value := strings.Repeat("0123456789abcdef?", 1+(pgwire.MaxBufferedValue+rnd.IntN(100_000))/17)
 	row := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
 	head := pgwire.Append(nil, 'T', description)
@@ -102,7 +104,7 @@
 	case moreAfter:
 		reply = append(reply, whole[:1+rnd.IntN(len(whole)-1)]...)
 	}
-	d := &twice{}
+	d := &retryOnce{}
 	log := slog.New(slog.DiscardHandler)
 	owner := core.New(core.NewClock(), d, log)
 	bufs := pgwire.NewPool(8, 8)
@@ -128,14 +130,14 @@
 				}
 				for from := 0; from < len(reply); {
 					n := min(1+rnd.IntN(1+rnd.IntN(1<<rnd.IntN(16))), len(reply)-from)
-					if (f == breaks || f == stalls) && from+n > at {
+					if (f == memberBreaks || f == memberStalls) && from+n > at {
 						n = at - from
 					}
 					if _, err := b.Write(reply[from : from+n]); err != nil {
 						return
 					}
-					if from += n; (f == breaks || f == stalls) && from == at {
-						if f == stalls {
+					if from += n; (f == memberBreaks || f == memberStalls) && from == at {
+						if f == memberStalls {
 							_, _ = b.Read(buf) // until the gateway closes
 						}
 						return
@@ -176,8 +178,8 @@
 				ended.Store(true)
 				return
 			}
-			if left <= 0 && (f == leaves || f == deaf) {
-				if f == leaves {
+			if left <= 0 && (f == clientLeaves || f == clientStopsReading) {
+				if f == clientLeaves {
 					_ = a.Close()
 				}
 				return
@@ -188,30 +190,30 @@
 	synctest.Wait()
 
 	_, answer, _ := bytes.Cut(got.Bytes(), []byte("Z\x00\x00\x00\x05I")) // after the startup
-	begun, served, last := d.last == decide.Served, bytes.Equal(answer, want), append([]decide.Result{-1}, d.tried...)[len(d.tried)]
+	begun, served, last := d.lastResult == decide.Served, bytes.Equal(answer, want), append([]decide.Result{-1}, d.tried...)[len(d.tried)]
 	prefix := bytes.HasPrefix(want, answer) && len(answer) <= len(whole)
 	switch {
-	case d.ended > 1 || len(d.tried) > d.sent || f != leaves && (len(d.tried) < d.sent || d.ended != 1 || len(d.verdicts) != 1):
+	case d.ended > 1 || len(d.tried) > d.sent || f != clientLeaves && (len(d.tried) < d.sent || d.ended != 1 || len(d.verdicts) != 1):
 		t.Errorf("%d sent, %d ended, tried %v, verdicts %v", d.sent, d.ended, d.tried, d.verdicts)
-	case f == leaves || f == deaf: // the client got the beginning of the answer
+	case f == clientLeaves || f == clientStopsReading: // the client got the beginning of the answer
 		if !bytes.HasPrefix(want, answer[:min(len(answer), len(want))]) {
 			t.Errorf("%d bytes, not the answer's", len(answer))
 		}
-	case f == none || f == moreAfter:
+	case f == noFault || f == moreAfter:
 		if !served || ended.Load() || last != decide.Served {
 			t.Errorf("%d bytes of %d, ended %v, outcome %d", len(answer), len(want), ended.Load(), last)
 		}
-	case f == breaks && served: // after CommandComplete
+	case f == memberBreaks && served: // after CommandComplete
 	case begun && (!ended.Load() || !prefix || last == decide.Served || d.verdicts[0] != core.Failed):
 		t.Errorf("begun: %d bytes of %d, ended %v, outcome %d", len(answer), len(want), ended.Load(), last)
 	case !begun && (d.sent != 2 || len(answer) == 0 || answer[0] != 'E'):
 		t.Errorf("not begun: %q, %d attempts", answer[:min(len(answer), 40)], d.sent)
 	}
 	keeps := int32(0)
-	if f == none || f == errorAfter {
+	if f == noFault || f == errorAfter {
 		keeps = 1
 	}
-	if out.Load() > 1 || f != leaves && f != deaf && out.Load() != keeps {
+	if out.Load() > 1 || f != clientLeaves && f != clientStopsReading && out.Load() != keeps {
 		t.Errorf("%d member connections open of %d made, want %d", out.Load(), dialled.Load(), keeps)
 	}
 	_ = a.Close()
--- a/internal/pgmember/pool.go
+++ b/internal/pgmember/pool.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	idleFraction       = 0.8 // of Idle; the pool closes idle connections by then, so that no request crosses the member's close
-	drainGraceFraction = 0.6 // of Grace; no statement is written after it
+	idleFraction       = 0.8 // of MemberIdleTimeout; idle connections are closed by then, so that no request crosses the member's close
+	drainGraceFraction = 0.6 // of DrainGrace; no statement is written after it
 	sweepInterval      = time.Second
 	maxMembersHeld     = 2 * decide.MaxMembers // kept in all, including members off the list that still have connections
 	boundMargin        = 2 * time.Millisecond  // data ages further until the last byte of the statement is written
@@ -41,9 +41,9 @@
 type Pool struct {
 	core              *core.Core
 	log               *slog.Logger
-	conf              atomic.Pointer[Config] // read by the connections' goroutines; Max and Keep count only in New
-	maxConns          int                    // connections, see Limit
-	reservedBuffers   int                    // see Config.Keep
+	conf              atomic.Pointer[Config] // read by the connections' goroutines; MaxConns and ReservedBuffers count only in New
+	maxConns          int                    // see SetMaxConns
+	reservedBuffers   int                    // see Config.ReservedBuffers
 	bufs              *pgwire.Pool
 	dial              Dialer
 	members           map[string]*member // by id
@@ -73,7 +73,7 @@
 	member  *member
 	attempt *core.Attempt // nil for a probe
 	conn    *conn         // that it was given to, nil while it waits
-	stopped atomic.Bool   // stopped: no byte of it may be written any more
+	stopped atomic.Bool   // see stopJob: no byte of it may be written any more
 }
 
 // abandoned reports whether no byte of the job may be written any more. Any goroutine may call it.
@@ -90,8 +90,8 @@
 	return p
 }
 
-// Reconfigure replaces the configuration, except for Max, see Limit, and Keep. Only the owner goroutine may call it. Connections
-// and jobs that are under way keep the time limits that they started with.
+// Reconfigure replaces the configuration, except for ReservedBuffers and MaxConns, see SetMaxConns. Only the owner
+// goroutine may call it. Connections and jobs that are under way keep the time limits that they started with.
 func (p *Pool) Reconfigure(conf Config) { p.conf.Store(&conf) }
 
 // Sizes are the lengths of the pool's tables.
@@ -100,10 +100,11 @@
 // Sizes returns the lengths of the pool's tables. Only the owner goroutine may call it.
 func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.openCount, len(p.jobs)} }
 
-// SetMaxConns sets the maximum number of connections and closes idle ones above it. Only the owner goroutine may call it.
-func (p *Pool) SetMaxConns(most int) {
-	p.maxConns = most
-	for n := p.openCount - most; n > 0 && p.evictOldest(nil); n-- {
+// SetMaxConns sets the maximum number of connections and closes idle ones above it. Only the owner goroutine may call
+// it.
+func (p *Pool) SetMaxConns(maxConns int) {
+	p.maxConns = maxConns
+	for n := p.openCount - maxConns; n > 0 && p.evictOldest(nil); n-- {
 	}
 }
 
@@ -144,11 +145,11 @@
 	}
 }
 
-// setUsable sets whether a member may get new work. If not, jobs that still wait for
-// a connection to it are not sent, and jobs that a connection was given must be
-// written within the grace time.
-func (p *Pool) setUsable(m *member, yes bool) {
-	if yes {
+// setUsable sets whether a member may get new work. If not, jobs that still wait
+// for a connection to it are not sent, and jobs that a connection was given must
+// be written within the grace time.
+func (p *Pool) setUsable(m *member, usable bool) {
+	if usable {
 		m.excludedSince = 0
 	} else if m.excludedSince == 0 {
 		m.excludedSince = p.core.Now()
@@ -194,22 +195,22 @@
 	p.startJob(j)
 }
 
-// Stop abandons an attempt with why as its outcome, see core.Members.
-func (p *Pool) Stop(a *core.Attempt, why decide.Result) {
+// Stop abandons an attempt, with result as its outcome, see core.Members.
+func (p *Pool) Stop(a *core.Attempt, result decide.Result) {
 	if j := p.jobs[a]; j != nil {
-		p.stopJob(j, why)
+		p.stopJob(j, result)
 	}
 }
 
-// stopJob abandons a job. If its connection has just ended without writing it, the job comes back to ended, which does not
-// restart it.
-func (p *Pool) stopJob(j *job, why decide.Result) {
+// stopJob abandons a job. If its connection has just ended without writing it, the job comes back to
+// connEnded, which does not restart it.
+func (p *Pool) stopJob(j *job, result decide.Result) {
 	j.stopped.Store(true)
 	switch {
 	case j.conn != nil:
 		j.conn.cancelWrite(j)
-		if why != decide.NotSent {
-			j.conn.Post(order{job: j, stop: true, result: why})
+		if result != decide.NotSent {
+			j.conn.Post(order{job: j, stop: true, result: result})
 		}
 	case slices.Contains(j.member.waiting, j): // no byte of it was written
 		p.finishJob(j, core.Outcome{Result: decide.NotSent})
@@ -288,10 +289,10 @@
 	p.core.RunAt(p.core.Now()+sweepInterval, p.sweep)
 }
 
-// closeIdle closes the idle connections of m that were last used before t; all of them if t is 0.
-func (p *Pool) closeIdle(m *member, t core.Time) {
+// closeIdle closes the idle connections of m that were last used before the given time; all of them if it is 0.
+func (p *Pool) closeIdle(m *member, usedBefore core.Time) {
 	m.idle = slices.DeleteFunc(m.idle, func(c *conn) bool {
-		if t != 0 && c.idleSince >= t {
+		if usedBefore != 0 && c.idleSince >= usedBefore {
 			return false
 		}
 		c.close()
@@ -340,18 +341,18 @@
 // connEnded handles the end of a connection. Jobs that it was given and did not
 // begin to write restart on another one: an old connection that ended says
 // nothing about the present state of the member.
-func (p *Pool) connEnded(c *conn, left []order) {
+func (p *Pool) connEnded(c *conn, orders []order) {
 	m := c.member
 	p.openCount--
 	same := func(o *conn) bool { return o == c }
 	m.busy = slices.DeleteFunc(m.busy, same)
 	m.idle = slices.DeleteFunc(m.idle, same)
-	for _, o := range left {
+	for _, o := range orders {
 		if o.job == nil || o.stop || o.checkStall || o.job.conn != c {
 			continue
 		}
 		o.job.conn = nil
-		if slices.ContainsFunc(left, func(s order) bool { return s.stop && s.job == o.job }) {
+		if slices.ContainsFunc(orders, func(s order) bool { return s.stop && s.job == o.job }) {
 			p.finishJob(o.job, core.Outcome{Result: decide.NotSent})
 		} else {
 			p.startJob(o.job)
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -21,24 +21,24 @@
 	"reachwind/internal/pgwire"
 )
 
-// script is a fake decision module: it records events, and the test chooses its actions.
-type script struct {
+// fakeModule is a fake decision module: it records events, and the test chooses its actions.
+type fakeModule struct {
 	outcomes map[uint64][]decide.Event
 	probes   []decide.Event
 	arrived  []uint64
 	actions  []decide.Action
-	again    int // number of outcomes that it answers by another send in the same step
+	resend   int // number of outcomes that it answers by another send in the same step
 }
 
-func (s *script) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
+func (s *fakeModule) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
 	for _, e := range events {
 		switch e.Kind {
 		case decide.Arrive:
 			s.arrived = append(s.arrived, e.Request)
 		case decide.Outcome:
 			s.outcomes[e.Request] = append(s.outcomes[e.Request], e)
-			if s.again > 0 {
-				s.again--
+			if s.resend > 0 {
+				s.resend--
 				s.actions = append(s.actions, decide.Action{Kind: decide.Send, Request: e.Request, Member: e.Member})
 			}
 		case decide.Probed:
@@ -50,8 +50,8 @@
 	return out
 }
 
-// ways lists how a fake member may answer a query, each with the result that the protocol defines for it.
-var ways = []struct {
+// replies lists how a fake member may answer a query, each with the result that the protocol defines for it.
+var replies = []struct {
 	name   string
 	result decide.Result
 }{
@@ -65,27 +65,27 @@
 
 const description = "\x00\x01doc\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
 
-// rig is a pool with a fake member behind it, on pipes and fake time.
-type rig struct {
-	t      *testing.T
-	script *script
-	core   *core.Core
-	pool   *Pool
-	bufs   *pgwire.Pool
-	mu     sync.Mutex // guards the fields below, which the members' goroutines use
-	way    int        // index in ways of the answer to the next query
-	down   bool       // connections are refused
-	delay  time.Duration
-	conns  int
-	out    map[string]int // attempts under way on open connections, by request id
-	got    int            // queries received
-	last   time.Time      // when the last one was received
-}
-
-func newRig(t *testing.T, most int) *rig {
-	r := &rig{t: t, script: &script{outcomes: map[uint64][]decide.Event{}}, bufs: pgwire.NewPool(40, 20), out: map[string]int{}}
+// pipeFixture is a pool with a fake member behind it, on pipes and fake time.
+type pipeFixture struct {
+	t           *testing.T
+	module      *fakeModule
+	core        *core.Core
+	pool        *Pool
+	bufs        *pgwire.Pool
+	mu          sync.Mutex // guards the fields below, which the members' goroutines use
+	nextReply   int        // index in ways of the answer to the next query
+	down        bool       // connections are refused
+	delay       time.Duration
+	conns       int
+	attemptsOut map[string]int // attempts under way on open connections, by request id
+	queries     int            // queries received
+	lastQuery   time.Time      // when the last one was received
+}
+
+func newPipeFixture(t *testing.T, most int) *pipeFixture {
+	r := &pipeFixture{t: t, module: &fakeModule{outcomes: map[uint64][]decide.Event{}}, bufs: pgwire.NewPool(40, 20), attemptsOut: map[string]int{}}
 	log := slog.New(slog.DiscardHandler)
-	r.core = core.New(core.NewClock(), r.script, log)
+	r.core = core.New(core.NewClock(), r.module, log)
 	r.pool = New(r.core, Config{User: "app", Database: "shop", MaxConns: most, MemberIdleTimeout: 15 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond, ReportFigures: []string{"x0", "x1"}}, r.bufs, r.dial, log)
 	r.core.Connect(r.pool, nil)
@@ -99,12 +99,12 @@
 	return r
 }
 
-func (r *rig) list(state decide.MemberState) {
+func (r *pipeFixture) list(state decide.MemberState) {
 	r.core.List(decide.ListChange, []core.ListedMember{{Addr: "a:1", Member: decide.Member{ID: "m", State: state}}})
 	synctest.Wait()
 }
 
-func (r *rig) dial(context.Context, string) (net.Conn, error) {
+func (r *pipeFixture) dial(context.Context, string) (net.Conn, error) {
 	if r.down {
 		return nil, errors.New("refused")
 	}
@@ -112,48 +112,49 @@
 	a, b := net.Pipe()
 	r.count(1)
 	r.t.Cleanup(func() { _ = b.Close() })
-	l := &link{Conn: a, r: r}
+	l := &gatewayEnd{Conn: a, r: r}
 	go func() {
-		r.member(b, l)
+		r.serveMember(b, l)
 		_ = b.Close()
 		r.count(-1)
 	}()
 	return l, nil
 }
 
-// link is the gateway's end of a connection. It records the attempt that is under way on it.
-type link struct {
+// gatewayEnd is the gateway's end of a connection. It records the attempt that is under way on it.
+type gatewayEnd struct {
 	net.Conn
-	r      *rig
+	r      *pipeFixture
 	id     string
 	closed bool
 }
 
-func (l *link) Close() error {
-	l.over()
+func (l *gatewayEnd) Close() error {
+	l.attemptOver()
 	l.r.mu.Lock()
 	l.closed = true
 	l.r.mu.Unlock()
 	return l.Conn.Close()
 }
 
-func (l *link) over() {
+func (l *gatewayEnd) attemptOver() {
 	l.r.mu.Lock()
 	defer l.r.mu.Unlock()
 	if l.id != "" {
-		l.r.out[l.id]--
+		l.r.attemptsOut[l.id]--
 		l.id = ""
 	}
 }
 
-func (r *rig) count(n int) {
+func (r *pipeFixture) count(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns += n
 }
 
-// look runs f on the owner goroutine with mu held, so that f may read what the owner and the members' goroutines write.
-func (r *rig) look(f func()) {
+// inspect runs f on the owner goroutine with mu held, so that f may read what the owner and the members' goroutines
+// write.
+func (r *pipeFixture) inspect(f func()) {
 	r.core.Post(func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -163,13 +164,13 @@
 }
 
 // sleep lets d pass and waits until all that falls due in it is done.
-func (r *rig) sleep(d time.Duration) {
+func (r *pipeFixture) sleep(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// member serves one connection as a member does.
-func (r *rig) member(c net.Conn, l *link) {
+// serveMember serves one connection as a member does.
+func (r *pipeFixture) serveMember(c net.Conn, l *gatewayEnd) {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c, head[:4]); err != nil {
 		return
@@ -190,30 +191,30 @@
 				string(rune(len(row))), row), 'C', "SHOW\x00")))
 			continue
 		}
-		if !r.query(c, l, string(body)) {
+		if !r.answerQuery(c, l, string(body)) {
 			return
 		}
 	}
 }
 
-// query answers one statement and reports whether the connection stays open.
-func (r *rig) query(c net.Conn, l *link, text string) bool {
+// answerQuery answers one statement and reports whether the connection stays open.
+func (r *pipeFixture) answerQuery(c net.Conn, l *gatewayEnd, text string) bool {
 	id, _, _ := strings.Cut(strings.TrimPrefix(text, "/* id="), ",")
 	if !strings.HasSuffix(text, "WHERE id = 'k'\x00") || !strings.Contains(text, ",c=r,d=") {
 		r.t.Errorf("statement changed: %q", text)
 	}
 	r.mu.Lock()
-	r.got++
-	r.last = time.Now()
+	r.queries++
+	r.lastQuery = time.Now()
 	if !l.closed {
-		r.out[id]++
+		r.attemptsOut[id]++
 		l.id = id
 	}
-	if r.out[id] > 1 {
+	if r.attemptsOut[id] > 1 {
 		r.t.Errorf("two attempts of request %s out", id)
 	}
-	way := ways[r.way%len(ways)].name
-	r.way++
+	way := replies[r.nextReply%len(replies)].name
+	r.nextReply++
 	r.mu.Unlock()
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Millisecond)) // working, while it would notice that the gateway closes
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -264,14 +265,14 @@
 		}
 		reply = pgwire.AppendReadyForQuery(append(pgwire.AppendError(begun, "ERROR", way, "no", ""), note...))
 	}
-	l.over()
+	l.attemptOver()
 	_, _ = c.Write(reply)
 	return more
 }
 
 // sink receives a request's answer.
 type sink struct {
-	r       *rig
+	r       *pipeFixture
 	answers []core.Answer
 }
 
@@ -286,9 +287,9 @@
 }
 
 // arrive passes the core a request with the given time to its deadline.
-func (r *rig) arrive(wait time.Duration) *sink {
+func (r *pipeFixture) arrive(wait time.Duration) *sink {
 	buf := r.bufs.Get(200, 0)
-	buf.B = append(buf.B, "/* id="+strconv.Itoa(len(r.script.arrived)+1)+",c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k'"...)
+	buf.B = append(buf.B, "/* id="+strconv.Itoa(len(r.module.arrived)+1)+",c=r,d=400,cluster=0 */ SELECT doc FROM items WHERE id = 'k'"...)
 	st, err := pgwire.Parse(buf)
 	if err != nil {
 		r.t.Fatal(err)
@@ -300,23 +301,25 @@
 }
 
 // act makes the fake module return an action.
-func (r *rig) act(a decide.Action) {
-	r.core.Post(func() { r.script.actions = append(r.script.actions, a) })
+func (r *pipeFixture) act(a decide.Action) {
+	r.core.Post(func() { r.module.actions = append(r.module.actions, a) })
 	r.core.List(decide.ListError, nil) // an event, which causes a step
 	synctest.Wait()
 }
 
-func (r *rig) send(id uint64) { r.act(decide.Action{Kind: decide.Send, Request: id, Member: "m"}) }
+func (r *pipeFixture) send(id uint64) {
+	r.act(decide.Action{Kind: decide.Send, Request: id, Member: "m"})
+}
 
 // results returns the results of a request's attempts.
-func (r *rig) results(id uint64) (list []decide.Result) {
-	for _, e := range r.script.outcomes[id] {
+func (r *pipeFixture) results(id uint64) (list []decide.Result) {
+	for _, e := range r.module.outcomes[id] {
 		list = append(list, e.Result)
 	}
 	return list
 }
 
-func only(t *testing.T, what string, got []decide.Result, want decide.Result) {
+func wantOnly(t *testing.T, what string, got []decide.Result, want decide.Result) {
 	t.Helper()
 	if len(got) != 1 || got[0] != want {
 		t.Errorf("%s: outcomes %v, want one, %d", what, got, want)
@@ -325,28 +328,28 @@
 
 // TestOutcomes checks the outcome of an attempt for every kind of answer against the protocol's definition.
 func TestOutcomes(t *testing.T) {
-	for i, w := range ways {
+	for i, w := range replies {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t, 4)
-			r.way = i
+			r := newPipeFixture(t, 4)
+			r.nextReply = i
 			s := r.arrive(400 * time.Millisecond)
 			r.send(1)
 			r.sleep(time.Second)
-			only(t, w.name, r.results(1), w.result)
+			wantOnly(t, w.name, r.results(1), w.result)
 			if len(s.answers) != 1 {
 				t.Errorf("%s: %d answers", w.name, len(s.answers))
 			}
-			if e := r.script.outcomes[1][0]; w.result == decide.Errored && w.name != "XX000" && e.HasPosition {
+			if e := r.module.outcomes[1][0]; w.result == decide.Errored && w.name != "XX000" && e.HasPosition {
 				t.Errorf("%s: the note of a spoilt answer was believed: %+v", w.name, e)
 			}
 			if w.name != "row" && len(w.name) != len("25006") || w.name == "noise" || w.name == "extra" {
-				r.look(func() { // otherwise surplus bytes would be taken for the next request's answer
+				r.inspect(func() { // otherwise surplus bytes would be taken for the next request's answer
 					if r.conns != 0 {
 						t.Errorf("%s: the connection is kept", w.name)
 					}
 				})
 			}
-			if e := r.script.outcomes[1][0]; w.name == "row" && (e.Role != decide.Replica || !e.HasPosition ||
+			if e := r.module.outcomes[1][0]; w.name == "row" && (e.Role != decide.Replica || !e.HasPosition ||
 				e.Position != 1767225600123*time.Millisecond || !e.Ended) {
 				t.Errorf("note %+v", e)
 			}
@@ -357,10 +360,10 @@
 // TestProbe: the figures of a load report arrive under their names, positions in seconds since 1970.
 func TestProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 4)
+		r := newPipeFixture(t, 4)
 		r.act(decide.Action{Kind: decide.Probe, Member: "m"})
 		r.sleep(time.Second)
-		if p := r.script.probes; len(p) != 1 || p[0].Result != decide.Served || p[0].Report.Role != decide.Primary ||
+		if p := r.module.probes; len(p) != 1 || p[0].Result != decide.Served || p[0].Report.Role != decide.Primary ||
 			p[0].Report.Position != 1000500*time.Millisecond {
 			t.Errorf("probed %+v", p)
 		}
@@ -368,55 +371,55 @@
 		r.sleep(20 * time.Second)
 		r.act(decide.Action{Kind: decide.Probe, Member: "m"})
 		r.sleep(time.Second)
-		if p := r.script.probes; len(p) != 2 || p[1].Result != decide.Unreachable {
+		if p := r.module.probes; len(p) != 2 || p[1].Result != decide.Unreachable {
 			t.Errorf("probed %+v", p)
 		}
 	})
 }
 
-// TestOldDecision: a send that waits for a connection is not written once the
+// TestStaleDecision: a send that waits for a connection is not written once the
 // member drains, the request is over or the member's data is too old.
-func TestOldDecision(t *testing.T) {
-	for name, change := range map[string]func(r *rig){
-		"drained":   func(r *rig) { r.list(decide.Draining) },
-		"cancelled": func(r *rig) { r.act(decide.Action{Kind: decide.Cancel, Request: 1}) },
+func TestStaleDecision(t *testing.T) {
+	for name, change := range map[string]func(r *pipeFixture){
+		"drained":   func(r *pipeFixture) { r.list(decide.Draining) },
+		"cancelled": func(r *pipeFixture) { r.act(decide.Action{Kind: decide.Cancel, Request: 1}) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t, 4)
+			r := newPipeFixture(t, 4)
 			r.delay = 100 * time.Millisecond
 			r.arrive(400 * time.Millisecond)
 			r.send(1)
 			change(r)
-			only(t, name, r.results(1), decide.NotSent)
+			wantOnly(t, name, r.results(1), decide.NotSent)
 			r.sleep(time.Second)
-			r.look(func() {
-				if r.got != 0 {
+			r.inspect(func() {
+				if r.queries != 0 {
 					t.Errorf("%s: it was written", name)
 				}
 			})
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 4)
+		r := newPipeFixture(t, 4)
 		r.delay = 100 * time.Millisecond
 		r.arrive(400 * time.Millisecond)
 		r.act(decide.Action{Kind: decide.Send, Request: 1, Member: "m", WriteBy: r.core.Now() + 50*time.Millisecond})
 		r.sleep(time.Second)
-		only(t, "aged", r.results(1), decide.NotSent)
+		wantOnly(t, "aged", r.results(1), decide.NotSent)
 	})
 }
 
-// TestNoSecondCopy: when the outcome of an abandoned attempt is reported, its
+// TestNoSecondAttempt: when the outcome of an abandoned attempt is reported, its
 // connection is closed already, as the module may send again in the same step.
-func TestNoSecondCopy(t *testing.T) {
+func TestNoSecondAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 4)
+		r := newPipeFixture(t, 4)
 		r.arrive(400 * time.Millisecond) // leaves a second connection, which the retry uses at once
 		r.send(1)
 		r.arrive(400 * time.Millisecond)
 		r.send(2)
 		r.sleep(time.Second)
-		r.look(func() { r.way, r.script.again = 7, 1 })
+		r.inspect(func() { r.nextReply, r.module.resend = 7, 1 })
 		r.arrive(400 * time.Millisecond)
 		r.act(decide.Action{Kind: decide.Send, Request: 3, Member: "m", Timeout: 100 * time.Millisecond})
 		r.sleep(time.Second)
@@ -426,24 +429,25 @@
 	})
 }
 
-// TestIdle: connections are reused, the most recently used first, and closed ahead of the member's idle limit.
-func TestIdle(t *testing.T) {
+// TestIdleConnections: connections are reused, the most recently used first, and closed ahead of the member's idle
+// limit.
+func TestIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 4)
+		r := newPipeFixture(t, 4)
 		for id := range uint64(3) {
-			r.way = 0
+			r.nextReply = 0
 			r.arrive(400 * time.Millisecond)
 			r.send(id + 1)
 			r.sleep(5 * time.Second)
-			only(t, "reused", r.results(id+1), decide.Served)
+			wantOnly(t, "reused", r.results(id+1), decide.Served)
 		}
-		r.look(func() {
+		r.inspect(func() {
 			if r.conns != 1 {
 				t.Errorf("%d connections, want 1", r.conns)
 			}
 		})
 		r.sleep(10 * time.Second)
-		r.look(func() {
+		r.inspect(func() {
 			if r.conns != 0 || r.pool.openCount != 0 {
 				t.Errorf("%d connections open after 15 s of idleness, %d counted", r.conns, r.pool.openCount)
 			}
@@ -451,39 +455,39 @@
 	})
 }
 
-// TestReused: the outcome of a reset says whether the connection had served before and no answer had begun on it: only
-// the reset of a new connection says anything about the member.
-func TestReused(t *testing.T) {
+// TestResetOfReusedConnection: the outcome of a reset says whether the connection had served before and no answer had
+// begun on it: only the reset of a new connection says anything about the member.
+func TestResetOfReusedConnection(t *testing.T) {
 	for _, tc := range []struct {
 		first, then string
 		want        bool
 	}{{"", "break", false}, {"row", "break", true}, {"row", "half", false}} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t, 4)
+			r := newPipeFixture(t, 4)
 			id := uint64(0)
 			for _, way := range []string{tc.first, tc.then} {
 				if way == "" {
 					continue
 				}
-				for r.way = 0; ways[r.way].name != way; r.way++ {
+				for r.nextReply = 0; replies[r.nextReply].name != way; r.nextReply++ {
 				}
 				id++
 				r.arrive(400 * time.Millisecond)
 				r.send(id)
 				r.sleep(100 * time.Millisecond)
 			}
-			if e := r.script.outcomes[id]; len(e) != 1 || e[0].Result != decide.Reset || e[0].Reused != tc.want {
+			if e := r.module.outcomes[id]; len(e) != 1 || e[0].Result != decide.Reset || e[0].Reused != tc.want {
 				t.Errorf("%q, then %q: %+v", tc.first, tc.then, e)
 			}
 		})
 	}
 }
 
-// TestMembersLeave: members that join under ever new ids and leave again are removed once their connections have closed;
-// the number of members held at once is bounded.
+// TestMembersLeave: members that join under ever new ids and leave again are removed once their connections have
+// closed; the number of members held at once is bounded.
 func TestMembersLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 4)
+		r := newPipeFixture(t, 4)
 		r.arrive(400 * time.Millisecond)
 		r.send(1)
 		r.sleep(100 * time.Millisecond)
@@ -492,14 +496,14 @@
 			list[i].ID = strconv.Itoa(i)
 		}
 		r.core.List(decide.ListChange, list)
-		r.look(func() {
+		r.inspect(func() {
 			if n := len(r.pool.members); n != maxMembersHeld {
 				t.Errorf("%d members", n)
 			}
 		})
 		r.core.List(decide.ListFull, list[:1])
 		r.sleep(2 * sweepInterval)
-		r.look(func() {
+		r.inspect(func() {
 			if n := len(r.pool.members); n != 1 || r.pool.openCount != 0 {
 				t.Errorf("%d members, %d connections", n, r.pool.openCount)
 			}
@@ -527,13 +531,13 @@
 
 func playPool(t *testing.T, steps []byte) {
 	const most = 5
-	r := newRig(t, most)
+	r := newPipeFixture(t, most)
 	var sinks []*sink
 	var drained time.Time
 	sends, probes := map[uint64]int{}, 0
 	send := func(id uint64) {
 		free := false
-		r.look(func() {
+		r.inspect(func() {
 			free = len(sinks[id-1].answers) == 0 && len(r.results(id)) == sends[id] && sends[id] < 4
 		})
 		if free {
@@ -575,17 +579,17 @@
 			r.sleep(time.Duration(b) * time.Millisecond)
 		}
 		synctest.Wait()
-		r.look(func() {
+		r.inspect(func() {
 			if r.conns > most {
 				t.Errorf("step %d: %d connections", i, r.conns)
 			}
-			if !drained.IsZero() && r.last.Sub(drained) > 250*time.Millisecond {
-				t.Errorf("step %d: written %v after it drained", i, r.last.Sub(drained))
+			if !drained.IsZero() && r.lastQuery.Sub(drained) > 250*time.Millisecond {
+				t.Errorf("step %d: written %v after it drained", i, r.lastQuery.Sub(drained))
 			}
 		})
 	}
 	r.sleep(30 * time.Second)
-	r.look(func() {
+	r.inspect(func() {
 		for i, s := range sinks {
 			id := uint64(i) + 1
 			if len(s.answers) != 1 {
@@ -595,9 +599,9 @@
 				t.Errorf("request %d: %d outcomes of %d sends", id, got, sends[id])
 			}
 		}
-		if len(r.script.probes) != probes || r.bufs.FreeLarge() != 40 || r.bufs.FreeSmall() != 20 || r.pool.openCount != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
+		if len(r.module.probes) != probes || r.bufs.FreeLarge() != 40 || r.bufs.FreeSmall() != 20 || r.pool.openCount != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
 			t.Errorf("%d of %d probes ended; %d of 40 buffers back; %d connections counted, %d open; %d jobs",
-				len(r.script.probes), probes, r.bufs.FreeLarge(), r.pool.openCount, r.conns, len(r.pool.jobs))
+				len(r.module.probes), probes, r.bufs.FreeLarge(), r.pool.openCount, r.conns, len(r.pool.jobs))
 		}
 	})
 }
@@ -605,14 +609,14 @@
 // TestLargeListIsHeld guards against dropping members of a large list, which then get no connection.
 func TestLargeListIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 4)
+		r := newPipeFixture(t, 4)
 		list := make([]core.ListedMember, 3200)
 		for i := range list {
 			list[i] = core.ListedMember{Addr: "a:1", Member: decide.Member{ID: strconv.Itoa(i)}}
 		}
 		r.core.List(decide.ListFull, list)
 		synctest.Wait()
-		r.look(func() {
+		r.inspect(func() {
 			if n := len(r.pool.members); n < len(list) {
 				t.Errorf("%d members held of %d", n, len(list))
 			}
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -21,37 +21,37 @@
 	"reachwind/internal/pgwire"
 )
 
-// eager is a fake decision module: it sends each request to m, again after each outcome that does not end it, and cancels
-// reads whose client has left.
-type eager struct {
-	mu   sync.Mutex
-	sent map[uint64]int  // attempts by request
-	out  int             // attempts under way
-	gone int             // requests whose client has left
-	runs map[uint64]bool // writes, which it does not cancel
+// alwaysRetry is a fake decision module: it sends each request to m, again after each outcome that does not end it, and
+// cancels reads whose client has left.
+type alwaysRetry struct {
+	mu          sync.Mutex
+	sent        map[uint64]int  // attempts by request
+	attemptsOut int             // attempts under way
+	clientsGone int             // requests whose client has left
+	writes      map[uint64]bool // writes, which it does not cancel
 }
 
-func (d *eager) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
+func (d *alwaysRetry) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range events {
 		switch {
 		case e.Kind == decide.Arrive, e.Kind == decide.Outcome && !e.Ended && d.sent[e.Request] > 0:
 			if e.Kind == decide.Arrive && e.ClassDef.Writes() {
-				d.runs[e.Request] = true
+				d.writes[e.Request] = true
 			}
 			d.sent[e.Request]++
-			d.out++
+			d.attemptsOut++
 			out = append(out, decide.Action{Kind: decide.Send, Request: e.Request, Member: "m"})
 		case e.Kind == decide.ClientGone:
-			d.gone++
-			if n := d.sent[e.Request]; n > 0 && !d.runs[e.Request] {
+			d.clientsGone++
+			if n := d.sent[e.Request]; n > 0 && !d.writes[e.Request] {
 				out = append(out, decide.Action{Kind: decide.Cancel, Request: e.Request, Attempt: n - 1})
 			}
 			d.sent[e.Request] = 0
 		}
 		if e.Kind == decide.Outcome {
-			d.out--
+			d.attemptsOut--
 			if e.Ended {
 				d.sent[e.Request] = 0
 			}
@@ -60,18 +60,19 @@
 	return out
 }
 
-// through is a whole gateway of front, core and pool on real sockets, with one member, whose side the test plays.
-type through struct {
-	t     *testing.T
-	mod   *eager
-	front *pgfront.Server
-	bufs  *pgwire.Pool
-	addr  string
-	came  chan net.Conn // the member's ends of connections
+// gatewayFixture is a whole gateway of front, core and pool on real sockets, with one member, whose side the test
+// plays.
+type gatewayFixture struct {
+	t        *testing.T
+	module   *alwaysRetry
+	front    *pgfront.Server
+	bufs     *pgwire.Pool
+	addr     string
+	accepted chan net.Conn // the member's ends of connections
 }
 
-func newThrough(t *testing.T) *through {
-	g := &through{t: t, mod: &eager{sent: map[uint64]int{}, runs: map[uint64]bool{}}, bufs: pgwire.NewPool(80, 80), came: make(chan net.Conn, 100)}
+func newGatewayFixture(t *testing.T) *gatewayFixture {
+	g := &gatewayFixture{t: t, module: &alwaysRetry{sent: map[uint64]int{}, writes: map[uint64]bool{}}, bufs: pgwire.NewPool(80, 80), accepted: make(chan net.Conn, 100)}
 	member, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,11 +84,11 @@
 				return
 			}
 			t.Cleanup(func() { _ = c.Close() })
-			g.came <- c
+			g.accepted <- c
 		}
 	}()
 	log := slog.New(slog.DiscardHandler)
-	owner := core.New(core.NewClock(), g.mod, log)
+	owner := core.New(core.NewClock(), g.module, log)
 	pool := New(owner, Config{User: "app", Database: "shop", MaxConns: 100, MemberIdleTimeout: time.Hour, ConnectTimeout: 20 * time.Second,
 		DrainGrace: time.Second}, g.bufs, Dial, log)
 	owner.Connect(pool, nil)
@@ -120,7 +121,7 @@
 }
 
 // client connects a client that sends one request, and returns its connection with the cancel key.
-func (g *through) client(id int, write bool) (*net.TCPConn, *bufio.Reader, []byte) {
+func (g *gatewayFixture) client(id int, write bool) (*net.TCPConn, *bufio.Reader, []byte) {
 	g.t.Helper()
 	nc, err := net.Dial("tcp4", g.addr)
 	if err != nil {
@@ -136,15 +137,15 @@
 	var key []byte
 	for typ := byte(0); typ != 'Z'; {
 		var body []byte
-		if typ, body = message(g.t, r); typ == 'K' {
+		if typ, body = readMessage(g.t, r); typ == 'K' {
 			key = body
 		}
 	}
 	return nc.(*net.TCPConn), r, key
 }
 
-// message reads one message and returns its type and body.
-func message(t *testing.T, r io.Reader) (byte, []byte) {
+// readMessage reads one message and returns its type and body.
+func readMessage(t *testing.T, r io.Reader) (byte, []byte) {
 	t.Helper()
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(r, head); err != nil {
@@ -158,7 +159,7 @@
 }
 
 // cancel sends a CancelRequest with key.
-func (g *through) cancel(key []byte) {
+func (g *gatewayFixture) cancel(key []byte) {
 	nc, err := net.Dial("tcp4", g.addr)
 	if err != nil {
 		g.t.Fatal(err)
@@ -169,22 +170,22 @@
 	_, _ = io.Copy(io.Discard, nc)
 }
 
-func (g *through) greet(c net.Conn) { (&wires{}).greet(c) }
+func (g *gatewayFixture) answerStartup(c net.Conn) { (&socketFixture{}).answerStartup(c) }
 
-// ends waits until all clients are closed, every attempt has its outcome and every buffer is released.
-func (g *through) ends() {
+// waitEnded waits until all clients are closed, every attempt has its outcome and every buffer is released.
+func (g *gatewayFixture) waitEnded() {
 	g.t.Helper()
-	until(g.t, func() bool {
-		g.mod.mu.Lock()
-		defer g.mod.mu.Unlock()
-		return g.mod.out == 0 && g.front.OpenConnections() == 0 && g.bufs.FreeLarge()+g.bufs.FreeSmall() == 160
+	waitFor(g.t, func() bool {
+		g.module.mu.Lock()
+		defer g.module.mu.Unlock()
+		return g.module.attemptsOut == 0 && g.front.OpenConnections() == 0 && g.bufs.FreeLarge()+g.bufs.FreeSmall() == 160
 	})
 }
 
-// TestBurstLeaves: many clients leave, by half-close, reset or cancel, while their requests wait for member connections that
-// are slow to be established. Once these are up, none of the requests is written on them.
-func TestBurstLeaves(t *testing.T) {
-	g := newThrough(t)
+// TestBurstOfClientsLeaves: many clients leave, by half-close, reset or cancel, while their requests wait for member
+// connections that are slow to be established. Once these are up, none of the requests is written on them.
+func TestBurstOfClientsLeaves(t *testing.T) {
+	g := newGatewayFixture(t)
 	const n = 30
 	var clients []*net.TCPConn
 	var keys [][]byte
@@ -194,7 +195,7 @@
 	}
 	var members []net.Conn
 	for range n {
-		members = append(members, <-g.came)
+		members = append(members, <-g.accepted)
 	}
 	for i, c := range clients {
 		switch i % 3 {
@@ -207,18 +208,18 @@
 			g.cancel(keys[i])
 		}
 	}
-	until(t, func() bool { // the module knows of each
-		g.mod.mu.Lock()
-		defer g.mod.mu.Unlock()
-		return g.mod.gone == n
+	waitFor(t, func() bool { // the module knows of each
+		g.module.mu.Lock()
+		defer g.module.mu.Unlock()
+		return g.module.clientsGone == n
 	})
 	for _, c := range members {
-		g.greet(c)
+		g.answerStartup(c)
 	}
 	for _, c := range clients {
 		_ = c.Close()
 	}
-	g.ends()
+	g.waitEnded()
 	g.client(1000, false) // only this request may be written now
 	got := make(chan string, n)
 	for _, m := range members {
@@ -237,14 +238,14 @@
 	}
 }
 
-// TestCancelWhilePassing: after a cancel the rest of a large answer is not passed on, the client's connection ends, which
-// shows that the answer is incomplete, and the member's connection is closed.
-func TestCancelWhilePassing(t *testing.T) {
-	g := newThrough(t)
+// TestCancelDuringStream: after a cancel the rest of a large answer is not passed on, the client's connection ends,
+// which shows that the answer is incomplete, and the member's connection is closed.
+func TestCancelDuringStream(t *testing.T) {
+	g := newGatewayFixture(t)
 	_, r, key := g.client(1, false)
-	m := <-g.came
-	g.greet(m)
-	statement(t, m)
+	m := <-g.accepted
+	g.answerStartup(m)
+	readStatement(t, m)
 	value := strings.Repeat("v", pgwire.MaxBufferedValue+1000)
 	row := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
 	answer := pgwire.Append(pgwire.Append(nil, 'T', description), 'D', row)
@@ -254,48 +255,48 @@
 		t.Fatalf("%v, or another answer", err)
 	}
 	g.cancel(key)
-	until(t, func() bool {
-		g.mod.mu.Lock()
-		defer g.mod.mu.Unlock()
-		return g.mod.gone == 1
+	waitFor(t, func() bool {
+		g.module.mu.Lock()
+		defer g.module.mu.Unlock()
+		return g.module.clientsGone == 1
 	})
 	_, _ = m.Write(answer[len(answer)-10:])
 	if rest, _ := io.ReadAll(r); len(rest) != 0 {
 		t.Errorf("%d bytes more, %.40q", len(rest), rest)
 	}
 	_, _ = io.Copy(io.Discard, m) // until the gateway closes it
-	g.ends()
+	g.waitEnded()
 }
 
-// TestCancelGoesOn: a request that its client cancels while a member works on it is abandoned there, the client gets one
-// error for it, and its next request is served.
-func TestCancelGoesOn(t *testing.T) {
-	g := newThrough(t)
+// TestRequestAfterCancel: a request that its client cancels while a member works on it is abandoned there, the client
+// gets one error for it, and its next request is served.
+func TestRequestAfterCancel(t *testing.T) {
+	g := newGatewayFixture(t)
 	c, r, key := g.client(1, false)
-	m := <-g.came
-	g.greet(m)
-	statement(t, m)
+	m := <-g.accepted
+	g.answerStartup(m)
+	readStatement(t, m)
 	g.cancel(key)
-	if typ, body := message(t, r); typ != 'E' || pgwire.ErrorField(body, 'C') != "57014" {
+	if typ, body := readMessage(t, r); typ != 'E' || pgwire.ErrorField(body, 'C') != "57014" {
 		t.Errorf("%c %q", typ, body)
 	}
-	if typ, _ := message(t, r); typ != 'Z' {
+	if typ, _ := readMessage(t, r); typ != 'Z' {
 		t.Errorf("%c after the answer", typ)
 	}
 	_, _ = io.Copy(io.Discard, m) // until the gateway closes it
 	_, _ = c.Write(pgwire.Append(nil, 'Q', "/* id=2,c=r,d=60000,cluster=0 */ SELECT doc FROM items WHERE id = 'k'\x00"))
-	m = <-g.came
-	g.greet(m)
-	statement(t, m)
-	_, _ = m.Write(pgwire.AppendReadyForQuery(bytes.Clone(served)))
+	m = <-g.accepted
+	g.answerStartup(m)
+	readStatement(t, m)
+	_, _ = m.Write(pgwire.AppendReadyForQuery(bytes.Clone(servedAnswer)))
 	order := ""
 	for range 4 {
-		typ, _ := message(t, r)
+		typ, _ := readMessage(t, r)
 		order += string(typ)
 	}
 	if order != "TDCZ" {
 		t.Errorf("answered %s", order)
 	}
 	_ = c.Close()
-	g.ends()
+	g.waitEnded()
 }
--- a/internal/settings/foreign_test.go
+++ b/internal/settings/foreign_test.go
@@ -13,9 +13,9 @@
 
 const ms = time.Millisecond
 
-// foreign holds settings of deployments unlike the one that the gateway was built for, each with the configuration that
-// the decision module must get. No figure in them equals a default or a constant of the program.
-var foreign = map[string]decide.Config{
+// otherDeployments holds settings of deployments unlike the one that the gateway was built for, each with the
+// configuration that the decision module must get. No figure in them equals a default or a constant of the program.
+var otherDeployments = map[string]decide.Config{
 	"foothill": {Self: 4, Fronts: 5, Zone: "valley-mid", Resolution: 5 * ms, OverShareFactor: 0.25, MaxAttempts: 3, MaxRetryAfter: 150 * ms,
 		MayCancel: true, ListOnRequest: true, RemembersSessions: true, AnswersHavePosition: true,
 		SlowStartFraction: 0.3, SlowStartTime: 11 * time.Second, OverloadMultiple: 2.1, OverloadTime: 700 * ms,
@@ -46,8 +46,8 @@
 			{Name: "cargo", Share: 0.2, Rate: 60}, {Name: "pilots", Share: 0.15, Rate: 45}, {Name: "yachts", Share: 0.1, Rate: 30}}},
 }
 
-// unread lists the keys that are ignored: the gateway's behaviour is right whatever their values.
-var unread = map[string]bool{
+// ignoredKeys lists the keys that are ignored: the gateway's behaviour is right whatever their values.
+var ignoredKeys = map[string]bool{
 	".Allowed.CpuUsPerRequest": true, ".Allowed.CpuUsPerS": true, // the platform measures CPU time; there is no cheaper way of working
 	".Allowed.MaxOpen":          true, // descriptors: the limits next to the settings apply
 	".Allowed.StreamsPerConn":   true, // 1 in PostgreSQL's protocol
@@ -71,19 +71,19 @@
 	".Grades[5].Stream":         true,
 }
 
-// unpassed lists the keys of [Facts] that are used, but not by the decision module.
-var unpassed = map[string]bool{
+// notForModule lists the keys of [Settings] that are used, but not by the decision module.
+var notForModule = map[string]bool{
 	".Allowed.ConnectTimeoutUs": true, ".Allowed.IdleCloseUs": true, ".Rules.StopSendingWithinUs": true, // for member connections
 	".Allowed.Peers": true, ".FailureDomains[0]": true, ".FailureDomains[1]": true, ".FailureDomains[2]": true,
 	".FamilyInfo.CountedFromUs": true, ".Feedback.How": true, ".Feedback.Names[0]": true, ".Feedback.Names[1]": true, ".Feedback.Names[2]": true,
 }
 
-// leaves calls visit for each plain value under v with its path and a way to set it.
-func leaves(v any, path string, visit func(path string, old any, set func(any))) {
+// visitLeaves calls visit for each plain value under v with its path and a way to set it.
+func visitLeaves(v any, path string, visit func(path string, old any, set func(any))) {
 	each := func(path string, one any, set func(any)) {
 		switch one.(type) {
 		case map[string]any, []any:
-			leaves(one, path, visit)
+			visitLeaves(one, path, visit)
 		default:
 			visit(path, one, set)
 		}
@@ -100,8 +100,8 @@
 	}
 }
 
-// others returns other values of the type of old; of texts, also names that the settings know.
-func others(path string, old any) []any {
+// otherValues returns other values of the type of old; of texts, also names that the settings know.
+func otherValues(path string, old any) []any {
 	switch old := old.(type) {
 	case bool:
 		return []any{!old}
@@ -114,10 +114,10 @@
 	panic(path)
 }
 
-// TestForeign: settings of other deployments reach the module whole, and each of their keys counts: another value gives
-// another configuration, unless the key is listed as ignored.
-func TestForeign(t *testing.T) {
-	for name, want := range foreign {
+// TestOtherDeployments: settings of other deployments reach the module whole, and each of their keys counts: another
+// value gives another configuration, unless the key is listed as ignored.
+func TestOtherDeployments(t *testing.T) {
+	for name, want := range otherDeployments {
 		text, err := os.ReadFile("testdata/" + name + ".json")
 		if err != nil {
 			t.Fatal(err)
@@ -145,9 +145,9 @@
 		if err := got.Validate(); err != nil || !reflect.DeepEqual(*got, want) {
 			t.Errorf("%s: %v\n got %+v\nwant %+v", name, err, *got, want)
 		}
-		leaves(tree, "", func(path string, old any, set func(any)) {
+		visitLeaves(tree, "", func(path string, old any, set func(any)) {
 			isRead, passed := false, false
-			for _, v := range others(path, old) {
+			for _, v := range otherValues(path, old) {
 				set(v)
 				if f, c, err := read(tree); err == nil {
 					isRead = isRead || !reflect.DeepEqual(f, facts)
@@ -155,11 +155,11 @@
 				}
 			}
 			set(old)
-			if isRead == unread[path] {
-				t.Errorf("%s: another value of %s is read: %v, want %v", name, path, isRead, !unread[path])
+			if isRead == ignoredKeys[path] {
+				t.Errorf("%s: another value of %s is read: %v, want %v", name, path, isRead, !ignoredKeys[path])
 			}
 			// Without RetryAfter clients get no retry time, whatever its maximum is.
-			want := !unread[path] && !unpassed[path] && (path != ".Allowed.MaxRetryAfterUs" || facts.Allowed.RetryAfter)
+			want := !ignoredKeys[path] && !notForModule[path] && (path != ".Allowed.MaxRetryAfterUs" || facts.Allowed.RetryAfter)
 			if passed != want {
 				t.Errorf("%s: another value of %s is passed to the module: %v, want %v", name, path, passed, want)
 			}
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestNothingFilledIn: a missing key reads as the zero value and is never filled in with a figure of another deployment; if
-// the gateway needs the key, the file is refused.
-func TestNothingFilledIn(t *testing.T) {
+// TestMissingKeyIsZero: a missing key reads as the zero value and is never filled in with a figure of another
+// deployment; if the gateway needs the key, the file is refused.
+func TestMissingKeyIsZero(t *testing.T) {
 	flat := func(c *decide.Config) map[string]any {
 		text, err := json.Marshal(c)
 		var tree any
@@ -180,15 +180,15 @@
 			t.Fatal(err)
 		}
 		all := map[string]any{}
-		leaves(tree, "", func(path string, v any, _ func(any)) { all[path] = v })
+		visitLeaves(tree, "", func(path string, v any, _ func(any)) { all[path] = v })
 		return all
 	}
-	for name, want := range foreign {
+	for name, want := range otherDeployments {
 		text, err := os.ReadFile("testdata/" + name + ".json")
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole := flat(&want)
+		complete := flat(&want)
 		for _, in := range []string{"", "Allowed", "Rules", "FamilyInfo", "ClientHabits", "Feedback"} {
 			var tree map[string]any
 			if err := json.Unmarshal(text, &tree); err != nil {
@@ -215,7 +215,7 @@
 					continue
 				}
 				for path, v := range flat(c) {
-					if v != whole[path] && !reflect.ValueOf(v).IsZero() && path != ".Fronts" { // which follows from Me
+					if v != complete[path] && !reflect.ValueOf(v).IsZero() && path != ".Fronts" { // which follows from Me
 						t.Errorf("%s without %s.%s: %s is %v, want the zero value, or an error", name, in, key, path, v)
 					}
 				}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -88,7 +88,8 @@
 func (f *Settings) Config() (*decide.Config, error) {
 	a, fi := &f.Allowed, &f.FamilyInfo
 	c := &decide.Config{
-		// If the number of gateways is missing, or does not fit this gateway's own index Me, the least number that fits.
+		// If the number of gateways is missing, or does not fit this gateway's own index Me, the least number that
+		// fits.
 		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: micros(f.ResolutionUs), OverShareFactor: f.OverShareWorth,
 		MaxAttempts: a.TryLimit, MayCancel: a.MayCancel, MayDuplicate: a.MayDuplicate,
 		MayProbe: a.Probes, ClientsMarkRetries: f.ClientHabits.MarksRetry,
@@ -126,17 +127,17 @@
 }
 
 // SetReportFigure sets the field of r that belongs to a named load figure; it ignores
-// unknown names. Positions are in seconds after zero.
-func SetReportFigure(r *decide.Report, zero time.Duration, key string, v float64) {
-	switch key {
+// unknown names. A position is a number of seconds after origin.
+func SetReportFigure(r *decide.Report, origin time.Duration, name string, value float64) {
+	switch name {
 	case "x0":
-		r.HasPosition, r.Position = true, zero+time.Duration(math.Floor(v*1e6))*time.Microsecond
+		r.HasPosition, r.Position = true, origin+time.Duration(math.Floor(value*1e6))*time.Microsecond
 	case "x1":
 		r.HasRole, r.Role = true, decide.Replica
-		if v == 1 {
+		if value == 1 {
 			r.Role = decide.Primary
 		}
 	case "cpu_share":
-		r.HasUtil, r.Util = true, v
+		r.HasUtil, r.Util = true, value
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// TestFleetSize: settings without a number of gateways, or with an impossible one, are accepted with the least number that
-// fits, which call rates and budgets then use.
+// TestFleetSize: settings without a number of gateways, or with an impossible one, are accepted with the least number
+// that fits, which call rates and budgets then use.
 func TestFleetSize(t *testing.T) {
 	for _, c := range []struct{ instances, me, want int }{{80, 3, 80}, {1, 0, 1}, {0, 0, 1}, {-5, 0, 1}, {0, 7, 8}, {3, 3, 4}, {3, -1, 3}} {
 		f := &Settings{Instances: c.instances, Me: c.me}
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -18,7 +18,7 @@
 // Kinds of faults. Up to NotJSON they are faults of the file itself, not of a key.
 const (
 	Empty     FaultKind = iota // the file is empty
-	TooLong                    // the file is longer than FileMost
+	TooLong                    // the file is longer than MaxFileBytes
 	NotJSON                    // the file is cut off, partly overwritten, or has more after the object
 	Missing                    // a key is missing that the file had at the start, or that the gateway needs
 	Duplicate                  // a key or a name appears more than once
@@ -34,15 +34,15 @@
 
 // Error implements error.
 func (f *Fault) Error() string {
-	do := "correct that key"
+	action := "correct that key"
 	if f.Kind <= NotJSON {
-		do = "write the whole file again, preferably under another name that is then renamed to this one"
+		action = "write the whole file again, preferably under another name that is then renamed to this one"
 	}
 	key := f.Key
 	if key == "" {
 		key = "the file"
 	}
-	return fmt.Sprintf("%s: found %s, want %s; the file was not applied: %s, and send SIGHUP again", key, f.Found, f.Want, do)
+	return fmt.Sprintf("%s: found %s, want %s; the file was not applied: %s, and send SIGHUP again", key, f.Found, f.Want, action)
 }
 
 // MaxFileBytes is the maximum length of a configuration file, in bytes.
@@ -54,8 +54,8 @@
 	maxCount = 1 << 20
 )
 
-// Schema is a schema of a configuration file: the keys of its objects, with the types of their values. It is derived from
-// a valid file, and later files are checked against it, see Check.
+// Schema is a schema of a configuration file: the keys of its objects, with the types of their values. It is derived
+// from a valid file, and later files are checked against it, see Check.
 type Schema struct {
 	kind byte               // '{', '[', 's', 'n', 'b', or 0: any
 	keys map[string]*Schema // of an object
@@ -81,8 +81,8 @@
 	return '0'
 }
 
-// SchemaOf derives the schema of a valid text. Of the key known, which lists members, it keeps only the type, as members
-// come and go.
+// SchemaOf derives the schema of a valid text. Of the key known, which lists members, it keeps only the type, as
+// members come and go.
 func SchemaOf(text []byte) (*Schema, error) {
 	var v any
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -140,8 +140,9 @@
 	return s
 }
 
-// Check returns the first fault of a text that is to replace the one that s was derived from, as a *[Fault]. The new text
-// must have all keys of the old one, with values of the same types, and the keys that the gateway needs; it may have more.
+// Check returns the first fault of a text that is to replace the one that s was derived from, as a *[Fault]. The new
+// text must have all keys of the old one, with values of the same types, and the keys that the gateway needs; it may
+// have more.
 func (s *Schema) Check(text []byte) error {
 	v, err := decodeTree(text)
 	if err != nil {
@@ -290,8 +291,8 @@
 func (w *checker) text(in any, key string) string {
 	return typed[string](w, in, key, 's')
 }
-func (w *checker) number(in any, key string, least, most int64) {
-	w.inRange(w.get(in, key), key, least, most)
+func (w *checker) number(in any, key string, lowest, highest int64) {
+	w.inRange(w.get(in, key), key, lowest, highest)
 }
 
 // durations checks the durations of an object: its keys that end in Us, for microseconds.
@@ -304,10 +305,10 @@
 }
 
 // inRange checks that v is a whole number within bounds.
-func (w *checker) inRange(v any, key string, least, most int64) {
+func (w *checker) inRange(v any, key string, lowest, highest int64) {
 	n, _ := v.(json.Number)
-	if i, err := strconv.ParseInt(string(n), 10, 64); err != nil || i < least || i > most {
-		w.fault(&Fault{BadValue, key, display(v), fmt.Sprintf("a whole number from %d to %d", least, most)})
+	if i, err := strconv.ParseInt(string(n), 10, 64); err != nil || i < lowest || i > highest {
+		w.fault(&Fault{BadValue, key, display(v), fmt.Sprintf("a whole number from %d to %d", lowest, highest)})
 	}
 }
 
@@ -357,8 +358,8 @@
 	return names
 }
 
-// decodeTree decodes a text into maps, slices and plain values. Unlike encoding/json it refuses duplicate keys, also those that
-// differ only in case: the last would win and the others would silently be ignored.
+// decodeTree decodes a text into maps, slices and plain values. Unlike encoding/json it refuses duplicate keys, also
+// those that differ only in case: the last would win and the others would silently be ignored.
 func decodeTree(text []byte) (any, error) {
 	if len(text) > MaxFileBytes {
 		return nil, &Fault{TooLong, "", fmt.Sprintf("more than %d bytes", MaxFileBytes), fmt.Sprintf("at most %d", MaxFileBytes)}
@@ -431,7 +432,7 @@
 	return token, nil
 }
 
-// Read reads a configuration file whole. For one of more than FileMost bytes it returns a *[Fault].
+// Read reads a configuration file whole. For one of more than MaxFileBytes bytes it returns a *[Fault].
 func Read(r io.Reader) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(r, MaxFileBytes+1))
 	if err == nil && len(text) > MaxFileBytes {
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const whole = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"cores":1,"sockets":64},"known":{"instances":[{"instanceId":"a"}]},
+const validFile = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"cores":1,"sockets":64},"known":{"instances":[{"instanceId":"a"}]},
 "settings":{"Allowed":{"ConnectTimeoutUs":250000,"MayCancel":true,"TryLimit":6},"Discovery":"ask","Instances":3,"Me":1,
 "FamilyInfo":{"ClassBoundUs":[3000000,0],"Consistency":["bounded","write"],"ServerChecks":"off"},
 "Grades":[{"AimUs":750000,"AimStretch":2,"DeadlineUs":2500000,"Effect":"repeatable","KeyScope":"all","Name":"tiles","Value":2.0},
@@ -18,22 +18,22 @@
 
 // TestCheck: changes that an operator may make pass, and each invalid file is refused with the key at fault.
 func TestCheck(t *testing.T) {
-	s, err := SchemaOf([]byte(whole))
+	s, err := SchemaOf([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	swap := func(pairs ...string) string {
-		text := strings.NewReplacer(pairs...).Replace(whole)
-		if text == whole {
+		text := strings.NewReplacer(pairs...).Replace(validFile)
+		if text == validFile {
 			t.Fatalf("%q changes nothing", pairs)
 		}
 		return text
 	}
-	third := `{"AimUs":1,"DeadlineUs":2,"Effect":"once","KeyScope":"all","Name":"new","Value":1}`
+	newClass := `{"AimUs":1,"DeadlineUs":2,"Effect":"once","KeyScope":"all","Name":"new","Value":1}`
 	for name, text := range map[string]string{
-		"same": whole, "fewer attempts": swap(`"TryLimit":6`, `"TryLimit":1`), "more keys": swap(`"Me":1`, `"Me":1,"More":{"x":[1]}`),
+		"same": validFile, "fewer attempts": swap(`"TryLimit":6`, `"TryLimit":1`), "more keys": swap(`"Me":1`, `"Me":1,"More":{"x":[1]}`),
 		"a key that only some had": swap(`"AimStretch":2,`, ``), "stricter": swap(`"repeatable"`, `"once"`), "other members known": swap(`[{"instanceId":"a"}]`, `[]`),
-		"a class came": swap(`"Value":4.0}`, `"Value":4.0},`+third, `[3000000,0]`, `[3000000,0,0]`, `"write"]`, `"write","any"]`),
+		"a class came": swap(`"Value":4.0}`, `"Value":4.0},`+newClass, `[3000000,0]`, `[3000000,0,0]`, `"write"]`, `"write","any"]`),
 	} {
 		if err := s.Check([]byte(text)); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -43,8 +43,8 @@
 		kind      FaultKind
 		key, text string
 	}{
-		{Empty, "", ""}, {Empty, "", " \n"}, {NotJSON, "", whole[:len(whole)-1]}, {NotJSON, "", whole + "}"}, {NotJSON, "", whole + whole}, {NotJSON, "", whole[:500] + whole[600:]},
-		{NotJSON, "", whole[:300] + whole}, {TooLong, "", whole + strings.Repeat(" ", 10<<20)}, {BadValue, "", "[]"}, {BadValue, "", "null"}, {Missing, "discovery", "{}"},
+		{Empty, "", ""}, {Empty, "", " \n"}, {NotJSON, "", validFile[:len(validFile)-1]}, {NotJSON, "", validFile + "}"}, {NotJSON, "", validFile + validFile}, {NotJSON, "", validFile[:500] + validFile[600:]},
+		{NotJSON, "", validFile[:300] + validFile}, {TooLong, "", validFile + strings.Repeat(" ", 10<<20)}, {BadValue, "", "[]"}, {BadValue, "", "null"}, {Missing, "discovery", "{}"},
 		{NotJSON, "", strings.Repeat("[", 1<<20)}, {Missing, "settings", `{"name":"n1","listen":"","discovery":"","limits":{"cores":1,"sockets":64},"known":{}}`},
 		{Missing, "settings.Allowed.TryLimit", swap(`,"TryLimit":6`, ``)}, {Missing, "settings.Grades[1].Effect", swap(`"Effect":"by_key",`, ``)},
 		{Missing, "settings.Rules", swap(`"Rules":{"ColdShare":0.24,"ColdUs":18000000},`, ``)}, {Missing, "settings.Tenants[0].QuotaRps", swap(`,"QuotaRps":10`, ``)},
@@ -68,31 +68,32 @@
 	}
 }
 
-// TestMutations: whatever is cut off, left out or replaced in a valid file, nothing panics, and a file that passes is usable.
+// TestMutations: whatever is cut off, left out or replaced in a valid file, nothing panics, and a file that passes is
+// usable.
 func TestMutations(t *testing.T) {
-	s, _ := SchemaOf([]byte(whole))
+	s, _ := SchemaOf([]byte(validFile))
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		var file any
-		if err := json.Unmarshal([]byte(strings.Replace(whole, `{"instances":[{"instanceId":"a"}]}`, "{}", 1)), &file); err != nil {
+		if err := json.Unmarshal([]byte(strings.Replace(validFile, `{"instances":[{"instanceId":"a"}]}`, "{}", 1)), &file); err != nil {
 			t.Fatal(err)
 		}
-		var number func(v any, n int) any // changes about one value in n
-		gone := 0
-		number = func(v any, n int) any {
+		var mutate func(v any, n int) any // changes about one value in n
+		deleted := 0
+		mutate = func(v any, n int) any {
 			switch v := v.(type) {
 			case map[string]any:
 				for _, key := range sortedKeys(v) {
 					if r.IntN(n) == 0 {
-						gone++
+						deleted++
 						delete(v, key)
 					} else {
-						v[key] = number(v[key], n)
+						v[key] = mutate(v[key], n)
 					}
 				}
 			case []any:
 				for i := range v {
-					v[i] = number(v[i], n)
+					v[i] = mutate(v[i], n)
 				}
 			case float64:
 				if r.IntN(n) == 0 {
@@ -101,7 +102,7 @@
 			}
 			return v
 		}
-		text, err := json.Marshal(number(file, 30))
+		text, err := json.Marshal(mutate(file, 30))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,7 +114,7 @@
 			continue
 		}
 		// Only AimStretch may be left out, as not every class has it.
-		if cut || gone > 1 || gone == 1 && strings.Contains(string(text), "AimStretch") {
+		if cut || deleted > 1 || deleted == 1 && strings.Contains(string(text), "AimStretch") {
 			t.Fatalf("seed %d: passed: %s", seed, text)
 		}
 		var whole struct{ Settings json.RawMessage }
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -64,8 +64,8 @@
 	return &Set{listed: map[string]core.ListedMember{}, delisted: map[string]core.ListedMember{}, entries: map[string]Entry{}}
 }
 
-// ApplyList records a list from discovery, or a change of it, and returns what to pass on instead: the same members, but each
-// suspended one as draining. It does not modify members.
+// ApplyList records a list from discovery, or a change of it, and returns what to pass on instead: the same members,
+// but each suspended one as draining. It does not modify members.
 func (s *Set) ApplyList(kind decide.EventKind, members []core.ListedMember) []core.ListedMember {
 	if !kind.HasList() {
 		return members
@@ -96,21 +96,21 @@
 	if len(s.entries) == 0 {
 		return members
 	}
-	out := make([]core.ListedMember, 0, len(members)+s.suspendedCount)
+	passed := make([]core.ListedMember, 0, len(members)+s.suspendedCount)
 	named := make(map[string]bool, len(members))
 	for i := range members {
 		named[members[i].ID] = true
-		out = append(out, s.rewrite(members[i]))
+		passed = append(passed, s.rewrite(members[i]))
 	}
 	if kind == decide.ListChange {
-		return out
+		return passed
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) { // the receiver may go on using members that a list omits
 		if m, ok := s.delisted[id]; ok && s.entries[id].Suspended && !named[id] {
-			out = append(out, s.rewrite(m))
+			passed = append(passed, s.rewrite(m))
 		}
 	}
-	return out
+	return passed
 }
 
 // isListed reports whether discovery lists id.
@@ -139,9 +139,9 @@
 	}
 }
 
-// rewrite returns an entry of the list as it is passed on. A member that was suspended was most likely restarted meanwhile:
-// until discovery reports when, it counts as started when it was resumed, so that it gets the load of a member in slow
-// start only.
+// rewrite returns an entry of the list as it is passed on. A member that was suspended was most likely restarted
+// meanwhile: until discovery reports when, it counts as started when it was resumed, so that it gets the load of a
+// member in slow start only.
 func (s *Set) rewrite(m core.ListedMember) core.ListedMember {
 	e, ok := s.entries[m.ID]
 	switch {
@@ -160,7 +160,8 @@
 }
 
 // Suspend suspends a member from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
-// list. A second call for the same member changes nothing and is no error. The error is an [UnknownMachine] or [Full].
+// list. A second call for the same member changes nothing and is no error. The error is an [UnknownMemberError] or
+// [TooManySuspendedError].
 func (s *Set) Suspend(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.entries[id]
 	switch {
@@ -175,9 +176,9 @@
 	return s.record(Entry{ID: id, Suspended: true, ChangedAt: now, SuspendedAt: now}), nil
 }
 
-// Resume ends the suspension of a member, however often it was suspended, at now in nanoseconds of Unix time, and returns
-// what to pass on as a change of the list. For a member that is known and not suspended it changes nothing and is no
-// error. The error is an [UnknownMachine].
+// Resume ends the suspension of a member, however often it was suspended, at now in nanoseconds of Unix time, and
+// returns what to pass on as a change of the list. For a member that is known and not suspended it changes nothing and
+// is no error. The error is an [UnknownMemberError].
 func (s *Set) Resume(id string, now core.Time) ([]core.ListedMember, error) {
 	e := s.entries[id]
 	switch {
@@ -202,11 +203,11 @@
 	if !ok {
 		m, ok = s.delisted[e.ID]
 	}
-	before, was := s.rewrite(m), s.entries[e.ID].Suspended
+	before, wasSuspended := s.rewrite(m), s.entries[e.ID].Suspended
 	s.entries[e.ID] = e
-	if e.Suspended != was {
+	if e.Suspended != wasSuspended {
 		s.suspendedCount++
-		if was {
+		if wasSuspended {
 			s.suspendedCount -= 2
 		}
 	}
@@ -230,15 +231,15 @@
 	return slices.SortedFunc(maps.Values(s.entries), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Import merges the entries of another process of this gateway: of each member the later entry applies, in whatever order
-// and however often they arrive. It returns what to pass on as a change of the list. Entries of members that are not known
-// here are recorded as well; entries without an id, and suspends beyond the bound, are dropped and counted.
-func (s *Set) Import(all []Entry) (change []core.ListedMember, dropped int) {
-	for _, e := range all {
-		switch was, ok := s.entries[e.ID]; {
-		case e.ID == "" || e.Suspended && !was.Suspended && s.suspendedCount >= MaxSuspended:
+// Import merges the entries of another process of this gateway: of each member the later entry applies, in whatever
+// order and however often they arrive. It returns what to pass on as a change of the list. Entries of members that are
+// not known here are recorded as well; entries without an id, and suspends beyond the bound, are dropped and counted.
+func (s *Set) Import(entries []Entry) (change []core.ListedMember, dropped int) {
+	for _, e := range entries {
+		switch held, ok := s.entries[e.ID]; {
+		case e.ID == "" || e.Suspended && !held.Suspended && s.suspendedCount >= MaxSuspended:
 			dropped++
-		case !ok || e.ChangedAt > was.ChangedAt:
+		case !ok || e.ChangedAt > held.ChangedAt:
 			change = append(change, s.record(e)...)
 		}
 	}
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -12,10 +12,10 @@
 	"reachwind/internal/core"
 )
 
-// view is a copy of the list that follows from what was passed on.
-type view map[string]core.ListedMember
+// memberList is a copy of the list that follows from what was passed on.
+type memberList map[string]core.ListedMember
 
-func (v view) take(kind decide.EventKind, members []core.ListedMember) {
+func (v memberList) apply(kind decide.EventKind, members []core.ListedMember) {
 	if kind == decide.ListError {
 		return
 	}
@@ -32,16 +32,17 @@
 
 // process is one of two processes that exchange their entries, with the list that its core has and that of discovery.
 type process struct {
-	set        *Set
-	core, told view
+	set              *Set
+	core, discovered memberList
 }
 
-// TestModel plays random lists and operator calls at two processes that exchange their entries now and then. In the core's
-// list each suspended member is draining from the call on, and each other member is exactly as discovery has it.
-func TestModel(t *testing.T) {
+// TestRandomListsAndCalls plays random lists and operator calls at two processes that exchange their entries now and
+// then. In the core's list each suspended member is draining from the call on, and each other member is exactly as
+// discovery has it.
+func TestRandomListsAndCalls(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 27))
-		ps := []*process{{New(), view{}, view{}}, {New(), view{}, view{}}}
+		ps := []*process{{New(), memberList{}, memberList{}}, {New(), memberList{}, memberList{}}}
 		ids := make([]string, 8)
 		for i := range ids {
 			ids[i] = fmt.Sprint("m", i)
@@ -50,11 +51,11 @@
 			return core.ListedMember{Addr: fmt.Sprint(rng.IntN(3)), Member: decide.Member{ID: ids[rng.IntN(len(ids))], Group: 1,
 				State: decide.MemberState(rng.IntN(3)), Started: now - core.Time(rng.IntN(40))}}
 		}
-		ever := []map[string]bool{{}, {}}
+		everListed := []map[string]bool{{}, {}}
 		check := func(now core.Time, i int) {
 			t.Helper()
 			p := ps[i]
-			for id, yes := range ever[i] {
+			for id, yes := range everListed[i] {
 				e, got := p.set.entries[id], p.core[id]
 				if !yes {
 					continue
@@ -65,9 +66,9 @@
 					}
 					continue
 				}
-				want := p.told[id]
-				if p.set.ListedCount() != len(p.told) {
-					t.Fatalf("seed %d at %d: %d listed, want %v", seed, now, p.set.ListedCount(), p.told)
+				want := p.discovered[id]
+				if p.set.ListedCount() != len(p.discovered) {
+					t.Fatalf("seed %d at %d: %d listed, want %v", seed, now, p.set.ListedCount(), p.discovered)
 				}
 				if want.ID == id && want.State == decide.Up && want.Started < e.SuspendedAt {
 					want.Started = e.ChangedAt
@@ -92,23 +93,23 @@
 						continue
 					}
 					members = append(members, m)
-					ever[i][m.ID] = ever[i][m.ID] || kind != decide.ListError && m.State != decide.Removed
+					everListed[i][m.ID] = everListed[i][m.ID] || kind != decide.ListError && m.State != decide.Removed
 				}
 				same := slices.Clone(members)
-				p.told.take(kind, members)
-				p.core.take(kind, p.set.ApplyList(kind, members))
+				p.discovered.apply(kind, members)
+				p.core.apply(kind, p.set.ApplyList(kind, members))
 				if !slices.Equal(same, members) {
 					t.Fatal("the caller's list was changed")
 				}
 			case 4, 5, 6:
 				change, err := p.set.Suspend(id, now)
-				p.core.take(decide.ListChange, change)
+				p.core.apply(decide.ListChange, change)
 				if e := p.set.entries[id]; (err == nil) != e.Suspended || was && (err != nil || len(change) > 0) || err == nil && !was && e.SuspendedAt != e.ChangedAt {
 					t.Fatalf("seed %d at %d: suspend %s: %v %v", seed, now, id, change, err)
 				}
 			case 7, 8:
 				change, err := p.set.Resume(id, now)
-				p.core.take(decide.ListChange, change)
+				p.core.apply(decide.ListChange, change)
 				if p.set.entries[id].Suspended || was && err != nil || !was && len(change) > 0 {
 					t.Fatalf("seed %d at %d: resume %s: %v %v", seed, now, id, change, err)
 				}
@@ -117,7 +118,7 @@
 				rng.Shuffle(len(from), func(a, b int) { from[a], from[b] = from[b], from[a] })
 				for range 1 + rng.IntN(2) {
 					change, dropped := p.set.Import(from)
-					p.core.take(decide.ListChange, change)
+					p.core.apply(decide.ListChange, change)
 					if dropped > 0 {
 						t.Fatal("dropped", dropped)
 					}
@@ -168,8 +169,8 @@
 		if full != 1500-MaxSuspended && round == 0 || len(s.Suspended()) != MaxSuspended {
 			t.Fatalf("round %d: %d too many, %d suspended", round, full, len(s.Suspended()))
 		}
-		out := view{}
-		out.take(decide.ListFull, s.ApplyList(decide.ListFull, nil)) // all members leave the list
+		out := memberList{}
+		out.apply(decide.ListFull, s.ApplyList(decide.ListFull, nil)) // all members leave the list
 		ids := slices.Sorted(maps.Keys(out))
 		if !slices.Equal(ids, s.Suspended()) {
 			t.Fatalf("round %d: %d are passed on of those suspended", round, len(ids))
