--- a/internal/activesettings/activesettings_test.go
+++ b/internal/activesettings/activesettings_test.go
@@ -55,7 +55,7 @@
 			k, ok := next.Class(name, now)
 			want, held := in[name]
 			if ok != (held || now < removedUntil[name]) || held && *k.Class != want || ok && !held && *k.Class != *was.classes[name].Class {
-				t.Fatalf("%s at %v: %+v, %v; in %v, left until %v", name, now, k, ok, held, removedUntil[name])
+				t.Fatalf("%s at %v: %+v, %v; in settings %v, served until %v", name, now, k, ok, held, removedUntil[name])
 			}
 			if _, late := next.Class(name, now+RemovedClassGrace); late != held {
 				t.Fatalf("%s is served too long after its removal", name)
@@ -99,12 +99,12 @@
 		conf *decide.Config
 		want time.Duration
 	}{
-		"longer":            {{0, of(short, "a"), short}, {1, of(long, "a"), long}},
-		"shorter":           {{0, of(long, "a"), long}, {1, of(short, "a"), long}, {long, of(short, "a"), long}, {long + short + 1, of(short, "a"), short}},
-		"shorter, twice":    {{0, of(long, "a"), long}, {1, of(short, "a"), long}, {2, of(short/2, "a"), long}, {long + 1, of(short/2, "a"), short / 2}},
-		"left":              {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {RemovedClassGrace, of(short, "b"), long}},
-		"left long ago":     {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {RemovedClassGrace + 1, of(short, "b"), long}, {RemovedClassGrace + long + 1, of(short, "b"), short}},
-		"the shortest left": {{0, of(long, "a", "b"), long}, {1, of(long, "a"), long}},
+		"longer":           {{0, of(short, "a"), short}, {1, of(long, "a"), long}},
+		"shorter":          {{0, of(long, "a"), long}, {1, of(short, "a"), long}, {long, of(short, "a"), long}, {long + short + 1, of(short, "a"), short}},
+		"shorter, twice":   {{0, of(long, "a"), long}, {1, of(short, "a"), long}, {2, of(short/2, "a"), long}, {long + 1, of(short/2, "a"), short / 2}},
+		"removed":          {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {RemovedClassGrace, of(short, "b"), long}},
+		"removed long ago": {{0, of(long, "a"), long}, {1, of(short, "b"), long}, {RemovedClassGrace + 1, of(short, "b"), long}, {RemovedClassGrace + long + 1, of(short, "b"), short}},
+		"shortest removed": {{0, of(long, "a", "b"), long}, {1, of(long, "a"), long}},
 	} {
 		b, err := NewHolder(steps[0].conf)
 		if err != nil {
@@ -119,7 +119,7 @@
 				b.Activate(next)
 			}
 			if got := b.Current().MaxDeadline; got != s.want {
-				t.Errorf("%s, step %d: the longest is %v, want %v", name, i, got, s.want)
+				t.Errorf("%s, step %d: longest deadline %v, want %v", name, i, got, s.want)
 			}
 		}
 	}
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -55,8 +55,8 @@
 func TestVersionsRestarted(t *testing.T) {
 	const change = `{"generation":2,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"gone"}]}`
 	for name, tc := range map[string]struct {
-		answers     []string // to the calls in order, "" is a reset; no answer after the last
-		calls, told string
+		answers        []string // to the calls in order, "" is a reset; no answer after the last
+		calls, reports string
 	}{
 		"at once":        {[]string{change, fullList}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000", "full"},
 		"nothing new":    {[]string{`{"generation":0}`, fullList}, "0.0?index=7&wait=0 0.1 0.1?index=3&wait=3000", "full"},
@@ -79,8 +79,8 @@
 				c.Watch()
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
-				if s.all() != tc.calls || got.all() != tc.told {
-					t.Errorf("calls %s, told %s; want %s, %s", s.all(), got.all(), tc.calls, tc.told)
+				if s.all() != tc.calls || got.all() != tc.reports {
+					t.Errorf("calls %s, reports %s; want %s, %s", s.all(), got.all(), tc.calls, tc.reports)
 				}
 			})
 		})
@@ -92,11 +92,11 @@
 // answers the signal of the change, so that a service that refuses it with a full queue is not called twice.
 func TestAddrChangeBetweenCalls(t *testing.T) {
 	for name, tc := range map[string]struct {
-		first       func(net.Conn)
-		calls, told string
+		first          func(net.Conn)
+		calls, reports string
 	}{
 		"silent": {func(net.Conn) {}, "0.0 2.4 2.4?index=3&wait=3000", "change full"},
-		"crowd": {func(c net.Conn) {
+		"full queue": {func(c net.Conn) {
 			time.Sleep(maxQueueTime)
 			fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 		}, "0.0", "change error"},
@@ -126,8 +126,8 @@
 				c.Watch()
 				time.Sleep(5 * time.Second)
 				synctest.Wait()
-				if before.all() != "0.0?index=7&wait=0" || after.all() != tc.calls || got.all() != tc.told {
-					t.Errorf("old asked %s, new %s, told %s", before.all(), after.all(), got.all())
+				if before.all() != "0.0?index=7&wait=0" || after.all() != tc.calls || got.all() != tc.reports {
+					t.Errorf("calls to the old address %s, to the new one %s; reports %s", before.all(), after.all(), got.all())
 				}
 			})
 		})
@@ -147,7 +147,7 @@
 		"no list": func(c net.Conn) { writeJSON(c, `{"generation":`) },
 		"back":    func(c net.Conn) { writeJSON(c, `{"generation":1}`) },
 		"watch":   func(c net.Conn) { writeJSON(c, `{"generation":9}`) }, // no answer after this one
-		"crowd": func(c net.Conn) {
+		"queue": func(c net.Conn) {
 			time.Sleep(maxQueueTime)
 			fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 		},
@@ -159,7 +159,7 @@
 				if len(was)%2 == 0 {
 					gateways = 300
 				}
-				if is == "crowd" || is == "watch" {
+				if is == "queue" || is == "watch" {
 					continue // this call does not fail, or the module paces the next one
 				}
 				t.Run(fmt.Sprint(was, ", then ", is, ", pushed ", pushed), func(t *testing.T) {
@@ -215,7 +215,7 @@
 						time.Sleep(10 * time.Second)
 						synctest.Wait()
 						if len(fulls) == 0 || fulls[0] > move+4*time.Second || before.all() != asked {
-							t.Errorf("moved at %v, told at %v (%s); old asked %s, then %s; new %s", move, fulls, got.all(), asked, before.all(), after.all())
+							t.Errorf("address changed at %v, whole lists at %v (reports %s); calls to the old address %s, later %s; to the new one %s", move, fulls, got.all(), asked, before.all(), after.all())
 						}
 					})
 				})
@@ -236,7 +236,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if n := len(s.queries); n > 2+int(time.Second/minEmptyCallInterval) {
-			t.Errorf("%d calls in a second", n)
+			t.Errorf("%d calls in a second, want fewer", n)
 		}
 	})
 }
@@ -285,7 +285,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if n := strings.Count(out.String(), "\n"); n < 10 || n > 22 || !strings.Contains(out.String(), "times=") {
-			t.Errorf("%d lines: %.300s", n, out.String())
+			t.Errorf("%d log lines in 20 s, want about one a second: %.300s", n, out.String())
 		}
 	})
 }
@@ -353,10 +353,10 @@
 	select {
 	case id := <-got:
 		if id != "closed" {
-			t.Errorf("the list of an answer that was %s is taken", id)
+			t.Errorf("the list of an answer that ended by %s is used", id)
 		}
 	case <-time.After(30 * time.Second):
-		t.Error("no list")
+		t.Error("no list within 30 s")
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -104,7 +104,7 @@
 		}
 		want = fmt.Sprintf("%d a h:1 2 0s|%d b h:2 0 5ms|%d|%d", decide.ListChange, decide.ListFull, decide.ListError, decide.ListError)
 		if got := strings.Join(reports, "|"); got != want {
-			t.Errorf("told %s, want %s", got, want)
+			t.Errorf("reports %s, want %s", got, want)
 		}
 	})
 }
@@ -170,15 +170,15 @@
 		"refused":           {1, 0, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
 		"watch reset":       {1, 1, func(c net.Conn) { time.Sleep(time.Second); c.Close() }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 1.0?index=8&wait=0 1.0?index=8&wait=3000", false},
 		"watch refused":     {1, 1, func(c net.Conn) { time.Sleep(maxQueueTime); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 2.0?index=8&wait=0 2.0?index=8&wait=3000", false},
-		"a crowd":           {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0", true},
-		"a crowd, by reset": {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); c.Close() }, "0.0?index=7&wait=0", true},
-		"late, then a trickle": {1, 0, func(c net.Conn) {
+		"full queue":        {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0", true},
+		"full queue, reset": {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); c.Close() }, "0.0?index=7&wait=0", true},
+		"late, then trickling": {1, 0, func(c net.Conn) {
 			time.Sleep(firstByteTimeout - 100*time.Millisecond)
 			for _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(c, " ") {
 				time.Sleep(maxReadGap / 2)
 			}
 		}, "0.0?index=7&wait=0 3.2?index=7&wait=0 3.2?index=8&wait=3000", false},
-		"an endless trickle": {1, 0, func(c net.Conn) {
+		"endless trickle": {1, 0, func(c net.Conn) {
 			for _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(c, " ") {
 				time.Sleep(maxReadGap / 2)
 			}
@@ -287,6 +287,6 @@
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	resp, err := readResponse(bufio.NewReader(strings.NewReader(answer)), func() {})
 	if err != nil || len(resp.body) != len(body) {
-		t.Errorf("%d bytes: %v", len(body), err)
+		t.Errorf("answer of %d bytes not read whole: %v", len(body), err)
 	}
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -162,7 +162,7 @@
 		time.Sleep(maxWatchWait + 10*time.Second) // for the last answers of discovery
 	})
 	if f.n > 1 || f.size == 0 {
-		t.Logf("%d told, the last after %v, by %d calls that came to it, of which %d failed; queue of %v at most", f.known, f.lastKnown, f.calls, f.failed, f.longestQueue)
+		t.Logf("%d know the list, the last after %v, by %d calls that arrived, of which %d failed; longest queue %v", f.known, f.lastKnown, f.calls, f.failed, f.longestQueue)
 	}
 }
 
@@ -176,7 +176,7 @@
 			f := &fleetSim{n: n, duration: 4*work + 10*time.Second}
 			f.run(t)
 			if f.known != n || f.lastKnown > 4*work+5*time.Second {
-				t.Errorf("%d of %d told, the last after %v; its work is %v", f.known, n, f.lastKnown, work)
+				t.Errorf("%d of %d know the list, the last after %v; one call of each is %v of work", f.known, n, f.lastKnown, work)
 			}
 			if f.calls > 4*n+4 || f.failed > 2*n {
 				t.Errorf("%d calls, %d failed, by %d gateways", f.calls, f.failed, n)
@@ -197,7 +197,7 @@
 			silent.run(t)
 			refused.run(t)
 			if silent.longestQueue > refused.longestQueue+5*time.Second || silent.calls > refused.calls+30 || silent.known < refused.known-30 {
-				t.Error("silence costs more than refusals")
+				t.Error("silent calls cost more than refused ones")
 			}
 		})
 	}
@@ -220,7 +220,7 @@
 	case "no dial", "silent": // a running call gets nothing more
 	case "refused", "reset":
 		conn.Close()
-	case "crowd":
+	case "full queue":
 		time.Sleep(2 * time.Second)
 		fallthrough
 	case "503":
@@ -253,13 +253,13 @@
 // the list within 6 s of discovery's return, even if its call is the last that the queue admits. The combination of 300
 // gateways, pushed lists and a full queue is left out: at 70 ms a call the calls alone fill the queue for 21 s.
 func TestListKnownAfterReturn(t *testing.T) {
-	for _, how := range []string{"no dial", "refused", "503", "reset", "silent", "silent midway", "reset midway", "no length", "no list", "trickle", "huge", "crowd"} {
+	for _, how := range []string{"no dial", "refused", "503", "reset", "silent", "silent midway", "reset midway", "no length", "no list", "trickle", "huge", "full queue"} {
 		t.Run(how, func(t *testing.T) {
 			for seed := range uint64(3) {
 				r := rand.New(rand.NewPCG(seed, 31))
 				for _, size := range []int{1, 5, 30, 80, 300} {
 					for _, pushed := range []bool{false, true} {
-						if how == "crowd" && pushed && size > 80 {
+						if how == "full queue" && pushed && size > 80 {
 							continue
 						}
 						f := &fleetSim{n: 1, size: size, seed: seed, pushed: pushed, failure: how, workPerCallAfter: 2 * time.Second, downFrom: 12 * time.Second}
@@ -274,7 +274,7 @@
 						f.backAt = f.downFrom + time.Duration(r.Float64()*r.Float64()*float64(40*time.Second))
 						f.duration = f.backAt + after
 						if f.run(t); f.known != 1 || f.knownLate > 0 {
-							t.Errorf("%d gateways, pushed %v, seed %d: down from %v to %v, told at %v", size, pushed, seed, f.downFrom, f.backAt, f.lastKnown)
+							t.Errorf("%d gateways, pushed %v, seed %d: down from %v to %v, list known at %v", size, pushed, seed, f.downFrom, f.backAt, f.lastKnown)
 						}
 					}
 				}
@@ -291,9 +291,9 @@
 		t.Run(fmt.Sprintf("%s for %v, %d, pushed %v", how, down, n, pushed), func(t *testing.T) {
 			f := &fleetSim{n: n, duration: 40 * time.Second, downFrom: 12 * time.Second, backAt: 12*time.Second + down, failure: how, pushed: pushed}
 			f.run(t)
-			t.Logf("%d asked in time, %d told too late", f.calledInTime, f.knownLate)
+			t.Logf("%d called in time, %d know the list too late", f.calledInTime, f.knownLate)
 			if n <= 30 && (f.known != n || f.knownLate > 0) || n == 80 && f.known != n {
-				t.Error("not told in time")
+				t.Error("some do not know the list in time")
 			}
 			if f.calls > n*(4+int(f.duration/max(minWatchWait, time.Duration(n)*watchWaitPerGateway)))+4 || f.longestQueue > time.Duration(n)*70*time.Millisecond {
 				t.Error("a thundering herd")
@@ -328,10 +328,10 @@
 			t.Run(fmt.Sprintf("%d of %v for %v", n, work, down), func(t *testing.T) {
 				t.Parallel()
 				each := work / time.Duration(n)
-				f := &fleetSim{n: n, workPerCall: each, downFrom: 12 * time.Second, backAt: 12*time.Second + down, failure: "crowd", duration: 32*time.Second + down}
+				f := &fleetSim{n: n, workPerCall: each, downFrom: 12 * time.Second, backAt: 12*time.Second + down, failure: "full queue", duration: 32*time.Second + down}
 				f.run(t)
 				if f.known != n || f.knownLate > 0 || f.failed > 0 {
-					t.Errorf("%d of %d told, %d too late, %d calls failed in a fleet whose work is %v", f.known, n, f.knownLate, f.failed, each*time.Duration(n))
+					t.Errorf("%d of %d know the list, %d too late; %d calls failed in a fleet whose calls are %v of work", f.known, n, f.knownLate, f.failed, each*time.Duration(n))
 				}
 			})
 		}
@@ -347,7 +347,7 @@
 			f := &fleetSim{n: n, workPerCall: 4500 * time.Millisecond / time.Duration(max(n, 30)), duration: 10 * time.Second}
 			f.run(t)
 			if f.known != n || f.lastKnown > changeDeadline || f.failed > 0 {
-				t.Errorf("%d of %d told, the last after %v; %d calls failed", f.known, n, f.lastKnown, f.failed)
+				t.Errorf("%d of %d know the list, the last after %v; %d calls failed", f.known, n, f.lastKnown, f.failed)
 			}
 		})
 	}
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -85,12 +85,12 @@
 }
 
 // readResponse reads one answer with its whole body. It skips interim answers before it, and calls interim after each.
-func readResponse(r *bufio.Reader, interim func()) (*response, error) {
+func readResponse(r *bufio.Reader, onInterim func()) (*response, error) {
 	for range maxInterim {
 		if resp, err := readAnyResponse(r); err != nil || resp.status >= 200 {
 			return resp, err
 		}
-		interim()
+		onInterim()
 	}
 	return nil, fmt.Errorf("%w: too many interim answers, want a final one", errHTTP)
 }
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -59,7 +59,7 @@
 					}
 					checks++
 					if len(arrivals) <= n+1 || known < arrivals[n+1].version {
-						t.Errorf("seed %d: call %d fell silent, %v later (wait %v) version %d is known, of %d; calls %v", seed, n, time.Since(silent), wait, known, published, s.queries)
+						t.Errorf("seed %d: call %d went silent, %v later (wait %v) version %d is known, of %d published; calls %v", seed, n, time.Since(silent), wait, known, published, s.queries)
 					}
 				}()
 			}
@@ -165,9 +165,9 @@
 			time.Sleep(maxWatchWait + 10*time.Second) // for the last answers of discovery
 		})
 	}
-	t.Logf("%d silences checked, %d left out", checks, skipped)
+	t.Logf("%d silent calls checked, %d left out", checks, skipped)
 	if checks < 1000 {
-		t.Errorf("only %d checks", checks)
+		t.Errorf("only %d checks, want at least 1000", checks)
 	}
 }
 
--- a/internal/interruptible/interruptible.go
+++ b/internal/interruptible/interruptible.go
@@ -1,8 +1,9 @@
-// Package interruptible lets a connection's goroutine sit in a read and still be told
-// things. Others leave it a message and wake it by a read deadline in the
-// past; only the goroutine itself resets the deadline, and it looks into its
-// mailbox afterwards, so no message is missed. Meanwhile the read also sees
-// the peer leave.
+// Package interruptible provides connections whose goroutine can block in a
+// read and still receive messages from others. A sender puts a message into the
+// connection's mailbox and interrupts the read with a read deadline in the past.
+// Only the goroutine that reads resets the deadline, and it checks the mailbox
+// afterwards, so no message is missed. As it always reads, it also notices that
+// the peer closes the connection.
 package interruptible
 
 import (
@@ -16,26 +17,27 @@
 	"time"
 )
 
-// ErrInterrupted is returned by a read that was woken: look into the mailbox and read on.
+// ErrInterrupted is returned by a read that was interrupted: call TakeMessages and read again.
 var ErrInterrupted = errors.New("woken")
 
 var distantPast = time.Unix(1, 0)
 
-// Conn is a connection with a mailbox of messages M.
+// Conn is a connection with a mailbox of messages of type M. One goroutine owns it and reads; the methods Post,
+// TakeMessages, WaitForMessage, CloseMailbox and CloseAll are safe for concurrent use.
 type Conn[M any] struct {
 	net.Conn
-	Reader *bufio.Reader
+	Reader *bufio.Reader // for reads by the owning goroutine
 
-	OnRead   func(n int) // called when n bytes were read, on the goroutine; nil: nobody wants to know
-	lastRead time.Time   // when bytes were last read; the goroutine's
+	OnRead   func(n int) // called on the owning goroutine after n bytes were read; may be nil
+	lastRead time.Time   // when bytes were last read; owned by the owning goroutine
 
 	mu           sync.Mutex
-	messageAdded sync.Cond // signalled with each message
+	messageAdded sync.Cond // signalled for each message
 	mailbox      []M
 	closed       bool
 }
 
-// New wraps c with a reader of the given size.
+// New wraps c with a read buffer of the given size in bytes.
 func New[M any](c net.Conn, size int) *Conn[M] {
 	w := &Conn[M]{Conn: c}
 	w.messageAdded.L = &w.mu
@@ -43,7 +45,7 @@
 	return w
 }
 
-// Read reads from the connection; R does so for the goroutine that owns it.
+// Read reads from the connection without the buffer. The owning goroutine reads by Reader instead, which calls Read.
 func (w *Conn[M]) Read(p []byte) (int, error) {
 	n, err := w.Conn.Read(p)
 	if n > 0 {
@@ -53,7 +55,7 @@
 		}
 	}
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		// The order matters: a message left after the reset wakes the next read.
+		// The order matters: a message that is posted after the reset interrupts the next read.
 		if err := w.Conn.SetReadDeadline(time.Time{}); err != nil {
 			return n, err
 		}
@@ -62,8 +64,8 @@
 	return n, err
 }
 
-// Post puts m in the mailbox and wakes the goroutine. It never blocks. It
-// reports false, and keeps nothing, if the mailbox is closed.
+// Post puts m into the mailbox and interrupts the read of the owning goroutine.
+// It never blocks. It returns false, without keeping m, if the mailbox is closed.
 func (w *Conn[M]) Post(m M) bool {
 	w.mu.Lock()
 	if w.closed {
@@ -73,16 +75,17 @@
 	w.mailbox = append(w.mailbox, m)
 	w.messageAdded.Signal()
 	w.mu.Unlock()
-	_ = w.Conn.SetReadDeadline(distantPast) // a broken connection shows in the read
+	_ = w.Conn.SetReadDeadline(distantPast) // on a broken connection the read fails anyway
 	return true
 }
 
-// NoPendingInput tells that nothing has come that was not read, neither bytes nor the
-// peer's end. It looks past a read deadline, which hides both. A connection that
-// is no socket counts as quiet once R holds nothing.
+// NoPendingInput reports whether there is neither unread input nor a close by
+// the peer. Unlike a read it sees both even when a read deadline has passed. For
+// a connection that is no socket it only checks Reader's buffer.
 func (w *Conn[M]) NoPendingInput() bool { return w.Reader.Buffered() == 0 && w.socketEmpty() }
 
-// SilentFor returns for how long the peer has sent nothing, 0 if bytes or its end wait to be read.
+// SilentFor returns the time since bytes were last read. It returns 0 if the socket holds unread bytes or the peer's
+// close. Only the owning goroutine may call it.
 func (w *Conn[M]) SilentFor() time.Duration {
 	if !w.socketEmpty() {
 		return 0
@@ -90,7 +93,8 @@
 	return time.Since(w.lastRead)
 }
 
-// socketEmpty tells that nothing waits in the socket.
+// socketEmpty reports whether the socket holds neither unread bytes nor the peer's close. It is true for a connection
+// that is no socket.
 func (w *Conn[M]) socketEmpty() bool {
 	sc, ok := w.Conn.(syscall.Conn)
 	if !ok {
@@ -107,7 +111,7 @@
 	return err == nil && got == syscall.EAGAIN
 }
 
-// WaitForMessage returns when the mailbox holds a message, without reading.
+// WaitForMessage blocks until the mailbox holds a message. It does not read from the connection.
 func (w *Conn[M]) WaitForMessage() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +120,7 @@
 	}
 }
 
-// TakeMessages empties the mailbox.
+// TakeMessages returns the messages of the mailbox in the order of posting, and empties it.
 func (w *Conn[M]) TakeMessages() []M {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,7 +129,7 @@
 	return box
 }
 
-// CloseMailbox closes the mailbox and returns what was left in it. The connection stays open.
+// CloseMailbox closes the mailbox and returns its remaining messages. The connection stays open.
 func (w *Conn[M]) CloseMailbox() []M {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -135,17 +139,17 @@
 	return box
 }
 
-// CloseAll closes the connection and the mailbox and returns what was left in it.
+// CloseAll closes the mailbox and the connection and returns the remaining messages.
 func (w *Conn[M]) CloseAll() []M {
 	box := w.CloseMailbox()
 	_ = w.Conn.Close()
 	return box
 }
 
-// LingeringClose is a lingering close. What was written goes out, and the peer is told that no more comes (half-close);
-// what it sends from then on is read and thrown away, as a close over unread bytes would reset the connection, which
-// takes with it what the peer has not yet read. The connection is closed once the peer has closed its side, after so
-// many bytes and at until in any case. Closing it from elsewhere ends the wait.
+// LingeringClose closes c such that the peer can still read all that was written. It closes the sending side, and reads
+// and discards what the peer sends: a close with unread bytes would reset the connection, and the peer would lose what
+// it has not yet read. It closes c fully, and returns, once the peer has closed its side, after maxBytes or at until,
+// whichever is first. Closing c elsewhere ends the wait.
 func LingeringClose(c net.Conn, until time.Time, maxBytes int) {
 	defer func() { _ = c.Close() }()
 	half, ok := c.(interface{ CloseWrite() error })
@@ -154,7 +158,7 @@
 	}
 	buf := make([]byte, discardBufSize)
 	for maxBytes > 0 {
-		_ = c.SetReadDeadline(until) // each time: a message that was left just before the mailbox was shut sets one too
+		_ = c.SetReadDeadline(until) // before each read: a message posted just before the mailbox was closed also sets one
 		n, err := c.Read(buf)
 		maxBytes -= n
 		if err != nil && !(errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(until)) {
@@ -163,9 +167,10 @@
 	}
 }
 
-const discardBufSize = 2 << 10 // bytes read at a time of what is thrown away
+const discardBufSize = 2 << 10 // bytes that are read and discarded at a time
 
-// ReadFull reads len(p) bytes. When woken it calls woken, and ends with its error if it has one.
+// ReadFull reads len(p) bytes. Whenever it is interrupted it calls onInterrupt, and goes on unless that returns an
+// error.
 func (w *Conn[M]) ReadFull(p []byte, onInterrupt func() error) error {
 	for len(p) > 0 {
 		n, err := io.ReadFull(w.Reader, p)
@@ -183,7 +188,7 @@
 	return nil
 }
 
-// Peek is R.Peek that calls woken when woken.
+// Peek is Reader.Peek, but calls onInterrupt whenever it is interrupted, and goes on unless that returns an error.
 func (w *Conn[M]) Peek(n int, onInterrupt func() error) ([]byte, error) {
 	for {
 		b, err := w.Reader.Peek(n)
--- a/internal/interruptible/interruptible_test.go
+++ b/internal/interruptible/interruptible_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 )
 
-// TestNoMessageLost: whenever a message is left, before a read, during it or
-// between the reset of the deadline and the next read, the reader gets it.
+// TestNoMessageLost: the reader gets every message, whether it is posted before a read, during one or between the reset
+// of the deadline and the next read.
 func TestNoMessageLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
@@ -50,13 +50,13 @@
 		}
 		w.Post(messages)
 		if left := w.CloseAll(); len(left) != 1 || w.Post(0) {
-			t.Errorf("%d messages left at the end, or the mailbox is open", len(left))
+			t.Errorf("%d messages remain at the end, want 1, or the mailbox is still open", len(left))
 		}
 		_ = b.Close()
 	})
 }
 
-// TestReadFull: a wake in the middle of a message loses no byte of it.
+// TestReadFull: an interruption in the middle of a message loses no byte of it.
 func TestReadFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
@@ -84,7 +84,7 @@
 	})
 }
 
-// TestNoPendingInput: what came unread shows even while a read deadline hides it.
+// TestNoPendingInput: unread bytes and the peer's close are noticed even while a read deadline has passed.
 func TestNoPendingInput(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,12 +102,12 @@
 		}
 		w := New[int](a, 64)
 		if !w.NoPendingInput() {
-			t.Error("not quiet, though nothing came")
+			t.Error("input is reported as pending, though nothing was sent")
 		}
 		w.Post(1)
 		_, _ = b.Write([]byte(text)) // a close counts as well
 		_ = b.Close()
-		for w.NoPendingInput() { // the loopback takes a moment; the test's own limit ends a wait for nothing
+		for w.NoPendingInput() { // the loopback takes a moment; the time limit of the test bounds this
 			runtime.Gosched()
 		}
 		_ = w.CloseAll()
--- a/internal/pgmember/leave_test.go
+++ b/internal/pgmember/leave_test.go
@@ -44,7 +44,7 @@
 	return n, err
 }
 
-// holdReads makes interrupted reads wait until let is called, once.
+// holdReads makes interrupted reads wait until the returned function is called, once.
 func (l *heldConn) holdReads() (let func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -298,7 +298,7 @@
 					<-at
 				}()
 				if !q.Closed() {
-					t.Error("not marked at once")
+					t.Error("the request is not marked as closed at once")
 				}
 				close(blocked)
 				if e := w.outcome(); e.Result != decide.NotSent {
@@ -356,18 +356,18 @@
 func TestStopWhileConnectionEnds(t *testing.T) {
 	w := newSocketFixture(t)
 	l, c := w.idleConn()
-	let := l.holdReads()
+	release := l.holdReads()
 	var conn *conn
 	w.onOwner(func() {
 		conn = w.pool.members["m"].idle[0]
-		w.pool.beforeWrite = func(*job) { t.Error("it was begun anew") }
+		w.pool.beforeWrite = func(*job) { t.Error("the job was restarted") }
 	})
 	w.request(readClass, "")
 	<-l.interrupted    // the connection was given the job, and has not taken it yet
 	w.onOwner(func() { // keeps the owner busy until the connection has ended
 		_, _ = c.Write([]byte{'N'}) // part of a message, out of turn
 		waitUnread(t, l, 1)
-		let()
+		release()
 		waitFor(t, func() bool { return !conn.Post(order{checkStall: true}) })
 		for a := range w.pool.jobs {
 			w.pool.Stop(a, decide.Cancelled)
@@ -390,18 +390,18 @@
 	for name, tc := range map[string]struct {
 		before, after string // the stop
 		result        decide.Result
-		told          bool
+		reported      bool
 	}{
-		"whole":                   {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...))), decide.Served, true},
-		"begun before":            {string(servedAnswer[:9]), string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer[9:]...), roleAndPosition...))), decide.Served, true},
-		"long":                    {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, long...), roleAndPosition...))), decide.Served, true},
-		"turned away":             {"", string(pgwire.AppendReadyForQuery(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), roleAndPosition...))), decide.Misdirected, true},
-		"told, and no more":       {"", string(roleAndPosition) + string(servedAnswer[:7]), decide.TimedOut, true},
-		"half a line":             {"", string(servedAnswer[:7]), decide.TimedOut, false},
-		"nothing":                 {"", "", decide.TimedOut, false},
-		"half of what it told":    {"", string(roleAndPosition[:len(roleAndPosition)-2]), decide.TimedOut, false},
-		"noise":                   {"", "what is this?", decide.Errored, false},
-		"more than belongs to it": {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...))) + "N", decide.Served, true},
+		"whole":                  {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...))), decide.Served, true},
+		"begun before":           {string(servedAnswer[:9]), string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer[9:]...), roleAndPosition...))), decide.Served, true},
+		"long":                   {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, long...), roleAndPosition...))), decide.Served, true},
+		"refused":                {"", string(pgwire.AppendReadyForQuery(append(pgwire.AppendError(nil, "ERROR", "25006", "no", ""), roleAndPosition...))), decide.Misdirected, true},
+		"role and position only": {"", string(roleAndPosition) + string(servedAnswer[:7]), decide.TimedOut, true},
+		"part of an answer":      {"", string(servedAnswer[:7]), decide.TimedOut, false},
+		"nothing":                {"", "", decide.TimedOut, false},
+		"part of a position":     {"", string(roleAndPosition[:len(roleAndPosition)-2]), decide.TimedOut, false},
+		"noise":                  {"", "what is this?", decide.Errored, false},
+		"surplus bytes":          {"", string(pgwire.AppendReadyForQuery(append(append([]byte{}, servedAnswer...), roleAndPosition...))) + "N", decide.Served, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSocketFixture(t)
@@ -419,7 +419,7 @@
 					return n < 1
 				})
 			}
-			let := l.holdReads()
+			release := l.holdReads()
 			w.onOwner(func() {
 				for a := range w.pool.jobs {
 					w.pool.Stop(a, decide.TimedOut)
@@ -433,12 +433,12 @@
 					waitUnread(t, l, len(tc.after))
 				}
 			}
-			let()
+			release()
 			e := w.outcome()
 			if e.Result != tc.result || e.HasPosition && e.Position != 1767225600123*time.Millisecond {
 				t.Errorf("outcome %+v", e)
 			}
-			if roleTold := e.Role == decide.Primary; name != "half of what it told" && (e.HasPosition != tc.told || roleTold != tc.told) {
+			if roleReported := e.Role == decide.Primary; name != "part of a position" && (e.HasPosition != tc.reported || roleReported != tc.reported) {
 				t.Errorf("outcome %+v", e)
 			}
 			if _, err := bufio.NewReader(c).ReadByte(); err == nil { // otherwise the rest of it might be taken for the next request's answer
@@ -467,8 +467,8 @@
 		"drains": {func(w *socketFixture, q *core.Request) {
 			w.core.List(decide.ListChange, []core.ListedMember{{Member: decide.Member{ID: "m", State: decide.Draining}}})
 		}, decide.NotSent},
-		"too old":     {func(w *socketFixture, q *core.Request) {}, decide.NotSent},
-		"member goes": {func(w *socketFixture, q *core.Request) {}, decide.Unreachable},
+		"too old":       {func(w *socketFixture, q *core.Request) {}, decide.NotSent},
+		"member closes": {func(w *socketFixture, q *core.Request) {}, decide.Unreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSocketFixture(t)
@@ -480,16 +480,16 @@
 			q, _ := w.request(writeClass, value)
 			waitUnread(t, c, 1) // the write is under way, and does not fit the buffers
 			tc.end(w, q)
-			if name == "member goes" {
+			if name == "member closes" {
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
 			}
 			if e := w.outcome(); e.Result != tc.result {
 				t.Errorf("outcome %d, want %d", e.Result, tc.result)
 			}
-			if name != "member goes" {
+			if name != "member closes" {
 				if n, _ := io.Copy(io.Discard, c); n >= int64(len(value)) {
-					t.Errorf("the member got %d bytes in the end", n)
+					t.Errorf("the member got all %d bytes in the end", n)
 				}
 			}
 		})
@@ -560,7 +560,7 @@
 			t.Errorf("outcome %d, want %d", e.Result, why)
 		}
 		if n, _ := io.Copy(io.Discard, c); n >= int64(len(value)) {
-			t.Errorf("the member got %d bytes in the end", n)
+			t.Errorf("the member got all %d bytes in the end", n)
 		}
 	}
 }
@@ -571,7 +571,7 @@
 func TestClosedWhenAssigned(t *testing.T) {
 	w := newSocketFixture(t)
 	l, c := w.idleConn()
-	let := l.holdReads()
+	release := l.holdReads()
 	_, s := w.request(writeClass, "")
 	<-l.interrupted // the connection was given the request, and has not taken it yet
 	_ = c.(*net.TCPConn).CloseWrite()
@@ -586,10 +586,10 @@
 		})
 		return n == 0 && got == nil
 	})
-	let()
+	release()
 	_, second := w.acceptStartup()
 	if n, err := io.Copy(io.Discard, c); n != 0 || err != nil {
-		t.Errorf("%d bytes were written on the connection that was closing, %v", n, err)
+		t.Errorf("%d bytes were written on the closing connection, %v", n, err)
 	}
 	readStatement(t, second)
 	_, _ = second.Write(pgwire.AppendReadyForQuery(servedAnswer))
@@ -607,6 +607,6 @@
 	_ = second.(*net.TCPConn).SetLinger(0)
 	_ = second.Close()
 	if e := w.outcome(); e.Result != decide.Reset || !e.Reused {
-		t.Errorf("outcome %+v, want a reset of a used connection", e)
+		t.Errorf("outcome %+v, want a reset of a reused connection", e)
 	}
 }
--- a/internal/pgmember/pass_test.go
+++ b/internal/pgmember/pass_test.go
@@ -90,8 +90,8 @@
 	head := pgwire.Append(nil, 'T', description)
 	whole := pgwire.Append(bytes.Clone(head), 'D', row)
 	tag := pgwire.Append(nil, 'C', "SELECT 1\x00")
-	note := pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
-	reply := pgwire.AppendReadyForQuery(append(append(bytes.Clone(whole), tag...), note...))
+	roleAndPosition := pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
+	reply := pgwire.AppendReadyForQuery(append(append(bytes.Clone(whole), tag...), roleAndPosition...))
 	want := pgwire.AppendReadyForQuery(append(bytes.Clone(whole), tag...)) // the client's answer
 	at := []int{rnd.IntN(len(reply)), rnd.IntN(80), len(reply) - 1 - rnd.IntN(90)}[rnd.IntN(3)]
 	switch f {
@@ -197,7 +197,7 @@
 		t.Errorf("%d sent, %d ended, tried %v, verdicts %v", d.sent, d.ended, d.tried, d.verdicts)
 	case f == clientLeaves || f == clientStopsReading: // the client got the beginning of the answer
 		if !bytes.HasPrefix(want, answer[:min(len(answer), len(want))]) {
-			t.Errorf("%d bytes, not the answer's", len(answer))
+			t.Errorf("%d bytes that are not from the answer", len(answer))
 		}
 	case f == noFault || f == moreAfter:
 		if !served || ended.Load() || last != decide.Served {
@@ -221,7 +221,7 @@
 	owner.Post(func() {
 		pool.closeIdle(pool.members["m"], 0)
 		if p, c := pool.Sizes(), owner.Sizes(); p.Jobs != 0 || c.Requests != 0 {
-			t.Errorf("left: %+v %+v", p, c)
+			t.Errorf("not released: %+v %+v", p, c)
 		}
 	})
 	synctest.Wait()
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -211,7 +211,7 @@
 		l.id = id
 	}
 	if r.attemptsOut[id] > 1 {
-		r.t.Errorf("two attempts of request %s out", id)
+		r.t.Errorf("two attempts of request %s under way", id)
 	}
 	way := replies[r.nextReply%len(replies)].name
 	r.nextReply++
@@ -222,12 +222,12 @@
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	row := pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00\x01v")
-	note := pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
+	roleAndPosition := pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
 	var reply []byte
 	more := true
 	switch way {
 	case "row":
-		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), roleAndPosition...))
 	case "noise":
 		reply = []byte("\x9f\x03 what is this, and where does it end? \r\n")
 	case "stall":
@@ -242,10 +242,10 @@
 	case "odd error":
 		reply = pgwire.AppendReadyForQuery(pgwire.Append(nil, 'E', "SERROR\x00C5\x00\x00"))
 	case "extra":
-		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), roleAndPosition...))
 		reply = append(reply, reply...)
 	case "norow":
-		reply = pgwire.AppendReadyForQuery(note)
+		reply = pgwire.AppendReadyForQuery(roleAndPosition)
 	case "badlen":
 		reply, more = []byte{'D', 0x7f, 0, 0, 0}, false
 	case "half":
@@ -263,7 +263,7 @@
 		if code, ok := strings.CutPrefix(way, "begun "); ok {
 			begun, way = pgwire.Append(nil, 'T', description), code
 		}
-		reply = pgwire.AppendReadyForQuery(append(pgwire.AppendError(begun, "ERROR", way, "no", ""), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.AppendError(begun, "ERROR", way, "no", ""), roleAndPosition...))
 	}
 	l.attemptOver()
 	_, _ = c.Write(reply)
@@ -340,7 +340,7 @@
 				t.Errorf("%s: %d answers", w.name, len(s.answers))
 			}
 			if e := r.module.outcomes[1][0]; w.result == decide.Errored && w.name != "XX000" && e.HasPosition {
-				t.Errorf("%s: the note of a spoilt answer was believed: %+v", w.name, e)
+				t.Errorf("%s: the position in an invalid answer was used: %+v", w.name, e)
 			}
 			if w.name != "row" && len(w.name) != len("25006") || w.name == "noise" || w.name == "extra" {
 				r.inspect(func() { // otherwise surplus bytes would be taken for the next request's answer
@@ -351,7 +351,7 @@
 			}
 			if e := r.module.outcomes[1][0]; w.name == "row" && (e.Role != decide.Replica || !e.HasPosition ||
 				e.Position != 1767225600123*time.Millisecond || !e.Ended) {
-				t.Errorf("note %+v", e)
+				t.Errorf("role or position not as sent: %+v", e)
 			}
 		})
 	}
@@ -394,7 +394,7 @@
 			r.sleep(time.Second)
 			r.inspect(func() {
 				if r.queries != 0 {
-					t.Errorf("%s: it was written", name)
+					t.Errorf("%s: the statement was written", name)
 				}
 			})
 		})
@@ -618,7 +618,7 @@
 		synctest.Wait()
 		r.inspect(func() {
 			if n := len(r.pool.members); n < len(list) {
-				t.Errorf("%d members held of %d", n, len(list))
+				t.Errorf("%d of %d members held", n, len(list))
 			}
 		})
 	})
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -234,7 +234,7 @@
 		}()
 	}
 	if text := <-got; !strings.Contains(text, "id=1000,") {
-		t.Errorf("written in the end: %s", text)
+		t.Errorf("another request was written: %s", text)
 	}
 }
 
@@ -252,7 +252,7 @@
 	_, _ = m.Write(answer[:len(answer)-10])
 	got := make([]byte, len(answer)-10)
 	if _, err := io.ReadFull(r, got); err != nil || !bytes.Equal(got, answer[:len(got)]) {
-		t.Fatalf("%v, or another answer", err)
+		t.Fatalf("%v, or not the answer that was sent", err)
 	}
 	g.cancel(key)
 	waitFor(t, func() bool {
@@ -262,7 +262,7 @@
 	})
 	_, _ = m.Write(answer[len(answer)-10:])
 	if rest, _ := io.ReadAll(r); len(rest) != 0 {
-		t.Errorf("%d bytes more, %.40q", len(rest), rest)
+		t.Errorf("%d bytes after the cancel, want none: %.40q", len(rest), rest)
 	}
 	_, _ = io.Copy(io.Discard, m) // until the gateway closes it
 	g.waitEnded()
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -32,8 +32,8 @@
 	newClass := `{"AimUs":1,"DeadlineUs":2,"Effect":"once","KeyScope":"all","Name":"new","Value":1}`
 	for name, text := range map[string]string{
 		"same": validFile, "fewer attempts": swap(`"TryLimit":6`, `"TryLimit":1`), "more keys": swap(`"Me":1`, `"Me":1,"More":{"x":[1]}`),
-		"a key that only some had": swap(`"AimStretch":2,`, ``), "stricter": swap(`"repeatable"`, `"once"`), "other members known": swap(`[{"instanceId":"a"}]`, `[]`),
-		"a class came": swap(`"Value":4.0}`, `"Value":4.0},`+newClass, `[3000000,0]`, `[3000000,0,0]`, `"write"]`, `"write","any"]`),
+		"a key that only some have": swap(`"AimStretch":2,`, ``), "stricter": swap(`"repeatable"`, `"once"`), "other members known": swap(`[{"instanceId":"a"}]`, `[]`),
+		"a new class": swap(`"Value":4.0}`, `"Value":4.0},`+newClass, `[3000000,0]`, `[3000000,0,0]`, `"write"]`, `"write","any"]`),
 	} {
 		if err := s.Check([]byte(text)); err != nil {
 			t.Errorf("%s: %v", name, err)
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -22,7 +22,8 @@
 	maxResumed   = 1024    // members that were resumed
 )
 
-// Entry is the last decision of operators on a member. Of two entries of a member the one with the later At applies.
+// Entry is the last decision of operators on a member. Of two entries of a member the one with the later ChangedAt
+// applies.
 type Entry struct {
 	ID          string    `json:"id"`
 	Suspended   bool      `json:"out"`   // suspended, not resumed
@@ -54,9 +55,9 @@
 type Set struct {
 	listed         map[string]core.ListedMember // members in discovery's list, by id
 	delisted       map[string]core.ListedMember // members that left the list, as they were last listed
-	delistedOrder  []string                     // the ids in left, the earliest first
+	delistedOrder  []string                     // the ids in delisted, the earliest first
 	entries        map[string]Entry             // the operators' decisions, by id
-	suspendedCount int                          // entries of said that are Out
+	suspendedCount int                          // number of entries that are Suspended
 }
 
 // New returns an empty set.
@@ -192,9 +193,9 @@
 
 // known reports whether an id is that of a member, or recently was.
 func (s *Set) known(id string) bool {
-	_, said := s.entries[id]
-	_, left := s.delisted[id]
-	return said || left || s.isListed(id)
+	_, recorded := s.entries[id]
+	_, delisted := s.delisted[id]
+	return recorded || delisted || s.isListed(id)
 }
 
 // record records e and returns the change that it makes to the list.
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -99,7 +99,7 @@
 				p.discovered.apply(kind, members)
 				p.core.apply(kind, p.set.ApplyList(kind, members))
 				if !slices.Equal(same, members) {
-					t.Fatal("the caller's list was changed")
+					t.Fatal("the caller's list was modified")
 				}
 			case 4, 5, 6:
 				change, err := p.set.Suspend(id, now)
@@ -125,7 +125,7 @@
 				}
 				for _, e := range from {
 					if p.set.entries[e.ID].ChangedAt < e.ChangedAt {
-						t.Fatalf("seed %d: %+v was not taken over", seed, e)
+						t.Fatalf("seed %d: %+v was not imported", seed, e)
 					}
 				}
 			}
@@ -167,13 +167,13 @@
 			}
 		}
 		if full != 1500-MaxSuspended && round == 0 || len(s.Suspended()) != MaxSuspended {
-			t.Fatalf("round %d: %d too many, %d suspended", round, full, len(s.Suspended()))
+			t.Fatalf("round %d: %d refused, %d suspended", round, full, len(s.Suspended()))
 		}
 		out := memberList{}
 		out.apply(decide.ListFull, s.ApplyList(decide.ListFull, nil)) // all members leave the list
 		ids := slices.Sorted(maps.Keys(out))
 		if !slices.Equal(ids, s.Suspended()) {
-			t.Fatalf("round %d: %d are passed on of those suspended", round, len(ids))
+			t.Fatalf("round %d: %d of the suspended members are passed on", round, len(ids))
 		}
 		for i, id := range ids {
 			if i%2 == 0 {
