--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery asks the list of members over HTTP/1.1: the whole list, or
-// a watch on its changes by one long call after another.
+// Package discovery is a client for the discovery service. Over HTTP/1.1 it
+// fetches the whole list of members, or watches the list for changes by one
+// long poll after another.
 package discovery
 
 import (
@@ -19,14 +20,15 @@
 	"reachwind/internal/logthrottle"
 )
 
-// List is a list of members, or a change of one, in discovery's form.
+// List is an answer of the discovery service: the whole list of members, or a
+// change of it.
 type List struct {
 	Generation int64   `json:"generation"`
-	Reset      bool    `json:"reset"` // the whole list
+	Reset      bool    `json:"reset"` // Instances is the whole list, not a change
 	Instances  []Entry `json:"instances"`
 }
 
-// Entry is one member in a List.
+// Entry is one member of a List.
 type Entry struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -38,14 +40,14 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-var states = map[string]decide.MemberState{
+var lifecycleStates = map[string]decide.MemberState{
 	"ready": decide.Up, "draining": decide.Draining, "gone": decide.Removed}
 
-// EntryOf gives a member in discovery's form.
+// EntryOf converts a member to the form that discovery uses.
 func EntryOf(m core.ListedMember) Entry {
 	e := Entry{InstanceID: m.ID, HostPort: m.Addr, Zone: m.Zone, MachineType: m.Kind, Cell: m.Group, Lifecycle: "ready", Weight: m.Weight,
 		StartedAtMs: m.Started.Milliseconds()}
-	for name, state := range states {
+	for name, state := range lifecycleStates {
 		if state == m.State {
 			e.Lifecycle = name
 		}
@@ -53,11 +55,12 @@
 	return e
 }
 
-// Members translates the entries.
+// Members converts the entries. It fails if an entry has no id or an unknown
+// lifecycle.
 func (l *List) Members() ([]core.ListedMember, error) {
 	list := make([]core.ListedMember, 0, len(l.Instances))
 	for _, e := range l.Instances {
-		state, ok := states[e.Lifecycle]
+		state, ok := lifecycleStates[e.Lifecycle]
 		if !ok || e.InstanceID == "" {
 			return nil, fmt.Errorf("list: instance %q: unknown lifecycle %q", e.InstanceID, e.Lifecycle)
 		}
@@ -69,177 +72,188 @@
 }
 
 const (
-	path = "/v1/endpoints"
-	// waitLeast and waitEach make up the wait of a watch's calls: a connection that has fallen silent is noticed
-	// after it, and each end of a wait is work for discovery, the same for any number of gateways.
-	waitLeast = toldAfter - slack - patience // then a call begun anew has all of its patience left
-	waitEach  = 250 * time.Millisecond       // for each gateway of the fleet: four ends of a wait a second in all
-	waitMost  = 60 * time.Second             // that discovery takes
-
-	// What a call that fell silent misses counts as told 6 s after the silence began, for a watch 2 s after its wait
-	// if that is later; after any other failed call a change does 6 s after discovery had it and could be reached (the
-	// standing page). By then the answer of a call begun anew has to be here.
-	toldAfter = 6 * time.Second
-	// patience is how long the first byte of an answer may take that need not wait. Discovery serves one call after
-	// another and fails what has waited for queueMost: who leaves before has it work for nobody and asks once more, which
-	// makes the queue longer. What is unanswered for longer, its own work added, is in no queue.
-	patience  = 2400 * time.Millisecond
-	queueMost = 2 * time.Second
-	workEach  = 70 * time.Millisecond  // that a call takes discovery, the most that was measured
-	slack     = 600 * time.Millisecond // for the first byte after the wait asked for
-	pause     = 700 * time.Millisecond // between two pieces of an answer
-	whole     = 2 * time.Second        // for an answer, from its first byte
-	wholeLate = 800 * time.Millisecond // but from when the first byte had to be there no more than this
-	dialWait  = 500 * time.Millisecond
-
-	// crowded: a call that need not wait and is refused after so long stood in the queue of a service that is up. Any
-	// other refusal comes at once, of one that is down or that lost what it had.
-	crowded = queueMost / 2
-	// unqueued: a call that is refused so soon has not stood in a queue.
-	unqueued = 100 * time.Millisecond
-
-	// cycle is the longest from the beginning of a call that brought nothing to that of the next: the first may have
-	// been lost just before discovery could be reached, and the next one may have to queue.
-	cycle = toldAfter - patience - 600*time.Millisecond
-
-	// A call that broke off is begun anew within a part of nearEach for each gateway, of nearMost at most, as a watch's
-	// silence leaves little time; one that was refused within what the fleet's calls take beyond the queue. After
-	// anewTimes in a row the backoff, from the beginning of a call to the next's, doubles from backLeast up to backMost or
-	// that spread, with a jitter of a quarter.
-	nearEach  = 5 * time.Millisecond
-	nearMost  = 200 * time.Millisecond
-	anewTimes = 2
-	backLeast = 100 * time.Millisecond
-	backMost  = time.Second
-	// Where lists are pushed, what discovery has at its return counts at once.
-	backPushed = 150 * time.Millisecond
-	// idleLeast is the least span between two calls of a watch of which the first brought nothing. A watch goes on
-	// if its next call comes within 200 ms (the protocol page).
-	idleLeast = 50 * time.Millisecond
+	endpointsPath = "/v1/endpoints"
+	// minWatchWait and watchWaitPerGateway give the wait that a watch's calls ask for. A connection that has gone
+	// silent is noticed only after the wait, so it is to be short; but each wait that ends is work for discovery, so it
+	// grows with the fleet and that load stays the same for any number of gateways.
+	minWatchWait        = changeDeadline - waitSlack - firstByteTimeout // leaves a retry all of its first-byte timeout
+	watchWaitPerGateway = 250 * time.Millisecond                        // per gateway of the fleet: four waits end per second in all
+	maxWatchWait        = 60 * time.Second                              // the longest that discovery accepts
+
+	// changeDeadline is the time within which a gateway must know a change that a failed call missed. After a call that
+	// went silent it counts from the beginning of the silence; for a watch it ends no sooner than 2 s after its wait.
+	// After any other failed call it counts from when discovery has the change and can be reached. By then the answer
+	// of a retry must have arrived.
+	changeDeadline = 6 * time.Second
+	// firstByteTimeout bounds the time to the first byte of an answer to a call that asks for no wait. Discovery serves
+	// calls one after another and fails those that have queued for maxQueueTime. A client that gives up sooner leaves
+	// discovery to work for nobody and then asks again, which lengthens the queue. A call without an answer for longer
+	// than maxQueueTime and its own work is in no queue.
+	firstByteTimeout  = 2400 * time.Millisecond
+	maxQueueTime      = 2 * time.Second
+	workPerCall       = 70 * time.Millisecond  // the longest that one call takes discovery
+	waitSlack         = 600 * time.Millisecond // for the first byte, beyond the wait asked for
+	maxReadGap        = 700 * time.Millisecond // between two reads within an answer
+	answerTimeout     = 2 * time.Second        // for the whole answer, from its first byte
+	lateAnswerTimeout = 800 * time.Millisecond // for the whole answer, from the time limit of its first byte
+	dialTimeout       = 500 * time.Millisecond
+
+	// minQueuedRefusal: a call without a wait that is refused after at least this time stood in the queue of a service
+	// that is up. A service that is down, or that lost its queue, refuses sooner.
+	minQueuedRefusal = maxQueueTime / 2
+	// maxUnqueuedRefusal: a call that is refused within this time has not been in a queue.
+	maxUnqueuedRefusal = 100 * time.Millisecond
+
+	// maxCallCycle bounds the time from the start of a failed call to the start of the next: the first may have failed
+	// just before discovery became reachable, and the next may have to queue.
+	maxCallCycle = changeDeadline - firstByteTimeout - 600*time.Millisecond
+
+	// Retries start after a random part of a spread, so that the gateways of a fleet do not retry at the same moment.
+	// For a call that broke off the spread is retrySpreadPerGateway per gateway, up to maxRetrySpread: a watch that
+	// went silent leaves little time. For a refused call it is the time that the calls of the whole fleet take beyond
+	// the longest queue. After retriesBeforeBackoff retries in a row the interval between the starts of two calls
+	// doubles from minBackoff up to the larger of maxBackoff and that spread, with a jitter of a quarter.
+	retrySpreadPerGateway = 5 * time.Millisecond
+	maxRetrySpread        = 200 * time.Millisecond
+	retriesBeforeBackoff  = 2
+	minBackoff            = 100 * time.Millisecond
+	maxBackoff            = time.Second
+	// maxBackoffPushed replaces maxBackoff where lists are pushed: a gateway must then know what discovery has as soon
+	// as discovery is back.
+	maxBackoffPushed = 150 * time.Millisecond
+	// minEmptyCallInterval is the shortest time between the starts of two calls of a watch if the first brought no
+	// change. Discovery takes a call for the continuation of a watch if it comes within 200 ms.
+	minEmptyCallInterval = 50 * time.Millisecond
 )
 
-// AnswerError is a call that discovery may hold for answered, or never heard of: nothing came of the answer, or not all.
+// AnswerError is the error of a call without a usable answer: nothing of it arrived, or not all, or it is no list.
+// Discovery may count the call as answered, or may never have received it.
 type AnswerError struct {
 	Addr  string
-	Begun bool // a part of the answer came
+	Begun bool // some of the answer arrived
 	Err   error
 }
 
 // Error implements error.
 func (e *AnswerError) Error() string {
-	found, do := "silent", "see whether it runs and is reached from here"
+	found, action := "silent", "check that it is running and reachable from this gateway"
 	if e.Begun {
-		found, do = "half an answer, or one that is no list", "see what it writes there"
+		found, action = "an incomplete answer, or one that is not a list of members", "check what it serves there"
 	}
-	return fmt.Sprintf("discovery at %s: %s (%v), wanted a list; if this goes on, %s", e.Addr, found, e.Err, do)
+	return fmt.Sprintf("discovery at %s: %s (%v), wanted a list of members; if this persists, %s", e.Addr, found, e.Err, action)
 }
 
 // Unwrap returns the cause.
 func (e *AnswerError) Unwrap() error { return e.Err }
 
-// refusal is a call that reached discovery and ended without a byte of a list.
-type refusal struct {
-	took time.Duration // since it was asked
+// refusedError is the error of a call that reached discovery and ended without any part of a list.
+type refusedError struct {
+	took time.Duration // from the request to the refusal
 	err  error
 }
 
 // Error implements error.
-func (e *refusal) Error() string { return fmt.Sprintf("refused after %v: %v", e.took, e.err) }
+func (e *refusedError) Error() string { return fmt.Sprintf("refused after %v: %v", e.took, e.err) }
 
 // Unwrap returns the cause.
-func (e *refusal) Unwrap() error { return e.err }
+func (e *refusedError) Unwrap() error { return e.err }
 
-// Sink takes what discovery says.
+// Sink receives lists, changes and failures. The client calls it on the goroutine of Run.
 type Sink func(kind decide.EventKind, members []core.ListedMember)
 
-// Client asks discovery. Watch, Fetch and Move only leave word for Run.
+// Client makes the calls to discovery, on the goroutine of Run. Watch, Fetch and SetAddr return at once; they only
+// signal Run.
 type Client struct {
-	version atomic.Int64
-	pushed  bool
-	wait    time.Duration // of a watch's calls
-	near    time.Duration // within which a call that broke off is begun anew
-	wide    time.Duration // the same for one that was refused
-	most    time.Duration // between the beginnings of two calls, while discovery is down
-	beyond  time.Duration // what the fleet's calls take, all made at once, past the longest queue
-	rng     *rand.Rand
-	pace    decide.DiscoveryPacer // after a crowd, where lists are pushed
-	sink    Sink
-	log     *slog.Logger
-	dial    func(ctx context.Context, addr string) (net.Conn, error)
-	watch   chan struct{}
-	fetch   chan struct{}
-	move    chan struct{}
-
-	mu      sync.Mutex
-	next    string // the address for the next call
-	abandon func() // ends the call that is on
-
-	addr  string // of the call that is on
-	moved bool   // to addr, or it began its versions anew; and its whole list has not come yet
-	idle  bool   // the last answer brought nothing
-	conn  *conn  // kept for the next call
-
-	failed, broke, back logthrottle.Line
+	version         atomic.Int64
+	pushed          bool
+	watchWait       time.Duration // that a watch's calls ask for
+	brokenSpread    time.Duration // spread of the retries of calls that broke off
+	refusedSpread   time.Duration // spread of the retries of refused calls
+	maxCallInterval time.Duration // between the starts of two calls, while discovery is down
+	overQueueTime   time.Duration // that the fleet's calls, all made at once, take past the longest queue
+	rng             *rand.Rand
+	pace            decide.DiscoveryPacer // of watches after a refusal by a full queue, where lists are pushed
+	sink            Sink
+	log             *slog.Logger
+	dial            func(ctx context.Context, addr string) (net.Conn, error)
+	watchRequested  chan struct{}
+	fetchRequested  chan struct{}
+	addrChanged     chan struct{}
+
+	mu         sync.Mutex
+	nextAddr   string // the address for the next call
+	cancelCall func() // cancels the current call
+
+	// Owned by the goroutine of Run.
+	addr      string // of the current call
+	needFull  bool   // the whole list is needed, as the address changed or the service restarted its versions
+	lastEmpty bool   // the last answer brought no change
+	conn      *conn  // kept for the next call
+
+	failedLog, brokenLog, restartedLog logthrottle.Line
 }
 
-// Config is what a Client starts from.
+// Config is the configuration of a Client.
 type Config struct {
-	Addr     string
-	Version  int64  // of the list that it holds
-	Gateways int    // that ask there, this one among them
-	Seed     uint64 // another for each of them: it spreads what all would do at once
-	Pushed   bool   // what discovery has counts as told, asked or not: Run watches by itself, all the time
+	Addr     string // of the discovery service, host:port
+	Version  int64  // of the list that the gateway holds
+	Gateways int    // that use this service, this one included
+	Seed     uint64 // of the random delays; differs per gateway, so that they do not all act at once
+	Pushed   bool   // the gateway must know each change as soon as discovery has it: Run always watches, unasked
 }
 
-// New returns a client that has not begun.
-func New(conf Config, sink Sink, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) *Client {
-	fleet := time.Duration(conf.Gateways)
-	c := &Client{next: conf.Addr, addr: conf.Addr, pushed: conf.Pushed,
-		wait: min(max(waitLeast, fleet*waitEach), waitMost), near: min(fleet*nearEach, nearMost), beyond: fleet*workEach - queueMost,
-		rng: rand.New(rand.NewPCG(conf.Seed, 0x646973636f766572)), sink: sink, dial: dial, log: log,
-		watch: make(chan struct{}, 1), fetch: make(chan struct{}, 1), move: make(chan struct{}, 1)}
-	c.wide = min(max(c.near, c.beyond), cycle)
-	c.most = max(c.wide, backMost)
+// New returns a client that makes its first call once Run runs. It opens connections with dial.
+func New(cfg Config, sink Sink, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) *Client {
+	gateways := time.Duration(cfg.Gateways)
+	c := &Client{nextAddr: cfg.Addr, addr: cfg.Addr, pushed: cfg.Pushed,
+		watchWait:    min(max(minWatchWait, gateways*watchWaitPerGateway), maxWatchWait),
+		brokenSpread: min(gateways*retrySpreadPerGateway, maxRetrySpread), overQueueTime: gateways*workPerCall - maxQueueTime,
+		rng: rand.New(rand.NewPCG(cfg.Seed, 0x646973636f766572)), sink: sink, dial: dial, log: log,
+		watchRequested: make(chan struct{}, 1), fetchRequested: make(chan struct{}, 1), addrChanged: make(chan struct{}, 1)}
+	c.refusedSpread = min(max(c.brokenSpread, c.overQueueTime), maxCallCycle)
+	c.maxCallInterval = max(c.refusedSpread, maxBackoff)
 	if c.pushed {
-		c.wide, c.most = c.near, min(max(backPushed, c.beyond), backMost)
+		c.refusedSpread, c.maxCallInterval = c.brokenSpread, min(max(maxBackoffPushed, c.overQueueTime), maxBackoff)
 	}
-	c.pace = decide.DiscoveryPacer{Fronts: conf.Gateways, Random: c.rng.Float64}
-	c.version.Store(conf.Version)
+	c.pace = decide.DiscoveryPacer{Fronts: cfg.Gateways, Random: c.rng.Float64}
+	c.version.Store(cfg.Version)
 	return c
 }
 
-// Version is that of the list as last told. It may be called from the sink and from any goroutine.
+// Version returns the version of the list as last received. Any goroutine may call it, and the sink too.
 func (c *Client) Version() int64 { return c.version.Load() }
 
-// Watch asks for changes from now on. While a watch is on it does nothing.
-func (c *Client) Watch() { leave(c.watch) }
+// Watch starts a watch for changes. It has no effect while a watch is running.
+func (c *Client) Watch() { signal(c.watchRequested) }
 
-// Fetch asks for the whole list once. A watch that is on brings all changes by itself.
-func (c *Client) Fetch() { leave(c.fetch) }
+// Fetch requests the whole list once. It has no effect while a watch is running, which brings all changes.
+func (c *Client) Fetch() { signal(c.fetchRequested) }
 
-// SetAddr leaves the old address at once and asks at addr from now on: first for
+// SetAddr cancels the current call and makes all further calls to addr: first for
 // the whole list, as the versions of two services need not agree, then for changes.
 func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if addr == c.next {
+	if addr == c.nextAddr {
 		return
 	}
-	c.next = addr
-	leave(c.move)
-	if c.abandon != nil {
-		c.abandon()
+	c.nextAddr = addr
+	signal(c.addrChanged)
+	if c.cancelCall != nil {
+		c.cancelCall()
 	}
 }
 
-func leave(ch chan struct{}) {
+// signal sends a signal on a channel of capacity 1, unless one is pending.
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-func taken(ch chan struct{}) {
+// clearSignal clears a pending signal.
+func clearSignal(ch chan struct{}) {
 	select {
 	case <-ch:
 	default:
@@ -248,13 +262,13 @@
 
 // Run makes the calls until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConn()
 	if c.pushed {
 		for ctx.Err() == nil {
-			c.follow(ctx)
+			c.watchChanges(ctx)
 			select {
 			case <-ctx.Done():
-			case <-c.move:
+			case <-c.addrChanged:
 			case <-time.After(c.pace.PauseAfterRefusal(1)):
 			}
 		}
@@ -264,34 +278,35 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.fetch:
+		case <-c.fetchRequested:
 			c.call(ctx, true, 0)
-		case <-c.watch:
-			c.follow(ctx)
-		case <-c.move:
-			c.follow(ctx)
+		case <-c.watchRequested:
+			c.watchChanges(ctx)
+		case <-c.addrChanged:
+			c.watchChanges(ctx)
 		}
 	}
 }
 
-// follow watches until a crowd is before it or the address changes. The first call does not wait, so that what was missed
-// is told at once; each next one follows the last answer directly, which keeps the watch unbroken.
-func (c *Client) follow(ctx context.Context) {
-	for wait := time.Duration(0); ctx.Err() == nil; wait = c.wait {
+// watchChanges watches for changes until a call is refused by a full queue or the address changes. The first call asks
+// for no wait, so that missed changes arrive at once; each further call directly follows the last answer, so that
+// discovery sees one unbroken watch.
+func (c *Client) watchChanges(ctx context.Context) {
+	for wait := time.Duration(0); ctx.Err() == nil; wait = c.watchWait {
 		began := time.Now()
 		if !c.call(ctx, false, wait) {
 			return
 		}
-		taken(c.watch) // asked for while on: it is on
-		taken(c.fetch)
-		if left := idleLeast - time.Since(began); wait > 0 && c.idle && left > 0 { // it does not wait: it would be asked without end
-			c.rest(ctx, left)
+		clearSignal(c.watchRequested) // requests for what is running
+		clearSignal(c.fetchRequested)
+		if left := minEmptyCallInterval - time.Since(began); wait > 0 && c.lastEmpty && left > 0 { // discovery does not wait: it would be called in a tight loop
+			c.sleep(ctx, left)
 		}
 	}
 }
 
-// rest waits, and tells whether it was for the whole time.
-func (c *Client) rest(ctx context.Context, d time.Duration) bool {
+// sleep sleeps for d and reports whether it did so to the end; it returns early when ctx ends.
+func (c *Client) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -300,45 +315,46 @@
 	}
 }
 
-// part is a part of d by chance.
-func (c *Client) part(d time.Duration) time.Duration {
+// randomUpTo returns a random duration from 0 to d.
+func (c *Client) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Float64() * float64(d))
 }
 
-// begin returns a context for one call, which Move ends.
-func (c *Client) begin(ctx context.Context) (context.Context, func()) {
+// beginCall prepares a call to the current address and returns a context for it, which SetAddr cancels.
+func (c *Client) beginCall(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken(c.move) // this call goes there
-	if c.next != c.addr {
-		c.hangUp()
-		c.addr, c.moved = c.next, true
+	clearSignal(c.addrChanged) // this call goes to the new address
+	if c.nextAddr != c.addr {
+		c.closeConn()
+		c.addr, c.needFull = c.nextAddr, true
 	}
-	c.abandon = cancel
+	c.cancelCall = cancel
 	return ctx, cancel
 }
 
-// call makes one call, for the whole list or for changes, and passes on its list, or that a crowd was before it:
-// then discovery has too much to do, and who asks again at once makes it more. Any other call that fails is begun anew
-// until one is answered: nobody works for it any longer, while what it would have brought counts as told.
+// call requests the whole list or changes, and passes the answer to the sink. It retries a failed call until one is
+// answered, as discovery no longer works on the failed one while the gateway must know what it would have brought. The
+// exception is a call that a full queue refused: discovery is then overloaded and retries at once would make it worse,
+// so call reports the failure to the sink. It reports whether there was an answer.
 func (c *Client) call(ctx context.Context, full bool, wait time.Duration) bool {
-	ctx, done := c.begin(ctx)
+	ctx, done := c.beginCall(ctx)
 	defer done()
-	for again := 0; ; again++ {
-		target := path
-		if full || c.moved {
+	for retries := 0; ; retries++ {
+		target := endpointsPath
+		if full || c.needFull {
 			wait = 0
 		} else {
-			target = fmt.Sprintf("%s?index=%d&wait=%d", path, c.version.Load(), wait.Milliseconds())
+			target = fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, c.version.Load(), wait.Milliseconds())
 		}
 		began := time.Now()
 		list, err := c.get(ctx, target, wait)
 		var members []core.ListedMember
 		if err == nil {
-			if members, err = list.Members(); err == nil && target == path && !list.Reset {
-				if list.Reset = len(members) > 0; !list.Reset { // not so marked, an empty one is no answer to this call
-					err = errors.New("a change, wanted the whole list")
+			if members, err = list.Members(); err == nil && target == endpointsPath && !list.Reset {
+				if list.Reset = len(members) > 0; !list.Reset { // an empty list without the mark is no whole list
+					err = errors.New("got a change, wanted the whole list")
 				}
 			}
 			if err != nil {
@@ -347,14 +363,14 @@
 		}
 		took := time.Since(began)
 		switch {
-		case ctx.Err() != nil: // moved, or over: what the old address says counts no more
-			c.hangUp()
+		case ctx.Err() != nil: // the address changed, or Run ends: the answer no longer counts
+			c.closeConn()
 			return false
-		case err == nil && target != path && !list.Reset && list.Generation < c.version.Load():
-			// It began its versions anew: what it changed up to the one that is held here would never be told.
-			c.back.Warn(c.log, "discovery's versions went back, the whole list is asked for", "call", target, "version", list.Generation)
-			c.moved = true
-			if !c.rest(ctx, idleLeast) {
+		case err == nil && target != endpointsPath && !list.Reset && list.Generation < c.version.Load():
+			// The service restarted its versions: it would never report changes up to the version that is held here.
+			c.restartedLog.Warn(c.log, "discovery restarted its versions, fetching the whole list", "call", target, "version", list.Generation)
+			c.needFull = true
+			if !c.sleep(ctx, minEmptyCallInterval) {
 				return false
 			}
 			continue
@@ -362,57 +378,58 @@
 			if wait == 0 {
 				c.pace.Answered(took)
 			}
-			c.pass(list, members)
+			c.deliver(list, members)
 			return true
 		}
-		c.hangUp()
-		var refused *refusal
-		if errors.As(err, &refused) && wait == 0 && refused.took >= crowded {
-			c.failed.Warn(c.log, "discovery failed", "call", target, "took", took, "err", err)
-			taken(c.watch) // left while the call was on: it is answered by this
-			taken(c.fetch)
+		c.closeConn()
+		var refused *refusedError
+		if errors.As(err, &refused) && wait == 0 && refused.took >= minQueuedRefusal {
+			c.failedLog.Warn(c.log, "discovery failed", "call", target, "took", took, "err", err)
+			clearSignal(c.watchRequested) // requests made during the call; this failure answers them
+			clearSignal(c.fetchRequested)
 			c.sink(decide.ListError, nil)
 			return false
 		}
-		if unreachable(err, wait) {
+		if isUnreachable(err, wait) {
 			c.sink(decide.DiscoveryUnreachable, nil)
 		}
-		c.broke.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
-		wait = 0 // what was missed is told at once
-		if !c.rest(ctx, c.pause(err, again, took)) {
+		c.brokenLog.Warn(c.log, "discovery broke off, asked anew", "call", target, "took", took, "err", err)
+		wait = 0 // missed changes are to arrive at once
+		if !c.sleep(ctx, c.retryDelay(err, retries, took)) {
 			return false
 		}
 	}
 }
 
-// unreachable tells that a call failed because discovery is down or its machine says that it can't be reached: not that
-// it fell silent, which says nothing, nor that the call queued there.
-func unreachable(err error, wait time.Duration) bool {
+// isUnreachable reports whether a call failed because discovery is down or its host refuses connections. Silence proves
+// neither, and a call that was refused after queueing reached a service that is up.
+func isUnreachable(err error, wait time.Duration) bool {
 	var broken *AnswerError
 	if errors.As(err, &broken) {
 		return false
 	}
-	var refused *refusal
-	return !errors.As(err, &refused) || wait == 0 && refused.took < unqueued
+	var refused *refusedError
+	return !errors.As(err, &refused) || wait == 0 && refused.took < maxUnqueuedRefusal
 }
 
-// pause is how long to wait after a call that failed with err and took so long, and so many before it.
-func (c *Client) pause(err error, again int, took time.Duration) time.Duration {
-	spread := c.wide
+// retryDelay returns the delay before the retry of a call that failed with err after took; retries counts the retries
+// before.
+func (c *Client) retryDelay(err error, retries int, took time.Duration) time.Duration {
+	spread := c.refusedSpread
 	var broken *AnswerError
-	if errors.As(err, &broken) || c.moved { // what a new address has counts 4 s after it was given (the standing page)
-		spread = c.near
+	if errors.As(err, &broken) || c.needFull { // the list of a new address must be known 4 s after the change of address
+		spread = c.brokenSpread
 	}
-	if again < anewTimes {
-		return c.part(spread)
+	if retries < retriesBeforeBackoff {
+		return c.randomUpTo(spread)
 	}
-	span := min(max(backLeast<<min(again-anewTimes, 8), spread), c.most)
-	return max(span-c.part(span/4)-took, c.part(c.near))
+	interval := min(max(minBackoff<<min(retries-retriesBeforeBackoff, 8), spread), c.maxCallInterval)
+	return max(interval-c.randomUpTo(interval/4)-took, c.randomUpTo(c.brokenSpread))
 }
 
-// pass takes over an answer's list.
-func (c *Client) pass(list *List, members []core.ListedMember) {
-	c.moved, c.idle = false, len(members) == 0 && !list.Reset
+// deliver records an answer and passes its list to the sink.
+func (c *Client) deliver(list *List, members []core.ListedMember) {
+	c.needFull, c.lastEmpty = false, len(members) == 0 && !list.Reset
 	c.version.Store(list.Generation)
 	kind := decide.ListChange
 	if list.Reset {
@@ -424,53 +441,54 @@
 	c.sink(kind, members)
 }
 
-// get makes one call on the connection kept, or on a new one.
+// get makes one call on the kept connection, or on a new one.
 func (c *Client) get(ctx context.Context, target string, wait time.Duration) (*List, error) {
-	kept := c.conn != nil
-	if !kept {
-		ctx, cancel := context.WithTimeout(ctx, dialWait)
+	reused := c.conn != nil
+	if !reused {
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		nc, err := c.dial(ctx, c.addr)
 		if err != nil {
-			if timedOut(err) {
+			if isTimeout(err) {
 				err = &AnswerError{c.addr, false, err}
 			}
 			return nil, err
 		}
 		c.conn = newConn(nc)
 	}
-	conn := c.conn // the field may be cleared while the function runs
+	conn := c.conn // the field may be cleared before the function below runs
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	asked := time.Now()
-	resp, err := conn.ask(appendGet(nil, c.addr, target), max(wait+slack, patience))
+	start := time.Now()
+	resp, err := conn.roundTrip(appendGet(nil, c.addr, target), max(wait+waitSlack, firstByteTimeout))
 	switch {
-	case err != nil && (conn.begun || timedOut(err)):
-		return nil, &AnswerError{c.addr, conn.begun, err}
-	case err != nil && kept && ctx.Err() == nil && time.Since(asked) < idleLeast: // it was closed before the call, which nobody has read
-		c.hangUp()
+	case err != nil && (conn.answerBegun || isTimeout(err)):
+		return nil, &AnswerError{c.addr, conn.answerBegun, err}
+	case err != nil && reused && ctx.Err() == nil && time.Since(start) < minEmptyCallInterval: // the kept connection had been closed: discovery has not read the call
+		c.closeConn()
 		return c.get(ctx, target, wait)
 	case err != nil:
-		return nil, &refusal{time.Since(asked), err}
+		return nil, &refusedError{time.Since(start), err}
 	case resp.status != 200:
-		return nil, &refusal{time.Since(asked), fmt.Errorf("status %d", resp.status)}
+		return nil, &refusedError{time.Since(start), fmt.Errorf("status %d", resp.status)}
 	}
 	list := new(List)
 	if err := json.Unmarshal(resp.body, list); err != nil {
 		return nil, &AnswerError{c.addr, true, fmt.Errorf("list: %w", err)}
 	}
-	if !resp.keep || conn.r.Buffered() > 0 { // what nobody asked for would be taken for the next answer
-		c.hangUp()
+	if !resp.keepAlive || conn.r.Buffered() > 0 { // surplus bytes would be taken for the next answer
+		c.closeConn()
 	}
 	return list, nil
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
 }
 
-func (c *Client) hangUp() {
+// closeConn closes the kept connection, if there is one.
+func (c *Client) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -37,7 +37,7 @@
 		"headers":    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", maxHeaders+1) + "\r\n", "", false, false},
 	} {
 		r, err := readResponse(bufio.NewReader(strings.NewReader(tc.in)), func() {})
-		if (err == nil) != tc.ok || tc.ok && (string(r.body) != tc.body || r.keep != tc.keep) {
+		if (err == nil) != tc.ok || tc.ok && (string(r.body) != tc.body || r.keepAlive != tc.keep) {
 			t.Errorf("%s: %+v, %v", name, r, err)
 		}
 	}
@@ -55,29 +55,30 @@
 	})
 }
 
-// TestFollow: a watch begins with a call that does not wait, goes on at once after each answer from the version told
-// last, and is begun anew by a call that does not wait when it is refused. It ends with the first call that a crowd was
-// before, which is told; it begins anew only when asked for, and word that was left meanwhile is answered by the failure.
-func TestFollow(t *testing.T) {
+// TestWatch: a watch starts with a call that asks for no wait, continues at once after each answer from the version
+// last received, and restarts with a call without a wait when it is refused. It ends with the first call that a full
+// queue refuses, which it reports; it starts again only on request, and requests made during the failed call are
+// answered by that failure.
+func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &serve{begin: time.Now()}
+		s := &fakeService{started: time.Now()}
 		var c *Client
 		s.answer = func(n int, _ string, conn net.Conn) {
 			switch n {
 			case 0:
-				write(conn, `{"generation":8,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"gone"}]}`)
+				writeJSON(conn, `{"generation":8,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"gone"}]}`)
 			case 1:
-				write(conn, `{"generation":9,"reset":true,"instances":[{"instanceId":"b","hostPort":"h:2","lifecycle":"ready","startedAtMs":5}]}`)
+				writeJSON(conn, `{"generation":9,"reset":true,"instances":[{"instanceId":"b","hostPort":"h:2","lifecycle":"ready","startedAtMs":5}]}`)
 			case 3, 4:
 				c.Watch()
 				c.Fetch()
-				time.Sleep(queueMost)
+				time.Sleep(maxQueueTime)
 				fallthrough
 			default:
 				fmt.Fprint(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 			}
 		}
-		var told []string
+		var reports []string
 		c = New(Config{Addr: "h:0", Version: 7, Gateways: 1}, func(kind decide.EventKind, list []core.ListedMember) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 			for _, l := range list {
 				word += fmt.Sprintf(" %s %s %d %v", l.ID, l.Addr, l.State, l.Started)
 			}
-			told = append(told, word)
+			reports = append(reports, word)
 		}, s.dial, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -98,25 +99,25 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		want := "0.0?index=7&wait=0 0.0?index=8&wait=3000 0.0?index=9&wait=3000 0.0?index=9&wait=0 10.0?index=9&wait=0"
-		if got := strings.Join(s.calls, " "); got != want {
+		if got := strings.Join(s.queries, " "); got != want {
 			t.Errorf("calls %s, want %s", got, want)
 		}
 		want = fmt.Sprintf("%d a h:1 2 0s|%d b h:2 0 5ms|%d|%d", decide.ListChange, decide.ListFull, decide.ListError, decide.ListError)
-		if got := strings.Join(told, "|"); got != want {
-			t.Errorf("told %s, want %s", got, want)
+		if got := strings.Join(reports, "|"); got != want {
+			t.Errorf("reports %s, want %s", got, want)
 		}
 	})
 }
 
-// serve is discovery for tests of how calls end. Each call, numbered from 0, is answered as answer says.
-type serve struct {
-	mu     sync.Mutex
-	calls  []string // what was asked, and when
-	begin  time.Time
-	answer func(n int, call string, conn net.Conn)
+// fakeService is a fake discovery service. It answers each call, numbered from 0, by the function answer.
+type fakeService struct {
+	mu      sync.Mutex
+	queries []string // the queries, each after its time in seconds since begin
+	started time.Time
+	answer  func(n int, call string, conn net.Conn)
 }
 
-func (s *serve) dial(context.Context, string) (net.Conn, error) {
+func (s *fakeService) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
 		defer far.Close()
@@ -129,10 +130,10 @@
 			if err != nil {
 				return
 			}
-			call := strings.TrimPrefix(strings.Fields(line)[1], path)
+			call := strings.TrimPrefix(strings.Fields(line)[1], endpointsPath)
 			s.mu.Lock()
-			n := len(s.calls)
-			s.calls = append(s.calls, fmt.Sprintf("%.1f%s", time.Since(s.begin).Seconds(), call))
+			n := len(s.queries)
+			s.queries = append(s.queries, fmt.Sprintf("%.1f%s", time.Since(s.started).Seconds(), call))
 			s.mu.Unlock()
 			s.answer(n, call, far)
 		}
@@ -140,18 +141,19 @@
 	return near, nil
 }
 
-func write(conn net.Conn, body string) {
+func writeJSON(conn net.Conn, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// TestBroken: a call that broke is begun anew at once on another connection, so that its answer is there before
-// what it missed counts as told: 6 s after the silence began, for a watch 2 s after its wait. So is one that was refused,
-// but after a queue's time: that is left to the module's pace.
-func TestBroken(t *testing.T) {
+// TestFailedCallRetried: a call that broke off is retried at once on another connection, so that its answer arrives
+// before the gateway must know what the call missed: 6 s after the silence began, for a watch 2 s after its wait. A
+// refused call is retried too, unless it was refused after the time of a full queue: the module paces the next call
+// then.
+func TestFailedCallRetried(t *testing.T) {
 	const refusal503 = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 	const list = `{"generation":8,"reset":true,"instances":[]}`
 	for name, tc := range map[string]struct {
-		broken, from int // calls that do not go well, the first of them
+		broken, from int // number of calls that fail, and the first of them
 		how          func(net.Conn)
 		calls        string
 		failed       bool
@@ -162,35 +164,35 @@
 		"watch silent":      {1, 1, func(net.Conn) {}, "0.0?index=7&wait=0 0.0?index=8&wait=3000 3.6?index=8&wait=0 3.6?index=8&wait=3000", false},
 		"body stops":        {1, 1, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{") }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 0.7?index=8&wait=0 0.7?index=8&wait=3000", false},
 		"head, then reset":  {1, 0, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 200"); c.Close() }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
-		"no list":           {1, 0, func(c net.Conn) { write(c, `{"generation":`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
-		"no such lifecycle": {9, 0, func(c net.Conn) { write(c, `{"instances":[{"instanceId":"a"}]}`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=7&wait=0 0.1?index=7&wait=0", false},
+		"no list":           {1, 0, func(c net.Conn) { writeJSON(c, `{"generation":`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
+		"no such lifecycle": {9, 0, func(c net.Conn) { writeJSON(c, `{"instances":[{"instanceId":"a"}]}`) }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=7&wait=0 0.1?index=7&wait=0", false},
 		"reset":             {1, 0, func(c net.Conn) { c.Close() }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
 		"refused":           {1, 0, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, "0.0?index=7&wait=0 0.0?index=7&wait=0 0.0?index=8&wait=3000", false},
 		"watch reset":       {1, 1, func(c net.Conn) { time.Sleep(time.Second); c.Close() }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 1.0?index=8&wait=0 1.0?index=8&wait=3000", false},
-		"watch refused":     {1, 1, func(c net.Conn) { time.Sleep(queueMost); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 2.0?index=8&wait=0 2.0?index=8&wait=3000", false},
-		"a crowd":           {1, 0, func(c net.Conn) { time.Sleep(queueMost); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0", true},
-		"a crowd, by reset": {1, 0, func(c net.Conn) { time.Sleep(queueMost); c.Close() }, "0.0?index=7&wait=0", true},
-		"late, then a trickle": {1, 0, func(c net.Conn) {
-			time.Sleep(patience - 100*time.Millisecond)
+		"watch refused":     {1, 1, func(c net.Conn) { time.Sleep(maxQueueTime); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0 0.0?index=8&wait=3000 2.0?index=8&wait=0 2.0?index=8&wait=3000", false},
+		"full queue":        {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); fmt.Fprint(c, refusal503) }, "0.0?index=7&wait=0", true},
+		"full queue, reset": {1, 0, func(c net.Conn) { time.Sleep(maxQueueTime); c.Close() }, "0.0?index=7&wait=0", true},
+		"late, then trickling": {1, 0, func(c net.Conn) {
+			time.Sleep(firstByteTimeout - 100*time.Millisecond)
 			for _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(c, " ") {
-				time.Sleep(pause / 2)
+				time.Sleep(maxReadGap / 2)
 			}
 		}, "0.0?index=7&wait=0 3.2?index=7&wait=0 3.2?index=8&wait=3000", false},
-		"an endless trickle": {1, 0, func(c net.Conn) {
+		"endless trickle": {1, 0, func(c net.Conn) {
 			for _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(c, " ") {
-				time.Sleep(pause / 2)
+				time.Sleep(maxReadGap / 2)
 			}
 		}, "0.0?index=7&wait=0 2.0?index=7&wait=0 2.0?index=8&wait=3000", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &serve{begin: time.Now()}
+				s := &fakeService{started: time.Now()}
 				s.answer = func(n int, call string, conn net.Conn) {
 					switch {
 					case n >= tc.from && n < tc.from+tc.broken:
 						tc.how(conn)
 					case strings.HasSuffix(call, "wait=0"):
-						write(conn, list)
+						writeJSON(conn, list)
 					}
 				}
 				failed := false
@@ -207,7 +209,7 @@
 				synctest.Wait()
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				got := strings.Join(s.calls, " ")
+				got := strings.Join(s.queries, " ")
 				if !strings.HasPrefix(got, tc.calls) || tc.failed != failed || failed && got != tc.calls {
 					t.Errorf("failed %v, calls %s, want %v, %s", failed, got, tc.failed, tc.calls)
 				}
@@ -216,13 +218,13 @@
 	}
 }
 
-// TestMove: at a new address the old one's call ends at once and untold, its connection closes, and the
-// whole list is asked for before the changes; a watch that is on goes on there.
-func TestMove(t *testing.T) {
+// TestAddrChange: a change of the address cancels the current call without a report and closes its connection. At the
+// new address the whole list is fetched before changes, and a running watch continues.
+func TestAddrChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		var calls, told, closed []string
-		note := func(list *[]string, s string) {
+		var calls, reports, closed []string
+		record := func(list *[]string, s string) {
 			mu.Lock()
 			defer mu.Unlock()
 			*list = append(*list, s)
@@ -234,14 +236,14 @@
 				for {
 					line, err := r.ReadString('\n')
 					if err != nil {
-						note(&closed, addr)
+						record(&closed, addr)
 						return
 					}
 					for rest := "x"; strings.TrimSpace(rest) != ""; {
 						rest, _ = r.ReadString('\n')
 					}
-					call := strings.TrimPrefix(strings.Fields(line)[1], path)
-					note(&calls, addr+call)
+					call := strings.TrimPrefix(strings.Fields(line)[1], endpointsPath)
+					record(&calls, addr+call)
 					if !strings.HasSuffix(call, "wait=3000") {
 						text := `{"generation":3,"reset":true,"instances":[]}`
 						_, _ = fmt.Fprintf(b, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -251,7 +253,7 @@
 			return a, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		c := New(Config{Addr: "old", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.ListedMember) { note(&told, fmt.Sprint(kind)) }, dial,
+		c := New(Config{Addr: "old", Version: 7, Gateways: 1}, func(kind decide.EventKind, _ []core.ListedMember) { record(&reports, fmt.Sprint(kind)) }, dial,
 			slog.New(slog.DiscardHandler))
 		go c.Run(ctx)
 		c.Watch()
@@ -260,7 +262,7 @@
 		c.SetAddr("new")
 		synctest.Wait()
 		mu.Lock()
-		got := strings.Join(calls, " ") + "|" + strings.Join(told, " ") + "|" + strings.Join(closed, " ")
+		got := strings.Join(calls, " ") + "|" + strings.Join(reports, " ") + "|" + strings.Join(closed, " ")
 		mu.Unlock()
 		full := fmt.Sprint(decide.ListFull)
 		if want := "old?index=7&wait=0 old?index=3&wait=3000 new new?index=3&wait=3000|" + full + " " + full + "|old"; got != want {
@@ -271,8 +273,8 @@
 	})
 }
 
-// TestLargeListIsTaken guards against lists of 3,200 members that are refused for their length, indented as they may come.
-func TestLargeListIsTaken(t *testing.T) {
+// TestLargeListAccepted guards against refusing an indented list of 3,200 members for its length.
+func TestLargeListAccepted(t *testing.T) {
 	list := List{Generation: 7, Reset: true}
 	for i := range 3200 {
 		list.Instances = append(list.Instances, Entry{InstanceID: fmt.Sprintf("s-%08x", i), HostPort: "127.215.215.215:65432", Zone: "wellington-north", MachineType: "standard-sixteen-cores",
@@ -285,6 +287,6 @@
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	resp, err := readResponse(bufio.NewReader(strings.NewReader(answer)), func() {})
 	if err != nil || len(resp.body) != len(body) {
-		t.Errorf("%d bytes: %v", len(body), err)
+		t.Errorf("answer of %d bytes not read whole: %v", len(body), err)
 	}
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -19,84 +19,84 @@
 	"reachwind/internal/core"
 )
 
-// fleet is so many gateways, clients and modules, that begin at one moment before a discovery that takes 70 ms for a
-// call and fails what has waited 2 s. It works for one call after another, also for those that it fails in the
-// end, or whose callers have left.
-type fleet struct {
-	n      int
-	span   time.Duration
-	lost   func(now time.Duration, draw float64) bool // nil: none; calls that are not answered
-	refuse bool                                       // those are refused instead, with as much work
+// fleetSim is a simulation of n gateways, each a client and a decision module, that start at the same moment against
+// one discovery service. The service works 70 ms on a call and fails a call that has queued for 2 s. It handles calls
+// one after another, including those that it fails in the end or whose callers have gone.
+type fleetSim struct {
+	n          int
+	duration   time.Duration                              // of the simulation
+	unanswered func(now time.Duration, draw float64) bool // which calls get no answer; nil: none
+	refuse     bool                                       // refuse those calls instead, after as much work
 
-	// Discovery is down from cut to back, in the way of how, in which watches that were on then end as well. What is told
-	// is counted from back on.
-	cut, back time.Duration
-	how       string        // see end
-	pushed    bool          // and not asked for
-	size      int           // the number of gateways that the settings tell, if not n
-	seed      uint64        // of the gateways
-	each      time.Duration // work for a call, if not 70 ms
-	work      time.Duration // the same after back
-	asked     int           // gateways whose call came to it soon enough after back to be told in time
-	late      int           // told, but too late
-	up        bool          // it is back
-	watch     time.Duration // the end of a watch's wait that was on at cut
+	// Discovery is down from cut to back, failing as how says; watches that run at cut end in the same way. Deliveries
+	// are counted from back on.
+	downFrom, backAt time.Duration
+	failure          string        // see end
+	pushed           bool          // lists are pushed
+	size             int           // the number of gateways in the settings, if larger than n
+	seed             uint64        // of the gateways
+	workPerCall      time.Duration // work per call, if not 70 ms
+	workPerCallAfter time.Duration // the same from back on
+	calledInTime     int           // gateways whose call arrived soon enough after back for an answer in time
+	knownLate        int           // gateways that learnt the list too late
+	isBack           bool          // discovery is back
+	watchEnd         time.Duration // the end of the wait of a watch that ran at cut
 
-	calls, failed, told int
-	last, busy, queue   time.Duration
+	calls, failed, known               int           // calls that arrived, those that failed, gateways that learnt the list
+	lastKnown, busyUntil, longestQueue time.Duration // last delivery, end of the work at hand, longest queue
 }
 
-func (f *fleet) play(t *testing.T) {
+func (f *fleetSim) run(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		ctx, cancel := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		r := rand.New(rand.NewPCG(27, 300))
 		for i := range f.n {
-			s, seen := &serve{begin: begin}, false
-			down := func() bool { now := time.Since(begin); return now >= f.cut && now < f.back }
+			s, seen := &fakeService{started: begin}, false
+			down := func() bool { now := time.Since(begin); return now >= f.downFrom && now < f.backAt }
 			s.answer = func(_ int, call string, conn net.Conn) {
-				ends := f.back > 0 && down()
+				ends := f.backAt > 0 && down()
 				_, ms, _ := strings.Cut(call, "wait=")
 				d, _ := time.ParseDuration(ms + "ms")
 				watch := d > 0
 				if watch {
-					left := f.cut - time.Since(begin)
-					if f.back > 0 && left < d && !(left < 0 && !ends) {
+					left := f.downFrom - time.Since(begin)
+					if f.backAt > 0 && left < d && !(left < 0 && !ends) {
 						mu.Lock()
-						f.watch = time.Since(begin) + d
+						f.watchEnd = time.Since(begin) + d
 						mu.Unlock()
 						d, ends = max(left, 0), true
 					}
-					time.Sleep(d) // nothing changes
+					time.Sleep(d) // there are no changes
 				}
 				if ends {
-					f.end(conn, watch)
+					f.endCall(conn, watch)
 					return
 				}
 				mu.Lock()
 				now := time.Since(begin)
-				if f.back > 0 && now >= f.back && !f.up { // what was queued when it went down is gone
-					f.up, f.busy = true, 0
+				if f.backAt > 0 && now >= f.backAt && !f.isBack { // calls queued at cut are gone
+					f.isBack, f.busyUntil = true, 0
 				}
-				if f.back > 0 && now >= f.back && now <= f.back+toldAfter-patience && !seen {
+				if f.backAt > 0 && now >= f.backAt && now <= f.backAt+changeDeadline-firstByteTimeout && !seen {
 					seen = true
-					f.asked++
+					f.calledInTime++
 				}
-				lost := f.lost != nil && f.lost(now, r.Float64())
+				lost := f.unanswered != nil && f.unanswered(now, r.Float64())
 				if ctx.Err() != nil || lost && !f.refuse {
 					mu.Unlock()
 					return
 				}
 				const wait = 2 * time.Second
-				work := cmp.Or(f.each, 70*time.Millisecond)
-				if f.work > 0 && now >= f.back {
-					work = f.work
+				work := cmp.Or(f.workPerCall, 70*time.Millisecond)
+				if f.workPerCallAfter > 0 && now >= f.backAt {
+					work = f.workPerCallAfter
 				}
-				turn := max(f.busy-now, 0)
-				f.busy = now + turn + work
+				turn := max(f.busyUntil-now, 0)
+				f.busyUntil = now + turn + work
 				f.calls++
-				f.queue = max(f.queue, turn)
+				f.longestQueue = max(f.longestQueue, turn)
 				ok := turn <= wait && !lost
 				if !ok {
 					f.failed++
@@ -106,7 +106,7 @@
 					_, _ = fmt.Fprint(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 					return
 				}
-				write(conn, `{"generation":3,"instances":[]}`)
+				writeJSON(conn, `{"generation":3,"instances":[]}`)
 			}
 			router, err := decide.New(decide.Config{Self: i, Fronts: max(f.size, f.n), ListOnRequest: !f.pushed, Classes: []decide.Class{
 				{Name: "any", LatencyTarget: time.Second, Deadline: time.Second}}}, f.seed+uint64(i))
@@ -116,20 +116,20 @@
 			events, known := make(chan decide.EventKind, 9), false
 			dial := func(ctx context.Context, addr string) (net.Conn, error) {
 				switch {
-				case down() && f.how == "no dial":
+				case down() && f.failure == "no dial":
 					<-ctx.Done()
 					return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
-				case down() && f.how == "refused":
+				case down() && f.failure == "refused":
 					return nil, errors.New("refused")
 				}
 				return s.dial(ctx, addr)
 			}
 			client := New(Config{Addr: "h:1", Version: 3, Gateways: max(f.size, f.n), Seed: f.seed + uint64(i), Pushed: f.pushed}, func(kind decide.EventKind, _ []core.ListedMember) {
-				if kind == decide.ListChange && !known && time.Since(begin) >= f.back {
+				if kind == decide.ListChange && !known && time.Since(begin) >= f.backAt {
 					mu.Lock()
-					known, f.last, f.told = true, time.Since(begin), f.told+1
+					known, f.lastKnown, f.known = true, time.Since(begin), f.known+1
 					if time.Since(begin) > f.due() {
-						f.late++
+						f.knownLate++
 					}
 					mu.Unlock()
 				}
@@ -157,26 +157,26 @@
 				}
 			}()
 		}
-		time.Sleep(f.span)
+		time.Sleep(f.duration)
 		cancel()
-		time.Sleep(waitMost + 10*time.Second) // discovery's last answers
+		time.Sleep(maxWatchWait + 10*time.Second) // for the last answers of discovery
 	})
 	if f.n > 1 || f.size == 0 {
-		t.Logf("%d told, the last after %v, by %d calls that came to it, of which %d failed; queue of %v at most", f.told, f.last, f.calls, f.failed, f.queue)
+		t.Logf("%d know the list, the last after %v, by %d calls that arrived, of which %d failed; longest queue %v", f.known, f.lastKnown, f.calls, f.failed, f.longestQueue)
 	}
 }
 
-// TestFleetAsks restarts all gateways of a fleet at one moment. Were they to ask at once, to give up before their
-// turn or to ask again soon, discovery's time would go to calls that fail, for good. Counted over the fleet: all are
-// told soon, by few calls.
-func TestFleetAsks(t *testing.T) {
+// TestFleetStart starts all gateways of a fleet at the same moment. If they called at once, gave up before their turn
+// or retried soon, discovery would spend its time on calls that fail, without end. All must learn the list soon, with
+// few calls in all.
+func TestFleetStart(t *testing.T) {
 	for _, n := range []int{1, 5, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			work := time.Duration(n) * 70 * time.Millisecond
-			f := &fleet{n: n, span: 4*work + 10*time.Second}
-			f.play(t)
-			if f.told != n || f.last > 4*work+5*time.Second {
-				t.Errorf("%d of %d told, the last after %v; its work is %v", f.told, n, f.last, work)
+			f := &fleetSim{n: n, duration: 4*work + 10*time.Second}
+			f.run(t)
+			if f.known != n || f.lastKnown > 4*work+5*time.Second {
+				t.Errorf("%d of %d know the list, the last after %v; one call of each is %v of work", f.known, n, f.lastKnown, work)
 			}
 			if f.calls > 4*n+4 || f.failed > 2*n {
 				t.Errorf("%d calls, %d failed, by %d gateways", f.calls, f.failed, n)
@@ -185,41 +185,42 @@
 	}
 }
 
-// TestFleetSilence: what is begun anew at once, as it fell silent, must not keep discovery much busier than the
-// same calls do that are refused, which come again at the module's pace; also not where all fall silent.
+// TestFleetSilence: calls that went silent are retried at once. They must not load discovery much more than refused
+// calls do, which are retried at the module's pace, even if all calls go silent.
 func TestFleetSilence(t *testing.T) {
 	for name, lost := range map[string]func(now time.Duration, draw float64) bool{
 		"one in ten":  func(_ time.Duration, draw float64) bool { return draw < 0.1 },
 		"all for 5 s": func(now time.Duration, _ float64) bool { return now < 5*time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
-			silent, refused := fleet{n: 300, span: 60 * time.Second, lost: lost}, fleet{n: 300, span: 60 * time.Second, lost: lost, refuse: true}
-			silent.play(t)
-			refused.play(t)
-			if silent.queue > refused.queue+5*time.Second || silent.calls > refused.calls+30 || silent.told < refused.told-30 {
-				t.Error("silence costs more than refusals")
+			silent, refused := fleetSim{n: 300, duration: 60 * time.Second, unanswered: lost}, fleetSim{n: 300, duration: 60 * time.Second, unanswered: lost, refuse: true}
+			silent.run(t)
+			refused.run(t)
+			if silent.longestQueue > refused.longestQueue+5*time.Second || silent.calls > refused.calls+30 || silent.known < refused.known-30 {
+				t.Error("silent calls cost more than refused ones")
 			}
 		})
 	}
 }
 
-// due is when what discovery has at back counts as told. A watch that fell silent may be noticed later, by its wait.
-func (f *fleet) due() time.Duration {
-	due := f.back + toldAfter
-	if f.how == "no dial" || f.how == "silent" {
-		due = max(due, f.cut+toldAfter, f.watch+2*time.Second)
+// due returns when a gateway must know what discovery has at back. It is later for a watch that went silent, which is
+// noticed only after its wait.
+func (f *fleetSim) due() time.Duration {
+	due := f.backAt + changeDeadline
+	if f.failure == "no dial" || f.failure == "silent" {
+		due = max(due, f.downFrom+changeDeadline, f.watchEnd+2*time.Second)
 	}
 	return due
 }
 
-// end is what becomes of a call while discovery is down.
-func (f *fleet) end(conn net.Conn, watch bool) {
+// endCall ends a call while discovery is down, in the way that f.how names.
+func (f *fleetSim) endCall(conn net.Conn, watch bool) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"
-	switch f.how {
-	case "no dial", "silent": // a call that was on hears no more
+	switch f.failure {
+	case "no dial", "silent": // a running call gets nothing more
 	case "refused", "reset":
 		conn.Close()
-	case "crowd":
+	case "full queue":
 		time.Sleep(2 * time.Second)
 		fallthrough
 	case "503":
@@ -233,47 +234,47 @@
 		_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n{ \"generation\" : ")
 		conn.Close()
 	case "no list":
-		write(conn, `{"generation":3,"instances":[{"instanceId":"a"}]}`)
+		writeJSON(conn, `{"generation":3,"instances":[{"instanceId":"a"}]}`)
 	case "trickle":
 		if !watch {
-			time.Sleep(patience - 100*time.Millisecond)
+			time.Sleep(firstByteTimeout - 100*time.Millisecond)
 		}
 		for _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = fmt.Fprint(conn, " ") {
-			time.Sleep(pause / 2)
+			time.Sleep(maxReadGap / 2)
 		}
 	case "huge":
 		_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{")
 	default:
-		panic(f.how)
+		panic(f.failure)
 	}
 }
 
-// TestToldAfterReturn: in whatever way calls failed, however long, and whatever the size of the fleet, a gateway is told
-// 6 s after discovery is back, be its call the last that the queue lets pass. Of 300 whose lists are pushed, and who have
-// seen a call take 70 ms, the calls alone fill the queue for 21 s.
-func TestToldAfterReturn(t *testing.T) {
-	for _, how := range []string{"no dial", "refused", "503", "reset", "silent", "silent midway", "reset midway", "no length", "no list", "trickle", "huge", "crowd"} {
+// TestListKnownAfterReturn: however calls failed, for however long and whatever the size of the fleet, a gateway knows
+// the list within 6 s of discovery's return, even if its call is the last that the queue admits. The combination of 300
+// gateways, pushed lists and a full queue is left out: at 70 ms a call the calls alone fill the queue for 21 s.
+func TestListKnownAfterReturn(t *testing.T) {
+	for _, how := range []string{"no dial", "refused", "503", "reset", "silent", "silent midway", "reset midway", "no length", "no list", "trickle", "huge", "full queue"} {
 		t.Run(how, func(t *testing.T) {
 			for seed := range uint64(3) {
 				r := rand.New(rand.NewPCG(seed, 31))
 				for _, size := range []int{1, 5, 30, 80, 300} {
 					for _, pushed := range []bool{false, true} {
-						if how == "crowd" && pushed && size > 80 {
+						if how == "full queue" && pushed && size > 80 {
 							continue
 						}
-						f := &fleet{n: 1, size: size, seed: seed, pushed: pushed, how: how, work: 2 * time.Second, cut: 12 * time.Second}
+						f := &fleetSim{n: 1, size: size, seed: seed, pushed: pushed, failure: how, workPerCallAfter: 2 * time.Second, downFrom: 12 * time.Second}
 						after := 8 * time.Second
-						if how == "no dial" || how == "silent" { // a watch's silence is noticed late
-							after += waitMost
+						if how == "no dial" || how == "silent" { // a silent watch is noticed only after its wait
+							after += maxWatchWait
 							if size > 5 {
-								f.work = time.Second
+								f.workPerCallAfter = time.Second
 							}
 						}
-						f.cut += time.Duration(r.Float64() * float64(5*time.Second))
-						f.back = f.cut + time.Duration(r.Float64()*r.Float64()*float64(40*time.Second))
-						f.span = f.back + after
-						if f.play(t); f.told != 1 || f.late > 0 {
-							t.Errorf("%d gateways, pushed %v, seed %d: down from %v to %v, told at %v", size, pushed, seed, f.cut, f.back, f.last)
+						f.downFrom += time.Duration(r.Float64() * float64(5*time.Second))
+						f.backAt = f.downFrom + time.Duration(r.Float64()*r.Float64()*float64(40*time.Second))
+						f.duration = f.backAt + after
+						if f.run(t); f.known != 1 || f.knownLate > 0 {
+							t.Errorf("%d gateways, pushed %v, seed %d: down from %v to %v, list known at %v", size, pushed, seed, f.downFrom, f.backAt, f.lastKnown)
 						}
 					}
 				}
@@ -282,19 +283,20 @@
 	}
 }
 
-// TestFleetReturn: discovery is down for a whole fleet, and every watch ended at one moment; or only the watches ended.
-// All of a fleet that it can serve in time are told in time, and of a larger one calls that fail do not keep it busy for good.
+// TestFleetReturn: discovery goes down for a whole fleet and every watch ends at the same moment; or only the watches
+// end. A fleet that discovery can serve in time learns the list in time; for a larger one, failing calls must not keep
+// discovery busy without end.
 func TestFleetReturn(t *testing.T) {
 	play := func(t *testing.T, n int, how string, down time.Duration, pushed bool) {
 		t.Run(fmt.Sprintf("%s for %v, %d, pushed %v", how, down, n, pushed), func(t *testing.T) {
-			f := &fleet{n: n, span: 40 * time.Second, cut: 12 * time.Second, back: 12*time.Second + down, how: how, pushed: pushed}
-			f.play(t)
-			t.Logf("%d asked in time, %d told too late", f.asked, f.late)
-			if n <= 30 && (f.told != n || f.late > 0) || n == 80 && f.told != n {
-				t.Error("not told in time")
+			f := &fleetSim{n: n, duration: 40 * time.Second, downFrom: 12 * time.Second, backAt: 12*time.Second + down, failure: how, pushed: pushed}
+			f.run(t)
+			t.Logf("%d called in time, %d know the list too late", f.calledInTime, f.knownLate)
+			if n <= 30 && (f.known != n || f.knownLate > 0) || n == 80 && f.known != n {
+				t.Error("some do not know the list in time")
 			}
-			if f.calls > n*(4+int(f.span/max(waitLeast, time.Duration(n)*waitEach)))+4 || f.queue > time.Duration(n)*70*time.Millisecond {
-				t.Error("a herd")
+			if f.calls > n*(4+int(f.duration/max(minWatchWait, time.Duration(n)*watchWaitPerGateway)))+4 || f.longestQueue > time.Duration(n)*70*time.Millisecond {
+				t.Error("a thundering herd")
 			}
 		})
 	}
@@ -314,36 +316,38 @@
 	}
 }
 
-// TestFleetAfterCrowd guards against a fleet that discovery can serve in time, but that asks too late, or too often, once a crowd has gone.
-func TestFleetAfterCrowd(t *testing.T) {
+// TestFleetAfterFullQueue guards against a fleet that discovery could serve in time, but whose gateways call too late
+// or too often once a full queue has cleared.
+func TestFleetAfterFullQueue(t *testing.T) {
 	for _, tc := range []struct {
 		n    int
-		work time.Duration // of all
+		work time.Duration // for one call of each gateway
 	}{{30, 2 * time.Second}, {60, 4500 * time.Millisecond}, {300, time.Second}, {300, 4500 * time.Millisecond}, {900, 4500 * time.Millisecond}} {
 		n, work := tc.n, tc.work
 		for _, down := range []time.Duration{3 * time.Second, 8 * time.Second, 20 * time.Second} {
 			t.Run(fmt.Sprintf("%d of %v for %v", n, work, down), func(t *testing.T) {
 				t.Parallel()
 				each := work / time.Duration(n)
-				f := &fleet{n: n, each: each, cut: 12 * time.Second, back: 12*time.Second + down, how: "crowd", span: 32*time.Second + down}
-				f.play(t)
-				if f.told != n || f.late > 0 || f.failed > 0 {
-					t.Errorf("%d of %d told, %d too late, %d calls failed in a fleet whose work is %v", f.told, n, f.late, f.failed, each*time.Duration(n))
+				f := &fleetSim{n: n, workPerCall: each, downFrom: 12 * time.Second, backAt: 12*time.Second + down, failure: "full queue", duration: 32*time.Second + down}
+				f.run(t)
+				if f.known != n || f.knownLate > 0 || f.failed > 0 {
+					t.Errorf("%d of %d know the list, %d too late; %d calls failed in a fleet whose calls are %v of work", f.known, n, f.knownLate, f.failed, each*time.Duration(n))
 				}
 			})
 		}
 	}
 }
 
-// TestFleetRestart guards against first calls that come so late that changes count as told, or so soon that they are refused.
-func TestFleetRestart(t *testing.T) {
+// TestFleetFirstCalls guards against first calls that come too late for the gateway to know changes in time, or so soon
+// that a full queue refuses them.
+func TestFleetFirstCalls(t *testing.T) {
 	for _, n := range []int{1, 5, 30, 60, 300, 900} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			f := &fleet{n: n, each: 4500 * time.Millisecond / time.Duration(max(n, 30)), span: 10 * time.Second}
-			f.play(t)
-			if f.told != n || f.last > toldAfter || f.failed > 0 {
-				t.Errorf("%d of %d told, the last after %v; %d calls failed", f.told, n, f.last, f.failed)
+			f := &fleetSim{n: n, workPerCall: 4500 * time.Millisecond / time.Duration(max(n, 30)), duration: 10 * time.Second}
+			f.run(t)
+			if f.known != n || f.lastKnown > changeDeadline || f.failed > 0 {
+				t.Errorf("%d of %d know the list, the last after %v; %d calls failed", f.known, n, f.lastKnown, f.failed)
 			}
 		})
 	}
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	maxLine    = 8 << 10
-	maxHeaders = 64
-	maxInterim = 4
-	maxBody    = decide.MaxMembers * 640 // an indented entry takes up to some 530 bytes
+	maxLine    = 8 << 10                 // bytes of a status, header or chunk size line
+	maxHeaders = 64                      // header fields of an answer
+	maxInterim = 4                       // answers read for one request, interim ones (1xx) included
+	maxBody    = decide.MaxMembers * 640 // bytes; an indented entry takes up to some 530
 )
 
 var errHTTP = errors.New("malformed HTTP answer")
 
 // response is an HTTP/1.1 answer.
 type response struct {
-	status int
-	keep   bool // the connection may be used again
-	body   []byte
+	status    int
+	keepAlive bool // the connection may be reused
+	body      []byte
 }
 
-// appendGet appends a request.
+// appendGet appends a GET request to b.
 func appendGet(b []byte, host, target string) []byte {
 	return fmt.Appendf(b, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", target, host)
 }
@@ -37,10 +37,10 @@
 // conn is a connection to discovery, for one call at a time.
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	begun bool      // of the answer that is read, some has come
-	last  time.Time // by which it has to be whole
-	end   time.Time // the same, or sooner, once it has begun
+	r           *bufio.Reader
+	answerBegun bool      // some of the current answer arrived
+	latestEnd   time.Time // when the current answer must be complete at the latest
+	answerEnd   time.Time // when an answer that has begun must be complete; not after last
 }
 
 func newConn(nc net.Conn) *conn {
@@ -49,15 +49,15 @@
 	return c
 }
 
-// Read keeps to the pace of an answer once it has begun.
+// Read enforces the time limits of an answer that has begun: on the whole of it, and on the gap between two reads.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		now := time.Now()
-		if !c.begun {
-			c.begun, c.end = true, earlier(now.Add(whole), c.last)
+		if !c.answerBegun {
+			c.answerBegun, c.answerEnd = true, earlier(now.Add(answerTimeout), c.latestEnd)
 		}
-		_ = c.SetReadDeadline(earlier(c.end, now.Add(pause)))
+		_ = c.SetReadDeadline(earlier(c.answerEnd, now.Add(maxReadGap)))
 	}
 	return n, err
 }
@@ -69,34 +69,34 @@
 	return b
 }
 
-// ask makes a request and reads its answer, of which the first byte may take so long.
-func (c *conn) ask(request []byte, first time.Duration) (*response, error) {
-	end := time.Now().Add(first)
-	c.last = end.Add(wholeLate)
-	wait := func() {
-		c.begun = false
-		_ = c.SetDeadline(end)
+// roundTrip sends a request and reads its answer, whose first byte must arrive within first.
+func (c *conn) roundTrip(request []byte, firstByteIn time.Duration) (*response, error) {
+	firstByteBy := time.Now().Add(firstByteIn)
+	c.latestEnd = firstByteBy.Add(lateAnswerTimeout)
+	expectAnswer := func() {
+		c.answerBegun = false
+		_ = c.SetDeadline(firstByteBy)
 	}
-	wait()
+	expectAnswer()
 	if _, err := c.Write(request); err != nil {
 		return nil, err
 	}
-	return readResponse(c.r, wait)
+	return readResponse(c.r, expectAnswer)
 }
 
-// readResponse reads one answer, its body whole, and passes over interim ones before it, after each of which it
-// calls interim.
-func readResponse(r *bufio.Reader, interim func()) (*response, error) {
+// readResponse reads one answer with its whole body. It skips interim answers before it, and calls interim after each.
+func readResponse(r *bufio.Reader, onInterim func()) (*response, error) {
 	for range maxInterim {
-		if resp, err := readOne(r); err != nil || resp.status >= 200 {
+		if resp, err := readAnyResponse(r); err != nil || resp.status >= 200 {
 			return resp, err
 		}
-		interim()
+		onInterim()
 	}
-	return nil, fmt.Errorf("%w: interim answers only", errHTTP)
+	return nil, fmt.Errorf("%w: too many interim answers, want a final one", errHTTP)
 }
 
-func readOne(r *bufio.Reader) (*response, error) {
+// readAnyResponse reads one answer, interim or final.
+func readAnyResponse(r *bufio.Reader) (*response, error) {
 	line, err := readLine(r)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 100 || status > 999 {
 		return nil, fmt.Errorf("%w: status line %.40q", errHTTP, line)
 	}
-	resp := &response{status: status, keep: proto != "HTTP/1.0"}
+	resp := &response{status: status, keepAlive: proto != "HTTP/1.0"}
 	length, chunked := int64(-1), false
 	for n := 0; ; n++ {
 		if line, err = readLine(r); err != nil {
@@ -129,7 +129,7 @@
 		case "transfer-encoding":
 			chunked = value == "chunked"
 		case "connection":
-			resp.keep = resp.keep && value != "close"
+			resp.keepAlive = resp.keepAlive && value != "close"
 		}
 	}
 	switch {
@@ -140,7 +140,7 @@
 		resp.body = make([]byte, length)
 		_, err = io.ReadFull(r, resp.body)
 	default:
-		resp.keep = false
+		resp.keepAlive = false
 		if resp.body, err = io.ReadAll(io.LimitReader(r, maxBody+1)); err == nil && len(resp.body) > maxBody {
 			err = fmt.Errorf("%w: body too long", errHTTP)
 		}
@@ -151,7 +151,7 @@
 	return resp, nil
 }
 
-// readLine reads a line of bounded length, without its end.
+// readLine reads a line of at most maxLine bytes and returns it without its line ending.
 func readLine(r *bufio.Reader) (string, error) {
 	var line []byte
 	for {
@@ -169,6 +169,7 @@
 	}
 }
 
+// readChunks reads a body in chunked transfer coding, trailers included.
 func readChunks(r *bufio.Reader) ([]byte, error) {
 	var body []byte
 	for {
--- a/internal/interruptible/wake_test.go
+++ b/internal/interruptible/interruptible_test.go
@@ -9,17 +9,17 @@
 	"testing/synctest"
 )
 
-// TestNoLostMessage: whenever a message is left, before a read, during it or
-// between the reset of the deadline and the next read, the reader gets it.
-func TestNoLostMessage(t *testing.T) {
+// TestNoMessageLost: the reader gets every message, whether it is posted before a read, during one or between the reset
+// of the deadline and the next read.
+func TestNoMessageLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		w := New[int](a, 16)
-		const most = 1000
+		const messages = 1000
 		got := 0
 		done := make(chan error, 1)
 		go func() {
-			for got < most {
+			for got < messages {
 				if _, err := w.Peek(1, func() error {
 					for _, m := range w.TakeMessages() {
 						if m != got {
@@ -27,7 +27,7 @@
 						}
 						got++
 					}
-					if got == most {
+					if got == messages {
 						return io.EOF
 					}
 					return nil
@@ -37,7 +37,7 @@
 				}
 			}
 		}()
-		for i := range most {
+		for i := range messages {
 			if !w.Post(i) {
 				t.Fatal("mailbox closed")
 			}
@@ -45,26 +45,26 @@
 				synctest.Wait()
 			}
 		}
-		if err := <-done; err != io.EOF || got != most {
-			t.Errorf("%d of %d messages, %v", got, most, err)
+		if err := <-done; err != io.EOF || got != messages {
+			t.Errorf("%d of %d messages, %v", got, messages, err)
 		}
-		w.Post(most)
+		w.Post(messages)
 		if left := w.CloseAll(); len(left) != 1 || w.Post(0) {
-			t.Errorf("%d messages left at the end, or the mailbox is open", len(left))
+			t.Errorf("%d messages remain at the end, want 1, or the mailbox is still open", len(left))
 		}
 		_ = b.Close()
 	})
 }
 
-// TestFill: a wake in the middle of a message loses no byte of it.
-func TestFill(t *testing.T) {
+// TestReadFull: an interruption in the middle of a message loses no byte of it.
+func TestReadFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		w := New[int](a, 16)
 		body := make([]byte, 64)
-		woken := 0
+		interrupts := 0
 		done := make(chan error, 1)
-		go func() { done <- w.ReadFull(body, func() error { woken++; return nil }) }()
+		go func() { done <- w.ReadFull(body, func() error { interrupts++; return nil }) }()
 		for i := range 64 {
 			_, _ = b.Write([]byte{byte(i)})
 			if i%7 == 0 {
@@ -72,8 +72,8 @@
 				synctest.Wait()
 			}
 		}
-		if err := <-done; err != nil || woken == 0 {
-			t.Fatal(err, woken)
+		if err := <-done; err != nil || interrupts == 0 {
+			t.Fatal(err, interrupts)
 		}
 		for i, c := range body {
 			if int(c) != i {
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestQuiet: what came unread shows even while a read deadline hides it.
-func TestQuiet(t *testing.T) {
+// TestNoPendingInput: unread bytes and the peer's close are noticed even while a read deadline has passed.
+func TestNoPendingInput(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -102,12 +102,12 @@
 		}
 		w := New[int](a, 64)
 		if !w.NoPendingInput() {
-			t.Error("not quiet, though nothing came")
+			t.Error("input is reported as pending, though nothing was sent")
 		}
 		w.Post(1)
 		_, _ = b.Write([]byte(text)) // a close counts as well
 		_ = b.Close()
-		for w.NoPendingInput() { // the loopback takes a moment; the test's own limit ends a wait for nothing
+		for w.NoPendingInput() { // the loopback takes a moment; the time limit of the test bounds this
 			runtime.Gosched()
 		}
 		_ = w.CloseAll()
--- a/internal/pgmember/pool.go
+++ b/internal/pgmember/pool.go
@@ -1,7 +1,8 @@
-// Package pgmember is the members' side of the gateway for members that speak
-// PostgreSQL: their connections, attempts and probes. The pool's records
-// belong to the core's owner goroutine; each connection has a goroutine of its
-// own, told by its mailbox and heard through the core's queue.
+// Package pgmember connects the gateway to members that speak the PostgreSQL
+// protocol: it holds their connections and carries out attempts and probes. The
+// pool's state belongs to the core's owner goroutine, which all methods of Pool
+// must run on. Each connection has a goroutine of its own, which gets its orders
+// from a mailbox and reports through the core's queue.
 package pgmember
 
 import (
@@ -16,96 +17,98 @@
 	"reachwind/internal/pgwire"
 )
 
-// Config holds what the pool is told.
+// Config is the configuration of a Pool.
 type Config struct {
-	User, Database    string
+	User, Database    string        // sent in the startup message to members
 	MaxConns          int           // connections to all members together
-	MemberIdleTimeout time.Duration // members close connections idle for so long
-	ConnectTimeout    time.Duration // a connection not up by then has failed
+	MemberIdleTimeout time.Duration // members close connections that are idle for this long
+	ConnectTimeout    time.Duration // time limit for dialing, startup included, and for probes
 	DrainGrace        time.Duration // sends to a draining member must end within it
-	KeepDelisted      bool          // a member that leaves the list without draining may still be used
-	ReservedBuffers   int           // buffers left to others when answers that pass through take the rest
-	ReportFigures     []string      // what a load report holds, as the settings name it
+	KeepDelisted      bool          // a member that is missing from the list without having drained may still be used
+	ReservedBuffers   int           // buffers that streamed answers leave to others
+	ReportFigures     []string      // the figures of a load report, as the settings name them
 }
 
 const (
-	idlePart    = 0.8 // of Idle after which the pool closes a connection, so that no request crosses the member's close
-	gracePart   = 0.6 // of Grace after which nothing more is written
-	sweepEvery  = time.Second
-	membersMost = 2 * decide.MaxMembers // kept in all, those that left the list and still have connections among them
-	boundMargin = 2 * time.Millisecond  // data ages until the last byte is out
+	idleFraction       = 0.8 // of MemberIdleTimeout; idle connections are closed by then, so that no request crosses the member's close
+	drainGraceFraction = 0.6 // of DrainGrace; no statement is written after it
+	sweepInterval      = time.Second
+	maxMembersHeld     = 2 * decide.MaxMembers // kept in all, including members off the list that still have connections
+	boundMargin        = 2 * time.Millisecond  // data ages further until the last byte of the statement is written
 )
 
-// Pool keeps the connections to all members.
+// Pool holds the connections to all members.
 type Pool struct {
-	core    *core.Core
-	log     *slog.Logger
-	conf    atomic.Pointer[Config] // connections read it on their own goroutines; its Max and Keep count at the start only
-	most    int                    // connections
-	keep    int                    // see Config.Keep
-	bufs    *pgwire.Pool
-	dial    Dialer
-	members map[string]*member
-	open    int // connections, those being made included
-	jobs    map[*core.Attempt]*job
-	stamps  atomic.Bool // some member has told a log position
-
-	spoilt, cut, failing, short, cutList logthrottle.Line
-
-	beforeWrite func(*job) // a seam for tests: called where a job is about to be written
+	core              *core.Core
+	log               *slog.Logger
+	conf              atomic.Pointer[Config] // read by the connections' goroutines; MaxConns and ReservedBuffers count only in New
+	maxConns          int                    // see SetMaxConns
+	reservedBuffers   int                    // see Config.ReservedBuffers
+	bufs              *pgwire.Pool
+	dial              Dialer
+	members           map[string]*member // by id
+	openCount         int                // connections, including those being established
+	jobs              map[*core.Attempt]*job
+	positionsReported atomic.Bool // some member has reported a log position
+
+	invalidAnswerLog, brokenStreamLog, connectFailedLog, noConnsLog, listTooLongLog logthrottle.Line
+
+	beforeWrite func(*job) // test hook: called right before a job's statement is written
 }
 
-// member is what the pool knows of one member.
+// member is the pool's state of one member.
 type member struct {
-	id, addr string
-	unwanted core.Time // told so then; 0 = wanted
-	left     bool      // out of the list
-	idle     []*conn   // the most recently used last
-	busy     []*conn
-	waiting  []*job
-	making   int // connections being made
-	room     int // connections to other members that end so that one to this may be made
+	id, addr         string
+	excludedSince    core.Time // since when it may get no new work; 0 = it may
+	delisted         bool      // no longer in the list
+	idle             []*conn   // the most recently used last
+	busy             []*conn
+	waiting          []*job // for a connection
+	connecting       int    // connections being established
+	pendingEvictions int    // connections to other members that are closing to make room for one to this member
 }
 
 // job is an attempt or a probe.
 type job struct {
-	m       *member
+	member  *member
 	attempt *core.Attempt // nil for a probe
-	c       *conn         // that carries it, nil while it waits
-	off     atomic.Bool   // stopped: it must not be written any more
+	conn    *conn         // that it was given to, nil while it waits
+	stopped atomic.Bool   // see stopJob: no byte of it may be written any more
 }
 
-// over tells that no byte of the job may be written any more. It may be called from any goroutine.
-func (j *job) over() bool { return j.off.Load() || j.attempt != nil && j.attempt.Request.Closed() }
+// abandoned reports whether no byte of the job may be written any more. Any goroutine may call it.
+func (j *job) abandoned() bool {
+	return j.stopped.Load() || j.attempt != nil && j.attempt.Request.Closed()
+}
 
-// New returns a pool that reports to c.
+// New returns a pool that reports to c and opens connections with dial.
 func New(c *core.Core, conf Config, bufs *pgwire.Pool, dial Dialer, log *slog.Logger) *Pool {
-	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, most: conf.MaxConns, keep: conf.ReservedBuffers,
+	p := &Pool{core: c, log: log, bufs: bufs, dial: dial, maxConns: conf.MaxConns, reservedBuffers: conf.ReservedBuffers,
 		members: map[string]*member{}, jobs: map[*core.Attempt]*job{}}
 	p.conf.Store(&conf)
 	c.Post(p.sweep)
 	return p
 }
 
-// Reconfigure takes another configuration from now on, but for its Max, see Limit, and Keep. It is the owner's to call. Connections
-// and jobs that are open keep the waits that they began with.
+// Reconfigure replaces the configuration, except for ReservedBuffers and MaxConns, see SetMaxConns. Only the owner
+// goroutine may call it. Connections and jobs that are under way keep the time limits that they started with.
 func (p *Pool) Reconfigure(conf Config) { p.conf.Store(&conf) }
 
 // Sizes are the lengths of the pool's tables.
 type Sizes struct{ Members, Connections, Jobs int }
 
-// Sizes tells how long the tables are. It is the owner's to call.
-func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.open, len(p.jobs)} }
+// Sizes returns the lengths of the pool's tables. Only the owner goroutine may call it.
+func (p *Pool) Sizes() Sizes { return Sizes{len(p.members), p.openCount, len(p.jobs)} }
 
-// SetMaxConns has the pool hold so many connections at most from now on; idle ones above that are closed. It is the owner's
-// to call.
-func (p *Pool) SetMaxConns(most int) {
-	p.most = most
-	for n := p.open - most; n > 0 && p.evict(nil); n-- {
+// SetMaxConns sets the maximum number of connections and closes idle ones above it. Only the owner goroutine may call
+// it.
+func (p *Pool) SetMaxConns(maxConns int) {
+	p.maxConns = maxConns
+	for n := p.openCount - maxConns; n > 0 && p.evictOldest(nil); n-- {
 	}
 }
 
-// List takes addresses and who is wanted.
+// List applies a list of members, or a change of it: their addresses, and which of them may get new work.
 func (p *Pool) List(kind decide.EventKind, list []core.ListedMember) {
 	named := map[string]bool{}
 	for _, l := range list {
@@ -116,9 +119,9 @@
 				continue
 			}
 			if len(p.members) >= decide.MaxMembers {
-				p.cutList.Warn(p.log, "list of members is too long, the rest is not used", "kept", len(p.members), "member", l.ID)
+				p.listTooLongLog.Warn(p.log, "list of members is too long, the rest is not used", "kept", len(p.members), "member", l.ID)
 			}
-			if len(p.members) >= membersMost {
+			if len(p.members) >= maxMembersHeld {
 				continue
 			}
 			m = &member{id: l.ID}
@@ -128,166 +131,168 @@
 			m.addr = l.Addr
 			p.closeIdle(m, 0)
 		}
-		m.left = l.State == decide.Removed
-		p.want(m, l.State == decide.Up || m.left && p.conf.Load().KeepDelisted)
+		m.delisted = l.State == decide.Removed
+		p.setUsable(m, l.State == decide.Up || m.delisted && p.conf.Load().KeepDelisted)
 	}
 	if kind == decide.ListChange || p.conf.Load().KeepDelisted {
 		return
 	}
 	for id, m := range p.members {
 		if !named[id] {
-			m.left = true
-			p.want(m, false)
+			m.delisted = true
+			p.setUsable(m, false)
 		}
 	}
 }
 
-// want notes whether a member may get new work. What still waits for a
-// connection to one that may not is not sent; what a connection has been given
-// but not begun to write must begin within the grace time.
-func (p *Pool) want(m *member, yes bool) {
-	if yes {
-		m.unwanted = 0
-	} else if m.unwanted == 0 {
-		m.unwanted = p.core.Now()
+// setUsable sets whether a member may get new work. If not, jobs that still wait
+// for a connection to it are not sent, and jobs that a connection was given must
+// be written within the grace time.
+func (p *Pool) setUsable(m *member, usable bool) {
+	if usable {
+		m.excludedSince = 0
+	} else if m.excludedSince == 0 {
+		m.excludedSince = p.core.Now()
 		p.closeIdle(m, 0)
 		for len(m.waiting) > 0 {
-			p.finish(m.waiting[0], core.Outcome{Result: decide.NotSent})
+			p.finishJob(m.waiting[0], core.Outcome{Result: decide.NotSent})
 		}
 	}
 	for _, c := range m.busy {
-		c.limit(p.sendBy(m))
+		c.setWriteLimit(p.writeLimit(m))
 	}
 }
 
-// sendBy is until when m may be written to, 0 = always.
-func (p *Pool) sendBy(m *member) core.Time {
-	if m.unwanted == 0 {
+// writeLimit returns until when statements may be written to m, 0 = no limit.
+func (p *Pool) writeLimit(m *member) core.Time {
+	if m.excludedSince == 0 {
 		return 0
 	}
-	return m.unwanted + core.Time(gracePart*float64(p.conf.Load().DrainGrace))
+	return m.excludedSince + core.Time(drainGraceFraction*float64(p.conf.Load().DrainGrace))
 }
 
-// Send starts an attempt.
+// Send starts an attempt. Exactly one Core.Done follows.
 func (p *Pool) Send(a *core.Attempt) {
 	m := p.members[a.Member]
-	j := &job{m: m, attempt: a}
+	j := &job{member: m, attempt: a}
 	if m == nil {
 		p.core.Done(a, core.Outcome{Result: decide.NotSent})
 		return
 	}
 	p.jobs[a] = j
-	p.start(j)
+	p.startJob(j)
 }
 
-// Probe asks a member for its report.
+// Probe asks a member for its load report. Exactly one Core.Probed follows.
 func (p *Pool) Probe(id string) {
 	m := p.members[id]
 	if m == nil {
 		p.core.Probed(id, decide.NotSent, decide.Report{})
 		return
 	}
-	j := &job{m: m}
-	p.core.RunAt(p.core.Now()+p.conf.Load().ConnectTimeout, func() { p.stop(j, decide.TimedOut) })
-	p.start(j)
+	j := &job{member: m}
+	p.core.RunAt(p.core.Now()+p.conf.Load().ConnectTimeout, func() { p.stopJob(j, decide.TimedOut) })
+	p.startJob(j)
 }
 
-// Stop gives up an attempt.
-func (p *Pool) Stop(a *core.Attempt, why decide.Result) {
+// Stop abandons an attempt, with result as its outcome, see core.Members.
+func (p *Pool) Stop(a *core.Attempt, result decide.Result) {
 	if j := p.jobs[a]; j != nil {
-		p.stop(j, why)
+		p.stopJob(j, result)
 	}
 }
 
-// stop gives up a job. Where its connection has just ended without writing it, the job comes back and is not begun anew.
-func (p *Pool) stop(j *job, why decide.Result) {
-	j.off.Store(true)
+// stopJob abandons a job. If its connection has just ended without writing it, the job comes back to
+// connEnded, which does not restart it.
+func (p *Pool) stopJob(j *job, result decide.Result) {
+	j.stopped.Store(true)
 	switch {
-	case j.c != nil:
-		j.c.withdraw(j)
-		if why != decide.NotSent {
-			j.c.Post(order{job: j, stop: true, why: why})
+	case j.conn != nil:
+		j.conn.cancelWrite(j)
+		if result != decide.NotSent {
+			j.conn.Post(order{job: j, stop: true, result: result})
 		}
-	case slices.Contains(j.m.waiting, j): // no byte of it was written
-		p.finish(j, core.Outcome{Result: decide.NotSent})
+	case slices.Contains(j.member.waiting, j): // no byte of it was written
+		p.finishJob(j, core.Outcome{Result: decide.NotSent})
 	}
 }
 
-// start gives a job the connection used last, or has it wait for a new one.
-func (p *Pool) start(j *job) {
-	m := j.m
-	if m.unwanted != 0 || j.over() {
-		p.finish(j, core.Outcome{Result: decide.NotSent})
+// startJob gives a job to the most recently used idle connection, or lets it wait for a new one.
+func (p *Pool) startJob(j *job) {
+	m := j.member
+	if m.excludedSince != 0 || j.abandoned() {
+		p.finishJob(j, core.Outcome{Result: decide.NotSent})
 		return
 	}
 	for n := len(m.idle); n > 0; n-- {
 		c := m.idle[n-1]
 		m.idle = m.idle[:n-1]
 		m.busy = append(m.busy, c)
-		j.c = c
-		c.limit(0)
+		j.conn = c
+		c.setWriteLimit(0)
 		if c.Post(order{job: j}) {
 			return
 		}
-		j.c = nil // it has just ended; what became of it follows in the queue
+		j.conn = nil // the connection has just ended; its report follows in the core's queue
 	}
 	m.waiting = append(m.waiting, j)
-	p.make(m)
+	p.connectWaiting(m)
 }
 
-// make opens connections for the jobs that wait, within the limit of descriptors.
-func (p *Pool) make(m *member) {
-	for m.making+m.room < len(m.waiting) {
-		if p.open >= p.most { // the descriptor is another's until that one has ended
-			if !p.evict(m) {
-				p.short.Warn(p.log, "out of member connections", "open", p.open, "member", m.id)
-				p.finish(m.waiting[len(m.waiting)-1], core.Outcome{Result: decide.NotSent})
+// connectWaiting opens connections for the waiting jobs, within the limit of connections.
+func (p *Pool) connectWaiting(m *member) {
+	for m.connecting+m.pendingEvictions < len(m.waiting) {
+		if p.openCount >= p.maxConns { // a descriptor is free only once an evicted connection has ended
+			if !p.evictOldest(m) {
+				p.noConnsLog.Warn(p.log, "out of member connections", "open", p.openCount, "member", m.id)
+				p.finishJob(m.waiting[len(m.waiting)-1], core.Outcome{Result: decide.NotSent})
 			}
 			continue
 		}
-		m.making++
-		p.open++
+		m.connecting++
+		p.openCount++
 		newConn(p, m).start()
 	}
 }
 
-// evict closes the connection that has been idle longest and tells whether there was one. Once it has ended there is room
-// for one to the given member, if any.
-func (p *Pool) evict(to *member) bool {
+// evictOldest closes the connection that has been idle longest and reports whether there was one. Once it has ended, a
+// connection to the given member takes its place, if that is not nil.
+func (p *Pool) evictOldest(to *member) bool {
 	var oldest *conn
 	for _, m := range p.members {
-		if len(m.idle) > 0 && (oldest == nil || m.idle[0].since < oldest.since) {
+		if len(m.idle) > 0 && (oldest == nil || m.idle[0].idleSince < oldest.idleSince) {
 			oldest = m.idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.m.idle = oldest.m.idle[1:]
-	if oldest.roomFor = to; to != nil {
-		to.room++
+	oldest.member.idle = oldest.member.idle[1:]
+	if oldest.evictedFor = to; to != nil {
+		to.pendingEvictions++
 	}
 	oldest.close()
 	return true
 }
 
-// sweep closes idle connections ahead of the members' limit, and forgets
-// members that have left for good: their like come under ever new ids.
+// sweep closes idle connections ahead of the members' limit, and removes
+// members that left the list and have no connections or jobs: new members come
+// under ever new ids, so the table would grow without end.
 func (p *Pool) sweep() {
 	for id, m := range p.members {
-		if m.left && m.unwanted != 0 && len(m.idle)+len(m.busy)+len(m.waiting)+m.making+m.room == 0 {
+		if m.delisted && m.excludedSince != 0 && len(m.idle)+len(m.busy)+len(m.waiting)+m.connecting+m.pendingEvictions == 0 {
 			delete(p.members, id)
 			continue
 		}
-		p.closeIdle(m, p.core.Now()-core.Time(idlePart*float64(p.conf.Load().MemberIdleTimeout))+sweepEvery)
+		p.closeIdle(m, p.core.Now()-core.Time(idleFraction*float64(p.conf.Load().MemberIdleTimeout))+sweepInterval)
 	}
-	p.core.RunAt(p.core.Now()+sweepEvery, p.sweep)
+	p.core.RunAt(p.core.Now()+sweepInterval, p.sweep)
 }
 
-// closeIdle closes the idle connections of m that were last used before t, all for 0.
-func (p *Pool) closeIdle(m *member, t core.Time) {
+// closeIdle closes the idle connections of m that were last used before the given time; all of them if it is 0.
+func (p *Pool) closeIdle(m *member, usedBefore core.Time) {
 	m.idle = slices.DeleteFunc(m.idle, func(c *conn) bool {
-		if t != 0 && c.since >= t {
+		if usedBefore != 0 && c.idleSince >= usedBefore {
 			return false
 		}
 		c.close()
@@ -295,9 +300,9 @@
 	})
 }
 
-// finish reports a job's end to the core.
-func (p *Pool) finish(j *job, o core.Outcome) {
-	m := j.m
+// finishJob reports a job's outcome to the core.
+func (p *Pool) finishJob(j *job, o core.Outcome) {
+	m := j.member
 	m.waiting = slices.DeleteFunc(m.waiting, func(o *job) bool { return o == j })
 	if j.attempt == nil {
 		p.core.Probed(m.id, o.Result, o.Report)
@@ -307,67 +312,67 @@
 	p.core.Done(j.attempt, o)
 }
 
-// The rest is posted by connections.
+// Connections post the functions below to the owner goroutine.
 
-// ready takes a connection that is free.
-func (p *Pool) ready(c *conn) {
-	m := c.m
+// connReady handles a connection that has become free.
+func (p *Pool) connReady(c *conn) {
+	m := c.member
 	m.busy = slices.DeleteFunc(m.busy, func(o *conn) bool { return o == c })
-	if m.unwanted != 0 || c.addr != m.addr {
+	if m.excludedSince != 0 || c.addr != m.addr {
 		c.close()
 		return
 	}
 	if len(m.waiting) == 0 {
-		c.since = p.core.Now()
+		c.idleSince = p.core.Now()
 		m.idle = append(m.idle, c)
 		return
 	}
 	j := m.waiting[0]
 	m.waiting = m.waiting[1:]
 	m.busy = append(m.busy, c)
-	j.c = c
-	c.limit(0)
+	j.conn = c
+	c.setWriteLimit(0)
 	if !c.Post(order{job: j}) {
-		j.c = nil
+		j.conn = nil
 		m.waiting = append(m.waiting, j)
 	}
 }
 
-// ended takes the end of a connection. What it had been given and did not
-// begin to write starts anew on another one: the connection was old, which says
-// nothing of the member now.
-func (p *Pool) ended(c *conn, left []order) {
-	m := c.m
-	p.open--
+// connEnded handles the end of a connection. Jobs that it was given and did not
+// begin to write restart on another one: an old connection that ended says
+// nothing about the present state of the member.
+func (p *Pool) connEnded(c *conn, orders []order) {
+	m := c.member
+	p.openCount--
 	same := func(o *conn) bool { return o == c }
 	m.busy = slices.DeleteFunc(m.busy, same)
 	m.idle = slices.DeleteFunc(m.idle, same)
-	for _, o := range left {
-		if o.job == nil || o.stop || o.stall || o.job.c != c {
+	for _, o := range orders {
+		if o.job == nil || o.stop || o.checkStall || o.job.conn != c {
 			continue
 		}
-		o.job.c = nil
-		if slices.ContainsFunc(left, func(s order) bool { return s.stop && s.job == o.job }) {
-			p.finish(o.job, core.Outcome{Result: decide.NotSent})
+		o.job.conn = nil
+		if slices.ContainsFunc(orders, func(s order) bool { return s.stop && s.job == o.job }) {
+			p.finishJob(o.job, core.Outcome{Result: decide.NotSent})
 		} else {
-			p.start(o.job)
+			p.startJob(o.job)
 		}
 	}
-	if to := c.roomFor; to != nil {
-		to.room--
-		p.make(to)
+	if to := c.evictedFor; to != nil {
+		to.pendingEvictions--
+		p.connectWaiting(to)
 	}
-	p.make(m)
+	p.connectWaiting(m)
 }
 
-// failed takes a connection that did not come up. The jobs that now have none
-// on the way share its fate.
-func (p *Pool) failed(c *conn, result decide.Result, err error) {
-	m := c.m
-	m.making--
-	p.open--
-	p.failing.Info(p.log, "member connect failed", "member", m.id, "result", int(result), "err", err)
-	for len(m.waiting) > m.making+m.room {
-		p.finish(m.waiting[0], core.Outcome{Result: result})
+// connFailed handles a connection that could not be established. The waiting jobs
+// that now have no connection on the way end with the same result.
+func (p *Pool) connFailed(c *conn, result decide.Result, err error) {
+	m := c.member
+	m.connecting--
+	p.openCount--
+	p.connectFailedLog.Info(p.log, "member connect failed", "member", m.id, "result", int(result), "err", err)
+	for len(m.waiting) > m.connecting+m.pendingEvictions {
+		p.finishJob(m.waiting[0], core.Outcome{Result: result})
 	}
 }
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -21,37 +21,37 @@
 	"reachwind/internal/pgwire"
 )
 
-// eager stands in for the module: it sends each request to m, again after each outcome that does not end it, and calls
-// off the reads that a client has left.
-type eager struct {
-	mu   sync.Mutex
-	sent map[uint64]int // attempts by request
-	out  int
-	gone int
-	runs map[uint64]bool // writes, which are left to run
+// alwaysRetry is a fake decision module: it sends each request to m, again after each outcome that does not end it, and
+// cancels reads whose client has left.
+type alwaysRetry struct {
+	mu          sync.Mutex
+	sent        map[uint64]int  // attempts by request
+	attemptsOut int             // attempts under way
+	clientsGone int             // requests whose client has left
+	writes      map[uint64]bool // writes, which it does not cancel
 }
 
-func (d *eager) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
+func (d *alwaysRetry) Step(_ core.Time, events []decide.Event, out []decide.Action) []decide.Action {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range events {
 		switch {
 		case e.Kind == decide.Arrive, e.Kind == decide.Outcome && !e.Ended && d.sent[e.Request] > 0:
 			if e.Kind == decide.Arrive && e.ClassDef.Writes() {
-				d.runs[e.Request] = true
+				d.writes[e.Request] = true
 			}
 			d.sent[e.Request]++
-			d.out++
+			d.attemptsOut++
 			out = append(out, decide.Action{Kind: decide.Send, Request: e.Request, Member: "m"})
 		case e.Kind == decide.ClientGone:
-			d.gone++
-			if n := d.sent[e.Request]; n > 0 && !d.runs[e.Request] {
+			d.clientsGone++
+			if n := d.sent[e.Request]; n > 0 && !d.writes[e.Request] {
 				out = append(out, decide.Action{Kind: decide.Cancel, Request: e.Request, Attempt: n - 1})
 			}
 			d.sent[e.Request] = 0
 		}
 		if e.Kind == decide.Outcome {
-			d.out--
+			d.attemptsOut--
 			if e.Ended {
 				d.sent[e.Request] = 0
 			}
@@ -60,18 +60,19 @@
 	return out
 }
 
-// through is a whole gateway of front, core and pool on real sockets, with a member that the test plays.
-type through struct {
-	t     *testing.T
-	mod   *eager
-	front *pgfront.Server
-	bufs  *pgwire.Pool
-	addr  string
-	came  chan net.Conn // members' ends
+// gatewayFixture is a whole gateway of front, core and pool on real sockets, with one member, whose side the test
+// plays.
+type gatewayFixture struct {
+	t        *testing.T
+	module   *alwaysRetry
+	front    *pgfront.Server
+	bufs     *pgwire.Pool
+	addr     string
+	accepted chan net.Conn // the member's ends of connections
 }
 
-func newThrough(t *testing.T) *through {
-	g := &through{t: t, mod: &eager{sent: map[uint64]int{}, runs: map[uint64]bool{}}, bufs: pgwire.NewPool(80, 80), came: make(chan net.Conn, 100)}
+func newGatewayFixture(t *testing.T) *gatewayFixture {
+	g := &gatewayFixture{t: t, module: &alwaysRetry{sent: map[uint64]int{}, writes: map[uint64]bool{}}, bufs: pgwire.NewPool(80, 80), accepted: make(chan net.Conn, 100)}
 	member, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,11 +84,11 @@
 				return
 			}
 			t.Cleanup(func() { _ = c.Close() })
-			g.came <- c
+			g.accepted <- c
 		}
 	}()
 	log := slog.New(slog.DiscardHandler)
-	owner := core.New(core.NewClock(), g.mod, log)
+	owner := core.New(core.NewClock(), g.module, log)
 	pool := New(owner, Config{User: "app", Database: "shop", MaxConns: 100, MemberIdleTimeout: time.Hour, ConnectTimeout: 20 * time.Second,
 		DrainGrace: time.Second}, g.bufs, Dial, log)
 	owner.Connect(pool, nil)
@@ -119,8 +120,8 @@
 	return g
 }
 
-// client connects one that asks, and returns the key of its connection.
-func (g *through) client(id int, write bool) (*net.TCPConn, *bufio.Reader, []byte) {
+// client connects a client that sends one request, and returns its connection with the cancel key.
+func (g *gatewayFixture) client(id int, write bool) (*net.TCPConn, *bufio.Reader, []byte) {
 	g.t.Helper()
 	nc, err := net.Dial("tcp4", g.addr)
 	if err != nil {
@@ -136,14 +137,15 @@
 	var key []byte
 	for typ := byte(0); typ != 'Z'; {
 		var body []byte
-		if typ, body = message(g.t, r); typ == 'K' {
+		if typ, body = readMessage(g.t, r); typ == 'K' {
 			key = body
 		}
 	}
 	return nc.(*net.TCPConn), r, key
 }
 
-func message(t *testing.T, r io.Reader) (byte, []byte) {
+// readMessage reads one message and returns its type and body.
+func readMessage(t *testing.T, r io.Reader) (byte, []byte) {
 	t.Helper()
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(r, head); err != nil {
@@ -156,7 +158,8 @@
 	return head[0], body
 }
 
-func (g *through) cancel(key []byte) {
+// cancel sends a CancelRequest with key.
+func (g *gatewayFixture) cancel(key []byte) {
 	nc, err := net.Dial("tcp4", g.addr)
 	if err != nil {
 		g.t.Fatal(err)
@@ -167,22 +170,22 @@
 	_, _ = io.Copy(io.Discard, nc)
 }
 
-func (g *through) greet(c net.Conn) { (&wires{}).greet(c) }
+func (g *gatewayFixture) answerStartup(c net.Conn) { (&socketFixture{}).answerStartup(c) }
 
-// ends waits until clients have ended, every attempt has its outcome and every buffer is back.
-func (g *through) ends() {
+// waitEnded waits until all clients are closed, every attempt has its outcome and every buffer is released.
+func (g *gatewayFixture) waitEnded() {
 	g.t.Helper()
-	until(g.t, func() bool {
-		g.mod.mu.Lock()
-		defer g.mod.mu.Unlock()
-		return g.mod.out == 0 && g.front.OpenConnections() == 0 && g.bufs.FreeLarge()+g.bufs.FreeSmall() == 160
+	waitFor(g.t, func() bool {
+		g.module.mu.Lock()
+		defer g.module.mu.Unlock()
+		return g.module.attemptsOut == 0 && g.front.OpenConnections() == 0 && g.bufs.FreeLarge()+g.bufs.FreeSmall() == 160
 	})
 }
 
-// TestBurstLeaves: clients that all leave while their requests wait for connections that are slow to come up, by half-close,
-// reset or cancel: once the connections are up, none of the requests is written on them.
-func TestBurstLeaves(t *testing.T) {
-	g := newThrough(t)
+// TestBurstOfClientsLeaves: many clients leave, by half-close, reset or cancel, while their requests wait for member
+// connections that are slow to be established. Once these are up, none of the requests is written on them.
+func TestBurstOfClientsLeaves(t *testing.T) {
+	g := newGatewayFixture(t)
 	const n = 30
 	var clients []*net.TCPConn
 	var keys [][]byte
@@ -192,7 +195,7 @@
 	}
 	var members []net.Conn
 	for range n {
-		members = append(members, <-g.came)
+		members = append(members, <-g.accepted)
 	}
 	for i, c := range clients {
 		switch i % 3 {
@@ -205,19 +208,19 @@
 			g.cancel(keys[i])
 		}
 	}
-	until(t, func() bool { // each is heard of
-		g.mod.mu.Lock()
-		defer g.mod.mu.Unlock()
-		return g.mod.gone == n
+	waitFor(t, func() bool { // the module knows of each
+		g.module.mu.Lock()
+		defer g.module.mu.Unlock()
+		return g.module.clientsGone == n
 	})
 	for _, c := range members {
-		g.greet(c)
+		g.answerStartup(c)
 	}
 	for _, c := range clients {
 		_ = c.Close()
 	}
-	g.ends()
-	g.client(1000, false) // what comes on the connections now is its own
+	g.waitEnded()
+	g.client(1000, false) // only this request may be written now
 	got := make(chan string, n)
 	for _, m := range members {
 		go func() {
@@ -231,69 +234,69 @@
 		}()
 	}
 	if text := <-got; !strings.Contains(text, "id=1000,") {
-		t.Errorf("written in the end: %s", text)
+		t.Errorf("another request was written: %s", text)
 	}
 }
 
-// TestCancelWhilePassing: of a large answer on its way the rest is not passed on, the client sees that it is not whole by
-// the connection's end, and the member's connection is closed.
-func TestCancelWhilePassing(t *testing.T) {
-	g := newThrough(t)
+// TestCancelDuringStream: after a cancel the rest of a large answer is not passed on, the client's connection ends,
+// which shows that the answer is incomplete, and the member's connection is closed.
+func TestCancelDuringStream(t *testing.T) {
+	g := newGatewayFixture(t)
 	_, r, key := g.client(1, false)
-	m := <-g.came
-	g.greet(m)
-	statement(t, m)
+	m := <-g.accepted
+	g.answerStartup(m)
+	readStatement(t, m)
 	value := strings.Repeat("v", pgwire.MaxBufferedValue+1000)
 	row := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
 	answer := pgwire.Append(pgwire.Append(nil, 'T', description), 'D', row)
 	_, _ = m.Write(answer[:len(answer)-10])
 	got := make([]byte, len(answer)-10)
 	if _, err := io.ReadFull(r, got); err != nil || !bytes.Equal(got, answer[:len(got)]) {
-		t.Fatalf("%v, or another answer", err)
+		t.Fatalf("%v, or not the answer that was sent", err)
 	}
 	g.cancel(key)
-	until(t, func() bool {
-		g.mod.mu.Lock()
-		defer g.mod.mu.Unlock()
-		return g.mod.gone == 1
+	waitFor(t, func() bool {
+		g.module.mu.Lock()
+		defer g.module.mu.Unlock()
+		return g.module.clientsGone == 1
 	})
 	_, _ = m.Write(answer[len(answer)-10:])
 	if rest, _ := io.ReadAll(r); len(rest) != 0 {
-		t.Errorf("%d bytes more, %.40q", len(rest), rest)
+		t.Errorf("%d bytes after the cancel, want none: %.40q", len(rest), rest)
 	}
-	_, _ = io.Copy(io.Discard, m) // until it is closed
-	g.ends()
+	_, _ = io.Copy(io.Discard, m) // until the gateway closes it
+	g.waitEnded()
 }
 
-// TestCancelGoesOn: a request that its client cancels while a member has it is called off there, its client is told so
-// once, and what it asks next is served.
-func TestCancelGoesOn(t *testing.T) {
-	g := newThrough(t)
+// TestRequestAfterCancel: a request that its client cancels while a member works on it is abandoned there, the client
+// gets one error for it, and its next request is served.
+func TestRequestAfterCancel(t *testing.T) {
+	g := newGatewayFixture(t)
 	c, r, key := g.client(1, false)
-	m := <-g.came
-	g.greet(m)
-	statement(t, m)
+	m := <-g.accepted
+	g.answerStartup(m)
+	readStatement(t, m)
 	g.cancel(key)
-	if typ, body := message(t, r); typ != 'E' || pgwire.ErrorField(body, 'C') != "57014" {
+	if typ, body := readMessage(t, r); typ != 'E' || pgwire.ErrorField(body, 'C') != "57014" {
 		t.Errorf("%c %q", typ, body)
 	}
-	if typ, _ := message(t, r); typ != 'Z' {
+	if typ, _ := readMessage(t, r); typ != 'Z' {
 		t.Errorf("%c after the answer", typ)
 	}
-	_, _ = io.Copy(io.Discard, m) // until it is closed
+	_, _ = io.Copy(io.Discard, m) // until the gateway closes it
 	_, _ = c.Write(pgwire.Append(nil, 'Q', "/* id=2,c=r,d=60000,cluster=0 */ SELECT doc FROM items WHERE id = 'k'\x00"))
-	m = <-g.came
-	g.greet(m)
-	statement(t, m)
-	_, _ = m.Write(pgwire.AppendReadyForQuery(bytes.Clone(served)))
+	m = <-g.accepted
+	g.answerStartup(m)
+	readStatement(t, m)
+	_, _ = m.Write(pgwire.AppendReadyForQuery(bytes.Clone(servedAnswer)))
 	order := ""
 	for range 4 {
-		typ, _ := message(t, r)
+		typ, _ := readMessage(t, r)
 		order += string(typ)
 	}
 	if order != "TDCZ" {
 		t.Errorf("answered %s", order)
 	}
 	_ = c.Close()
-	g.ends()
+	g.waitEnded()
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the settings object that the simulator's first
-// message and a gateway's configuration both hold, and translates it for
-// package decide. It is the only such translation in the tree.
+// message and a gateway's configuration both contain, and converts it to the
+// configuration of package decide. It is the only such conversion in the tree.
 package settings
 
 import (
@@ -12,7 +12,8 @@
 	"reachwind/decide"
 )
 
-// Settings are the settings as they come. Keys that are not named here are skipped.
+// Settings is the settings object. Its fields are named after the keys; other
+// keys are ignored. Names in Us are microseconds.
 type Settings struct {
 	Allowed struct {
 		MaxRetryAfterUs, IdleCloseUs, ConnectTimeoutUs     int64
@@ -54,14 +55,15 @@
 	Zone string
 }
 
-// Parse reads the settings.
+// Parse decodes the settings. It fails if the text is not valid JSON, if there
+// are no Grades, or if Consistency or ClassBoundUs do not have one entry each.
 func Parse(text []byte) (*Settings, error) {
 	f := new(Settings)
 	if err := json.Unmarshal(text, f); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if n := len(f.Grades); n == 0 || len(f.FamilyInfo.Consistency) != n || len(f.FamilyInfo.ClassBoundUs) != n {
-		return nil, fmt.Errorf("settings: %d Grades, %d Consistency and %d ClassBoundUs do not match",
+		return nil, fmt.Errorf("settings: found %d Grades, %d Consistency and %d ClassBoundUs, want the same number of each, at least 1",
 			n, len(f.FamilyInfo.Consistency), len(f.FamilyInfo.ClassBoundUs))
 	}
 	return f, nil
@@ -72,29 +74,32 @@
 		"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
 	scopes = map[string]decide.Scope{
 		"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeGroup}
-	needs = map[string]decide.Consistency{"any": decide.AnyData, "bounded": decide.Bounded,
+	consistencies = map[string]decide.Consistency{"any": decide.AnyData, "bounded": decide.Bounded,
 		"session": decide.Session, "fresh": decide.Fresh, "write": decide.Write}
 	checks = map[string]decide.StaleReadPolicy{"": decide.StaleReadAnswer,
 		"off": decide.StaleReadAnswer, "refuse": decide.StaleReadRefuse, "wait": decide.StaleReadWait}
 )
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+// micros converts microseconds.
+func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Config translates the settings for the decision module.
+// Config converts the settings to the configuration of the decision module.
+// It fails on an unknown ServerChecks, Effect, KeyScope or Consistency.
 func (f *Settings) Config() (*decide.Config, error) {
 	a, fi := &f.Allowed, &f.FamilyInfo
 	c := &decide.Config{
-		// Where the number of gateways is missing, or less than this one's own says, there are at least so many.
-		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: us(f.ResolutionUs), OverShareFactor: f.OverShareWorth,
+		// If the number of gateways is missing, or does not fit this gateway's own index Me, the least number that
+		// fits.
+		Self: max(f.Me, 0), Fronts: max(f.Instances, f.Me+1, 1), Zone: f.Zone, Resolution: micros(f.ResolutionUs), OverShareFactor: f.OverShareWorth,
 		MaxAttempts: a.TryLimit, MayCancel: a.MayCancel, MayDuplicate: a.MayDuplicate,
 		MayProbe: a.Probes, ClientsMarkRetries: f.ClientHabits.MarksRetry,
 		ListOnRequest: f.Discovery == "ask", RemembersSessions: fi.SessionMarks == "remembered",
-		AnswersHavePosition: fi.AnswersStamped, SlowStartFraction: f.Rules.ColdShare, SlowStartTime: us(f.Rules.ColdUs),
-		OverloadMultiple: f.Rules.FallMultiple, OverloadTime: us(f.Rules.OverloadForUs),
+		AnswersHavePosition: fi.AnswersStamped, SlowStartFraction: f.Rules.ColdShare, SlowStartTime: micros(f.Rules.ColdUs),
+		OverloadMultiple: f.Rules.FallMultiple, OverloadTime: micros(f.Rules.OverloadForUs),
 		UseUnlisted: f.Rules.DrainBindsAlone,
 	}
 	if a.RetryAfter {
-		c.MaxRetryAfter = us(a.MaxRetryAfterUs)
+		c.MaxRetryAfter = micros(a.MaxRetryAfterUs)
 	}
 	var ok bool
 	if c.StaleReads, ok = checks[fi.ServerChecks]; !ok {
@@ -102,15 +107,15 @@
 	}
 	for i := range f.Grades {
 		g := &f.Grades[i]
-		k := decide.Class{Name: g.Name, KeyWindow: us(g.WindowUs), LatencyTarget: us(g.AimUs), Deadline: us(g.DeadlineUs),
-			Value: g.Value, LateValue: g.LateValue, Bound: us(fi.ClassBoundUs[i])}
+		k := decide.Class{Name: g.Name, KeyWindow: micros(g.WindowUs), LatencyTarget: micros(g.AimUs), Deadline: micros(g.DeadlineUs),
+			Value: g.Value, LateValue: g.LateValue, Bound: micros(fi.ClassBoundUs[i])}
 		if k.Effect, ok = effects[g.Effect]; !ok {
 			return nil, fmt.Errorf("settings: class %q: unknown Effect %q", g.Name, g.Effect)
 		}
 		if k.KeyScope, ok = scopes[g.KeyScope]; !ok && g.Effect == "by_key" {
 			return nil, fmt.Errorf("settings: class %q: unknown KeyScope %q", g.Name, g.KeyScope)
 		}
-		if k.Consistency, ok = needs[fi.Consistency[i]]; !ok {
+		if k.Consistency, ok = consistencies[fi.Consistency[i]]; !ok {
 			return nil, fmt.Errorf("settings: class %q: unknown Consistency %q", g.Name, fi.Consistency[i])
 		}
 		c.Classes = append(c.Classes, k)
@@ -121,18 +126,18 @@
 	return c, nil
 }
 
-// SetReportFigure translates named load figures; those it does not know are skipped.
-// Positions are counted from zero, in seconds.
-func SetReportFigure(r *decide.Report, zero time.Duration, key string, v float64) {
-	switch key {
+// SetReportFigure sets the field of r that belongs to a named load figure; it ignores
+// unknown names. A position is a number of seconds after origin.
+func SetReportFigure(r *decide.Report, origin time.Duration, name string, value float64) {
+	switch name {
 	case "x0":
-		r.HasPosition, r.Position = true, zero+time.Duration(math.Floor(v*1e6))*time.Microsecond
+		r.HasPosition, r.Position = true, origin+time.Duration(math.Floor(value*1e6))*time.Microsecond
 	case "x1":
 		r.HasRole, r.Role = true, decide.Replica
-		if v == 1 {
+		if value == 1 {
 			r.Role = decide.Primary
 		}
 	case "cpu_share":
-		r.HasUtil, r.Util = true, v
+		r.HasUtil, r.Util = true, value
 	}
 }
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,5 +1,6 @@
-// Package suspend keeps what operators said of members: which of them get nothing more until they are called back,
-// whatever discovery says. It stands between discovery's list and the core's, and has no clock, lock or goroutine.
+// Package suspend records which members operators have suspended. A suspended member gets no new work until it is
+// resumed, whatever discovery says of it. The package rewrites discovery's list before the core gets it. It has no
+// clock, lock or goroutine of its own.
 package suspend
 
 import (
@@ -12,57 +13,60 @@
 	"reachwind/internal/core"
 )
 
-// Bounds of what is kept. Beyond them an entry of the list is not known here and passes as it is, a further
-// suspend is a no, and the members that left, or were resumed, longest ago are forgotten first.
+// Bounds on the tables. Entries of the list beyond the bound are not recorded and pass unchanged, and further suspends
+// are refused. Of members that left the list or were resumed, the earliest are removed first.
 const (
-	MaxSuspended = 1024    // members that are suspended at one time
-	listedMost   = 1 << 14 // entries of the list; discovery's own bounds are lower
-	leftMost     = 1024    // members that have left the list
-	backMost     = 1024    // members that were resumed
+	MaxSuspended = 1024    // members that are suspended at the same time
+	maxListed    = 1 << 14 // entries of the list; discovery's own bounds are lower
+	maxDelisted  = 1024    // members that have left the list
+	maxResumed   = 1024    // members that were resumed
 )
 
-// Entry is the last that operators said of a member. Of two, the later one by At holds.
+// Entry is the last decision of operators on a member. Of two entries of a member the one with the later ChangedAt
+// applies.
 type Entry struct {
 	ID          string    `json:"id"`
-	Suspended   bool      `json:"out"`
-	ChangedAt   core.Time `json:"at"`    // when it was said, in nanoseconds of Unix time
-	SuspendedAt core.Time `json:"since"` // when it was suspended, the first of several times
+	Suspended   bool      `json:"out"`   // suspended, not resumed
+	ChangedAt   core.Time `json:"at"`    // time of the decision, in nanoseconds of Unix time
+	SuspendedAt core.Time `json:"since"` // time of the suspend, the first of several; the same unit
 }
 
-// UnknownMemberError is the error for an id that nobody has.
+// UnknownMemberError is the error for an id that no member has.
 type UnknownMemberError struct {
 	ID     string
-	Listed int // members that are listed now
+	Listed int // number of members in discovery's list
 }
 
+// Error implements error.
 func (e UnknownMemberError) Error() string {
-	return fmt.Sprintf("db machine %q is not known: want an id that discovery lists (%d now), listed lately, or that is suspended; "+
-		"look the id up in discovery's list, nothing was changed", e.ID, e.Listed)
+	return fmt.Sprintf("db machine %q is not known: want an id that discovery lists (%d now), that it listed recently, or that is suspended; "+
+		"nothing was changed, look the id up in discovery's list", e.ID, e.Listed)
 }
 
 // TooManySuspendedError is the error for a suspend beyond the bound.
 type TooManySuspendedError struct{ ID string }
 
+// Error implements error.
 func (e TooManySuspendedError) Error() string {
-	return fmt.Sprintf("db machine %q can't be suspended: %d are, and no more than that may be at a time; resume some first, nothing was changed", e.ID, MaxSuspended)
+	return fmt.Sprintf("db machine %q can't be suspended: %d are suspended already, which is the limit; nothing was changed, resume some first", e.ID, MaxSuspended)
 }
 
-// Set is what operators said, beside the list as discovery has it. It is for one goroutine at a time.
+// Set holds the operators' decisions and the list as discovery has it. It is not safe for concurrent use.
 type Set struct {
-	listed map[string]core.ListedMember // as discovery has them
-	left   map[string]core.ListedMember // as they were listed last
-	gone   []string                     // the ids in left, those that left first in front
-	said   map[string]Entry
-	out    int // entries of said that are Out
+	listed         map[string]core.ListedMember // members in discovery's list, by id
+	delisted       map[string]core.ListedMember // members that left the list, as they were last listed
+	delistedOrder  []string                     // the ids in delisted, the earliest first
+	entries        map[string]Entry             // the operators' decisions, by id
+	suspendedCount int                          // number of entries that are Suspended
 }
 
-// New returns a set in which nobody is listed or suspended.
+// New returns an empty set.
 func New() *Set {
-	return &Set{listed: map[string]core.ListedMember{}, left: map[string]core.ListedMember{}, said: map[string]Entry{}}
+	return &Set{listed: map[string]core.ListedMember{}, delisted: map[string]core.ListedMember{}, entries: map[string]Entry{}}
 }
 
-// ApplyList takes what discovery says and returns what is to be passed on for it: the same, but with each suspended member
-// draining. It does not change members.
+// ApplyList records a list from discovery, or a change of it, and returns what to pass on instead: the same members,
+// but each suspended one as draining. It does not modify members.
 func (s *Set) ApplyList(kind decide.EventKind, members []core.ListedMember) []core.ListedMember {
 	if !kind.HasList() {
 		return members
@@ -74,76 +78,78 @@
 		}
 		for id := range s.listed {
 			if !named[id] {
-				s.leave(id)
+				s.delist(id)
 			}
 		}
 	}
 	for i := range members {
 		switch m := &members[i]; {
 		case m.State == decide.Removed:
-			s.leave(m.ID)
-		case len(s.listed) < listedMost || s.has(m.ID):
+			s.delist(m.ID)
+		case len(s.listed) < maxListed || s.isListed(m.ID):
 			s.listed[m.ID] = *m
-			if _, ok := s.left[m.ID]; ok {
-				delete(s.left, m.ID)
-				s.gone = slices.DeleteFunc(s.gone, func(id string) bool { return id == m.ID })
+			if _, ok := s.delisted[m.ID]; ok {
+				delete(s.delisted, m.ID)
+				s.delistedOrder = slices.DeleteFunc(s.delistedOrder, func(id string) bool { return id == m.ID })
 			}
 		}
 	}
-	if len(s.said) == 0 {
+	if len(s.entries) == 0 {
 		return members
 	}
-	out := make([]core.ListedMember, 0, len(members)+s.out)
+	passed := make([]core.ListedMember, 0, len(members)+s.suspendedCount)
 	named := make(map[string]bool, len(members))
 	for i := range members {
 		named[members[i].ID] = true
-		out = append(out, s.as(members[i]))
+		passed = append(passed, s.rewrite(members[i]))
 	}
 	if kind == decide.ListChange {
-		return out
+		return passed
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.said)) { // to be left out of a list may not bind
-		if m, ok := s.left[id]; ok && s.said[id].Suspended && !named[id] {
-			out = append(out, s.as(m))
+	for _, id := range slices.Sorted(maps.Keys(s.entries)) { // the receiver may go on using members that a list omits
+		if m, ok := s.delisted[id]; ok && s.entries[id].Suspended && !named[id] {
+			passed = append(passed, s.rewrite(m))
 		}
 	}
-	return out
+	return passed
 }
 
-func (s *Set) has(id string) bool {
+// isListed reports whether discovery lists id.
+func (s *Set) isListed(id string) bool {
 	_, ok := s.listed[id]
 	return ok
 }
 
-// leave takes id out of the list.
-func (s *Set) leave(id string) {
+// delist removes id from the list.
+func (s *Set) delist(id string) {
 	m, ok := s.listed[id]
 	if !ok {
 		return
 	}
 	delete(s.listed, id)
 	m.State = decide.Removed
-	s.left[id] = m
-	s.gone = append(s.gone, id)
-	for i := 0; len(s.left) > leftMost && i < len(s.gone); { // those that are suspended stay: they must go on as draining
-		if s.said[s.gone[i]].Suspended && len(s.left) <= leftMost+MaxSuspended {
+	s.delisted[id] = m
+	s.delistedOrder = append(s.delistedOrder, id)
+	for i := 0; len(s.delisted) > maxDelisted && i < len(s.delistedOrder); { // suspended ones stay: they must still be passed on as draining
+		if s.entries[s.delistedOrder[i]].Suspended && len(s.delisted) <= maxDelisted+MaxSuspended {
 			i++
 			continue
 		}
-		delete(s.left, s.gone[i])
-		s.gone = slices.Delete(s.gone, i, i+1)
+		delete(s.delisted, s.delistedOrder[i])
+		s.delistedOrder = slices.Delete(s.delistedOrder, i, i+1)
 	}
 }
 
-// as is an entry as it is passed on. A member that was suspended was most likely restarted meanwhile: until discovery
-// tells when, it counts as started when it was resumed, so that it gets a cold member's share only.
-func (s *Set) as(m core.ListedMember) core.ListedMember {
-	e, ok := s.said[m.ID]
+// rewrite returns an entry of the list as it is passed on. A member that was suspended was most likely restarted
+// meanwhile: until discovery reports when, it counts as started when it was resumed, so that it gets the load of a
+// member in slow start only.
+func (s *Set) rewrite(m core.ListedMember) core.ListedMember {
+	e, ok := s.entries[m.ID]
 	switch {
 	case !ok:
 	case e.Suspended:
-		if m.State == decide.Removed { // as it was listed last, where that is known
-			if l, ok := s.left[m.ID]; ok {
+		if m.State == decide.Removed { // pass it on as last listed, if known
+			if l, ok := s.delisted[m.ID]; ok {
 				m = l
 			}
 		}
@@ -154,95 +160,97 @@
 	return m
 }
 
-// Suspend takes a member out from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
-// list. A second call for the same one changes nothing and is no error.
+// Suspend suspends a member from now on, in nanoseconds of Unix time, and returns what to pass on as a change of the
+// list. A second call for the same member changes nothing and is no error. The error is an [UnknownMemberError] or
+// [TooManySuspendedError].
 func (s *Set) Suspend(id string, now core.Time) ([]core.ListedMember, error) {
-	e := s.said[id]
+	e := s.entries[id]
 	switch {
 	case e.Suspended:
 		return nil, nil
 	case !s.known(id):
 		return nil, UnknownMemberError{id, len(s.listed)}
-	case s.out >= MaxSuspended:
+	case s.suspendedCount >= MaxSuspended:
 		return nil, TooManySuspendedError{id}
 	}
 	now = max(now, e.ChangedAt+1)
-	return s.say(Entry{ID: id, Suspended: true, ChangedAt: now, SuspendedAt: now}), nil
+	return s.record(Entry{ID: id, Suspended: true, ChangedAt: now, SuspendedAt: now}), nil
 }
 
-// Resume calls a member back, as Suspend took it out. One call is enough for any number of those. For a member that
-// is known and not suspended it changes nothing and is no error.
+// Resume ends the suspension of a member, however often it was suspended, at now in nanoseconds of Unix time, and
+// returns what to pass on as a change of the list. For a member that is known and not suspended it changes nothing and
+// is no error. The error is an [UnknownMemberError].
 func (s *Set) Resume(id string, now core.Time) ([]core.ListedMember, error) {
-	e := s.said[id]
+	e := s.entries[id]
 	switch {
 	case e.Suspended:
-		return s.say(Entry{ID: id, ChangedAt: max(now, e.ChangedAt+1), SuspendedAt: e.SuspendedAt}), nil
+		return s.record(Entry{ID: id, ChangedAt: max(now, e.ChangedAt+1), SuspendedAt: e.SuspendedAt}), nil
 	case !s.known(id):
 		return nil, UnknownMemberError{id, len(s.listed)}
 	}
 	return nil, nil
 }
 
-// known tells that an id is or was lately that of a member.
+// known reports whether an id is that of a member, or recently was.
 func (s *Set) known(id string) bool {
-	_, said := s.said[id]
-	_, left := s.left[id]
-	return said || left || s.has(id)
+	_, recorded := s.entries[id]
+	_, delisted := s.delisted[id]
+	return recorded || delisted || s.isListed(id)
 }
 
-// say notes e and returns the change that it makes to the list.
-func (s *Set) say(e Entry) []core.ListedMember {
+// record records e and returns the change that it makes to the list.
+func (s *Set) record(e Entry) []core.ListedMember {
 	m, ok := s.listed[e.ID]
 	if !ok {
-		m, ok = s.left[e.ID]
+		m, ok = s.delisted[e.ID]
 	}
-	before, was := s.as(m), s.said[e.ID].Suspended
-	s.said[e.ID] = e
-	if e.Suspended != was {
-		s.out++
-		if was {
-			s.out -= 2
+	before, wasSuspended := s.rewrite(m), s.entries[e.ID].Suspended
+	s.entries[e.ID] = e
+	if e.Suspended != wasSuspended {
+		s.suspendedCount++
+		if wasSuspended {
+			s.suspendedCount -= 2
 		}
 	}
-	if len(s.said)-s.out > backMost {
+	if len(s.entries)-s.suspendedCount > maxResumed {
 		oldest := e
-		for _, o := range s.said {
+		for _, o := range s.entries {
 			if !o.Suspended && (o.ChangedAt < oldest.ChangedAt || o.ChangedAt == oldest.ChangedAt && o.ID < oldest.ID) {
 				oldest = o
 			}
 		}
-		delete(s.said, oldest.ID)
+		delete(s.entries, oldest.ID)
 	}
-	if m = s.as(m); !ok || m == before {
+	if m = s.rewrite(m); !ok || m == before {
 		return nil
 	}
 	return []core.ListedMember{m}
 }
 
-// Export is all that was said, by id.
+// Export returns all entries, sorted by id.
 func (s *Set) Export() []Entry {
-	return slices.SortedFunc(maps.Values(s.said), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	return slices.SortedFunc(maps.Values(s.entries), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Import merges what another process of this gateway was told: of each member the later entry holds, in whatever order
-// and however often they come. It returns what to pass on as a change of the list. Members that are not known here are
-// taken as well; entries without an id, and suspends beyond the bound, are left out and counted.
-func (s *Set) Import(all []Entry) (change []core.ListedMember, dropped int) {
-	for _, e := range all {
-		switch was, ok := s.said[e.ID]; {
-		case e.ID == "" || e.Suspended && !was.Suspended && s.out >= MaxSuspended:
+// Import merges the entries of another process of this gateway: of each member the later entry applies, in whatever
+// order and however often they arrive. It returns what to pass on as a change of the list. Entries of members that are
+// not known here are recorded as well; entries without an id, and suspends beyond the bound, are dropped and counted.
+func (s *Set) Import(entries []Entry) (change []core.ListedMember, dropped int) {
+	for _, e := range entries {
+		switch held, ok := s.entries[e.ID]; {
+		case e.ID == "" || e.Suspended && !held.Suspended && s.suspendedCount >= MaxSuspended:
 			dropped++
-		case !ok || e.ChangedAt > was.ChangedAt:
-			change = append(change, s.say(e)...)
+		case !ok || e.ChangedAt > held.ChangedAt:
+			change = append(change, s.record(e)...)
 		}
 	}
 	return change, dropped
 }
 
-// IsSuspended tells whether a member is suspended.
-func (s *Set) IsSuspended(id string) bool { return s.said[id].Suspended }
+// IsSuspended reports whether a member is suspended.
+func (s *Set) IsSuspended(id string) bool { return s.entries[id].Suspended }
 
-// Suspended are the ids of the members that are suspended, sorted.
+// Suspended returns the ids of the suspended members, sorted.
 func (s *Set) Suspended() (ids []string) {
 	for _, e := range s.Export() {
 		if e.Suspended {
@@ -252,11 +260,13 @@
 	return ids
 }
 
-// ListedCount tells how many members discovery lists.
+// ListedCount returns the number of members that discovery lists.
 func (s *Set) ListedCount() int { return len(s.listed) }
 
 // Sizes are the lengths of the tables.
 type Sizes struct{ Listed, Delisted, Entries int }
 
-// Sizes tells how long the tables are.
-func (s *Set) Sizes() Sizes { return Sizes{len(s.listed), max(len(s.left), len(s.gone)), len(s.said)} }
+// Sizes returns the lengths of the tables.
+func (s *Set) Sizes() Sizes {
+	return Sizes{len(s.listed), max(len(s.delisted), len(s.delistedOrder)), len(s.entries)}
+}
