--- a/decide/api.go
+++ b/decide/api.go
@@ -1,22 +1,22 @@
 // Package decide chooses, inside a client library of a replicated store, the
 // member that each read and write goes to.
 //
-// A front builds one [Router] with [New], hands it what happened through
-// [Router.Step] and carries out the actions that come back, in order. The
-// router does no I/O, starts no goroutine and reads no clock: the same seed
+// A front, the process that serves the clients, builds one [Router] with [New],
+// passes events to [Router.Step] and carries out the returned actions in order.
+// The router does no I/O, starts no goroutine and reads no clock: the same seed
 // and the same events give the same actions. It is not safe for concurrent use.
 //
 // Time is a [time.Duration] since any fixed origin that the front picks, on a
 // clock that never goes back. Log positions are points on that same clock: a
 // member at position p has applied every commit made up to p. A router keeps
 // no state across restarts; a front that restarts builds a new one with a new
-// seed and hands it the last list it had.
+// seed and passes it the last member list it had.
 //
-// Events of one Step happened at its time, in the order given. Each [Send] is
-// owed exactly one [Outcome] event, also after the request has ended. A front
-// keeps an attempt's time-out itself and reports it as TimedOut. The first
-// Served outcome answers the client and ends the request; otherwise the router
-// ends it with [Refuse] or [Fail]. [Wake] asks for one [Timer] event.
+// Events of one Step happened at its time, in the order given. Each [Send] must
+// be followed by exactly one [Outcome] event, also after the request has ended.
+// The front enforces an attempt's time-out itself and reports it as TimedOut.
+// The first Served outcome answers the client and ends the request; otherwise
+// the router ends it with [Refuse] or [Fail]. [Wake] requests one [Timer] event.
 package decide
 
 import (
@@ -25,20 +25,20 @@
 	"time"
 )
 
-// Time is a point on the front's clock, or a span on it.
+// Time is a point on the front's clock, or a duration.
 type Time = time.Duration
 
-// Effect tells what repeating a request of a class may do.
+// Effect says whether a request of a class may be repeated.
 type Effect int
 
 // The effects a class can have.
 const (
 	Repeatable Effect = iota // safe to repeat
-	Keyed                    // repeats are dropped inside KeyScope for KeyWindow
+	Keyed                    // members drop repeats inside KeyScope for KeyWindow
 	Once                     // must never run twice
 )
 
-// Scope is the set of members that drop a keyed repeat.
+// Scope is the set of members that recognize the repeat of a keyed request.
 type Scope int
 
 // The scopes of a key.
@@ -48,29 +48,29 @@
 	ScopeGroup
 )
 
-// Consistency is what a class needs of the data that answers it.
+// Consistency is the freshness that a class requires of the data it is answered from.
 type Consistency int
 
 // The kinds of consistency.
 const (
 	AnyData Consistency = iota // whatever the member holds
-	Bounded                    // not older than Bound when sent
-	Session                    // all that the session wrote
-	Fresh                      // all that was written before the request came in
-	Write                      // a write: only the primary takes it
+	Bounded                    // not older than Bound when the attempt is sent
+	Session                    // every write of the session
+	Fresh                      // every write committed before the request arrived
+	Write                      // the request is a write: only the primary accepts it
 )
 
-// Checks tells what a member does with a read that it is too far behind for.
+// StaleReadPolicy says what a member does with a read that requires a newer position than it has.
 type Checks int
 
-// The ways of checking.
+// The policies for stale reads.
 const (
-	ChecksOff    Checks = iota // it answers from what it has
-	ChecksRefuse               // it answers NotHere
-	ChecksWait                 // it waits a while, then answers NotHere
+	ChecksOff    Checks = iota // it doesn't check, and answers from the data it has
+	ChecksRefuse               // it answers Misdirected
+	ChecksWait                 // it waits for replication for a time, then answers Misdirected
 )
 
-// Role is a member's part in its group.
+// Role is the role of a member in its group.
 type Role int
 
 // The roles.
@@ -85,58 +85,58 @@
 	Name        string
 	Effect      Effect
 	KeyScope    Scope
-	KeyWindow   Time // how long a keyed repeat is dropped, from the first send
-	Aim         Time // an answer by then has its full worth
-	Deadline    Time // what a client waits in all
+	KeyWindow   Time // how long members drop the repeat of a keyed request, from the first send
+	Aim         Time // an answer within this time has its full value
+	Deadline    Time // how long a client waits altogether
 	Worth       float64
-	LateWorth   float64 // part of the worth left after Aim
+	LateWorth   float64 // fraction of Value left after LatencyTarget
 	Consistency Consistency
-	Bound       Time // for Bounded
+	Bound       Time // largest age of the data, for Bounded
 }
 
-// Writes tells whether the class's requests write.
+// Writes reports whether requests of the class write.
 func (k *Class) Writes() bool { return k.Consistency == Write }
 
-// HasSession tells whether the class's requests belong to sessions.
+// HasSession reports whether requests of the class belong to sessions.
 func (k *Class) HasSession() bool { return k.Consistency == Write || k.Consistency == Session }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer of the service with an agreed share of it.
 type Tenant struct {
 	Name  string
-	Share float64 // part of the service, 0 to 1
-	Rate  float64 // requests a second, over all fronts, that stay in its share
+	Share float64 // fraction of the service, 0 to 1
+	Rate  float64 // requests per second, over all fronts, that are within its share
 }
 
 // Config holds the settings a router is given at start.
 type Config struct {
-	Self, Fronts int    // this front's number from 0, and how many there are
-	Zone         string // this front's zone
+	Self, Fronts int    // index of this front from 0, and the number of fronts
+	Zone         string // zone of this front
 	Resolution   Time   // the shortest time between two Steps
 	Classes      []Class
 	Tenants      []Tenant
-	OverShare    float64 // part of the worth left to traffic beyond a share
+	OverShare    float64 // fraction of its value that a request of a tenant beyond its share has
 
 	MaxAttempts   int  // attempts of one request; 0 = no limit
-	MaxRetryAfter Time // longest wait a client follows; 0 = none can be told
-	MayCancel     bool
-	MayDuplicate  bool // two attempts of a request may be out at once
-	MayProbe      bool
-	MarksRetry    bool // clients flag their repeats
-	AskList       bool // the list of members comes only when asked for
+	MaxRetryAfter Time // longest retry delay that clients follow; 0 = clients can't be given one
+	MayCancel     bool // attempts may be cancelled
+	MayDuplicate  bool // two attempts of a request may be outstanding at once
+	MayProbe      bool // members may be probed for a report
+	MarksRetry    bool // clients mark their retries as such
+	AskList       bool // discovery sends the member list only on request, rather than pushing it
 
 	Checks            Checks
-	RemembersSessions bool // session reads carry no token; commits seen here count
-	AnswersStamped    bool // every answer tells its member's log position
-	KnownAfter        Time // a write counts as known so long after its member answered, though that never came; 0 = once it comes
-
-	ColdShare      float64 // part of its capacity that a member starts with
-	ColdTime       Time    // it is warm by then
-	FallMultiple   float64 // sent more than so many times its capacity
-	FallTime       Time    // for so long, a cold member falls over
-	OnlyDrainBinds bool    // a member that just leaves the list may still be used
+	RemembersSessions bool // session reads carry no token; the commits seen by this front count
+	AnswersStamped    bool // every answer carries its member's log position
+	KnownAfter        Time // a write whose answer may be lost counts as committed after this time; 0 = once it is answered
+
+	ColdShare      float64 // fraction of its capacity that a member has when it starts
+	ColdTime       Time    // a member has its full capacity after this time
+	FallMultiple   float64 // a starting member fails under more than this multiple of its present capacity
+	FallTime       Time    // sustained for this time
+	OnlyDrainBinds bool    // a member that is no longer listed, but was not drained, may still be used
 }
 
-// Validate reports the first fault of the settings.
+// Validate returns an error that names the first invalid setting.
 func (c *Config) Validate() error {
 	switch {
 	case len(c.Classes) == 0:
@@ -175,11 +175,11 @@
 	return nil
 }
 
-// Retune takes new settings from now on, or reports their first fault and changes nothing. What was learned stays:
-// costs of classes by name, members, sessions, and the credit of tenants by place. Tenants keep their places: those
-// of before come first, under their names. Arrive events that name their class in As are read by that, whether these
-// settings hold it, hold another under its name or hold none; a request under way keeps its class and the attempts
-// that were allowed when it arrived. Like Step it is the owner's to call.
+// Reconfigure replaces the settings, or returns an error for the first invalid one and changes nothing. What the router
+// has learned stays: costs of classes by name, members, sessions, and the tokens of tenants by index. Tenants keep their
+// indexes: the former ones must come first, under their names. An Arrive event with a ClassDef is handled by that
+// definition, whether the new settings have the same one, another under its name or none. A request in progress keeps
+// its class and the number of attempts allowed when it arrived. Like Step it must not be called concurrently.
 func (r *Router) Retune(cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
@@ -193,10 +193,10 @@
 	return nil
 }
 
-// MembersMost is how many members a Router keeps; what a longer list names beyond them is not used.
+// MaxMembers is the most members a Router keeps; further members of a longer list are not used.
 const MembersMost = 8192
 
-// MemberState is what the list says of a member.
+// MemberState is the state of a member according to the list.
 type MemberState int
 
 // The states of a member.
@@ -206,93 +206,93 @@
 	Removed
 )
 
-// Member is one entry of the list.
+// Member is one entry of the member list.
 type Member struct {
 	ID      string
 	Group   int64
 	Zone    string
 	Kind    string
 	Weight  float64
-	Started Time // its last start; 0 = long ago
-	Primary bool // the list takes it for its group's primary
+	Started Time // time of its last start; 0 = long ago
+	Primary bool // it is its group's primary according to the list
 	State   MemberState
 }
 
-// EventKind names an event.
+// EventKind is the kind of an event.
 type EventKind int
 
 // The events.
 const (
 	ListFull        EventKind = iota // Members is the whole list
-	ListSaved                        // Members is the whole list as last held, perhaps old
+	ListSaved                        // Members is the whole list as kept from before a restart, perhaps outdated
 	ListChange                       // Members are the entries that changed
-	ListError                        // a Watch or Fetch failed or the watch broke
-	Arrive                           // a request came in
-	FirstByte                        // a streamed answer began; it is the client's now
+	ListError                        // a Watch or Fetch failed, or the watch broke
+	Arrive                           // a request arrived
+	FirstByte                        // a streamed answer began and is being passed to the client
 	Outcome                          // an attempt ended
-	ClientGone                       // the client left or its time is up; no answer is owed
+	ClientGone                       // the client left or its time is up; it gets no answer from the router
 	Probed                           // a probe ended
-	Timer                            // a Wake came due
-	Told                             // other gateways say of Member that it is silent; Result Served: that it answers; Role Primary: that it said so
-	Parts                            // what may be used of the shared budgets changed
-	ListUnreachable                  // discovery can't be reached now; a call that is out goes on trying
+	Timer                            // the time of a Wake has come
+	Told                             // other gateways report that Member is silent; with Result Served that it answers, with Role Primary that it is primary
+	Parts                            // this front's shares of the shared budgets changed
+	ListUnreachable                  // discovery can't be reached now; an outstanding call keeps trying
 )
 
-// HasList tells that an event of this kind carries members.
+// HasList reports whether events of this kind carry members.
 func (k EventKind) HasList() bool { return k == ListFull || k == ListSaved || k == ListChange }
 
-// The budgets that fronts which know each other share, as places in Parts.
+// The budgets that fronts share, as indexes in Event.BudgetShares.
 const (
-	ColdPart = iota
-	ProbePart
-	AskPart
-	CustomerPart
+	ColdPart     = iota // work sent to members in slow start
+	ProbePart           // probes
+	AskPart             // calls to discovery
+	CustomerPart        // requests of tenants
 )
 
-// Result tells how an attempt or a probe ended.
+// Result is how an attempt or a probe ended.
 type Result int
 
 // The results.
 const (
 	Served      Result = iota
 	Errored            // the member answered with an error; may have run
-	Full               // turned away unseen; never ran
+	Full               // the member is overloaded and refused it unread; never ran
 	TimedOut           // no answer in time; may have run, may still run
 	Unreachable        // no connection; never ran
 	Reset              // the connection broke; may have run
-	Cancelled          // called off; may have run
+	Cancelled          // cancelled; may have run
 	NotSent            // never sent; never ran
-	NotHere            // turned away untouched: not primary, or too far behind
-	Rejected           // turned away for what it is: never ran, and no member would take it
-	Stale              // answered from data older than the request must see: has run, and another member may do
+	NotHere            // the member refused it as it is not primary, or lags too much; never ran
+	Rejected           // invalid; never ran, and no member would accept it
+	Stale              // answered from data older than the request requires; has run, and another member may serve it
 )
 
-// Answered tells that the member answered, whatever it said.
+// Answered reports whether the member answered, in whatever way.
 func (r Result) Answered() bool {
 	return r == Served || r == Errored || r == Full || r == NotHere || r == Rejected || r == Stale
 }
 
-// MayHaveRun tells that the attempt may have had its effect.
+// MayHaveRun reports whether the attempt may have had its effect.
 func (r Result) MayHaveRun() bool {
 	return r == Served || r == Errored || r == TimedOut || r == Reset || r == Cancelled || r == Stale
 }
 
-// Event is one thing that happened. Kind tells which fields count.
+// Event is one thing that happened. Kind determines which fields are set; their comments name the kinds.
 type Event struct {
 	Kind    EventKind
 	Members []Member // lists
 
 	Request   uint64 // Arrive, FirstByte, Outcome, ClientGone
 	Class     int    // Arrive: index in Config.Classes, where As is nil
-	As        *Class // Arrive: the class as it was when the request was taken, for fronts whose settings change; see Router.Retune
+	As        *Class // Arrive: the class when the front accepted the request, for fronts whose settings change; see Router.Reconfigure
 	Tenant    int    // Arrive: index in Config.Tenants, -1 = none
 	Group     int64  // Arrive
 	Session   string // Arrive: the session, if any
-	HasToken  bool   // Arrive: the session has a last write
-	TokenAge  Time   // Arrive: how long ago that was committed
-	AtLeast   Time   // Arrive: a read must also see what was committed by then; 0 = no more than its class says
-	IsRetry   bool   // Arrive: a client's repeat
-	Remaining Time   // Arrive: how long the client waits
+	HasToken  bool   // Arrive: the session's last write is known, see TokenAge
+	TokenAge  Time   // Arrive: how long ago that write was committed
+	AtLeast   Time   // Arrive: a read must also see every commit up to this position; 0 = only what its class requires
+	IsRetry   bool   // Arrive: the client marked it as a retry
+	Remaining Time   // Arrive: how long the client will wait
 	Waited    Time   // Arrive: how long it has waited already, behind others on its connection
 
 	Member  string // FirstByte, Outcome, Probed
@@ -300,73 +300,73 @@
 	Result  Result // Outcome, Probed
 	Elapsed Time   // Outcome, Probed
 	Ended   bool   // Outcome: the request has its final answer
-	Reused  bool   // Outcome: Reset, of a connection that had been used before
+	Reused  bool   // Outcome: Reset of a connection that had been used before
 
-	Role     Role // Outcome: the member's role now, if told
-	Stamped  bool // Outcome: Position was told
-	InDoubt  bool // Outcome of a write that was not Served: it may have committed until Position
+	Role     Role // Outcome: the member's role now, if it reported one
+	Stamped  bool // Outcome: Position is set
+	InDoubt  bool // Outcome of a write that was not Served: it may have committed, up to Position
 	Position Time // Outcome: log position, or the commit time of a served write
 
 	Report Report // Outcome, Probed
 
-	Parts [4]float64 // Parts: of each budget, 1 = this front's own part; above 0
+	Parts [4]float64 // BudgetShares: the share of each budget, above 0; 1 = an even share
 }
 
-// Report is what a member last said of itself; it may be some time old.
+// Report is what a member last reported of itself; it may be outdated.
 type Report struct {
 	HasPosition bool
 	Position    Time
 	HasRole     bool
 	Role        Role
 	HasUtil     bool
-	Util        float64 // part of its cores that is busy
+	Util        float64 // fraction of its cores that is busy
 }
 
-// ActionKind names an action.
+// ActionKind is the kind of an action.
 type ActionKind int
 
 // The actions.
 const (
-	// Send starts an attempt of Request at Member, timed out after Timeout (0 = at the deadline).
+	// Send starts an attempt of Request at Member that times out after Timeout (0 = at the deadline).
 	Send   ActionKind = iota
-	Cancel            // stop waiting for Attempt of Request
-	Refuse            // final answer: no, trying again is harmless, best after After
-	Fail              // final answer: failed, nothing is promised
+	Cancel            // cancel Attempt of Request
+	Refuse            // final answer: refused, a retry is harmless, best after RetryAfter
+	Fail              // final answer: failed, it may or may not have had its effect
 	Probe             // probe Member
 	Wake              // give one Timer event at At
-	Watch             // ask for list changes from now on
-	Fetch             // ask for the whole list once
-	Note              // Change is newly believed of Member, or of Group's primary
+	Watch             // request list changes from discovery from now on
+	Fetch             // request the whole list from discovery once
+	Note              // the router's view of Member, or of Group's primary, changed as Change says
 )
 
-// Action is one thing the front must do. Kind tells which fields count.
+// Action is one thing the front must do. Kind determines which fields are set.
 type Action struct {
 	Kind    ActionKind
 	Request uint64
 	Member  string
 	Attempt int
 	Timeout Time
-	Before  Time // Send: written whole by then, else not at all; 0 = any time
-	AtLeast Time // Send: a replica's answer that tells an older position is Stale; the member has been demoted unheard
-	After   Time
-	At      Time
-	Change  Change // Note
-	Group   int64  // Note
-	Text    string // Note: the same in words, for a log; once a second at most, else empty
+	Before  Time   // Send: to be written completely by then, else not at all; 0 = any time
+	AtLeast Time   // Send: a replica's answer with an older position is Stale: it was primary when last heard of
+	After   Time   // Refuse: when the client had best retry; 0 = not known
+	At      Time   // Wake
+	Change  Change // Notify
+	Group   int64  // Notify
+	Text    string // Notify: a log text, at most one per second, else empty
 }
 
-// Change is what a Note tells of.
+// Change is a change in the router's view of a member or group.
 type Change int
 
 // The changes.
 const (
-	Suspected    Change = iota // Member is silent or unreachable: it gets trials only
+	Suspected    Change = iota // Member is silent or unreachable: it gets half-open probes only
 	Trusted                    // Member answers again
-	PrimaryFound               // Member is its Group's primary, which was lost
-	PrimaryLost                // Group's primary is unknown
+	PrimaryFound               // Member is the primary of Group, which was unknown
+	PrimaryLost                // the primary of Group is unknown
 )
 
-// words tells a Note for people.
+// text is the log text of a Notify action.
 func (a *Action) words() string {
 	switch a.Change {
 	case Suspected:
--- a/decide/callpace.go
+++ b/decide/callpace.go
@@ -5,58 +5,63 @@
 	"time"
 )
 
-// CallPace tells when a front calls discovery, one service for all fronts. Discovery works for one call after another and
-// refuses what has queued for too long, though it does that work all the same: a fleet that calls faster than it is served
-// is never served, and one that calls too slowly hears of changes too late. Fronts and Random have to be set. It is not
+// DiscoveryPacer decides when a front calls discovery, one service for all fronts. Discovery handles one call at a time
+// and refuses a call that has queued for too long, but still does its work: a fleet that calls faster than it is served
+// is never served, and one that calls too slowly learns of changes too late. Fronts and Random must be set. It is not
 // safe for concurrent use.
 type CallPace struct {
-	Fronts int            // that call the same discovery
+	Fronts int            // number of fronts that call the same discovery
 	Random func() float64 // uniform in [0, 1)
 
 	first   Time // pause before the first call of this process; 0 = it is over
-	refused int  // calls in a row
+	refused int  // calls refused in a row
 	gap     Time // mean pause after the next refusal
-	work    Time // that the calls of all fronts take, one each, at the least that was seen; 0 = not known
+	work    Time // lowest estimate of the time that one call of each front takes altogether; 0 = not known
 }
 
 const (
-	toldAfter  = 6 * time.Second // a change counts as told so long after discovery had it, once a call has failed
-	queueMost  = 2 * time.Second // the longest that discovery lets a call wait
+	toldAfter  = 6 * time.Second // a front must learn of a change within this time, once a call has failed
+	queueMost  = 2 * time.Second // longest time that discovery queues a call before it refuses it
 	pauseSlack = 200 * time.Millisecond
 
-	// The first calls of a fleet's restart are spread over spreadEach for each front, spreadMost at most: later there
-	// would be more changes to catch up with, which make each call longer.
-	spreadEach, spreadMost = 100 * time.Millisecond, 5 * time.Second
+	// The first calls after a restart of the fleet are spread over startSpreadPerFront for each front, at most over
+	// maxStartSpread: with a longer spread each call would have more changes to catch up with, and take longer.
+	spreadEach = 100 * time.Millisecond
+	spreadMost = 5 * time.Second
 
-	// A refused call comes again after pauseFirst in the mean, doubling up to pauseMost.
-	pauseFirst, pauseMost = 500 * time.Millisecond, 1050 * time.Millisecond
+	// After a refusal the mean pause is firstPause; it doubles with each further one up to maxPause.
+	pauseFirst = 500 * time.Millisecond
+	pauseMost  = 1050 * time.Millisecond
 
-	// A fleet whose calls take more than queueMost and up to servedMost, at an estimate that queues make higher, calls at
-	// the slowest pace that leaves two calls in a row, each of which queues for queueMost, the time to be told.
-	servedMost                = 8 * time.Second
-	pacedPause, pacedPauseEnd = 1400 * time.Millisecond, toldAfter - 2*queueMost - pauseSlack
+	// A fleet whose calls take more than maxQueueTime, and at most maxServableWork (queues make that estimate higher),
+	// calls at the slowest pace at which two calls in a row, each queued for maxQueueTime, still end within
+	// maxUpdateDelay.
+	servedMost    = 8 * time.Second
+	pacedPause    = 1400 * time.Millisecond
+	pacedPauseEnd = toldAfter - 2*queueMost - pauseSlack
 
-	// After so many refusals in a row, half a minute, discovery may be busy with the fleet's own failing calls.
+	// After this many refusals in a row, half a minute, discovery may be busy with the fleet's own failing calls.
 	pacedMost = 8
 
-	// Where no call was answered yet, workEach is taken for one. A fleet that can't be served in time pauses for what its
-	// calls take beyond the queue by its size, growing up to sizeGrow times that.
+	// assumedCallWork stands for the time of a call while none has been answered. A fleet that can't be served in time
+	// pauses, by its size, for the time of its calls beyond the queue, growing up to maxSizeGrowth times that.
 	workEach = 60 * time.Millisecond
 	sizeGrow = 2
 )
 
-// First draws the pause before the first call of a process.
+// InitialPause draws the random pause before the first call of a process.
 func (p *CallPace) First() Time {
 	pause := Time(p.Random() * float64(p.spread()))
-	p.first = max(pause, 20*sweepEvery) // an idle front looks seldom: what comes sooner comes together
+	p.first = max(pause, 20*sweepEvery) // an idle front wakes seldom: calls due earlier are made together
 	return pause
 }
 
+// startSpread is the time over which the first calls of a restarted fleet are spread.
 func (p *CallPace) spread() Time { return min(spreadEach*Time(p.Fronts), spreadMost) }
 
-// Answered takes that a call that need not wait was answered after so long. All calls of the fleet, one after another,
-// take no more than as many times as long. In a restart of the whole fleet the queue grows evenly over the spread, and
-// how far that had come when this call was made tells what it will grow to.
+// Answered records that a call which need not wait for a change was answered after the time took. The calls of all
+// fronts, one after another, take at most that for each. In a restart of the whole fleet the queue grows evenly over
+// the spread: the fraction of it that had passed when this call was made shows how long the queue will get.
 func (p *CallPace) Answered(took Time) {
 	work := took * Time(p.Fronts)
 	if p.first > 0 {
@@ -68,11 +73,11 @@
 	p.Watching()
 }
 
-// Watching takes that a watch is on: no call has to be made.
+// WatchActive records that a watch is open: no call has to be made.
 func (p *CallPace) Watching() { p.first, p.refused, p.gap = 0, 0, 0 }
 
-// Refused draws the pause after a call that queued for too long. part is the front's part of what the fleet may call, in
-// parts of an even share.
+// PauseAfterRefusal draws the random pause after a call that discovery refused. share is the front's share of the calls
+// that the fleet may make; 1 is an even share.
 func (p *CallPace) Refused(part float64) Time {
 	bySize := Time(float64(workEach*Time(p.Fronts)) / part)
 	work, most := bySize, toldAfter
@@ -90,7 +95,7 @@
 	return p.backoff(pauseFirst, pauseMost)
 }
 
-// backoff draws a pause around a mean that doubles from first up to most.
+// backoff draws a pause from half to one and a half of a mean that doubles from first up to most.
 func (p *CallPace) backoff(first, most Time) Time {
 	mean := cmp.Or(p.gap, first)
 	p.gap = min(2*mean, most)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,4 +1,5 @@
-// The whole policy of reachwind, top to bottom. Its types, events and actions are in api.go, its records in
+// The decision policy of the gateway, top to bottom: which member each attempt goes to, and when a
+// request is held, refused or failed. Types, events and actions are in api.go, the router's state in
 // state.go.
 package decide
 
@@ -16,79 +17,93 @@
 	forever Time = 1 << 62
 )
 
-// Tuned values, each with its reason.
+// Parameters of the policy. A ratio without a unit is a fraction or a multiple of what its comment names.
 const (
-	sweepEvery = 10 * time.Millisecond // timers, holds and silence are looked at so often; well under any aim
-	sweepAll   = 4 * sweepEvery        // also in groups for which nothing came in
-	activeFor  = 2 * time.Second
-	clockSlack = 2 * time.Millisecond // rounding of told positions and ages
-	listLag    = 8 * time.Second      // a list's word on roles is older than it looks; newer evidence beats it
-	costGuess  = 0.2                  // first guess of a class's cost, as a part of its aim
+	sweepEvery = 10 * time.Millisecond // period of the checks of timers, held requests and silent members
+	sweepAll   = 4 * sweepEvery        // period of the same checks in groups without recent requests
+	activeFor  = 2 * time.Second       // a request or outcome within this time makes its group active
+	clockSlack = 2 * time.Millisecond  // rounding of reported positions and ages
+	listLag    = 8 * time.Second       // age assumed of a role in the list; newer evidence of a role overrides it
+	costGuess  = 0.2                   // initial cost of a class, as a fraction of its latency target
 
-	costUp, costDown = 0.01, 0.03 // cost follows the faster answers, as waiting is not cost
+	costUp   = 0.01 // weight of an answer slower than the class's cost: small, as time in a queue is not cost
+	costDown = 0.03 // weight of a faster answer
 
-	blend       = 0.1             // weight of one answer in a member's averages: about ten answers
-	blendMost   = 0.9             // and of one after a long silence, as old answers are little evidence:
-	blendTime   = 4 * time.Second // those of so long ago are
-	stretchMax  = 30.0            // one very late answer must not shut a member out for good
-	stretchFade = 3 * time.Second // unheard-of slowness is forgotten, so that a mended member is tried
-	zoneFactor  = 1.2             // a member of another zone must be a fifth better; breaks ties by zone
-	tieNoise    = 0.1             // seeded chance, so that fronts that see the same don't herd
+	blend       = 0.1             // weight of one answer in a member's averages: about ten answers count
+	blendMost   = 0.9             // largest weight of one answer after a long silence, as old samples are weak evidence
+	blendTime   = 4 * time.Second // the weight grows with the age of the last sample as a fraction of this
+	stretchMax  = 30.0            // cap of one slowdown sample, so that one very late answer can't exclude a member
+	stretchFade = 3 * time.Second // older evidence of slowness loses weight, so that a recovered member is tried again
+	zoneFactor  = 1.2             // score factor of a member in another zone; ties go to the front's own zone
+	tieNoise    = 0.1             // random part of a score, so that fronts with the same view don't herd
 
-	behindTimes, behindLoad = 3.0, 2.0 // a replica so many tightest bounds behind is as good as twice as busy
+	behindTimes = 3.0 // a replica that lags by more than this multiple of the tightest bound needs its cores to catch up
+	behindLoad  = 2.0 // and counts as this many times as loaded
 
-	longTimes  = 4.0  // a read costing so many times the cheapest class is long
-	strainAim  = 0.45 // answers taking this part of their aim: queues are as long as is useful
-	cutBy      = 0.85 // a limit falls so much for each round trip above strainAim
-	fewAtOnce  = 4.0  // any member works on so many side by side, from all fronts together
-	limitLeast = 2.0  // a limit stays above so many small requests: answers tell of recovery
+	longTimes  = 4.0  // a read that costs this multiple of the cheapest class counts as long
+	strainAim  = 0.45 // above this ratio of latency to target a longer queue gains nothing: the limit falls
+	cutBy      = 0.85 // factor of the limit for each round trip above strainAim
+	fewAtOnce  = 4.0  // requests that any member processes in parallel, from all fronts together
+	limitLeast = 2.0  // lowest limit, in requests of the cheapest class: only answers show that a member recovered
 
-	shedAim, shedSteep = 0.38, 3.0 // above this part of their aim reads stay away by chance, 7 in 8 at twice it
+	shedAim   = 0.38 // above this ratio of latency to target some reads are kept away from a member, at random
+	shedSteep = 3.0  // exponent of that: 7 of 8 stay away at twice the ratio
 
-	spareShare = 0.5 // reads spill to a primary under this part of its limit
+	spareShare = 0.5 // reads spill over to a primary that uses less than this fraction of its limit
 
-	silentTimes, silentFew = 5.0, 2.0 // overdue by so many times what is usual is silence, more so with few out
+	silentTimes = 5.0 // a member is silent once an answer is overdue by this multiple of the usual time,
+	silentFew   = 2.0 // and longer with few attempts outstanding, by this divided by their number
 
-	silentLeast = 60 * time.Millisecond
-	failsMost   = 2 // so many broken connections with no answer between are no chance
+	silentLeast = 60 * time.Millisecond // shortest silence that counts
+	failsMost   = 2                     // broken connections with no answer in between that are no coincidence
 
-	lostTimes, lostPassed = 5.0, 3 // out for so long, in as is usual there, while so many sent later came: lost
+	lostTimes  = 5.0 // an answer is presumed lost after this multiple of its usual time
+	lostPassed = 3   // if as many attempts sent later have been answered
 
-	lossyLeast, lossyBlend = 0.08, 0.02 // no chance where so many answers are lost, over about fifty attempts
+	lossyLeast = 0.08 // from this fraction of lost answers on, losses are no coincidence
+	lossyBlend = 0.02 // weight of one attempt in that fraction: about fifty attempts count
 
-	errsMost = 0.3 // a member that errs more often is the last to be used
+	errsMost = 0.3 // a member with a higher fraction of errors is used last
 
-	trialFirst, trialMost = 300 * time.Millisecond, time.Second // a suspect gets one trial, at doubling spans
+	trialFirst = 300 * time.Millisecond // delay before the first half-open probe of a suspect; it doubles with each
+	trialMost  = time.Second            // longest delay between half-open probes
 
-	lateTimes, freshTry = 1.5, 0.6 // times the usual latency, this of the aim at most, must be left for a try
+	lateTimes = 1.5 // an attempt is worth sending while this multiple of its usual time is left,
+	freshTry  = 0.6 // or this fraction of the latency target, whichever is less
 
-	rescueAt = 0.5 // a read out for this part of its aim may go elsewhere too
+	rescueAt = 0.5 // a read outstanding for this fraction of its target may be sent to another member too
 
-	retryEarn, retryMost = 0.2, 20.0 // further attempts after failures: for one in five requests, in bursts
+	retryEarn = 0.2  // retry tokens earned by each request: one in five may be retried after a failure
+	retryMost = 20.0 // most tokens kept, for bursts
 
-	retryPause = 50 * time.Millisecond // a member that turned a request away isn't asked again for it before
+	retryPause = 50 * time.Millisecond // a member that turned a request away isn't tried again for it before
 
-	seekEvery, seekEach = 150 * time.Millisecond, 5 * time.Millisecond // between looks for a primary
+	seekEvery = 150 * time.Millisecond // interval between checks of a member that may be primary
+	seekEach  = 5 * time.Millisecond   // the same for each front, where that is longer
 
-	probeEach  = 10 * time.Millisecond // a member is probed by all fronts together once in this at most
-	guessSpare = 2                     // attempts left for when it is known
-	renewBy    = 0.25                  // a replica unheard of for the tightest bound is liked so much better
+	probeEach  = 10 * time.Millisecond // shortest interval between probes of a member by all fronts together
+	guessSpare = 2                     // attempts kept back from the search for a primary, for when it is known
+	renewBy    = 0.25                  // largest score bonus of a replica not heard of for the tightest bound
 
-	toldFor = 2 * time.Second // a look that others' words led to must have ended
+	toldFor = 2 * time.Second // a probe started by a peer's report must have ended within this time
 
-	askWait, askTimes = 30 * time.Millisecond, 2 // a read waits so long for a probe of its own, at most so often
+	askWait  = 30 * time.Millisecond // how long a read waits for a probe made for it
+	askTimes = 2                     // most probes made for one read
 
-	coldShare = 1.25 // of the stated multiple of what is usual for a member, as it can do more than that
+	coldShare = 1.25 // factor on the configured overload multiple, as a member can take more than its usual load
 
-	// credit at a cold member is kept for this part of FallTime, or of the first request, or so many mean gaps
-	coldSave, coldFirst, coldGaps = 0.125, 0.5, 2.0
+	coldSave  = 0.125 // unused slow-start tokens are kept for this fraction of OverloadTime,
+	coldFirst = 0.5   // for this fraction of it up to the first request,
+	coldGaps  = 2.0   // or for this many mean gaps between requests, whichever is longer
 
-	sessionMost = 4096 // sessions a group whose commits are kept while a member may lack them
+	sessionMost = 4096 // sessions per group whose commits are kept while a member may lack them
 
-	goneKeep, logEvery = time.Minute, time.Second
+	goneKeep = time.Minute // a member that left the list is kept for this time, as it may restart under its id
+	logEvery = time.Second // shortest interval between log texts
 )
 
-// New returns a router for one front, or the first fault of cfg.
+// New returns a router for one front. The error names the first invalid setting of cfg. Routers with
+// equal settings, seed and events act alike.
 func New(cfg Config, seed uint64) (*Router, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -102,7 +117,7 @@
 	return r, nil
 }
 
-// Step takes the events of one moment in order and appends what must be done to out.
+// Step handles the events of time now in order and appends the resulting actions to out.
 func (r *Router) Step(now Time, events []Event, out []Action) []Action {
 	r.now, r.out = max(now, r.now), out
 	for i := range events {
@@ -118,7 +133,7 @@
 	return r.out
 }
 
-// wake keeps the sweep going, and brings it forward when a request comes to an idle front.
+// scheduleWake requests the next timer event, and an earlier one when a request reaches an idle front.
 func (r *Router) wake() {
 	at := r.now + 10*sweepEvery
 	if len(r.open) > 0 {
@@ -130,7 +145,7 @@
 	}
 }
 
-// note tells of a change, once a second also in words.
+// notify reports a state change; at most one per logInterval carries a log text.
 func (r *Router) note(c Change, g *group, member string) {
 	a := Action{Kind: Note, Change: c, Group: g.id, Member: member}
 	if r.now >= r.logAt {
@@ -166,7 +181,8 @@
 	}
 }
 
-// told takes what other gateways say of a member: it brings a look or trial forward, whose outcome counts.
+// handlePeerReport handles what other gateways report of a member. It only triggers a probe or half-open
+// probe, whose own outcome counts.
 func (r *Router) told(e *Event) {
 	m := r.members[e.Member]
 	switch {
@@ -183,14 +199,16 @@
 
 // Positions and roles.
 
-// learnPosition keeps the newest position told: one ahead of the clock is impossible, one behind is old news.
+// learnPosition keeps the newest reported position. It ignores impossible ones, ahead of the clock, and
+// older ones.
 func (r *Router) learnPosition(m *member, p Time) {
 	if p >= m.pos && p <= r.now+clockSlack {
 		m.pos, m.lag = p, r.now-p
 	}
 }
 
-// learnRole keeps the newest evidence of a role. A group has one primary: newer evidence of one ends another.
+// learnRole keeps the newest evidence of a role. A group has one primary: newer evidence of one demotes
+// another.
 func (r *Router) learnRole(m *member, role Role, at Time) {
 	if role == RoleUnknown || at < m.roleAt || at > r.now+clockSlack {
 		return
@@ -214,7 +232,7 @@
 	}
 }
 
-// learnReport takes a report: its position is also the least age of its role.
+// learnReport handles a member's report. Its role is at least as old as its position.
 func (r *Router) learnReport(m *member, p *Report) {
 	if p.HasPosition && p.Position <= r.now+clockSlack {
 		r.learnPosition(m, p.Position)
@@ -222,7 +240,8 @@
 	}
 }
 
-// forgetCommits drops commits that every member has for a common floor, which later members must reach too.
+// forgetCommits replaces commits that every member has by one common floor, which members that join must
+// reach too.
 func (r *Router) forgetCommits(g *group) {
 	if len(g.sessions) == 0 {
 		return
@@ -233,10 +252,10 @@
 			least = min(least, m.pos)
 		}
 	}
-	if len(g.sessions) > sessionMost { // a member that stays behind must not keep them all
+	if len(g.sessions) > sessionMost { // a member that lags for long must not keep them all
 		least = r.now
 	}
-	for s, c := range g.sessions { // in any order: max and delete
+	for s, c := range g.sessions { // the order has no effect: max and delete
 		if c <= least {
 			g.floor = max(g.floor, c)
 			delete(g.sessions, s)
@@ -263,7 +282,7 @@
 	worth := k.Worth * r.share(e.Tenant)
 	if !e.IsRetry {
 		k.longest = max(k.longest, e.Remaining+e.Waited)
-	} else if e.Remaining+e.Waited < k.longest-clockSlack { // what the deadline leaves tells when it began
+	} else if e.Remaining+e.Waited < k.longest-clockSlack { // the time left shows when the first try began
 		q.aim -= max(0, k.Deadline-e.Remaining-e.Waited)
 	}
 	q.rank = worth / k.cost
@@ -284,7 +303,8 @@
 	}
 }
 
-// share books a request on its tenant and returns what part of its worth is left, in this front's traffic.
+// chargeTenant takes a token of the tenant for a request and returns the factor on the request's value: 1
+// within the tenant's share of this front's traffic, less beyond it.
 func (r *Router) share(tenant int) float64 {
 	if tenant < 0 || tenant >= len(r.credit) {
 		return 1
@@ -299,7 +319,7 @@
 	return 1
 }
 
-// usefulUntil is when an answer stops being worth anything.
+// usefulUntil is the time from which an answer has no value.
 func (q *request) usefulUntil() Time {
 	if q.class.LateWorth > 0 {
 		return q.deadline
@@ -312,7 +332,8 @@
 		q.class.Effect == Keyed && q.class.KeyScope == ScopeAll
 }
 
-// giveUp ends a request with its final answer at once; refused, it may come back after so long.
+// abandon ends a request without a served answer: refused where a retry is harmless, to come after that
+// time, else failed.
 func (r *Router) giveUp(q *request, after Time) {
 	a := Action{Kind: Fail, Request: q.id}
 	if q.mayRefuse() {
@@ -323,7 +344,7 @@
 	r.end(q)
 }
 
-// callOff cancels what a finished request still has out, so that members may drop it; writes are left to run.
+// cancelAttempts cancels the outstanding attempts of a finished request. Writes are left to run.
 func (r *Router) callOff(q *request) {
 	for _, a := range q.attempts {
 		if r.cfg.MayCancel && q.class.Consistency != Write {
@@ -347,7 +368,7 @@
 	}
 }
 
-// mayTry tells whether the class allows another attempt at m now.
+// mayAttempt reports whether the class allows another attempt at m now.
 func (r *Router) mayTry(q *request, m *member) bool {
 	if q.ended || q.streaming || q.most > 0 && len(q.attempts) >= q.most {
 		return false
@@ -362,9 +383,10 @@
 	return q.out == 0 && !q.riskSet
 }
 
-// The ordinary path: token-or-bound test, SELF, primary as fallback.
+// Choice of a member: replicas that have the required position, by SELF (least outstanding work), else
+// the primary.
 
-// dispatch places what waits, highest worth for its work first.
+// dispatch sends the waiting requests, those with the highest value per unit of work first.
 func (r *Router) dispatch() {
 	waiting := slices.DeleteFunc(slices.Clone(r.open), func(q *request) bool {
 		return q.out > 0 || q.ended || q.streaming
@@ -382,27 +404,28 @@
 	}
 }
 
-// hopeless tells that all members left are doubtful, or cold and q has missed its chance there.
+// infeasible reports that every member left may be draining, or is in slow start and did not admit q.
 func (r *Router) hopeless(q *request) bool {
 	return !slices.ContainsFunc(q.group.members, func(m *member) bool {
 		return !r.barred(m) && (!r.cold(m) || r.coldRoom(m, q))
 	})
 }
 
-// need is the log position that a replica must be known to have reached.
+// requiredPosition is the log position that a replica must be known to have reached to answer q.
 func (r *Router) need(q *request) Time {
 	switch q.class.Consistency {
 	case Bounded:
 		return max(q.floor, r.now-q.class.Bound)
-	case Session:
-		return max(q.floor, q.token, cmp.Or(q.group.sessions[q.session], never), r.unheard(q)) // told while held
+	case Session: // the session's commit may be reported while q is held
+		return max(q.floor, q.token, cmp.Or(q.group.sessions[q.session], never), r.unheard(q))
 	case Fresh:
 		return q.arrived
 	}
 	return q.floor
 }
 
-// unheard is until when a write of q's session that is out may have committed, its answer lost on the way.
+// inDoubtUntil is the time up to which an outstanding write of q's session may have committed, its answer
+// being lost.
 func (r *Router) unheard(q *request) Time {
 	known := r.now - r.cfg.KnownAfter
 	for _, m := range q.group.members {
@@ -415,7 +438,7 @@
 	return never
 }
 
-// choose picks the member for the next attempt, or nil to hold the request.
+// chooseMember returns the member for the next attempt, or nil to hold the request.
 func (r *Router) choose(q *request) *member {
 	p := q.group.primary()
 	if q.class.Consistency == Write {
@@ -424,8 +447,8 @@
 	need, qualified := r.need(q), false
 	var best, ahead, errs *member
 	var least, leastErrs float64
-	// Exception: a long read that any replica may answer goes to the one furthest behind, at all fronts alike:
-	// spread by SELF, long reads hold back all. It could harm where long reads are most of the work.
+	// A long read that any replica may answer goes to the one that lags most, on every front: spread by
+	// SELF, long reads would make all replicas lag. It could harm where long reads are most of the work.
 	long := q.class.Consistency == AnyData && q.class.cost > longTimes*r.leastCost()
 	for _, m := range q.group.members {
 		if m == p || !r.usable(m, q) {
@@ -438,7 +461,7 @@
 			continue
 		}
 		if !r.room(m, q, 1) {
-			qualified = qualified || !r.cold(m) // a cold one without room is as good as none
+			qualified = qualified || !r.cold(m) // one in slow start without capacity does not count
 			continue
 		}
 		qualified = true
@@ -462,7 +485,7 @@
 	case best != nil:
 		return nil
 	case !qualified && ahead != nil:
-		return ahead // stores check: the most advanced one first
+		return ahead // the store checks positions itself: try the most advanced replica first
 	case !qualified && r.cfg.MayProbe && q.class.Consistency != Fresh && r.ask(q, p, need):
 		return nil
 	case p == nil || !r.usable(p, q):
@@ -474,7 +497,8 @@
 	return errs
 }
 
-// writeTo is p, or where it is not sound a member that may have become primary: else it turns the write away.
+// chooseWriteMember returns p, or where p may not be primary any more a member that may have become it:
+// one that has not rejects the write, which does no harm.
 func (r *Router) writeTo(q *request, p *member) (best *member) {
 	if p != nil && r.usable(p, q) && r.room(p, q, 1) {
 		return p
@@ -494,23 +518,24 @@
 	return best
 }
 
-// spares tells whether m should take a read: where its answers or its role's come late some stay away.
+// admitsRead reports whether a read may go to m: where its answers or those of its role are late, some
+// are shed.
 func (r *Router) spares(m *member, q *request) bool {
 	f := m.fade(r.now)
 	return q.luck*math.Pow((f*m.strain+(1-f)*r.alike(m).strain)/shedAim, shedSteep) < 1
 }
 
-// score is SELF: the work outstanding there with this request's own. Own work is a part of the load only,
-// so it is scaled by how much slower than usual the member's answers have been.
+// score is SELF, lower is better: the work outstanding at m from this front plus q's own. As other fronts
+// load m too, it is scaled by how much slower than usual m's answers have been.
 func (r *Router) score(m *member, q *request) float64 {
 	s := (m.held() + q.class.cost) * m.slowness(r.now) * (1 + tieNoise*r.rng.Float64())
 	if m.Zone != r.cfg.Zone {
 		s *= zoneFactor
 	}
-	if k := q.class.Consistency; k == AnyData || k == Bounded { // answers renew what is known
+	if k := q.class.Consistency; k == AnyData || k == Bounded { // an answer refreshes the known position
 		s *= 1 - renewBy*min(1, float64(r.now-m.pos-m.lag)/float64(r.freshFor))
 	}
-	if m.lag > behindTimes*r.freshFor { // it needs its cores to catch up
+	if m.lag > behindTimes*r.freshFor {
 		s *= behindLoad
 	}
 	return s
@@ -518,15 +543,16 @@
 
 func (r *Router) erred(m *member) { m.errors, m.erredAt = m.errors+blend*(1-m.errors), r.now }
 
-// errs tells that m mostly errs. Errors come fast: SELF would send such a member all there is.
+// errorProne reports that many answers of m are errors. As errors come fast, SELF would send such a
+// member everything.
 func (r *Router) errs(m *member) bool {
 	return m.errors*min(1, float64(stretchFade)/float64(max(1, r.now-m.erredAt))) > errsMost
 }
 
-// slowness is the member's stretch, fading while nothing is heard.
+// slowness is the member's slowdown, closer to 1 the older its evidence.
 func (m *member) slowness(now Time) float64 { return 1 + (m.stretch-1)*m.fade(now) }
 
-// fade is what evidence of m still counts: less the longer nothing was learnt of it.
+// evidenceWeight is the weight, 0 to 1, of what is known of m: less the older the last sample.
 func (m *member) fade(now Time) float64 {
 	return min(1, float64(stretchFade)/float64(max(1, now-m.learnt)))
 }
@@ -536,20 +562,22 @@
 		slices.ContainsFunc(q.attempts, func(a *attempt) bool { return !a.done && a.m == m }) {
 		return false
 	}
-	if m.suspect { // a trial needs the time to be answered
+	if m.suspect { // a half-open probe needs the time to be answered
 		left := float64(q.usefulUntil() - r.now)
 		return r.now >= m.trialAt && len(m.open) == 0 && left > freshTry*float64(q.class.Aim)
 	}
 	return true
 }
 
-// tooLate tells that m would most likely answer too late. What is not held is always worth a try.
+// tooLate reports that m would probably answer too late. With the whole target left an attempt is always
+// worth it.
 func (r *Router) tooLate(q *request, m *member) bool {
 	takes := min(lateTimes*q.class.cost*m.slowness(r.now), freshTry*float64(q.class.Aim))
 	return float64(q.usefulUntil()-r.now) < takes
 }
 
-// room tells whether a member may take the request's work on top of what it holds, within part of its limit.
+// hasCapacity reports whether m may take q's work on top of what it holds, within a fraction of its
+// limit.
 func (r *Router) room(m *member, q *request, part float64) bool {
 	if r.cold(m) {
 		return r.coldRoom(m, q)
@@ -557,7 +585,7 @@
 	if m.limit == 0 {
 		return part == 1 || m.strain < strainAim*part
 	}
-	few := fewAtOnce / float64(r.cfg.Fronts) * q.class.cost // else small requests would keep large ones out
+	few := fewAtOnce / float64(r.cfg.Fronts) * q.class.cost // else cheap requests would starve costly ones
 	return m.held()+q.class.cost <= m.limit*part || part == 1 && m.held() <= few
 }
 
@@ -575,9 +603,9 @@
 	act := Action{Kind: Send, Request: q.id, Member: m.ID, Timeout: max(q.usefulUntil()-r.now, clockSlack),
 		AtLeast: r.need(q)}
 	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() && r.cfg.Checks == ChecksOff {
-		act.Before = m.pos + k.Bound // what is known of m does no longer
+		act.Before = m.pos + k.Bound // the known position meets the bound until then
 	} else if k.Effect == Keyed && q.riskSet {
-		act.Before = q.riskAt + k.KeyWindow // it may wait for a connection
+		act.Before = q.riskAt + k.KeyWindow // the attempt may wait for a connection
 	}
 	r.do(act)
 }
@@ -600,7 +628,7 @@
 	r.learnAnswer(m, q, e)
 	r.health(m, a, e)
 	if q.ended = q.ended || e.Ended || e.Result == Served; q.ended {
-		r.callOff(q) // the other copy
+		r.callOff(q) // the other attempt
 		r.end(q)
 		return
 	}
@@ -608,12 +636,12 @@
 		q.riskSet, q.riskAt, q.riskZone = true, a.sent, m.Zone
 	}
 	switch {
-	case e.Result == Rejected: // it is for its client to mend
+	case e.Result == Rejected: // the client has to correct it
 		r.do(Action{Kind: Fail, Request: q.id})
 		r.end(q)
 	case q.out == 0 && q.riskSet && q.class.Effect == Once:
 		r.giveUp(q, forever)
-	case e.Result == Stale || !e.Result.MayHaveRun(): // another member may do
+	case e.Result == Stale || !e.Result.MayHaveRun(): // another member may serve it
 		if q.away == nil {
 			q.away = map[*member]Time{}
 		}
@@ -631,7 +659,7 @@
 	return true
 }
 
-// learnAnswer takes what an answer says of positions, roles and commits.
+// learnAnswer records the position, role and commit that an answer carries.
 func (r *Router) learnAnswer(m *member, q *request, e *Event) {
 	write := q.class.Writes() && (e.Result == Served || e.InDoubt)
 	if s := q.group.sessions; write && e.Stamped && r.cfg.RemembersSessions && q.session != "" {
@@ -640,7 +668,7 @@
 	if e.Stamped && !write && e.Role == Replica {
 		r.learnPosition(m, e.Position)
 	}
-	if e.Result == NotHere && q.class.Consistency == Write { // whatever it says, it is no primary now
+	if e.Result == NotHere && q.class.Consistency == Write { // whatever role it reports, it is no primary now
 		r.learnRole(m, Replica, r.now)
 	} else {
 		r.learnRole(m, e.Role, r.now)
@@ -650,8 +678,9 @@
 
 // Health.
 
-// health books what an outcome tells of its member. Symptoms count, not names: an answer of any kind ends
-// suspicion; a broken or impossible connection begins it; late answers raise stretch and strain.
+// updateHealth records what an outcome shows of its member. An answer of any kind ends suspicion, a
+// connection that broke or was not possible begins it, and late answers raise the slowdown and the
+// latency ratio.
 func (r *Router) health(m *member, a *attempt, e *Event) {
 	took := float64(max(r.now-a.sent, 1))
 	switch e.Result {
@@ -687,17 +716,17 @@
 		if e.Result == Full {
 			r.cutLimit(m)
 		}
-	case TimedOut, Cancelled: // it may run on: the member stays booked as long as that should take
+	case TimedOut, Cancelled: // it may go on running: its work counts for as long as that should take
 		lost := r.lost(a)
 		r.learnLoss(r.late(a))
-		if lost { // it tells nothing of how busy the member is
+		if lost { // a lost answer shows nothing of the member's load
 			r.erred(m)
 			break
 		}
 		r.observe(m, a, took)
 		m.ghosts = append(m.ghosts, spent{r.now + Time(a.cost*m.stretch), a.cost})
-	case Unreachable, Reset: // one broken connection of a member that answered a moment ago is no sign
-		if e.Reused { // it may have been old: a new one will tell
+	case Unreachable, Reset: // one broken connection of a member that just answered shows nothing
+		if e.Reused { // an idle connection may have been closed: a new one will show
 			break
 		}
 		m.fails++
@@ -708,16 +737,16 @@
 	}
 }
 
-// late tells that the answer to a should long have come; later attempts have more patience.
+// overdueAnswer reports that a's answer is long overdue. Later attempts of a request are given more time.
 func (r *Router) late(a *attempt) bool {
 	usual := a.cost * a.m.quick * float64(a.no+1)
 	return (a.passed >= lostPassed || r.lossy > lossyLeast) && float64(r.now-a.sent) > lostTimes*usual
 }
 
-// lost tells that it will not come: late answers that did come, or did not, have told how likely that is.
+// presumedLost reports that a's answer will not come, given the fraction of overdue answers that did not.
 func (r *Router) lost(a *attempt) bool { return r.lossy > lossyLeast && r.late(a) }
 
-// learnLoss takes how an attempt ended.
+// recordLoss counts an attempt whose answer came, or was lost.
 func (r *Router) learnLoss(lost bool) {
 	r.lossy -= lossyBlend * r.lossy
 	if lost {
@@ -725,6 +754,8 @@
 	}
 }
 
+// recordLatency adds an answer that took so many ns to the averages of m and of its role, and adapts m's
+// limit.
 func (r *Router) observe(m *member, a *attempt, took float64) {
 	k := a.q.class
 	w := min(blendMost, max(blend, float64(r.now-m.learnt)/float64(blendTime)))
@@ -741,7 +772,7 @@
 	}
 }
 
-// cutLimit lowers the work a member may hold, at most once a round trip.
+// lowerLimit lowers the work that m may hold, at most once per round trip.
 func (r *Router) cutLimit(m *member) {
 	if r.now < m.cutAt {
 		return
@@ -754,7 +785,8 @@
 	m.cutAt = r.now + Time(r.leastCost()*m.stretch)
 }
 
-// suspect takes a member out until a trial answers; for silence, maybe the network's, at most half a group.
+// markSuspect takes m out of use until a half-open probe is answered. Unless sure, the network may be the
+// cause: then at most half of a group is out.
 func (r *Router) suspect(m *member, sure bool) {
 	if m.suspect {
 		m.overdue = forever
@@ -767,7 +799,7 @@
 		}
 	}
 	if !sure && 2*(n+1) > len(m.group.members) {
-		m.overdue = r.now + silentLeast // looked at again then
+		m.overdue = r.now + silentLeast // checked again then
 		return
 	}
 	m.suspect, m.suspectAt, m.trialAt, m.overdue = true, r.now, r.now+m.trialGap, forever
@@ -775,31 +807,35 @@
 	r.note(Suspected, m.group, m.ID)
 }
 
-// await notes by when m must be heard of for a, so that silence shows also when a is called off before.
+// expectAnswer sets when m must have answered a, so that silence shows even if a is cancelled before.
 func (r *Router) await(m *member, a *attempt) {
 	m.overdue = min(m.overdue, r.now+r.patience(m, a.cost))
 }
 
-// patience is how long a silence is usual: longer with few attempts out, as one slow answer is poor evidence.
+// silenceTolerance is the longest usual silence: longer with few attempts outstanding, as one slow answer
+// is weak evidence.
 func (r *Router) patience(m *member, cost float64) Time {
 	few := 1 + silentFew/float64(max(1, len(m.open)))
 	return max(Time(silentTimes*few*cost*m.slowness(r.now)), silentLeast)
 }
 
-// Cold start.
+// Slow start.
 
+// inSlowStart reports that m started less than SlowStartTime ago, where the settings ask for a slow
+// start.
 func (r *Router) cold(m *member) bool {
 	return m.Started != 0 && r.cfg.FallMultiple > 0 && r.now < m.Started+r.cfg.ColdTime
 }
 
-// coldRoom keeps to a cold member's budget: each front asks of one the cold part of what is usual, and what
-// all send adds up. It comes with time and is not kept, so repeats, held requests or a group asked for more
-// get no more. Where it is less than a request, each takes what there is as its chance, and chances add up.
+// slowStartAdmits keeps to the budget of a member in slow start: each front sends it the present fraction
+// of its usual work, so that the sum over all fronts is bounded. Tokens accrue with time and expire, so
+// retries, held requests or a surge in one group get no more. Where there is less than a request's work,
+// that is its chance; chances add up.
 func (r *Router) coldRoom(m *member, q *request) bool {
 	p, sent := q.group.primary(), q.sentTo(m)
-	if t, drawn := q.turns[m]; drawn && t.sent == sent { // an attempt uses its turn
+	if t, drawn := q.turns[m]; drawn && t.sent == sent { // an attempt uses up its admission
 		return t.yes
-	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // hopeless asks too
+	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // infeasible calls this too
 		return false
 	}
 	part := r.cfg.ColdShare + (1-r.cfg.ColdShare)*float64(r.now-m.Started)/float64(max(r.cfg.ColdTime, 1))
@@ -810,7 +846,7 @@
 	return r.spend(ColdPart, yes)
 }
 
-// The sweep: deadlines, silence, rescue, probing and asking.
+// Periodic checks: deadlines, silent members, rerouting, the search for primaries and calls to discovery.
 
 func (r *Router) sweep() {
 	all := r.now-r.sweptAllAt >= sweepAll
@@ -842,7 +878,7 @@
 	r.gather(g)
 }
 
-// sweepList counts the members that are listed, and forgets members and groups that are not.
+// sweepMembership counts the listed members, and drops members and groups that are not listed.
 func (r *Router) sweepList() {
 	r.inList = 0
 	r.order = slices.DeleteFunc(r.order, func(g *group) bool {
@@ -853,7 +889,7 @@
 		}
 		r.dropGone(g)
 		empty := len(g.members)+len(g.sessions) == 0
-		if empty { // members that come under its number must still reach what was committed in it
+		if empty { // members that join under its number later must still have its commits
 			r.floor = max(r.floor, g.floor)
 			delete(r.groups, g.id)
 		}
@@ -861,7 +897,7 @@
 	})
 }
 
-// sweepRequest ends a request that no answer can serve any more, or has it tried elsewhere.
+// sweepRequest abandons a request that can't be answered in time any more, or reroutes it.
 func (r *Router) sweepRequest(q *request) {
 	until := q.usefulUntil() - sweepEvery
 	if q.out == 0 {
@@ -879,11 +915,12 @@
 	}
 }
 
-// rescue sends elsewhere what a member sits on: as a second copy if that is allowed, else called off first.
+// reroute sends a request that its member doesn't answer elsewhere: as a second attempt if that is
+// allowed, else after the first one is cancelled.
 func (r *Router) rescue(q *request) {
 	a := q.attempts[slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.done })]
 	late := r.waits == 0 && r.now-a.sent > Time(rescueAt*float64(q.class.Aim))
-	// a trial of a suspect must be left the time to be answered
+	// a half-open probe of a suspect must have the time to be answered
 	stuck := a.m.suspect && (a.sent <= a.m.suspectAt || r.now-a.sent > r.patience(a.m, a.cost))
 	lost := r.lost(a)
 	if a.off || q.class.Effect == Once || r.retries < 1 || !stuck && !late && !lost {
@@ -903,7 +940,7 @@
 	}
 }
 
-// gather looks for a primary that something waits for.
+// searchPrimary probes the members of g while requests wait for a primary.
 func (r *Router) gather(g *group) {
 	p := g.primary()
 	if p == nil && !g.lost {
@@ -920,9 +957,10 @@
 	}
 }
 
-// ask probes the replica that SELF would take, where none qualifies, and tells whether to wait for it.
+// probeForRead probes the replica that SELF prefers, where none qualifies, and reports whether to wait
+// for the outcome.
 func (r *Router) ask(q *request, p *member, need Time) bool {
-	if r.now-need < r.reportAge { // no report can tell of it yet
+	if r.now-need < r.reportAge { // no report can show so new a position yet
 		return false
 	}
 	var best *member
@@ -934,7 +972,7 @@
 		if m.probing && r.now-m.probedAt < askWait {
 			return true
 		}
-		s := r.score(m, q) * (1 + float64(m.lag)/float64(r.freshFor)) // the more advanced sooner
+		s := r.score(m, q) * (1 + float64(m.lag)/float64(r.freshFor)) // prefers those that lag less
 		if !m.probing && r.now-m.probedAt >= m.probeGap && (best == nil || s < least) {
 			best, least = m, s
 		}
@@ -946,7 +984,8 @@
 	return true
 }
 
-// probe asks m for its report, unless all fronts together might ask too often.
+// probe requests m's report, unless all fronts together might probe it too often. It reports whether it
+// did.
 func (r *Router) probe(m *member) bool {
 	if r.barred(m) || !r.spend(ProbePart, r.now-m.probedAt >= r.each(probeEach, ProbePart)) {
 		return false
@@ -964,7 +1003,7 @@
 	m.probing = false
 	if e.Result != Served || !e.Report.HasPosition {
 		if r.now-m.toldAt < toldFor && m.heard < m.probedAt && (e.Result == TimedOut || e.Result == Unreachable) {
-			r.suspect(m, e.Result == Unreachable) // it was looked at, and is silent here too
+			r.suspect(m, e.Result == Unreachable) // the peer's report is confirmed
 		}
 		m.probeGap = min(2*m.probeGap, max(r.freshFor*3, time.Second))
 		return
@@ -974,7 +1013,7 @@
 		r.reportAge += Time(blend * float64(age-r.reportAge))
 	}
 	m.probeGap = r.freshFor / 3
-	if r.now-m.pos > r.freshFor { // too old to meet any bound: ask less often
+	if r.now-m.pos > r.freshFor { // too old to meet any bound: probe less often
 		m.probeGap = min(r.freshFor*3, r.now-m.pos)
 	}
 }
--- a/decide/memberlist.go
+++ b/decide/memberlist.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// A call to discovery with no reply for so long is made again; its own end comes before.
+// askLost is the time after which a call to discovery without a reply is made again. It is longer than the time-out of
+// the call itself.
 const askLost = 8 * time.Second
 
-// askList asks discovery for changes from now on, where that is due.
+// watchList requests list changes from discovery when that is due.
 func (r *Router) askList() {
 	if r.cfg.AskList && r.now >= r.askAt {
 		r.askAt, r.askedAt = r.now+askLost, r.now
@@ -16,13 +17,13 @@
 	}
 }
 
-// pace has the next call to discovery come in its time, after an event of the list.
+// paceDiscovery schedules the next call to discovery after a list event.
 func (r *Router) pace(e *Event) {
 	switch e.Kind {
 	case ListSaved:
 		r.askAt = r.now + r.calls.First()
 		r.trustSaved(e.Members)
-	case ListUnreachable: // the old list holds
+	case ListUnreachable: // the old list stays in use
 		r.savedUntil = forever
 	case ListError: // the same
 		r.savedUntil = forever
@@ -36,6 +37,7 @@
 	}
 }
 
+// handleList applies a list event: a whole list, a change or a failure.
 func (r *Router) takeList(e *Event) {
 	if r.cfg.AskList {
 		r.pace(e)
@@ -57,12 +59,13 @@
 	}
 }
 
-// barred tells that the list allows no send to m.
+// barred reports that the list forbids sends to m.
 func (r *Router) barred(m *member) bool {
 	return m.gone || m.State == Draining || r.doubtful(m)
 }
 
-// dropGone forgets members that left the list, after a while: one that restarts comes back under its own id.
+// dropUnlisted drops members that left the list goneRetention ago, or sooner when there are many: a member that
+// restarts comes back under its id.
 func (r *Router) dropGone(g *group) {
 	g.members = slices.DeleteFunc(g.members, func(m *member) bool {
 		if !m.gone && (m.State != Removed || !m.suspect) || len(m.open) > 0 {
@@ -76,7 +79,8 @@
 	})
 }
 
-// listed takes one entry. A drained or removed member gets nothing new from now on: the list is late enough.
+// applyEntry applies one list entry. A draining or removed member gets no new attempts from now on: the list reports it
+// late already.
 func (r *Router) listed(l Member) {
 	m := r.members[l.ID]
 	if m == nil {
@@ -94,7 +98,7 @@
 			trialGap: trialFirst}
 		g.members = append(g.members, m)
 		r.members[l.ID] = m
-	} else if l.Started > m.Started { // it started anew: cold, no primary, and as yet unproven
+	} else if l.Started > m.Started { // it restarted: in slow start, no primary, and nothing known of its health
 		m.stretch, m.strain, m.limit, m.suspect, m.trialGap = 1, 0, limitLeast*r.leastCost(), false, trialFirst
 		m.errors = 0
 		if m.role == Primary && m.roleAt < l.Started {
--- a/decide/savedlist.go
+++ b/decide/savedlist.go
@@ -3,19 +3,22 @@
 import "time"
 
 const (
-	// The list of before a restart is used as it is for savedMost. A change made while no process ran counts as told
-	// toldAfter after it was made, and the restart has taken part of that. A list that shows members being replaced is used
-	// so for savedLeast only, in which the front learns which members take requests, or until toldAfter past the newest
-	// start in it: what it lacks was changed later.
-	savedMost, savedLeast = 4 * time.Second, time.Second
-	// releaseFor is how long after a start or a drain others are likely.
+	// The list from before a restart is used as it is for savedListTime: the front must learn of a change that was made
+	// while no process ran within maxUpdateDelay of it, and the restart took part of that time. A list in which members
+	// are being replaced is used so for minSavedListTime only, in which the front learns which members accept requests,
+	// or until maxUpdateDelay after the newest start in it: changes that it lacks were made after that start.
+	savedMost  = 4 * time.Second
+	savedLeast = time.Second
+
+	// releaseDuration is the time after a start or a drain during which others are likely.
 	releaseFor = 30 * time.Second
 
-	// provenFor: a member that took a request was not draining then; if it drains now, that counts as told later than this.
+	// acceptedEvidenceTime is the time for which an accepted request shows that its member may be sent to: it was not
+	// draining then, and if it has begun since, the front need not know of that yet.
 	provenFor = toldAfter - 500*time.Millisecond
 )
 
-// trustSaved sets until when the list of before a restart is used as it is.
+// trustSaved sets until when the list from before a restart is used as it is.
 func (r *Router) trustSaved(list []Member) {
 	r.savedUntil = r.now + savedMost
 	newest, draining := never, false
@@ -28,17 +31,17 @@
 	}
 }
 
-// doubtful tells that m may have been draining for so long that nothing may be sent to it: the first call to discovery
-// since the front started is still out, and m has not taken a request lately. A call that has failed makes the list hold:
-// fronts go on by it while discovery is down.
+// mayBeDraining reports that m may have been draining for so long that nothing may be sent to it: the first call to
+// discovery since the front started is still outstanding, and m has not accepted a request lately. Once a call has
+// failed the list is used as it is, as fronts go on with it while discovery is down.
 func (r *Router) doubtful(m *member) bool {
 	return r.now >= r.savedUntil && r.now-m.tookAt >= provenFor
 }
 
-// took notes what the end of an attempt proves of its member.
+// recordEnd records what the end of an attempt shows of its member.
 func (m *member) took(a *attempt, result Result) {
 	switch {
-	case result == Full: // draining members turn requests away so
+	case result == Full: // draining members refuse requests this way
 		m.tookAt = never
 	case result.Answered():
 		m.tookAt = max(m.tookAt, a.sent)
--- a/decide/state.go
+++ b/decide/state.go
@@ -14,71 +14,81 @@
 	out                 []Action
 	members             map[string]*member
 	groups              map[int64]*group
-	order               []*group // by first listing
+	order               []*group // in the order of their first listing
 	requests            map[uint64]*request
-	open                []*request        // owed a final answer, by arrival
+	open                []*request        // those without a final answer, by arrival
 	classes             []*class          // as in cfg
-	known               map[string]*class // by name, with those of the settings before
-	credit              []float64         // of each tenant, in requests inside its share
-	retries             float64           // retry budget
-	lossy               float64           // part of the attempts lately whose answers were lost
-	waits               int               // requests held
-	replicas, primaries alike             // what little is known of one is taken from
-	inList              float64           // members in the list
-	listedFor           float64           // and the sum over time, in ns, fading
-	requestAt           Time              // last request
-	floor               Time              // newest commit in a group that has been forgotten
-	parts               [4]float64        // what may be used of each shared budget, 1 = this front's own part
-	granted, denied     [4]float64        // of what was asked of them, see Wanted
-	freshFor            Time              // tightest bound
-	seekGap             Time              // between looks at a member that may be primary
-	reportAge           Time              // usual age of the positions that probes bring
-
-	calls                                              CallPace // to discovery
-	wakeAt, sweptAt, sweptAllAt, logAt, askAt, askedAt Time
-	savedUntil                                         Time // the list of before a restart is used as it is; forever: discovery has answered since, or said that it can't
-}
-
-// class is a Class with its learned cost. Requests hold it: its Class never changes.
+	known               map[string]*class // by name, with those of the former settings
+	credit              []float64         // token bucket of each tenant, in requests within its share
+	retries             float64           // token bucket of retries
+	lossy               float64           // fraction of recent attempts whose answers were lost
+	waits               int               // requests held by the last dispatch
+	replicas, primaries alike             // averages over the members of a role, for members with few samples
+	inList              float64           // number of listed members
+	listedFor           float64           // integral of listedMembers over time in ns, decaying like firstTries
+	requestAt           Time              // last arrival of a request
+	floor               Time              // newest commit in groups that have been dropped
+	parts               [4]float64        // usable share of each shared budget, 1 = an even share
+	granted, denied     [4]float64        // uses of each shared budget since the last BudgetDemand
+	freshFor            Time              // tightest bound of the classes
+	seekGap             Time              // interval between checks of a member that may be primary
+	reportAge           Time              // usual age of the positions that probes report
+
+	calls      CallPace // schedules the calls to discovery
+	wakeAt     Time     // next requested timer event
+	sweptAt    Time     // last sweep of the active groups
+	sweptAllAt Time     // last sweep of all groups
+	logAt      Time     // earliest time of the next log text
+	askAt      Time     // next call to discovery
+	askedAt    Time     // last call that has no reply yet, distantPast = none
+	savedUntil Time     // the saved list is used as it is until then; distantFuture once discovery answered, or failed
+}
+
+// class is a Class with what was learned of it. Requests hold it: its Class never changes.
 type class struct {
 	Class
-	cost    float64 // SELF's execution time, in ns
-	longest Time    // longest wait a first try came with
-	firsts  float64 // first tries, fading
+	cost    float64 // execution time as SELF estimates it, in ns
+	longest Time    // longest wait that a first try arrived with
+	firsts  float64 // number of first tries, decaying over usualWorkWindow
 }
 
 // member is what this front knows of one member.
 type member struct {
 	Member
-	group              *group
-	left               Time // last sweep that found it listed
-	gone, suspect      bool // out of the list; taken out until a trial answers
-	pos                Time // last known log position; never extrapolated
-	lag                Time // how far behind pos was when it was told
-	role               Role
-	roleAt             Time // age of that evidence
-	open               []*attempt
-	booked             float64 // estimated work outstanding from here
-	stretch, strain    float64 // observed latency over cost, over aim
-	quick              float64 // stretch of what was answered alone
-	limit              float64 // most work booked; 0 = not met yet
-	learnt             Time    // last sample in them
-	cutAt, heard       Time    // when the limit may fall again; last answer to a request
-	overdue            Time    // silent if not heard by then
-	trialAt, trialGap  Time
-	suspectAt          Time // since when, while suspect
-	tookAt             Time // last send of a request that it took, never where it has turned one away since
-	toldAt             Time // when others last said that it is silent
-	probedAt, probeGap Time
-	probing            bool    // a probe is out
-	fails              int     // connections broken or refused since its last answer
-	errors             float64 // part of its answers that are errors
-	erredAt            Time    // last error in it
-	ghosts             []spent // work called off that may still run, until then
-	ramp               ramp
-}
-
-// alike is what members of the same role have in common.
+	group     *group
+	left      Time // last sweep that found it listed or in use
+	gone      bool // not listed any more
+	suspect   bool // taken out of use until a half-open probe is answered
+	pos       Time // last known log position; never extrapolated
+	lag       Time // age of pos when it was reported
+	role      Role
+	roleAt    Time // time of the evidence of role
+	open      []*attempt
+	booked    float64 // estimated work outstanding from this front, in ns
+	stretch   float64 // average of latency over cost
+	strain    float64 // average of latency over latency target
+	quick     float64 // average of latency over cost, of served attempts only
+	limit     float64 // most work outstanding, in ns; 0 = no limit reached yet
+	learnt    Time    // last sample in the averages
+	cutAt     Time    // earliest time of the next cut of the limit
+	heard     Time    // last answer to a request
+	overdue   Time    // the member counts as silent if it doesn't answer by then
+	trialAt   Time    // earliest time of the next half-open probe
+	trialGap  Time    // delay until the one after it
+	suspectAt Time    // since when, while suspect
+	tookAt    Time    // last send of a request that it accepted; distantPast once it refused one as overloaded
+	toldAt    Time    // last report of peers that it is silent
+	probedAt  Time
+	probeGap  Time    // shortest interval between probes for a read
+	probing   bool    // a probe is outstanding
+	fails     int     // connections broken or refused since its last answer
+	errors    float64 // fraction of its answers that are errors
+	erredAt   Time    // last error in that fraction
+	ghosts    []spent // abandoned attempts that may still run
+	ramp      ramp
+}
+
+// roleStats are averages over the members of one role.
 type alike struct {
 	strain float64
 	learnt Time // last sample in it
@@ -91,8 +101,9 @@
 	return &r.replicas
 }
 
+// orphan is the work of an attempt that ended without an answer and may still run at its member.
 type spent struct {
-	at   Time
+	at   Time // presumed end
 	cost float64
 }
 
@@ -100,11 +111,11 @@
 type group struct {
 	id       int64
 	members  []*member
-	sessions map[string]Time // last commit of each session seen here, while some member may lack it
-	floor    Time            // newest commit dropped from sessions: members not known to have it don't qualify
-	wanted   Time            // last time that something waited for a member
+	sessions map[string]Time // last commit of each session seen by this front, while some member may lack it
+	floor    Time            // newest commit dropped from sessionCommits: members not known to have it don't qualify
+	wanted   Time            // last time that a request waited for a primary
 	activeAt Time            // last request or outcome
-	lost     bool            // logged that the primary is unknown
+	lost     bool            // PrimaryUnknown was notified
 }
 
 type request struct {
@@ -114,19 +125,19 @@
 	session                string
 	arrived, aim, deadline Time
 	most                   int     // attempts allowed, 0 = no limit
-	token                  Time    // position that a session read needs
-	floor                  Time    // position that any read of it needs, never = none
-	luck                   float64 // seeded chance, drawn once
-	rank                   float64 // worth for each unit of work
+	token                  Time    // position that a session read requires
+	floor                  Time    // position that the request requires in any class, distantPast = none
+	luck                   float64 // seeded random number in [0, 1), drawn once
+	rank                   float64 // value per unit of work
 	attempts               []*attempt
 	asked                  int  // probes made for it
-	out                    int  // attempts still out
-	riskSet                bool // some attempt may have run, the first sent at riskAt to riskZone
+	out                    int  // outstanding attempts
+	riskSet                bool // some attempt may have run, the first one sent at firstRunAt to firstRunZone
 	riskAt                 Time
 	riskZone               string
 	ended, streaming       bool
-	away                   map[*member]Time // members that turned it away, and until when they are left out
-	turns                  map[*member]turn // at cold members
+	away                   map[*member]Time // members that refused it, and until when they are left out
+	turns                  map[*member]turn // at members in slow start
 }
 
 type attempt struct {
@@ -136,10 +147,10 @@
 	sent      Time
 	cost      float64
 	passed    int  // answers of its member to attempts sent later
-	done, off bool // ended; called off
+	done, off bool // ended; cancelled
 }
 
-// primary is the member last known to be primary, nil if none.
+// primary returns the member last known to be primary, nil if none.
 func (g *group) primary() *member {
 	for _, m := range g.members {
 		if m.role == Primary && !m.gone {
@@ -149,11 +160,11 @@
 	return nil
 }
 
-// leaderless tells that the group may well have another primary than p, the one last known.
+// leaderless reports that the group may have another primary than p, the one last known.
 func (g *group) leaderless(p *member) bool { return p == nil || p.suspect || p.State == Draining }
 
-// tune takes settings that are valid. Classes of the settings before are known until the next, as fronts may still
-// name them; what is known of a class is passed on to the next of its name.
+// configure puts valid settings into force. Classes of the former settings are kept until the next change, as requests
+// may still use them. What was learned of a class passes on to the next one of its name.
 func (r *Router) tune(cfg Config) {
 	before := r.classes
 	r.cfg, r.classes, r.freshFor = cfg, nil, 0
@@ -178,7 +189,7 @@
 	}
 }
 
-// classOf is the record of a class, a new one where none is held or another class has its name.
+// classRecord returns the record of a class, a new one where there is none or it is of another class of that name.
 func (r *Router) classOf(c *Class) *class {
 	k := r.known[c.Name]
 	switch {
@@ -190,14 +201,15 @@
 	return &class{Class: *c, cost: k.cost, longest: k.longest, firsts: k.firsts}
 }
 
-// What a member usually gets is an average over so long, as surges and repeats are not usual, and over no less for
-// fresh fronts. Where clients don't mark repeats, what isn't served mostly comes again, at a guess.
+// The usual work of a member, from which its slow-start budget follows, is an average over first tries only, as surges
+// and retries are not usual.
 const (
-	usualSpan, usualLeast = time.Minute, time.Second
-	comesAgain            = 0.9
+	usualSpan  = time.Minute // time constant of the average
+	usualLeast = time.Second // shortest time it is taken over, for a front that has just started
+	comesAgain = 0.9         // fraction of unserved requests that are retried where clients don't mark retries
 )
 
-// asked counts a request of k towards what is usual.
+// countArrival counts a request of k, a first try or a retry, in the usual work.
 func (r *Router) asked(k *class, first bool) {
 	if r.requestAt == 0 {
 		r.requestAt = r.now
@@ -213,14 +225,15 @@
 	}
 }
 
-// unserved takes back a request that ends without an answer, where it may come again as another first try.
+// discountUnserved takes a request that ends without an answer out of the usual work, where a retry would count as
+// another first try.
 func (r *Router) unserved(q *request) {
 	if !q.ended && !r.cfg.MarksRetry {
 		q.class.firsts = max(0, q.class.firsts-comesAgain)
 	}
 }
 
-// usual is the work of first tries here for each member and time, as costs are known now.
+// usualWork is the work of first tries on this front per member and unit of time, by the present costs.
 func (r *Router) usual() float64 {
 	work := 0.0
 	for _, k := range r.classes {
@@ -229,13 +242,13 @@
 	return work / max(r.listedFor, max(r.inList, float64(len(r.members)), 1)*float64(usualLeast))
 }
 
-// turn is whether a request had its turn at a cold member, with so many attempts sent there before.
+// admission is the decision on a request at a member in slow start. It holds while no further attempt is sent there.
 type turn struct {
 	sent int
 	yes  bool
 }
 
-// sentTo is the number of attempts of q at m.
+// sentTo returns the number of attempts of q at m.
 func (q *request) sentTo(m *member) (n int) {
 	for _, a := range q.attempts {
 		if a.m == m {
@@ -245,6 +258,7 @@
 	return n
 }
 
+// recordAdmission keeps the decision on q at m.
 func (q *request) took(m *member, t turn) {
 	if q.turns == nil {
 		q.turns = map[*member]turn{}
@@ -252,7 +266,7 @@
 	q.turns[m] = t
 }
 
-// hasTurn tells that q has a turn which it did not use.
+// hasUnusedAdmission reports that some member admitted q and no attempt was sent there since.
 func (q *request) hasTurn() bool {
 	for m, t := range q.turns {
 		if t.yes && t.sent == q.sentTo(m) {
@@ -262,22 +276,24 @@
 	return false
 }
 
-// ramp is what this front may send a cold member: its slow start.
+// slowStart is this front's budget of work for a member in slow start: a token bucket in ns of work.
 type ramp struct {
-	started, opened, at Time // of this start of the member, when it was told, and up to the last request
-	requests            float64
-	credit              float64 // work that may be sent
-	chances             float64 // of requests for which there was less than their work, up to a turn
+	started  Time // the member's start that this budget is for
+	opened   Time // when this front learned of it
+	at       Time // tokens have accrued up to then
+	requests float64
+	credit   float64 // tokens: work that may be sent
+	chances  float64 // sum of the chances of requests with fewer tokens than their work; 1 admits one request
 }
 
-// open begins anew when the member did. A seeded first rest keeps fronts from taking their turns together.
+// begin starts a new budget for a new start of the member. The random initial sum keeps fronts from admitting together.
 func (c *ramp) open(started, now Time, rng *rand.Rand) {
 	if started > c.started {
 		*c = ramp{started: started, opened: now, at: now, chances: rng.Float64()}
 	}
 }
 
-// add brings the credit up to now. What is not used goes after a while: kept, all fronts might use it at once.
+// accrue adds the tokens up to now. Unused tokens expire: if kept, all fronts might use theirs at once.
 func (c *ramp) add(now Time, rate, fall float64) {
 	save := coldFirst * fall
 	if c.requests > 0 {
@@ -288,8 +304,8 @@
 	c.requests++
 }
 
-// turn takes the credit as a chance of a request, and tells whether chances have come to one of it; with may false
-// it is left to the next.
+// admit spends tokens on a chance for a request of the given cost and reports whether the chances add up to one
+// admission. With may false the request is not admitted, and the sum is left to the next.
 func (c *ramp) turn(cost float64, may bool) bool {
 	chance := min(1, c.credit/max(cost, 1))
 	c.credit -= chance * cost
@@ -301,7 +317,7 @@
 	return true
 }
 
-// leastCost is the cost of the cheapest class.
+// leastCost returns the cost of the cheapest class.
 func (r *Router) leastCost() float64 {
 	c := r.classes[0].cost
 	for _, k := range r.classes {
@@ -310,7 +326,7 @@
 	return c
 }
 
-// held is the work booked at m, with what was called off there and may still run.
+// heldWork is the work outstanding at m, with that of orphaned attempts.
 func (m *member) held() float64 {
 	w := m.booked
 	for _, s := range m.ghosts {
@@ -319,9 +335,10 @@
 	return w
 }
 
+// emit adds an action to those that Step returns.
 func (r *Router) do(a Action) { r.out = append(r.out, a) }
 
-// spend counts what was asked of a shared budget, and passes on whether it was granted.
+// countBudgetUse counts a use of a shared budget as granted or denied, and returns its argument yes.
 func (r *Router) spend(part int, yes bool) bool {
 	if yes {
 		r.granted[part]++
@@ -331,18 +348,18 @@
 	return yes
 }
 
-// each is the span between two uses by this front of what all fronts together may use once in span.
+// fleetInterval is the interval between uses by this front of what all fronts together may use once per span.
 func (r *Router) each(span Time, part int) Time {
 	return Time(float64(span*Time(r.cfg.Fronts)) / r.parts[part])
 }
 
-// Wanted tells, for each shared budget, how much was asked of it since the last call, in what this front's own part
-// grants: 1 is as much as it has. It is the owner's to call.
+// BudgetDemand returns how much of each shared budget was requested since the last call, in even shares: 1 is as much as
+// an even share grants. Like Step it must not be called concurrently.
 func (r *Router) Wanted() (w [4]float64) {
 	for i := range w {
 		if all := r.granted[i] + r.denied[i]; all > 0 {
 			w[i] = r.parts[i] * min(all/max(r.granted[i], 0.5), 4)
-			if r.denied[i] == 0 { // all of it was granted: not more than the part was wanted
+			if r.denied[i] == 0 { // everything was granted: the share was enough
 				w[i] = r.parts[i] / 2
 			}
 		}
@@ -354,13 +371,13 @@
 // Sizes are the lengths of a Router's tables.
 type Sizes struct {
 	Members, Groups int
-	Requests        int // open, or with an attempt out
+	Requests        int // without a final answer, or with an outstanding attempt
 	Sessions        int // whose commits are kept, the most of any group
-	Ghosts          int // work called off that may still run, the most at any member
-	Attempts        int // out, at all members
+	Ghosts          int // ended without an answer and perhaps still running, the most of any member
+	Attempts        int // outstanding at all members
 }
 
-// Sizes tells how long the tables are, for those who watch that nothing grows. Like Step it is the owner's to call.
+// Sizes returns the lengths of the tables, to check that they stay bounded. Like Step it must not be called concurrently.
 func (r *Router) Sizes() Sizes {
 	s := Sizes{Members: len(r.members), Groups: max(len(r.groups), len(r.order)), Requests: max(len(r.requests), len(r.open))}
 	for _, g := range r.order {
@@ -372,17 +389,18 @@
 	return s
 }
 
-// Known is what a Router knows of a member by its answers, for those who report it.
+// MemberStatus is what a Router knows of a member from its answers.
 type Known struct {
 	Member   string
 	Group    int64
 	Zone     string
 	Role     Role
 	Position Time // last known log position, 0 = none
-	Out      bool // suspect, or listed as draining or gone
+	Out      bool // suspect, listed as draining, or not listed any more
 }
 
-// Known lists members in the order of their groups. Like Step it is the owner's to call.
+// Members lists the members by group, in the order in which the groups were first listed. Like Step it must not be called
+// concurrently.
 func (r *Router) Known() (all []Known) {
 	for _, g := range r.order {
 		for _, m := range g.members {
