--- a/decide/api.go
+++ b/decide/api.go
@@ -189,7 +189,7 @@
 			return fmt.Errorf("decide: config: tenant %q is not at its place %d", r.cfg.Tenants[i].Name, i)
 		}
 	}
-	r.tune(cfg)
+	r.configure(cfg)
 	return nil
 }
 
@@ -367,7 +367,7 @@
 )
 
 // text is the log text of a Notify action.
-func (a *Action) words() string {
+func (a *Action) text() string {
 	switch a.Change {
 	case Suspected:
 		return a.Member + " is suspect"
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -187,8 +187,8 @@
 	}
 	g.answer(2, 0, "p", Served, Primary, g.now)
 	g.step(Event{Kind: ListFull}) // the whole group goes for so long that it is forgotten, and its number comes anew
-	g.run(goneKeep + 100*ms)
-	if n := len(g.r.groups) + len(g.r.order); n != 0 {
+	g.run(goneRetention + 100*ms)
+	if n := len(g.r.groups) + len(g.r.groupOrder); n != 0 {
 		t.Fatalf("%d entries of a group without members are kept", n)
 	}
 	g.step(Event{Kind: ListFull, Members: []Member{{ID: "p", Primary: true}, {ID: "behind", Zone: "a"}}})
@@ -238,7 +238,7 @@
 		last = m
 	}
 	g.now += 2 * ms
-	if as := g.answer(1, 2, g.r.requests[1].attempts[2].m.ID, NotHere, Replica, 0); len(pick(as, Send, 1)) != 0 {
+	if as := g.answer(1, 2, g.r.requests[1].attempts[2].member.ID, NotHere, Replica, 0); len(pick(as, Send, 1)) != 0 {
 		t.Fatal("sent again with all known as replicas a moment ago")
 	}
 	g.run(60 * ms)
@@ -356,7 +356,7 @@
 		}
 		usual := all / (3 * groups) // of a member
 		for _, id := range []string{"00", "11"} {
-			part := cold[id] / usual / (0.24 * 2.5 * coldShare)
+			part := cold[id] / usual / (0.24 * 2.5 * slowStartHeadroom)
 			t.Logf("%d fronts: %s took %.2f of its budget", fronts, id, part)
 			if part > 1.3 || part < 0.3 {
 				t.Errorf("%d fronts sent %s %.2f of its budget", fronts, id, part)
@@ -534,7 +534,7 @@
 		quiet  Time
 		resets int
 		want   bool
-	}{"among answers": {0, 1, false}, "two": {0, 2, true}, "after silence": {2 * silentLeast, 1, true}} {
+	}{"among answers": {0, 1, false}, "two": {0, 2, true}, "after silence": {2 * minSilence, 1, true}} {
 		g := newRig(t, nil, members())
 		g.arrive(1, once, time.Second, "u")
 		g.arrive(2, once, time.Second, "u")
@@ -553,8 +553,8 @@
 			g.arrive(id, once, time.Second, "u")
 			g.step(Event{Kind: Outcome, Request: id, Member: "p", Result: Reset, Reused: true})
 		}
-		if g.r.members["p"].suspect || g.r.retries < retryMost-1 {
-			t.Errorf("suspect %v, %v retries left", g.r.members["p"].suspect, g.r.retries)
+		if g.r.members["p"].suspect || g.r.retryTokens < maxRetryTokens-1 {
+			t.Errorf("suspect %v, %v retries left", g.r.members["p"].suspect, g.r.retryTokens)
 		}
 	}
 }
@@ -563,12 +563,12 @@
 func TestTrialIsLeftToRun(t *testing.T) {
 	g := newRig(t, nil, members()[:2])
 	first := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
-	g.r.suspect(g.r.members[first], true)
+	g.r.markSuspect(g.r.members[first], true)
 	if as := g.run(20 * ms); len(pick(as, Cancel, 1)) != 1 {
 		t.Error("an attempt out at a suspect was not called off")
 	}
 	g.answer(1, 0, first, Cancelled, RoleUnknown, 0)
-	g.now += trialFirst
+	g.now += minHalfOpenDelay
 	id := uint64(1)
 	for m := ""; m != first; g.now += ms {
 		id++
@@ -577,7 +577,7 @@
 	if as := g.run(50 * ms); len(pick(as, Cancel, id)) != 0 {
 		t.Error("the trial was called off")
 	}
-	if gap := g.r.members[first].trialAt - g.now; gap > trialMost {
+	if gap := g.r.members[first].halfOpenAt - g.now; gap > maxHalfOpenDelay {
 		t.Errorf("next trial in %v", gap)
 	}
 	g.answer(id, 0, first, Served, RoleUnknown, 0)
@@ -623,7 +623,7 @@
 		if lossy && early < 20 || !lossy && early > 0 {
 			t.Errorf("lossy %v: %d of 30 late reads called off early", lossy, early)
 		}
-		if strain := g.r.members["q"].strain; lossy && strain > strainAim {
+		if strain := g.r.members["q"].latencyRatio; lossy && strain > maxLatencyRatio {
 			t.Errorf("strain %.2f by lost answers", strain)
 		}
 	}
@@ -657,11 +657,11 @@
 	to := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	g.run(250 * ms)
 	g.answer(1, 0, to, Cancelled, RoleUnknown, 0)
-	if m := g.r.members[to]; m.booked != 0 || m.held() == 0 {
-		t.Errorf("booked %v, held %v: want only the called-off work held", m.booked, m.held())
+	if m := g.r.members[to]; m.booked != 0 || m.heldWork() == 0 {
+		t.Errorf("booked %v, held %v: want only the called-off work held", m.booked, m.heldWork())
 	}
 	g.run(10 * time.Second)
-	if h := g.r.members[to].held(); h != 0 {
+	if h := g.r.members[to].heldWork(); h != 0 {
 		t.Errorf("%v still held long after", h)
 	}
 }
@@ -670,8 +670,8 @@
 func TestHopelessReadIsRefusedAtOnce(t *testing.T) {
 	g := newRig(t, nil, members())
 	for _, m := range g.r.groups[0].members {
-		m.limit, m.booked, m.stretch, m.heard = 1, 1e9, 4, g.now
-		m.open = append(m.open, &attempt{})
+		m.limit, m.booked, m.slowdown, m.answeredAt = 1, 1e9, 4, g.now
+		m.attempts = append(m.attempts, &attempt{})
 	}
 	g.arrive(1, anyRead, time.Second, "")
 	start := g.now
@@ -703,7 +703,7 @@
 		g.run(5 * ms)
 	}
 	if !m.suspect {
-		t.Errorf("a member that answers nothing was never suspected: overdue by %v, stretch %v", g.now-m.overdue, m.stretch)
+		t.Errorf("a member that answers nothing was never suspected: overdue by %v, stretch %v", g.now-m.silentAt, m.slowdown)
 	}
 }
 
@@ -792,16 +792,16 @@
 	g.run(150 * ms)
 	for id, q := range g.r.requests { // sent once their probes stayed silent
 		for _, a := range q.attempts {
-			g.answer(id, a.no, a.m.ID, Served, RoleUnknown, 0)
+			g.answer(id, a.number, a.member.ID, Served, RoleUnknown, 0)
 		}
 	}
 	g.run(3 * time.Second)
-	if n := len(g.r.requests) + len(g.r.open); n != 0 {
+	if n := len(g.r.requests) + len(g.r.openRequests); n != 0 {
 		t.Errorf("%d ended requests kept", n)
 	}
 	for _, m := range g.r.groups[0].members {
-		if len(m.open)+len(m.ghosts) != 0 {
-			t.Errorf("%s: %d open, %d ghosts", m.ID, len(m.open), len(m.ghosts))
+		if len(m.attempts)+len(m.orphans) != 0 {
+			t.Errorf("%s: %d open, %d ghosts", m.ID, len(m.attempts), len(m.orphans))
 		}
 	}
 	if n := len(g.r.groups[0].sessions); n > 30 {
@@ -814,8 +814,8 @@
 	g := newRig(t, nil, members())
 	m := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	as := g.answer(1, 0, m, Rejected, RoleUnknown, 0)
-	if len(pick(as, Fail, 1)) != 1 || len(pick(as, Send, 1)) != 0 || g.r.members[m].errors > 0 || len(g.r.requests) != 0 {
-		t.Errorf("actions %+v, errors %v", as, g.r.members[m].errors)
+	if len(pick(as, Fail, 1)) != 1 || len(pick(as, Send, 1)) != 0 || g.r.members[m].errorRate > 0 || len(g.r.requests) != 0 {
+		t.Errorf("actions %+v, errors %v", as, g.r.members[m].errorRate)
 	}
 }
 
@@ -823,7 +823,7 @@
 // never heard of. What is forgotten of sessions still binds.
 func TestTablesAreBounded(t *testing.T) {
 	g := newRig(t, nil, members())
-	for id := uint64(1); id < 3*sessionMost; id++ {
+	for id := uint64(1); id < 3*maxSessions; id++ {
 		name := fmt.Sprint("m", id)
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: name}}})
 		as := g.arrive(id, once, time.Second, fmt.Sprint("s", id))
@@ -831,11 +831,11 @@
 		g.answer(id, 0, g.sentTo(as, id), Served, Primary, g.now)
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: name, State: Removed}}})
 	}
-	g.run(goneKeep + 50*ms)
-	if n, s := len(g.r.members), len(g.r.groups[0].sessions); n != 3 || s > sessionMost {
+	g.run(goneRetention + 50*ms)
+	if n, s := len(g.r.members), len(g.r.groups[0].sessions); n != 3 || s > maxSessions {
 		t.Errorf("%d members, %d sessions kept", n, s)
 	}
-	g.tell("q", g.now-Time(sessionMost)*20*ms)
+	g.tell("q", g.now-Time(maxSessions)*20*ms)
 	if m := g.sentTo(append(g.arrive(1e6, session, time.Second, "s1"), g.run(100*ms)...), 1e6); m != "p" {
 		t.Errorf("read of a forgotten session sent to %s, which lags", m)
 	}
@@ -950,11 +950,11 @@
 func TestOneSlowAnswerIsNoSilence(t *testing.T) {
 	g := newRig(t, nil, members())
 	g.arrive(1, once, 2*time.Second, "u")
-	g.run(Time(2 * silentTimes * g.r.classes[once].cost))
+	g.run(Time(2 * silenceMultiple * g.r.classes[once].cost))
 	if g.r.members["p"].suspect {
 		t.Error("suspect for one attempt out twice as long as many would be given")
 	}
-	g.run(Time(1.5 * silentTimes * g.r.classes[once].cost))
+	g.run(Time(1.5 * silenceMultiple * g.r.classes[once].cost))
 	if !g.r.members["p"].suspect {
 		t.Error("never suspect")
 	}
@@ -966,7 +966,7 @@
 	p := g.r.members["p"]
 	sent := 0
 	for id := uint64(1); id <= 200; id++ {
-		p.strain, p.learnt = 2*shedAim, g.now
+		p.latencyRatio, p.sampledAt = 2*shedLatencyRatio, g.now
 		sent += len(pick(g.arrive(id, anyRead, time.Second, ""), Send, id))
 		g.answer(id, 0, "p", Served, Primary, 0)
 	}
@@ -975,7 +975,7 @@
 	}
 	g = newRig(t, nil, members()[:1])
 	p = g.r.members["p"]
-	p.strain, p.learnt = 2*shedAim, g.now
+	p.latencyRatio, p.sampledAt = 2*shedLatencyRatio, g.now
 	if len(pick(g.arrive(999, once, 2*time.Second, "u"), Send, 999)) != 1 {
 		t.Error("a write was kept away")
 	}
@@ -998,11 +998,11 @@
 	g := newRig(t, nil, members())
 	tried := func() (replicas, primary int) {
 		for i := 0; i < 200; i++ {
-			q := &request{luck: g.r.rng.Float64()}
-			if g.r.spares(g.r.members["s"], q) {
+			q := &request{chance: g.r.rng.Float64()}
+			if g.r.admitsRead(g.r.members["s"], q) {
 				replicas++
 			}
-			if g.r.spares(g.r.members["p"], q) {
+			if g.r.admitsRead(g.r.members["p"], q) {
 				primary++
 			}
 		}
@@ -1013,7 +1013,7 @@
 	}
 	for id := uint64(1); id < 4; id++ { // q answers at its aim
 		q := &request{class: g.r.classes[anyRead]}
-		g.r.observe(g.r.members["q"], &attempt{q: q, m: g.r.members["q"]}, float64(q.class.Aim))
+		g.r.recordLatency(g.r.members["q"], &attempt{request: q, member: g.r.members["q"]}, float64(q.class.Aim))
 		g.now += time.Second
 		g.run(5 * ms)
 	}
--- a/decide/memberlist.go
+++ b/decide/memberlist.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// askLost is the time after which a call to discovery without a reply is made again. It is longer than the time-out of
+// watchTimeout is the time after which a call to discovery without a reply is made again. It is longer than the time-out of
 // the call itself.
-const askLost = 8 * time.Second
+const watchTimeout = 8 * time.Second
 
 // watchList requests list changes from discovery when that is due.
-func (r *Router) askList() {
-	if r.cfg.AskList && r.now >= r.askAt {
-		r.askAt, r.askedAt = r.now+askLost, r.now
-		r.do(Action{Kind: Watch})
+func (r *Router) watchList() {
+	if r.cfg.AskList && r.now >= r.watchAt {
+		r.watchAt, r.watchSentAt = r.now+watchTimeout, r.now
+		r.emit(Action{Kind: Watch})
 	}
 }
 
 // paceDiscovery schedules the next call to discovery after a list event.
-func (r *Router) pace(e *Event) {
+func (r *Router) paceDiscovery(e *Event) {
 	switch e.Kind {
 	case ListSaved:
-		r.askAt = r.now + r.calls.First()
+		r.watchAt = r.now + r.pacer.First()
 		r.trustSaved(e.Members)
 	case ListUnreachable: // the old list stays in use
-		r.savedUntil = forever
+		r.savedListUntil = distantFuture
 	case ListError: // the same
-		r.savedUntil = forever
-		r.askAt, r.askedAt = r.now+r.calls.Refused(r.parts[AskPart]), never
-		r.spend(AskPart, false)
+		r.savedListUntil = distantFuture
+		r.watchAt, r.watchSentAt = r.now+r.pacer.Refused(r.budgetShares[AskPart]), distantPast
+		r.countBudgetUse(AskPart, false)
 	default:
-		if r.askedAt != never {
-			r.calls.Answered(r.now - r.askedAt)
+		if r.watchSentAt != distantPast {
+			r.pacer.Answered(r.now - r.watchSentAt)
 		}
-		r.askAt, r.askedAt, r.savedUntil = forever, never, forever
+		r.watchAt, r.watchSentAt, r.savedListUntil = distantFuture, distantPast, distantFuture
 	}
 }
 
 // handleList applies a list event: a whole list, a change or a failure.
-func (r *Router) takeList(e *Event) {
+func (r *Router) handleList(e *Event) {
 	if r.cfg.AskList {
-		r.pace(e)
+		r.paceDiscovery(e)
 	}
 	named := make(map[string]bool, len(e.Members))
 	for i := range e.Members {
 		named[e.Members[i].ID] = true
-		r.listed(e.Members[i])
+		r.applyEntry(e.Members[i])
 	}
 	if e.Kind != ListFull && e.Kind != ListSaved {
 		return
 	}
-	for _, g := range r.order {
+	for _, g := range r.groupOrder {
 		for _, m := range g.members {
 			if !named[m.ID] {
 				m.gone, m.State = !r.cfg.OnlyDrainBinds, Removed
@@ -61,17 +61,17 @@
 
 // barred reports that the list forbids sends to m.
 func (r *Router) barred(m *member) bool {
-	return m.gone || m.State == Draining || r.doubtful(m)
+	return m.gone || m.State == Draining || r.mayBeDraining(m)
 }
 
 // dropUnlisted drops members that left the list goneRetention ago, or sooner when there are many: a member that
 // restarts comes back under its id.
-func (r *Router) dropGone(g *group) {
+func (r *Router) dropUnlisted(g *group) {
 	g.members = slices.DeleteFunc(g.members, func(m *member) bool {
-		if !m.gone && (m.State != Removed || !m.suspect) || len(m.open) > 0 {
-			m.left = r.now
+		if !m.gone && (m.State != Removed || !m.suspect) || len(m.attempts) > 0 {
+			m.listedAt = r.now
 		}
-		drop := r.now-m.left > goneKeep || r.now > m.left && len(r.members) > MembersMost/2
+		drop := r.now-m.listedAt > goneRetention || r.now > m.listedAt && len(r.members) > MembersMost/2
 		if drop {
 			delete(r.members, m.ID)
 		}
@@ -81,7 +81,7 @@
 
 // applyEntry applies one list entry. A draining or removed member gets no new attempts from now on: the list reports it
 // late already.
-func (r *Router) listed(l Member) {
+func (r *Router) applyEntry(l Member) {
 	m := r.members[l.ID]
 	if m == nil {
 		if l.State == Removed || len(r.members) >= MembersMost {
@@ -89,24 +89,24 @@
 		}
 		g := r.groups[l.Group]
 		if g == nil {
-			g = &group{id: l.Group, sessions: map[string]Time{}, floor: r.floor, wanted: never, activeAt: r.now}
+			g = &group{id: l.Group, sessions: map[string]Time{}, commitFloor: r.commitFloor, neededAt: distantPast, activeAt: r.now}
 			r.groups[l.Group] = g
-			r.order = append(r.order, g)
+			r.groupOrder = append(r.groupOrder, g)
 		}
-		m = &member{Member: l, group: g, left: r.now, pos: never, roleAt: never, heard: never, toldAt: never,
-			probedAt: never, tookAt: never, stretch: 1, quick: 1, overdue: forever, cutAt: never, probeGap: r.freshFor / 3,
-			trialGap: trialFirst}
+		m = &member{Member: l, group: g, listedAt: r.now, position: distantPast, roleAt: distantPast, answeredAt: distantPast, peerReportAt: distantPast,
+			probedAt: distantPast, acceptedAt: distantPast, slowdown: 1, servedSlowdown: 1, silentAt: distantFuture, nextCutAt: distantPast, probeGap: r.tightestBound / 3,
+			halfOpenDelay: minHalfOpenDelay}
 		g.members = append(g.members, m)
 		r.members[l.ID] = m
 	} else if l.Started > m.Started { // it restarted: in slow start, no primary, and nothing known of its health
-		m.stretch, m.strain, m.limit, m.suspect, m.trialGap = 1, 0, limitLeast*r.leastCost(), false, trialFirst
-		m.errors = 0
+		m.slowdown, m.latencyRatio, m.limit, m.suspect, m.halfOpenDelay = 1, 0, minLimitRequests*r.leastCost(), false, minHalfOpenDelay
+		m.errorRate = 0
 		if m.role == Primary && m.roleAt < l.Started {
 			m.role, m.roleAt = Replica, l.Started
 		}
 	}
 	m.Member = l
-	m.ramp.open(l.Started, r.now, r.rng)
+	m.slowStart.begin(l.Started, r.now, r.rng)
 	m.gone = l.State == Removed && !r.cfg.OnlyDrainBinds
 	if l.Primary && l.State == Up {
 		at := r.now - listLag
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -289,19 +289,19 @@
 		return ""
 	}
 	proven := ask()
-	g.run(savedMost + 500*ms)
+	g.run(savedListTime + 500*ms)
 	for range 20 {
 		if got := ask(); got != proven {
 			t.Fatalf("sent to %q, want %q alone, which took a request", got, proven)
 		}
 	}
-	g.run(provenFor)
+	g.run(acceptedEvidenceTime)
 	if got := ask(); got != "" {
-		t.Errorf("sent to %q, which took its last request %v ago", got, provenFor)
+		t.Errorf("sent to %q, which took its last request %v ago", got, acceptedEvidenceTime)
 	}
 	for _, kind := range []EventKind{ListUnreachable, ListError, ListChange} {
 		g.step(Event{Kind: ListSaved, Members: members()})
-		g.run(savedMost + provenFor)
+		g.run(savedListTime + acceptedEvidenceTime)
 		if got := ask(); got != "" {
 			t.Errorf("sent to %q by an old list", got)
 		}
@@ -320,14 +320,14 @@
 		change func(m *Member)
 		want   Time // that the list is used as it is
 	}{
-		"quiet":                {func(*Member) {}, savedMost},
-		"started long ago":     {func(m *Member) { m.Started = at - time.Minute }, savedMost},
-		"started 10 s ago":     {func(m *Member) { m.Started = at - 10*time.Second }, savedLeast},
+		"quiet":                {func(*Member) {}, savedListTime},
+		"started long ago":     {func(m *Member) { m.Started = at - time.Minute }, savedListTime},
+		"started 10 s ago":     {func(m *Member) { m.Started = at - 10*time.Second }, minSavedListTime},
 		"started 4 s ago":      {func(m *Member) { m.Started = at - 4*time.Second }, 2 * time.Second},
-		"started just now":     {func(m *Member) { m.Started = at }, savedMost},
-		"started in an hour":   {func(m *Member) { m.Started = at + time.Hour }, savedMost},
-		"draining, no start":   {func(m *Member) { m.State = Draining }, savedLeast},
-		"draining, just begun": {func(m *Member) { m.State, m.Started = Draining, at-time.Second }, savedMost},
+		"started just now":     {func(m *Member) { m.Started = at }, savedListTime},
+		"started in an hour":   {func(m *Member) { m.Started = at + time.Hour }, savedListTime},
+		"draining, no start":   {func(m *Member) { m.State = Draining }, minSavedListTime},
+		"draining, just begun": {func(m *Member) { m.State, m.Started = Draining, at-time.Second }, savedListTime},
 	} {
 		list := members()
 		tc.change(&list[2])
--- a/decide/savedlist.go
+++ b/decide/savedlist.go
@@ -7,43 +7,43 @@
 	// while no process ran within maxUpdateDelay of it, and the restart took part of that time. A list in which members
 	// are being replaced is used so for minSavedListTime only, in which the front learns which members accept requests,
 	// or until maxUpdateDelay after the newest start in it: changes that it lacks were made after that start.
-	savedMost  = 4 * time.Second
-	savedLeast = time.Second
+	savedListTime  = 4 * time.Second
+	minSavedListTime = time.Second
 
 	// releaseDuration is the time after a start or a drain during which others are likely.
-	releaseFor = 30 * time.Second
+	releaseDuration = 30 * time.Second
 
 	// acceptedEvidenceTime is the time for which an accepted request shows that its member may be sent to: it was not
 	// draining then, and if it has begun since, the front need not know of that yet.
-	provenFor = toldAfter - 500*time.Millisecond
+	acceptedEvidenceTime = maxUpdateDelay - 500*time.Millisecond
 )
 
 // trustSaved sets until when the list from before a restart is used as it is.
 func (r *Router) trustSaved(list []Member) {
-	r.savedUntil = r.now + savedMost
-	newest, draining := never, false
+	r.savedListUntil = r.now + savedListTime
+	newest, draining := distantPast, false
 	for i := range list {
 		newest = max(newest, list[i].Started)
 		draining = draining || list[i].State == Draining
 	}
-	if draining || r.now-newest < releaseFor {
-		r.savedUntil = min(max(newest+toldAfter, r.now+savedLeast), r.savedUntil)
+	if draining || r.now-newest < releaseDuration {
+		r.savedListUntil = min(max(newest+maxUpdateDelay, r.now+minSavedListTime), r.savedListUntil)
 	}
 }
 
 // mayBeDraining reports that m may have been draining for so long that nothing may be sent to it: the first call to
 // discovery since the front started is still outstanding, and m has not accepted a request lately. Once a call has
 // failed the list is used as it is, as fronts go on with it while discovery is down.
-func (r *Router) doubtful(m *member) bool {
-	return r.now >= r.savedUntil && r.now-m.tookAt >= provenFor
+func (r *Router) mayBeDraining(m *member) bool {
+	return r.now >= r.savedListUntil && r.now-m.acceptedAt >= acceptedEvidenceTime
 }
 
 // recordEnd records what the end of an attempt shows of its member.
-func (m *member) took(a *attempt, result Result) {
+func (m *member) recordEnd(a *attempt, result Result) {
 	switch {
 	case result == Full: // draining members refuse requests this way
-		m.tookAt = never
+		m.acceptedAt = distantPast
 	case result.Answered():
-		m.tookAt = max(m.tookAt, a.sent)
+		m.acceptedAt = max(m.acceptedAt, a.sent)
 	}
 }
