--- a/decide/api.go
+++ b/decide/api.go
@@ -61,13 +61,13 @@
 )
 
 // StaleReadPolicy says what a member does with a read that requires a newer position than it has.
-type Checks int
+type StaleReadPolicy int
 
 // The policies for stale reads.
 const (
-	ChecksOff    Checks = iota // it doesn't check, and answers from the data it has
-	ChecksRefuse               // it answers Misdirected
-	ChecksWait                 // it waits for replication for a time, then answers Misdirected
+	StaleReadAnswer StaleReadPolicy = iota // it doesn't check, and answers from the data it has
+	StaleReadRefuse                        // it answers Misdirected
+	StaleReadWait                          // it waits for replication for a time, then answers Misdirected
 )
 
 // Role is the role of a member in its group.
@@ -82,16 +82,16 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name        string
-	Effect      Effect
-	KeyScope    Scope
-	KeyWindow   Time // how long members drop the repeat of a keyed request, from the first send
-	Aim         Time // an answer within this time has its full value
-	Deadline    Time // how long a client waits altogether
-	Worth       float64
-	LateWorth   float64 // fraction of Value left after LatencyTarget
-	Consistency Consistency
-	Bound       Time // largest age of the data, for Bounded
+	Name          string
+	Effect        Effect
+	KeyScope      Scope
+	KeyWindow     Time // how long members drop the repeat of a keyed request, from the first send
+	LatencyTarget Time // an answer within this time has its full value
+	Deadline      Time // how long a client waits altogether
+	Value         float64
+	LateValue     float64 // fraction of Value left after LatencyTarget
+	Consistency   Consistency
+	Bound         Time // largest age of the data, for Bounded
 }
 
 // Writes reports whether requests of the class write.
@@ -109,31 +109,31 @@
 
 // Config holds the settings a router is given at start.
 type Config struct {
-	Self, Fronts int    // index of this front from 0, and the number of fronts
-	Zone         string // zone of this front
-	Resolution   Time   // the shortest time between two Steps
-	Classes      []Class
-	Tenants      []Tenant
-	OverShare    float64 // fraction of its value that a request of a tenant beyond its share has
-
-	MaxAttempts   int  // attempts of one request; 0 = no limit
-	MaxRetryAfter Time // longest retry delay that clients follow; 0 = clients can't be given one
-	MayCancel     bool // attempts may be cancelled
-	MayDuplicate  bool // two attempts of a request may be outstanding at once
-	MayProbe      bool // members may be probed for a report
-	MarksRetry    bool // clients mark their retries as such
-	AskList       bool // discovery sends the member list only on request, rather than pushing it
-
-	Checks            Checks
-	RemembersSessions bool // session reads carry no token; the commits seen by this front count
-	AnswersStamped    bool // every answer carries its member's log position
-	KnownAfter        Time // a write whose answer may be lost counts as committed after this time; 0 = once it is answered
-
-	ColdShare      float64 // fraction of its capacity that a member has when it starts
-	ColdTime       Time    // a member has its full capacity after this time
-	FallMultiple   float64 // a starting member fails under more than this multiple of its present capacity
-	FallTime       Time    // sustained for this time
-	OnlyDrainBinds bool    // a member that is no longer listed, but was not drained, may still be used
+	Self, Fronts    int    // index of this front from 0, and the number of fronts
+	Zone            string // zone of this front
+	Resolution      Time   // the shortest time between two Steps
+	Classes         []Class
+	Tenants         []Tenant
+	OverShareFactor float64 // fraction of its value that a request of a tenant beyond its share has
+
+	MaxAttempts        int  // attempts of one request; 0 = no limit
+	MaxRetryAfter      Time // longest retry delay that clients follow; 0 = clients can't be given one
+	MayCancel          bool // attempts may be cancelled
+	MayDuplicate       bool // two attempts of a request may be outstanding at once
+	MayProbe           bool // members may be probed for a report
+	ClientsMarkRetries bool // clients mark their retries as such
+	ListOnRequest      bool // discovery sends the member list only on request, rather than pushing it
+
+	StaleReads           StaleReadPolicy
+	RemembersSessions    bool // session reads carry no token; the commits seen by this front count
+	AnswersHavePosition  bool // every answer carries its member's log position
+	AssumeCommittedAfter Time // a write whose answer may be lost counts as committed after this time; 0 = once it is answered
+
+	SlowStartFraction float64 // fraction of its capacity that a member has when it starts
+	SlowStartTime     Time    // a member has its full capacity after this time
+	OverloadMultiple  float64 // a starting member fails under more than this multiple of its present capacity
+	OverloadTime      Time    // sustained for this time
+	UseUnlisted       bool    // a member that is no longer listed, but was not drained, may still be used
 }
 
 // Validate returns an error that names the first invalid setting.
@@ -145,12 +145,12 @@
 		return fmt.Errorf("decide: config: %d fronts", c.Fronts)
 	case c.Self < 0 || c.Self >= c.Fronts:
 		return fmt.Errorf("decide: config: front %d of %d", c.Self, c.Fronts)
-	case c.Resolution < 0 || c.MaxRetryAfter < 0 || c.ColdTime < 0 || c.FallTime < 0:
+	case c.Resolution < 0 || c.MaxRetryAfter < 0 || c.SlowStartTime < 0 || c.OverloadTime < 0:
 		return errors.New("decide: config: negative time")
-	case c.ColdShare < 0 || c.FallMultiple < 0 || c.OverShare < 0 || c.MaxAttempts < 0:
+	case c.SlowStartFraction < 0 || c.OverloadMultiple < 0 || c.OverShareFactor < 0 || c.MaxAttempts < 0:
 		return errors.New("decide: config: negative share or limit")
-	case c.Checks < ChecksOff || c.Checks > ChecksWait:
-		return fmt.Errorf("decide: config: unknown checks %d", c.Checks)
+	case c.StaleReads < StaleReadAnswer || c.StaleReads > StaleReadWait:
+		return fmt.Errorf("decide: config: unknown checks %d", c.StaleReads)
 	}
 	for i := range c.Classes {
 		k := &c.Classes[i]
@@ -161,9 +161,9 @@
 			return fmt.Errorf("decide: config: class %q: unknown key scope %d", k.Name, k.KeyScope)
 		case k.Consistency < AnyData || k.Consistency > Write:
 			return fmt.Errorf("decide: config: class %q: unknown consistency %d", k.Name, k.Consistency)
-		case k.Aim <= 0 || k.Deadline <= 0 || k.Bound < 0 || k.KeyWindow < 0:
+		case k.LatencyTarget <= 0 || k.Deadline <= 0 || k.Bound < 0 || k.KeyWindow < 0:
 			return fmt.Errorf("decide: config: class %q: aim and deadline must be above 0, no time below", k.Name)
-		case k.Worth < 0 || k.LateWorth < 0:
+		case k.Value < 0 || k.LateValue < 0:
 			return fmt.Errorf("decide: config: class %q: negative worth", k.Name)
 		}
 	}
@@ -180,7 +180,7 @@
 // indexes: the former ones must come first, under their names. An Arrive event with a ClassDef is handled by that
 // definition, whether the new settings have the same one, another under its name or none. A request in progress keeps
 // its class and the number of attempts allowed when it arrived. Like Step it must not be called concurrently.
-func (r *Router) Retune(cfg Config) error {
+func (r *Router) Reconfigure(cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 }
 
 // MaxMembers is the most members a Router keeps; further members of a longer list are not used.
-const MembersMost = 8192
+const MaxMembers = 8192
 
 // MemberState is the state of a member according to the list.
 type MemberState int
@@ -223,19 +223,19 @@
 
 // The events.
 const (
-	ListFull        EventKind = iota // Members is the whole list
-	ListSaved                        // Members is the whole list as kept from before a restart, perhaps outdated
-	ListChange                       // Members are the entries that changed
-	ListError                        // a Watch or Fetch failed, or the watch broke
-	Arrive                           // a request arrived
-	FirstByte                        // a streamed answer began and is being passed to the client
-	Outcome                          // an attempt ended
-	ClientGone                       // the client left or its time is up; it gets no answer from the router
-	Probed                           // a probe ended
-	Timer                            // the time of a Wake has come
-	Told                             // other gateways report that Member is silent; with Result Served that it answers, with Role Primary that it is primary
-	Parts                            // this front's shares of the shared budgets changed
-	ListUnreachable                  // discovery can't be reached now; an outstanding call keeps trying
+	ListFull             EventKind = iota // Members is the whole list
+	ListSaved                             // Members is the whole list as kept from before a restart, perhaps outdated
+	ListChange                            // Members are the entries that changed
+	ListError                             // a Watch or Fetch failed, or the watch broke
+	Arrive                                // a request arrived
+	FirstByte                             // a streamed answer began and is being passed to the client
+	Outcome                               // an attempt ended
+	ClientGone                            // the client left or its time is up; it gets no answer from the router
+	Probed                                // a probe ended
+	Timer                                 // the time of a Wake has come
+	PeerReport                            // other gateways report that Member is silent; with Result Served that it answers, with Role Primary that it is primary
+	BudgetShares                          // this front's shares of the shared budgets changed
+	DiscoveryUnreachable                  // discovery can't be reached now; an outstanding call keeps trying
 )
 
 // HasList reports whether events of this kind carry members.
@@ -243,10 +243,10 @@
 
 // The budgets that fronts share, as indexes in Event.BudgetShares.
 const (
-	ColdPart     = iota // work sent to members in slow start
-	ProbePart           // probes
-	AskPart             // calls to discovery
-	CustomerPart        // requests of tenants
+	ColdBudget      = iota // work sent to members in slow start
+	ProbeBudget            // probes
+	DiscoveryBudget        // calls to discovery
+	TenantBudget           // requests of tenants
 )
 
 // Result is how an attempt or a probe ended.
@@ -262,14 +262,14 @@
 	Reset              // the connection broke; may have run
 	Cancelled          // cancelled; may have run
 	NotSent            // never sent; never ran
-	NotHere            // the member refused it as it is not primary, or lags too much; never ran
+	Misdirected        // the member refused it as it is not primary, or lags too much; never ran
 	Rejected           // invalid; never ran, and no member would accept it
 	Stale              // answered from data older than the request requires; has run, and another member may serve it
 )
 
 // Answered reports whether the member answered, in whatever way.
 func (r Result) Answered() bool {
-	return r == Served || r == Errored || r == Full || r == NotHere || r == Rejected || r == Stale
+	return r == Served || r == Errored || r == Full || r == Misdirected || r == Rejected || r == Stale
 }
 
 // MayHaveRun reports whether the attempt may have had its effect.
@@ -282,18 +282,18 @@
 	Kind    EventKind
 	Members []Member // lists
 
-	Request   uint64 // Arrive, FirstByte, Outcome, ClientGone
-	Class     int    // Arrive: index in Config.Classes, where As is nil
-	As        *Class // Arrive: the class when the front accepted the request, for fronts whose settings change; see Router.Reconfigure
-	Tenant    int    // Arrive: index in Config.Tenants, -1 = none
-	Group     int64  // Arrive
-	Session   string // Arrive: the session, if any
-	HasToken  bool   // Arrive: the session's last write is known, see TokenAge
-	TokenAge  Time   // Arrive: how long ago that write was committed
-	AtLeast   Time   // Arrive: a read must also see every commit up to this position; 0 = only what its class requires
-	IsRetry   bool   // Arrive: the client marked it as a retry
-	Remaining Time   // Arrive: how long the client will wait
-	Waited    Time   // Arrive: how long it has waited already, behind others on its connection
+	Request     uint64 // Arrive, FirstByte, Outcome, ClientGone
+	Class       int    // Arrive: index in Config.Classes, where As is nil
+	ClassDef    *Class // Arrive: the class when the front accepted the request, for fronts whose settings change; see Router.Reconfigure
+	Tenant      int    // Arrive: index in Config.Tenants, -1 = none
+	Group       int64  // Arrive
+	Session     string // Arrive: the session, if any
+	HasToken    bool   // Arrive: the session's last write is known, see TokenAge
+	TokenAge    Time   // Arrive: how long ago that write was committed
+	MinPosition Time   // Arrive: a read must also see every commit up to this position; 0 = only what its class requires
+	IsRetry     bool   // Arrive: the client marked it as a retry
+	Remaining   Time   // Arrive: how long the client will wait
+	Waited      Time   // Arrive: how long it has waited already, behind others on its connection
 
 	Member  string // FirstByte, Outcome, Probed
 	Attempt int    // FirstByte, Outcome: its number, from 0 in order of Sends
@@ -302,14 +302,14 @@
 	Ended   bool   // Outcome: the request has its final answer
 	Reused  bool   // Outcome: Reset of a connection that had been used before
 
-	Role     Role // Outcome: the member's role now, if it reported one
-	Stamped  bool // Outcome: Position is set
-	InDoubt  bool // Outcome of a write that was not Served: it may have committed, up to Position
-	Position Time // Outcome: log position, or the commit time of a served write
+	Role        Role // Outcome: the member's role now, if it reported one
+	HasPosition bool // Outcome: Position is set
+	InDoubt     bool // Outcome of a write that was not Served: it may have committed, up to Position
+	Position    Time // Outcome: log position, or the commit time of a served write
 
 	Report Report // Outcome, Probed
 
-	Parts [4]float64 // BudgetShares: the share of each budget, above 0; 1 = an even share
+	BudgetShares [4]float64 // BudgetShares: the share of each budget, above 0; 1 = an even share
 }
 
 // Report is what a member last reported of itself; it may be outdated.
@@ -336,23 +336,23 @@
 	Wake              // give one Timer event at At
 	Watch             // request list changes from discovery from now on
 	Fetch             // request the whole list from discovery once
-	Note              // the router's view of Member, or of Group's primary, changed as Change says
+	Notify            // the router's view of Member, or of Group's primary, changed as Change says
 )
 
 // Action is one thing the front must do. Kind determines which fields are set.
 type Action struct {
-	Kind    ActionKind
-	Request uint64
-	Member  string
-	Attempt int
-	Timeout Time
-	Before  Time   // Send: to be written completely by then, else not at all; 0 = any time
-	AtLeast Time   // Send: a replica's answer with an older position is Stale: it was primary when last heard of
-	After   Time   // Refuse: when the client had best retry; 0 = not known
-	At      Time   // Wake
-	Change  Change // Notify
-	Group   int64  // Notify
-	Text    string // Notify: a log text, at most one per second, else empty
+	Kind        ActionKind
+	Request     uint64
+	Member      string
+	Attempt     int
+	Timeout     Time
+	WriteBy     Time   // Send: to be written completely by then, else not at all; 0 = any time
+	MinPosition Time   // Send: a replica's answer with an older position is Stale: it was primary when last heard of
+	RetryAfter  Time   // Refuse: when the client had best retry; 0 = not known
+	At          Time   // Wake
+	Change      Change // Notify
+	Group       int64  // Notify
+	Text        string // Notify: a log text, at most one per second, else empty
 }
 
 // Change is a change in the router's view of a member or group.
@@ -360,10 +360,10 @@
 
 // The changes.
 const (
-	Suspected    Change = iota // Member is silent or unreachable: it gets half-open probes only
-	Trusted                    // Member answers again
-	PrimaryFound               // Member is the primary of Group, which was unknown
-	PrimaryLost                // the primary of Group is unknown
+	Suspected      Change = iota // Member is silent or unreachable: it gets half-open probes only
+	Recovered                    // Member answers again
+	PrimaryFound                 // Member is the primary of Group, which was unknown
+	PrimaryUnknown               // the primary of Group is unknown
 )
 
 // text is the log text of a Notify action.
@@ -371,7 +371,7 @@
 	switch a.Change {
 	case Suspected:
 		return a.Member + " is suspect"
-	case Trusted:
+	case Recovered:
 		return a.Member + " answers again"
 	case PrimaryFound:
 		return fmt.Sprintf("primary of group %d is %s", a.Group, a.Member)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -19,87 +19,87 @@
 
 // Parameters of the policy. A ratio without a unit is a fraction or a multiple of what its comment names.
 const (
-	sweepInterval = 10 * time.Millisecond // period of the checks of timers, held requests and silent members
-	fullSweepInterval   = 4 * sweepInterval        // period of the same checks in groups without recent requests
-	groupActiveTime  = 2 * time.Second       // a request or outcome within this time makes its group active
-	clockSlack = 2 * time.Millisecond  // rounding of reported positions and ages
-	listLag    = 8 * time.Second       // age assumed of a role in the list; newer evidence of a role overrides it
-	initialCostFraction  = 0.2                   // initial cost of a class, as a fraction of its latency target
-
-	costRiseRate   = 0.01 // weight of an answer slower than the class's cost: small, as time in a queue is not cost
+	sweepInterval       = 10 * time.Millisecond // period of the checks of timers, held requests and silent members
+	fullSweepInterval   = 4 * sweepInterval     // period of the same checks in groups without recent requests
+	groupActiveTime     = 2 * time.Second       // a request or outcome within this time makes its group active
+	clockSlack          = 2 * time.Millisecond  // rounding of reported positions and ages
+	listLag             = 8 * time.Second       // age assumed of a role in the list; newer evidence of a role overrides it
+	initialCostFraction = 0.2                   // initial cost of a class, as a fraction of its latency target
+
+	costRiseRate = 0.01 // weight of an answer slower than the class's cost: small, as time in a queue is not cost
 	costFallRate = 0.03 // weight of a faster answer
 
-	sampleWeight       = 0.1             // weight of one answer in a member's averages: about ten answers count
-	maxSampleWeight   = 0.9             // largest weight of one answer after a long silence, as old samples are weak evidence
+	sampleWeight     = 0.1             // weight of one answer in a member's averages: about ten answers count
+	maxSampleWeight  = 0.9             // largest weight of one answer after a long silence, as old samples are weak evidence
 	sampleAgeScale   = 4 * time.Second // the weight grows with the age of the last sample as a fraction of this
-	maxSlowdown  = 30.0            // cap of one slowdown sample, so that one very late answer can't exclude a member
+	maxSlowdown      = 30.0            // cap of one slowdown sample, so that one very late answer can't exclude a member
 	evidenceLifetime = 3 * time.Second // older evidence of slowness loses weight, so that a recovered member is tried again
 	otherZoneFactor  = 1.2             // score factor of a member in another zone; ties go to the front's own zone
 	tieBreakNoise    = 0.1             // random part of a score, so that fronts with the same view don't herd
 
-	laggingMultiple = 3.0 // a replica that lags by more than this multiple of the tightest bound needs its cores to catch up
-	laggingLoadFactor  = 2.0 // and counts as this many times as loaded
+	laggingMultiple   = 3.0 // a replica that lags by more than this multiple of the tightest bound needs its cores to catch up
+	laggingLoadFactor = 2.0 // and counts as this many times as loaded
 
-	longReadMultiple  = 4.0  // a read that costs this multiple of the cheapest class counts as long
+	longReadMultiple = 4.0  // a read that costs this multiple of the cheapest class counts as long
 	maxLatencyRatio  = 0.45 // above this ratio of latency to target a longer queue gains nothing: the limit falls
-	limitCutFactor      = 0.85 // factor of the limit for each round trip above strainAim
-	minConcurrency  = 4.0  // requests that any member processes in parallel, from all fronts together
+	limitCutFactor   = 0.85 // factor of the limit for each round trip above strainAim
+	minConcurrency   = 4.0  // requests that any member processes in parallel, from all fronts together
 	minLimitRequests = 2.0  // lowest limit, in requests of the cheapest class: only answers show that a member recovered
 
-	shedLatencyRatio   = 0.38 // above this ratio of latency to target some reads are kept away from a member, at random
-	shedExponent = 3.0  // exponent of that: 7 of 8 stay away at twice the ratio
+	shedLatencyRatio = 0.38 // above this ratio of latency to target some reads are kept away from a member, at random
+	shedExponent     = 3.0  // exponent of that: 7 of 8 stay away at twice the ratio
 
 	spareLimitFraction = 0.5 // reads spill over to a primary that uses less than this fraction of its limit
 
-	silenceMultiple = 5.0 // a member is silent once an answer is overdue by this multiple of the usual time,
-	silenceFewFactor   = 2.0 // and longer with few attempts outstanding, by this divided by their number
+	silenceMultiple  = 5.0 // a member is silent once an answer is overdue by this multiple of the usual time,
+	silenceFewFactor = 2.0 // and longer with few attempts outstanding, by this divided by their number
 
-	minSilence = 60 * time.Millisecond // shortest silence that counts
-	maxConnFailures   = 2                     // broken connections with no answer in between that are no coincidence
+	minSilence      = 60 * time.Millisecond // shortest silence that counts
+	maxConnFailures = 2                     // broken connections with no answer in between that are no coincidence
 
-	lostMultiple  = 5.0 // an answer is presumed lost after this multiple of its usual time
+	lostMultiple = 5.0 // an answer is presumed lost after this multiple of its usual time
 	minOvertaken = 3   // if as many attempts sent later have been answered
 
-	minLossRate = 0.08 // from this fraction of lost answers on, losses are no coincidence
+	minLossRate      = 0.08 // from this fraction of lost answers on, losses are no coincidence
 	lossSampleWeight = 0.02 // weight of one attempt in that fraction: about fifty attempts count
 
 	maxErrorRate = 0.3 // a member with a higher fraction of errors is used last
 
 	minHalfOpenDelay = 300 * time.Millisecond // delay before the first half-open probe of a suspect; it doubles with each
-	maxHalfOpenDelay  = time.Second            // longest delay between half-open probes
+	maxHalfOpenDelay = time.Second            // longest delay between half-open probes
 
 	attemptTimeMultiple = 1.5 // an attempt is worth sending while this multiple of its usual time is left,
-	attemptTimeFraction  = 0.6 // or this fraction of the latency target, whichever is less
+	attemptTimeFraction = 0.6 // or this fraction of the latency target, whichever is less
 
 	rerouteFraction = 0.5 // a read outstanding for this fraction of its target may be sent to another member too
 
 	retryTokensPerRequest = 0.2  // retry tokens earned by each request: one in five may be retried after a failure
-	maxRetryTokens = 20.0 // most tokens kept, for bursts
+	maxRetryTokens        = 20.0 // most tokens kept, for bursts
 
 	retryPause = 50 * time.Millisecond // a member that turned a request away isn't tried again for it before
 
 	primarySearchInterval = 150 * time.Millisecond // interval between checks of a member that may be primary
-	primarySearchPerFront  = 5 * time.Millisecond   // the same for each front, where that is longer
+	primarySearchPerFront = 5 * time.Millisecond   // the same for each front, where that is longer
 
-	fleetProbeInterval  = 10 * time.Millisecond // shortest interval between probes of a member by all fronts together
-	reservedAttempts = 2                     // attempts kept back from the search for a primary, for when it is known
-	refreshBonus    = 0.25                  // largest score bonus of a replica not heard of for the tightest bound
+	fleetProbeInterval = 10 * time.Millisecond // shortest interval between probes of a member by all fronts together
+	reservedAttempts   = 2                     // attempts kept back from the search for a primary, for when it is known
+	refreshBonus       = 0.25                  // largest score bonus of a replica not heard of for the tightest bound
 
 	peerReportLifetime = 2 * time.Second // a probe started by a peer's report must have ended within this time
 
-	probeWait  = 30 * time.Millisecond // how long a read waits for a probe made for it
+	probeWait        = 30 * time.Millisecond // how long a read waits for a probe made for it
 	maxProbesPerRead = 2                     // most probes made for one read
 
 	slowStartHeadroom = 1.25 // factor on the configured overload multiple, as a member can take more than its usual load
 
-	tokenLifetimeFraction  = 0.125 // unused slow-start tokens are kept for this fraction of OverloadTime,
+	tokenLifetimeFraction      = 0.125 // unused slow-start tokens are kept for this fraction of OverloadTime,
 	firstTokenLifetimeFraction = 0.5   // for this fraction of it up to the first request,
-	tokenLifetimeGaps  = 2.0   // or for this many mean gaps between requests, whichever is longer
+	tokenLifetimeGaps          = 2.0   // or for this many mean gaps between requests, whichever is longer
 
 	maxSessions = 4096 // sessions per group whose commits are kept while a member may lack them
 
 	goneRetention = time.Minute // a member that left the list is kept for this time, as it may restart under its id
-	logInterval = time.Second // shortest interval between log texts
+	logInterval   = time.Second // shortest interval between log texts
 )
 
 // New returns a router for one front. The error names the first invalid setting of cfg. Routers with
@@ -112,7 +112,7 @@
 		members: map[string]*member{}, groups: map[int64]*group{}, budgetShares: [4]float64{1, 1, 1, 1},
 		requests: map[uint64]*request{}, retryTokens: maxRetryTokens,
 		wakeAt: distantPast, nextLogAt: distantPast, sweptAt: distantPast, sweptAllAt: distantPast, savedListUntil: distantFuture, watchSentAt: distantPast}
-	r.pacer = CallPace{Fronts: cfg.Fronts, Random: r.rng.Float64}
+	r.pacer = DiscoveryPacer{Fronts: cfg.Fronts, Random: r.rng.Float64}
 	r.configure(cfg)
 	return r, nil
 }
@@ -147,7 +147,7 @@
 
 // notify reports a state change; at most one per logInterval carries a log text.
 func (r *Router) notify(c Change, g *group, member string) {
-	a := Action{Kind: Note, Change: c, Group: g.id, Member: member}
+	a := Action{Kind: Notify, Change: c, Group: g.id, Member: member}
 	if r.now >= r.nextLogAt {
 		r.nextLogAt, a.Text = r.now+logInterval, a.text()
 	}
@@ -157,7 +157,7 @@
 func (r *Router) handle(e *Event) {
 	q := r.requests[e.Request]
 	switch e.Kind {
-	case ListFull, ListSaved, ListChange, ListError, ListUnreachable:
+	case ListFull, ListSaved, ListChange, ListError, DiscoveryUnreachable:
 		r.handleList(e)
 	case Arrive:
 		r.handleArrival(e)
@@ -174,10 +174,10 @@
 		}
 	case Probed:
 		r.handleProbe(e)
-	case Told:
+	case PeerReport:
 		r.handlePeerReport(e)
-	case Parts:
-		r.budgetShares = e.Parts
+	case BudgetShares:
+		r.budgetShares = e.BudgetShares
 	}
 }
 
@@ -267,19 +267,19 @@
 
 func (r *Router) handleArrival(e *Event) {
 	var k *class
-	if e.As != nil {
-		k = r.classRecord(e.As)
+	if e.ClassDef != nil {
+		k = r.classRecord(e.ClassDef)
 	} else {
 		k = r.classes[e.Class]
 	}
 	q := &request{id: e.Request, class: k, group: r.groups[e.Group], session: e.Session, arrived: r.now,
-		maxAttempts: r.cfg.MaxAttempts, targetAt: r.now + k.Aim - e.Waited, deadline: r.now + e.Remaining, sessionPosition: distantPast,
+		maxAttempts: r.cfg.MaxAttempts, targetAt: r.now + k.LatencyTarget - e.Waited, deadline: r.now + e.Remaining, sessionPosition: distantPast,
 		minPosition: distantPast, chance: r.rng.Float64()}
 	r.requests[q.id] = q
 	r.openRequests = append(r.openRequests, q)
 	r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
 	r.countArrival(k, !e.IsRetry)
-	worth := k.Worth * r.chargeTenant(e.Tenant)
+	worth := k.Value * r.chargeTenant(e.Tenant)
 	if !e.IsRetry {
 		k.maxWait = max(k.maxWait, e.Remaining+e.Waited)
 	} else if e.Remaining+e.Waited < k.maxWait-clockSlack { // the time left shows when the first try began
@@ -291,8 +291,8 @@
 		return
 	}
 	q.group.activeAt = r.now
-	if e.AtLeast > 0 {
-		q.minPosition = e.AtLeast
+	if e.MinPosition > 0 {
+		q.minPosition = e.MinPosition
 	}
 	if c, ok := q.group.sessions[q.session]; ok {
 		q.sessionPosition = c
@@ -310,10 +310,10 @@
 		return 1
 	}
 	for i := range r.tenantTokens {
-		r.tenantTokens[i] = min(maxRetryTokens, r.tenantTokens[i]+r.cfg.Tenants[i].Share*r.budgetShares[CustomerPart])
+		r.tenantTokens[i] = min(maxRetryTokens, r.tenantTokens[i]+r.cfg.Tenants[i].Share*r.budgetShares[TenantBudget])
 	}
-	if !r.countBudgetUse(CustomerPart, r.tenantTokens[tenant] >= 1) {
-		return max(r.cfg.OverShare, 0.01)
+	if !r.countBudgetUse(TenantBudget, r.tenantTokens[tenant] >= 1) {
+		return max(r.cfg.OverShareFactor, 0.01)
 	}
 	r.tenantTokens[tenant]--
 	return 1
@@ -321,7 +321,7 @@
 
 // usefulUntil is the time from which an answer has no value.
 func (q *request) usefulUntil() Time {
-	if q.class.LateWorth > 0 {
+	if q.class.LateValue > 0 {
 		return q.deadline
 	}
 	return min(q.targetAt, q.deadline)
@@ -337,7 +337,7 @@
 func (r *Router) abandon(q *request, after Time) {
 	a := Action{Kind: Fail, Request: q.id}
 	if q.mayRefuse() {
-		a.Kind, a.After = Refuse, min(after, r.cfg.MaxRetryAfter)
+		a.Kind, a.RetryAfter = Refuse, min(after, r.cfg.MaxRetryAfter)
 	}
 	r.emit(a)
 	r.cancelAttempts(q)
@@ -427,7 +427,7 @@
 // inDoubtUntil is the time up to which an outstanding write of q's session may have committed, its answer
 // being lost.
 func (r *Router) inDoubtUntil(q *request) Time {
-	known := r.now - r.cfg.KnownAfter
+	known := r.now - r.cfg.AssumeCommittedAfter
 	for _, m := range q.group.members {
 		for _, a := range m.attempts {
 			if a.request.class.Writes() && a.request.session == q.session && a.sent < known && known < r.now {
@@ -455,7 +455,7 @@
 			continue
 		}
 		if m.position < need {
-			if r.cfg.Checks != ChecksOff && r.hasCapacity(m, q, 1) && (ahead == nil || m.position > ahead.position) {
+			if r.cfg.StaleReads != StaleReadAnswer && r.hasCapacity(m, q, 1) && (ahead == nil || m.position > ahead.position) {
 				ahead = m
 			}
 			continue
@@ -541,7 +541,9 @@
 	return s
 }
 
-func (r *Router) recordError(m *member) { m.errorRate, m.errorAt = m.errorRate+sampleWeight*(1-m.errorRate), r.now }
+func (r *Router) recordError(m *member) {
+	m.errorRate, m.errorAt = m.errorRate+sampleWeight*(1-m.errorRate), r.now
+}
 
 // errorProne reports that many answers of m are errors. As errors come fast, SELF would send such a
 // member everything.
@@ -564,7 +566,7 @@
 	}
 	if m.suspect { // a half-open probe needs the time to be answered
 		left := float64(q.usefulUntil() - r.now)
-		return r.now >= m.halfOpenAt && len(m.attempts) == 0 && left > attemptTimeFraction*float64(q.class.Aim)
+		return r.now >= m.halfOpenAt && len(m.attempts) == 0 && left > attemptTimeFraction*float64(q.class.LatencyTarget)
 	}
 	return true
 }
@@ -572,7 +574,7 @@
 // tooLate reports that m would probably answer too late. With the whole target left an attempt is always
 // worth it.
 func (r *Router) tooLate(q *request, m *member) bool {
-	takes := min(attemptTimeMultiple*q.class.cost*m.slowness(r.now), attemptTimeFraction*float64(q.class.Aim))
+	takes := min(attemptTimeMultiple*q.class.cost*m.slowness(r.now), attemptTimeFraction*float64(q.class.LatencyTarget))
 	return float64(q.usefulUntil()-r.now) < takes
 }
 
@@ -601,11 +603,11 @@
 		m.halfOpenDelay = min(2*m.halfOpenDelay, maxHalfOpenDelay)
 	}
 	act := Action{Kind: Send, Request: q.id, Member: m.ID, Timeout: max(q.usefulUntil()-r.now, clockSlack),
-		AtLeast: r.requiredPosition(q)}
-	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() && r.cfg.Checks == ChecksOff {
-		act.Before = m.position + k.Bound // the known position meets the bound until then
+		MinPosition: r.requiredPosition(q)}
+	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() && r.cfg.StaleReads == StaleReadAnswer {
+		act.WriteBy = m.position + k.Bound // the known position meets the bound until then
 	} else if k.Effect == Keyed && q.mayHaveRun {
-		act.Before = q.firstRunAt + k.KeyWindow // the attempt may wait for a connection
+		act.WriteBy = q.firstRunAt + k.KeyWindow // the attempt may wait for a connection
 	}
 	r.emit(act)
 }
@@ -662,13 +664,13 @@
 // learnAnswer records the position, role and commit that an answer carries.
 func (r *Router) learnAnswer(m *member, q *request, e *Event) {
 	write := q.class.Writes() && (e.Result == Served || e.InDoubt)
-	if s := q.group.sessions; write && e.Stamped && r.cfg.RemembersSessions && q.session != "" {
+	if s := q.group.sessions; write && e.HasPosition && r.cfg.RemembersSessions && q.session != "" {
 		s[q.session] = max(s[q.session], e.Position)
 	}
-	if e.Stamped && !write && e.Role == Replica {
+	if e.HasPosition && !write && e.Role == Replica {
 		r.learnPosition(m, e.Position)
 	}
-	if e.Result == NotHere && q.class.Consistency == Write { // whatever role it reports, it is no primary now
+	if e.Result == Misdirected && q.class.Consistency == Write { // whatever role it reports, it is no primary now
 		r.learnRole(m, Replica, r.now)
 	} else {
 		r.learnRole(m, e.Role, r.now)
@@ -701,7 +703,7 @@
 			}
 		}
 		fallthrough
-	case Errored, NotHere, Full, Rejected, Stale:
+	case Errored, Misdirected, Full, Rejected, Stale:
 		if e.Result == Errored {
 			r.recordError(m)
 		}
@@ -711,7 +713,7 @@
 		}
 		if m.suspect {
 			m.suspect, m.halfOpenDelay = false, minHalfOpenDelay
-			r.notify(Trusted, m.group, m.ID)
+			r.notify(Recovered, m.group, m.ID)
 		}
 		if e.Result == Full {
 			r.lowerLimit(m)
@@ -760,10 +762,10 @@
 	k := a.request.class
 	w := min(maxSampleWeight, max(sampleWeight, float64(r.now-m.sampledAt)/float64(sampleAgeScale)))
 	m.slowdown += w * (min(took/k.cost, maxSlowdown) - m.slowdown)
-	m.latencyRatio += w * (min(took/float64(k.Aim), 2) - m.latencyRatio)
+	m.latencyRatio += w * (min(took/float64(k.LatencyTarget), 2) - m.latencyRatio)
 	of := r.roleStats(m)
 	w = min(maxSampleWeight, max(sampleWeight, float64(r.now-of.sampledAt)/float64(sampleAgeScale)))
-	of.latencyRatio += w * (min(took/float64(k.Aim), 2) - of.latencyRatio)
+	of.latencyRatio += w * (min(took/float64(k.LatencyTarget), 2) - of.latencyRatio)
 	m.sampledAt, of.sampledAt = r.now, r.now
 	if m.latencyRatio > maxLatencyRatio {
 		r.lowerLimit(m)
@@ -824,7 +826,7 @@
 // inSlowStart reports that m started less than SlowStartTime ago, where the settings ask for a slow
 // start.
 func (r *Router) inSlowStart(m *member) bool {
-	return m.Started != 0 && r.cfg.FallMultiple > 0 && r.now < m.Started+r.cfg.ColdTime
+	return m.Started != 0 && r.cfg.OverloadMultiple > 0 && r.now < m.Started+r.cfg.SlowStartTime
 }
 
 // slowStartAdmits keeps to the budget of a member in slow start: each front sends it the present fraction
@@ -838,12 +840,12 @@
 	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // infeasible calls this too
 		return false
 	}
-	part := r.cfg.ColdShare + (1-r.cfg.ColdShare)*float64(r.now-m.Started)/float64(max(r.cfg.ColdTime, 1))
-	rate := r.usualWork() * part * r.cfg.FallMultiple * slowStartHeadroom * r.budgetShares[ColdPart]
-	m.slowStart.accrue(r.now, rate, float64(r.cfg.FallTime))
+	part := r.cfg.SlowStartFraction + (1-r.cfg.SlowStartFraction)*float64(r.now-m.Started)/float64(max(r.cfg.SlowStartTime, 1))
+	rate := r.usualWork() * part * r.cfg.OverloadMultiple * slowStartHeadroom * r.budgetShares[ColdBudget]
+	m.slowStart.accrue(r.now, rate, float64(r.cfg.OverloadTime))
 	yes := m.slowStart.admit(q.class.cost, !q.hasUnusedAdmission())
 	q.recordAdmission(m, admission{sent, yes})
-	return r.countBudgetUse(ColdPart, yes)
+	return r.countBudgetUse(ColdBudget, yes)
 }
 
 // Periodic checks: deadlines, silent members, rerouting, the search for primaries and calls to discovery.
@@ -919,7 +921,7 @@
 // allowed, else after the first one is cancelled.
 func (r *Router) reroute(q *request) {
 	a := q.attempts[slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.done })]
-	late := r.heldRequests == 0 && r.now-a.sent > Time(rerouteFraction*float64(q.class.Aim))
+	late := r.heldRequests == 0 && r.now-a.sent > Time(rerouteFraction*float64(q.class.LatencyTarget))
 	// a half-open probe of a suspect must have the time to be answered
 	stuck := a.member.suspect && (a.sent <= a.member.suspectAt || r.now-a.sent > r.silenceTolerance(a.member, a.cost))
 	lost := r.presumedLost(a)
@@ -945,7 +947,7 @@
 	p := g.primary()
 	if p == nil && !g.primaryUnknown {
 		g.primaryUnknown = true
-		r.notify(PrimaryLost, g, "")
+		r.notify(PrimaryUnknown, g, "")
 	}
 	if !r.cfg.MayProbe || !g.leaderless(p) || r.now-g.neededAt > 2*sweepInterval {
 		return
@@ -987,7 +989,7 @@
 // probe requests m's report, unless all fronts together might probe it too often. It reports whether it
 // did.
 func (r *Router) probe(m *member) bool {
-	if r.barred(m) || !r.countBudgetUse(ProbePart, r.now-m.probedAt >= r.fleetInterval(fleetProbeInterval, ProbePart)) {
+	if r.barred(m) || !r.countBudgetUse(ProbeBudget, r.now-m.probedAt >= r.fleetInterval(fleetProbeInterval, ProbeBudget)) {
 		return false
 	}
 	m.probedAt, m.probing = r.now, true
--- a/decide/memberlist.go
+++ b/decide/memberlist.go
@@ -11,7 +11,7 @@
 
 // watchList requests list changes from discovery when that is due.
 func (r *Router) watchList() {
-	if r.cfg.AskList && r.now >= r.watchAt {
+	if r.cfg.ListOnRequest && r.now >= r.watchAt {
 		r.watchAt, r.watchSentAt = r.now+watchTimeout, r.now
 		r.emit(Action{Kind: Watch})
 	}
@@ -21,14 +21,14 @@
 func (r *Router) paceDiscovery(e *Event) {
 	switch e.Kind {
 	case ListSaved:
-		r.watchAt = r.now + r.pacer.First()
+		r.watchAt = r.now + r.pacer.InitialPause()
 		r.trustSaved(e.Members)
-	case ListUnreachable: // the old list stays in use
+	case DiscoveryUnreachable: // the old list stays in use
 		r.savedListUntil = distantFuture
 	case ListError: // the same
 		r.savedListUntil = distantFuture
-		r.watchAt, r.watchSentAt = r.now+r.pacer.Refused(r.budgetShares[AskPart]), distantPast
-		r.countBudgetUse(AskPart, false)
+		r.watchAt, r.watchSentAt = r.now+r.pacer.PauseAfterRefusal(r.budgetShares[DiscoveryBudget]), distantPast
+		r.countBudgetUse(DiscoveryBudget, false)
 	default:
 		if r.watchSentAt != distantPast {
 			r.pacer.Answered(r.now - r.watchSentAt)
@@ -39,7 +39,7 @@
 
 // handleList applies a list event: a whole list, a change or a failure.
 func (r *Router) handleList(e *Event) {
-	if r.cfg.AskList {
+	if r.cfg.ListOnRequest {
 		r.paceDiscovery(e)
 	}
 	named := make(map[string]bool, len(e.Members))
@@ -53,7 +53,7 @@
 	for _, g := range r.groupOrder {
 		for _, m := range g.members {
 			if !named[m.ID] {
-				m.gone, m.State = !r.cfg.OnlyDrainBinds, Removed
+				m.gone, m.State = !r.cfg.UseUnlisted, Removed
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 		if !m.gone && (m.State != Removed || !m.suspect) || len(m.attempts) > 0 {
 			m.listedAt = r.now
 		}
-		drop := r.now-m.listedAt > goneRetention || r.now > m.listedAt && len(r.members) > MembersMost/2
+		drop := r.now-m.listedAt > goneRetention || r.now > m.listedAt && len(r.members) > MaxMembers/2
 		if drop {
 			delete(r.members, m.ID)
 		}
@@ -84,7 +84,7 @@
 func (r *Router) applyEntry(l Member) {
 	m := r.members[l.ID]
 	if m == nil {
-		if l.State == Removed || len(r.members) >= MembersMost {
+		if l.State == Removed || len(r.members) >= MaxMembers {
 			return
 		}
 		g := r.groups[l.Group]
@@ -107,7 +107,7 @@
 	}
 	m.Member = l
 	m.slowStart.begin(l.Started, r.now, r.rng)
-	m.gone = l.State == Removed && !r.cfg.OnlyDrainBinds
+	m.gone = l.State == Removed && !r.cfg.UseUnlisted
 	if l.Primary && l.State == Up {
 		at := r.now - listLag
 		if p := m.group.primary(); m.roleAt <= at && (p == nil || p == m || p.roleAt <= at) {
--- a/decide/savedlist.go
+++ b/decide/savedlist.go
@@ -7,7 +7,7 @@
 	// while no process ran within maxUpdateDelay of it, and the restart took part of that time. A list in which members
 	// are being replaced is used so for minSavedListTime only, in which the front learns which members accept requests,
 	// or until maxUpdateDelay after the newest start in it: changes that it lacks were made after that start.
-	savedListTime  = 4 * time.Second
+	savedListTime    = 4 * time.Second
 	minSavedListTime = time.Second
 
 	// releaseDuration is the time after a start or a drain during which others are likely.
--- a/decide/state.go
+++ b/decide/state.go
@@ -14,84 +14,84 @@
 	out                 []Action
 	members             map[string]*member
 	groups              map[int64]*group
-	groupOrder               []*group // in the order of their first listing
+	groupOrder          []*group // in the order of their first listing
 	requests            map[uint64]*request
-	openRequests                []*request        // those without a final answer, by arrival
+	openRequests        []*request        // those without a final answer, by arrival
 	classes             []*class          // as in cfg
-	classesByName               map[string]*class // by name, with those of the former settings
-	tenantTokens              []float64         // token bucket of each tenant, in requests within its share
-	retryTokens             float64           // token bucket of retries
-	lossRate               float64           // fraction of recent attempts whose answers were lost
-	heldRequests               int               // requests held by the last dispatch
-	replicas, primaries roleStats             // averages over the members of a role, for members with few samples
-	listedMembers              float64           // number of listed members
-	listedMemberTime           float64           // integral of listedMembers over time in ns, decaying like firstTries
+	classesByName       map[string]*class // by name, with those of the former settings
+	tenantTokens        []float64         // token bucket of each tenant, in requests within its share
+	retryTokens         float64           // token bucket of retries
+	lossRate            float64           // fraction of recent attempts whose answers were lost
+	heldRequests        int               // requests held by the last dispatch
+	replicas, primaries roleStats         // averages over the members of a role, for members with few samples
+	listedMembers       float64           // number of listed members
+	listedMemberTime    float64           // integral of listedMembers over time in ns, decaying like firstTries
 	arrivedAt           Time              // last arrival of a request
-	commitFloor               Time              // newest commit in groups that have been dropped
-	budgetShares               [4]float64        // usable share of each shared budget, 1 = an even share
+	commitFloor         Time              // newest commit in groups that have been dropped
+	budgetShares        [4]float64        // usable share of each shared budget, 1 = an even share
 	granted, denied     [4]float64        // uses of each shared budget since the last BudgetDemand
-	tightestBound            Time              // tightest bound of the classes
-	primarySearchGap             Time              // interval between checks of a member that may be primary
+	tightestBound       Time              // tightest bound of the classes
+	primarySearchGap    Time              // interval between checks of a member that may be primary
 	reportAge           Time              // usual age of the positions that probes report
 
-	pacer      CallPace // schedules the calls to discovery
-	wakeAt     Time     // next requested timer event
-	sweptAt    Time     // last sweep of the active groups
-	sweptAllAt Time     // last sweep of all groups
-	nextLogAt      Time     // earliest time of the next log text
-	watchAt      Time     // next call to discovery
-	watchSentAt    Time     // last call that has no reply yet, distantPast = none
-	savedListUntil Time     // the saved list is used as it is until then; distantFuture once discovery answered, or failed
+	pacer          DiscoveryPacer // schedules the calls to discovery
+	wakeAt         Time           // next requested timer event
+	sweptAt        Time           // last sweep of the active groups
+	sweptAllAt     Time           // last sweep of all groups
+	nextLogAt      Time           // earliest time of the next log text
+	watchAt        Time           // next call to discovery
+	watchSentAt    Time           // last call that has no reply yet, distantPast = none
+	savedListUntil Time           // the saved list is used as it is until then; distantFuture once discovery answered, or failed
 }
 
 // class is a Class with what was learned of it. Requests hold it: its Class never changes.
 type class struct {
 	Class
-	cost    float64 // execution time as SELF estimates it, in ns
-	maxWait Time    // longest wait that a first try arrived with
-	firstTries  float64 // number of first tries, decaying over usualWorkWindow
+	cost       float64 // execution time as SELF estimates it, in ns
+	maxWait    Time    // longest wait that a first try arrived with
+	firstTries float64 // number of first tries, decaying over usualWorkWindow
 }
 
 // member is what this front knows of one member.
 type member struct {
 	Member
-	group     *group
-	listedAt      Time // last sweep that found it listed or in use
-	gone      bool // not listed any more
-	suspect   bool // taken out of use until a half-open probe is answered
+	group          *group
+	listedAt       Time // last sweep that found it listed or in use
+	gone           bool // not listed any more
+	suspect        bool // taken out of use until a half-open probe is answered
 	position       Time // last known log position; never extrapolated
-	lag       Time // age of pos when it was reported
-	role      Role
-	roleAt    Time // time of the evidence of role
-	attempts      []*attempt
-	booked    float64 // estimated work outstanding from this front, in ns
-	slowdown   float64 // average of latency over cost
-	latencyRatio    float64 // average of latency over latency target
-	servedSlowdown     float64 // average of latency over cost, of served attempts only
-	limit     float64 // most work outstanding, in ns; 0 = no limit reached yet
-	sampledAt    Time    // last sample in the averages
-	nextCutAt     Time    // earliest time of the next cut of the limit
+	lag            Time // age of pos when it was reported
+	role           Role
+	roleAt         Time // time of the evidence of role
+	attempts       []*attempt
+	booked         float64 // estimated work outstanding from this front, in ns
+	slowdown       float64 // average of latency over cost
+	latencyRatio   float64 // average of latency over latency target
+	servedSlowdown float64 // average of latency over cost, of served attempts only
+	limit          float64 // most work outstanding, in ns; 0 = no limit reached yet
+	sampledAt      Time    // last sample in the averages
+	nextCutAt      Time    // earliest time of the next cut of the limit
 	answeredAt     Time    // last answer to a request
-	silentAt   Time    // the member counts as silent if it doesn't answer by then
-	halfOpenAt   Time    // earliest time of the next half-open probe
+	silentAt       Time    // the member counts as silent if it doesn't answer by then
+	halfOpenAt     Time    // earliest time of the next half-open probe
 	halfOpenDelay  Time    // delay until the one after it
-	suspectAt Time    // since when, while suspect
-	acceptedAt    Time    // last send of a request that it accepted; distantPast once it refused one as overloaded
-	peerReportAt    Time    // last report of peers that it is silent
-	probedAt  Time
-	probeGap  Time    // shortest interval between probes for a read
-	probing   bool    // a probe is outstanding
-	connFailures     int     // connections broken or refused since its last answer
-	errorRate    float64 // fraction of its answers that are errors
-	errorAt   Time    // last error in that fraction
-	orphans    []orphan // abandoned attempts that may still run
+	suspectAt      Time    // since when, while suspect
+	acceptedAt     Time    // last send of a request that it accepted; distantPast once it refused one as overloaded
+	peerReportAt   Time    // last report of peers that it is silent
+	probedAt       Time
+	probeGap       Time     // shortest interval between probes for a read
+	probing        bool     // a probe is outstanding
+	connFailures   int      // connections broken or refused since its last answer
+	errorRate      float64  // fraction of its answers that are errors
+	errorAt        Time     // last error in that fraction
+	orphans        []orphan // abandoned attempts that may still run
 	slowStart      slowStart
 }
 
 // roleStats are averages over the members of one role.
 type roleStats struct {
 	latencyRatio float64
-	sampledAt Time // last sample in it
+	sampledAt    Time // last sample in it
 }
 
 func (r *Router) roleStats(m *member) *roleStats {
@@ -103,50 +103,50 @@
 
 // orphan is the work of an attempt that ended without an answer and may still run at its member.
 type orphan struct {
-	until   Time // presumed end
-	cost float64
+	until Time // presumed end
+	cost  float64
 }
 
 // group is a primary and its replicas.
 type group struct {
-	id       int64
-	members  []*member
-	sessions map[string]Time // last commit of each session seen by this front, while some member may lack it
+	id             int64
+	members        []*member
+	sessions       map[string]Time // last commit of each session seen by this front, while some member may lack it
 	commitFloor    Time            // newest commit dropped from sessionCommits: members not known to have it don't qualify
-	neededAt   Time            // last time that a request waited for a primary
-	activeAt Time            // last request or outcome
-	primaryUnknown     bool            // PrimaryUnknown was notified
+	neededAt       Time            // last time that a request waited for a primary
+	activeAt       Time            // last request or outcome
+	primaryUnknown bool            // PrimaryUnknown was notified
 }
 
 type request struct {
-	id                     uint64
-	class                  *class
-	group                  *group
-	session                string
+	id                          uint64
+	class                       *class
+	group                       *group
+	session                     string
 	arrived, targetAt, deadline Time
-	maxAttempts                   int     // attempts allowed, 0 = no limit
-	sessionPosition                  Time    // position that a session read requires
-	minPosition                  Time    // position that the request requires in any class, distantPast = none
-	chance                   float64 // seeded random number in [0, 1), drawn once
-	rank                   float64 // value per unit of work
-	attempts               []*attempt
-	probes                  int  // probes made for it
-	outstanding                    int  // outstanding attempts
-	mayHaveRun                bool // some attempt may have run, the first one sent at firstRunAt to firstRunZone
-	firstRunAt                 Time
-	firstRunZone               string
-	ended, streaming       bool
-	avoidUntil                   map[*member]Time // members that refused it, and until when they are left out
+	maxAttempts                 int     // attempts allowed, 0 = no limit
+	sessionPosition             Time    // position that a session read requires
+	minPosition                 Time    // position that the request requires in any class, distantPast = none
+	chance                      float64 // seeded random number in [0, 1), drawn once
+	rank                        float64 // value per unit of work
+	attempts                    []*attempt
+	probes                      int  // probes made for it
+	outstanding                 int  // outstanding attempts
+	mayHaveRun                  bool // some attempt may have run, the first one sent at firstRunAt to firstRunZone
+	firstRunAt                  Time
+	firstRunZone                string
+	ended, streaming            bool
+	avoidUntil                  map[*member]Time      // members that refused it, and until when they are left out
 	admissions                  map[*member]admission // at members in slow start
 }
 
 type attempt struct {
 	request         *request
-	member         *member
-	number        int
-	sent      Time
-	cost      float64
-	overtaken    int  // answers of its member to attempts sent later
+	member          *member
+	number          int
+	sent            Time
+	cost            float64
+	overtaken       int  // answers of its member to attempts sent later
 	done, cancelled bool // ended; cancelled
 }
 
@@ -194,7 +194,7 @@
 	k := r.classesByName[c.Name]
 	switch {
 	case k == nil:
-		return &class{Class: *c, cost: initialCostFraction * float64(c.Aim)}
+		return &class{Class: *c, cost: initialCostFraction * float64(c.LatencyTarget)}
 	case k.Class == *c:
 		return k
 	}
@@ -204,8 +204,8 @@
 // The usual work of a member, from which its slow-start budget follows, is an average over first tries only, as surges
 // and retries are not usual.
 const (
-	usualWorkWindow  = time.Minute // time constant of the average
-	minUsualWorkWindow = time.Second // shortest time it is taken over, for a front that has just started
+	usualWorkWindow       = time.Minute // time constant of the average
+	minUsualWorkWindow    = time.Second // shortest time it is taken over, for a front that has just started
 	unmarkedRetryFraction = 0.9         // fraction of unserved requests that are retried where clients don't mark retries
 )
 
@@ -228,7 +228,7 @@
 // discountUnserved takes a request that ends without an answer out of the usual work, where a retry would count as
 // another first try.
 func (r *Router) discountUnserved(q *request) {
-	if !q.ended && !r.cfg.MarksRetry {
+	if !q.ended && !r.cfg.ClientsMarkRetries {
 		q.class.firstTries = max(0, q.class.firstTries-unmarkedRetryFraction)
 	}
 }
@@ -245,7 +245,7 @@
 // admission is the decision on a request at a member in slow start. It holds while no further attempt is sent there.
 type admission struct {
 	attemptsBefore int
-	admitted  bool
+	admitted       bool
 }
 
 // sentTo returns the number of attempts of q at m.
@@ -278,12 +278,12 @@
 
 // slowStart is this front's budget of work for a member in slow start: a token bucket in ns of work.
 type slowStart struct {
-	started  Time // the member's start that this budget is for
-	learnedAt   Time // when this front learned of it
-	accruedAt       Time // tokens have accrued up to then
-	requests float64
-	tokens   float64 // tokens: work that may be sent
-	chanceSum  float64 // sum of the chances of requests with fewer tokens than their work; 1 admits one request
+	started   Time // the member's start that this budget is for
+	learnedAt Time // when this front learned of it
+	accruedAt Time // tokens have accrued up to then
+	requests  float64
+	tokens    float64 // tokens: work that may be sent
+	chanceSum float64 // sum of the chances of requests with fewer tokens than their work; 1 admits one request
 }
 
 // begin starts a new budget for a new start of the member. The random initial sum keeps fronts from admitting together.
@@ -355,7 +355,7 @@
 
 // BudgetDemand returns how much of each shared budget was requested since the last call, in even shares: 1 is as much as
 // an even share grants. Like Step it must not be called concurrently.
-func (r *Router) Wanted() (w [4]float64) {
+func (r *Router) BudgetDemand() (w [4]float64) {
 	for i := range w {
 		if all := r.granted[i] + r.denied[i]; all > 0 {
 			w[i] = r.budgetShares[i] * min(all/max(r.granted[i], 0.5), 4)
@@ -370,11 +370,11 @@
 
 // Sizes are the lengths of a Router's tables.
 type Sizes struct {
-	Members, Groups int
-	Requests        int // without a final answer, or with an outstanding attempt
-	Sessions        int // whose commits are kept, the most of any group
-	Ghosts          int // ended without an answer and perhaps still running, the most of any member
-	Attempts        int // outstanding at all members
+	Members, Groups  int
+	Requests         int // without a final answer, or with an outstanding attempt
+	Sessions         int // whose commits are kept, the most of any group
+	OrphanedAttempts int // ended without an answer and perhaps still running, the most of any member
+	Attempts         int // outstanding at all members
 }
 
 // Sizes returns the lengths of the tables, to check that they stay bounded. Like Step it must not be called concurrently.
@@ -383,28 +383,28 @@
 	for _, g := range r.groupOrder {
 		s.Sessions = max(s.Sessions, len(g.sessions))
 		for _, m := range g.members {
-			s.Ghosts, s.Attempts = max(s.Ghosts, len(m.orphans)), s.Attempts+len(m.attempts)
+			s.OrphanedAttempts, s.Attempts = max(s.OrphanedAttempts, len(m.orphans)), s.Attempts+len(m.attempts)
 		}
 	}
 	return s
 }
 
 // MemberStatus is what a Router knows of a member from its answers.
-type Known struct {
-	Member   string
-	Group    int64
-	Zone     string
-	Role     Role
-	Position Time // last known log position, 0 = none
-	Out      bool // suspect, listed as draining, or not listed any more
+type MemberStatus struct {
+	Member      string
+	Group       int64
+	Zone        string
+	Role        Role
+	Position    Time // last known log position, 0 = none
+	Unavailable bool // suspect, listed as draining, or not listed any more
 }
 
 // Members lists the members by group, in the order in which the groups were first listed. Like Step it must not be called
 // concurrently.
-func (r *Router) Known() (all []Known) {
+func (r *Router) Members() (all []MemberStatus) {
 	for _, g := range r.groupOrder {
 		for _, m := range g.members {
-			all = append(all, Known{Member: m.ID, Group: g.id, Zone: m.Zone, Role: m.role, Position: max(m.position, 0), Out: m.suspect || m.gone || m.State != Up})
+			all = append(all, MemberStatus{Member: m.ID, Group: g.id, Zone: m.Zone, Role: m.role, Position: max(m.position, 0), Unavailable: m.suspect || m.gone || m.State != Up})
 		}
 	}
 	return all
--- a/internal/gateway/edge.go
+++ b/internal/gateway/edge.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/edgeconf"
@@ -17,7 +18,6 @@
 	"reachwind/internal/logship"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/restfront"
-	"reachwind/internal/terms"
 )
 
 // Edge is the product configuration, read and checked. A part that is nil is off.
@@ -29,10 +29,12 @@
 
 // LoadEdge reads the product configuration at path for a gateway. An error may hold many faults, see
 // edgeconf.Faults.
-func LoadEdge(path string, c *Config) (*Edge, error) { return loadEdge(path, c, c.terms.Now().Names) }
+func LoadEdge(path string, c *Config) (*Edge, error) {
+	return loadEdge(path, c, c.terms.Current().Names)
+}
 
 // loadEdge is LoadEdge with the names that records may hold.
-func loadEdge(path string, c *Config, names terms.Names) (*Edge, error) {
+func loadEdge(path string, c *Config, names activesettings.Names) (*Edge, error) {
 	e := new(Edge)
 	err := edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("syslog", false, func(b *edgeconf.Block) {
@@ -45,14 +47,14 @@
 			e.Syslog = &s
 		})
 		b.Blocks("rest", false, func(b *edgeconf.Block) {
-			r := restfront.Read(b)
-			r.Terms = c.terms
+			r := restfront.ReadConfig(b)
+			r.Settings = c.terms
 			e.REST = &r
 		})
 		b.Blocks("fleet", false, func(b *edgeconf.Block) {
-			f := fleet.Read(b)
-			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.NameMost {
-				b.Fault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.NameMost)
+			f := fleet.ReadConfig(b)
+			if f.Name = c.Name; f.Name == "" || len(f.Name) > swim.MaxNameBytes {
+				b.AddFault("the gateway's name is %q, want one of 1 to %d bytes", f.Name, swim.MaxNameBytes)
 			}
 			e.Fleet = &f
 		})
@@ -106,16 +108,16 @@
 	b.Sockets = max(leastShared, min(left, int(float64(left-ownFiles)/(clientPart+sparePart+memberPart))))
 	b.Clients, b.Members = int(clientPart*float64(b.Sockets)), int(memberPart*float64(b.Sockets))
 	room := bufferPart * float64(max(0, memory-b.Parts))
-	b.Small = int(smallPart*room) / pgwire.SmallSize
-	b.Buffers = max(buffersLeast, int((1-smallPart)*room)/pgwire.BufSize)
-	b.Memory = int64(b.Buffers)*pgwire.BufSize + int64(b.Small)*pgwire.SmallSize
+	b.Small = int(smallPart*room) / pgwire.SmallBufSize
+	b.Buffers = max(buffersLeast, int((1-smallPart)*room)/pgwire.LargeBufSize)
+	b.Memory = int64(b.Buffers)*pgwire.LargeBufSize + int64(b.Small)*pgwire.SmallBufSize
 	return b
 }
 
 var errRestart = errors.New("a block that comes or goes, and what a front listens on, take a restart")
 
 // startREST starts the REST front.
-func startREST(conf *restfront.Config, owner *core.Core, claims *call.Claims, log *slog.Logger) (part, error) {
+func startREST(conf *restfront.Config, owner *core.Core, claims *call.ActiveIDs, log *slog.Logger) (part, error) {
 	s, err := restfront.New(owner, *conf, claims, log)
 	if err != nil {
 		return part{}, err
@@ -126,7 +128,7 @@
 	return part{
 		name: "rest",
 		prepare: func(e *Edge) (func(), error) {
-			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.Max != conf.Max {
+			if e.REST == nil || e.REST.Listen != conf.Listen || e.REST.MaxConnections != conf.MaxConnections {
 				return nil, errRestart
 			}
 			return s.Prepare(*e.REST)
@@ -154,7 +156,7 @@
 	if err != nil {
 		return part{}, err
 	}
-	owner.Observe(s, cold)
+	owner.SetRecordSink(s, cold)
 	if o.Records != nil {
 		o.Records.SetSink(s)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 	bufs   *pgwire.Pool
 	dir    *discovery.Client
 	front  *pgfront.Server
-	claims *call.Claims
+	claims *call.ActiveIDs
 	parts  []part
 	over   *overlay   // nil: nobody agrees on drains
 	ops    *operators // nil: operators have no door
@@ -191,7 +191,7 @@
 	}
 	g.retune(next)
 	g.o.Log.Info("reloaded", "discovery", next.conf.Discovery)
-	g.dir.Move(next.conf.Discovery)
+	g.dir.SetAddr(next.conf.Discovery)
 }
 
 // Run serves listener until term ends.
@@ -248,22 +248,22 @@
 		list = over.List
 	}
 	if line != nil {
-		owner.Share(line)
+		owner.SetSharedCommits(line)
 		next := list
-		list = func(kind decide.EventKind, members []core.Listed) {
+		list = func(kind decide.EventKind, members []core.ListedMember) {
 			line.List(kind, members)
 			next(kind, members)
 		}
 	}
 	dir := discovery.New(discovery.Config{Addr: c.Discovery, Version: c.version, Gateways: c.Decide.Fronts, Seed: c.seed,
-		Pushed: !c.Decide.AskList}, list, dial, log)
+		Pushed: !c.Decide.ListOnRequest}, list, dial, log)
 	if line != nil {
 		line.version = dir.Version
 	}
 	owner.Connect(pool, dir)
-	g := &running{o: o, c: c, router: router, owner: owner, pool: pool, bufs: bufs, dir: dir, claims: call.NewClaims(), over: over, line: line, ops: ops, most: share.Clients}
+	g := &running{o: o, c: c, router: router, owner: owner, pool: pool, bufs: bufs, dir: dir, claims: call.NewActiveIDs(), over: over, line: line, ops: ops, most: share.Clients}
 	if edge.Syslog != nil {
-		p, err := startSyslog(edge.Syslog, owner, c.Decide.ColdTime, o)
+		p, err := startSyslog(edge.Syslog, owner, c.Decide.SlowStartTime, o)
 		if err != nil {
 			return nil, fmt.Errorf("syslog: %w", err)
 		}
@@ -286,10 +286,10 @@
 		g.parts = append(g.parts, p)
 	}
 	list(decide.ListSaved, c.Known)
-	g.front = pgfront.New(owner, pgfront.Config{Terms: c.terms,
-		Max: share.Clients, Spare: int(sparePart * float64(share.Sockets)),
-		Keep:      int(bufferReserve * float64(share.Buffers)),
-		StartWait: startWait, WriteWait: writeWait, RefuseWait: refuseWait, IdleMost: idleMost, IdleKeep: int(idlePart * float64(share.Sockets)), Pass: line.passes(), Claims: g.claims}, bufs, log)
+	g.front = pgfront.New(owner, pgfront.Config{Settings: c.terms,
+		MaxConnections: share.Clients, SpareConnections: int(sparePart * float64(share.Sockets)),
+		ReservedBuffers: int(bufferReserve * float64(share.Buffers)),
+		StartupTimeout:  startWait, WriteTimeout: writeWait, LingerTimeout: refuseWait, IdleTimeout: idleMost, MaxIdleConnections: int(idlePart * float64(share.Sockets)), Transfer: line.passes(), Claims: g.claims}, bufs, log)
 	if line != nil {
 		line.apply = g.limit(bufs, share)
 		go line.run(share.Sockets)
@@ -338,7 +338,7 @@
 		return fmt.Errorf("accept: %w", err)
 	case <-term.Done():
 	}
-	plan := planOf(g.came(), c.terms.Now().Longest)
+	plan := planOf(g.came(), c.terms.Current().MaxDeadline)
 	g.owner.EndBy(g.owner.Now() + time.Until(plan.answer))
 	g.ops.leave()
 	if g.line.succeeded() { // who comes from now on waits for the other on the socket that both hold
@@ -346,7 +346,7 @@
 	}
 	if g.fleet != nil { // asks for a permit, and waits for it no longer than configured
 		wait, stop := context.WithDeadline(context.Background(), plan.answer)
-		g.fleet.Leave(wait)
+		g.fleet.AwaitStopPermit(wait)
 		stop()
 	}
 	drained := make(chan struct{})
@@ -412,7 +412,7 @@
 	log.Info("stopping", "accept_for", time.Until(p.accept).Round(time.Millisecond))
 	late := time.NewTimer(time.Until(p.last))
 	defer late.Stop()
-	word := time.AfterFunc(time.Until(p.word), front.LastCall)
+	word := time.AfterFunc(time.Until(p.word), front.AbandonPartialMessages)
 	defer word.Stop()
 	time.Sleep(time.Until(p.accept))
 	if p.accept.After(p.came) { // else who waits there is the successor's
@@ -429,7 +429,7 @@
 	case <-done:
 		log.Info("stopped")
 	case <-late.C:
-		log.Warn("stopped with connections open", "open", front.Open())
+		log.Warn("stopped with connections open", "open", front.OpenConnections())
 	}
 }
 
--- a/internal/pgmember/pool_test.go
+++ b/internal/pgmember/pool_test.go
@@ -55,7 +55,7 @@
 	name   string
 	result decide.Result
 }{
-	{"row", decide.Served}, {"25006", decide.NotHere}, {"72000", decide.NotHere}, {"XX000", decide.Errored},
+	{"row", decide.Served}, {"25006", decide.Misdirected}, {"72000", decide.Misdirected}, {"XX000", decide.Errored},
 	{"53300", decide.Full}, {"break", decide.Reset}, {"half", decide.Reset}, {"silent", decide.TimedOut},
 	{"row", decide.Served}, {"norow", decide.Errored}, {"badlen", decide.Errored}, {"fatal 53300", decide.Full},
 	{"42601", decide.Rejected}, {"08P01", decide.Rejected}, {"noise", decide.Errored}, {"stall", decide.Errored}, {"two rows", decide.Errored}, {"short row", decide.Errored},
@@ -86,8 +86,8 @@
 	r := &rig{t: t, script: &script{outcomes: map[uint64][]decide.Event{}}, bufs: pgwire.NewPool(40, 20), out: map[string]int{}}
 	log := slog.New(slog.DiscardHandler)
 	r.core = core.New(core.NewClock(), r.script, log)
-	r.pool = New(r.core, Config{User: "app", Database: "shop", Max: most, Idle: 15 * time.Second,
-		Connect: 250 * time.Millisecond, Grace: 250 * time.Millisecond, Names: []string{"x0", "x1"}}, r.bufs, r.dial, log)
+	r.pool = New(r.core, Config{User: "app", Database: "shop", MaxConns: most, MemberIdleTimeout: 15 * time.Second,
+		ConnectTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond, ReportFigures: []string{"x0", "x1"}}, r.bufs, r.dial, log)
 	r.core.Connect(r.pool, nil)
 	r.list(decide.Up)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -100,7 +100,7 @@
 }
 
 func (r *rig) list(state decide.MemberState) {
-	r.core.List(decide.ListChange, []core.Listed{{Addr: "a:1", Member: decide.Member{ID: "m", State: state}}})
+	r.core.List(decide.ListChange, []core.ListedMember{{Addr: "a:1", Member: decide.Member{ID: "m", State: state}}})
 	synctest.Wait()
 }
 
@@ -176,7 +176,7 @@
 	}
 	n, _ := pgwire.StartupLen(head)
 	_, _ = io.ReadFull(c, make([]byte, n))
-	_, _ = c.Write(pgwire.AppendReady(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
+	_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.Append(nil, 'R', "\x00\x00\x00\x00")))
 	for {
 		if _, err := io.ReadFull(c, head); err != nil {
 			return
@@ -186,7 +186,7 @@
 		_, _ = io.ReadFull(c, body)
 		if strings.HasPrefix(string(body), "SHOW health") {
 			row := "x0=1000.5,x1=1,nonsense=3"
-			_, _ = c.Write(pgwire.AppendReady(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00",
+			_, _ = c.Write(pgwire.AppendReadyForQuery(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00",
 				string(rune(len(row))), row), 'C', "SHOW\x00")))
 			continue
 		}
@@ -221,30 +221,30 @@
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	row := pgwire.Append(pgwire.Append(nil, 'T', description), 'D', "\x00\x01\x00\x00\x00\x01v")
-	note := pgwire.AppendStatus(pgwire.AppendStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
+	note := pgwire.AppendParameterStatus(pgwire.AppendParameterStatus(nil, "recovery", "on"), "lsn_ms", "1767225600123")
 	var reply []byte
 	more := true
 	switch way {
 	case "row":
-		reply = pgwire.AppendReady(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
 	case "noise":
 		reply = []byte("\x9f\x03 what is this, and where does it end? \r\n")
 	case "stall":
 		reply = row[:len(row)-3]
 	case "two rows":
-		reply = pgwire.AppendReady(pgwire.Append(append(row, row[5+len(description):]...), 'C', "SELECT 2\x00"))
+		reply = pgwire.AppendReadyForQuery(pgwire.Append(append(row, row[5+len(description):]...), 'C', "SELECT 2\x00"))
 	case "short row":
-		reply = pgwire.AppendReady(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D',
+		reply = pgwire.AppendReadyForQuery(pgwire.Append(pgwire.Append(pgwire.Append(nil, 'T', description), 'D',
 			"\x00\x01\x00\x00\x00\x09v"), 'C', "SELECT 1\x00"))
 	case "endless":
-		reply = bytes.Repeat(pgwire.AppendStatus(nil, "more", "and more"), 1000)
+		reply = bytes.Repeat(pgwire.AppendParameterStatus(nil, "more", "and more"), 1000)
 	case "odd error":
-		reply = pgwire.AppendReady(pgwire.Append(nil, 'E', "SERROR\x00C5\x00\x00"))
+		reply = pgwire.AppendReadyForQuery(pgwire.Append(nil, 'E', "SERROR\x00C5\x00\x00"))
 	case "extra":
-		reply = pgwire.AppendReady(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.Append(row, 'C', "SELECT 1\x00"), note...))
 		reply = append(reply, reply...)
 	case "norow":
-		reply = pgwire.AppendReady(note)
+		reply = pgwire.AppendReadyForQuery(note)
 	case "badlen":
 		reply, more = []byte{'D', 0x7f, 0, 0, 0}, false
 	case "half":
@@ -262,7 +262,7 @@
 		if code, ok := strings.CutPrefix(way, "begun "); ok {
 			begun, way = pgwire.Append(nil, 'T', description), code
 		}
-		reply = pgwire.AppendReady(append(pgwire.AppendError(begun, "ERROR", way, "no", ""), note...))
+		reply = pgwire.AppendReadyForQuery(append(pgwire.AppendError(begun, "ERROR", way, "no", ""), note...))
 	}
 	l.over()
 	_, _ = c.Write(reply)
@@ -294,7 +294,7 @@
 		r.t.Fatal(err)
 	}
 	s := &sink{r: r}
-	r.core.Arrive(&core.Request{Until: r.core.Now() + wait, Call: st, Client: s})
+	r.core.Arrive(&core.Request{Deadline: r.core.Now() + wait, Call: st, Client: s})
 	synctest.Wait()
 	return s
 }
@@ -336,7 +336,7 @@
 			if len(s.answers) != 1 {
 				t.Errorf("%s: %d answers", w.name, len(s.answers))
 			}
-			if e := r.script.outcomes[1][0]; w.result == decide.Errored && w.name != "XX000" && e.Stamped {
+			if e := r.script.outcomes[1][0]; w.result == decide.Errored && w.name != "XX000" && e.HasPosition {
 				t.Errorf("%s: the note of a spoilt answer was believed: %+v", w.name, e)
 			}
 			if w.name != "row" && len(w.name) != len("25006") || w.name == "noise" || w.name == "extra" {
@@ -346,7 +346,7 @@
 					}
 				})
 			}
-			if e := r.script.outcomes[1][0]; w.name == "row" && (e.Role != decide.Replica || !e.Stamped ||
+			if e := r.script.outcomes[1][0]; w.name == "row" && (e.Role != decide.Replica || !e.HasPosition ||
 				e.Position != 1767225600123*time.Millisecond || !e.Ended) {
 				t.Errorf("note %+v", e)
 			}
@@ -400,7 +400,7 @@
 		r := newRig(t, 4)
 		r.delay = 100 * time.Millisecond
 		r.arrive(400 * time.Millisecond)
-		r.act(decide.Action{Kind: decide.Send, Request: 1, Member: "m", Before: r.core.Now() + 50*time.Millisecond})
+		r.act(decide.Action{Kind: decide.Send, Request: 1, Member: "m", WriteBy: r.core.Now() + 50*time.Millisecond})
 		r.sleep(time.Second)
 		only(t, "aged", r.results(1), decide.NotSent)
 	})
@@ -487,7 +487,7 @@
 		r.arrive(400 * time.Millisecond)
 		r.send(1)
 		r.sleep(100 * time.Millisecond)
-		list := make([]core.Listed, 2*membersMost)
+		list := make([]core.ListedMember, 2*membersMost)
 		for i := range list {
 			list[i].ID = strconv.Itoa(i)
 		}
@@ -595,9 +595,9 @@
 				t.Errorf("request %d: %d outcomes of %d sends", id, got, sends[id])
 			}
 		}
-		if len(r.script.probes) != probes || r.bufs.Free() != 40 || r.bufs.FreeSmall() != 20 || r.pool.open != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
+		if len(r.script.probes) != probes || r.bufs.FreeLarge() != 40 || r.bufs.FreeSmall() != 20 || r.pool.open != 0 || r.conns != 0 || len(r.pool.jobs) != 0 {
 			t.Errorf("%d of %d probes ended; %d of 40 buffers back; %d connections counted, %d open; %d jobs",
-				len(r.script.probes), probes, r.bufs.Free(), r.pool.open, r.conns, len(r.pool.jobs))
+				len(r.script.probes), probes, r.bufs.FreeLarge(), r.pool.open, r.conns, len(r.pool.jobs))
 		}
 	})
 }
@@ -606,9 +606,9 @@
 func TestLargeListIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 4)
-		list := make([]core.Listed, 3200)
+		list := make([]core.ListedMember, 3200)
 		for i := range list {
-			list[i] = core.Listed{Addr: "a:1", Member: decide.Member{ID: strconv.Itoa(i)}}
+			list[i] = core.ListedMember{Addr: "a:1", Member: decide.Member{ID: strconv.Itoa(i)}}
 		}
 		r.core.List(decide.ListFull, list)
 		synctest.Wait()
--- a/internal/pgmember/through_test.go
+++ b/internal/pgmember/through_test.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/core"
 	"reachwind/internal/pgfront"
 	"reachwind/internal/pgwire"
-	"reachwind/internal/terms"
 )
 
 // eager stands in for the module: it sends each request to m, again after each outcome that does not end it, and calls
@@ -37,7 +37,7 @@
 	for _, e := range events {
 		switch {
 		case e.Kind == decide.Arrive, e.Kind == decide.Outcome && !e.Ended && d.sent[e.Request] > 0:
-			if e.Kind == decide.Arrive && e.As.Writes() {
+			if e.Kind == decide.Arrive && e.ClassDef.Writes() {
 				d.runs[e.Request] = true
 			}
 			d.sent[e.Request]++
@@ -88,17 +88,17 @@
 	}()
 	log := slog.New(slog.DiscardHandler)
 	owner := core.New(core.NewClock(), g.mod, log)
-	pool := New(owner, Config{User: "app", Database: "shop", Max: 100, Idle: time.Hour, Connect: 20 * time.Second,
-		Grace: time.Second}, g.bufs, Dial, log)
+	pool := New(owner, Config{User: "app", Database: "shop", MaxConns: 100, MemberIdleTimeout: time.Hour, ConnectTimeout: 20 * time.Second,
+		DrainGrace: time.Second}, g.bufs, Dial, log)
 	owner.Connect(pool, nil)
-	owner.List(decide.ListFull, []core.Listed{{Addr: member.Addr().String(), Member: decide.Member{ID: "m"}}})
-	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute},
+	owner.List(decide.ListFull, []core.ListedMember{{Addr: member.Addr().String(), Member: decide.Member{ID: "m"}}})
+	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Minute},
 		{Name: "w", Deadline: time.Minute, Consistency: decide.Write}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.front = pgfront.New(owner, pgfront.Config{Terms: book, Max: 100, Spare: 10, StartWait: 20 * time.Second,
-		WriteWait: 20 * time.Second, RefuseWait: time.Second}, g.bufs, log)
+	g.front = pgfront.New(owner, pgfront.Config{Settings: book, MaxConnections: 100, SpareConnections: 10, StartupTimeout: 20 * time.Second,
+		WriteTimeout: 20 * time.Second, LingerTimeout: time.Second}, g.bufs, log)
 	clients, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	until(g.t, func() bool {
 		g.mod.mu.Lock()
 		defer g.mod.mu.Unlock()
-		return g.mod.out == 0 && g.front.Open() == 0 && g.bufs.Free()+g.bufs.FreeSmall() == 160
+		return g.mod.out == 0 && g.front.OpenConnections() == 0 && g.bufs.FreeLarge()+g.bufs.FreeSmall() == 160
 	})
 }
 
@@ -243,7 +243,7 @@
 	m := <-g.came
 	g.greet(m)
 	statement(t, m)
-	value := strings.Repeat("v", pgwire.WholeMost+1000)
+	value := strings.Repeat("v", pgwire.MaxBufferedValue+1000)
 	row := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
 	answer := pgwire.Append(pgwire.Append(nil, 'T', description), 'D', row)
 	_, _ = m.Write(answer[:len(answer)-10])
@@ -285,7 +285,7 @@
 	m = <-g.came
 	g.greet(m)
 	statement(t, m)
-	_, _ = m.Write(pgwire.AppendReady(bytes.Clone(served)))
+	_, _ = m.Write(pgwire.AppendReadyForQuery(bytes.Clone(served)))
 	order := ""
 	for range 4 {
 		typ, _ := message(t, r)
--- a/internal/restfront/close_test.go
+++ b/internal/restfront/close_test.go
@@ -15,20 +15,20 @@
 	"time"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
+	"reachwind/internal/interruptible"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // noCore is a core that nothing may come to.
 type noCore struct{ t *testing.T }
 
-func (n noCore) Now() core.Time                              { return core.Time(time.Now().UnixNano()) }
-func (n noCore) Arrive(*core.Request)                        { n.t.Error("a request came to the core") }
-func (n noCore) Gone(*core.Request)                          {}
-func (n noCore) Turned(string, record.Outcome, record.Cause) {}
+func (n noCore) Now() core.Time                                          { return core.Time(time.Now().UnixNano()) }
+func (n noCore) Arrive(*core.Request)                                    { n.t.Error("a request came to the core") }
+func (n noCore) Gone(*core.Request)                                      {}
+func (n noCore) RecordFrontOutcome(string, record.Outcome, record.Cause) {}
 
 // crossed is the server's end of a connection. When that is about to be ended, its client sends something first, which
 // has come by the time the call is carried out.
@@ -72,12 +72,12 @@
 // crossedFront runs a server of connections that are crossed by a client's bytes as they end.
 func crossedFront(t *testing.T, conf Config, cross func(*crossed)) *Server {
 	t.Helper()
-	book, err := terms.NewBook(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
+	book, err := activesettings.NewHolder(&decide.Config{Classes: []decide.Class{{Name: "r", Deadline: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Terms, conf.Header, conf.Read, conf.Write, conf.Life = book, 100*time.Millisecond, time.Second, time.Second, time.Hour
-	s, err := New(noCore{t}, conf, call.NewClaims(), slog.New(slog.DiscardHandler))
+	conf.Settings, conf.HeaderTimeout, conf.ReadTimeout, conf.WriteTimeout, conf.CursorLifetime = book, 100*time.Millisecond, time.Second, time.Second, time.Hour
+	s, err := New(noCore{t}, conf, call.NewActiveIDs(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,12 +115,12 @@
 		t.Run(name, func(t *testing.T) {
 			var near net.Conn
 			dialled := make(chan struct{})
-			s := crossedFront(t, Config{Max: tc.most, Idle: tc.idleFor}, func(far *crossed) {
+			s := crossedFront(t, Config{MaxConnections: tc.most, IdleTimeout: tc.idleFor}, func(far *crossed) {
 				<-dialled
 				was := far.read.Load()
 				_, _ = near.Write([]byte(get + "\r\n"))
 				// A read of net/http that was on may have them; the test's own limit ends a wait for nothing.
-				for looks := wake.New[int](far.TCPConn, 16); looks.Quiet() && far.read.Load() == was; {
+				for looks := interruptible.New[int](far.TCPConn, 16); looks.NoPendingInput() && far.read.Load() == was; {
 					runtime.Gosched()
 				}
 			})
@@ -166,7 +166,7 @@
 // TestLingerBounds: a connection that lingers gives way to a client that comes, and does not hold up a shutdown for
 // longer than that may last.
 func TestLingerBounds(t *testing.T) {
-	s := crossedFront(t, Config{Max: 1, Idle: time.Hour}, func(*crossed) {})
+	s := crossedFront(t, Config{MaxConnections: 1, IdleTimeout: time.Hour}, func(*crossed) {})
 	var all []net.Conn
 	for i := range 5 {
 		nc, err := net.Dial("tcp", s.Addr())
--- a/internal/restfront/server.go
+++ b/internal/restfront/server.go
@@ -25,28 +25,28 @@
 	"github.com/cespare/xxhash/v2"
 
 	"reachwind/decide"
+	"reachwind/internal/activesettings"
 	"reachwind/internal/call"
 	"reachwind/internal/core"
 	"reachwind/internal/cursor"
-	"reachwind/internal/hangup"
+	"reachwind/internal/interruptible"
+	"reachwind/internal/peerclose"
 	"reachwind/internal/pgwire"
 	"reachwind/internal/record"
-	"reachwind/internal/terms"
-	"reachwind/internal/wake"
 )
 
 // Config holds what the front is told.
 type Config struct {
-	Listen string
-	Max    int           // connections
-	Body   int64         // bytes of a value
-	Header time.Duration // a request's header must have come by then
-	Read   time.Duration // and all of it by then
-	Write  time.Duration // an answer must have been taken by then, on top of what the client waits
-	Idle   time.Duration // a connection idle for longer ends
-	Terms  *terms.Book
-	Keys   string        // file with the keys of cursors; empty: a key of this process alone
-	Life   time.Duration // of a cursor
+	Listen         string
+	MaxConnections int           // connections
+	MaxBodyBytes   int64         // bytes of a value
+	HeaderTimeout  time.Duration // a request's header must have come by then
+	ReadTimeout    time.Duration // and all of it by then
+	WriteTimeout   time.Duration // an answer must have been taken by then, on top of what the client waits
+	IdleTimeout    time.Duration // a connection idle for longer ends
+	Settings       *activesettings.Holder
+	CursorKeysFile string        // file with the keys of cursors; empty: a key of this process alone
+	CursorLifetime time.Duration // of a cursor
 }
 
 const (
@@ -60,7 +60,7 @@
 	Now() core.Time
 	Arrive(*core.Request)
 	Gone(*core.Request)
-	Turned(front string, o record.Outcome, why record.Cause)
+	RecordFrontOutcome(front string, o record.Outcome, why record.Cause)
 }
 
 // Server accepts clients.
@@ -68,8 +68,8 @@
 	core   Core
 	conf   Config
 	log    *slog.Logger
-	claims *call.Claims
-	ring   atomic.Pointer[cursor.Ring]
+	claims *call.ActiveIDs
+	ring   atomic.Pointer[cursor.KeyRing]
 	prefix string // of ids that it gives
 	last   atomic.Uint64
 	http   http.Server
@@ -85,7 +85,7 @@
 }
 
 // New returns a server that hands its requests to c. Ids in work are shared with the other fronts by claims.
-func New(c Core, conf Config, claims *call.Claims, log *slog.Logger) (*Server, error) {
+func New(c Core, conf Config, claims *call.ActiveIDs, log *slog.Logger) (*Server, error) {
 	s := &Server{core: c, conf: conf, log: log, claims: claims}
 	s.ended.L = &s.mu
 	ring, err := conf.ring()
@@ -103,8 +103,8 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		(&problem{kind: "not-found", status: http.StatusNotFound, detail: "there is no such resource; want /v1/clusters/{n}/items or an item of it"}).write(w)
 	})
-	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.Header, ReadTimeout: conf.Read, IdleTimeout: conf.Idle, MaxHeaderBytes: headerMost,
-		WriteTimeout: conf.Read + call.MaxWait + conf.Write, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	s.http = http.Server{Handler: mux, ReadHeaderTimeout: conf.HeaderTimeout, ReadTimeout: conf.ReadTimeout, IdleTimeout: conf.IdleTimeout, MaxHeaderBytes: headerMost,
+		WriteTimeout: conf.ReadTimeout + call.MaxWait + conf.WriteTimeout, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 			if t, ok := nc.(*tracked); ok {
 				nc = t.Conn
@@ -117,7 +117,7 @@
 // Prepare checks a new configuration. apply takes over its keys, from the same file or another: cursors sealed by
 // keys that both hold go on.
 func (s *Server) Prepare(conf Config) (apply func(), err error) {
-	if conf.Keys == "" && s.conf.Keys == "" { // the process keeps its own key
+	if conf.CursorKeysFile == "" && s.conf.CursorKeysFile == "" { // the process keeps its own key
 		return func() {}, nil
 	}
 	ring, err := conf.ring()
@@ -203,7 +203,7 @@
 		if l.s.admit() {
 			return &tracked{Conn: c, s: l.s}, nil
 		}
-		l.s.core.Turned(front, record.Refused, record.Buffers)
+		l.s.core.RecordFrontOutcome(front, record.Refused, record.Buffers)
 		l.s.refuse(c)
 	}
 }
@@ -212,7 +212,7 @@
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= s.conf.Max {
+	if s.open >= s.conf.MaxConnections {
 		if len(s.lingered) == 0 {
 			return false
 		}
@@ -235,7 +235,7 @@
 		return
 	}
 	s.refusing++
-	s.start(func() { wake.Linger(c, time.Now().Add(lingerWait), lingerMost) }, func() { s.refusing-- })
+	s.start(func() { interruptible.LingeringClose(c, time.Now().Add(lingerWait), lingerMost) }, func() { s.refusing-- })
 }
 
 // linger closes a connection that was admitted, in the background.
@@ -245,7 +245,7 @@
 	s.lingered = append(s.lingered, c)
 	s.start(func() {
 		late := time.AfterFunc(lingerWait, func() { _ = c.Close() }) // net/http may have unset the deadline
-		wake.Linger(c, time.Now().Add(lingerWait), lingerMost)
+		interruptible.LingeringClose(c, time.Now().Add(lingerWait), lingerMost)
 		late.Stop()
 	}, func() {
 		if i := slices.Index(s.lingered, c); i >= 0 { // else it gave way
@@ -292,7 +292,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if p != nil {
-		s.core.Turned(front, p.outcome, p.cause)
+		s.core.RecordFrontOutcome(front, p.outcome, p.cause)
 		p.write(w)
 		return
 	}
@@ -317,7 +317,7 @@
 // await waits for the answer to a request, and tells whether it came before the client left. Behind bytes of a next
 // request net/http does not see that, so the socket is asked from time to time.
 func await(r *http.Request, answers <-chan core.Answer) (core.Answer, bool) {
-	look := time.NewTicker(hangup.Every)
+	look := time.NewTicker(peerclose.CheckInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -326,7 +326,7 @@
 		case <-r.Context().Done():
 			return core.Answer{}, false
 		case <-look.C:
-			if hangup.Seen(r.Context().Value(connection{})) {
+			if peerclose.Detected(r.Context().Value(connection{})) {
 				return core.Answer{}, false
 			}
 		}
@@ -356,7 +356,7 @@
 	if item == "" || len(item) > 256 || !utf8.ValidString(item) || strings.ContainsRune(item, 0) {
 		return bad("id", "the id has %d bytes, want 1 to 256 of UTF-8 without zeros", len(item))
 	}
-	t := s.conf.Terms.Now()
+	t := s.conf.Settings.Current()
 	k, ok := t.Class(h.Get("Reachwind-Class"), came)
 	if !ok {
 		return bad("class", "the class is %.40q, want one of the settings in Reachwind-Class", h.Get("Reachwind-Class"))
@@ -364,8 +364,8 @@
 	if k.Writes() != (op == call.Write) {
 		return bad("class", "class %q takes no %s", k.Name, r.Method)
 	}
-	tenant := t.Tenant(h.Get("Reachwind-Tenant"))
-	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.Plain(name) {
+	tenant := t.TenantIndex(h.Get("Reachwind-Tenant"))
+	if name := h.Get("Reachwind-Tenant"); tenant < 0 && name != "" && !pgwire.ValidCommentValue(name) {
 		return bad("tenant", "the tenant is %.40q, want a plain name", name)
 	}
 	wait := defaultWait
@@ -380,17 +380,17 @@
 		Key: h.Get("Idempotency-Key"), Retry: h.Get("Reachwind-Retry") == "1"}
 	if c.ID == "" {
 		c.ID = s.prefix + strconv.FormatUint(s.last.Add(1), 10)
-	} else if !pgwire.Plain(c.ID) {
+	} else if !pgwire.ValidCommentValue(c.ID) {
 		return bad("request-id", "the request id is %.40q, want a plain name", c.ID)
 	}
-	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.Plain(c.Key) {
+	if k.Effect == decide.Keyed && c.Key == "" || c.Key != "" && !pgwire.ValidCommentValue(c.Key) {
 		return bad("idempotency-key", "the Idempotency-Key is %.40q, want a plain name", c.Key)
 	}
 	if op == call.Write {
-		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.Body)); err != nil {
+		if c.Value, err = io.ReadAll(http.MaxBytesReader(nil, r.Body, s.conf.MaxBodyBytes)); err != nil {
 			var long *http.MaxBytesError
 			if errors.As(err, &long) {
-				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.Body), outcome: record.Failed, cause: record.Invalid}
+				return nil, nil, &problem{kind: "too-large", status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("the value is longer than %d bytes", s.conf.MaxBodyBytes), outcome: record.Failed, cause: record.Invalid}
 			}
 			return bad("body", "the body did not come whole")
 		}
@@ -407,8 +407,8 @@
 	if !s.claims.Claim(c.ID) {
 		return nil, nil, &problem{kind: "request-id-in-use", status: http.StatusConflict, detail: "a request with this id is in work", outcome: record.Failed, cause: record.InUse}
 	}
-	c.Done = func() { s.claims.Disclaim(c.ID) }
-	q := &core.Request{Class: k.Class, Place: k.Place, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, AtLeast: atLeast, Until: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
+	c.Done = func() { s.claims.Release(c.ID) }
+	q := &core.Request{Class: k.Class, ClassIndex: k.Index, Tenant: tenant, Group: cluster, Retry: c.Retry, Front: front, Call: c, MinPosition: atLeast, Deadline: came + min(core.Time(min(wait, call.MaxWait)), k.Deadline)}
 	if k.HasSession() {
 		if q.Session = h.Get("Reachwind-Session"); q.Session == "" {
 			q.Session = c.Item // as in PostgreSQL, where the quoted key names it
@@ -422,7 +422,7 @@
 	h := w.Header()
 	switch a.Verdict {
 	case core.Refused:
-		refused(a.After).write(w)
+		refused(a.RetryAfter).write(w)
 		return
 	case core.Failed:
 		failed(a.MayHaveRun).write(w)
@@ -452,7 +452,7 @@
 		return
 	}
 	h.Set("Content-Length", strconv.Itoa(len(value)))
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.conf.Write))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.conf.WriteTimeout))
 	_, _ = w.Write(value)
 }
 
