--- a/decide/decide.go
+++ b/decide/decide.go
@@ -19,35 +19,35 @@
 
 // Parameters of the policy. A ratio without a unit is a fraction or a multiple of what its comment names.
 const (
-	sweepInterval       = 10 * time.Millisecond // period of the checks of timers, held requests and silent members
+	sweepInterval       = 10 * time.Millisecond // period of the checks of deadlines and silent members
 	fullSweepInterval   = 4 * sweepInterval     // period of the same checks in groups without recent requests
 	groupActiveTime     = 2 * time.Second       // a request or outcome within this time makes its group active
 	clockSlack          = 2 * time.Millisecond  // rounding of reported positions and ages
-	listLag             = 8 * time.Second       // age assumed of a role in the list; newer evidence of a role overrides it
+	listLag             = 8 * time.Second       // assumed age of a role in the list; newer evidence overrides it
 	initialCostFraction = 0.2                   // initial cost of a class, as a fraction of its latency target
 
-	costRiseRate = 0.01 // weight of an answer slower than the class's cost: small, as time in a queue is not cost
+	costRiseRate = 0.01 // weight of an answer slower than the cost: small, as queueing is not cost
 	costFallRate = 0.03 // weight of a faster answer
 
 	sampleWeight     = 0.1             // weight of one answer in a member's averages: about ten answers count
-	maxSampleWeight  = 0.9             // largest weight of one answer after a long silence, as old samples are weak evidence
-	sampleAgeScale   = 4 * time.Second // the weight grows with the age of the last sample as a fraction of this
-	maxSlowdown      = 30.0            // cap of one slowdown sample, so that one very late answer can't exclude a member
-	evidenceLifetime = 3 * time.Second // older evidence of slowness loses weight, so that a recovered member is tried again
-	otherZoneFactor  = 1.2             // score factor of a member in another zone; ties go to the front's own zone
+	maxSampleWeight  = 0.9             // largest weight, after a long silence: old samples are weak
+	sampleAgeScale   = 4 * time.Second // the weight is the age of the last sample as a fraction of this
+	maxSlowdown      = 30.0            // cap of one sample, so that one very late answer can't exclude a member
+	evidenceLifetime = 3 * time.Second // older evidence loses weight, so that a recovered member is tried again
+	otherZoneFactor  = 1.2             // score factor of a member in another zone; breaks ties by zone
 	tieBreakNoise    = 0.1             // random part of a score, so that fronts with the same view don't herd
 
-	laggingMultiple   = 3.0 // a replica that lags by more than this multiple of the tightest bound needs its cores to catch up
+	laggingMultiple   = 3.0 // lagging by more than this multiple of the tightest bound, a replica has to catch up
 	laggingLoadFactor = 2.0 // and counts as this many times as loaded
 
 	longReadMultiple = 4.0  // a read that costs this multiple of the cheapest class counts as long
-	maxLatencyRatio  = 0.45 // above this ratio of latency to target a longer queue gains nothing: the limit falls
-	limitCutFactor   = 0.85 // factor of the limit for each round trip above strainAim
+	maxLatencyRatio  = 0.45 // above this ratio of latency to target the limit falls: longer queues gain nothing
+	limitCutFactor   = 0.85 // factor of the limit for each round trip above maxLatencyRatio
 	minConcurrency   = 4.0  // requests that any member processes in parallel, from all fronts together
-	minLimitRequests = 2.0  // lowest limit, in requests of the cheapest class: only answers show that a member recovered
+	minLimitRequests = 2.0  // lowest limit, in the cheapest requests: only answers show a recovery
 
-	shedLatencyRatio = 0.38 // above this ratio of latency to target some reads are kept away from a member, at random
-	shedExponent     = 3.0  // exponent of that: 7 of 8 stay away at twice the ratio
+	shedLatencyRatio = 0.38 // above this ratio of latency to target some reads are shed, at random
+	shedExponent     = 3.0  // exponent of the shed fraction: 7 in 8 at twice the ratio
 
 	spareLimitFraction = 0.5 // reads spill over to a primary that uses less than this fraction of its limit
 
@@ -55,7 +55,7 @@
 	silenceFewFactor = 2.0 // and longer with few attempts outstanding, by this divided by their number
 
 	minSilence      = 60 * time.Millisecond // shortest silence that counts
-	maxConnFailures = 2                     // broken connections with no answer in between that are no coincidence
+	maxConnFailures = 2                     // broken connections in a row that are no coincidence
 
 	lostMultiple = 5.0 // an answer is presumed lost after this multiple of its usual time
 	minOvertaken = 3   // if as many attempts sent later have been answered
@@ -65,7 +65,7 @@
 
 	maxErrorRate = 0.3 // a member with a higher fraction of errors is used last
 
-	minHalfOpenDelay = 300 * time.Millisecond // delay before the first half-open probe of a suspect; it doubles with each
+	minHalfOpenDelay = 300 * time.Millisecond // delay of a suspect's first half-open probe, doubling with each
 	maxHalfOpenDelay = time.Second            // longest delay between half-open probes
 
 	attemptTimeMultiple = 1.5 // an attempt is worth sending while this multiple of its usual time is left,
@@ -73,7 +73,7 @@
 
 	rerouteFraction = 0.5 // a read outstanding for this fraction of its target may be sent to another member too
 
-	retryTokensPerRequest = 0.2  // retry tokens earned by each request: one in five may be retried after a failure
+	retryTokensPerRequest = 0.2  // tokens earned by each request: one in five may be retried after a failure
 	maxRetryTokens        = 20.0 // most tokens kept, for bursts
 
 	retryPause = 50 * time.Millisecond // a member that turned a request away isn't tried again for it before
@@ -81,16 +81,16 @@
 	primarySearchInterval = 150 * time.Millisecond // interval between checks of a member that may be primary
 	primarySearchPerFront = 5 * time.Millisecond   // the same for each front, where that is longer
 
-	fleetProbeInterval = 10 * time.Millisecond // shortest interval between probes of a member by all fronts together
-	reservedAttempts   = 2                     // attempts kept back from the search for a primary, for when it is known
-	refreshBonus       = 0.25                  // largest score bonus of a replica not heard of for the tightest bound
+	fleetProbeInterval = 10 * time.Millisecond // shortest interval of probes of a member by all fronts
+	reservedAttempts   = 2                     // attempts kept back in a search for a primary, for when it is known
+	refreshBonus       = 0.25                  // largest score bonus, for a replica unheard of for the tightest bound
 
 	peerReportLifetime = 2 * time.Second // a probe started by a peer's report must have ended within this time
 
 	probeWait        = 30 * time.Millisecond // how long a read waits for a probe made for it
 	maxProbesPerRead = 2                     // most probes made for one read
 
-	slowStartHeadroom = 1.25 // factor on the configured overload multiple, as a member can take more than its usual load
+	slowStartHeadroom = 1.25 // factor on the overload multiple, as members can take more than their usual load
 
 	tokenLifetimeFraction      = 0.125 // unused slow-start tokens are kept for this fraction of OverloadTime,
 	firstTokenLifetimeFraction = 0.5   // for this fraction of it up to the first request,
@@ -98,7 +98,7 @@
 
 	maxSessions = 4096 // sessions per group whose commits are kept while a member may lack them
 
-	goneRetention = time.Minute // a member that left the list is kept for this time, as it may restart under its id
+	goneRetention = time.Minute // members that left the list are kept so long, as they may restart
 	logInterval   = time.Second // shortest interval between log texts
 )
 
@@ -111,7 +111,8 @@
 	r := &Router{rng: rand.New(rand.NewPCG(seed, 0x656c646572)), now: distantPast, commitFloor: distantPast,
 		members: map[string]*member{}, groups: map[int64]*group{}, budgetShares: [4]float64{1, 1, 1, 1},
 		requests: map[uint64]*request{}, retryTokens: maxRetryTokens,
-		wakeAt: distantPast, nextLogAt: distantPast, sweptAt: distantPast, sweptAllAt: distantPast, savedListUntil: distantFuture, watchSentAt: distantPast}
+		wakeAt: distantPast, nextLogAt: distantPast, sweptAt: distantPast, sweptAllAt: distantPast,
+		savedListUntil: distantFuture, watchSentAt: distantPast}
 	r.pacer = DiscoveryPacer{Fronts: cfg.Fronts, Random: r.rng.Float64}
 	r.configure(cfg)
 	return r, nil
@@ -273,7 +274,8 @@
 		k = r.classes[e.Class]
 	}
 	q := &request{id: e.Request, class: k, group: r.groups[e.Group], session: e.Session, arrived: r.now,
-		maxAttempts: r.cfg.MaxAttempts, targetAt: r.now + k.LatencyTarget - e.Waited, deadline: r.now + e.Remaining, sessionPosition: distantPast,
+		maxAttempts: r.cfg.MaxAttempts, targetAt: r.now + k.LatencyTarget - e.Waited,
+		deadline: r.now + e.Remaining, sessionPosition: distantPast,
 		minPosition: distantPast, chance: r.rng.Float64()}
 	r.requests[q.id] = q
 	r.openRequests = append(r.openRequests, q)
@@ -310,7 +312,8 @@
 		return 1
 	}
 	for i := range r.tenantTokens {
-		r.tenantTokens[i] = min(maxRetryTokens, r.tenantTokens[i]+r.cfg.Tenants[i].Share*r.budgetShares[TenantBudget])
+		r.tenantTokens[i] = min(maxRetryTokens,
+			r.tenantTokens[i]+r.cfg.Tenants[i].Share*r.budgetShares[TenantBudget])
 	}
 	if !r.countBudgetUse(TenantBudget, r.tenantTokens[tenant] >= 1) {
 		return max(r.cfg.OverShareFactor, 0.01)
@@ -378,7 +381,8 @@
 		return q.outstanding == 0 || r.cfg.MayDuplicate && q.outstanding < 2
 	case Keyed:
 		inScope := q.class.KeyScope != ScopeZone || m.Zone == q.firstRunZone
-		return q.outstanding == 0 && (!q.mayHaveRun || inScope && r.now-q.firstRunAt < q.class.KeyWindow-sweepInterval)
+		return q.outstanding == 0 && (!q.mayHaveRun ||
+			inScope && r.now-q.firstRunAt < q.class.KeyWindow-sweepInterval)
 	}
 	return q.outstanding == 0 && !q.mayHaveRun
 }
@@ -417,7 +421,8 @@
 	case Bounded:
 		return max(q.minPosition, r.now-q.class.Bound)
 	case Session: // the session's commit may be reported while q is held
-		return max(q.minPosition, q.sessionPosition, cmp.Or(q.group.sessions[q.session], distantPast), r.inDoubtUntil(q))
+		return max(q.minPosition, q.sessionPosition, cmp.Or(q.group.sessions[q.session], distantPast),
+			r.inDoubtUntil(q))
 	case Fresh:
 		return q.arrived
 	}
@@ -455,7 +460,8 @@
 			continue
 		}
 		if m.position < need {
-			if r.cfg.StaleReads != StaleReadAnswer && r.hasCapacity(m, q, 1) && (ahead == nil || m.position > ahead.position) {
+			if r.cfg.StaleReads != StaleReadAnswer && r.hasCapacity(m, q, 1) &&
+				(ahead == nil || m.position > ahead.position) {
 				ahead = m
 			}
 			continue
@@ -491,7 +497,8 @@
 	case p == nil || !r.usable(p, q):
 		q.group.neededAt = r.now
 		return errs
-	case !qualified && r.hasCapacity(p, q, 1) && r.admitsRead(p, q), qualified && r.hasCapacity(p, q, spareLimitFraction):
+	case !qualified && r.hasCapacity(p, q, 1) && r.admitsRead(p, q),
+		qualified && r.hasCapacity(p, q, spareLimitFraction):
 		return p
 	}
 	return errs
@@ -522,7 +529,8 @@
 // are shed.
 func (r *Router) admitsRead(m *member, q *request) bool {
 	f := m.evidenceWeight(r.now)
-	return q.chance*math.Pow((f*m.latencyRatio+(1-f)*r.roleStats(m).latencyRatio)/shedLatencyRatio, shedExponent) < 1
+	return q.chance*math.Pow((f*m.latencyRatio+(1-f)*r.roleStats(m).latencyRatio)/shedLatencyRatio,
+		shedExponent) < 1
 }
 
 // score is SELF, lower is better: the work outstanding at m from this front plus q's own. As other fronts
@@ -566,7 +574,8 @@
 	}
 	if m.suspect { // a half-open probe needs the time to be answered
 		left := float64(q.usefulUntil() - r.now)
-		return r.now >= m.halfOpenAt && len(m.attempts) == 0 && left > attemptTimeFraction*float64(q.class.LatencyTarget)
+		return r.now >= m.halfOpenAt && len(m.attempts) == 0 &&
+			left > attemptTimeFraction*float64(q.class.LatencyTarget)
 	}
 	return true
 }
@@ -574,7 +583,8 @@
 // tooLate reports that m would probably answer too late. With the whole target left an attempt is always
 // worth it.
 func (r *Router) tooLate(q *request, m *member) bool {
-	takes := min(attemptTimeMultiple*q.class.cost*m.slowness(r.now), attemptTimeFraction*float64(q.class.LatencyTarget))
+	takes := min(attemptTimeMultiple*q.class.cost*m.slowness(r.now),
+		attemptTimeFraction*float64(q.class.LatencyTarget))
 	return float64(q.usefulUntil()-r.now) < takes
 }
 
@@ -604,7 +614,8 @@
 	}
 	act := Action{Kind: Send, Request: q.id, Member: m.ID, Timeout: max(q.usefulUntil()-r.now, clockSlack),
 		MinPosition: r.requiredPosition(q)}
-	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() && r.cfg.StaleReads == StaleReadAnswer {
+	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() &&
+		r.cfg.StaleReads == StaleReadAnswer {
 		act.WriteBy = m.position + k.Bound // the known position meets the bound until then
 	} else if k.Effect == Keyed && q.mayHaveRun {
 		act.WriteBy = q.firstRunAt + k.KeyWindow // the attempt may wait for a connection
@@ -670,7 +681,7 @@
 	if e.HasPosition && !write && e.Role == Replica {
 		r.learnPosition(m, e.Position)
 	}
-	if e.Result == Misdirected && q.class.Consistency == Write { // whatever role it reports, it is no primary now
+	if e.Result == Misdirected && q.class.Consistency == Write { // whatever it reports, it is no primary
 		r.learnRole(m, Replica, r.now)
 	} else {
 		r.learnRole(m, e.Role, r.now)
@@ -742,7 +753,8 @@
 // overdueAnswer reports that a's answer is long overdue. Later attempts of a request are given more time.
 func (r *Router) overdueAnswer(a *attempt) bool {
 	usual := a.cost * a.member.servedSlowdown * float64(a.number+1)
-	return (a.overtaken >= minOvertaken || r.lossRate > minLossRate) && float64(r.now-a.sent) > lostMultiple*usual
+	return (a.overtaken >= minOvertaken || r.lossRate > minLossRate) &&
+		float64(r.now-a.sent) > lostMultiple*usual
 }
 
 // presumedLost reports that a's answer will not come, given the fraction of overdue answers that did not.
@@ -840,7 +852,8 @@
 	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // infeasible calls this too
 		return false
 	}
-	part := r.cfg.SlowStartFraction + (1-r.cfg.SlowStartFraction)*float64(r.now-m.Started)/float64(max(r.cfg.SlowStartTime, 1))
+	part := r.cfg.SlowStartFraction +
+		(1-r.cfg.SlowStartFraction)*float64(r.now-m.Started)/float64(max(r.cfg.SlowStartTime, 1))
 	rate := r.usualWork() * part * r.cfg.OverloadMultiple * slowStartHeadroom * r.budgetShares[ColdBudget]
 	m.slowStart.accrue(r.now, rate, float64(r.cfg.OverloadTime))
 	yes := m.slowStart.admit(q.class.cost, !q.hasUnusedAdmission())
@@ -923,7 +936,8 @@
 	a := q.attempts[slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.done })]
 	late := r.heldRequests == 0 && r.now-a.sent > Time(rerouteFraction*float64(q.class.LatencyTarget))
 	// a half-open probe of a suspect must have the time to be answered
-	stuck := a.member.suspect && (a.sent <= a.member.suspectAt || r.now-a.sent > r.silenceTolerance(a.member, a.cost))
+	stuck := a.member.suspect && (a.sent <= a.member.suspectAt ||
+		r.now-a.sent > r.silenceTolerance(a.member, a.cost))
 	lost := r.presumedLost(a)
 	if a.cancelled || q.class.Effect == Once || r.retryTokens < 1 || !stuck && !late && !lost {
 		return
@@ -989,7 +1003,8 @@
 // probe requests m's report, unless all fronts together might probe it too often. It reports whether it
 // did.
 func (r *Router) probe(m *member) bool {
-	if r.barred(m) || !r.countBudgetUse(ProbeBudget, r.now-m.probedAt >= r.fleetInterval(fleetProbeInterval, ProbeBudget)) {
+	if r.barred(m) ||
+		!r.countBudgetUse(ProbeBudget, r.now-m.probedAt >= r.fleetInterval(fleetProbeInterval, ProbeBudget)) {
 		return false
 	}
 	m.probedAt, m.probing = r.now, true
@@ -1004,7 +1019,8 @@
 	}
 	m.probing = false
 	if e.Result != Served || !e.Report.HasPosition {
-		if r.now-m.peerReportAt < peerReportLifetime && m.answeredAt < m.probedAt && (e.Result == TimedOut || e.Result == Unreachable) {
+		if r.now-m.peerReportAt < peerReportLifetime && m.answeredAt < m.probedAt &&
+			(e.Result == TimedOut || e.Result == Unreachable) {
 			r.markSuspect(m, e.Result == Unreachable) // the peer's report is confirmed
 		}
 		m.probeGap = min(2*m.probeGap, max(r.tightestBound*3, time.Second))
