--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -13,72 +13,72 @@
 	"reachwind/internal/wire"
 )
 
-// instance is one router and the events it has not seen yet.
+// instance is one router, with the events of the present batch.
 type instance struct {
-	name    string
-	router  *decide.Router
-	events  []decide.Event
-	actions []decide.Action
-	zero    time.Duration
-	classes map[string]int
-	tenants map[string]int
+	name           string
+	router         *decide.Router
+	events         []decide.Event
+	actions        []decide.Action
+	positionOrigin time.Duration
+	classes        map[string]int
+	tenants        map[string]int
 }
 
-// host keeps the instances of this process.
+// host holds the instances of this process and the state of the batch that is being read.
 type host struct {
-	open      bool
-	now       time.Duration
-	instances map[string]*instance
-	busy      []*instance // those with events in this batch, in order
-	lists     [16][]decide.Member
-	filling   *[]decide.Member
-	missing   int // STORE lines still owed
-	line1     wire.Line
+	inBatch        bool
+	now            time.Duration
+	instances      map[string]*instance
+	pending        []*instance // those with events in this batch, in the order of their first event
+	lists          [16][]decide.Member
+	currentList    *[]decide.Member
+	missingEntries int // STORE lines still to come
+	parsed         wire.Line
 }
 
 func newHost() *host { return &host{instances: map[string]*instance{}} }
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// line takes one line and reports whether a batch is complete.
-func (h *host) line(s string) (bool, error) {
+// handleLine handles one line and reports whether it completes a batch.
+func (h *host) handleLine(s string) (bool, error) {
 	if s == "" {
 		return false, errors.New("empty line")
 	}
-	l := &h.line1
+	l := &h.parsed
 	if err := l.Parse(s); err != nil {
 		return false, err
 	}
-	r := &wire.Reader{L: l}
-	if (l.Name == "TURN") == h.open {
+	r := &wire.Reader{Line: l}
+	if (l.Name == "TURN") == h.inBatch {
 		return false, fmt.Errorf("%s out of place", l.Name)
 	}
-	if (l.Name == "STORE") != (h.missing > 0) {
-		return false, fmt.Errorf("%s where %d STORE lines are due", l.Name, h.missing)
+	if (l.Name == "STORE") != (h.missingEntries > 0) {
+		return false, fmt.Errorf("%s where %d STORE lines are due", l.Name, h.missingEntries)
 	}
 	switch l.Name {
 	case "TURN":
-		now := us(r.Int("WallUs"))
+		now := microseconds(r.Int("WallUs"))
 		if r.Err == nil && now < h.now {
 			return false, errors.New("TURN: the clock goes back")
 		}
-		h.open, h.now, h.busy = true, now, h.busy[:0]
+		h.inBatch, h.now, h.pending = true, now, h.pending[:0]
 	case "FLUSH":
-		h.open = false
+		h.inBatch = false
 		return true, nil
 	case "SHEET":
-		h.sheet(r)
+		h.beginList(r)
 	case "STORE":
-		h.store(r)
+		h.addListEntry(r)
 	case "PROVISION":
-		h.provision(r)
+		h.createInstance(r)
 	default:
-		h.event(l.Name, r)
+		h.addEvent(l.Name, r)
 	}
 	return false, r.Err
 }
 
-func (h *host) sheet(r *wire.Reader) {
+func (h *host) beginList(r *wire.Reader) {
 	bank, n := r.Int("Bank"), r.Int("Items")
 	if r.Err == nil && (bank < 0 || int(bank) >= len(h.lists) || n < 0 || n > 1e6) {
 		r.Err = fmt.Errorf("SHEET: Bank %d with %d Items", bank, n)
@@ -87,35 +87,35 @@
 		return
 	}
 	h.lists[bank] = make([]decide.Member, 0, n) // routers may still hold the old one
-	h.filling, h.missing = &h.lists[bank], int(n)
+	h.currentList, h.missingEntries = &h.lists[bank], int(n)
 }
 
 var states = map[string]decide.MemberState{
 	"up": decide.Up, "draining": decide.Draining, "removed": decide.Removed,
 }
 
-func (h *host) store(r *wire.Reader) {
+func (h *host) addListEntry(r *wire.Reader) {
 	m := decide.Member{
-		ID: r.Need("Store"), Group: int64(r.OptNum("Db", 0)), Zone: r.Opt("Dc"), Kind: r.Opt("ClassOfHost"),
-		Weight: r.OptNum("Heft", 1), Started: us(r.OptInt("LaunchedUs")), Primary: r.OptNum("Leader", 0) == 1,
+		ID: r.Text("Store"), Group: int64(r.OptNum("Db", 0)), Zone: r.OptText("Dc"), Kind: r.OptText("ClassOfHost"),
+		Weight: r.OptNum("Heft", 1), Started: microseconds(r.OptInt("LaunchedUs")), Primary: r.OptNum("Leader", 0) == 1,
 	}
-	m.State = lookup(r, "State", r.Need("State"), states)
-	*h.filling = append(*h.filling, m)
-	h.missing--
+	m.State = lookup(r, "State", r.Text("State"), states)
+	*h.currentList = append(*h.currentList, m)
+	h.missingEntries--
 }
 
-// lookup finds a word in a table and faults on an unknown one.
+// lookup returns the value of a word in a table. An unknown word is an error.
 func lookup[T any](r *wire.Reader, name, word string, table map[string]T) T {
 	v, ok := table[word]
 	if !ok && r.Err == nil {
-		r.Err = fmt.Errorf("%s: field %s: unknown word %q", r.L.Name, name, word)
+		r.Err = fmt.Errorf("%s: field %s: unknown word %q", r.Line.Name, name, word)
 	}
 	return v
 }
 
-func (h *host) provision(r *wire.Reader) {
-	name, seed := r.Need("FrontId"), r.Need("Seed")
-	text := r.Need("Facts")
+func (h *host) createInstance(r *wire.Reader) {
+	name, seed := r.Text("FrontId"), r.Text("Seed")
+	text := r.Text("Facts")
 	if r.Err != nil {
 		return
 	}
@@ -143,7 +143,7 @@
 		r.Err = fmt.Errorf("PROVISION: %w", err)
 		return
 	}
-	in := &instance{name: name, router: router, zero: us(facts.FamilyInfo.CountedFromUs),
+	in := &instance{name: name, router: router, positionOrigin: microseconds(facts.FamilyInfo.CountedFromUs),
 		classes: map[string]int{}, tenants: map[string]int{}}
 	for i := range cfg.Classes {
 		in.classes[cfg.Classes[i].Name] = i
@@ -158,13 +158,13 @@
 	results = map[string]decide.Result{"pass": decide.Served, "fault": decide.Errored, "no_room": decide.Full,
 		"too_slow": decide.TimedOut, "no_route": decide.Unreachable, "cut": decide.Reset,
 		"undone": decide.Cancelled, "stale_send": decide.NotSent, "none_here": decide.Misdirected}
-	lists = map[string]decide.EventKind{"Partial": decide.ListChange, "Complete": decide.ListFull,
+	listKinds = map[string]decide.EventKind{"Partial": decide.ListChange, "Complete": decide.ListFull,
 		"Persisted": decide.ListSaved, "Error": decide.ListError}
 )
 
-// event translates one event of an instance.
-func (h *host) event(name string, r *wire.Reader) {
-	id := r.Need("FrontId")
+// addEvent translates an event and queues it for its instance.
+func (h *host) addEvent(name string, r *wire.Reader) {
+	id := r.Text("FrontId")
 	if r.Err != nil {
 		return
 	}
@@ -185,7 +185,7 @@
 		delete(h.instances, id)
 		return
 	case "DISCOVERY":
-		e.Kind = lookup(r, "How", r.Need("How"), lists)
+		e.Kind = lookup(r, "How", r.Text("How"), listKinds)
 		if e.Kind != decide.ListError {
 			bank := r.Int("Bank")
 			if r.Err == nil && (bank < 0 || int(bank) >= len(h.lists) || h.lists[bank] == nil) {
@@ -195,25 +195,25 @@
 			e.Members = h.lists[bank]
 		}
 	case "JOB_IN":
-		h.arrival(&e, in, r)
+		h.fillArrival(&e, in, r)
 	case "HEAD_RECEIVED":
-		e.Kind, e.Request, e.Member, e.Attempt = decide.FirstByte, reqID(r), r.Need("Store"), int(r.Int("Hop"))
+		e.Kind, e.Request, e.Member, e.Attempt = decide.FirstByte, requestID(r), r.Text("Store"), int(r.Int("Hop"))
 	case "WAKE":
 		e.Kind = decide.Timer
-	case "MAIL": // the routers send none
+	case "MAIL": // messages between instances: routers send none
 		return
 	case "ENDED":
-		e.Kind, e.Request, e.Member, e.Attempt = decide.Outcome, reqID(r), r.Need("Store"), int(r.Int("Hop"))
-		e.Result = lookup(r, "Reason", r.Need("Reason"), results)
-		e.Elapsed, e.Ended = us(r.OptInt("SpentUs")), r.Bool("Complete")
-		in.note(&e, r.OptInt("PosRole"))
-		in.report(&e, r)
+		e.Kind, e.Request, e.Member, e.Attempt = decide.Outcome, requestID(r), r.Text("Store"), int(r.Int("Hop"))
+		e.Result = lookup(r, "Reason", r.Text("Reason"), results)
+		e.Elapsed, e.Ended = microseconds(r.OptInt("SpentUs")), r.Bool("Complete")
+		in.setRoleAndPosition(&e, r.OptInt("PosRole"))
+		in.addReport(&e, r)
 	case "TIMED_OUT_CLIENT":
-		e.Kind, e.Request = decide.ClientGone, reqID(r)
+		e.Kind, e.Request = decide.ClientGone, requestID(r)
 	case "PROBE_DONE":
-		e.Kind, e.Member, e.Elapsed = decide.Probed, r.Need("Store"), us(r.OptInt("SpentUs"))
-		e.Result = lookup(r, "Reason", r.Need("Reason"), results)
-		in.report(&e, r)
+		e.Kind, e.Member, e.Elapsed = decide.Probed, r.Text("Store"), microseconds(r.OptInt("SpentUs"))
+		e.Result = lookup(r, "Reason", r.Text("Reason"), results)
+		in.addReport(&e, r)
 	default:
 		r.Err = fmt.Errorf("unknown message %q", name)
 	}
@@ -221,25 +221,25 @@
 		return
 	}
 	if len(in.events) == 0 {
-		h.busy = append(h.busy, in)
+		h.pending = append(h.pending, in)
 	}
 	in.events = append(in.events, e)
 }
 
-func reqID(r *wire.Reader) uint64 {
+func requestID(r *wire.Reader) uint64 {
 	n := r.Int("Job")
 	if r.Err == nil && (n < 0 || n >= 1<<32) {
-		r.Err = fmt.Errorf("%s: field Job: %d is out of range", r.L.Name, n)
+		r.Err = fmt.Errorf("%s: field Job: %d is out of range", r.Line.Name, n)
 	}
 	return uint64(n)
 }
 
-func (h *host) arrival(e *decide.Event, in *instance, r *wire.Reader) {
-	e.Kind, e.Request, e.Session, e.IsRetry = decide.Arrive, reqID(r), r.Opt("User"), r.Bool("IsRetry")
-	e.Group, e.Remaining = int64(r.OptNum("SetNo", 0)), us(r.Int("RemainingUs"))
-	e.Class = lookup(r, "Band", r.Need("Band"), in.classes)
+func (h *host) fillArrival(e *decide.Event, in *instance, r *wire.Reader) {
+	e.Kind, e.Request, e.Session, e.IsRetry = decide.Arrive, requestID(r), r.OptText("User"), r.Bool("IsRetry")
+	e.Group, e.Remaining = int64(r.OptNum("SetNo", 0)), microseconds(r.Int("RemainingUs"))
+	e.Class = lookup(r, "Band", r.Text("Band"), in.classes)
 	e.Tenant = -1
-	if p := r.Opt("Party"); p != "" && p != "0" {
+	if p := r.OptText("Party"); p != "" && p != "0" {
 		e.Tenant = lookup(r, "Party", p, in.tenants)
 	}
 	if age := r.OptNum("TokenAgeMs", 0); age > 0 {
@@ -247,8 +247,8 @@
 	}
 }
 
-// note splits the position and role of an answer.
-func (in *instance) note(e *decide.Event, v int64) {
+// setRoleAndPosition decodes an answer's role, in the low two bits, and its position in ms, in the others.
+func (in *instance) setRoleAndPosition(e *decide.Event, v int64) {
 	switch v & 3 {
 	case 1:
 		e.Role = decide.Primary
@@ -256,42 +256,42 @@
 		e.Role = decide.Replica
 	}
 	if ms := v >> 2; ms > 0 {
-		e.HasPosition, e.Position = true, in.zero+time.Duration(ms)*time.Millisecond
+		e.HasPosition, e.Position = true, in.positionOrigin+time.Duration(ms)*time.Millisecond
 	}
 }
 
-// report translates a load report and skips values it does not know.
-func (in *instance) report(e *decide.Event, r *wire.Reader) {
-	r.Load("Load", func(key string, v float64) { settings.SetReportFigure(&e.Report, in.zero, key, v) })
+// addReport translates a load report. Unknown values are skipped.
+func (in *instance) addReport(e *decide.Event, r *wire.Reader) {
+	r.EachFigure("Load", func(key string, v float64) { settings.SetReportFigure(&e.Report, in.positionOrigin, key, v) })
 }
 
-// reply runs the routers that had events and writes their actions.
-func (h *host) reply(w *bufio.Writer) {
-	for _, in := range h.busy {
+// writeReply steps the routers that had events and writes their actions.
+func (h *host) writeReply(w *bufio.Writer) {
+	for _, in := range h.pending {
 		if h.instances[in.name] != in || len(in.events) == 0 {
 			continue
 		}
 		in.actions = in.router.Step(h.now, in.events, in.actions[:0])
 		in.events = in.events[:0]
 		for i := range in.actions {
-			in.write(w, &in.actions[i])
+			in.writeAction(w, &in.actions[i])
 		}
 	}
 	_, _ = w.WriteString("END\n")
 }
 
-var verbs = map[decide.ActionKind]string{
+var messageNames = map[decide.ActionKind]string{
 	decide.Send: "DELIVER", decide.Cancel: "CANCEL", decide.Refuse: "TURN_AWAY", decide.Fail: "ERROR",
 	decide.Probe: "SAMPLE", decide.Wake: "TIMER", decide.Watch: "FOLLOW",
 	decide.Fetch: "LIST_ALL", decide.Notify: "EMIT",
 }
 
-// write puts one action on the wire; write errors show at the flush.
-func (in *instance) write(w *bufio.Writer, a *decide.Action) {
+// writeAction writes one action as a line. Write errors are reported by the flush.
+func (in *instance) writeAction(w *bufio.Writer, a *decide.Action) {
 	if a.Kind == decide.Notify && a.Text == "" {
 		return
 	}
-	_, _ = fmt.Fprintf(w, "%s FrontId=%s", verbs[a.Kind], in.name)
+	_, _ = fmt.Fprintf(w, "%s FrontId=%s", messageNames[a.Kind], in.name)
 	switch a.Kind {
 	case decide.Send:
 		_, _ = fmt.Fprintf(w, " Job=%d Store=%s", a.Request, a.Member)
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
-// Command adapter hosts routers on the simulator's wire. It reads batches of
-// events on standard input, hands them to the routers of package decide and
-// writes their actions. It translates and decides nothing.
+// Command adapter connects routers of package decide to the simulator. It reads
+// batches of events from standard input, in the simulator's protocol, passes them
+// to the routers and writes the resulting actions to standard output.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	}
 }
 
-// run serves batches until the input ends.
+// run handles batches until the input ends. An error names the input line.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
@@ -25,7 +25,7 @@
 	for n := 1; ; n++ {
 		s, err := r.ReadString('\n')
 		if err == io.EOF && s == "" {
-			if h.open {
+			if h.inBatch {
 				return fmt.Errorf("line %d: input ends inside a batch", n)
 			}
 			return nil
@@ -36,14 +36,14 @@
 		if l := len(s); s[l-1] == '\n' {
 			s = s[:l-1]
 		}
-		done, err := h.line(s)
+		done, err := h.handleLine(s)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if !done {
 			continue
 		}
-		h.reply(w)
+		h.writeReply(w)
 		if err := w.Flush(); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -9,13 +9,13 @@
 	`"FamilyInfo":{"Consistency":["any"],"ClassBoundUs":[0],"ServerChecks":"off"},` +
 	`"Grades":[{"Name":"r","Effect":"repeatable","KeyScope":"all","AimUs":100000,"DeadlineUs":500000,"Value":1}]}`
 
-const begin = "TURN WallUs=1000\nPROVISION FrontId=front-0 Seed=5 Facts=" + facts + "\n" +
+const setup = "TURN WallUs=1000\nPROVISION FrontId=front-0 Seed=5 Facts=" + facts + "\n" +
 	"SHEET Bank=0 Items=2\nSTORE Heft=1 Store=store.a Db=1 Leader=1 State=up\nSTORE Store=store.b Db=1 State=up\n" +
 	"DISCOVERY FrontId=front-0 How=Persisted Version=1 Bank=0\n"
 
 func TestBatch(t *testing.T) {
 	var out strings.Builder
-	in := begin + "JOB_IN FrontId=front-0 Job=7 RemainingUs=400000 SetNo=1 Band=r New=1\nFLUSH\nTURN WallUs=2000\nFLUSH\n"
+	in := setup + "JOB_IN FrontId=front-0 Job=7 RemainingUs=400000 SetNo=1 Band=r New=1\nFLUSH\nTURN WallUs=2000\nFLUSH\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -29,15 +29,15 @@
 
 func TestBadLines(t *testing.T) {
 	tests := map[string]struct{ in, want string }{
-		"unknown message":  {begin + "NONSENSE FrontId=front-0\n", "line 7: unknown message"},
-		"unknown instance": {begin + "WAKE FrontId=front-9 Handle=x\n", `line 7: WAKE: unknown instance "front-9"`},
-		"missing field":    {begin + "JOB_IN FrontId=front-0 Band=r RemainingUs=1\n", "missing field Job"},
-		"unknown class":    {begin + "JOB_IN FrontId=front-0 Job=1 Band=z RemainingUs=1\n", "unknown word"},
+		"unknown message":  {setup + "NONSENSE FrontId=front-0\n", "line 7: unknown message"},
+		"unknown instance": {setup + "WAKE FrontId=front-9 Handle=x\n", `line 7: WAKE: unknown instance "front-9"`},
+		"missing field":    {setup + "JOB_IN FrontId=front-0 Band=r RemainingUs=1\n", "missing field Job"},
+		"unknown class":    {setup + "JOB_IN FrontId=front-0 Job=1 Band=z RemainingUs=1\n", "unknown word"},
 		"no turn":          {"FLUSH\n", "out of place"},
-		"cut short":        {begin, "input ends inside a batch"},
+		"cut short":        {setup, "input ends inside a batch"},
 		"clock back":       {"TURN WallUs=9\nFLUSH\nTURN WallUs=8\n", "goes back"},
 		"stray store":      {"TURN WallUs=9\nSTORE Store=store.a State=up\n", "STORE"},
-		"no sheet":         {begin + "DISCOVERY FrontId=front-0 How=Complete Bank=3\n", "no SHEET"},
+		"no sheet":         {setup + "DISCOVERY FrontId=front-0 How=Complete Bank=3\n", "no SHEET"},
 	}
 	for name, tc := range tests {
 		err := run(strings.NewReader(tc.in), new(strings.Builder))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the lines of the simulator's protocol. It
-// knows names and units, and decides nothing.
+// Package wire parses the lines of the simulator's protocol: a message name
+// followed by name=value fields, separated by spaces.
 package wire
 
 import (
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// textField marks the fields that run to the end of their line.
-var textField = map[string]bool{"Facts": true, "ReasonText": true}
+// textFields holds the fields whose value extends to the end of the line.
+var textFields = map[string]bool{"Facts": true, "ReasonText": true}
 
 type field struct{ name, value string }
 
-// Line is one parsed message.
+// Line is one parsed line: a message with its fields.
 type Line struct {
 	Name   string
 	fields []field
 }
 
-// Parse splits a line into its name and fields. The fields of l are reused.
+// Parse splits a line into its message name and fields, and reuses the storage of l's fields.
 func (l *Line) Parse(s string) error {
 	l.fields = l.fields[:0]
 	s = strings.TrimSuffix(s, "\r")
@@ -34,7 +34,7 @@
 		if !ok || key == "" || strings.Contains(key, " ") {
 			return fmt.Errorf("%s: part %q is not name=value", name, clip(rest))
 		}
-		if textField[key] {
+		if textFields[key] {
 			l.fields = append(l.fields, field{key, value})
 			return nil
 		}
@@ -44,6 +44,7 @@
 	return nil
 }
 
+// clip shortens s for an error message.
 func clip(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "..."
@@ -51,7 +52,7 @@
 	return s
 }
 
-// Text returns a field and whether it is there.
+// Text returns the value of a field, and whether the line has it.
 func (l *Line) Text(name string) (string, bool) {
 	for i := range l.fields {
 		if l.fields[i].name == name {
@@ -61,36 +62,36 @@
 	return "", false
 }
 
-// Reader takes typed fields from a Line and keeps the first fault.
+// Reader reads typed fields of a Line. Err is the first error.
 type Reader struct {
-	L   *Line
-	Err error
+	Line *Line
+	Err  error
 }
 
 func (r *Reader) fail(format string, args ...any) {
 	if r.Err == nil {
-		r.Err = fmt.Errorf(r.L.Name+": "+format, args...)
+		r.Err = fmt.Errorf(r.Line.Name+": "+format, args...)
 	}
 }
 
-// Need returns a text field that must be there.
-func (r *Reader) Need(name string) string {
-	s, ok := r.L.Text(name)
+// Text returns a required text field. It must not be empty.
+func (r *Reader) Text(name string) string {
+	s, ok := r.Line.Text(name)
 	if !ok || s == "" {
 		r.fail("missing field %s", name)
 	}
 	return s
 }
 
-// Opt returns a text field, empty if absent.
-func (r *Reader) Opt(name string) string {
-	s, _ := r.L.Text(name)
+// OptText returns an optional text field, empty if absent.
+func (r *Reader) OptText(name string) string {
+	s, _ := r.Line.Text(name)
 	return s
 }
 
-// Int returns a whole number that must be there.
+// Int returns a required integer.
 func (r *Reader) Int(name string) int64 {
-	s := r.Need(name)
+	s := r.Text(name)
 	if r.Err != nil {
 		return 0
 	}
@@ -101,17 +102,17 @@
 	return n
 }
 
-// OptInt returns a whole number, 0 if absent.
+// OptInt returns an optional integer, 0 if absent.
 func (r *Reader) OptInt(name string) int64 {
-	if _, ok := r.L.Text(name); !ok {
+	if _, ok := r.Line.Text(name); !ok {
 		return 0
 	}
 	return r.Int(name)
 }
 
-// OptNum returns a number, def if absent.
+// OptNum returns an optional number, def if absent. NaN and magnitudes above 1e18 are errors.
 func (r *Reader) OptNum(name string, def float64) float64 {
-	s, ok := r.L.Text(name)
+	s, ok := r.Line.Text(name)
 	if !ok {
 		return def
 	}
@@ -123,9 +124,9 @@
 	return f
 }
 
-// Bool returns a 0 or 1 field, false if absent.
+// Bool returns an optional boolean, written as 0 or 1, false if absent.
 func (r *Reader) Bool(name string) bool {
-	switch s := r.Opt(name); s {
+	switch s := r.OptText(name); s {
 	case "", "0":
 		return false
 	case "1":
@@ -136,9 +137,9 @@
 	}
 }
 
-// Load calls each for every name:value pair of a load report.
-func (r *Reader) Load(name string, each func(key string, value float64)) {
-	s := r.Opt(name)
+// EachFigure calls each for every name:value pair of a load report.
+func (r *Reader) EachFigure(name string, each func(key string, value float64)) {
+	s := r.OptText(name)
 	for more := s != "" && s != "-"; more; {
 		var pair string
 		pair, s, more = strings.Cut(s, ",")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,10 +33,10 @@
 
 func TestReaderFaults(t *testing.T) {
 	tests := map[string]func(*Reader){
-		"missing":   func(r *Reader) { r.Need("Job") },
+		"missing":   func(r *Reader) { r.Text("Job") },
 		"not whole": func(r *Reader) { r.Int("Num") },
 		"not 0/1":   func(r *Reader) { r.Bool("Num") },
-		"bad pair":  func(r *Reader) { r.Load("Num", func(string, float64) {}) },
+		"bad pair":  func(r *Reader) { r.EachFigure("Num", func(string, float64) {}) },
 		"not num":   func(r *Reader) { r.OptNum("Word", 0) },
 	}
 	for name, read := range tests {
@@ -44,7 +44,7 @@
 		if err := l.Parse("X Num=1.5 Word=abc"); err != nil {
 			t.Fatal(err)
 		}
-		r := &Reader{L: &l}
+		r := &Reader{Line: &l}
 		if read(r); r.Err == nil {
 			t.Errorf("%s: no error", name)
 		}
