--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,8 @@
-// Package core runs the decision module for the socket code. One goroutine,
-// in Run, owns the module and the tables of requests and attempts; all else
-// reaches it through a queue that never blocks. It knows no protocol: fronts
-// hand it requests, members carry out attempts, and what travels between the
-// two is opaque to it.
+// Package core runs the decision module for the code that serves sockets. One
+// goroutine, the owner, runs Run and owns the module and the tables of requests
+// and attempts; everything else reaches it through a queue that never blocks.
+// The package is independent of protocols: fronts pass it requests, members
+// carry out attempts, and the payloads that they exchange are opaque to it.
 package core
 
 import (
@@ -17,33 +17,33 @@
 	"reachwind/internal/record"
 )
 
-// Time is a point on the gateway's clock, since the start of Unix time, or a span on it.
+// Time is a point on the gateway's clock, since the Unix epoch, or a duration.
 type Time = decide.Time
 
-// Clock counts from the start of Unix time, to which it is anchored once; it
-// never goes back. Log positions and start times share this origin.
+// Clock counts from the Unix epoch, to which it is anchored once, and never
+// goes back. Log positions and start times have the same origin.
 type Clock struct {
 	start time.Time
 	unix  Time
 }
 
-// NewClock anchors a clock now.
+// NewClock returns a clock anchored to the present system time.
 func NewClock() Clock {
 	now := time.Now()
 	return Clock{now, Time(now.UnixNano())}
 }
 
-// Now reads the clock.
+// Now returns the present time of the clock.
 func (c Clock) Now() Time { return c.unix + time.Since(c.start) }
 
-// At is the point of the system's clock at t, for deadlines.
+// At converts t to a time of the system's clock, for deadlines.
 func (c Clock) At(t Time) time.Time { return c.start.Add(t - c.unix) }
 
-// Payload is what a front and the members pass each other. It is released by
-// whoever holds it last.
+// Payload is the data that a front and the members exchange. Its last holder
+// releases it.
 type Payload interface{ Release() }
 
-// Client is where a request's one answer goes. Answer must not block; it takes the answer's payload.
+// Client receives the one answer to a request. Answer must not block, and has to release the answer's payload.
 type Client interface{ Answer(Answer) }
 
 // Verdict is the kind of a final answer.
@@ -52,69 +52,69 @@
 // The verdicts.
 const (
 	Served  Verdict = iota
-	Refused         // trying again is harmless, best after After
-	Failed          // nothing is promised
+	Refused         // a retry is harmless, best after RetryAfter
+	Failed          // it may or may not have had its effect, see MayHaveRun
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter Time
-	Body       Payload // Served: what the member answered
-	Position   Time    // Served: the log position that the member told, a write's commit; 0 = none
+	Body       Payload // Served: the member's answer
+	Position   Time    // Served: the log position that the member reported, of a write its commit; 0 = none
 	MayHaveRun bool    // Failed: some attempt may have had its effect
-	Cancelled  bool    // Failed: by its client's own word, see Core.Cancel
+	Cancelled  bool    // Failed: its client cancelled it, see Core.Cancel
 }
 
-// Request is one client request. The front fills in the first fields, and
-// leaves them alone once it has handed the request over; the core may shorten Until.
+// Request is one client request. The front sets the exported fields and must
+// not change them after Arrive; the core may shorten Deadline.
 type Request struct {
-	Class              *decide.Class // as it was when the request was taken; the settings may change
-	ClassIndex, Tenant int           // places of the names of its class and customer; Tenant -1 = none
+	Class              *decide.Class // as it was when the front accepted the request; the settings may change
+	ClassIndex, Tenant int           // indexes of its class and tenant; Tenant -1 = none
 	Group              int64
-	Front              string // which front it came by, in one word
+	Front              string // name of the front it came through, one word
 	Session            string
-	LastWrite          Time // the session's last write where clients carry it, 0 = none
-	MinPosition        Time // a read must see what was committed by then, 0 = what its class says
+	LastWrite          Time // commit of the session's last write where clients carry it, 0 = none
+	MinPosition        Time // a read must see every commit up to this position, 0 = only what its class requires
 	Retry              bool
-	Deadline           Time // how long the client waits
-	ReceivedAt         Time // when it came, perhaps long before its turn on its connection; 0 = now
+	Deadline           Time // until when the client waits
+	ReceivedAt         Time // when it was received, perhaps long before its turn on its connection; 0 = now
 	Call               Payload
 	Client             Client
 
-	id       uint64
-	arrived  Time
-	attempts []*Attempt
-	out      int
-	ended    bool
-	begun    bool // its answer is being passed on: no time limit ends it
+	id          uint64
+	arrived     Time
+	attempts    []*Attempt
+	outstanding int
+	ended       bool
+	answering   bool // its answer is being streamed to the client: no time limit ends it
 
-	cancelled bool // by its client, perhaps before it arrived
+	cancelled bool // by its client, perhaps before Arrive
 
-	over atomic.Bool // no attempt may begin any more; set where that is first seen, on any goroutine
+	closed atomic.Bool // no attempt may begin any more; set by the goroutine that learns it first
 }
 
-// Closed tells that no attempt of the request may begin any more: its client has left or cancelled it, or it has its
-// answer. It may be called from any goroutine; whoever writes an attempt asks right before its first byte.
-func (q *Request) Closed() bool { return q.over.Load() }
+// Closed reports that no attempt of the request may begin any more: its client has left or cancelled it, or it has its
+// answer. It may be called from any goroutine; code that writes an attempt must check it right before the first byte.
+func (q *Request) Closed() bool { return q.closed.Load() }
 
-// Attempt is one try of a request at a member.
+// Attempt is one attempt to have a member serve a request.
 type Attempt struct {
 	Request  *Request
 	Member   string
-	Deadline Time // timed out then
-	WriteBy  Time // to be written whole by then, else not at all; 0 = any time
-	atLeast  Time // a replica's answer that tells an older position is too old
-	no       int
+	Deadline Time // it times out then
+	WriteBy  Time // to be written completely by then, else not at all; 0 = any time
+	atLeast  Time // a replica's answer with an older position is stale
+	number   int
 	sent     Time
 	done     bool
-	stopped  bool // given up, unless its answer had begun
+	stopped  bool // Members.Stop was called for it
 
-	// For records: how it ended, and what its member told.
+	// For records: how it ended, and what its member reported.
 	result   decide.Result
 	role     decide.Role
 	position Time
-	lag      Time // age of what was known of the member at the send
+	lag      Time // age of the member's known position at the send
 	hasLag   bool
 }
 
@@ -129,7 +129,7 @@
 	Body        Payload // Served: the answer
 }
 
-// ListedMember is an entry of the list of members.
+// ListedMember is an entry of the member list with its address.
 type ListedMember struct {
 	decide.Member
 	Addr string
@@ -138,52 +138,52 @@
 // Members carries out attempts and probes. Its methods are called on the
 // owner's goroutine and must not block.
 type Members interface {
-	// Send starts an attempt; exactly one Core.Done must follow.
+	// Send starts an attempt; exactly one call of Core.Done must follow.
 	Send(*Attempt)
-	// Stop gives up an attempt; its outcome is why, unless it never was written or has ended. NotSent gives it up only
-	// if it was not yet written whole; else it goes on.
+	// Stop ends an attempt with the outcome why, unless it was never written or has ended. With why NotSent it ends the
+	// attempt only if it was not yet written completely.
 	Stop(a *Attempt, why decide.Result)
-	// Probe asks a member for its report; one Core.Probed must follow.
+	// Probe requests a member's report; one call of Core.Probed must follow.
 	Probe(member string)
-	// List takes a list, or a change of it.
+	// List receives a member list, or a change of it.
 	List(kind decide.EventKind, members []ListedMember)
 }
 
-// Discovery asks discovery. Its methods must not block.
+// Discovery requests member lists from discovery. Its methods must not block.
 type Discovery interface {
 	Watch()
 	Fetch()
 }
 
-// AssumeCommittedAfter is how long after a member wrote an answer to a write its session's reads must see it, though the answer may have been lost:
-// 100 ms by the protocol's page, less a fifth for the way and the clocks.
+// AssumeCommittedAfter is the time after which the reads of a session must see its write, though the answer to the write may have been
+// lost: 100 ms from when the member wrote its answer by the protocol, less a fifth for the network and the clocks.
 const AssumeCommittedAfter = 80 * time.Millisecond
 
-const deadlineSlack = 5 * time.Millisecond // the module answers before the deadline, the core itself so much after it
+const answerSlack = 5 * time.Millisecond // the module answers before the deadline; if it doesn't, the core answers this long after it
 
-// Observer is told what the gateway sees of members and of discovery. Its methods are called on the owner's goroutine,
+// Observer is notified of what the gateway observes of members and discovery. Its methods are called on the owner's goroutine,
 // some for each answer, and must not block.
 type Observer interface {
-	MemberChanged(change decide.Change, member string) // the module came to believe it
-	Answered(member string)                            // an answer of any kind to a request
+	MemberChanged(change decide.Change, member string) // the module's view of the member changed
+	Answered(member string)                            // the member answered a request, in whatever way
 	Probed(member string, answered bool)
 	DiscoveryAnswered() // discovery answered
-	// AttemptEnded tells how an attempt or a probe at a member ended.
+	// AttemptEnded reports how an attempt or a probe at a member ended.
 	AttemptEnded(member string, r decide.Result)
-	// RequestEnded tells of a final answer, and how long after the request's arrival it came.
+	// RequestEnded reports a final answer, and how long after the request's arrival it was given.
 	RequestEnded(q *Request, v Verdict, took Time)
 }
 
-// SharedCommits shares sessions' commits with another process of the same gateway. Its methods are called on the owner's
-// goroutine and must not block.
+// SharedCommits shares the commits of sessions with another process of the same gateway. Its methods are called on the
+// owner's goroutine and must not block.
 type SharedCommits interface {
-	// RecordCommit notes a session's write, before it is answered.
+	// RecordCommit records the commit of a session's write, before the write is answered.
 	RecordCommit(group int64, session string, p Time)
-	// LastCommit is a time up to which the session's reads must see, 0 = any.
+	// LastCommit returns the position that the session's reads must see, 0 = none.
 	LastCommit(group int64, session string) Time
 }
 
-// Core owns the module. See Run.
+// Core runs the decision module. See Run.
 type Core struct {
 	Clock
 	log       *slog.Logger
@@ -195,19 +195,19 @@
 	queue []func()
 	wake  chan struct{}
 
-	ledger   SharedCommits // nil: this process is alone
-	witness  Observer      // nil: nobody wants to know
-	watch    *watch        // nil: nobody wants records
-	sink     atomic.Pointer[record.Sink]
-	requests map[uint64]*Request
-	lastID   uint64
-	endBy    Time // all requests have their answer by then, 0 = the process does not end
-	timers   timers
-	events   []decide.Event
-	actions  []decide.Action
+	sharedCommits SharedCommits // nil: there is no other process
+	observer      Observer      // nil: none
+	recorder      *recorder     // nil: no records are made
+	sink          atomic.Pointer[record.Sink]
+	requests      map[uint64]*Request
+	lastID        uint64
+	endBy         Time // every request is answered by then, 0 = the process does not end
+	timers        timers
+	events        []decide.Event
+	actions       []decide.Action
 }
 
-// Decider is the decision module: what happened goes in, what must be done comes out.
+// Decider is the decision module: it is given events and returns actions, see decide.Router.
 type Decider interface {
 	Step(now Time, events []decide.Event, out []decide.Action) []decide.Action
 }
@@ -217,19 +217,19 @@
 	return &Core{Clock: clock, log: log, router: router, wake: make(chan struct{}, 1), requests: map[uint64]*Request{}}
 }
 
-// Connect names the members' side and discovery.
+// Connect sets the members and discovery.
 func (c *Core) Connect(m Members, d Discovery) { c.members, c.directory = m, d }
 
-// SetObserver names a witness, nil for none. It must be called before Run.
-func (c *Core) SetObserver(w Observer) { c.witness = w }
+// SetObserver sets the observer, nil for none. It must be called before Run.
+func (c *Core) SetObserver(w Observer) { c.observer = w }
 
-// SetSharedCommits names a ledger, nil for none. It must be called before Run.
-func (c *Core) SetSharedCommits(l SharedCommits) { c.ledger = l }
+// SetSharedCommits sets where sessions' commits are shared, nil for nowhere. It must be called before Run.
+func (c *Core) SetSharedCommits(l SharedCommits) { c.sharedCommits = l }
 
-// PostEvent hands the module an event of another part of the gateway.
+// PostEvent passes the module an event of another part of the gateway. It never blocks.
 func (c *Core) PostEvent(e decide.Event) { c.Post(func() { c.events = append(c.events, e) }) }
 
-// Post queues f to be run by the owner, in order. It never blocks.
+// Post queues f to be run on the owner's goroutine, in order. It never blocks.
 func (c *Core) Post(f func()) {
 	c.mu.Lock()
 	c.queue = append(c.queue, f)
@@ -240,26 +240,26 @@
 	}
 }
 
-// Arrive hands over a request. Its client gets exactly one answer, unless Gone is called first.
+// Arrive passes a request to the module. Its client gets exactly one answer, unless Gone is called first.
 func (c *Core) Arrive(q *Request) { c.Post(func() { c.arrive(q) }) }
 
-// EndBy has every request answered by t, however long its client would wait: the process ends soon after. Those that
-// come from now on have no longer, which the module knows of; what is still open then is refused, or failed where an
-// attempt may have had its effect. The earliest t holds.
+// EndBy limits every request's deadline to t, as the process ends soon after. The module is told so for requests that
+// arrive from now on. Requests without an answer at t are refused, or failed where an attempt may have had its effect.
+// Of several calls the earliest t counts.
 func (c *Core) EndBy(t Time) {
 	c.Post(func() {
 		if c.endBy > 0 && c.endBy <= t {
 			return
 		}
 		c.endBy = t
-		c.RunAt(t, c.endAll)
+		c.RunAt(t, c.answerAll)
 	})
 }
 
-// endAll gives all open requests their answer, but those whose answer is being passed on.
-func (c *Core) endAll() {
-	for _, q := range c.requests { // in any order: each stands for itself
-		if q.ended || q.begun {
+// answerAll answers all open requests, except those whose answer is being streamed.
+func (c *Core) answerAll() {
+	for _, q := range c.requests { // the order has no effect
+		if q.ended || q.answering {
 			continue
 		}
 		a := Answer{Verdict: Refused}
@@ -271,23 +271,23 @@
 	}
 }
 
-// Gone tells that the client has left. From the call on no attempt of the request begins, also not one that is on its
-// way to a member; the module hears of it in its turn.
+// Gone reports that the client has left. From the call on no attempt of the request begins, not even one that is on its
+// way to a member; the module is told when its turn comes.
 func (c *Core) Gone(q *Request) {
-	q.over.Store(true)
+	q.closed.Store(true)
 	c.Post(func() {
 		if !q.ended {
 			c.events = append(c.events, decide.Event{Kind: decide.ClientGone, Request: q.id})
 			c.end(q)
-			c.leave(q)
+			c.withdrawAttempts(q)
 		}
 	})
 }
 
-// Cancel ends a request at its client's word, as Gone does, but the client is still there: unless it has its answer
-// already, that is Failed and Cancelled. It may be called from any goroutine, also while Arrive is still to be called.
+// Cancel ends a request as its client demands. Other than with Gone the client still gets an answer: Failed with
+// Cancelled, unless it has one already. It may be called from any goroutine, also before Arrive.
 func (c *Core) Cancel(q *Request) {
-	q.over.Store(true)
+	q.closed.Store(true)
 	c.Post(func() {
 		if q.cancelled = true; q.id != 0 {
 			c.cancel(q)
@@ -301,29 +301,29 @@
 	}
 	c.events = append(c.events, decide.Event{Kind: decide.ClientGone, Request: q.id})
 	c.finish(q, Answer{Verdict: Failed, MayHaveRun: q.mayHaveRun(), Cancelled: true}, record.Cancelled)
-	c.leave(q)
+	c.withdrawAttempts(q)
 }
 
-// leave withdraws what a request whose client has gone has out: what is not yet written whole, and an answer that is
-// passing through. All else is the module's to call off.
-func (c *Core) leave(q *Request) {
+// withdrawAttempts stops the attempts of a request whose client has gone that are not yet written completely, and a
+// streamed answer. The module cancels the others.
+func (c *Core) withdrawAttempts(q *Request) {
 	for _, a := range q.attempts {
 		if !a.done {
 			c.members.Stop(a, decide.NotSent)
 		}
 	}
-	if q.begun { // the module has done with it
+	if q.answering { // for the module this attempt has ended
 		c.stop(q.attempts[len(q.attempts)-1], decide.Cancelled)
 	}
 }
 
-// AnswerStarted tells that the answer of an attempt has begun and will be passed on as it comes. The client gets body as its
-// answer, and the attempt is the client's now: its time-out and the client's deadline no longer run. Done follows
-// as ever. Body is released instead if the attempt was given up or the client has left.
+// AnswerStarted reports that the answer of an attempt has begun and will be streamed to the client. The client gets body as its
+// answer, and neither the attempt's time-out nor the client's deadline applies any more. Done must still follow. If the
+// attempt was stopped or the client has left, body is released instead.
 //
-// For the module the attempt has ended, served: the member has done its work, and how fast the rest comes is the
-// client's doing. Were it told at the end, slow clients would make their members look slow and full. A write is told of
-// when it has ended all the same: what it committed comes last, and its session's reads must see that.
+// For the module the attempt has ended as served: the member has done its work, and the speed of the rest depends on the
+// client. Reported only at the end, slow clients would make their members look slow and loaded. A write is reported at
+// its end nevertheless, as its commit comes last and its session's reads must see that.
 func (c *Core) AnswerStarted(a *Attempt, body Payload) {
 	c.Post(func() {
 		q := a.Request
@@ -331,8 +331,8 @@
 			body.Release()
 			return
 		}
-		q.begun = true
-		e := decide.Event{Kind: decide.FirstByte, Request: q.id, Member: a.Member, Attempt: a.no, Elapsed: c.Now() - a.sent}
+		q.answering = true
+		e := decide.Event{Kind: decide.FirstByte, Request: q.id, Member: a.Member, Attempt: a.number, Elapsed: c.Now() - a.sent}
 		if !q.writes() {
 			e.Kind, e.Result, e.Ended = decide.Outcome, decide.Served, true
 		}
@@ -348,17 +348,17 @@
 func (c *Core) Probed(member string, result decide.Result, r decide.Report) {
 	c.Post(func() {
 		if r.HasPosition {
-			c.watch.learn(member, r.Position)
+			c.recorder.recordPosition(member, r.Position)
 		}
-		if c.witness != nil {
-			c.witness.Probed(member, result == decide.Served)
-			c.witness.AttemptEnded(member, result)
+		if c.observer != nil {
+			c.observer.Probed(member, result == decide.Served)
+			c.observer.AttemptEnded(member, result)
 		}
 		c.events = append(c.events, decide.Event{Kind: decide.Probed, Member: member, Result: result, Report: r})
 	})
 }
 
-// List takes what discovery says, kind being one of the list events.
+// List receives a member list or a failure from discovery; kind is one of the list events.
 func (c *Core) List(kind decide.EventKind, members []ListedMember) {
 	c.Post(func() {
 		e := decide.Event{Kind: kind}
@@ -366,11 +366,11 @@
 			e.Members = append(e.Members, members[i].Member)
 		}
 		if kind.HasList() {
-			if c.witness != nil && kind != decide.ListSaved {
-				c.witness.DiscoveryAnswered()
+			if c.observer != nil && kind != decide.ListSaved {
+				c.observer.DiscoveryAnswered()
 			}
 			c.members.List(kind, members)
-			c.watch.listed(c.Now(), kind, e.Members)
+			c.recorder.recordList(c.Now(), kind, e.Members)
 		}
 		c.events = append(c.events, e)
 	})
@@ -378,24 +378,24 @@
 
 // Sizes are the lengths of the core's tables.
 type Sizes struct {
-	Requests int // open, or with an attempt out
+	Requests int // without a final answer, or with an outstanding attempt
 	Timers   int // those of ended requests stay until they are due
 	Members  int // whose positions or states are kept for records
 }
 
-// Sizes tells how long the tables are. It is the owner's to call.
+// Sizes returns the lengths of the tables. It must be called on the owner's goroutine.
 func (c *Core) Sizes() Sizes {
 	s := Sizes{Requests: len(c.requests), Timers: len(c.timers)}
-	if c.watch != nil {
-		s.Members = max(len(c.watch.told), c.watch.roster.Len())
+	if c.recorder != nil {
+		s.Members = max(len(c.recorder.positions), c.recorder.membership.Len())
 	}
 	return s
 }
 
-// RunAt runs f on the owner's goroutine, which must be the caller's, at t.
+// RunAt runs f on the owner's goroutine at t. It must be called on that goroutine.
 func (c *Core) RunAt(t Time, f func()) { heap.Push(&c.timers, timer{t, f}) }
 
-// Run owns the module until ctx ends.
+// Run runs the module until ctx ends. The calling goroutine is the owner.
 func (c *Core) Run(ctx context.Context) {
 	clock := time.NewTimer(0)
 	defer clock.Stop()
@@ -406,7 +406,7 @@
 		case <-c.wake:
 		case <-clock.C:
 		}
-		for c.turn() {
+		for c.runBatch() {
 		}
 		if len(c.timers) > 0 {
 			clock.Reset(c.timers[0].at - c.Now())
@@ -414,9 +414,9 @@
 	}
 }
 
-// turn drains the queue and the timers that are due into one batch and steps
-// the module. It reports whether there was anything to do.
-func (c *Core) turn() bool {
+// runBatch runs the queued functions and the timers that are due as one batch and
+// steps the module. It reports whether there was anything to do.
+func (c *Core) runBatch() bool {
 	c.mu.Lock()
 	batch := c.queue
 	c.queue = nil
@@ -426,14 +426,14 @@
 		f()
 	}
 	for now := c.Now(); len(c.timers) > 0 && c.timers[0].at <= now; busy = true {
-		heap.Pop(&c.timers).(timer).f()
+		heap.Pop(&c.timers).(timer).run()
 	}
 	if len(c.events) > 0 {
 		events := c.events
 		c.events = nil
 		c.actions = c.router.Step(c.Now(), events, c.actions[:0])
 		for i := range c.actions {
-			c.act(&c.actions[i])
+			c.carryOut(&c.actions[i])
 		}
 	}
 	return busy
@@ -448,8 +448,8 @@
 	if c.endBy > 0 {
 		q.Deadline = min(q.Deadline, c.endBy)
 	}
-	if c.ledger != nil && q.Session != "" && !q.writes() {
-		q.MinPosition = max(q.MinPosition, c.ledger.LastCommit(q.Group, q.Session))
+	if c.sharedCommits != nil && q.Session != "" && !q.writes() {
+		q.MinPosition = max(q.MinPosition, c.sharedCommits.LastCommit(q.Group, q.Session))
 	}
 	e := decide.Event{Kind: decide.Arrive, Request: q.id, ClassDef: q.Class, Tenant: q.Tenant, Group: q.Group,
 		Session: q.Session, MinPosition: q.MinPosition, IsRetry: q.Retry, Remaining: q.Deadline - now}
@@ -464,8 +464,8 @@
 		c.cancel(q)
 		return
 	}
-	c.RunAt(max(q.Deadline, now)+deadlineSlack, func() { // also one that comes too late gets the module's answer
-		if !q.ended && !q.begun { // guards the rule that each taken request gets an answer in time
+	c.RunAt(max(q.Deadline, now)+answerSlack, func() { // also a request that arrives too late gets the module's answer
+		if !q.ended && !q.answering { // every request gets an answer in time, whatever the module does
 			c.log.Warn("deadline passed unanswered", "request", q.id)
 			c.events = append(c.events, decide.Event{Kind: decide.ClientGone, Request: q.id})
 			c.finish(q, Answer{Verdict: Failed, MayHaveRun: q.mayHaveRun()}, record.Deadline)
@@ -473,7 +473,8 @@
 	})
 }
 
-// finish gives a request its answer, unless it has one. The cause is for its record; none: it is seen from the attempts.
+// finish gives a request its answer, unless it has one. why is the cause for its record; with NoCause it follows from
+// the attempts.
 func (c *Core) finish(q *Request, a Answer, why record.Cause) {
 	if q.ended {
 		if a.Body != nil {
@@ -481,20 +482,20 @@
 		}
 		return
 	}
-	if !q.begun { // else it has its answer, whole or not
+	if !q.answering { // else it has its answer, complete or not
 		q.Client.Answer(a)
 	}
-	if c.witness != nil {
-		c.witness.RequestEnded(q, a.Verdict, c.Now()-q.arrived)
+	if c.observer != nil {
+		c.observer.RequestEnded(q, a.Verdict, c.Now()-q.arrived)
 	}
-	if c.watch != nil {
-		c.watch.answered(c.Now(), q, &a, why)
+	if c.recorder != nil {
+		c.recorder.recordAnswer(c.Now(), q, &a, why)
 	}
 	c.end(q)
 }
 
-// stale tells that an answer to a read does not hold what its request must see. Whoever tells the role of a primary stands at the present,
-// unless what must be seen was committed at another process or gateway.
+// stale reports that an answer to a read lacks commits that its request must see. A member that reports the role of
+// primary has every commit, except those made through another process or gateway.
 func (o *Outcome) stale(a *Attempt) bool {
 	if a.Request.writes() || !o.HasPosition {
 		return false
@@ -502,10 +503,10 @@
 	return o.Position < a.Request.MinPosition || o.Position < a.atLeast && o.Role == decide.Replica
 }
 
-// writes tells whether it is a write, whose commit its session's reads must see.
+// writes reports whether q is a write, whose commit the reads of its session must see.
 func (q *Request) writes() bool { return q.Class != nil && q.Class.Writes() }
 
-// mayHaveRun tells whether some attempt may have had its effect.
+// mayHaveRun reports whether some attempt may have had its effect.
 func (q *Request) mayHaveRun() bool {
 	for _, a := range q.attempts {
 		if !a.done || a.result.MayHaveRun() {
@@ -515,7 +516,7 @@
 	return false
 }
 
-// mayRefuse tells whether its client may try again without harm. The module keeps to the same rule.
+// mayRefuse reports whether a retry by the client is harmless. The module applies the same rule.
 func (q *Request) mayRefuse() bool {
 	if k := q.Class; k != nil && (k.Effect == decide.Repeatable || k.Effect == decide.Keyed && k.KeyScope == decide.ScopeAll) {
 		return true
@@ -525,13 +526,13 @@
 
 func (c *Core) end(q *Request) {
 	q.ended = true
-	q.over.Store(true)
-	c.forget(q)
+	q.closed.Store(true)
+	c.dropEnded(q)
 }
 
-// forget drops a request that has ended and has no attempt out.
-func (c *Core) forget(q *Request) {
-	if q.ended && q.out == 0 && c.requests[q.id] == q {
+// dropEnded drops a request that has ended and has no outstanding attempt.
+func (c *Core) dropEnded(q *Request) {
+	if q.ended && q.outstanding == 0 && c.requests[q.id] == q {
 		delete(c.requests, q.id)
 		q.Call.Release()
 	}
@@ -546,8 +547,8 @@
 		return
 	}
 	q := a.Request
-	if o.Result == decide.Served && !q.begun && o.stale(a) {
-		o.Result = decide.Stale // it was primary when it was last heard of
+	if o.Result == decide.Served && !q.answering && o.stale(a) {
+		o.Result = decide.Stale // the member was primary when last heard of
 		if o.Body != nil {
 			o.Body.Release()
 			o.Body = nil
@@ -557,40 +558,40 @@
 	if o.HasPosition {
 		a.position = o.Position
 	}
-	q.out--
-	if c.witness != nil {
-		c.witness.AttemptEnded(a.Member, o.Result)
+	q.outstanding--
+	if c.observer != nil {
+		c.observer.AttemptEnded(a.Member, o.Result)
 	}
-	if c.witness != nil && o.Result.Answered() {
-		c.witness.Answered(a.Member)
+	if c.observer != nil && o.Result.Answered() {
+		c.observer.Answered(a.Member)
 	}
-	e := decide.Event{Kind: decide.Outcome, Request: q.id, Member: a.Member, Attempt: a.no, Result: o.Result,
+	e := decide.Event{Kind: decide.Outcome, Request: q.id, Member: a.Member, Attempt: a.number, Result: o.Result,
 		Elapsed: c.Now() - a.sent, Ended: q.ended || o.Result == decide.Served, Reused: o.Reused,
 		Role: o.Role, HasPosition: o.HasPosition, Position: o.Position, Report: o.Report}
-	if q.writes() && o.Result != decide.Served && o.Result.MayHaveRun() { // its answer may be lost: its session's reads count it as committed
+	if q.writes() && o.Result != decide.Served && o.Result.MayHaveRun() { // the answer may be lost: for its session's reads it counts as committed
 		e.InDoubt, e.HasPosition, e.Position = true, true, c.Now()
 	}
-	if !q.begun || q.writes() {
-		e.Ended = e.Ended || q.begun
+	if !q.answering || q.writes() {
+		e.Ended = e.Ended || q.answering
 		c.events = append(c.events, e)
 	}
 	if o.HasPosition {
-		c.watch.learn(a.Member, o.Position)
+		c.recorder.recordPosition(a.Member, o.Position)
 	}
-	if c.ledger != nil && e.HasPosition && (o.Result == decide.Served || e.InDoubt) && q.writes() && q.Session != "" {
-		c.ledger.RecordCommit(q.Group, q.Session, e.Position)
+	if c.sharedCommits != nil && e.HasPosition && (o.Result == decide.Served || e.InDoubt) && q.writes() && q.Session != "" {
+		c.sharedCommits.RecordCommit(q.Group, q.Session, e.Position)
 	}
 	switch {
 	case o.Result == decide.Served:
 		c.finish(q, Answer{Verdict: Served, Body: o.Body, Position: a.position}, record.NoCause)
-	case q.begun:
+	case q.answering:
 		c.finish(q, Answer{Verdict: Failed, MayHaveRun: true}, record.NoCause)
 	}
-	c.forget(q)
+	c.dropEnded(q)
 }
 
-// act carries out one action of the module.
-func (c *Core) act(a *decide.Action) {
+// carryOut executes one action of the module.
+func (c *Core) carryOut(a *decide.Action) {
 	q := c.requests[a.Request]
 	switch a.Kind {
 	case decide.Send:
@@ -619,15 +620,15 @@
 		if a.Text != "" {
 			c.log.Info("decide: " + a.Text)
 		}
-		if c.witness != nil {
-			c.witness.MemberChanged(a.Change, a.Member)
+		if c.observer != nil {
+			c.observer.MemberChanged(a.Change, a.Member)
 		}
-		c.noted(a)
+		c.recordStateChange(a)
 	}
 }
 
 func (c *Core) send(q *Request, a *decide.Action) {
-	if q == nil { // the module sends for nothing that has ended; were it to, it would be owed an outcome
+	if q == nil { // the module must not do this; every Send needs an outcome all the same
 		c.log.Error("send for an ended request", "member", a.Member)
 		c.Post(func() {
 			c.events = append(c.events, decide.Event{Kind: decide.Outcome, Request: a.Request, Member: a.Member,
@@ -636,34 +637,34 @@
 		return
 	}
 	now := c.Now()
-	at := &Attempt{Request: q, Member: a.Member, Deadline: q.Deadline, WriteBy: a.WriteBy, atLeast: a.MinPosition, no: len(q.attempts), sent: now}
+	at := &Attempt{Request: q, Member: a.Member, Deadline: q.Deadline, WriteBy: a.WriteBy, atLeast: a.MinPosition, number: len(q.attempts), sent: now}
 	if a.Timeout != 0 {
 		at.Deadline = min(at.Deadline, now+a.Timeout)
 	}
-	c.watch.sends(at)
+	c.recorder.recordLag(at)
 	q.attempts = append(q.attempts, at)
-	q.out++
-	if q.ended || q.out > 1 { // guards the rule against second copies, whatever the module says
+	q.outstanding++
+	if q.ended || q.outstanding > 1 { // no request has two outstanding attempts, whatever the module does
 		c.log.Error("send out of turn", "member", a.Member)
 		c.Done(at, Outcome{Result: decide.NotSent})
 		return
 	}
 	c.members.Send(at)
-	c.share(at)
+	c.shareWhileOutstanding(at)
 	c.RunAt(at.Deadline, func() {
-		if !at.done && !q.begun {
+		if !at.done && !q.answering {
 			c.stop(at, decide.TimedOut)
 		}
 	})
 }
 
-// share has the other process of this gateway count what a write that is out may have committed, as the module does here.
-func (c *Core) share(a *Attempt) {
-	if q := a.Request; c.ledger != nil && q.writes() && q.Session != "" {
+// shareWhileOutstanding has the other process of this gateway count an outstanding write as committed, as this module does.
+func (c *Core) shareWhileOutstanding(a *Attempt) {
+	if q := a.Request; c.sharedCommits != nil && q.writes() && q.Session != "" {
 		c.RunAt(c.Now()+AssumeCommittedAfter, func() {
 			if !a.done {
-				c.ledger.RecordCommit(q.Group, q.Session, c.Now())
-				c.share(a)
+				c.sharedCommits.RecordCommit(q.Group, q.Session, c.Now())
+				c.shareWhileOutstanding(a)
 			}
 		})
 	}
@@ -675,8 +676,8 @@
 }
 
 type timer struct {
-	at Time
-	f  func()
+	at  Time
+	run func()
 }
 
 type timers []timer
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,8 +10,8 @@
 	"reachwind/decide"
 )
 
-// script takes the place of the module and of the members: it acts as told and notes what comes.
-type script struct {
+// fakeModule takes the place of the module and of the members: it acts as told and notes what comes.
+type fakeModule struct {
 	on     map[decide.EventKind][]decide.Action
 	events []decide.Event
 	sent   []*Attempt
@@ -19,7 +19,7 @@
 	steps  int
 }
 
-func (s *script) Step(_ Time, events []decide.Event, out []decide.Action) []decide.Action {
+func (s *fakeModule) Step(_ Time, events []decide.Event, out []decide.Action) []decide.Action {
 	s.steps++
 	for _, e := range events {
 		s.events = append(s.events, e)
@@ -27,10 +27,10 @@
 	}
 	return out
 }
-func (s *script) Send(a *Attempt)                       { s.sent = append(s.sent, a) }
-func (s *script) Stop(_ *Attempt, why decide.Result)    { s.stops = append(s.stops, why) }
-func (s *script) Probe(string)                          {}
-func (s *script) List(decide.EventKind, []ListedMember) {}
+func (s *fakeModule) Send(a *Attempt)                       { s.sent = append(s.sent, a) }
+func (s *fakeModule) Stop(_ *Attempt, why decide.Result)    { s.stops = append(s.stops, why) }
+func (s *fakeModule) Probe(string)                          {}
+func (s *fakeModule) List(decide.EventKind, []ListedMember) {}
 
 type payload struct{ released int }
 
@@ -40,10 +40,10 @@
 
 func (c *client) Answer(a Answer) { c.answers = append(c.answers, a) }
 
-// run plays f against a core whose module sends each request that arrives.
-func run(t *testing.T, f func(c *Core, s *script, cl *client, call *payload, q *Request)) {
+// withCore plays f against a core whose module sends each request that arrives.
+func withCore(t *testing.T, f func(c *Core, s *fakeModule, cl *client, call *payload, q *Request)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{on: map[decide.EventKind][]decide.Action{decide.Arrive: {{Kind: decide.Send, Request: 1, Member: "m",
+		s := &fakeModule{on: map[decide.EventKind][]decide.Action{decide.Arrive: {{Kind: decide.Send, Request: 1, Member: "m",
 			Timeout: 100 * time.Millisecond}}}}
 		c := New(NewClock(), s, slog.New(slog.DiscardHandler))
 		c.Connect(s, nil)
@@ -61,7 +61,7 @@
 
 // TestDeadline: a request that the module forgets is answered all the same, and its attempt stopped once.
 func TestDeadline(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		time.Sleep(301 * time.Millisecond)
 		synctest.Wait()
 		c.Post(func() {
@@ -85,9 +85,9 @@
 	})
 }
 
-// TestCame: the module is told how long a request has waited for its turn, and what its client still waits.
-func TestCame(t *testing.T) {
-	run(t, func(c *Core, s *script, _ *client, _ *payload, _ *Request) {
+// TestWaitingTimeIsReported: the module is told how long a request has waited for its turn, and what its client still waits.
+func TestWaitingTimeIsReported(t *testing.T) {
+	withCore(t, func(c *Core, s *fakeModule, _ *client, _ *payload, _ *Request) {
 		c.Post(func() { clear(s.on) })
 		now := c.Now()
 		for _, came := range []Time{0, now - 70*time.Millisecond, now + time.Second} {
@@ -106,7 +106,7 @@
 
 // TestOneAnswer: the first answer is the only one, late ones are released, and a second outcome is not passed on.
 func TestOneAnswer(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		first, second := new(payload), new(payload)
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: first})
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: second})
@@ -117,7 +117,7 @@
 				first.released, second.released, call.released)
 		}
 	})
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		late := new(payload)
 		c.Gone(q)
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: late})
@@ -130,7 +130,7 @@
 
 // TestNoSecondCopy: whatever the module says, no request has two attempts out.
 func TestNoSecondCopy(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		s.on[decide.ListError] = s.on[decide.Arrive]
 		c.List(decide.ListError, nil)
 		synctest.Wait()
@@ -143,7 +143,7 @@
 
 // TestBatch: what waits goes to the module in one step.
 func TestBatch(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		before := s.steps
 		c.Post(func() {
 			for range 10 {
@@ -157,8 +157,8 @@
 	})
 }
 
-// TestTooOldAnswer: a replica's answer that lacks what its read must see is not passed on, and counts as one that ran.
-func TestTooOldAnswer(t *testing.T) {
+// TestStaleAnswerIsNotPassedOn: a replica's answer that lacks what its read must see is not passed on, and counts as one that ran.
+func TestStaleAnswerIsNotPassedOn(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		o    Outcome
@@ -170,7 +170,7 @@
 		{"no position told", Outcome{Role: decide.Replica}, decide.Served},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+			withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 				s.on[decide.Outcome] = []decide.Action{{Kind: decide.Fail, Request: 1}} // at the latest then
 				s.sent[0].atLeast = 10
 				body := new(payload)
@@ -187,18 +187,18 @@
 	}
 }
 
-// ledger notes what is shared with another process.
-type ledger struct{ commits []Time }
+// fakeSharedCommits notes what is shared with another process.
+type fakeSharedCommits struct{ commits []Time }
 
-func (l *ledger) RecordCommit(_ int64, _ string, p Time) { l.commits = append(l.commits, p) }
-func (l *ledger) LastCommit(_ int64, _ string) (p Time)  { return 0 }
+func (l *fakeSharedCommits) RecordCommit(_ int64, _ string, p Time) { l.commits = append(l.commits, p) }
+func (l *fakeSharedCommits) LastCommit(_ int64, _ string) (p Time)  { return 0 }
 
 // TestWriteInDoubt: a write that may have run counts as committed by its end, here and at another process; and at the
 // other one also while it is out, as its answer may be lost.
 func TestWriteInDoubt(t *testing.T) {
 	for _, end := range []decide.Result{decide.Reset, decide.TimedOut, decide.Cancelled, decide.Errored, decide.NotSent, decide.Unreachable} {
-		run(t, func(c *Core, s *script, cl *client, call *payload, _ *Request) {
-			l := new(ledger)
+		withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, _ *Request) {
+			l := new(fakeSharedCommits)
 			c.SetSharedCommits(l)
 			q := &Request{Class: &decide.Class{Consistency: decide.Write}, Session: "u", Deadline: c.Now() + time.Second, Call: call, Client: cl}
 			s.on[decide.Arrive] = []decide.Action{{Kind: decide.Send, Request: 2, Member: "m"}}
@@ -231,7 +231,7 @@
 		"keyed anywhere": {&decide.Class{Effect: decide.Keyed, KeyScope: decide.ScopeAll}, Refused},
 		"keyed here":     {&decide.Class{Effect: decide.Keyed, KeyScope: decide.ScopeZone}, Failed}} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(c *Core, s *script, cl *client, _ *payload, q *Request) {
+			withCore(t, func(c *Core, s *fakeModule, cl *client, _ *payload, q *Request) {
 				c.Post(func() { q.Class = tc.class })
 				q.Deadline += time.Minute
 				by := c.Now() + 50*time.Millisecond
@@ -253,7 +253,7 @@
 						t.Errorf("the module was told %+v", e)
 					}
 				})
-				time.Sleep(2 * deadlineSlack)
+				time.Sleep(2 * answerSlack)
 				look(func() {
 					if len(cl.answers) != 1 || cl.answers[0].Verdict != tc.want || len(held.answers) != 1 || held.answers[0].Verdict != Refused {
 						t.Errorf("answers %+v, one not sent %+v", cl.answers, held.answers)
--- a/internal/core/leave_test.go
+++ b/internal/core/leave_test.go
@@ -10,12 +10,12 @@
 	"reachwind/internal/record"
 )
 
-type records struct {
+type lockedSink struct {
 	mu  sync.Mutex
 	all []record.Record
 }
 
-func (r *records) Put(one *record.Record) {
+func (r *lockedSink) Put(one *record.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, *one)
@@ -24,8 +24,8 @@
 // TestCancel: a request cancelled by its client counts for the module as one whose client has left, and gets one answer:
 // that of a member if it was there before, else that it was cancelled, which its record says too.
 func TestCancel(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
-		r := &records{}
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
+		r := &lockedSink{}
 		c.SetRecordSink(r, 0)
 		late := new(payload)
 		c.Cancel(q)
@@ -50,7 +50,7 @@
 			t.Errorf("records %+v", r.all)
 		}
 	})
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		body := new(payload)
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: body})
 		c.Cancel(q)
@@ -59,8 +59,8 @@
 			t.Errorf("answers %+v, events %+v", cl.answers, s.events)
 		}
 	})
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) { // its answer is passing through
-		r := &records{}
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) { // its answer is passing through
+		r := &lockedSink{}
 		c.SetRecordSink(r, 0)
 		c.AnswerStarted(s.sent[0], new(payload))
 		c.Cancel(q)
@@ -76,9 +76,9 @@
 	})
 }
 
-// TestCancelCrossesArrive: a cancel that is heard of before its request has arrived holds for it when it does.
-func TestCancelCrossesArrive(t *testing.T) {
-	run(t, func(c *Core, s *script, _ *client, _ *payload, _ *Request) {
+// TestCancelBeforeArrive: a cancel that is heard of before its request has arrived holds for it when it does.
+func TestCancelBeforeArrive(t *testing.T) {
+	withCore(t, func(c *Core, s *fakeModule, _ *client, _ *payload, _ *Request) {
 		cl, call := new(client), new(payload)
 		q := &Request{Deadline: c.Now() + time.Second, Call: call, Client: cl}
 		c.Cancel(q)
@@ -91,10 +91,10 @@
 	})
 }
 
-// TestMarkedAtOnce: a request is over from the call on by which its front says that the client has gone, and from its
+// TestClosedAtOnce: a request is over from the call on by which its front says that the client has gone, and from its
 // answer on, so that whoever holds an attempt of it sees that before the owner has run.
-func TestMarkedAtOnce(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+func TestClosedAtOnce(t *testing.T) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		if q.Closed() {
 			t.Error("over while it is open")
 		}
@@ -103,7 +103,7 @@
 			t.Error("not marked at once")
 		}
 	})
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: new(payload)})
 		synctest.Wait()
 		if !q.Closed() {
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -7,16 +7,16 @@
 	"reachwind/internal/record"
 )
 
-// watch makes records of what the owner sees. It belongs to the owner's
-// goroutine. A nil watch does nothing: with nobody listening there is no cost.
-type watch struct {
-	sink   record.Sink
-	roster *record.Roster
-	told   map[string]Time // members' newest log positions
-	rec    record.Record
+// recorder makes log records of requests and member changes. Only the owner's
+// goroutine uses it. A nil recorder does nothing: without a sink there is no cost.
+type recorder struct {
+	sink       record.Sink
+	membership *record.Roster
+	positions  map[string]Time // members' newest log positions
+	rec        record.Record
 }
 
-// SetRecordSink has records go to s from now on, nil for none. cold is how long members are cold after their start.
+// SetRecordSink sends records to s from now on, nil for none. cold is how long members are in slow start after their start.
 // It may be called from any goroutine.
 func (c *Core) SetRecordSink(s record.Sink, cold time.Duration) {
 	if s == nil {
@@ -26,15 +26,15 @@
 	}
 	c.Post(func() {
 		if s == nil {
-			c.watch = nil
+			c.recorder = nil
 			return
 		}
-		c.watch = &watch{sink: s, roster: record.NewRoster(cold), told: map[string]Time{}}
+		c.recorder = &recorder{sink: s, membership: record.NewRoster(cold), positions: map[string]Time{}}
 	})
 }
 
-// RecordFrontOutcome tells of a request that a front answered by itself, before the core had it. It may be called from any
-// goroutine, and does nothing while nobody listens.
+// RecordFrontOutcome records a request that a front answered by itself, without Arrive. It may be called from any
+// goroutine, and does nothing without a sink.
 func (c *Core) RecordFrontOutcome(front string, o record.Outcome, why record.Cause) {
 	s := c.sink.Load()
 	if s == nil {
@@ -45,50 +45,50 @@
 	(*s).Put(&r)
 }
 
-// learn notes a position that a member told.
-func (w *watch) learn(member string, p Time) {
+// recordPosition records a position that a member reported.
+func (w *recorder) recordPosition(member string, p Time) {
 	if w == nil {
 		return
 	}
-	if was, known := w.told[member]; (known || len(w.told) < decide.MaxMembers) && p > was {
-		w.told[member] = p
+	if was, known := w.positions[member]; (known || len(w.positions) < decide.MaxMembers) && p > was {
+		w.positions[member] = p
 	}
 }
 
-// sends notes how old what is known of the member is when an attempt starts.
-func (w *watch) sends(a *Attempt) {
+// recordLag records the age of the member's known position when an attempt starts.
+func (w *recorder) recordLag(a *Attempt) {
 	if w == nil {
 		return
 	}
-	if p, ok := w.told[a.Member]; ok {
+	if p, ok := w.positions[a.Member]; ok {
 		a.lag, a.hasLag = max(0, a.sent-p), true
 	}
 }
 
-// listed tells what a list changes.
-func (w *watch) listed(now Time, kind decide.EventKind, list []decide.Member) {
+// recordList makes a record of each change in a list.
+func (w *recorder) recordList(now Time, kind decide.EventKind, list []decide.Member) {
 	if w == nil {
 		return
 	}
-	w.roster.Take(now, kind != decide.ListChange, list, func(m decide.Member, c record.Change) {
+	w.membership.Take(now, kind != decide.ListChange, list, func(m decide.Member, c record.Change) {
 		if c == record.Gone {
-			delete(w.told, m.ID)
+			delete(w.positions, m.ID)
 		}
-		w.change(now, c, m.Group, m.ID)
+		w.recordChange(now, c, m.Group, m.ID)
 	})
 }
 
-func (w *watch) change(now Time, c record.Change, group int64, member string) {
+func (w *recorder) recordChange(now Time, c record.Change, group int64, member string) {
 	r := &w.rec
 	*r = record.Record{Kind: record.Member, At: now, Class: -1, Tenant: -1, Group: group, Member: member, Change: c,
-		Position: w.told[member]}
+		Position: w.positions[member]}
 	r.OfMember()
 	w.sink.Put(r)
 }
 
-// noted takes the module's word on what it believes.
-func (c *Core) noted(a *decide.Action) {
-	if c.watch == nil {
+// recordStateChange makes a record of a change in the module's view of a member or group.
+func (c *Core) recordStateChange(a *decide.Action) {
+	if c.recorder == nil {
 		return
 	}
 	change := record.PrimaryLost
@@ -100,11 +100,11 @@
 	case decide.PrimaryFound:
 		change = record.PrimaryFound
 	}
-	c.watch.change(c.Now(), change, a.Group, a.Member)
+	c.recorder.recordChange(c.Now(), change, a.Group, a.Member)
 }
 
-// answered makes the record of a final answer.
-func (w *watch) answered(now Time, q *Request, a *Answer, why record.Cause) {
+// recordAnswer makes the record of a final answer.
+func (w *recorder) recordAnswer(now Time, q *Request, a *Answer, why record.Cause) {
 	r := &w.rec
 	*r = record.Record{Kind: record.Request, At: now, Class: q.ClassIndex, Tenant: q.Tenant, Front: q.Front, Outcome: record.Served,
 		Cause: why, After: a.RetryAfter, Attempts: len(q.attempts), Waiting: now - q.arrived, Total: now - q.arrived,
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -16,36 +16,36 @@
 // TestRecords: each final answer makes one record that tells what the attempts showed, each belief one of its own,
 // and nobody listening gets none.
 func TestRecords(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, _ *payload, q *Request) { // nobody listens
+	withCore(t, func(c *Core, s *fakeModule, cl *client, _ *payload, q *Request) { // nobody listens
 		c.Done(s.sent[0], Outcome{Result: decide.Served})
 		synctest.Wait()
-		if len(cl.answers) != 1 || c.watch != nil {
+		if len(cl.answers) != 1 || c.recorder != nil {
 			t.Error("no answer, or records for nobody")
 		}
 	})
 	for _, tc := range []struct {
 		name string
-		play func(c *Core, s *script)
+		play func(c *Core, s *fakeModule)
 		want record.Record
 	}{
-		{"served", func(c *Core, s *script) {
+		{"served", func(c *Core, s *fakeModule) {
 			time.Sleep(20 * time.Millisecond)
 			c.Done(s.sent[0], Outcome{Result: decide.Served, Role: decide.Replica, HasPosition: true, Position: 5 * time.Second})
 		}, record.Record{Outcome: record.Served, Severity: record.Info, Attempts: 1, Member: "m", Role: decide.Replica, Position: 5 * time.Second,
 			Taken: 20 * time.Millisecond, Total: 20 * time.Millisecond}},
-		{"refused", func(c *Core, s *script) {
+		{"refused", func(c *Core, s *fakeModule) {
 			s.on[decide.Outcome] = []decide.Action{{Kind: decide.Refuse, Request: 1, RetryAfter: time.Second}}
 			c.Done(s.sent[0], Outcome{Result: decide.Full})
 		}, record.Record{Outcome: record.Refused, Severity: record.Notice, Cause: record.Full, After: time.Second, Attempts: 1, Member: "m"}},
-		{"failed", func(c *Core, s *script) {
+		{"failed", func(c *Core, s *fakeModule) {
 			s.on[decide.Timer] = []decide.Action{{Kind: decide.Fail, Request: 1}}
 			c.Post(func() { c.events = append(c.events, decide.Event{Kind: decide.Timer}) })
 		}, record.Record{Outcome: record.Failed, Severity: record.Warning, Cause: record.Waiting, Attempts: 1, Member: "m"}},
-		{"deadline", func(*Core, *script) { time.Sleep(time.Second) },
+		{"deadline", func(*Core, *fakeModule) { time.Sleep(time.Second) },
 			record.Record{Outcome: record.Failed, Severity: record.Warning, Cause: record.Deadline, Attempts: 1, Member: "m",
 				Taken: 305 * time.Millisecond, Total: 305 * time.Millisecond}},
 	} {
-		run(t, func(c *Core, s *script, _ *client, _ *payload, q *Request) {
+		withCore(t, func(c *Core, s *fakeModule, _ *client, _ *payload, q *Request) {
 			k := new(sink)
 			c.SetRecordSink(k, time.Minute)
 			synctest.Wait()
@@ -62,7 +62,7 @@
 			}
 		})
 	}
-	run(t, func(c *Core, s *script, _ *client, _ *payload, _ *Request) {
+	withCore(t, func(c *Core, s *fakeModule, _ *client, _ *payload, _ *Request) {
 		k := new(sink)
 		c.SetRecordSink(k, time.Minute)
 		s.on[decide.Probed] = []decide.Action{{Kind: decide.Notify, Change: decide.Suspected, Group: 3, Member: "m"}, {Kind: decide.Notify, Change: decide.PrimaryUnknown, Group: 3}}
