--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,7 @@
-// Package call is what any client may ask and any member may answer, in no
-// protocol's words. Fronts make calls, members' sides carry them out; PostgreSQL's
-// own statements pass between its two sides as they are.
+// Package call defines the requests that clients make of members, and their
+// answers, independent of a protocol. Fronts create them and the connections to
+// members carry them out. Statements of PostgreSQL clients are passed to
+// PostgreSQL members unchanged instead.
 package call
 
 import (
@@ -8,31 +9,31 @@
 	"time"
 )
 
-// Op is what is asked.
+// Op is the operation of a request.
 type Op uint8
 
 // The operations.
 const (
-	Read  Op = iota // one value
-	Write           // one value, under a key
-	List            // a page of items in the order of their ids
+	Read  Op = iota // reads the value of one item
+	Write           // writes the value of one item, under an idempotency key
+	List            // returns a page of items in the order of their ids
 )
 
-// Request is a call. Its strings and bytes are not changed once it is made.
+// Request is one call. Its strings and bytes must not be changed once it is created.
 type Request struct {
 	Op      Op
-	ID      string // of the request, which members know it by
+	ID      string // id of the request, by which members recognize it
 	Class   string
 	Tenant  string
 	Cluster int64
 	Item    string
 	Value   []byte // Write
 	Key     string // idempotency key, empty = none
-	Prefix  string // List: of the ids
-	After   string // List: the ids after this one, empty = from the first
-	Limit   int    // List: items at most, 1 to LimitMost
+	Prefix  string // List: prefix that the ids must have
+	After   string // List: only ids after this one, empty = from the first
+	Limit   int    // List: most items to return, 1 to LimitMost
 	Retry   bool
-	Done    func() // called on Release, if set
+	Done    func() // called by Release, if set
 }
 
 // Release implements core.Payload.
@@ -42,53 +43,54 @@
 	}
 }
 
-// Answer is what a member answered, as a front of another protocol reads it. Its bytes hold until it is released.
+// Answer is a member's answer for a front of another protocol. Its bytes are valid until it is released.
 type Answer interface {
-	// Value is the value that the member gave.
+	// Value returns the value in the answer.
 	Value() ([]byte, error)
+	// Release frees the answer's buffers.
 	Release()
 }
 
-// ActiveIDs are the ids of the requests in work, of all fronts: under one id two requests would look to members like
-// copies of one. It is safe for concurrent use; its size is bounded by the requests in work.
+// ActiveIDs holds the ids of the requests in progress, of all fronts: members would take two requests with one id for
+// copies of one request. It is safe for concurrent use; its size is bounded by the number of requests in progress.
 type ActiveIDs struct {
-	mu   sync.Mutex
-	open map[string]bool
+	mu  sync.Mutex
+	ids map[string]bool
 }
 
-// NewActiveIDs returns claims of nothing.
-func NewActiveIDs() *ActiveIDs { return &ActiveIDs{open: map[string]bool{}} }
+// NewActiveIDs returns an empty set.
+func NewActiveIDs() *ActiveIDs { return &ActiveIDs{ids: map[string]bool{}} }
 
-// Len is how many ids are in work.
+// Len returns the number of ids in progress.
 func (c *ActiveIDs) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open)
+	return len(c.ids)
 }
 
-// Claim notes that an id is in work, and tells whether it was free.
+// Claim adds an id and reports whether it was free. If not, it changes nothing.
 func (c *ActiveIDs) Claim(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open[id] {
+	if c.ids[id] {
 		return false
 	}
-	c.open[id] = true
+	c.ids[id] = true
 	return true
 }
 
-// Release frees an id.
+// Release removes an id.
 func (c *ActiveIDs) Release(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, id)
+	delete(c.ids, id)
 }
 
-// MaxWait is the longest that any client is taken to wait. No page says so: a class's deadline, from the settings, bounds each request
-// anyway, and one above a minute is cut to it here.
+// MaxWait is the longest that any client is assumed to wait. The deadline of its class bounds each request too; a
+// longer one is cut to this.
 const MaxWait = time.Minute
 
-// MaxPageItems is the most items of a page.
+// MaxPageItems is the most items in a page.
 const MaxPageItems = 500
 
 // Item is one item of a page.
@@ -97,9 +99,9 @@
 	Value []byte `json:"value"` // base64 in JSON
 }
 
-// Page is what a member answers a List with, as JSON. A member ends a page early rather than answer more than a
-// value may hold.
+// Page is a member's answer to a List, encoded as JSON. A member ends a page early rather than exceed the size that a
+// value may have.
 type Page struct {
 	Items []Item `json:"items"`
-	More  bool   `json:"more"` // there are items behind the last
+	More  bool   `json:"more"` // there are items after the last one
 }
--- a/internal/cursor/cursor.go
+++ b/internal/cursor/cursor.go
@@ -1,15 +1,15 @@
-// Package cursor seals the place that a listing has reached, so that any gateway
-// with the same keys can go on from it, and nobody else can read or make one. It
-// does no I/O and reads no clock. A Ring is not changed once it is made and is safe
-// for concurrent use.
+// Package cursor encrypts the position that a listing has reached, so that any
+// gateway with the same keys can continue it, and nobody else can read or forge a
+// cursor. It does no I/O and reads no clock. A KeyRing is immutable and safe for
+// concurrent use.
 //
 // A cursor is base64url without padding (RFC 4648, section 5) of
 //
 //	version:u8 key-id:u32 nonce:12 sealed
 //
 // where sealed is AES-256-GCM of the fields, with version and key id as additional
-// data. What it promises beyond secrecy: the fields are those that a holder of the
-// key sealed, for this query, not longer ago than the ring's life.
+// data. Beyond secrecy it ensures that a holder of the key sealed these fields, for
+// this query, not longer ago than the lifetime of the ring's cursors.
 package cursor
 
 import (
@@ -26,31 +26,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Time is a point on the gateway's clock since the start of Unix time, or a span on it.
+// Time is a point on the gateway's clock, since the Unix epoch, or a duration.
 type Time = time.Duration
 
-// Cursor is the place that a listing has reached.
+// Cursor is the position that a listing has reached.
 type Cursor struct {
 	Cluster  int64
-	Query    uint64 // Fingerprint of what the listing asks for
+	Query    uint64 // Fingerprint of the listing's query
 	Position Time   // log position that the first page was answered at; no later page may be older
 	Issued   Time
-	Page     uint32 // pages given so far
-	Cost     uint32 // microseconds that the page before took a member, to book the next one by
-	After    string // the last id given, IDMost bytes at most
+	Page     uint32 // pages returned so far
+	Cost     uint32 // time that a member took for the page before, in microseconds, as an estimate for the next one
+	After    string // the last id returned, IDMost bytes at most
 }
 
-// The bounds of a cursor.
+// Sizes of a cursor and its parts, in bytes.
 const (
-	MaxIDBytes  = 256
-	version     = 1
-	headSize    = 1 + 4 + 12
-	fixedSize   = 8 + 8 + 8 + 8 + 4 + 4
-	tagSize     = 16
-	encodedMost = (headSize+fixedSize+MaxIDBytes+tagSize)*4/3 + 4
+	MaxIDBytes     = 256
+	version        = 1
+	headerSize     = 1 + 4 + 12
+	fixedSize      = 8 + 8 + 8 + 8 + 4 + 4
+	tagSize        = 16
+	maxEncodedSize = (headerSize+fixedSize+MaxIDBytes+tagSize)*4/3 + 4
 )
 
-// Each way that a cursor can be wrong has its own error, as clients are told apart by it.
+// Each way in which a cursor is invalid has its own error, as clients get a different answer for each.
 var (
 	ErrFormat         = errors.New("cursor: not one that a gateway made")
 	ErrVersion        = errors.New("cursor: made by a newer version")
@@ -61,7 +61,7 @@
 	ErrQueryMismatch  = errors.New("cursor: of another listing")
 )
 
-// Fingerprint stands for what a listing asks for: a cursor goes on only with the same.
+// Fingerprint identifies the query of a listing: a cursor is valid only for the query it was made for.
 func Fingerprint(class, customer, session, prefix string, cluster int64) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{class, customer, session, prefix} {
@@ -76,23 +76,24 @@
 	return d.Sum64()
 }
 
-// Key is one key of a ring. It is accepted from Accept until End, and issued from Issue on, until a later one is.
+// Key is one key of a ring. It opens cursors from AcceptFrom until AcceptUntil, and seals them from IssueFrom on until
+// a key with a later IssueFrom does.
 type Key struct {
 	ID                                 uint32
 	Secret                             [32]byte
 	AcceptFrom, IssueFrom, AcceptUntil Time
 }
 
-// KeyRing is the keys that a gateway holds.
+// KeyRing is the set of keys that a gateway has.
 type KeyRing struct {
-	keys  []Key
-	aeads []cipher.AEAD
-	life  Time
-	skew  Time
+	keys      []Key
+	aeads     []cipher.AEAD
+	lifetime  Time
+	clockSkew Time
 }
 
-// NewKeyRing returns a ring whose cursors live for life. skew is by how much the clocks of gateways that share keys may
-// differ. It reports the first fault of the keys.
+// NewKeyRing returns a ring whose cursors are valid for life. skew is the largest difference between the clocks of
+// gateways that share keys. The error names the first invalid key.
 func NewKeyRing(keys []Key, life, skew Time) (*KeyRing, error) {
 	if len(keys) == 0 {
 		return nil, errors.New("cursor: no key, want at least one")
@@ -100,7 +101,7 @@
 	if life <= 0 || skew < 0 {
 		return nil, fmt.Errorf("cursor: life is %v and skew %v, want a life above 0 and no skew below", life, skew)
 	}
-	r := &KeyRing{keys: slices.Clone(keys), life: life, skew: skew}
+	r := &KeyRing{keys: slices.Clone(keys), lifetime: life, clockSkew: skew}
 	for i, k := range r.keys {
 		switch {
 		case slices.ContainsFunc(r.keys[:i], func(o Key) bool { return o.ID == k.ID }):
@@ -123,32 +124,33 @@
 	return r, nil
 }
 
-// issuing is the key that seals now: of those that may, the one issued last; -1 if there is none.
-func (r *KeyRing) issuing(now Time) int {
+// issuingKey returns the index of the key that seals now: of those that may, the one with the latest IssueFrom; -1 if
+// there is none.
+func (r *KeyRing) issuingKey(now Time) int {
 	best := -1
 	for i, k := range r.keys {
-		// its end leaves a cursor sealed now its whole life
-		if now >= k.IssueFrom && now+r.life <= k.AcceptUntil && (best < 0 || k.IssueFrom > r.keys[best].IssueFrom) {
+		// a cursor sealed now must be accepted for its whole lifetime
+		if now >= k.IssueFrom && now+r.lifetime <= k.AcceptUntil && (best < 0 || k.IssueFrom > r.keys[best].IssueFrom) {
 			best = i
 		}
 	}
 	return best
 }
 
-// Seal returns c as text, issued now. random gives the nonce. An error means that no key is to be issued now, or
-// that c is beyond its bounds; listings are then given without a next page.
+// Seal returns c as text, issued now. random supplies the nonce. It returns ErrUnknownKey if no key may be issued now,
+// and an error if After is too long; a listing then has no next page.
 func (r *KeyRing) Seal(c Cursor, now Time, random io.Reader) (string, error) {
-	i := r.issuing(now)
+	i := r.issuingKey(now)
 	if i < 0 {
 		return "", ErrUnknownKey
 	}
 	if len(c.After) > MaxIDBytes {
 		return "", fmt.Errorf("cursor: an id of %d bytes, want at most %d", len(c.After), MaxIDBytes)
 	}
-	b := make([]byte, headSize, headSize+fixedSize+len(c.After)+tagSize)
+	b := make([]byte, headerSize, headerSize+fixedSize+len(c.After)+tagSize)
 	b[0] = version
 	binary.LittleEndian.PutUint32(b[1:], r.keys[i].ID)
-	if _, err := io.ReadFull(random, b[5:headSize]); err != nil {
+	if _, err := io.ReadFull(random, b[5:headerSize]); err != nil {
 		return "", err
 	}
 	plain := make([]byte, 0, fixedSize+len(c.After))
@@ -158,17 +160,17 @@
 	plain = binary.LittleEndian.AppendUint32(plain, c.Page)
 	plain = binary.LittleEndian.AppendUint32(plain, c.Cost)
 	plain = append(plain, c.After...)
-	b = r.aeads[i].Seal(b, b[5:headSize], plain, b[:5])
+	b = r.aeads[i].Seal(b, b[5:headerSize], plain, b[:5])
 	return base64.RawURLEncoding.EncodeToString(b), nil
 }
 
-// Open reads a cursor for a query. The error is one of the package's.
+// Open returns the cursor in text, which must be of that query. Its error is one of the package's.
 func (r *KeyRing) Open(text string, query uint64, now Time) (c Cursor, err error) {
-	if len(text) > encodedMost {
+	if len(text) > maxEncodedSize {
 		return c, ErrFormat
 	}
 	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(b) < headSize+fixedSize+tagSize {
+	if err != nil || len(b) < headerSize+fixedSize+tagSize {
 		return c, ErrFormat
 	}
 	if b[0] != version {
@@ -179,10 +181,10 @@
 	}
 	id := binary.LittleEndian.Uint32(b[1:])
 	i := slices.IndexFunc(r.keys, func(k Key) bool { return k.ID == id })
-	if i < 0 || now < r.keys[i].AcceptFrom-r.skew || now > r.keys[i].AcceptUntil+r.skew {
+	if i < 0 || now < r.keys[i].AcceptFrom-r.clockSkew || now > r.keys[i].AcceptUntil+r.clockSkew {
 		return c, ErrUnknownKey
 	}
-	plain, err := r.aeads[i].Open(nil, b[5:headSize], b[headSize:], b[:5])
+	plain, err := r.aeads[i].Open(nil, b[5:headerSize], b[headerSize:], b[:5])
 	if err != nil || len(plain) > fixedSize+MaxIDBytes {
 		return c, ErrForged
 	}
@@ -190,9 +192,9 @@
 	c = Cursor{Cluster: int64(u64(0)), Query: u64(8), Position: Time(u64(16)), Issued: Time(u64(24)),
 		Page: binary.LittleEndian.Uint32(plain[32:]), Cost: binary.LittleEndian.Uint32(plain[36:]), After: string(plain[fixedSize:])}
 	switch {
-	case c.Issued > now+r.skew:
+	case c.Issued > now+r.clockSkew:
 		return Cursor{}, ErrIssuedInFuture
-	case now-c.Issued > r.life+r.skew:
+	case now-c.Issued > r.lifetime+r.clockSkew:
 		return Cursor{}, ErrExpired
 	case c.Query != query:
 		return Cursor{}, ErrQueryMismatch
--- a/internal/cursor/cursor_test.go
+++ b/internal/cursor/cursor_test.go
@@ -29,9 +29,9 @@
 	return r
 }
 
-// TestRoundTrip: what was sealed comes back, at another gateway with the same keys too, and any change of a
+// TestSealOpenRoundTrip: what was sealed comes back, at another gateway with the same keys too, and any change of a
 // character, its end or its query is refused with an error of the package's.
-func TestRoundTrip(t *testing.T) {
+func TestSealOpenRoundTrip(t *testing.T) {
 	keys := []Key{key(1, 0, time.Second, 1<<62), key(2, now, now+time.Hour, 1<<62)}
 	rapid.Check(t, func(t *rapid.T) {
 		c := Cursor{Cluster: rapid.Int64().Draw(t, "cluster"), Query: rapid.Uint64().Draw(t, "query"), Position: Time(rapid.Int64().Draw(t, "position")),
@@ -52,17 +52,17 @@
 		i := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		b[i] = rapid.SampledFrom([]byte("ABCXYZabcxyz0189-_=.\n")).Draw(t, "character")
 		if string(b) != text {
-			if _, err := other.Open(string(b), c.Query, now); !known(err) {
+			if _, err := other.Open(string(b), c.Query, now); !isCursorError(err) {
 				t.Fatalf("changed at %d: %v", i, err)
 			}
 		}
-		if _, err := other.Open(text[:i], c.Query, now); !known(err) {
+		if _, err := other.Open(text[:i], c.Query, now); !isCursorError(err) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 	})
 }
 
-func known(err error) bool {
+func isCursorError(err error) bool {
 	for _, e := range []error{ErrFormat, ErrVersion, ErrUnknownKey, ErrForged, ErrExpired, ErrIssuedInFuture, ErrQueryMismatch} {
 		if errors.Is(err, e) {
 			return true
@@ -71,8 +71,8 @@
 	return false
 }
 
-// TestTimes: a cursor lives as long as the ring says, from clocks apart by the skew, and is of no other ring.
-func TestTimes(t *testing.T) {
+// TestLifetimeAndSkew: a cursor lives as long as the ring says, from clocks apart by the skew, and is of no other ring.
+func TestLifetimeAndSkew(t *testing.T) {
 	r := ring(t, key(1, 0, time.Second, 1<<62))
 	text, err := r.Seal(Cursor{Query: 1}, now, rand.Reader)
 	if err != nil {
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, text := range []string{"", "!", strings.Repeat("A", 4000), text + "=", "Ag" + text[2:]} {
-		if _, err := r.Open(text, 1, now); !known(err) {
+		if _, err := r.Open(text, 1, now); !isCursorError(err) {
 			t.Errorf("%.20q: %v", text, err)
 		}
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestTurnover: while keys follow each other, any gateway opens in its time what any other sealed, though they take
+// TestKeyRotation: while keys follow each other, any gateway opens in its time what any other sealed, though they take
 // a new key file at different times: up to an overlap apart.
-func TestTurnover(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const every, overlap = 4 * time.Hour, 30 * time.Minute
 		file := func(at Time) []Key { // as it stands at a time: the key in use, those it follows, and the next one
@@ -134,7 +134,7 @@
 		t.Errorf("%+v, %v", keys, err)
 	}
 	for text, want := range map[string]string{"1 " + secret + " - -": "line 1: 4 fields", "x " + secret + " - - -": "line 1: the id", "\n1 " + secret[:60] + " - - -": "line 2: the secret",
-		"1 " + secret + " - soon -": "line 1: key 1: \"soon\"", strings.Repeat("1 "+secret+" - - -\n", keysMost+1): "more than"} {
+		"1 " + secret + " - soon -": "line 1: key 1: \"soon\"", strings.Repeat("1 "+secret+" - - -\n", maxKeys+1): "more than"} {
 		if _, err := ParseKeys([]byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), secret[:10]) {
 			t.Errorf("%.30q: %v, want %q", text, err, want)
 		}
@@ -151,7 +151,7 @@
 	text, _ := r.Seal(Cursor{Query: 1, After: "lift-7"}, now, rand.Reader)
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text string) {
-		if _, err := r.Open(text, 1, now); err != nil && !known(err) {
+		if _, err := r.Open(text, 1, now); err != nil && !isCursorError(err) {
 			t.Fatal(err)
 		}
 	})
--- a/internal/cursor/keys.go
+++ b/internal/cursor/keys.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// keysMost bounds a key file: rings are looked through for each cursor.
-const keysMost = 64
+// maxKeys bounds a key file, as a ring is searched for each cursor.
+const maxKeys = 64
 
-// ParseKeys reads a key file: a line for each key with its id, 64 hexadecimal digits, and the times from which it
-// is accepted, from which it is issued, and at which it ends (RFC 3339), with "-" for always. Empty lines and
-// those that begin with # are skipped. Errors name the line and never the secret.
+// ParseKeys parses a key file. Each line holds a key: its id, its secret as 64 hexadecimal digits, and the times from
+// which it is accepted, from which it is issued and at which it ends (RFC 3339), where "-" means no limit. Empty lines
+// and lines that begin with # are skipped. Errors name the line and never contain the secret.
 func ParseKeys(text []byte) ([]Key, error) {
 	var keys []Key
 	n := 0
@@ -48,8 +48,8 @@
 			}
 			*to = Time(at.UnixNano())
 		}
-		if keys = append(keys, k); len(keys) > keysMost {
-			return nil, fmt.Errorf("line %d: more than %d keys", n, keysMost)
+		if keys = append(keys, k); len(keys) > maxKeys {
+			return nil, fmt.Errorf("line %d: more than %d keys", n, maxKeys)
 		}
 	}
 	return keys, nil
