--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -15,10 +15,10 @@
 // A fleet of routers before one set of members, in virtual time: routers with uneven traffic, groups with uneven
 // demand, members that crash or are replaced and come back cold, told late, clients that come again.
 
-const coldBegins = 8 * time.Second // into a day, by when costs are partly learned
+const warmUpTime = 8 * time.Second // into a day, by when costs are partly learned
 
-// coldDay is one drawn day.
-type coldDay struct {
+// slowStartScenario is one drawn day.
+type slowStartScenario struct {
 	routers, groups, each int // each: members of a group
 	rate                  float64
 	span                  Time
@@ -27,33 +27,33 @@
 	seed                  uint64
 }
 
-func (d coldDay) String() string {
+func (d slowStartScenario) String() string {
 	return fmt.Sprintf("%d routers, %s, marked %v, seed %d", d.routers, d.what, d.marked, d.seed)
 }
 
-type coldEvent struct {
+type simEvent struct {
 	at  Time
 	seq int
 	do  func()
 }
 
-type coldQueue []coldEvent
+type simQueue []simEvent
 
-func (q coldQueue) Len() int { return len(q) }
-func (q coldQueue) Less(i, j int) bool {
+func (q simQueue) Len() int { return len(q) }
+func (q simQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q coldQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *coldQueue) Push(x any)   { *q = append(*q, x.(coldEvent)) }
-func (q *coldQueue) Pop() any {
+func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *simQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *simQueue) Pop() any {
 	e := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return e
 }
 
-// coldMember is a machine: its answers take a class's cost, later where its queue is long, and it works off
+// simMember is a machine: its answers take a class's cost, later where its queue is long, and it works off
 // capacity a second, or the part that it has when cold.
-type coldMember struct {
+type simMember struct {
 	id       string
 	group    int
 	primary  bool
@@ -62,7 +62,7 @@
 	started  Time
 	free     Time // when its queue is worked off
 	life     int
-	window   []coldWork // of the last FallTime
+	window   []sentWork // of the last FallTime
 	told     float64    // work sent while cold by those who had been told
 	could    float64    // of what it was allowed since all had been told
 	allTold  Time
@@ -70,13 +70,13 @@
 	used     float64 // work sent since all had been told
 }
 
-type coldWork struct {
+type sentWork struct {
 	at   Time
 	work float64
 	told bool
 }
 
-type coldRouter struct {
+type simRouter struct {
 	r       *Router
 	n       int
 	life    int
@@ -84,30 +84,30 @@
 	list    map[string]Member // as told
 	started map[string]Time   // the start told of each
 	wake    Time
-	calls   map[uint64]*coldCall
+	calls   map[uint64]*clientCall
 	out     []Action
 }
 
-type coldCall struct {
+type clientCall struct {
 	class    int
 	group    int
 	session  string
 	deadline Time
 	tries    int
-	sent     map[int]*coldMember
+	sent     map[int]*simMember
 }
 
-type coldSim struct {
-	coldDay
+type fleetSim struct {
+	slowStartScenario
 	cfg     Config
 	rng     *rand.Rand
 	now     Time
-	events  coldQueue
+	events  simQueue
 	seq     int
 	ids     uint64
-	fronts  []*coldRouter
-	members []*coldMember
-	byID    map[string]*coldMember
+	fronts  []*simRouter
+	members []*simMember
+	byID    map[string]*simMember
 	demand  []float64 // of each group, summing to 1
 	mean    float64   // work of a mean request, ns
 	burst   float64
@@ -122,16 +122,16 @@
 }
 
 // What a request of each class of testConfig costs: reads and writes differ.
-var coldCosts = []Time{anyRead: 12 * ms, bounded: 12 * ms, session: 10 * ms, fresh: 15 * ms, once: 30 * ms, keyed: 25 * ms}
+var classCosts = []Time{anyRead: 12 * ms, bounded: 12 * ms, session: 10 * ms, fresh: 15 * ms, once: 30 * ms, keyed: 25 * ms}
 
-func newColdSim(d coldDay) *coldSim {
+func newFleetSim(d slowStartScenario) *fleetSim {
 	cfg := testConfig()
 	cfg.Fronts, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = d.routers, 0.24, 12*time.Second, 2.5, time.Second
 	cfg.ClientsMarkRetries, cfg.MayDuplicate = d.marked, false
-	s := &coldSim{coldDay: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, uint64(d.routers))), now: time.Hour, burst: 1, worst: math.Inf(-1),
-		byID: map[string]*coldMember{}}
+	s := &fleetSim{slowStartScenario: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, uint64(d.routers))), now: time.Hour, burst: 1, worst: math.Inf(-1),
+		byID: map[string]*simMember{}}
 	for range 1000 {
-		s.mean += float64(coldCosts[s.class()]) / 1000
+		s.mean += float64(classCosts[s.class()]) / 1000
 	}
 	all := 0.0
 	for range d.groups {
@@ -146,12 +146,12 @@
 	used := 0.5 + 0.4*s.rng.Float64()                                       // of the members' capacity
 	for g := range d.groups {
 		for j := range d.each {
-			s.add(&coldMember{id: fmt.Sprintf("g%d-%d", g, j), group: g, primary: j == 0, up: true, capacity: load / used})
+			s.add(&simMember{id: fmt.Sprintf("g%d-%d", g, j), group: g, primary: j == 0, up: true, capacity: load / used})
 		}
 	}
 	all = 0
 	for n := range d.routers {
-		f := &coldRouter{n: n, rate: math.Exp(0.8 * s.rng.NormFloat64())}
+		f := &simRouter{n: n, rate: math.Exp(0.8 * s.rng.NormFloat64())}
 		all += f.rate
 		s.fronts = append(s.fronts, f)
 	}
@@ -167,7 +167,7 @@
 	return s
 }
 
-func (s *coldSim) class() int {
+func (s *fleetSim) class() int {
 	switch u := s.rng.IntN(20); {
 	case u < 4:
 		return anyRead
@@ -185,24 +185,24 @@
 	return keyed
 }
 
-func (s *coldSim) entry(m *coldMember) Member {
+func (s *fleetSim) entry(m *simMember) Member {
 	return Member{ID: m.id, Group: int64(m.group), Zone: "a", Primary: m.primary, Started: m.started}
 }
 
-func (s *coldSim) later(d Time, do func()) {
+func (s *fleetSim) later(d Time, do func()) {
 	s.seq++
-	heap.Push(&s.events, coldEvent{s.now + d, s.seq, do})
+	heap.Push(&s.events, simEvent{s.now + d, s.seq, do})
 }
 
 // boot starts a router anew: it has the list that was told, and has learned nothing.
-func (s *coldSim) boot(f *coldRouter) {
+func (s *fleetSim) boot(f *simRouter) {
 	cfg := s.cfg
 	cfg.Self = f.n
 	r, err := New(cfg, s.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	f.r, f.life, f.wake, f.calls = r, f.life+1, 0, map[uint64]*coldCall{}
+	f.r, f.life, f.wake, f.calls = r, f.life+1, 0, map[uint64]*clientCall{}
 	var list []Member
 	for _, m := range f.list {
 		list = append(list, m)
@@ -211,16 +211,16 @@
 	s.step(f, Event{Kind: ListSaved, Members: list})
 }
 
-func (s *coldSim) arrivals(f *coldRouter) {
+func (s *fleetSim) arrivals(f *simRouter) {
 	s.later(Time(s.rng.ExpFloat64()/(f.rate*s.burst)*float64(time.Second)), func() {
 		g, u := 0, s.rng.Float64()
 		for ; g < len(s.demand)-1 && u >= s.demand[g]; g++ {
 			u -= s.demand[g]
 		}
 		k := s.class()
-		c := &coldCall{class: k, group: g, deadline: s.now + s.cfg.Classes[k].Deadline,
+		c := &clientCall{class: k, group: g, deadline: s.now + s.cfg.Classes[k].Deadline,
 			session: fmt.Sprint("s", f.n, s.rng.IntN(40))}
-		if s.now > time.Hour+coldBegins {
+		if s.now > time.Hour+warmUpTime {
 			s.asked++
 		}
 		s.call(f, c)
@@ -228,30 +228,30 @@
 	})
 }
 
-func (s *coldSim) call(f *coldRouter, c *coldCall) {
+func (s *fleetSim) call(f *simRouter, c *clientCall) {
 	s.ids++
-	c.sent = map[int]*coldMember{}
+	c.sent = map[int]*simMember{}
 	f.calls[s.ids] = c
 	s.step(f, Event{Kind: Arrive, Request: s.ids, Class: c.class, Tenant: -1, Group: int64(c.group), Session: c.session,
 		IsRetry: c.tries > 0 && s.marked, Remaining: c.deadline - s.now})
 }
 
 // again is a client whose request came to nothing.
-func (s *coldSim) again(f *coldRouter, c *coldCall, d Time) {
+func (s *fleetSim) again(f *simRouter, c *clientCall, d Time) {
 	if d += Time(s.rng.Float64() * float64(20*ms)); c.tries < 6 && s.now+d < c.deadline-50*ms {
 		c.tries++
 		s.later(d, func() { s.call(f, c) })
 	}
 }
 
-func (s *coldSim) step(f *coldRouter, e Event) {
+func (s *fleetSim) step(f *simRouter, e Event) {
 	f.out = f.r.Step(s.now, []Event{e}, f.out[:0])
 	for _, a := range slices.Clone(f.out) {
 		s.act(f, a)
 	}
 }
 
-func (s *coldSim) act(f *coldRouter, a Action) {
+func (s *fleetSim) act(f *simRouter, a Action) {
 	life := f.life
 	c := f.calls[a.Request]
 	soon := func(d Time, e Event) {
@@ -279,7 +279,7 @@
 		if a.Timeout > 0 && d > a.Timeout {
 			d, e = a.Timeout, Event{Kind: Outcome, Request: a.Request, Attempt: no, Member: a.Member, Result: TimedOut}
 		}
-		if e.Result == Served && s.now > time.Hour+coldBegins {
+		if e.Result == Served && s.now > time.Hour+warmUpTime {
 			s.served++
 		}
 		soon(d, e)
@@ -302,27 +302,27 @@
 	}
 }
 
-func (m *coldMember) role() Role {
+func (m *simMember) role() Role {
 	if m.primary {
 		return Primary
 	}
 	return Replica
 }
 
-func (s *coldSim) position(m *coldMember) Time {
+func (s *fleetSim) position(m *simMember) Time {
 	if m.primary {
 		return s.now
 	}
 	return s.now - 15*ms
 }
 
-func (s *coldSim) add(m *coldMember) {
+func (s *fleetSim) add(m *simMember) {
 	s.members = append(s.members, m)
 	s.byID[m.id] = m
 }
 
 // part is what m can do now of what it can do warm.
-func (s *coldSim) part(m *coldMember) float64 {
+func (s *fleetSim) part(m *simMember) float64 {
 	if m.started == 0 || s.now >= m.started+s.cfg.SlowStartTime {
 		return 1
 	}
@@ -330,12 +330,12 @@
 }
 
 // send plays an attempt at m and returns when it ends.
-func (s *coldSim) send(f *coldRouter, m *coldMember, c *coldCall, e *Event) Time {
+func (s *fleetSim) send(f *simRouter, m *simMember, c *clientCall, e *Event) Time {
 	if !m.up {
 		e.Result = Unreachable
 		return ms
 	}
-	work := float64(coldCosts[c.class])
+	work := float64(classCosts[c.class])
 	s.count(f, m, work)
 	if s.cfg.Classes[c.class].Writes() && !m.primary {
 		e.Result, e.Role = Misdirected, Replica
@@ -352,14 +352,14 @@
 }
 
 // count holds what a cold member was sent in the last FallTime against what the settings allow.
-func (s *coldSim) count(f *coldRouter, m *coldMember, work float64) {
+func (s *fleetSim) count(f *simRouter, m *simMember, work float64) {
 	part := s.part(m)
 	if part == 1 {
 		m.window = nil
 		return
 	}
 	told := f.started[m.id] == m.started
-	m.window = append(m.window, coldWork{s.now, work / s.mean, told})
+	m.window = append(m.window, sentWork{s.now, work / s.mean, told})
 	for len(m.window) > 0 && m.window[0].at <= s.now-s.cfg.OverloadTime {
 		m.window = m.window[1:]
 	}
@@ -373,13 +373,13 @@
 	if x := (sum - n - 2) / math.Sqrt(n); x > s.worst {
 		s.worst, s.where = x, fmt.Sprintf("%s (primary %v) %.1f s after its start: %.1f, allowed %.1f", m.id, m.primary, (s.now-m.started).Seconds(), sum, n)
 	}
-	if told && part < coldUsed {
+	if told && part < scarceFraction {
 		s.used += work / s.mean
 	}
 }
 
 // notice tells every router of m as it is now, each in its time.
-func (s *coldSim) notice(m *coldMember, state MemberState) {
+func (s *fleetSim) notice(m *simMember, state MemberState) {
 	l := s.entry(m)
 	l.State = state
 	for _, f := range s.fronts {
@@ -395,7 +395,7 @@
 	}
 }
 
-func (s *coldSim) crash(m *coldMember, down Time) {
+func (s *fleetSim) crash(m *simMember, down Time) {
 	m.up = false
 	gone := s.rng.IntN(2) == 0
 	if gone {
@@ -409,27 +409,27 @@
 }
 
 // renew takes m out of the list, then down, and brings another in its place that nobody has seen.
-func (s *coldSim) renew(m *coldMember) {
+func (s *fleetSim) renew(m *simMember) {
 	l := *m
 	s.notice(m, Removed)
 	s.later(5*time.Second, func() { m.up = false })
-	n := &coldMember{id: l.id + "x", group: l.group, up: true, capacity: l.capacity, started: s.now, free: s.now, primary: l.primary}
+	n := &simMember{id: l.id + "x", group: l.group, up: true, capacity: l.capacity, started: s.now, free: s.now, primary: l.primary}
 	m.primary = false
 	s.add(n)
 	s.notice(n, Up)
 	s.account(n)
 }
 
-// coldUsed is the part of what it can do up to which a cold member's budget is less than it is asked for.
-const coldUsed = 0.5
+// scarceFraction is the part of what it can do up to which a cold member's budget is less than it is asked for.
+const scarceFraction = 0.5
 
 // account adds up what m was allowed, in the part of those who had been told, while that was scarce.
-func (s *coldSim) account(m *coldMember) {
+func (s *fleetSim) account(m *simMember) {
 	const tick = 100 * ms
 	s.later(tick, func() {
 		if part := s.part(m); part < 1 && m.up {
 			for _, f := range s.fronts {
-				if f.started[m.id] == m.started && part < coldUsed {
+				if f.started[m.id] == m.started && part < scarceFraction {
 					s.could += s.cfg.OverloadMultiple * m.capacity * part * tick.Seconds() / s.mean * f.rate / s.rate / float64(s.routers)
 				}
 			}
@@ -438,8 +438,8 @@
 	})
 }
 
-func (s *coldSim) trouble() {
-	var hit []*coldMember
+func (s *fleetSim) trouble() {
+	var hit []*simMember
 	g := s.rng.IntN(s.groups)
 	for _, m := range s.members {
 		switch s.what {
@@ -473,19 +473,19 @@
 	}
 }
 
-func (s *coldSim) run() {
-	s.later(coldBegins, s.trouble)
+func (s *fleetSim) run() {
+	s.later(warmUpTime, s.trouble)
 	for _, f := range s.fronts { // a third of the routers start anew meanwhile
 		if s.rng.IntN(3) == 0 {
-			s.later(coldBegins-2*time.Second+Time(s.rng.Float64()*12*float64(time.Second)), func() { s.boot(f) })
+			s.later(warmUpTime-2*time.Second+Time(s.rng.Float64()*12*float64(time.Second)), func() { s.boot(f) })
 		}
 	}
-	s.later(coldBegins+2*time.Second+Time(s.rng.Float64()*5*float64(time.Second)), func() {
+	s.later(warmUpTime+2*time.Second+Time(s.rng.Float64()*5*float64(time.Second)), func() {
 		s.burst = 1.5
 		s.later(3*time.Second, func() { s.burst = 1 })
 	})
-	for end := s.now + coldBegins + s.span; len(s.events) > 0 && s.events[0].at < end; {
-		e := heap.Pop(&s.events).(coldEvent)
+	for end := s.now + warmUpTime + s.span; len(s.events) > 0 && s.events[0].at < end; {
+		e := heap.Pop(&s.events).(simEvent)
 		s.now = e.at
 		e.do()
 	}
@@ -493,7 +493,7 @@
 
 // What all routers that have been told of a member's start send it while it is cold stays within N + 2 x root of N + 2
 // in any FallTime, whatever the fleet's size, whoever is asked for what, and however often clients come again.
-func TestColdFleet(t *testing.T) {
+func TestSlowStartOfFleet(t *testing.T) {
 	for _, size := range []struct {
 		routers, groups, each int
 		rate                  float64
@@ -506,9 +506,9 @@
 			}
 			worst, used, could, served, asked := math.Inf(-1), 0.0, 0.0, 0, 0
 			for n := range *coldSeeds {
-				d := coldDay{routers: size.routers, groups: size.groups, each: size.each, rate: size.rate, span: size.span,
+				d := slowStartScenario{routers: size.routers, groups: size.groups, each: size.each, rate: size.rate, span: size.span,
 					what: what, marked: (n+i)%2 == 0, seed: uint64(100*n + i)}
-				s := newColdSim(d)
+				s := newFleetSim(d)
 				s.run()
 				worst, used, could = max(worst, s.worst), used+s.used, could+s.could
 				served, asked = served+s.served, asked+s.asked
@@ -531,7 +531,7 @@
 // Where more was sent to a cold member than its budget, one cause each, at one front: three groups of three, 100
 // requests a second for 10 s; then some members start anew, and what is
 // sent in the next 2 s is counted.
-func TestColdRamp(t *testing.T) {
+func TestSlowStartAtOneFront(t *testing.T) {
 	const usual = 100.0 / 9 // requests a second of a member
 	for _, c := range []struct {
 		name        string
@@ -558,7 +558,7 @@
 		{name: "turned away", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 30, full: true, again: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newColdPlay(t, c.full, c.again, !c.unmarked)
+			p := newSingleRouterSim(t, c.full, c.again, !c.unmarked)
 			for range 10 * 100 {
 				p.pass(10 * ms)
 				p.request(p.rng.Int64N(3), p.rng.IntN(6) == 0)
@@ -606,9 +606,9 @@
 	}
 }
 
-// coldPlay is one router and members that answer after 20 ms.
-type coldPlay struct {
-	g                   *rig
+// singleRouterSim is one router and members that answer after 20 ms.
+type singleRouterSim struct {
+	g                   *routerTest
 	rng                 *rand.Rand
 	members             map[string]Member
 	sent                map[string]int
@@ -616,18 +616,18 @@
 	full, again, marked bool
 	writes              map[uint64]bool
 	groups              map[uint64]int64
-	due                 []coldDue
+	due                 []dueEvent
 }
 
-type coldDue struct {
+type dueEvent struct {
 	at    Time
 	e     Event
 	group int64 // of a repeat
 	write bool
 }
 
-func newColdPlay(t *testing.T, full, again, marked bool) *coldPlay {
-	p := &coldPlay{g: &rig{t: t, now: time.Hour}, rng: rand.New(rand.NewPCG(5, 5)), members: map[string]Member{},
+func newSingleRouterSim(t *testing.T, full, again, marked bool) *singleRouterSim {
+	p := &singleRouterSim{g: &routerTest{t: t, now: time.Hour}, rng: rand.New(rand.NewPCG(5, 5)), members: map[string]Member{},
 		sent: map[string]int{}, full: full, again: again, marked: marked,
 		writes: map[uint64]bool{}, groups: map[uint64]int64{}}
 	for n := range 9 {
@@ -639,7 +639,7 @@
 }
 
 // boot puts a new router in the place of the one before.
-func (p *coldPlay) boot() {
+func (p *singleRouterSim) boot() {
 	cfg := testConfig()
 	cfg.Fronts, cfg.ClientsMarkRetries = 1, p.marked
 	r, err := New(cfg, 9)
@@ -654,15 +654,15 @@
 	p.g.step(Event{Kind: ListFull, Members: list})
 }
 
-func (p *coldPlay) list(m Member) {
+func (p *singleRouterSim) list(m Member) {
 	m.Zone = "a"
 	p.members[m.ID] = m
 	p.act(p.g.step(Event{Kind: ListChange, Members: []Member{m}}))
 }
 
-func (p *coldPlay) request(group int64, write bool) { p.try(group, write, false) }
+func (p *singleRouterSim) request(group int64, write bool) { p.try(group, write, false) }
 
-func (p *coldPlay) try(group int64, write, again bool) {
+func (p *singleRouterSim) try(group int64, write, again bool) {
 	p.id++
 	class := anyRead
 	if write {
@@ -673,7 +673,7 @@
 }
 
 // pass lets time go by, and gives the answers that are due.
-func (p *coldPlay) pass(d Time) {
+func (p *singleRouterSim) pass(d Time) {
 	for end := p.g.now + d; p.g.now < end; {
 		p.g.now += ms
 		p.act(p.g.step(Event{Kind: Timer}))
@@ -688,7 +688,7 @@
 	}
 }
 
-func (p *coldPlay) act(as []Action) {
+func (p *singleRouterSim) act(as []Action) {
 	for _, a := range slices.Clone(as) {
 		switch a.Kind {
 		case Send:
@@ -704,17 +704,17 @@
 			} else if p.full && m.Started != 0 {
 				e.Result, e.Ended = Full, false
 			}
-			p.wait(20*ms, coldDue{e: e})
+			p.wait(20*ms, dueEvent{e: e})
 		case Refuse:
 			if p.again {
-				p.wait(50*ms, coldDue{e: Event{Kind: Arrive}, group: p.groups[a.Request], write: p.writes[a.Request]})
+				p.wait(50*ms, dueEvent{e: Event{Kind: Arrive}, group: p.groups[a.Request], write: p.writes[a.Request]})
 			}
 		}
 	}
 }
 
-func (p *coldPlay) wait(d Time, x coldDue) {
+func (p *singleRouterSim) wait(d Time, x dueEvent) {
 	x.at = p.g.now + d
-	i, _ := slices.BinarySearchFunc(p.due, x, func(a, b coldDue) int { return cmp.Compare(a.at, b.at+1) })
+	i, _ := slices.BinarySearchFunc(p.due, x, func(a, b dueEvent) int { return cmp.Compare(a.at, b.at+1) })
 	p.due = slices.Insert(p.due, i, x)
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -37,7 +37,7 @@
 	otherZoneFactor  = 1.2             // score factor of a member in another zone; breaks ties by zone
 	tieBreakNoise    = 0.1             // random part of a score, so that fronts with the same view don't herd
 
-	laggingMultiple   = 3.0 // lagging by more than this multiple of the tightest bound, a replica has to catch up
+	laggingMultiple   = 3.0 // multiple of the tightest bound from which on a lagging replica has to catch up
 	laggingLoadFactor = 2.0 // and counts as this many times as loaded
 
 	longReadMultiple = 4.0  // a read that costs this multiple of the cheapest class counts as long
@@ -82,8 +82,8 @@
 	primarySearchPerFront = 5 * time.Millisecond   // the same for each front, where that is longer
 
 	fleetProbeInterval = 10 * time.Millisecond // shortest interval of probes of a member by all fronts
-	reservedAttempts   = 2                     // attempts kept back in a search for a primary, for when it is known
-	refreshBonus       = 0.25                  // largest score bonus, for a replica unheard of for the tightest bound
+	reservedAttempts   = 2                     // attempts kept for when the search for a primary succeeds
+	refreshBonus       = 0.25                  // largest score bonus, of a replica unheard of for that bound
 
 	peerReportLifetime = 2 * time.Second // a probe started by a peer's report must have ended within this time
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -36,8 +36,8 @@
 	keyed
 )
 
-// rig drives one router by hand.
-type rig struct {
+// routerTest drives one router by hand.
+type routerTest struct {
 	t   *testing.T
 	r   *Router
 	now Time
@@ -48,7 +48,7 @@
 	return []Member{{ID: "p", Zone: "a", Primary: true}, {ID: "q", Zone: "a"}, {ID: "s", Zone: "b"}}
 }
 
-func newRig(t *testing.T, change func(*Config), list []Member) *rig {
+func newRig(t *testing.T, change func(*Config), list []Member) *routerTest {
 	t.Helper()
 	cfg := testConfig()
 	if change != nil {
@@ -58,18 +58,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, r: r, now: time.Hour}
+	g := &routerTest{t: t, r: r, now: time.Hour}
 	g.step(Event{Kind: ListSaved, Members: list})
 	return g
 }
 
-func (g *rig) step(ev ...Event) []Action {
+func (g *routerTest) step(ev ...Event) []Action {
 	g.got = g.r.Step(g.now, ev, nil)
 	return g.got
 }
 
 // run steps timers over a span and returns all actions.
-func (g *rig) run(d Time) (all []Action) {
+func (g *routerTest) run(d Time) (all []Action) {
 	for end := g.now + d; g.now < end; {
 		g.now += 5 * ms
 		all = append(all, g.step(Event{Kind: Timer})...)
@@ -77,11 +77,11 @@
 	return all
 }
 
-func (g *rig) arrive(id uint64, class int, wait Time, s string) []Action {
+func (g *routerTest) arrive(id uint64, class int, wait Time, s string) []Action {
 	return g.step(Event{Kind: Arrive, Request: id, Class: class, Tenant: -1, Session: s, Remaining: wait})
 }
 
-func (g *rig) answer(id uint64, attempt int, m string, res Result, role Role, pos Time) []Action {
+func (g *routerTest) answer(id uint64, attempt int, m string, res Result, role Role, pos Time) []Action {
 	e := Event{Kind: Outcome, Request: id, Attempt: attempt, Member: m, Result: res, Role: role, Ended: res == Served}
 	if pos != 0 {
 		e.HasPosition, e.Position = true, pos
@@ -89,7 +89,7 @@
 	return g.step(e)
 }
 
-func pick(as []Action, k ActionKind, id uint64) (out []Action) {
+func actionsOf(as []Action, k ActionKind, id uint64) (out []Action) {
 	for _, a := range as {
 		if a.Kind == k && a.Request == id {
 			out = append(out, a)
@@ -99,23 +99,23 @@
 }
 
 // sentTo fails unless exactly one attempt of id went out, and returns where.
-func (g *rig) sentTo(as []Action, id uint64) string {
+func (g *routerTest) sentTo(as []Action, id uint64) string {
 	g.t.Helper()
-	s := pick(as, Send, id)
+	s := actionsOf(as, Send, id)
 	if len(s) != 1 {
 		g.t.Fatalf("request %d: %d sends, want 1", id, len(s))
 	}
 	return s[0].Member
 }
 
-// tell gives replica m a position, as a probe does.
-func (g *rig) tell(m string, pos Time) {
+// reportPosition gives replica m a position, as a probe does.
+func (g *routerTest) reportPosition(m string, pos Time) {
 	g.t.Helper()
 	g.step(Event{Kind: Probed, Member: m, Result: Served,
 		Report: Report{HasPosition: true, Position: pos, HasRole: true, Role: Replica}})
 }
 
-func TestOrdinaryPath(t *testing.T) {
+func TestMemberByConsistency(t *testing.T) {
 	tests := []struct {
 		name  string
 		class int
@@ -134,7 +134,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := newRig(t, nil, members())
 			if tc.age != -1 {
-				g.tell("q", g.now-tc.age)
+				g.reportPosition("q", g.now-tc.age)
 			}
 			got := g.sentTo(append(g.arrive(1, tc.class, time.Second, "u"), g.run(100*ms)...), 1)
 			if tc.want == "replica" && got != "p" {
@@ -153,13 +153,13 @@
 	commit := g.now + ms
 	g.now += 20 * ms
 	g.answer(1, 0, "p", Served, Primary, commit)
-	g.tell("q", commit-5*ms)
+	g.reportPosition("q", commit-5*ms)
 	if got := g.sentTo(append(g.arrive(2, session, time.Second, "u"), g.run(100*ms)...), 2); got != "p" {
 		t.Errorf("replicas behind the session's write: sent to %s, want p", got)
 	}
 	g.answer(2, 0, "p", Served, Primary, 0)
 	g.now += 20 * ms
-	g.tell("q", commit)
+	g.reportPosition("q", commit)
 	if got := g.sentTo(g.arrive(3, session, time.Second, "u"), 3); got != "q" {
 		t.Errorf("replica that has the write: sent to %s, want q", got)
 	}
@@ -176,7 +176,7 @@
 	commit := g.now
 	g.now += 20 * ms
 	g.answer(1, 0, "p", Served, Primary, commit)
-	g.tell("q", commit+10*ms)
+	g.reportPosition("q", commit+10*ms)
 	g.run(20 * ms)
 	if n := len(g.r.groups[0].sessions); n != 0 {
 		t.Fatalf("%d commits kept that every member has", n)
@@ -192,7 +192,7 @@
 		t.Fatalf("%d entries of a group without members are kept", n)
 	}
 	g.step(Event{Kind: ListFull, Members: []Member{{ID: "p", Primary: true}, {ID: "behind", Zone: "a"}}})
-	g.tell("behind", commit-ms)
+	g.reportPosition("behind", commit-ms)
 	if got := g.sentTo(append(g.arrive(3, session, time.Second, "u"), g.run(100*ms)...), 3); got != "p" {
 		t.Errorf("sent to %s, which lacks a write of before its group was forgotten", got)
 	}
@@ -200,7 +200,7 @@
 
 func TestCarriedToken(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.RemembersSessions = false }, members())
-	g.tell("q", g.now-50*ms)
+	g.reportPosition("q", g.now-50*ms)
 	for _, tc := range []struct {
 		age  Time
 		want string
@@ -215,8 +215,8 @@
 // Stores that check: the most advanced replica first, the primary when that one turns the read away.
 func TestCheckedReads(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.StaleReads = StaleReadRefuse }, members())
-	g.tell("q", g.now-300*ms)
-	g.tell("s", g.now-500*ms)
+	g.reportPosition("q", g.now-300*ms)
+	g.reportPosition("s", g.now-500*ms)
 	if got := g.sentTo(g.arrive(1, bounded, time.Second, ""), 1); got != "q" {
 		t.Fatalf("sent to %s, want the most advanced, q", got)
 	}
@@ -238,12 +238,12 @@
 		last = m
 	}
 	g.now += 2 * ms
-	if as := g.answer(1, 2, g.r.requests[1].attempts[2].member.ID, Misdirected, Replica, 0); len(pick(as, Send, 1)) != 0 {
+	if as := g.answer(1, 2, g.r.requests[1].attempts[2].member.ID, Misdirected, Replica, 0); len(actionsOf(as, Send, 1)) != 0 {
 		t.Fatal("sent again with all known as replicas a moment ago")
 	}
 	g.run(60 * ms)
 	g.step(Event{Kind: ListChange, Members: []Member{{ID: "p", Zone: "a", Primary: true}}})
-	if len(pick(g.got, Send, 1)) != 0 {
+	if len(actionsOf(g.got, Send, 1)) != 0 {
 		t.Fatal("an old list beat a member's own word")
 	}
 	as := g.step(Event{Kind: Probed, Member: "s", Result: Served,
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestRepeats(t *testing.T) {
+func TestRetriesByEffect(t *testing.T) {
 	tests := []struct {
 		name   string
 		class  int
@@ -274,22 +274,22 @@
 			to := g.sentTo(g.arrive(1, tc.class, 2*time.Second, "u"), 1)
 			g.now += tc.after
 			as := append(g.answer(1, 0, to, tc.res, RoleUnknown, 0), g.run(3*time.Second)...)
-			if got := len(pick(as, Send, 1)) > 0; got != tc.resend {
+			if got := len(actionsOf(as, Send, 1)) > 0; got != tc.resend {
 				t.Errorf("sent again: %v, want %v", got, tc.resend)
 			}
-			if len(pick(as, tc.end, 1)) != 1 || len(pick(as, Refuse, 1))+len(pick(as, Fail, 1)) != 1 {
+			if len(actionsOf(as, tc.end, 1)) != 1 || len(actionsOf(as, Refuse, 1))+len(actionsOf(as, Fail, 1)) != 1 {
 				t.Errorf("want exactly one final answer of kind %d, got %v", tc.end, as)
 			}
 		})
 	}
 }
 
-func TestDrainedAndGone(t *testing.T) {
+func TestDrainingAndUnlistedMembers(t *testing.T) {
 	for _, st := range []MemberState{Draining, Removed} {
 		g := newRig(t, nil, members())
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: "q", Zone: "a", State: st}}})
 		for id := uint64(1); id < 40; id++ {
-			for _, a := range pick(g.arrive(id, anyRead, time.Second, ""), Send, id) {
+			for _, a := range actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id) {
 				if a.Member == "q" {
 					t.Fatalf("state %d: sent to q", st)
 				}
@@ -305,11 +305,11 @@
 
 // What all fronts together send to a cold member keeps to its budget, and uses it, in small fleets and in large
 // ones in which the budget of a front is far under one request.
-func TestColdBudget(t *testing.T) {
+func TestSlowStartBudgetByFleetSize(t *testing.T) {
 	for _, fronts := range []int{1, 5, 80, 200} {
 		const groups, rate = 5, 100.0 // requests a second of all fronts, a fifth of them writes
 		rng := rand.New(rand.NewPCG(3, uint64(fronts)))
-		var rigs []*rig
+		var rigs []*routerTest
 		for i := range fronts {
 			var list []Member
 			for g := range groups { // in group 0 the primary is cold, in group 1 a replica
@@ -327,7 +327,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &rig{t: t, r: r, now: time.Hour}
+			g := &routerTest{t: t, r: r, now: time.Hour}
 			g.step(Event{Kind: ListFull, Members: list})
 			rigs = append(rigs, g)
 		}
@@ -347,7 +347,7 @@
 				cost = 100 * ms
 			}
 			all += float64(cost)
-			for _, a := range pick(as, Send, uint64(id+1)) {
+			for _, a := range actionsOf(as, Send, uint64(id+1)) {
 				cold[a.Member] += float64(cost)
 				g.now += cost
 				g.answer(uint64(id+1), 0, a.Member, Served, RoleUnknown, 0)
@@ -367,7 +367,7 @@
 
 // Where all members are cold, a read that missed its chance hears so at once: held, it would only lose the time
 // to ask again, which is a new chance. Nothing is refused where some member is warm.
-func TestMissedChanceIsToldAtOnce(t *testing.T) {
+func TestUnadmittedReadIsRefusedAtOnce(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		list := members()
 		for i := range list {
@@ -381,8 +381,8 @@
 		for id := uint64(1); id <= 60; id++ {
 			g.now += 10 * ms // what may be sent comes with time
 			as := g.arrive(id, anyRead, time.Second, "")
-			sent += len(pick(as, Send, id))
-			for _, a := range pick(as, Refuse, id) {
+			sent += len(actionsOf(as, Send, id))
+			for _, a := range actionsOf(as, Refuse, id) {
 				if refused++; a.RetryAfter <= 0 || a.RetryAfter > 100*ms {
 					t.Errorf("told to come back after %v, too late to be of use", a.RetryAfter)
 				}
@@ -396,7 +396,7 @@
 
 // While a group has no primary, all fronts together probe each member a hundred times a second at most, after the
 // first round.
-func TestProbesOverTheFleet(t *testing.T) {
+func TestProbeRateOfTheFleet(t *testing.T) {
 	const span = 3
 	for _, fronts := range []int{1, 5, 80, 200} {
 		probes := map[string]int{}
@@ -407,7 +407,7 @@
 				for _, a := range as {
 					if a.Kind == Probe {
 						probes[a.Member]++
-						g.tell(a.Member, g.now-ms)
+						g.reportPosition(a.Member, g.now-ms)
 					}
 				}
 			}
@@ -424,7 +424,7 @@
 }
 
 // Cold replicas without room for a read are as good as none: the warm primary takes it at once.
-func TestReadsBesideColdReplicas(t *testing.T) {
+func TestReadsBesideReplicasInSlowStart(t *testing.T) {
 	list := members()
 	list[1].Started, list[2].Started = time.Hour, time.Hour
 	g := newRig(t, nil, list)
@@ -443,7 +443,7 @@
 
 // A start with an empty list, or with one whose members are all gone, asks discovery and nobody else for long, tells
 // clients so in time, and serves as soon as the list has come.
-func TestUselessSavedList(t *testing.T) {
+func TestUnusableSavedList(t *testing.T) {
 	for name, saved := range map[string][]Member{"empty": nil, "gone": {{ID: "x"}, {ID: "y"}}} {
 		cfg := testConfig()
 		cfg.ListOnRequest, cfg.Fronts = true, 80
@@ -451,11 +451,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: time.Hour}
+		g := &routerTest{t: t, r: r, now: time.Hour}
 		all := g.step(Event{Kind: ListSaved, Members: saved})
 		all = append(all, g.arrive(1, anyRead, time.Second, "")...)
 		for range 400 { // whatever it sends finds nobody
-			for _, a := range pick(all, Send, 1) {
+			for _, a := range actionsOf(all, Send, 1) {
 				all = append(all, g.answer(1, a.Attempt, a.Member, Unreachable, RoleUnknown, 0)...)
 			}
 			all = append(all, g.run(10*ms)...)
@@ -466,8 +466,8 @@
 				watches++
 			}
 		}
-		if watches != 1 || len(pick(all, Refuse, 1)) != 1 || len(all) > 4000 {
-			t.Errorf("%s: %d watches, %d refusals, %d actions", name, watches, len(pick(all, Refuse, 1)), len(all))
+		if watches != 1 || len(actionsOf(all, Refuse, 1)) != 1 || len(all) > 4000 {
+			t.Errorf("%s: %d watches, %d refusals, %d actions", name, watches, len(actionsOf(all, Refuse, 1)), len(all))
 		}
 		g.step(Event{Kind: ListFull, Members: []Member{{ID: "z"}}})
 		if got := g.sentTo(g.arrive(2, anyRead, time.Second, ""), 2); got != "z" {
@@ -478,17 +478,17 @@
 
 func TestNoMemberOrNoTime(t *testing.T) {
 	g := newRig(t, nil, nil)
-	if as := g.arrive(1, once, time.Second, ""); len(pick(as, Refuse, 1)) != 1 {
+	if as := g.arrive(1, once, time.Second, ""); len(actionsOf(as, Refuse, 1)) != 1 {
 		t.Error("no member: want a refusal at once")
 	}
 	g = newRig(t, nil, members())
-	if as := g.arrive(1, once, 0, ""); len(pick(as, Refuse, 1)) != 1 {
+	if as := g.arrive(1, once, 0, ""); len(actionsOf(as, Refuse, 1)) != 1 {
 		t.Error("no time: want a refusal at once")
 	}
 }
 
 // An idle front looks around seldom; a request with little time must still be answered (sapporo, lost).
-func TestShortTryOnIdleFront(t *testing.T) {
+func TestShortDeadlineOnIdleFront(t *testing.T) {
 	g := newRig(t, nil, members())
 	as := g.arrive(1, keyed, 40*ms, "u")
 	var at Time
@@ -501,7 +501,7 @@
 		t.Fatalf("woken %v after the arrival, too late for 40 ms", at-g.now)
 	}
 	as = append(as, g.run(45*ms)...)
-	if len(pick(as, Fail, 1))+len(pick(as, Refuse, 1)) != 1 {
+	if len(actionsOf(as, Fail, 1))+len(actionsOf(as, Refuse, 1)) != 1 {
 		t.Errorf("want one final answer in time, got %v", as)
 	}
 }
@@ -511,7 +511,7 @@
 	list := append(members(), Member{ID: "x", Zone: "a"}, Member{ID: "y", Zone: "a"})
 	g := newRig(t, nil, list)
 	for id := uint64(1); id < 60; id++ {
-		for _, a := range pick(g.arrive(id, anyRead, time.Second, ""), Send, id) {
+		for _, a := range actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id) {
 			g.answer(id, 0, a.Member, Reset, RoleUnknown, 0)
 		}
 		g.now += ms
@@ -529,7 +529,7 @@
 
 // One broken connection says nothing of a member that answered a moment ago; a second one does, and so does
 // silence before it.
-func TestOneResetIsNoSign(t *testing.T) {
+func TestOneResetIsNoEvidence(t *testing.T) {
 	for name, tc := range map[string]struct {
 		quiet  Time
 		resets int
@@ -560,11 +560,11 @@
 }
 
 // A suspect's trial is left to be answered, which is how suspicion ends; what was out before goes elsewhere.
-func TestTrialIsLeftToRun(t *testing.T) {
+func TestHalfOpenProbeIsNotCancelled(t *testing.T) {
 	g := newRig(t, nil, members()[:2])
 	first := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	g.r.markSuspect(g.r.members[first], true)
-	if as := g.run(20 * ms); len(pick(as, Cancel, 1)) != 1 {
+	if as := g.run(20 * ms); len(actionsOf(as, Cancel, 1)) != 1 {
 		t.Error("an attempt out at a suspect was not called off")
 	}
 	g.answer(1, 0, first, Cancelled, RoleUnknown, 0)
@@ -574,7 +574,7 @@
 		id++
 		m = g.sentTo(g.arrive(id, anyRead, time.Second, ""), id)
 	}
-	if as := g.run(50 * ms); len(pick(as, Cancel, id)) != 0 {
+	if as := g.run(50 * ms); len(actionsOf(as, Cancel, id)) != 0 {
 		t.Error("the trial was called off")
 	}
 	if gap := g.r.members[first].halfOpenAt - g.now; gap > maxHalfOpenDelay {
@@ -608,7 +608,7 @@
 			}
 			as = append(as, g.run(100*ms)...)
 			switch {
-			case len(pick(as, Cancel, late)) > 0:
+			case len(actionsOf(as, Cancel, late)) > 0:
 				early++
 				again := g.sentTo(g.answer(late, 0, m, Cancelled, RoleUnknown, 0), late)
 				g.now += 10 * ms
@@ -630,7 +630,7 @@
 }
 
 // A replica that errs at once has the least outstanding, but is not sent all there is: the primary has room.
-func TestErringMemberComesLast(t *testing.T) {
+func TestErrorProneMemberIsUsedLast(t *testing.T) {
 	g := newRig(t, nil, members()[:2])
 	bad := 0
 	for id := uint64(1); id <= 200; id++ {
@@ -642,7 +642,7 @@
 		}
 		bad++
 		as := g.answer(id, 0, m, Errored, Replica, 0)
-		if len(pick(as, Send, id)) == 1 {
+		if len(actionsOf(as, Send, id)) == 1 {
 			g.answer(id, 1, "p", Served, Primary, g.now)
 		}
 	}
@@ -652,7 +652,7 @@
 }
 
 // A read called off may run on: its work stays booked for a while (incident i8985ed).
-func TestCalledOffWorkStaysBooked(t *testing.T) {
+func TestCancelledWorkStaysHeld(t *testing.T) {
 	g := newRig(t, nil, members())
 	to := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	g.run(250 * ms)
@@ -667,7 +667,7 @@
 }
 
 // A held read is refused once no member can answer it in time, well before its aim (incident id91b7e).
-func TestHopelessReadIsRefusedAtOnce(t *testing.T) {
+func TestInfeasibleReadIsRefusedEarly(t *testing.T) {
 	g := newRig(t, nil, members())
 	for _, m := range g.r.groups[0].members {
 		m.limit, m.booked, m.slowdown, m.answeredAt = 1, 1e9, 4, g.now
@@ -676,7 +676,7 @@
 	g.arrive(1, anyRead, time.Second, "")
 	start := g.now
 	for g.now < start+190*ms {
-		if len(pick(g.run(5*ms), Refuse, 1)) == 1 {
+		if len(actionsOf(g.run(5*ms), Refuse, 1)) == 1 {
 			if waited := g.now - start; waited > 150*ms {
 				t.Errorf("refused after %v of an aim of 200 ms", waited)
 			}
@@ -687,11 +687,11 @@
 }
 
 // Silence also shows when attempts are called off before it could.
-func TestSilenceSurvivesCallOffs(t *testing.T) {
+func TestSilenceIsNoticedDespiteCancels(t *testing.T) {
 	g := newRig(t, nil, append(members(), Member{ID: "x", Zone: "a"}))
 	m := g.r.members["q"]
 	for id := uint64(1); id < 200 && !m.suspect; id++ {
-		for _, a := range pick(g.arrive(id, anyRead, 200*ms, ""), Send, id) {
+		for _, a := range actionsOf(g.arrive(id, anyRead, 200*ms, ""), Send, id) {
 			res := Served
 			g.now += 20 * ms
 			if a.Member == "q" {
@@ -707,7 +707,7 @@
 	}
 }
 
-func TestDiscoveryIsAskedAgain(t *testing.T) {
+func TestDiscoveryIsRetried(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.ListOnRequest = true }, members())
 	asks := 0
 	for i := 0; i < 5; i++ {
@@ -723,10 +723,10 @@
 	}
 }
 
-// TestRefusedAsksComeInTime: an ask that a crowd was before is refused after 2 s, and the next one may stand in the queue
+// TestPauseAfterRefusedCalls: an ask that a crowd was before is refused after 2 s, and the next one may stand in the queue
 // as long: what lies between leaves it to be told in 6 s, where the fronts' asks can be served in that time. Else they
 // come so late that the queue can empty.
-func TestRefusedAsksComeInTime(t *testing.T) {
+func TestPauseAfterRefusedCalls(t *testing.T) {
 	const queue, told = 2 * time.Second, 6 * time.Second
 	for _, fronts := range []int{1, 5, 20, 37, 80, 100, 101, 300} {
 		var sum, most Time
@@ -737,7 +737,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &rig{t: t, r: r, now: time.Hour}
+			g := &routerTest{t: t, r: r, now: time.Hour}
 			g.step(Event{Kind: ListSaved})
 			g.step(Event{Kind: ListChange}) // asked once
 			for range 6 {
@@ -758,7 +758,7 @@
 	}
 }
 
-func TestConfigFaults(t *testing.T) {
+func TestInvalidConfigs(t *testing.T) {
 	tests := map[string]func(*Config){
 		"no classes":          func(c *Config) { c.Classes = nil },
 		"negative time":       func(c *Config) { c.SlowStartTime = -1 },
@@ -781,7 +781,7 @@
 	g := newRig(t, nil, members())
 	for id := uint64(1); id < 5000; id++ {
 		g.now += 5 * ms
-		for _, a := range pick(g.arrive(id, int(id)%6, time.Second, string(rune('a'+id%26))+"x"), Send, id) {
+		for _, a := range actionsOf(g.arrive(id, int(id)%6, time.Second, string(rune('a'+id%26))+"x"), Send, id) {
 			role := Replica
 			if a.Member == "p" {
 				role = Primary
@@ -814,7 +814,7 @@
 	g := newRig(t, nil, members())
 	m := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	as := g.answer(1, 0, m, Rejected, RoleUnknown, 0)
-	if len(pick(as, Fail, 1)) != 1 || len(pick(as, Send, 1)) != 0 || g.r.members[m].errorRate > 0 || len(g.r.requests) != 0 {
+	if len(actionsOf(as, Fail, 1)) != 1 || len(actionsOf(as, Send, 1)) != 0 || g.r.members[m].errorRate > 0 || len(g.r.requests) != 0 {
 		t.Errorf("actions %+v, errors %v", as, g.r.members[m].errorRate)
 	}
 }
@@ -835,7 +835,7 @@
 	if n, s := len(g.r.members), len(g.r.groups[0].sessions); n != 3 || s > maxSessions {
 		t.Errorf("%d members, %d sessions kept", n, s)
 	}
-	g.tell("q", g.now-Time(maxSessions)*20*ms)
+	g.reportPosition("q", g.now-Time(maxSessions)*20*ms)
 	if m := g.sentTo(append(g.arrive(1e6, session, time.Second, "s1"), g.run(100*ms)...), 1e6); m != "p" {
 		t.Errorf("read of a forgotten session sent to %s, which lags", m)
 	}
@@ -848,13 +848,13 @@
 }
 
 // Long any reads go to the replica furthest behind, so that the others keep applying (incident icd29a7).
-func TestLongReadsGather(t *testing.T) {
+func TestLongReadsGoToLaggingReplica(t *testing.T) {
 	g := newRig(t, func(c *Config) {
 		c.Classes = append(c.Classes, Class{Name: "long", LatencyTarget: 4 * time.Second, Deadline: 8 * time.Second, Value: 5})
 	}, append(members(), Member{ID: "x", Zone: "a"}))
-	g.tell("q", g.now-10*ms)
-	g.tell("x", g.now-10*ms)
-	g.tell("s", g.now-90*ms)
+	g.reportPosition("q", g.now-10*ms)
+	g.reportPosition("x", g.now-10*ms)
+	g.reportPosition("s", g.now-90*ms)
 	for id := uint64(1); id < 4; id++ {
 		if got := g.sentTo(g.arrive(id, 6, 8*time.Second, ""), id); got != "s" {
 			t.Errorf("long read %d sent to %s, want the one furthest behind, s", id, got)
@@ -866,10 +866,10 @@
 }
 
 // A replica far behind counts as more loaded, so that it catches up (incident i86c17f).
-func TestReplicaFarBehindIsSpared(t *testing.T) {
+func TestLaggingReplicaIsSpared(t *testing.T) {
 	g := newRig(t, nil, []Member{{ID: "p", Primary: true}, {ID: "q", Zone: "a"}, {ID: "x", Zone: "a"}})
-	g.tell("q", g.now-10*time.Second)
-	g.tell("x", g.now-10*ms)
+	g.reportPosition("q", g.now-10*time.Second)
+	g.reportPosition("x", g.now-10*ms)
 	for id := uint64(1); id < 30; id++ {
 		if got := g.sentTo(g.arrive(id, anyRead, time.Second, ""), id); got != "x" {
 			t.Fatalf("read %d sent to %s though x, as idle, is up to date", id, got)
@@ -880,14 +880,14 @@
 
 // A front with few reads probes for the read that needs it and for no other, one replica at a time, and the
 // read waits for the answer.
-func TestReadAsksForPosition(t *testing.T) {
+func TestReadProbesForPosition(t *testing.T) {
 	g := newRig(t, nil, members())
-	if as := g.run(2 * time.Second); len(pick(as, Probe, 0)) != 0 {
-		t.Fatalf("%d probes with nothing to read", len(pick(as, Probe, 0)))
+	if as := g.run(2 * time.Second); len(actionsOf(as, Probe, 0)) != 0 {
+		t.Fatalf("%d probes with nothing to read", len(actionsOf(as, Probe, 0)))
 	}
 	as := g.arrive(1, bounded, time.Second, "")
-	p := pick(as, Probe, 0)
-	if len(p) != 1 || p[0].Member == "p" || len(pick(as, Send, 1)) != 0 {
+	p := actionsOf(as, Probe, 0)
+	if len(p) != 1 || p[0].Member == "p" || len(actionsOf(as, Send, 1)) != 0 {
 		t.Fatalf("want one probe of a replica and the read held, got %v", as)
 	}
 	g.now += 2 * ms
@@ -908,7 +908,7 @@
 
 // The cold budget of many fronts together: what all send to a cold member stays under the cold part of what a
 // warm one gets, though each front has less than one request for it (cairo-print-later, failback).
-func TestColdBudgetOfManyFronts(t *testing.T) {
+func TestSlowStartBudgetOfManyFronts(t *testing.T) {
 	const fronts = 300
 	list := append(members(), Member{ID: "x", Zone: "a", Started: time.Hour + 3*time.Second})
 	cold, warm := 0, 0
@@ -919,13 +919,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: time.Hour}
+		g := &routerTest{t: t, r: r, now: time.Hour}
 		g.step(Event{Kind: ListSaved, Members: members()})
 		for id := uint64(1); id <= 12; id++ { // two a second
 			if id == 7 {
 				g.step(Event{Kind: ListChange, Members: list[3:]})
 			}
-			for _, a := range pick(g.arrive(id, anyRead, time.Second, ""), Send, id) {
+			for _, a := range actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id) {
 				if a.Member == "x" {
 					cold++
 				} else if id >= 7 {
@@ -961,13 +961,13 @@
 }
 
 // Reads stay away from a primary whose answers come late, by chance and not all; writes go on.
-func TestLateMemberIsSpared(t *testing.T) {
+func TestReadsAreShedFromLateMember(t *testing.T) {
 	g := newRig(t, nil, members()[:1])
 	p := g.r.members["p"]
 	sent := 0
 	for id := uint64(1); id <= 200; id++ {
 		p.latencyRatio, p.sampledAt = 2*shedLatencyRatio, g.now
-		sent += len(pick(g.arrive(id, anyRead, time.Second, ""), Send, id))
+		sent += len(actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id))
 		g.answer(id, 0, "p", Served, Primary, 0)
 	}
 	if sent < 5 || sent > 60 {
@@ -976,25 +976,25 @@
 	g = newRig(t, nil, members()[:1])
 	p = g.r.members["p"]
 	p.latencyRatio, p.sampledAt = 2*shedLatencyRatio, g.now
-	if len(pick(g.arrive(999, once, 2*time.Second, "u"), Send, 999)) != 1 {
+	if len(actionsOf(g.arrive(999, once, 2*time.Second, "u"), Send, 999)) != 1 {
 		t.Error("a write was kept away")
 	}
 }
 
 // A member with nothing out takes one request whatever its limit, also when its booked work has come to a rest
 // of rounding.
-func TestRestOfRoundingLeavesRoom(t *testing.T) {
+func TestRoundingErrorLeavesCapacity(t *testing.T) {
 	g := newRig(t, nil, members()[:1])
 	m := g.r.members["p"]
 	m.limit, m.booked = 1, 1e-6
-	if len(pick(g.arrive(1, once, 2*time.Second, "u"), Send, 1)) != 1 {
+	if len(actionsOf(g.arrive(1, once, 2*time.Second, "u"), Send, 1)) != 1 {
 		t.Error("an idle member took nothing")
 	}
 }
 
 // What a sparse front saw of one replica stands for those it knows nothing of, but not for the primary
 // (incident ie3c7be).
-func TestStrainIsSharedInARole(t *testing.T) {
+func TestLatencyRatioIsSharedInARole(t *testing.T) {
 	g := newRig(t, nil, members())
 	tried := func() (replicas, primary int) {
 		for i := 0; i < 200; i++ {
@@ -1026,11 +1026,11 @@
 // after it has ended in doubt.
 func TestWriteInDoubtBindsItsSession(t *testing.T) {
 	known := func(c *Config) { c.AssumeCommittedAfter = 80 * ms }
-	fresh := func(g *rig) { g.tell("q", g.now-10*ms); g.tell("s", g.now-10*ms) }
+	fresh := func(g *routerTest) { g.reportPosition("q", g.now-10*ms); g.reportPosition("s", g.now-10*ms) }
 	t.Run("out", func(t *testing.T) {
 		g := newRig(t, known, members())
 		g.arrive(1, keyed, time.Second, "u")
-		g.tell("q", g.now-10*ms)
+		g.reportPosition("q", g.now-10*ms)
 		g.now += 60 * ms // an answer would come, or count as known, later
 		if got := g.sentTo(g.arrive(2, session, time.Second, "u"), 2); got == "p" {
 			t.Error("a write that is out for less than an answer may take binds nothing")
@@ -1055,7 +1055,7 @@
 			g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: end, InDoubt: true, HasPosition: true, Position: g.now})
 			fresh(g)
 			g.now += 5 * ms
-			for _, a := range pick(append(g.arrive(2, session, time.Second, "u"), g.run(60*ms)...), Send, 2) { // none, where p is suspect now
+			for _, a := range actionsOf(append(g.arrive(2, session, time.Second, "u"), g.run(60*ms)...), Send, 2) { // none, where p is suspect now
 				if a.Member != "p" {
 					t.Errorf("after outcome %d: sent to %s, which may lack the write", end, a.Member)
 				}
@@ -1072,14 +1072,14 @@
 		g.arrive(1, keyed, time.Second, "u")
 		g.now += 100 * ms
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: "p", Zone: "a", State: Draining}}})
-		if got := pick(append(g.arrive(2, session, time.Second, "u"), g.run(20*ms)...), Send, 2); len(got) > 0 {
+		if got := actionsOf(append(g.arrive(2, session, time.Second, "u"), g.run(20*ms)...), Send, 2); len(got) > 0 {
 			t.Fatalf("sent %v while the write is out", got)
 		}
 		got := g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: Reset, InDoubt: true, HasPosition: true, Position: g.now})
-		if got = pick(append(got, g.run(20*ms)...), Send, 2); len(got) > 0 {
+		if got = actionsOf(append(got, g.run(20*ms)...), Send, 2); len(got) > 0 {
 			t.Errorf("sent %v, which may lack the write", got)
 		}
-		g.tell("q", g.now)
+		g.reportPosition("q", g.now)
 		if got := g.sentTo(g.got, 2); got != "q" {
 			t.Errorf("sent to %s, want the replica that has it", got)
 		}
@@ -1098,16 +1098,16 @@
 // names what its answer must hold.
 func TestSendNamesItsBounds(t *testing.T) {
 	g := newRig(t, nil, members())
-	if read := pick(g.arrive(2, fresh, time.Second, ""), Send, 2); len(read) != 1 || read[0].MinPosition != g.now {
+	if read := actionsOf(g.arrive(2, fresh, time.Second, ""), Send, 2); len(read) != 1 || read[0].MinPosition != g.now {
 		t.Errorf("read %+v, want at least what was committed at %v", read, g.now)
 	}
-	first := pick(g.arrive(1, keyed, 3*time.Second, "u"), Send, 1)
+	first := actionsOf(g.arrive(1, keyed, 3*time.Second, "u"), Send, 1)
 	at := g.now
 	if len(first) != 1 || first[0].WriteBy != 0 {
 		t.Fatalf("the first attempt has no window: %+v", first)
 	}
 	g.now += 200 * ms
-	again := pick(append(g.answer(1, 0, "p", Reset, RoleUnknown, 0), g.run(100*ms)...), Send, 1)
+	again := actionsOf(append(g.answer(1, 0, "p", Reset, RoleUnknown, 0), g.run(100*ms)...), Send, 1)
 	if len(again) != 1 || again[0].WriteBy != at+time.Second {
 		t.Errorf("repeat %+v, want it written before %v", again, at+time.Second)
 	}
@@ -1123,10 +1123,10 @@
 		for id := uint64(1); id <= 40; id++ {
 			as := g.arrive(id, once, time.Second, "")
 			for n := 0; n < most; n++ {
-				s := pick(as, Send, id)
+				s := actionsOf(as, Send, id)
 				if len(s) == 0 {
 					as = g.run(60 * ms)
-					if s = pick(as, Send, id); len(s) == 0 {
+					if s = actionsOf(as, Send, id); len(s) == 0 {
 						break
 					}
 				}
@@ -1146,7 +1146,7 @@
 }
 
 // Where the settings name no multiple at which a cold member falls, there is no ramp to keep.
-func TestNoRampWithoutItsRule(t *testing.T) {
+func TestNoSlowStartWithoutOverloadMultiple(t *testing.T) {
 	list := members()
 	for i := range list {
 		list[i].Started = time.Hour - time.Second
@@ -1157,9 +1157,9 @@
 	}
 }
 
-// TestWaited: what a request has waited behind others counts against its aim, a retry's no less and not twice: too late
+// TestWaitedTimeCountsAgainstTarget: what a request has waited behind others counts against its aim, a retry's no less and not twice: too late
 // to be worth anything it is refused at once, that those behind it get their turn; late but worth something it is sent.
-func TestWaited(t *testing.T) {
+func TestWaitedTimeCountsAgainstTarget(t *testing.T) {
 	for _, tc := range []struct {
 		class  int
 		waited Time
@@ -1181,7 +1181,7 @@
 			g.step(Event{Kind: ClientGone, Request: 100 + id})
 		}
 		g.step(Event{Kind: Arrive, Request: 1, Class: tc.class, Tenant: -1, IsRetry: tc.retry, Waited: tc.waited, Remaining: k.Deadline - tc.waited})
-		got := append(pick(g.got, Send, 1), pick(g.got, Refuse, 1)...)
+		got := append(actionsOf(g.got, Send, 1), actionsOf(g.got, Refuse, 1)...)
 		if len(got) != 1 || got[0].Kind != tc.want || got[0].Timeout != tc.most {
 			t.Errorf("%+v: %+v", tc, got)
 		}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -14,43 +14,43 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		a, b := playRandom(t, seed), playRandom(t, seed)
+		a, b := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if !reflect.DeepEqual(a, b) {
 			t.Error("the same events gave other actions")
 		}
 	})
 }
 
-type track struct {
+type requestTrack struct {
 	class    Class
 	most     int // attempts allowed when it came
 	arrived  Time
 	deadline Time
-	sends    []track1
+	sends    []attemptTrack
 	out      int
 	risk     bool
 	riskAt   Time
 	over     bool
 }
 
-type track1 struct {
+type attemptTrack struct {
 	m    string
 	at   Time
 	done bool
 }
 
-// world is what a front knows of its own events.
-type world struct {
+// observedState is what a front knows of its own events.
+type observedState struct {
 	t       *testing.T
 	now     Time
-	reqs    map[uint64]*track
+	reqs    map[uint64]*requestTrack
 	drained map[string]bool
 	pos     map[string]Time
 	seen    int // actions checked
 	mayDup  bool
 }
 
-func playRandom(t *testing.T, seed uint64) (all []Action) {
+func runRandomEvents(t *testing.T, seed uint64) (all []Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := testConfig()
 	cfg.MayDuplicate, cfg.ListOnRequest = seed%2 == 0, seed%3 == 0
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	list := []Member{{ID: "a", Primary: true}, {ID: "b", Zone: "a"}, {ID: "c"}, {ID: "d"}}
-	w := &world{t: t, now: time.Hour, reqs: map[uint64]*track{}, drained: map[string]bool{},
+	w := &observedState{t: t, now: time.Hour, reqs: map[uint64]*requestTrack{}, drained: map[string]bool{},
 		pos: map[string]Time{}, mayDup: cfg.MayDuplicate}
 	events := []Event{{Kind: ListSaved, Members: list}}
 	before, retunes := cfg.Classes, seed%4 == 3
@@ -95,7 +95,7 @@
 				e.ClassDef, e.Class = &all[rng.IntN(len(all))], -1
 				class = *e.ClassDef
 			}
-			w.reqs[id] = &track{class: class, most: cfg.MaxAttempts, arrived: w.now, deadline: w.now + wait}
+			w.reqs[id] = &requestTrack{class: class, most: cfg.MaxAttempts, arrived: w.now, deadline: w.now + wait}
 			events = append(events, e)
 			id++
 		}
@@ -139,7 +139,7 @@
 	return cfg
 }
 
-func (w *world) outcome(rng *rand.Rand, id uint64, n int) Event {
+func (w *observedState) outcome(rng *rand.Rand, id uint64, n int) Event {
 	q := w.reqs[id]
 	s := &q.sends[n]
 	s.done = true
@@ -167,7 +167,7 @@
 }
 
 // check goes through the actions not seen yet and returns where they begin.
-func (w *world) check(all []Action) int {
+func (w *observedState) check(all []Action) int {
 	from := w.seen
 	w.seen = len(all)
 	for _, a := range all[from:] {
@@ -175,7 +175,7 @@
 		switch a.Kind {
 		case Send:
 			w.checkSend(q, a)
-			q.sends = append(q.sends, track1{m: a.Member, at: w.now})
+			q.sends = append(q.sends, attemptTrack{m: a.Member, at: w.now})
 			q.out++
 		case Refuse, Fail:
 			if q.over {
@@ -190,7 +190,7 @@
 	return from
 }
 
-func (w *world) checkSend(q *track, a Action) {
+func (w *observedState) checkSend(q *requestTrack, a Action) {
 	switch {
 	case q.over:
 		w.t.Fatalf("request %d: sent after its end", a.Request)
@@ -210,7 +210,7 @@
 }
 
 // overdue fails for requests with no final answer at their deadline and a little.
-func (w *world) overdue() {
+func (w *observedState) overdue() {
 	for id, q := range w.reqs {
 		if !q.over && w.now > q.deadline+8*ms {
 			w.t.Fatalf("request %d: no final answer in time", id)
@@ -218,8 +218,8 @@
 	}
 }
 
-// TestStaleAnswerCountsAsRun guards against repeating or refusing reads that a member answered from an old position.
-func TestStaleAnswerCountsAsRun(t *testing.T) {
+// TestStaleResultCountsAsRun guards against repeating or refusing reads that a member answered from an old position.
+func TestStaleResultCountsAsRun(t *testing.T) {
 	for _, tc := range []struct {
 		effect Effect
 		again  bool // sent to another member
@@ -237,14 +237,14 @@
 		all = append(all, g.step(Event{Kind: Probed, Member: "q", Result: Served,
 			Report: Report{HasPosition: true, Position: g.now, HasRole: true, Role: Primary}})...)
 		all = append(all, g.run(20*ms)...)
-		if again := len(pick(all, Send, 1)) == 2; again != tc.again {
-			t.Errorf("effect %d: sent %d times", tc.effect, len(pick(all, Send, 1)))
+		if again := len(actionsOf(all, Send, 1)) == 2; again != tc.again {
+			t.Errorf("effect %d: sent %d times", tc.effect, len(actionsOf(all, Send, 1)))
 		}
 		if tc.again {
 			all = append(all, g.answer(1, 1, "q", Misdirected, Replica, 0)...)
 		}
 		all = append(all, g.run(time.Second)...)
-		if len(pick(all, tc.last, 1)) != 1 {
+		if len(actionsOf(all, tc.last, 1)) != 1 {
 			t.Errorf("effect %d: no final answer of kind %d in %+v", tc.effect, tc.last, all)
 		}
 	}
@@ -261,7 +261,7 @@
 	for i := range groups {
 		id := uint64(i + 1)
 		all := g.step(Event{Kind: Arrive, Request: id, Class: anyRead, Tenant: -1, Group: int64(i), Remaining: time.Second})
-		if len(pick(all, Send, id)) != 1 {
+		if len(actionsOf(all, Send, id)) != 1 {
 			t.Fatalf("a request for group %d of %d went nowhere", i, groups)
 		}
 	}
@@ -274,7 +274,7 @@
 	ask := func() string {
 		id++
 		all := g.arrive(id, anyRead, time.Second, "")
-		for _, a := range pick(all, Send, id) {
+		for _, a := range actionsOf(all, Send, id) {
 			g.now += 5 * ms
 			role := Replica
 			if a.Member == "p" {
@@ -283,7 +283,7 @@
 			g.answer(id, 0, a.Member, Served, role, g.now)
 			return a.Member
 		}
-		if len(pick(all, Refuse, id)) != 1 {
+		if len(actionsOf(all, Refuse, id)) != 1 {
 			t.Errorf("request %d is neither sent nor refused at once", id)
 		}
 		return ""
@@ -313,8 +313,8 @@
 	}
 }
 
-// TestSavedListOfRelease guards against sends by an old list that was handed over while members were being replaced.
-func TestSavedListOfRelease(t *testing.T) {
+// TestSavedListDuringRelease guards against sends by an old list that was handed over while members were being replaced.
+func TestSavedListDuringRelease(t *testing.T) {
 	at := time.Hour // where the rig begins
 	for name, tc := range map[string]struct {
 		change func(m *Member)
@@ -335,7 +335,7 @@
 		for id, after := uint64(1), tc.want-100*ms; id <= 2; id, after = id+1, 200*ms {
 			g.run(after)
 			all := g.step(Event{Kind: Arrive, Request: id, Class: anyRead, Tenant: -1, Remaining: time.Second})
-			if sent := len(pick(all, Send, id)) == 1; sent != (id == 1) {
+			if sent := len(actionsOf(all, Send, id)) == 1; sent != (id == 1) {
 				t.Errorf("%s: request %d, around %v, sent %v", name, id, tc.want, sent)
 			}
 		}
