--- a/decide/api.go
+++ b/decide/api.go
@@ -162,7 +162,7 @@
 		case k.Consistency < AnyData || k.Consistency > Write:
 			return fmt.Errorf("decide: config: class %q: unknown consistency %d", k.Name, k.Consistency)
 		case k.LatencyTarget <= 0 || k.Deadline <= 0 || k.Bound < 0 || k.KeyWindow < 0:
-			return fmt.Errorf("decide: config: class %q: aim and deadline must be above 0, no time below", k.Name)
+			return fmt.Errorf("decide: config: class %q: latency target and deadline must be above 0, bound and key window not below 0", k.Name)
 		case k.Value < 0 || k.LateValue < 0:
 			return fmt.Errorf("decide: config: class %q: negative worth", k.Name)
 		}
@@ -186,7 +186,7 @@
 	}
 	for i := range r.cfg.Tenants {
 		if i >= len(cfg.Tenants) || cfg.Tenants[i].Name != r.cfg.Tenants[i].Name {
-			return fmt.Errorf("decide: config: tenant %q is not at its place %d", r.cfg.Tenants[i].Name, i)
+			return fmt.Errorf("decide: config: tenant %q is not at its former index %d, want former tenants first and in their order", r.cfg.Tenants[i].Name, i)
 		}
 	}
 	r.configure(cfg)
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// A fleet of routers before one set of members, in virtual time: routers with uneven traffic, groups with uneven
-// demand, members that crash or are replaced and come back cold, told late, clients that come again.
+// A simulated fleet of routers and their members, in virtual time: routers with uneven traffic, groups with uneven demand,
+// members that crash or are replaced and come back in slow start, late lists, and clients that retry.
 
-const warmUpTime = 8 * time.Second // into a day, by when costs are partly learned
+const warmUpTime = 8 * time.Second // from the start to the faults; costs are partly learned by then
 
-// slowStartScenario is one drawn day.
+// slowStartScenario is one randomly drawn scenario.
 type slowStartScenario struct {
-	routers, groups, each int // each: members of a group
+	routers, groups, each int // each: members per group
 	rate                  float64
 	span                  Time
 	what                  string // "one", "group", "primary", "third", "renewed"
-	marked                bool   // clients mark what they repeat
+	marked                bool   // clients mark their retries
 	seed                  uint64
 }
 
@@ -51,8 +51,8 @@
 	return e
 }
 
-// simMember is a machine: its answers take a class's cost, later where its queue is long, and it works off
-// capacity a second, or the part that it has when cold.
+// simMember is a simulated member: an answer takes its class's cost, or longer where the queue is long. It completes
+// capacity work per second, or the fraction of it that it has in slow start.
 type simMember struct {
 	id       string
 	group    int
@@ -62,12 +62,12 @@
 	started  Time
 	free     Time // when its queue is worked off
 	life     int
-	window   []sentWork // of the last FallTime
-	told     float64    // work sent while cold by those who had been told
-	could    float64    // of what it was allowed since all had been told
+	window   []sentWork // of the last OverloadTime
+	told     float64    // work sent in slow start by routers that knew of it
+	could    float64    // work allowed since all routers knew
 	allTold  Time
-	worst    float64 // most beyond N, in roots of N with 2 for single requests taken off
-	used     float64 // work sent since all had been told
+	worst    float64 // largest excess over N + 2, in square roots of N
+	used     float64 // work sent since all routers knew
 }
 
 type sentWork struct {
@@ -81,8 +81,8 @@
 	n       int
 	life    int
 	rate    float64
-	list    map[string]Member // as told
-	started map[string]Time   // the start told of each
+	list    map[string]Member // as the router knows it
+	started map[string]Time   // the start that the router knows of each
 	wake    Time
 	calls   map[uint64]*clientCall
 	out     []Action
@@ -111,7 +111,7 @@
 	demand  []float64 // of each group, summing to 1
 	mean    float64   // work of a mean request, ns
 	burst   float64
-	after   Time // nothing more crashes
+	after   Time // no crashes from then on
 	served  int
 	refused int
 	asked   int
@@ -121,7 +121,7 @@
 	could   float64
 }
 
-// What a request of each class of testConfig costs: reads and writes differ.
+// The cost of a request of each class of testConfig: reads and writes differ.
 var classCosts = []Time{anyRead: 12 * ms, bounded: 12 * ms, session: 10 * ms, fresh: 15 * ms, once: 30 * ms, keyed: 25 * ms}
 
 func newFleetSim(d slowStartScenario) *fleetSim {
@@ -142,7 +142,7 @@
 	for i := range s.demand {
 		s.demand[i] /= all
 	}
-	load := d.rate * float64(d.routers) * s.mean / float64(d.groups*d.each) // of a member, ns a second
+	load := d.rate * float64(d.routers) * s.mean / float64(d.groups*d.each) // per member, ns per second
 	used := 0.5 + 0.4*s.rng.Float64()                                       // of the members' capacity
 	for g := range d.groups {
 		for j := range d.each {
@@ -194,7 +194,7 @@
 	heap.Push(&s.events, simEvent{s.now + d, s.seq, do})
 }
 
-// boot starts a router anew: it has the list that was told, and has learned nothing.
+// boot restarts a router: it has its last list, and has learned nothing.
 func (s *fleetSim) boot(f *simRouter) {
 	cfg := s.cfg
 	cfg.Self = f.n
@@ -236,7 +236,7 @@
 		IsRetry: c.tries > 0 && s.marked, Remaining: c.deadline - s.now})
 }
 
-// again is a client whose request came to nothing.
+// again is a client's retry of a request that was not served, after the delay d.
 func (s *fleetSim) again(f *simRouter, c *clientCall, d Time) {
 	if d += Time(s.rng.Float64() * float64(20*ms)); c.tries < 6 && s.now+d < c.deadline-50*ms {
 		c.tries++
@@ -321,7 +321,7 @@
 	s.byID[m.id] = m
 }
 
-// part is what m can do now of what it can do warm.
+// part is the fraction of its full capacity that m has now.
 func (s *fleetSim) part(m *simMember) float64 {
 	if m.started == 0 || s.now >= m.started+s.cfg.SlowStartTime {
 		return 1
@@ -329,7 +329,7 @@
 	return s.cfg.SlowStartFraction + (1-s.cfg.SlowStartFraction)*float64(s.now-m.started)/float64(s.cfg.SlowStartTime)
 }
 
-// send plays an attempt at m and returns when it ends.
+// send simulates an attempt at m and returns how long it takes.
 func (s *fleetSim) send(f *simRouter, m *simMember, c *clientCall, e *Event) Time {
 	if !m.up {
 		e.Result = Unreachable
@@ -351,7 +351,7 @@
 	return max(m.free-s.now, Time(work*(0.9+0.2*s.rng.Float64())))
 }
 
-// count holds what a cold member was sent in the last FallTime against what the settings allow.
+// count compares the work sent to a member in slow start in the last OverloadTime with what the settings allow.
 func (s *fleetSim) count(f *simRouter, m *simMember, work float64) {
 	part := s.part(m)
 	if part == 1 {
@@ -378,7 +378,7 @@
 	}
 }
 
-// notice tells every router of m as it is now, each in its time.
+// notice sends m's present list entry to every router, after a random delay each.
 func (s *fleetSim) notice(m *simMember, state MemberState) {
 	l := s.entry(m)
 	l.State = state
@@ -408,7 +408,7 @@
 	})
 }
 
-// renew takes m out of the list, then down, and brings another in its place that nobody has seen.
+// renew removes m from the list, then stops it, and starts a new member in its place.
 func (s *fleetSim) renew(m *simMember) {
 	l := *m
 	s.notice(m, Removed)
@@ -420,10 +420,10 @@
 	s.account(n)
 }
 
-// scarceFraction is the part of what it can do up to which a cold member's budget is less than it is asked for.
+// scarceFraction is the fraction of its capacity up to which a member's slow-start budget is below the demand.
 const scarceFraction = 0.5
 
-// account adds up what m was allowed, in the part of those who had been told, while that was scarce.
+// account adds up the work that m's budget allowed to routers that knew of its start, while the budget was scarce.
 func (s *fleetSim) account(m *simMember) {
 	const tick = 100 * ms
 	s.later(tick, func() {
@@ -475,7 +475,7 @@
 
 func (s *fleetSim) run() {
 	s.later(warmUpTime, s.trouble)
-	for _, f := range s.fronts { // a third of the routers start anew meanwhile
+	for _, f := range s.fronts { // a third of the routers restart meanwhile
 		if s.rng.IntN(3) == 0 {
 			s.later(warmUpTime-2*time.Second+Time(s.rng.Float64()*12*float64(time.Second)), func() { s.boot(f) })
 		}
@@ -491,13 +491,13 @@
 	}
 }
 
-// What all routers that have been told of a member's start send it while it is cold stays within N + 2 x root of N + 2
-// in any FallTime, whatever the fleet's size, whoever is asked for what, and however often clients come again.
+// The requests that all routers which know of a member's start send it in slow start stay within N + 2 x root of N + 2 in
+// any OverloadTime, where N is its allowed load, whatever the size of the fleet, the demand and the retries of clients.
 func TestSlowStartOfFleet(t *testing.T) {
 	for _, size := range []struct {
 		routers, groups, each int
 		rate                  float64
-		span                  Time // from the trouble on
+		span                  Time // from the faults on
 	}{{1, 3, 3, 250, 12 * time.Second}, {6, 3, 3, 25, 15 * time.Second}, {20, 3, 4, 25, 15 * time.Second},
 		{30, 4, 4, 25, 15 * time.Second}, {300, 12, 5, 10, 6 * time.Second}} {
 		for i, what := range []string{"one", "primary", "group", "third", "renewed"} {
@@ -516,7 +516,7 @@
 					t.Errorf("%v: %.2f roots of N beyond N + 2: %s", d, s.worst, s.where)
 				}
 				if s.could == 0 || s.used == 0 {
-					t.Errorf("%v: nothing sent to cold members", d)
+					t.Errorf("%v: nothing sent to members in slow start", d)
 				}
 			}
 			t.Logf("%d routers, %s: at most %.2f roots of N beyond N + 2, used %.2f of N, served %.3f", size.routers, what, worst, used/could,
@@ -525,26 +525,26 @@
 	}
 }
 
-// coldSeeds times as many days are drawn.
-var coldSeeds = flag.Int("coldseeds", 1, "days of TestColdFleet, times")
+// coldSeeds is the number of scenarios per size and fault.
+var coldSeeds = flag.Int("coldseeds", 1, "scenarios of TestSlowStartOfFleet per size and fault")
 
-// Where more was sent to a cold member than its budget, one cause each, at one front: three groups of three, 100
-// requests a second for 10 s; then some members start anew, and what is
-// sent in the next 2 s is counted.
+// Situations in which one front sent a member in slow start more than its budget, each with one cause: three groups of
+// three members get 100 requests a second for 10 s; then some members restart, and the attempts sent to them in the next
+// 2 s are counted.
 func TestSlowStartAtOneFront(t *testing.T) {
-	const usual = 100.0 / 9 // requests a second of a member
+	const usual = 100.0 / 9 // requests per second and member
 	for _, c := range []struct {
 		name        string
-		cold        []string // started anew then
-		gone        []string // left the list a second before
-		held        int      // writes of the group that came just before
-		reads, rest int      // of group 0, and of the others, a second from then on
+		cold        []string // members that restart then
+		gone        []string // members that left the list a second before
+		held        int      // writes of group 0 that arrived just before
+		reads, rest int      // of group 0, and of the others, per second from then on
 		writes      int      // of group 0
-		again       bool     // what is refused comes again
-		unmarked    bool     // by clients that don't say so
-		fresh       bool     // the front too starts anew
-		lull        Time     // nobody asks for so long first
-		full        bool     // cold ones turn away what they are sent
+		again       bool     // clients retry refused requests
+		unmarked    bool     // without marking the retries
+		fresh       bool     // the front restarts too
+		lull        Time     // time without requests before
+		full        bool     // members in slow start refuse their attempts
 	}{
 		{name: "held writes", cold: []string{"00"}, gone: []string{"00"}, held: 60, reads: 25, rest: 60, writes: 5},
 		{name: "a group asked for more", cold: []string{"01", "02"}, reads: 240, rest: 60, writes: 5},
@@ -589,7 +589,7 @@
 					p.request(1+p.rng.Int64N(2), p.rng.IntN(6) == 0)
 				}
 			}
-			cfg := &p.g.r.cfg // at the end, so the most that was allowed
+			cfg := &p.g.r.cfg // as of the end, when most is allowed
 			n := usual * cfg.OverloadMultiple * cfg.OverloadTime.Seconds() * (cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*(2+c.lull.Seconds())/cfg.SlowStartTime.Seconds())
 			all := 0
 			for _, id := range c.cold {
@@ -606,7 +606,7 @@
 	}
 }
 
-// singleRouterSim is one router and members that answer after 20 ms.
+// singleRouterSim is one router with members that answer after 20 ms.
 type singleRouterSim struct {
 	g                   *routerTest
 	rng                 *rand.Rand
@@ -622,7 +622,7 @@
 type dueEvent struct {
 	at    Time
 	e     Event
-	group int64 // of a repeat
+	group int64 // of a retry
 	write bool
 }
 
@@ -638,7 +638,7 @@
 	return p
 }
 
-// boot puts a new router in the place of the one before.
+// boot replaces the router by a new one.
 func (p *singleRouterSim) boot() {
 	cfg := testConfig()
 	cfg.Fronts, cfg.ClientsMarkRetries = 1, p.marked
@@ -672,7 +672,7 @@
 	p.act(p.g.step(Event{Kind: Arrive, Request: p.id, Class: class, Tenant: -1, Group: group, Session: "u", IsRetry: again && p.marked, Remaining: 2 * time.Second}))
 }
 
-// pass lets time go by, and gives the answers that are due.
+// pass advances the clock by d, and delivers the events that are due.
 func (p *singleRouterSim) pass(d Time) {
 	for end := p.g.now + d; p.g.now < end; {
 		p.g.now += ms
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -36,7 +36,7 @@
 	keyed
 )
 
-// routerTest drives one router by hand.
+// routerTest drives one router step by step.
 type routerTest struct {
 	t   *testing.T
 	r   *Router
@@ -98,7 +98,7 @@
 	return out
 }
 
-// sentTo fails unless exactly one attempt of id went out, and returns where.
+// sentTo returns the member of the one attempt of id, and fails unless there is exactly one.
 func (g *routerTest) sentTo(as []Action, id uint64) string {
 	g.t.Helper()
 	s := actionsOf(as, Send, id)
@@ -119,14 +119,14 @@
 	tests := []struct {
 		name  string
 		class int
-		age   Time // of q's told position; negative = none told
+		age   Time // of q's reported position; -1 = none reported
 		want  string
 	}{
 		{"any read goes to a replica", anyRead, -1, "replica"},
 		{"bounded read with no position known goes to the primary", bounded, -1, "p"},
 		{"bounded read goes where the position reaches the bound", bounded, 50 * ms, "q"},
-		{"bounded read does not go beneath its bound", bounded, 150 * ms, "p"},
-		{"position ahead of the clock is not believed", bounded, -60 * ms, "p"},
+		{"bounded read does not go below its bound", bounded, 150 * ms, "p"},
+		{"position ahead of the clock is ignored", bounded, -60 * ms, "p"},
 		{"fresh read goes to the primary", fresh, 10 * ms, "p"},
 		{"write goes to the primary", once, 10 * ms, "p"},
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-// A commit that all members had is forgotten, yet a member that joins later must reach it.
+// A member that joins later must reach a commit that was forgotten because all members had it.
 func TestForgottenCommitsBindNewMembers(t *testing.T) {
 	list := members()[:2]
 	g := newRig(t, nil, list)
@@ -186,7 +186,7 @@
 		t.Errorf("sent to %s, which is not known to have the write", got)
 	}
 	g.answer(2, 0, "p", Served, Primary, g.now)
-	g.step(Event{Kind: ListFull}) // the whole group goes for so long that it is forgotten, and its number comes anew
+	g.step(Event{Kind: ListFull}) // the whole group leaves the list until it is dropped, and its number is used again
 	g.run(goneRetention + 100*ms)
 	if n := len(g.r.groups) + len(g.r.groupOrder); n != 0 {
 		t.Fatalf("%d entries of a group without members are kept", n)
@@ -212,7 +212,7 @@
 	}
 }
 
-// Stores that check: the most advanced replica first, the primary when that one turns the read away.
+// Where members check positions, the most advanced replica is tried first, and not again once it refused the read.
 func TestCheckedReads(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.StaleReads = StaleReadRefuse }, members())
 	g.reportPosition("q", g.now-300*ms)
@@ -222,7 +222,7 @@
 	}
 	g.now += 2 * ms
 	if got := g.sentTo(g.answer(1, 0, "q", Misdirected, Replica, g.now-290*ms), 1); got == "q" {
-		t.Error("sent again at once to the member that turned it away")
+		t.Error("sent again at once to the member that refused it")
 	}
 }
 
@@ -230,7 +230,7 @@
 	g := newRig(t, nil, members())
 	g.arrive(1, once, 2*time.Second, "u")
 	g.now += 2 * ms
-	for no, last := 0, "p"; no < 2; no++ { // the write itself looks for the new primary, member by member
+	for no, last := 0, "p"; no < 2; no++ { // the write itself is tried at member after member
 		m := g.sentTo(g.answer(1, no, last, Misdirected, Replica, 0), 1)
 		if m == last || m == "p" {
 			t.Fatalf("tried %s after %s", m, last)
@@ -244,7 +244,7 @@
 	g.run(60 * ms)
 	g.step(Event{Kind: ListChange, Members: []Member{{ID: "p", Zone: "a", Primary: true}}})
 	if len(actionsOf(g.got, Send, 1)) != 0 {
-		t.Fatal("an old list beat a member's own word")
+		t.Fatal("an old list overrode a member's own report")
 	}
 	as := g.step(Event{Kind: Probed, Member: "s", Result: Served,
 		Report: Report{HasPosition: true, Position: g.now - ms, HasRole: true, Role: Primary}})
@@ -303,8 +303,8 @@
 	}
 }
 
-// What all fronts together send to a cold member keeps to its budget, and uses it, in small fleets and in large
-// ones in which the budget of a front is far under one request.
+// The work that all fronts together send to a member in slow start keeps to its budget, and uses it, in small fleets
+// and in large ones, where the budget of one front is far below one request.
 func TestSlowStartBudgetByFleetSize(t *testing.T) {
 	for _, fronts := range []int{1, 5, 80, 200} {
 		const groups, rate = 5, 100.0 // requests a second of all fronts, a fifth of them writes
@@ -312,7 +312,7 @@
 		var rigs []*routerTest
 		for i := range fronts {
 			var list []Member
-			for g := range groups { // in group 0 the primary is cold, in group 1 a replica
+			for g := range groups { // in slow start are the primary of group 0 and a replica of group 1
 				for j := range 3 {
 					m := Member{ID: fmt.Sprintf("%d%d", g, j), Group: int64(g), Primary: j == 0}
 					if g == j && g < 2 {
@@ -339,7 +339,7 @@
 			if id%5 == 0 {
 				class = once
 			}
-			g.now += Time(float64(time.Second) / rate) // of this front, slower than the fleet's
+			g.now += Time(float64(time.Second) / rate) // this front's clock, slower than the fleet's
 			as := g.step(Event{Kind: Arrive, Request: uint64(id + 1), Class: class, Tenant: -1, Group: rng.Int64N(groups),
 				Remaining: time.Second, Session: "u"})
 			cost := 40 * ms
@@ -354,7 +354,7 @@
 			}
 			g.step(Event{Kind: ClientGone, Request: uint64(id + 1)})
 		}
-		usual := all / (3 * groups) // of a member
+		usual := all / (3 * groups) // per member
 		for _, id := range []string{"00", "11"} {
 			part := cold[id] / usual / (0.24 * 2.5 * slowStartHeadroom)
 			t.Logf("%d fronts: %s took %.2f of its budget", fronts, id, part)
@@ -365,8 +365,8 @@
 	}
 }
 
-// Where all members are cold, a read that missed its chance hears so at once: held, it would only lose the time
-// to ask again, which is a new chance. Nothing is refused where some member is warm.
+// Where all members are in slow start, a read that none admits is refused at once: held, it would only lose the time
+// for a retry, which is a new chance. Nothing is refused while some member is not in slow start.
 func TestUnadmittedReadIsRefusedAtOnce(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		list := members()
@@ -379,30 +379,30 @@
 		g := newRig(t, nil, list)
 		sent, refused := 0, 0
 		for id := uint64(1); id <= 60; id++ {
-			g.now += 10 * ms // what may be sent comes with time
+			g.now += 10 * ms // tokens accrue with time
 			as := g.arrive(id, anyRead, time.Second, "")
 			sent += len(actionsOf(as, Send, id))
 			for _, a := range actionsOf(as, Refuse, id) {
 				if refused++; a.RetryAfter <= 0 || a.RetryAfter > 100*ms {
-					t.Errorf("told to come back after %v, too late to be of use", a.RetryAfter)
+					t.Errorf("told to retry after %v, too late to be of use", a.RetryAfter)
 				}
 			}
 		}
 		if (refused == 0) != warm || sent == 0 || !warm && sent+refused != 60 {
-			t.Errorf("one warm %v: %d sent and %d refused of 60", warm, sent, refused)
+			t.Errorf("one not in slow start %v: %d sent and %d refused of 60", warm, sent, refused)
 		}
 	}
 }
 
-// While a group has no primary, all fronts together probe each member a hundred times a second at most, after the
-// first round.
+// While a group has no primary, all fronts together probe each member at most a hundred times a second, after the first
+// probe of each front.
 func TestProbeRateOfTheFleet(t *testing.T) {
 	const span = 3
 	for _, fronts := range []int{1, 5, 80, 200} {
 		probes := map[string]int{}
 		for i := range fronts {
 			g := newRig(t, func(c *Config) { c.Self, c.Fronts = i, fronts }, []Member{{ID: "p"}, {ID: "q"}, {ID: "s"}})
-			for id := uint64(1); id <= 10*span; id++ { // someone always waits
+			for id := uint64(1); id <= 10*span; id++ { // some request always waits
 				as := append(g.arrive(id, fresh, time.Second, ""), g.run(100*ms)...)
 				for _, a := range as {
 					if a.Kind == Probe {
@@ -423,26 +423,26 @@
 	}
 }
 
-// Cold replicas without room for a read are as good as none: the warm primary takes it at once.
+// Replicas in slow start that don't admit a read count as none: the primary gets it at once.
 func TestReadsBesideReplicasInSlowStart(t *testing.T) {
 	list := members()
 	list[1].Started, list[2].Started = time.Hour, time.Hour
 	g := newRig(t, nil, list)
 	to := map[string]int{}
 	for id := uint64(1); id <= 60; id++ {
-		g.r.members["p"].limit = 1.5 * g.r.classes[anyRead].cost // room for one, but not within the spare half
+		g.r.members["p"].limit = 1.5 * g.r.classes[anyRead].cost // capacity for one, but not within spareLimitFraction
 		m := g.sentTo(g.arrive(id, anyRead, time.Second, ""), id)
 		to[m]++
 		g.now += 20 * ms
 		g.answer(id, 0, m, Served, RoleUnknown, 0)
 	}
 	if to["p"] == 0 || to["q"]+to["s"] == 0 {
-		t.Errorf("sent %v, want the primary and the replicas within their chance", to)
+		t.Errorf("sent %v, want some at the primary and some at the replicas", to)
 	}
 }
 
-// A start with an empty list, or with one whose members are all gone, asks discovery and nobody else for long, tells
-// clients so in time, and serves as soon as the list has come.
+// A front that starts with an empty list, or one whose members are all gone, calls discovery once, refuses requests in
+// time, and serves as soon as the list has come.
 func TestUnusableSavedList(t *testing.T) {
 	for name, saved := range map[string][]Member{"empty": nil, "gone": {{ID: "x"}, {ID: "y"}}} {
 		cfg := testConfig()
@@ -454,7 +454,7 @@
 		g := &routerTest{t: t, r: r, now: time.Hour}
 		all := g.step(Event{Kind: ListSaved, Members: saved})
 		all = append(all, g.arrive(1, anyRead, time.Second, "")...)
-		for range 400 { // whatever it sends finds nobody
+		for range 400 { // no attempt reaches a member
 			for _, a := range actionsOf(all, Send, 1) {
 				all = append(all, g.answer(1, a.Attempt, a.Member, Unreachable, RoleUnknown, 0)...)
 			}
@@ -487,7 +487,7 @@
 	}
 }
 
-// An idle front looks around seldom; a request with little time must still be answered (sapporo, lost).
+// An idle front wakes seldom; a request with little time left must still be answered (seen in sapporo, lost).
 func TestShortDeadlineOnIdleFront(t *testing.T) {
 	g := newRig(t, nil, members())
 	as := g.arrive(1, keyed, 40*ms, "u")
@@ -506,7 +506,7 @@
 	}
 }
 
-// One reset each must not eject the members of a group (incident i8985ed).
+// One connection reset each must not take the members of a group out of use (incident i8985ed).
 func TestResetsDoNotEjectAll(t *testing.T) {
 	list := append(members(), Member{ID: "x", Zone: "a"}, Member{ID: "y", Zone: "a"})
 	g := newRig(t, nil, list)
@@ -527,8 +527,8 @@
 	}
 }
 
-// One broken connection says nothing of a member that answered a moment ago; a second one does, and so does
-// silence before it.
+// One broken connection is no evidence against a member that has just answered; a second one is, and so is silence
+// before it.
 func TestOneResetIsNoEvidence(t *testing.T) {
 	for name, tc := range map[string]struct {
 		quiet  Time
@@ -549,7 +549,7 @@
 			t.Errorf("%s: suspect %v", name, got)
 		}
 		g = newRig(t, nil, members())
-		for id := uint64(1); id < 5; id++ { // connections that were used before may just have been old
+		for id := uint64(1); id < 5; id++ { // reused connections may just have been closed while idle
 			g.arrive(id, once, time.Second, "u")
 			g.step(Event{Kind: Outcome, Request: id, Member: "p", Result: Reset, Reused: true})
 		}
@@ -559,13 +559,14 @@
 	}
 }
 
-// A suspect's trial is left to be answered, which is how suspicion ends; what was out before goes elsewhere.
+// The half-open probe of a suspect must not be cancelled, as its answer ends the suspicion; attempts that were
+// outstanding before are cancelled.
 func TestHalfOpenProbeIsNotCancelled(t *testing.T) {
 	g := newRig(t, nil, members()[:2])
 	first := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	g.r.markSuspect(g.r.members[first], true)
 	if as := g.run(20 * ms); len(actionsOf(as, Cancel, 1)) != 1 {
-		t.Error("an attempt out at a suspect was not called off")
+		t.Error("an attempt out at a suspect was not cancelled")
 	}
 	g.answer(1, 0, first, Cancelled, RoleUnknown, 0)
 	g.now += minHalfOpenDelay
@@ -575,7 +576,7 @@
 		m = g.sentTo(g.arrive(id, anyRead, time.Second, ""), id)
 	}
 	if as := g.run(50 * ms); len(actionsOf(as, Cancel, id)) != 0 {
-		t.Error("the trial was called off")
+		t.Error("the half-open probe was cancelled")
 	}
 	if gap := g.r.members[first].halfOpenAt - g.now; gap > maxHalfOpenDelay {
 		t.Errorf("next trial in %v", gap)
@@ -586,8 +587,8 @@
 	}
 }
 
-// Where answers get lost, a read that others have passed is called off and sent again, and the member is not
-// taken for busy. Where late answers come after all, reads are left to run.
+// Where answers get lost, a read that later ones have overtaken is cancelled and sent again, and the member does not
+// count as loaded. Where late answers do come, reads are not cancelled.
 func TestLostAnswers(t *testing.T) {
 	for _, lossy := range []bool{true, false} {
 		g := newRig(t, nil, members()[:2])
@@ -621,15 +622,15 @@
 			}
 		}
 		if lossy && early < 20 || !lossy && early > 0 {
-			t.Errorf("lossy %v: %d of 30 late reads called off early", lossy, early)
+			t.Errorf("lossy %v: %d of 30 late reads cancelled early", lossy, early)
 		}
 		if strain := g.r.members["q"].latencyRatio; lossy && strain > maxLatencyRatio {
-			t.Errorf("strain %.2f by lost answers", strain)
+			t.Errorf("latency ratio %.2f from lost answers", strain)
 		}
 	}
 }
 
-// A replica that errs at once has the least outstanding, but is not sent all there is: the primary has room.
+// A replica that fails every read at once has the least outstanding work, but must not get all reads.
 func TestErrorProneMemberIsUsedLast(t *testing.T) {
 	g := newRig(t, nil, members()[:2])
 	bad := 0
@@ -651,14 +652,14 @@
 	}
 }
 
-// A read called off may run on: its work stays booked for a while (incident i8985ed).
+// A cancelled read may go on running: its work counts for a while (incident i8985ed).
 func TestCancelledWorkStaysHeld(t *testing.T) {
 	g := newRig(t, nil, members())
 	to := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	g.run(250 * ms)
 	g.answer(1, 0, to, Cancelled, RoleUnknown, 0)
 	if m := g.r.members[to]; m.booked != 0 || m.heldWork() == 0 {
-		t.Errorf("booked %v, held %v: want only the called-off work held", m.booked, m.heldWork())
+		t.Errorf("booked %v, held %v: want only the cancelled work held", m.booked, m.heldWork())
 	}
 	g.run(10 * time.Second)
 	if h := g.r.members[to].heldWork(); h != 0 {
@@ -666,7 +667,7 @@
 	}
 }
 
-// A held read is refused once no member can answer it in time, well before its aim (incident id91b7e).
+// A held read is refused once no member can answer it in time, well before its latency target (incident id91b7e).
 func TestInfeasibleReadIsRefusedEarly(t *testing.T) {
 	g := newRig(t, nil, members())
 	for _, m := range g.r.groups[0].members {
@@ -678,15 +679,15 @@
 	for g.now < start+190*ms {
 		if len(actionsOf(g.run(5*ms), Refuse, 1)) == 1 {
 			if waited := g.now - start; waited > 150*ms {
-				t.Errorf("refused after %v of an aim of 200 ms", waited)
+				t.Errorf("refused after %v of a latency target of 200 ms", waited)
 			}
 			return
 		}
 	}
-	t.Error("not refused before its aim")
+	t.Error("not refused before its latency target")
 }
 
-// Silence also shows when attempts are called off before it could.
+// Silence is noticed even when every attempt is cancelled before its answer is overdue.
 func TestSilenceIsNoticedDespiteCancels(t *testing.T) {
 	g := newRig(t, nil, append(members(), Member{ID: "x", Zone: "a"}))
 	m := g.r.members["q"]
@@ -703,7 +704,7 @@
 		g.run(5 * ms)
 	}
 	if !m.suspect {
-		t.Errorf("a member that answers nothing was never suspected: overdue by %v, stretch %v", g.now-m.silentAt, m.slowdown)
+		t.Errorf("a member that answers nothing was never suspected: overdue by %v, slowdown %v", g.now-m.silentAt, m.slowdown)
 	}
 }
 
@@ -719,13 +720,13 @@
 		}
 	}
 	if asks < 4 || asks > 30 {
-		t.Errorf("%d asks in 30 s of failures", asks)
+		t.Errorf("%d calls in 30 s of failures", asks)
 	}
 }
 
-// TestPauseAfterRefusedCalls: an ask that a crowd was before is refused after 2 s, and the next one may stand in the queue
-// as long: what lies between leaves it to be told in 6 s, where the fronts' asks can be served in that time. Else they
-// come so late that the queue can empty.
+// TestPauseAfterRefusedCalls: a call to discovery is refused after 2 s in its queue, and the next one may queue as long.
+// The pause between them must let the front learn of changes within 6 s, where discovery can serve the fleet's calls in
+// that time. Otherwise it must be long enough for the queue to empty.
 func TestPauseAfterRefusedCalls(t *testing.T) {
 	const queue, told = 2 * time.Second, 6 * time.Second
 	for _, fronts := range []int{1, 5, 20, 37, 80, 100, 101, 300} {
@@ -753,7 +754,7 @@
 		}
 		mean := sum / 120
 		if fronts <= 100 && most > told-2*queue-200*ms || mean < 500*ms || fronts > 100 && mean < 40*ms*Time(fronts) {
-			t.Errorf("%d fronts ask again after %v in the mean, %v at most", fronts, mean, most)
+			t.Errorf("%d fronts call again after %v in the mean, %v at most", fronts, mean, most)
 		}
 	}
 }
@@ -765,7 +766,7 @@
 		"unknown effect":      func(c *Config) { c.Classes[0].Effect = 9 },
 		"unknown consistency": func(c *Config) { c.Classes[0].Consistency = 9 },
 		"front out of range":  func(c *Config) { c.Self = 2 },
-		"no aim":              func(c *Config) { c.Classes[0].LatencyTarget = 0 },
+		"no latency target":   func(c *Config) { c.Classes[0].LatencyTarget = 0 },
 	}
 	for name, change := range tests {
 		cfg := testConfig()
@@ -776,7 +777,7 @@
 	}
 }
 
-// Ended requests, sessions and booked work leave nothing behind.
+// Ended requests, sessions and outstanding work leave nothing behind.
 func TestMemoryIsBounded(t *testing.T) {
 	g := newRig(t, nil, members())
 	for id := uint64(1); id < 5000; id++ {
@@ -790,7 +791,7 @@
 		}
 	}
 	g.run(150 * ms)
-	for id, q := range g.r.requests { // sent once their probes stayed silent
+	for id, q := range g.r.requests { // sent after their probes had no answer
 		for _, a := range q.attempts {
 			g.answer(id, a.number, a.member.ID, Served, RoleUnknown, 0)
 		}
@@ -809,7 +810,7 @@
 	}
 }
 
-// What no member can use fails at once and is tried nowhere else; it says nothing against the member.
+// A rejected request fails at once and is not tried elsewhere; it is no evidence against the member.
 func TestRejectedIsFinal(t *testing.T) {
 	g := newRig(t, nil, members())
 	m := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
@@ -819,8 +820,8 @@
 	}
 }
 
-// Members come and go under ever new ids, and sessions with them; neither table grows, though one replica is
-// never heard of. What is forgotten of sessions still binds.
+// Members join and leave under ever new ids, and sessions likewise; neither table grows, though one replica is never
+// heard of. Commits of forgotten sessions are still required.
 func TestTablesAreBounded(t *testing.T) {
 	g := newRig(t, nil, members())
 	for id := uint64(1); id < 3*maxSessions; id++ {
@@ -847,7 +848,7 @@
 	}
 }
 
-// Long any reads go to the replica furthest behind, so that the others keep applying (incident icd29a7).
+// Long reads of any data go to the replica that lags most, so that the others keep applying writes (incident icd29a7).
 func TestLongReadsGoToLaggingReplica(t *testing.T) {
 	g := newRig(t, func(c *Config) {
 		c.Classes = append(c.Classes, Class{Name: "long", LatencyTarget: 4 * time.Second, Deadline: 8 * time.Second, Value: 5})
@@ -857,7 +858,7 @@
 	g.reportPosition("s", g.now-90*ms)
 	for id := uint64(1); id < 4; id++ {
 		if got := g.sentTo(g.arrive(id, 6, 8*time.Second, ""), id); got != "s" {
-			t.Errorf("long read %d sent to %s, want the one furthest behind, s", id, got)
+			t.Errorf("long read %d sent to %s, want the one that lags most, s", id, got)
 		}
 	}
 	if got := g.sentTo(g.arrive(9, anyRead, time.Second, ""), 9); got == "s" {
@@ -865,7 +866,7 @@
 	}
 }
 
-// A replica far behind counts as more loaded, so that it catches up (incident i86c17f).
+// A replica that lags far counts as more loaded, so that it catches up (incident i86c17f).
 func TestLaggingReplicaIsSpared(t *testing.T) {
 	g := newRig(t, nil, []Member{{ID: "p", Primary: true}, {ID: "q", Zone: "a"}, {ID: "x", Zone: "a"}})
 	g.reportPosition("q", g.now-10*time.Second)
@@ -898,7 +899,7 @@
 	}
 }
 
-// Probes that nobody answers must not hold a read long: the primary takes it.
+// Probes without an answer must not hold a read for long: the primary gets it.
 func TestSilentProbesHoldAReadShortly(t *testing.T) {
 	g := newRig(t, nil, members())
 	if got := g.sentTo(append(g.arrive(1, bounded, time.Second, ""), g.run(80*ms)...), 1); got != "p" {
@@ -906,8 +907,8 @@
 	}
 }
 
-// The cold budget of many fronts together: what all send to a cold member stays under the cold part of what a
-// warm one gets, though each front has less than one request for it (cairo-print-later, failback).
+// With many fronts the work sent to a member in slow start stays under the fraction it can take of what other members
+// get, though the budget of each front is below one request (seen in cairo-print-later, failback).
 func TestSlowStartBudgetOfManyFronts(t *testing.T) {
 	const fronts = 300
 	list := append(members(), Member{ID: "x", Zone: "a", Started: time.Hour + 3*time.Second})
@@ -939,20 +940,20 @@
 	}
 	// Three seconds; x does 0.3 to 0.5 of its work, and may be sent twice that over any two of them.
 	if most := float64(warm) / 2 * 0.4 * 2; float64(cold) > most {
-		t.Errorf("%d requests to the cold member, %d to two warm ones: want at most %.0f", cold, warm, most)
+		t.Errorf("%d requests to the member in slow start, %d to the two others: want at most %.0f", cold, warm, most)
 	}
 	if cold == 0 {
-		t.Error("the cold member never gets anything")
+		t.Error("the member in slow start never gets anything")
 	}
 }
 
-// One slow answer is no silence where a front has one request out at a time.
+// One slow answer is no silence where a front has one request outstanding at a time.
 func TestOneSlowAnswerIsNoSilence(t *testing.T) {
 	g := newRig(t, nil, members())
 	g.arrive(1, once, 2*time.Second, "u")
 	g.run(Time(2 * silenceMultiple * g.r.classes[once].cost))
 	if g.r.members["p"].suspect {
-		t.Error("suspect for one attempt out twice as long as many would be given")
+		t.Error("suspect for one attempt outstanding for twice the tolerance with many outstanding")
 	}
 	g.run(Time(1.5 * silenceMultiple * g.r.classes[once].cost))
 	if !g.r.members["p"].suspect {
@@ -960,7 +961,7 @@
 	}
 }
 
-// Reads stay away from a primary whose answers come late, by chance and not all; writes go on.
+// Some reads, chosen at random, are kept away from a primary whose answers are late; writes are not.
 func TestReadsAreShedFromLateMember(t *testing.T) {
 	g := newRig(t, nil, members()[:1])
 	p := g.r.members["p"]
@@ -977,23 +978,23 @@
 	p = g.r.members["p"]
 	p.latencyRatio, p.sampledAt = 2*shedLatencyRatio, g.now
 	if len(actionsOf(g.arrive(999, once, 2*time.Second, "u"), Send, 999)) != 1 {
-		t.Error("a write was kept away")
+		t.Error("a write was shed")
 	}
 }
 
-// A member with nothing out takes one request whatever its limit, also when its booked work has come to a rest
-// of rounding.
+// A member without outstanding attempts gets one request whatever its limit, also when rounding errors have left its
+// outstanding work slightly above 0.
 func TestRoundingErrorLeavesCapacity(t *testing.T) {
 	g := newRig(t, nil, members()[:1])
 	m := g.r.members["p"]
 	m.limit, m.booked = 1, 1e-6
 	if len(actionsOf(g.arrive(1, once, 2*time.Second, "u"), Send, 1)) != 1 {
-		t.Error("an idle member took nothing")
+		t.Error("an idle member got nothing")
 	}
 }
 
-// What a sparse front saw of one replica stands for those it knows nothing of, but not for the primary
-// (incident ie3c7be).
+// On a front with few requests the latency ratio of one replica stands for the replicas it knows nothing of, but not for
+// the primary (incident ie3c7be).
 func TestLatencyRatioIsSharedInARole(t *testing.T) {
 	g := newRig(t, nil, members())
 	tried := func() (replicas, primary int) {
@@ -1011,7 +1012,7 @@
 	if a, b := tried(); a != 200 || b != 200 {
 		t.Fatalf("with nothing known %d and %d of 200 go", a, b)
 	}
-	for id := uint64(1); id < 4; id++ { // q answers at its aim
+	for id := uint64(1); id < 4; id++ { // q answers at the latency target
 		q := &request{class: g.r.classes[anyRead]}
 		g.r.recordLatency(g.r.members["q"], &attempt{request: q, member: g.r.members["q"]}, float64(q.class.LatencyTarget))
 		g.now += time.Second
@@ -1022,7 +1023,7 @@
 	}
 }
 
-// A write whose answer was lost on the way may have committed: its session's reads must see it, while it is out and
+// A write whose answer was lost may have committed: the reads of its session must see it, while it is outstanding and
 // after it has ended in doubt.
 func TestWriteInDoubtBindsItsSession(t *testing.T) {
 	known := func(c *Config) { c.AssumeCommittedAfter = 80 * ms }
@@ -1031,7 +1032,7 @@
 		g := newRig(t, known, members())
 		g.arrive(1, keyed, time.Second, "u")
 		g.reportPosition("q", g.now-10*ms)
-		g.now += 60 * ms // an answer would come, or count as known, later
+		g.now += 60 * ms // before the write counts as committed
 		if got := g.sentTo(g.arrive(2, session, time.Second, "u"), 2); got == "p" {
 			t.Error("a write that is out for less than an answer may take binds nothing")
 		}
@@ -1041,10 +1042,10 @@
 		}
 		fresh(g)
 		if got := g.sentTo(g.arrive(4, session, time.Second, "u"), 4); got == "p" {
-			t.Error("a replica known to be young enough may answer")
+			t.Error("a replica known to be new enough may answer")
 		}
 		if got := g.sentTo(g.arrive(5, session, time.Second, "other"), 5); got == "p" {
-			t.Error("another session is not bound")
+			t.Error("the write binds only its own session")
 		}
 	})
 	for _, end := range []Result{TimedOut, Reset, Cancelled, Errored} {
@@ -1089,13 +1090,13 @@
 		g.arrive(1, keyed, time.Second, "u")
 		g.now += 300 * ms
 		if got := g.sentTo(g.arrive(2, session, time.Second, "u"), 2); got == "p" {
-			t.Error("only commits that were told bind")
+			t.Error("only reported commits are required")
 		}
 	})
 }
 
-// A repeat of a keyed write must not be written past its window, however long it waits for a connection; and a read
-// names what its answer must hold.
+// A repeat of a keyed write must not be written after its window, however long it waits for a connection; and a read
+// states the position that its answer must have.
 func TestSendNamesItsBounds(t *testing.T) {
 	g := newRig(t, nil, members())
 	if read := actionsOf(g.arrive(2, fresh, time.Second, ""), Send, 2); len(read) != 1 || read[0].MinPosition != g.now {
@@ -1113,7 +1114,7 @@
 	}
 }
 
-// Few attempts, no probes and no roles listed: a write still finds its primary, as one that is none turns it away.
+// With few attempts, no probes and no roles in the list a write still finds its primary, as replicas refuse it.
 func TestFewAttemptsFindThePrimary(t *testing.T) {
 	for most := 1; most <= 3; most++ {
 		list := members()
@@ -1145,7 +1146,7 @@
 	}
 }
 
-// Where the settings name no multiple at which a cold member falls, there is no ramp to keep.
+// Where the settings have no overload multiple there is no slow start.
 func TestNoSlowStartWithoutOverloadMultiple(t *testing.T) {
 	list := members()
 	for i := range list {
@@ -1157,8 +1158,9 @@
 	}
 }
 
-// TestWaitedTimeCountsAgainstTarget: what a request has waited behind others counts against its aim, a retry's no less and not twice: too late
-// to be worth anything it is refused at once, that those behind it get their turn; late but worth something it is sent.
+// TestWaitedTimeCountsAgainstTarget: the time that a request has waited behind others counts against its latency target,
+// for a retry too and only once. Too late to have any value it is refused at once, so that those behind it get their
+// turn; late but of some value it is sent.
 func TestWaitedTimeCountsAgainstTarget(t *testing.T) {
 	for _, tc := range []struct {
 		class  int
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// FuzzRules feeds random events with no server model behind them and checks what a front can see of the rules.
+// FuzzRules feeds random events, without a model of the members, and checks the rules that a front can observe: one final
+// answer in time, no unsafe repeat, no send against the list or below a bound, and equal actions for equal events.
 func FuzzRules(f *testing.F) {
 	for seed := uint64(0); seed < 12; seed++ {
 		f.Add(seed)
@@ -23,7 +24,7 @@
 
 type requestTrack struct {
 	class    Class
-	most     int // attempts allowed when it came
+	most     int // attempts allowed when it arrived
 	arrived  Time
 	deadline Time
 	sends    []attemptTrack
@@ -39,7 +40,7 @@
 	done bool
 }
 
-// observedState is what a front knows of its own events.
+// observedState is what a front knows from its own events.
 type observedState struct {
 	t       *testing.T
 	now     Time
@@ -82,7 +83,7 @@
 			}
 			bad := cfg
 			if bad.MaxAttempts = -1; r.Reconfigure(bad) == nil {
-				t.Fatal("took a config that is not valid")
+				t.Fatal("accepted an invalid config")
 			}
 		}
 		for n := rng.IntN(3); n > 0; n-- {
@@ -90,7 +91,7 @@
 			wait := Time(rng.IntN(1500)) * ms
 			e := Event{Kind: Arrive, Request: id, Class: c, Tenant: -1, Session: "s", Remaining: wait}
 			class := cfg.Classes[c]
-			if retunes { // some were taken before the settings changed
+			if retunes { // some were accepted before the settings changed
 				all := [][]Class{cfg.Classes, before}[rng.IntN(2)]
 				e.ClassDef, e.Class = &all[rng.IntN(len(all))], -1
 				class = *e.ClassDef
@@ -115,7 +116,7 @@
 		if rng.IntN(5) == 0 {
 			m := list[1+rng.IntN(3)].ID
 			p := w.now - Time(rng.IntN(300)-20)*ms
-			if p <= w.now+clockSlack { // as the module takes it: told times are rounded
+			if p <= w.now+clockSlack { // as the router does: reported times are rounded
 				w.pos[m] = max(w.pos[m], p)
 			}
 			events = append(events, Event{Kind: Probed, Member: m, Result: Served,
@@ -125,7 +126,7 @@
 	return all
 }
 
-// retuned are settings with other effects and attempts; some classes go, all may come back.
+// retuned returns settings with other effects and attempts. Some classes are left out, and may come back later.
 func retuned(rng *rand.Rand, cfg Config) Config {
 	all := testConfig().Classes
 	cfg.Classes = nil
@@ -166,7 +167,7 @@
 	return e
 }
 
-// check goes through the actions not seen yet and returns where they begin.
+// check checks the actions not seen yet and returns the index of the first.
 func (w *observedState) check(all []Action) int {
 	from := w.seen
 	w.seen = len(all)
@@ -205,11 +206,11 @@
 	case w.drained[a.Member]:
 		w.t.Fatalf("request %d: sent to drained %s", a.Request, a.Member)
 	case q.class.Consistency == Bounded && a.Member != "a" && w.pos[a.Member] < w.now-q.class.Bound:
-		w.t.Fatalf("request %d: %s known at %v, beneath the bound", a.Request, a.Member, w.now-w.pos[a.Member])
+		w.t.Fatalf("request %d: %s known at %v, below the bound", a.Request, a.Member, w.now-w.pos[a.Member])
 	}
 }
 
-// overdue fails for requests with no final answer at their deadline and a little.
+// overdue fails for requests without a final answer 8 ms after their deadline.
 func (w *observedState) overdue() {
 	for id, q := range w.reqs {
 		if !q.over && w.now > q.deadline+8*ms {
@@ -218,7 +219,7 @@
 	}
 }
 
-// TestStaleResultCountsAsRun guards against repeating or refusing reads that a member answered from an old position.
+// TestStaleResultCountsAsRun guards against repeating or refusing reads that a member answered from an older position than they require.
 func TestStaleResultCountsAsRun(t *testing.T) {
 	for _, tc := range []struct {
 		effect Effect
@@ -250,7 +251,7 @@
 	}
 }
 
-// TestLargeListIsUsed guards against members of a large list that are never sent to.
+// TestLargeListIsUsed guards against members of a large list never being used.
 func TestLargeListIsUsed(t *testing.T) {
 	const groups, each = 800, 4
 	var list []Member
@@ -267,7 +268,8 @@
 	}
 }
 
-// TestSavedListIsNotTrustedForLong guards against sends to members that drain since before a restart, while discovery is too busy to say so.
+// TestSavedListIsNotTrustedForLong guards against sends to members that began to drain before a restart, while
+// discovery is too busy to report it.
 func TestSavedListIsNotTrustedForLong(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.ListOnRequest, c.MayProbe = true, false }, members())
 	id := uint64(0)
@@ -313,12 +315,13 @@
 	}
 }
 
-// TestSavedListDuringRelease guards against sends by an old list that was handed over while members were being replaced.
+// TestSavedListDuringRelease guards against sends by an outdated list that was handed over while members were
+// being replaced.
 func TestSavedListDuringRelease(t *testing.T) {
-	at := time.Hour // where the rig begins
+	at := time.Hour // the start of the test's clock
 	for name, tc := range map[string]struct {
 		change func(m *Member)
-		want   Time // that the list is used as it is
+		want   Time // how long the list is used as it is
 	}{
 		"quiet":                {func(*Member) {}, savedListTime},
 		"started long ago":     {func(m *Member) { m.Started = at - time.Minute }, savedListTime},
