--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,7 +10,7 @@
 	"reachwind/decide"
 )
 
-// fakeModule takes the place of the module and of the members: it acts as told and notes what comes.
+// fakeModule stands for the module and the members: it returns given actions and records what it is passed.
 type fakeModule struct {
 	on     map[decide.EventKind][]decide.Action
 	events []decide.Event
@@ -40,7 +40,7 @@
 
 func (c *client) Answer(a Answer) { c.answers = append(c.answers, a) }
 
-// withCore plays f against a core whose module sends each request that arrives.
+// withCore runs f with a core whose module sends each request that arrives, and one request q.
 func withCore(t *testing.T, f func(c *Core, s *fakeModule, cl *client, call *payload, q *Request)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeModule{on: map[decide.EventKind][]decide.Action{decide.Arrive: {{Kind: decide.Send, Request: 1, Member: "m",
@@ -59,7 +59,7 @@
 	})
 }
 
-// TestDeadline: a request that the module forgets is answered all the same, and its attempt stopped once.
+// TestDeadline: a request that the module does not answer is answered all the same, and its attempt stopped once.
 func TestDeadline(t *testing.T) {
 	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		time.Sleep(301 * time.Millisecond)
@@ -75,7 +75,7 @@
 			t.Errorf("answers %v, events %v", cl.answers, s.events)
 		}
 		if call.released != 0 {
-			t.Error("the statement was released while an attempt is out")
+			t.Error("the statement was released while an attempt is outstanding")
 		}
 		c.Done(s.sent[0], Outcome{Result: decide.TimedOut})
 		synctest.Wait()
@@ -85,7 +85,8 @@
 	})
 }
 
-// TestWaitingTimeIsReported: the module is told how long a request has waited for its turn, and what its client still waits.
+// TestWaitingTimeIsReported: the module is told how long a request has waited for its turn, and how long its client will
+// still wait.
 func TestWaitingTimeIsReported(t *testing.T) {
 	withCore(t, func(c *Core, s *fakeModule, _ *client, _ *payload, _ *Request) {
 		c.Post(func() { clear(s.on) })
@@ -128,7 +129,7 @@
 	})
 }
 
-// TestNoSecondCopy: whatever the module says, no request has two attempts out.
+// TestNoSecondCopy: whatever the module does, no request has two outstanding attempts.
 func TestNoSecondCopy(t *testing.T) {
 	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		s.on[decide.ListError] = s.on[decide.Arrive]
@@ -141,7 +142,7 @@
 	})
 }
 
-// TestBatch: what waits goes to the module in one step.
+// TestBatch: queued events go to the module in one step.
 func TestBatch(t *testing.T) {
 	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		before := s.steps
@@ -157,7 +158,8 @@
 	})
 }
 
-// TestStaleAnswerIsNotPassedOn: a replica's answer that lacks what its read must see is not passed on, and counts as one that ran.
+// TestStaleAnswerIsNotPassedOn: a replica's answer that lacks commits which its read must see is not passed on, and counts
+// as one that ran.
 func TestStaleAnswerIsNotPassedOn(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -167,11 +169,11 @@
 		{"demoted and behind", Outcome{Role: decide.Replica, HasPosition: true, Position: 9}, decide.Stale},
 		{"a replica that holds it", Outcome{Role: decide.Replica, HasPosition: true, Position: 10}, decide.Served},
 		{"a primary, its position rounded", Outcome{Role: decide.Primary, HasPosition: true, Position: 9}, decide.Served},
-		{"no position told", Outcome{Role: decide.Replica}, decide.Served},
+		{"no position reported", Outcome{Role: decide.Replica}, decide.Served},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
-				s.on[decide.Outcome] = []decide.Action{{Kind: decide.Fail, Request: 1}} // at the latest then
+				s.on[decide.Outcome] = []decide.Action{{Kind: decide.Fail, Request: 1}} // by then at the latest
 				s.sent[0].atLeast = 10
 				body := new(payload)
 				tc.o.Body = body
@@ -187,14 +189,14 @@
 	}
 }
 
-// fakeSharedCommits notes what is shared with another process.
+// fakeSharedCommits records what is shared with another process.
 type fakeSharedCommits struct{ commits []Time }
 
 func (l *fakeSharedCommits) RecordCommit(_ int64, _ string, p Time) { l.commits = append(l.commits, p) }
 func (l *fakeSharedCommits) LastCommit(_ int64, _ string) (p Time)  { return 0 }
 
-// TestWriteInDoubt: a write that may have run counts as committed by its end, here and at another process; and at the
-// other one also while it is out, as its answer may be lost.
+// TestWriteInDoubt: a write that may have run counts as committed from its end on, here and at another process; there also
+// while it is outstanding, as its answer may be lost.
 func TestWriteInDoubt(t *testing.T) {
 	for _, end := range []decide.Result{decide.Reset, decide.TimedOut, decide.Cancelled, decide.Errored, decide.NotSent, decide.Unreachable} {
 		withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, _ *Request) {
@@ -208,7 +210,7 @@
 			time.Sleep(AssumeCommittedAfter + time.Millisecond)
 			synctest.Wait()
 			if len(l.commits) != 1 || l.commits[0] < sent+AssumeCommittedAfter {
-				t.Errorf("shared %v while the write is out", l.commits)
+				t.Errorf("shared %v while the write is outstanding", l.commits)
 			}
 			c.Done(s.sent[1], Outcome{Result: end})
 			synctest.Wait()
@@ -222,7 +224,7 @@
 }
 
 // TestEndBy: when the process ends, each request is answered by then, however long its client would wait: refused where
-// nothing may have run, failed else. One that comes later is the module's, which knows that there is no time left.
+// nothing may have run, failed otherwise. For one that arrives later the module is told that no time is left.
 func TestEndBy(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class *decide.Class
@@ -238,7 +240,7 @@
 				c.EndBy(by)
 				c.EndBy(by + time.Minute)
 				next, held := new(client), new(client)
-				look := func(f func()) { // on the owner's goroutine, which also writes
+				look := func(f func()) { // on the owner's goroutine, which also writes these fields
 					c.Post(f)
 					synctest.Wait()
 				}
@@ -247,7 +249,7 @@
 				time.Sleep(49 * time.Millisecond)
 				look(func() {
 					if n := len(cl.answers) + len(held.answers); n > 0 {
-						t.Errorf("%d answers before their time", n)
+						t.Errorf("%d answers too early", n)
 					}
 					if e := s.events[len(s.events)-1]; e.Kind != decide.Arrive || e.Remaining > 50*time.Millisecond {
 						t.Errorf("the module was told %+v", e)
@@ -264,7 +266,7 @@
 				synctest.Wait()
 				look(func() {
 					if e := s.events[len(s.events)-1]; len(next.answers) != 1 || next.answers[0].Verdict != Refused || e.Kind != decide.Arrive || e.Remaining > 0 {
-						t.Errorf("one that came later: answers %+v, last event %+v", next.answers, e)
+						t.Errorf("one that arrived later: answers %+v, last event %+v", next.answers, e)
 					}
 				})
 				c.Done(s.sent[0], Outcome{Result: decide.TimedOut})
--- a/internal/core/leave_test.go
+++ b/internal/core/leave_test.go
@@ -21,8 +21,8 @@
 	r.all = append(r.all, *one)
 }
 
-// TestCancel: a request cancelled by its client counts for the module as one whose client has left, and gets one answer:
-// that of a member if it was there before, else that it was cancelled, which its record says too.
+// TestCancel: for the module a request cancelled by its client is one whose client has left. It gets one answer: a
+// member's if that came first, otherwise that it was cancelled, which its record shows too.
 func TestCancel(t *testing.T) {
 	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		r := &lockedSink{}
@@ -31,10 +31,10 @@
 		c.Cancel(q)
 		c.Cancel(q)
 		if !q.Closed() {
-			t.Error("not marked at once")
+			t.Error("not closed at once")
 		}
 		synctest.Wait()
-		if len(s.stops) != 1 || s.stops[0] != decide.NotSent { // what is written whole is the module's to call off
+		if len(s.stops) != 1 || s.stops[0] != decide.NotSent { // the module cancels an attempt that is written completely
 			t.Errorf("stops %v", s.stops)
 		}
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: late})
@@ -59,7 +59,7 @@
 			t.Errorf("answers %+v, events %+v", cl.answers, s.events)
 		}
 	})
-	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) { // its answer is passing through
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) { // its answer is being streamed
 		r := &lockedSink{}
 		c.SetRecordSink(r, 0)
 		c.AnswerStarted(s.sent[0], new(payload))
@@ -76,7 +76,7 @@
 	})
 }
 
-// TestCancelBeforeArrive: a cancel that is heard of before its request has arrived holds for it when it does.
+// TestCancelBeforeArrive: a cancel that comes before its request has arrived takes effect when it arrives.
 func TestCancelBeforeArrive(t *testing.T) {
 	withCore(t, func(c *Core, s *fakeModule, _ *client, _ *payload, _ *Request) {
 		cl, call := new(client), new(payload)
@@ -91,23 +91,23 @@
 	})
 }
 
-// TestClosedAtOnce: a request is over from the call on by which its front says that the client has gone, and from its
-// answer on, so that whoever holds an attempt of it sees that before the owner has run.
+// TestClosedAtOnce: a request is closed as soon as Gone is called, and from its answer on, so that the holder of one of its
+// attempts sees that before the owner has run.
 func TestClosedAtOnce(t *testing.T) {
 	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		if q.Closed() {
-			t.Error("over while it is open")
+			t.Error("closed while it is open")
 		}
 		c.Gone(q)
 		if !q.Closed() {
-			t.Error("not marked at once")
+			t.Error("not closed at once")
 		}
 	})
 	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: new(payload)})
 		synctest.Wait()
 		if !q.Closed() {
-			t.Error("not over with its answer")
+			t.Error("not closed after its answer")
 		}
 	})
 }
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -13,14 +13,14 @@
 
 func (s *sink) Put(r *record.Record) { s.records = append(s.records, *r) }
 
-// TestRecords: each final answer makes one record that tells what the attempts showed, each belief one of its own,
-// and nobody listening gets none.
+// TestRecords: each final answer makes one record of what the attempts showed, each change in the module's view one too,
+// and without a sink none is made.
 func TestRecords(t *testing.T) {
-	withCore(t, func(c *Core, s *fakeModule, cl *client, _ *payload, q *Request) { // nobody listens
+	withCore(t, func(c *Core, s *fakeModule, cl *client, _ *payload, q *Request) { // no sink
 		c.Done(s.sent[0], Outcome{Result: decide.Served})
 		synctest.Wait()
 		if len(cl.answers) != 1 || c.recorder != nil {
-			t.Error("no answer, or records for nobody")
+			t.Error("no answer, or records without a sink")
 		}
 	})
 	for _, tc := range []struct {
@@ -75,7 +75,7 @@
 		}
 		now := c.Now()
 		list(decide.ListFull, decide.Member{ID: "m", Group: 3}, decide.Member{ID: "n", Group: 3, Started: now - time.Second})
-		list(decide.ListFull, decide.Member{ID: "m", Group: 3}, decide.Member{ID: "n", Group: 3, Started: now - time.Second}) // no news
+		list(decide.ListFull, decide.Member{ID: "m", Group: 3}, decide.Member{ID: "n", Group: 3, Started: now - time.Second}) // no change
 		list(decide.ListChange, decide.Member{ID: "m", Group: 3, State: decide.Draining})
 		list(decide.ListChange, decide.Member{ID: "m", Group: 3})
 		list(decide.ListFull, decide.Member{ID: "n", Group: 3, Started: now - time.Second})
--- a/internal/cursor/cursor_test.go
+++ b/internal/cursor/cursor_test.go
@@ -29,8 +29,8 @@
 	return r
 }
 
-// TestSealOpenRoundTrip: what was sealed comes back, at another gateway with the same keys too, and any change of a
-// character, its end or its query is refused with an error of the package's.
+// TestSealOpenRoundTrip: a sealed cursor opens to the same fields, at another gateway with the same keys too. One that is
+// changed in any character, cut off, or of another query is refused with an error of the package.
 func TestSealOpenRoundTrip(t *testing.T) {
 	keys := []Key{key(1, 0, time.Second, 1<<62), key(2, now, now+time.Hour, 1<<62)}
 	rapid.Check(t, func(t *rapid.T) {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// TestLifetimeAndSkew: a cursor lives as long as the ring says, from clocks apart by the skew, and is of no other ring.
+// TestLifetimeAndSkew: a cursor is valid for the lifetime of its ring, for clocks apart by the skew, and not in other rings.
 func TestLifetimeAndSkew(t *testing.T) {
 	r := ring(t, key(1, 0, time.Second, 1<<62))
 	text, err := r.Seal(Cursor{Query: 1}, now, rand.Reader)
@@ -99,12 +99,12 @@
 	}
 }
 
-// TestKeyRotation: while keys follow each other, any gateway opens in its time what any other sealed, though they take
-// a new key file at different times: up to an overlap apart.
+// TestKeyRotation: during key rotation a gateway can open every cursor that another one sealed within its lifetime, though
+// gateways read a new key file at different times, up to an overlap apart.
 func TestKeyRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const every, overlap = 4 * time.Hour, 30 * time.Minute
-		file := func(at Time) []Key { // as it stands at a time: the key in use, those it follows, and the next one
+		file := func(at Time) []Key { // the file at a time: the key in use, the two before it, and the next one
 			n := int(at / every)
 			var keys []Key
 			for i := max(0, n-2); i <= n+1; i++ {
@@ -114,19 +114,19 @@
 			return keys
 		}
 		at := Time(rapid.Int64Range(int64(10*time.Hour), int64(100*time.Hour)).Draw(t, "at"))
-		behind := Time(rapid.Int64Range(0, int64(overlap)).Draw(t, "behind")) // a gateway that has not read the newest file
+		behind := Time(rapid.Int64Range(0, int64(overlap)).Draw(t, "behind")) // how outdated the key file of the opening gateway is
 		life := Time(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "later"))
 		text, err := ring(t, file(at)...).Seal(Cursor{Query: 1}, at, rand.Reader)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := ring(t, file(at+life-behind)...).Open(text, 1, at+life); err != nil {
-			t.Fatalf("%v later, by a file of %v before: %v", life, behind, err)
+			t.Fatalf("%v later, by a key file that is %v old: %v", life, behind, err)
 		}
 	})
 }
 
-// TestKeyFile: a file is read as the page has it, and its faults are told by line without the secret.
+// TestKeyFile: key files are parsed in the documented form, and errors name the line without the secret.
 func TestKeyFile(t *testing.T) {
 	secret := strings.Repeat("ab", 32)
 	keys, err := ParseKeys([]byte("# keys\n\n1 " + secret + " - 2026-01-01T00:00:00Z 2026-02-01T00:00:00Z\n2 " + secret + " 2026-01-31T00:00:00Z 2026-01-31T12:00:00+13:00 -\n"))
