--- a/decide/api.go
+++ b/decide/api.go
@@ -243,7 +243,7 @@
 
 // The budgets that fronts share, as indexes in Event.BudgetShares.
 const (
-	ColdBudget      = iota // work sent to members in slow start
+	SlowStartBudget = iota // work sent to members in slow start
 	ProbeBudget            // probes
 	DiscoveryBudget        // calls to discovery
 	TenantBudget           // requests of tenants
--- a/decide/callpace.go
+++ b/decide/callpace.go
@@ -56,7 +56,7 @@
 	return pause
 }
 
-// startSpread is the time over which the first calls of a restarted fleet are startSpread.
+// startSpread is the time over which the first calls of a restarted fleet are spread.
 func (p *DiscoveryPacer) startSpread() Time {
 	return min(startSpreadPerFront*Time(p.Fronts), maxStartSpread)
 }
@@ -80,8 +80,8 @@
 
 // PauseAfterRefusal draws the random pause after a call that discovery refused. share is the front's share of the calls
 // that the fleet may make; 1 is an even share.
-func (p *DiscoveryPacer) PauseAfterRefusal(part float64) Time {
-	bySize := Time(float64(assumedCallWork*Time(p.Fronts)) / part)
+func (p *DiscoveryPacer) PauseAfterRefusal(share float64) Time {
+	bySize := Time(float64(assumedCallWork*Time(p.Fronts)) / share)
 	work, most := bySize, maxUpdateDelay
 	if p.fleetWork > 0 {
 		work, most = p.fleetWork, maxServableWork
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -19,16 +19,16 @@
 
 // slowStartScenario is one randomly drawn scenario.
 type slowStartScenario struct {
-	routers, groups, each int // each: members per group
-	rate                  float64
-	span                  Time
-	what                  string // "one", "group", "primary", "third", "renewed"
-	marked                bool   // clients mark their retries
-	seed                  uint64
+	routers, groups, groupSize int // each: members per group
+	rate                       float64
+	span                       Time
+	fault                      string // "one", "group", "primary", "third", "renewed"
+	marksRetries               bool   // clients mark their retries
+	seed                       uint64
 }
 
 func (d slowStartScenario) String() string {
-	return fmt.Sprintf("%d routers, %s, marked %v, seed %d", d.routers, d.what, d.marked, d.seed)
+	return fmt.Sprintf("%d routers, %s, marked %v, seed %d", d.routers, d.fault, d.marksRetries, d.seed)
 }
 
 type simEvent struct {
@@ -54,26 +54,26 @@
 // simMember is a simulated member: an answer takes its class's cost, or longer where the queue is long. It completes
 // capacity work per second, or the fraction of it that it has in slow start.
 type simMember struct {
-	id       string
-	group    int
-	primary  bool
-	up       bool
-	capacity float64
-	started  Time
-	free     Time // when its queue is worked off
-	life     int
-	window   []sentWork // of the last OverloadTime
-	told     float64    // work sent in slow start by routers that knew of it
-	could    float64    // work allowed since all routers knew
-	allTold  Time
-	worst    float64 // largest excess over N + 2, in square roots of N
-	used     float64 // work sent since all routers knew
+	id        string
+	group     int
+	primary   bool
+	up        bool
+	capacity  float64
+	started   Time
+	free      Time // when its queue is worked off
+	life      int
+	window    []sentWork // of the last OverloadTime
+	sentKnown float64    // work sent in slow start by routers that knew of it
+	allowed   float64    // work allowed since all routers knew
+	allKnowAt Time
+	worst     float64 // largest excess over N + 2, in square roots of N
+	used      float64 // work sent since all routers knew
 }
 
 type sentWork struct {
-	at   Time
-	work float64
-	told bool
+	at    Time
+	work  float64
+	known bool
 }
 
 type simRouter struct {
@@ -83,7 +83,7 @@
 	rate    float64
 	list    map[string]Member // as the router knows it
 	started map[string]Time   // the start that the router knows of each
-	wake    Time
+	wakeAt  Time
 	calls   map[uint64]*clientCall
 	out     []Action
 }
@@ -99,26 +99,26 @@
 
 type fleetSim struct {
 	slowStartScenario
-	cfg     Config
-	rng     *rand.Rand
-	now     Time
-	events  simQueue
-	seq     int
-	ids     uint64
-	fronts  []*simRouter
-	members []*simMember
-	byID    map[string]*simMember
-	demand  []float64 // of each group, summing to 1
-	mean    float64   // work of a mean request, ns
-	burst   float64
-	after   Time // no crashes from then on
-	served  int
-	refused int
-	asked   int
-	worst   float64
-	where   string
-	used    float64
-	could   float64
+	cfg         Config
+	rng         *rand.Rand
+	now         Time
+	events      simQueue
+	seq         int
+	ids         uint64
+	fronts      []*simRouter
+	members     []*simMember
+	byID        map[string]*simMember
+	demand      []float64 // of each group, summing to 1
+	mean        float64   // work of a mean request, ns
+	burst       float64
+	faultsUntil Time // no crashes from then on
+	served      int
+	refused     int
+	asked       int
+	worst       float64
+	worstAt     string
+	used        float64
+	allowed     float64
 }
 
 // The cost of a request of each class of testConfig: reads and writes differ.
@@ -127,7 +127,7 @@
 func newFleetSim(d slowStartScenario) *fleetSim {
 	cfg := testConfig()
 	cfg.Fronts, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = d.routers, 0.24, 12*time.Second, 2.5, time.Second
-	cfg.ClientsMarkRetries, cfg.MayDuplicate = d.marked, false
+	cfg.ClientsMarkRetries, cfg.MayDuplicate = d.marksRetries, false
 	s := &fleetSim{slowStartScenario: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, uint64(d.routers))), now: time.Hour, burst: 1, worst: math.Inf(-1),
 		byID: map[string]*simMember{}}
 	for range 1000 {
@@ -142,10 +142,10 @@
 	for i := range s.demand {
 		s.demand[i] /= all
 	}
-	load := d.rate * float64(d.routers) * s.mean / float64(d.groups*d.each) // per member, ns per second
-	used := 0.5 + 0.4*s.rng.Float64()                                       // of the members' capacity
+	load := d.rate * float64(d.routers) * s.mean / float64(d.groups*d.groupSize) // per member, ns per second
+	used := 0.5 + 0.4*s.rng.Float64()                                            // of the members' capacity
 	for g := range d.groups {
-		for j := range d.each {
+		for j := range d.groupSize {
 			s.add(&simMember{id: fmt.Sprintf("g%d-%d", g, j), group: g, primary: j == 0, up: true, capacity: load / used})
 		}
 	}
@@ -202,7 +202,7 @@
 	if err != nil {
 		panic(err)
 	}
-	f.r, f.life, f.wake, f.calls = r, f.life+1, 0, map[uint64]*clientCall{}
+	f.r, f.life, f.wakeAt, f.calls = r, f.life+1, 0, map[uint64]*clientCall{}
 	var list []Member
 	for _, m := range f.list {
 		list = append(list, m)
@@ -233,11 +233,11 @@
 	c.sent = map[int]*simMember{}
 	f.calls[s.ids] = c
 	s.step(f, Event{Kind: Arrive, Request: s.ids, Class: c.class, Tenant: -1, Group: int64(c.group), Session: c.session,
-		IsRetry: c.tries > 0 && s.marked, Remaining: c.deadline - s.now})
+		IsRetry: c.tries > 0 && s.marksRetries, Remaining: c.deadline - s.now})
 }
 
-// again is a client's retry of a request that was not served, after the delay d.
-func (s *fleetSim) again(f *simRouter, c *clientCall, d Time) {
+// retry is a client's retry of a request that was not served, after the delay d.
+func (s *fleetSim) retry(f *simRouter, c *clientCall, d Time) {
 	if d += Time(s.rng.Float64() * float64(20*ms)); c.tries < 6 && s.now+d < c.deadline-50*ms {
 		c.tries++
 		s.later(d, func() { s.call(f, c) })
@@ -263,9 +263,9 @@
 	}
 	switch a.Kind {
 	case Wake:
-		if f.wake = a.At; a.At > s.now {
+		if f.wakeAt = a.At; a.At > s.now {
 			s.later(a.At-s.now, func() {
-				if f.life == life && f.wake == a.At {
+				if f.life == life && f.wakeAt == a.At {
 					s.step(f, Event{Kind: Timer})
 				}
 			})
@@ -287,10 +287,10 @@
 		soon(0, Event{Kind: Outcome, Request: a.Request, Attempt: a.Attempt, Member: c.sent[a.Attempt].id, Result: Cancelled})
 	case Refuse:
 		s.refused++
-		s.again(f, c, min(a.RetryAfter, 300*ms))
+		s.retry(f, c, min(a.RetryAfter, 300*ms))
 	case Fail:
 		if s.rng.IntN(2) == 0 {
-			s.again(f, c, 50*ms)
+			s.retry(f, c, 50*ms)
 		}
 	case Probe:
 		m := s.byID[a.Member]
@@ -321,8 +321,8 @@
 	s.byID[m.id] = m
 }
 
-// part is the fraction of its full capacity that m has now.
-func (s *fleetSim) part(m *simMember) float64 {
+// capacityFraction is the fraction of its full capacity that m has now.
+func (s *fleetSim) capacityFraction(m *simMember) float64 {
 	if m.started == 0 || s.now >= m.started+s.cfg.SlowStartTime {
 		return 1
 	}
@@ -346,14 +346,14 @@
 		e.Result = Full
 		return ms
 	}
-	m.free += Time(work / (m.capacity * s.part(m)) * float64(time.Second))
+	m.free += Time(work / (m.capacity * s.capacityFraction(m)) * float64(time.Second))
 	e.Result, e.Ended, e.Role, e.HasPosition, e.Position = Served, true, m.role(), true, s.position(m)
 	return max(m.free-s.now, Time(work*(0.9+0.2*s.rng.Float64())))
 }
 
 // count compares the work sent to a member in slow start in the last OverloadTime with what the settings allow.
 func (s *fleetSim) count(f *simRouter, m *simMember, work float64) {
-	part := s.part(m)
+	part := s.capacityFraction(m)
 	if part == 1 {
 		m.window = nil
 		return
@@ -366,25 +366,25 @@
 	n := s.cfg.OverloadMultiple * m.capacity * part * s.cfg.OverloadTime.Seconds() / s.mean
 	sum := 0.0
 	for _, w := range m.window {
-		if w.told {
+		if w.known {
 			sum += w.work
 		}
 	}
 	if x := (sum - n - 2) / math.Sqrt(n); x > s.worst {
-		s.worst, s.where = x, fmt.Sprintf("%s (primary %v) %.1f s after its start: %.1f, allowed %.1f", m.id, m.primary, (s.now-m.started).Seconds(), sum, n)
+		s.worst, s.worstAt = x, fmt.Sprintf("%s (primary %v) %.1f s after its start: %.1f, allowed %.1f", m.id, m.primary, (s.now-m.started).Seconds(), sum, n)
 	}
 	if told && part < scarceFraction {
 		s.used += work / s.mean
 	}
 }
 
-// notice sends m's present list entry to every router, after a random delay each.
-func (s *fleetSim) notice(m *simMember, state MemberState) {
+// announce sends m's present list entry to every router, after a random delay each.
+func (s *fleetSim) announce(m *simMember, state MemberState) {
 	l := s.entry(m)
 	l.State = state
 	for _, f := range s.fronts {
 		d := 200*ms + Time(s.rng.Float64()*3.8*float64(time.Second))
-		m.allTold = max(m.allTold, s.now+d)
+		m.allKnowAt = max(m.allKnowAt, s.now+d)
 		s.later(d, func() {
 			if old, ok := f.list[m.id]; ok && old.Started > l.Started || ok && old.Started == l.Started && old.State != Up && state == Up {
 				return
@@ -399,50 +399,50 @@
 	m.up = false
 	gone := s.rng.IntN(2) == 0
 	if gone {
-		s.notice(m, Removed)
+		s.announce(m, Removed)
 	}
 	s.later(down, func() {
-		m.up, m.started, m.free, m.window, m.allTold = true, s.now, s.now, nil, 0
-		s.notice(m, Up)
-		s.account(m)
+		m.up, m.started, m.free, m.window, m.allKnowAt = true, s.now, s.now, nil, 0
+		s.announce(m, Up)
+		s.addAllowed(m)
 	})
 }
 
-// renew removes m from the list, then stops it, and starts a new member in its place.
-func (s *fleetSim) renew(m *simMember) {
+// replace removes m from the list, then stops it, and starts a new member in its place.
+func (s *fleetSim) replace(m *simMember) {
 	l := *m
-	s.notice(m, Removed)
+	s.announce(m, Removed)
 	s.later(5*time.Second, func() { m.up = false })
 	n := &simMember{id: l.id + "x", group: l.group, up: true, capacity: l.capacity, started: s.now, free: s.now, primary: l.primary}
 	m.primary = false
 	s.add(n)
-	s.notice(n, Up)
-	s.account(n)
+	s.announce(n, Up)
+	s.addAllowed(n)
 }
 
 // scarceFraction is the fraction of its capacity up to which a member's slow-start budget is below the demand.
 const scarceFraction = 0.5
 
-// account adds up the work that m's budget allowed to routers that knew of its start, while the budget was scarce.
-func (s *fleetSim) account(m *simMember) {
+// addAllowed adds up the work that m's budget allowed to routers that knew of its start, while the budget was scarce.
+func (s *fleetSim) addAllowed(m *simMember) {
 	const tick = 100 * ms
 	s.later(tick, func() {
-		if part := s.part(m); part < 1 && m.up {
+		if part := s.capacityFraction(m); part < 1 && m.up {
 			for _, f := range s.fronts {
 				if f.started[m.id] == m.started && part < scarceFraction {
-					s.could += s.cfg.OverloadMultiple * m.capacity * part * tick.Seconds() / s.mean * f.rate / s.rate / float64(s.routers)
+					s.allowed += s.cfg.OverloadMultiple * m.capacity * part * tick.Seconds() / s.mean * f.rate / s.rate / float64(s.routers)
 				}
 			}
-			s.account(m)
+			s.addAllowed(m)
 		}
 	})
 }
 
-func (s *fleetSim) trouble() {
+func (s *fleetSim) injectFaults() {
 	var hit []*simMember
 	g := s.rng.IntN(s.groups)
 	for _, m := range s.members {
-		switch s.what {
+		switch s.fault {
 		case "one":
 			if m.group == g && !m.primary && len(hit) == 0 {
 				hit = append(hit, m)
@@ -456,7 +456,7 @@
 				hit = append(hit, m)
 			}
 		default:
-			if s.rng.IntN(3) == 0 || s.what == "renewed" && s.rng.IntN(2) == 0 {
+			if s.rng.IntN(3) == 0 || s.fault == "renewed" && s.rng.IntN(2) == 0 {
 				hit = append(hit, m)
 			}
 		}
@@ -465,8 +465,8 @@
 		hit = s.members[:1]
 	}
 	for _, m := range hit {
-		if s.what == "renewed" {
-			s.later(Time(s.rng.Float64()*6*float64(time.Second)), func() { s.renew(m) })
+		if s.fault == "renewed" {
+			s.later(Time(s.rng.Float64()*6*float64(time.Second)), func() { s.replace(m) })
 		} else {
 			s.crash(m, time.Second+Time(s.rng.Float64()*3*float64(time.Second)))
 		}
@@ -474,7 +474,7 @@
 }
 
 func (s *fleetSim) run() {
-	s.later(warmUpTime, s.trouble)
+	s.later(warmUpTime, s.injectFaults)
 	for _, f := range s.fronts { // a third of the routers restart meanwhile
 		if s.rng.IntN(3) == 0 {
 			s.later(warmUpTime-2*time.Second+Time(s.rng.Float64()*12*float64(time.Second)), func() { s.boot(f) })
@@ -506,16 +506,16 @@
 			}
 			worst, used, could, served, asked := math.Inf(-1), 0.0, 0.0, 0, 0
 			for n := range *coldSeeds {
-				d := slowStartScenario{routers: size.routers, groups: size.groups, each: size.each, rate: size.rate, span: size.span,
-					what: what, marked: (n+i)%2 == 0, seed: uint64(100*n + i)}
+				d := slowStartScenario{routers: size.routers, groups: size.groups, groupSize: size.each, rate: size.rate, span: size.span,
+					fault: what, marksRetries: (n+i)%2 == 0, seed: uint64(100*n + i)}
 				s := newFleetSim(d)
 				s.run()
-				worst, used, could = max(worst, s.worst), used+s.used, could+s.could
+				worst, used, could = max(worst, s.worst), used+s.used, could+s.allowed
 				served, asked = served+s.served, asked+s.asked
 				if s.worst > 2 {
-					t.Errorf("%v: %.2f roots of N beyond N + 2: %s", d, s.worst, s.where)
+					t.Errorf("%v: %.2f roots of N beyond N + 2: %s", d, s.worst, s.worstAt)
 				}
-				if s.could == 0 || s.used == 0 {
+				if s.allowed == 0 || s.used == 0 {
 					t.Errorf("%v: nothing sent to members in slow start", d)
 				}
 			}
@@ -560,13 +560,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := newSingleRouterSim(t, c.full, c.again, !c.unmarked)
 			for range 10 * 100 {
-				p.pass(10 * ms)
+				p.advance(10 * ms)
 				p.request(p.rng.Int64N(3), p.rng.IntN(6) == 0)
 			}
 			for _, id := range c.gone {
 				p.list(Member{ID: id, Group: int64(id[0] - '0'), Primary: id[1] == '0', State: Removed})
 			}
-			p.pass(time.Second)
+			p.advance(time.Second)
 			for range c.held {
 				p.request(0, true)
 			}
@@ -576,10 +576,10 @@
 			for _, id := range c.cold {
 				p.list(Member{ID: id, Group: int64(id[0] - '0'), Primary: id[1] == '0', Started: p.g.now})
 			}
-			p.pass(c.lull)
+			p.advance(c.lull)
 			p.sent = map[string]int{}
 			for range 2 * 500 {
-				p.pass(2 * ms)
+				p.advance(2 * ms)
 				switch u := p.rng.IntN(500); {
 				case u < c.reads:
 					p.request(0, false)
@@ -608,15 +608,15 @@
 
 // singleRouterSim is one router with members that answer after 20 ms.
 type singleRouterSim struct {
-	g                   *routerTest
-	rng                 *rand.Rand
-	members             map[string]Member
-	sent                map[string]int
-	id                  uint64
-	full, again, marked bool
-	writes              map[uint64]bool
-	groups              map[uint64]int64
-	due                 []dueEvent
+	g                              *routerTest
+	rng                            *rand.Rand
+	members                        map[string]Member
+	sent                           map[string]int
+	id                             uint64
+	refuses, retries, marksRetries bool
+	writes                         map[uint64]bool
+	groups                         map[uint64]int64
+	due                            []dueEvent
 }
 
 type dueEvent struct {
@@ -628,7 +628,7 @@
 
 func newSingleRouterSim(t *testing.T, full, again, marked bool) *singleRouterSim {
 	p := &singleRouterSim{g: &routerTest{t: t, now: time.Hour}, rng: rand.New(rand.NewPCG(5, 5)), members: map[string]Member{},
-		sent: map[string]int{}, full: full, again: again, marked: marked,
+		sent: map[string]int{}, refuses: full, retries: again, marksRetries: marked,
 		writes: map[uint64]bool{}, groups: map[uint64]int64{}}
 	for n := range 9 {
 		m := Member{ID: fmt.Sprintf("%d%d", n/3, n%3), Group: int64(n / 3), Zone: "a", Primary: n%3 == 0}
@@ -641,7 +641,7 @@
 // boot replaces the router by a new one.
 func (p *singleRouterSim) boot() {
 	cfg := testConfig()
-	cfg.Fronts, cfg.ClientsMarkRetries = 1, p.marked
+	cfg.Fronts, cfg.ClientsMarkRetries = 1, p.marksRetries
 	r, err := New(cfg, 9)
 	if err != nil {
 		p.g.t.Fatal(err)
@@ -669,11 +669,11 @@
 		class = keyed
 	}
 	p.writes[p.id], p.groups[p.id] = write, group
-	p.act(p.g.step(Event{Kind: Arrive, Request: p.id, Class: class, Tenant: -1, Group: group, Session: "u", IsRetry: again && p.marked, Remaining: 2 * time.Second}))
+	p.act(p.g.step(Event{Kind: Arrive, Request: p.id, Class: class, Tenant: -1, Group: group, Session: "u", IsRetry: again && p.marksRetries, Remaining: 2 * time.Second}))
 }
 
-// pass advances the clock by d, and delivers the events that are due.
-func (p *singleRouterSim) pass(d Time) {
+// advance advances the clock by d, and delivers the events that are due.
+func (p *singleRouterSim) advance(d Time) {
 	for end := p.g.now + d; p.g.now < end; {
 		p.g.now += ms
 		p.act(p.g.step(Event{Kind: Timer}))
@@ -701,19 +701,19 @@
 			}
 			if p.writes[a.Request] && !m.Primary {
 				e.Result, e.Ended = Misdirected, false
-			} else if p.full && m.Started != 0 {
+			} else if p.refuses && m.Started != 0 {
 				e.Result, e.Ended = Full, false
 			}
-			p.wait(20*ms, dueEvent{e: e})
+			p.schedule(20*ms, dueEvent{e: e})
 		case Refuse:
-			if p.again {
-				p.wait(50*ms, dueEvent{e: Event{Kind: Arrive}, group: p.groups[a.Request], write: p.writes[a.Request]})
+			if p.retries {
+				p.schedule(50*ms, dueEvent{e: Event{Kind: Arrive}, group: p.groups[a.Request], write: p.writes[a.Request]})
 			}
 		}
 	}
 }
 
-func (p *singleRouterSim) wait(d Time, x dueEvent) {
+func (p *singleRouterSim) schedule(d Time, x dueEvent) {
 	x.at = p.g.now + d
 	i, _ := slices.BinarySearchFunc(p.due, x, func(a, b dueEvent) int { return cmp.Compare(a.at, b.at+1) })
 	p.due = slices.Insert(p.due, i, x)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -281,13 +281,13 @@
 	r.openRequests = append(r.openRequests, q)
 	r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
 	r.countArrival(k, !e.IsRetry)
-	worth := k.Value * r.chargeTenant(e.Tenant)
+	value := k.Value * r.chargeTenant(e.Tenant)
 	if !e.IsRetry {
 		k.maxWait = max(k.maxWait, e.Remaining+e.Waited)
 	} else if e.Remaining+e.Waited < k.maxWait-clockSlack { // the time left shows when the first try began
 		q.targetAt -= max(0, k.Deadline-e.Remaining-e.Waited)
 	}
-	q.rank = worth / k.cost
+	q.rank = value / k.cost
 	if q.group == nil || q.usefulUntil() <= r.now+sweepInterval {
 		r.abandon(q, distantFuture)
 		return
@@ -306,7 +306,7 @@
 }
 
 // chargeTenant takes a token of the tenant for a request and returns the factor on the request's value: 1
-// within the tenant's chargeTenant of this front's traffic, less beyond it.
+// within the tenant's share of this front's traffic, less beyond it.
 func (r *Router) chargeTenant(tenant int) float64 {
 	if tenant < 0 || tenant >= len(r.tenantTokens) {
 		return 1
@@ -504,8 +504,8 @@
 	return errs
 }
 
-// chooseWriteMember returns p, or where p may not be primary any more a member that may have become it:
-// one that has not rejects the write, which does no harm.
+// chooseWriteMember returns p, or where p may not be primary any more a member that may have become it. A
+// member that is not primary refuses the write, which does no harm.
 func (r *Router) chooseWriteMember(q *request, p *member) (best *member) {
 	if p != nil && r.usable(p, q) && r.hasCapacity(p, q, 1) {
 		return p
@@ -590,15 +590,15 @@
 
 // hasCapacity reports whether m may take q's work on top of what it holds, within a fraction of its
 // limit.
-func (r *Router) hasCapacity(m *member, q *request, part float64) bool {
+func (r *Router) hasCapacity(m *member, q *request, fraction float64) bool {
 	if r.inSlowStart(m) {
 		return r.slowStartAdmits(m, q)
 	}
 	if m.limit == 0 {
-		return part == 1 || m.latencyRatio < maxLatencyRatio*part
+		return fraction == 1 || m.latencyRatio < maxLatencyRatio*fraction
 	}
 	few := minConcurrency / float64(r.cfg.Fronts) * q.class.cost // else cheap requests would starve costly ones
-	return m.heldWork()+q.class.cost <= m.limit*part || part == 1 && m.heldWork() <= few
+	return m.heldWork()+q.class.cost <= m.limit*fraction || fraction == 1 && m.heldWork() <= few
 }
 
 func (r *Router) send(q *request, m *member) {
@@ -606,7 +606,7 @@
 	q.attempts = append(q.attempts, a)
 	q.outstanding++
 	m.attempts = append(m.attempts, a)
-	m.booked += a.cost
+	m.outstandingWork += a.cost
 	r.expectAnswer(m, a)
 	if m.suspect {
 		m.halfOpenAt = r.now + m.halfOpenDelay
@@ -636,7 +636,7 @@
 	q.outstanding--
 	q.group.activeAt = r.now
 	m.attempts = slices.DeleteFunc(m.attempts, func(o *attempt) bool { return o == a })
-	m.booked = max(0, m.booked-a.cost)
+	m.outstandingWork = max(0, m.outstandingWork-a.cost)
 	m.recordEnd(a, e.Result)
 	r.learnAnswer(m, q, e)
 	r.updateHealth(m, a, e)
@@ -775,13 +775,13 @@
 	w := min(maxSampleWeight, max(sampleWeight, float64(r.now-m.sampledAt)/float64(sampleAgeScale)))
 	m.slowdown += w * (min(took/k.cost, maxSlowdown) - m.slowdown)
 	m.latencyRatio += w * (min(took/float64(k.LatencyTarget), 2) - m.latencyRatio)
-	of := r.roleStats(m)
-	w = min(maxSampleWeight, max(sampleWeight, float64(r.now-of.sampledAt)/float64(sampleAgeScale)))
-	of.latencyRatio += w * (min(took/float64(k.LatencyTarget), 2) - of.latencyRatio)
-	m.sampledAt, of.sampledAt = r.now, r.now
+	stats := r.roleStats(m)
+	w = min(maxSampleWeight, max(sampleWeight, float64(r.now-stats.sampledAt)/float64(sampleAgeScale)))
+	stats.latencyRatio += w * (min(took/float64(k.LatencyTarget), 2) - stats.latencyRatio)
+	m.sampledAt, stats.sampledAt = r.now, r.now
 	if m.latencyRatio > maxLatencyRatio {
 		r.lowerLimit(m)
-	} else if m.limit > 0 && m.booked+a.cost >= m.limit/2 {
+	} else if m.limit > 0 && m.outstandingWork+a.cost >= m.limit/2 {
 		m.limit += a.cost * a.cost / m.limit
 	}
 }
@@ -791,7 +791,7 @@
 	if r.now < m.nextCutAt {
 		return
 	}
-	held := m.booked + r.leastCost()
+	held := m.outstandingWork + r.leastCost()
 	if m.limit > 0 {
 		held = min(held, m.limit)
 	}
@@ -852,13 +852,14 @@
 	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // infeasible calls this too
 		return false
 	}
-	part := r.cfg.SlowStartFraction +
+	fraction := r.cfg.SlowStartFraction +
 		(1-r.cfg.SlowStartFraction)*float64(r.now-m.Started)/float64(max(r.cfg.SlowStartTime, 1))
-	rate := r.usualWork() * part * r.cfg.OverloadMultiple * slowStartHeadroom * r.budgetShares[ColdBudget]
+	rate := r.usualWork() * fraction * r.cfg.OverloadMultiple *
+		slowStartHeadroom * r.budgetShares[SlowStartBudget]
 	m.slowStart.accrue(r.now, rate, float64(r.cfg.OverloadTime))
-	yes := m.slowStart.admit(q.class.cost, !q.hasUnusedAdmission())
-	q.recordAdmission(m, admission{sent, yes})
-	return r.countBudgetUse(ColdBudget, yes)
+	admitted := m.slowStart.admit(q.class.cost, !q.hasUnusedAdmission())
+	q.recordAdmission(m, admission{sent, admitted})
+	return r.countBudgetUse(SlowStartBudget, admitted)
 }
 
 // Periodic checks: deadlines, silent members, rerouting, the search for primaries and calls to discovery.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -658,8 +658,8 @@
 	to := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	g.run(250 * ms)
 	g.answer(1, 0, to, Cancelled, RoleUnknown, 0)
-	if m := g.r.members[to]; m.booked != 0 || m.heldWork() == 0 {
-		t.Errorf("booked %v, held %v: want only the cancelled work held", m.booked, m.heldWork())
+	if m := g.r.members[to]; m.outstandingWork != 0 || m.heldWork() == 0 {
+		t.Errorf("booked %v, held %v: want only the cancelled work held", m.outstandingWork, m.heldWork())
 	}
 	g.run(10 * time.Second)
 	if h := g.r.members[to].heldWork(); h != 0 {
@@ -671,7 +671,7 @@
 func TestInfeasibleReadIsRefusedEarly(t *testing.T) {
 	g := newRig(t, nil, members())
 	for _, m := range g.r.groups[0].members {
-		m.limit, m.booked, m.slowdown, m.answeredAt = 1, 1e9, 4, g.now
+		m.limit, m.outstandingWork, m.slowdown, m.answeredAt = 1, 1e9, 4, g.now
 		m.attempts = append(m.attempts, &attempt{})
 	}
 	g.arrive(1, anyRead, time.Second, "")
@@ -987,7 +987,7 @@
 func TestRoundingErrorLeavesCapacity(t *testing.T) {
 	g := newRig(t, nil, members()[:1])
 	m := g.r.members["p"]
-	m.limit, m.booked = 1, 1e-6
+	m.limit, m.outstandingWork = 1, 1e-6
 	if len(actionsOf(g.arrive(1, once, 2*time.Second, "u"), Send, 1)) != 1 {
 		t.Error("an idle member got nothing")
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -23,32 +23,32 @@
 }
 
 type requestTrack struct {
-	class    Class
-	most     int // attempts allowed when it arrived
-	arrived  Time
-	deadline Time
-	sends    []attemptTrack
-	out      int
-	risk     bool
-	riskAt   Time
-	over     bool
+	class       Class
+	maxAttempts int // attempts allowed when it arrived
+	arrived     Time
+	deadline    Time
+	sends       []attemptTrack
+	outstanding int
+	mayHaveRun  bool
+	firstRunAt  Time
+	ended       bool
 }
 
 type attemptTrack struct {
-	m    string
-	at   Time
-	done bool
+	member string
+	at     Time
+	done   bool
 }
 
 // observedState is what a front knows from its own events.
 type observedState struct {
-	t       *testing.T
-	now     Time
-	reqs    map[uint64]*requestTrack
-	drained map[string]bool
-	pos     map[string]Time
-	seen    int // actions checked
-	mayDup  bool
+	t            *testing.T
+	now          Time
+	reqs         map[uint64]*requestTrack
+	drained      map[string]bool
+	positions    map[string]Time
+	seen         int // actions checked
+	mayDuplicate bool
 }
 
 func runRandomEvents(t *testing.T, seed uint64) (all []Action) {
@@ -61,7 +61,7 @@
 	}
 	list := []Member{{ID: "a", Primary: true}, {ID: "b", Zone: "a"}, {ID: "c"}, {ID: "d"}}
 	w := &observedState{t: t, now: time.Hour, reqs: map[uint64]*requestTrack{}, drained: map[string]bool{},
-		pos: map[string]Time{}, mayDup: cfg.MayDuplicate}
+		positions: map[string]Time{}, mayDuplicate: cfg.MayDuplicate}
 	events := []Event{{Kind: ListSaved, Members: list}}
 	before, retunes := cfg.Classes, seed%4 == 3
 	var open [][2]uint64
@@ -96,7 +96,7 @@
 				e.ClassDef, e.Class = &all[rng.IntN(len(all))], -1
 				class = *e.ClassDef
 			}
-			w.reqs[id] = &requestTrack{class: class, most: cfg.MaxAttempts, arrived: w.now, deadline: w.now + wait}
+			w.reqs[id] = &requestTrack{class: class, maxAttempts: cfg.MaxAttempts, arrived: w.now, deadline: w.now + wait}
 			events = append(events, e)
 			id++
 		}
@@ -117,7 +117,7 @@
 			m := list[1+rng.IntN(3)].ID
 			p := w.now - Time(rng.IntN(300)-20)*ms
 			if p <= w.now+clockSlack { // as the router does: reported times are rounded
-				w.pos[m] = max(w.pos[m], p)
+				w.positions[m] = max(w.positions[m], p)
 			}
 			events = append(events, Event{Kind: Probed, Member: m, Result: Served,
 				Report: Report{HasPosition: true, Position: p, HasRole: true, Role: Replica}})
@@ -144,25 +144,25 @@
 	q := w.reqs[id]
 	s := &q.sends[n]
 	s.done = true
-	q.out--
+	q.outstanding--
 	res := Result(rng.IntN(int(Stale) + 1))
-	e := Event{Kind: Outcome, Request: id, Attempt: n, Member: s.m, Result: res, Role: Replica}
-	if s.m == "a" {
+	e := Event{Kind: Outcome, Request: id, Attempt: n, Member: s.member, Result: res, Role: Replica}
+	if s.member == "a" {
 		e.Role = Primary
 	}
 	switch res {
 	case Served:
-		q.over, e.Ended = true, true
+		q.ended, e.Ended = true, true
 	case Full, Unreachable, NotSent, Misdirected, Rejected:
 	default:
-		if !q.risk || s.at < q.riskAt {
-			q.risk, q.riskAt = true, s.at
+		if !q.mayHaveRun || s.at < q.firstRunAt {
+			q.mayHaveRun, q.firstRunAt = true, s.at
 		}
 	}
-	e.Ended = e.Ended || q.over
-	if res == Served && s.m != "a" && q.class.Consistency != Write {
+	e.Ended = e.Ended || q.ended
+	if res == Served && s.member != "a" && q.class.Consistency != Write {
 		e.HasPosition, e.Position = true, w.now-Time(rng.IntN(200))*ms
-		w.pos[s.m] = max(w.pos[s.m], e.Position)
+		w.positions[s.member] = max(w.positions[s.member], e.Position)
 	}
 	return e
 }
@@ -176,16 +176,16 @@
 		switch a.Kind {
 		case Send:
 			w.checkSend(q, a)
-			q.sends = append(q.sends, attemptTrack{m: a.Member, at: w.now})
-			q.out++
+			q.sends = append(q.sends, attemptTrack{member: a.Member, at: w.now})
+			q.outstanding++
 		case Refuse, Fail:
-			if q.over {
+			if q.ended {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
-			if a.Kind == Refuse && q.class.Effect != Repeatable && (q.risk || q.out > 0) {
+			if a.Kind == Refuse && q.class.Effect != Repeatable && (q.mayHaveRun || q.outstanding > 0) {
 				w.t.Fatalf("request %d: refused though it may have run", a.Request)
 			}
-			q.over = true
+			q.ended = true
 		}
 	}
 	return from
@@ -193,27 +193,27 @@
 
 func (w *observedState) checkSend(q *requestTrack, a Action) {
 	switch {
-	case q.over:
+	case q.ended:
 		w.t.Fatalf("request %d: sent after its end", a.Request)
-	case q.most > 0 && len(q.sends) >= q.most:
-		w.t.Fatalf("request %d: attempt %d of %d", a.Request, len(q.sends)+1, q.most)
-	case q.class.Effect == Once && (q.risk || q.out > 0):
+	case q.maxAttempts > 0 && len(q.sends) >= q.maxAttempts:
+		w.t.Fatalf("request %d: attempt %d of %d", a.Request, len(q.sends)+1, q.maxAttempts)
+	case q.class.Effect == Once && (q.mayHaveRun || q.outstanding > 0):
 		w.t.Fatalf("request %d: unsafe repeat", a.Request)
-	case q.class.Effect == Keyed && q.risk && w.now-q.riskAt >= q.class.KeyWindow:
+	case q.class.Effect == Keyed && q.mayHaveRun && w.now-q.firstRunAt >= q.class.KeyWindow:
 		w.t.Fatalf("request %d: repeat past its window", a.Request)
-	case q.out > 0 && (q.class.Effect != Repeatable || !w.mayDup):
+	case q.outstanding > 0 && (q.class.Effect != Repeatable || !w.mayDuplicate):
 		w.t.Fatalf("request %d: two copies out", a.Request)
 	case w.drained[a.Member]:
 		w.t.Fatalf("request %d: sent to drained %s", a.Request, a.Member)
-	case q.class.Consistency == Bounded && a.Member != "a" && w.pos[a.Member] < w.now-q.class.Bound:
-		w.t.Fatalf("request %d: %s known at %v, below the bound", a.Request, a.Member, w.now-w.pos[a.Member])
+	case q.class.Consistency == Bounded && a.Member != "a" && w.positions[a.Member] < w.now-q.class.Bound:
+		w.t.Fatalf("request %d: %s known at %v, below the bound", a.Request, a.Member, w.now-w.positions[a.Member])
 	}
 }
 
 // overdue fails for requests without a final answer 8 ms after their deadline.
 func (w *observedState) overdue() {
 	for id, q := range w.reqs {
-		if !q.over && w.now > q.deadline+8*ms {
+		if !q.ended && w.now > q.deadline+8*ms {
 			w.t.Fatalf("request %d: no final answer in time", id)
 		}
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -55,37 +55,37 @@
 // member is what this front knows of one member.
 type member struct {
 	Member
-	group          *group
-	listedAt       Time // last sweep that found it listed or in use
-	gone           bool // not listed any more
-	suspect        bool // taken out of use until a half-open probe is answered
-	position       Time // last known log position; never extrapolated
-	lag            Time // age of pos when it was reported
-	role           Role
-	roleAt         Time // time of the evidence of role
-	attempts       []*attempt
-	booked         float64 // estimated work outstanding from this front, in ns
-	slowdown       float64 // average of latency over cost
-	latencyRatio   float64 // average of latency over latency target
-	servedSlowdown float64 // average of latency over cost, of served attempts only
-	limit          float64 // most work outstanding, in ns; 0 = no limit reached yet
-	sampledAt      Time    // last sample in the averages
-	nextCutAt      Time    // earliest time of the next cut of the limit
-	answeredAt     Time    // last answer to a request
-	silentAt       Time    // the member counts as silent if it doesn't answer by then
-	halfOpenAt     Time    // earliest time of the next half-open probe
-	halfOpenDelay  Time    // delay until the one after it
-	suspectAt      Time    // since when, while suspect
-	acceptedAt     Time    // last send of a request that it accepted; distantPast once it refused one as overloaded
-	peerReportAt   Time    // last report of peers that it is silent
-	probedAt       Time
-	probeGap       Time     // shortest interval between probes for a read
-	probing        bool     // a probe is outstanding
-	connFailures   int      // connections broken or refused since its last answer
-	errorRate      float64  // fraction of its answers that are errors
-	errorAt        Time     // last error in that fraction
-	orphans        []orphan // abandoned attempts that may still run
-	slowStart      slowStart
+	group           *group
+	listedAt        Time // last sweep that found it listed or in use
+	gone            bool // not listed any more
+	suspect         bool // taken out of use until a half-open probe is answered
+	position        Time // last known log position; never extrapolated
+	lag             Time // age of pos when it was reported
+	role            Role
+	roleAt          Time // time of the evidence of role
+	attempts        []*attempt
+	outstandingWork float64 // estimated work outstanding from this front, in ns
+	slowdown        float64 // average of latency over cost
+	latencyRatio    float64 // average of latency over latency target
+	servedSlowdown  float64 // average of latency over cost, of served attempts only
+	limit           float64 // most work outstanding, in ns; 0 = no limit reached yet
+	sampledAt       Time    // last sample in the averages
+	nextCutAt       Time    // earliest time of the next cut of the limit
+	answeredAt      Time    // last answer to a request
+	silentAt        Time    // the member counts as silent if it doesn't answer by then
+	halfOpenAt      Time    // earliest time of the next half-open probe
+	halfOpenDelay   Time    // delay until the one after it
+	suspectAt       Time    // since when, while suspect
+	acceptedAt      Time    // last send of a request that it accepted; distantPast once it refused one as overloaded
+	peerReportAt    Time    // last report of peers that it is silent
+	probedAt        Time
+	probeGap        Time     // shortest interval between probes for a read
+	probing         bool     // a probe is outstanding
+	connFailures    int      // connections broken or refused since its last answer
+	errorRate       float64  // fraction of its answers that are errors
+	errorAt         Time     // last error in that fraction
+	orphans         []orphan // abandoned attempts that may still run
+	slowStart       slowStart
 }
 
 // roleStats are averages over the members of one role.
@@ -112,7 +112,7 @@
 	id             int64
 	members        []*member
 	sessions       map[string]Time // last commit of each session seen by this front, while some member may lack it
-	commitFloor    Time            // newest commit dropped from sessionCommits: members not known to have it don't qualify
+	commitFloor    Time            // newest commit dropped from sessions: members not known to have it don't qualify
 	neededAt       Time            // last time that a request waited for a primary
 	activeAt       Time            // last request or outcome
 	primaryUnknown bool            // PrimaryUnknown was notified
@@ -282,7 +282,7 @@
 	learnedAt Time // when this front learned of it
 	accruedAt Time // tokens have accrued up to then
 	requests  float64
-	tokens    float64 // tokens: work that may be sent
+	tokens    float64 // work that may be sent
 	chanceSum float64 // sum of the chances of requests with fewer tokens than their work; 1 admits one request
 }
 
@@ -294,23 +294,23 @@
 }
 
 // accrue adds the tokens up to now. Unused tokens expire: if kept, all fronts might use theirs at once.
-func (c *slowStart) accrue(now Time, rate, fall float64) {
-	save := firstTokenLifetimeFraction * fall
+func (c *slowStart) accrue(now Time, rate, overloadTime float64) {
+	lifetime := firstTokenLifetimeFraction * overloadTime
 	if c.requests > 0 {
-		save = max(tokenLifetimeFraction*fall, tokenLifetimeGaps*float64(now-c.learnedAt)/c.requests)
+		lifetime = max(tokenLifetimeFraction*overloadTime, tokenLifetimeGaps*float64(now-c.learnedAt)/c.requests)
 	}
-	c.tokens = min(c.tokens+rate*float64(now-c.accruedAt), rate*save)
+	c.tokens = min(c.tokens+rate*float64(now-c.accruedAt), rate*lifetime)
 	c.accruedAt = now
 	c.requests++
 }
 
 // admit spends tokens on a chance for a request of the given cost and reports whether the chances add up to one
 // admission. With may false the request is not admitted, and the sum is left to the next.
-func (c *slowStart) admit(cost float64, may bool) bool {
+func (c *slowStart) admit(cost float64, allowed bool) bool {
 	chance := min(1, c.tokens/max(cost, 1))
 	c.tokens -= chance * cost
 	c.chanceSum = min(c.chanceSum+chance, 2)
-	if !may || c.chanceSum < 1 {
+	if !allowed || c.chanceSum < 1 {
 		return false
 	}
 	c.chanceSum--
@@ -328,7 +328,7 @@
 
 // heldWork is the work outstanding at m, with that of orphaned attempts.
 func (m *member) heldWork() float64 {
-	w := m.booked
+	w := m.outstandingWork
 	for _, s := range m.orphans {
 		w += s.cost
 	}
@@ -339,18 +339,18 @@
 func (r *Router) emit(a Action) { r.out = append(r.out, a) }
 
 // countBudgetUse counts a use of a shared budget as granted or denied, and returns its argument yes.
-func (r *Router) countBudgetUse(part int, yes bool) bool {
-	if yes {
-		r.granted[part]++
+func (r *Router) countBudgetUse(budget int, granted bool) bool {
+	if granted {
+		r.granted[budget]++
 	} else {
-		r.denied[part]++
+		r.denied[budget]++
 	}
-	return yes
+	return granted
 }
 
 // fleetInterval is the interval between uses by this front of what all fronts together may use once per span.
-func (r *Router) fleetInterval(span Time, part int) Time {
-	return Time(float64(span*Time(r.cfg.Fronts)) / r.budgetShares[part])
+func (r *Router) fleetInterval(span Time, budget int) Time {
+	return Time(float64(span*Time(r.cfg.Fronts)) / r.budgetShares[budget])
 }
 
 // BudgetDemand returns how much of each shared budget was requested since the last call, in even shares: 1 is as much as
--- a/internal/cursor/cursor.go
+++ b/internal/cursor/cursor.go
@@ -62,9 +62,9 @@
 )
 
 // Fingerprint identifies the query of a listing: a cursor is valid only for the query it was made for.
-func Fingerprint(class, customer, session, prefix string, cluster int64) uint64 {
+func Fingerprint(class, tenant, session, prefix string, cluster int64) uint64 {
 	d := xxhash.New()
-	for _, s := range []string{class, customer, session, prefix} {
+	for _, s := range []string{class, tenant, session, prefix} {
 		var n [8]byte
 		binary.LittleEndian.PutUint64(n[:], uint64(len(s))) // "a","bc" is not "ab","c"
 		_, _ = d.Write(n[:])
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -52,8 +52,8 @@
 	return s
 }
 
-// Text returns the value of a field, and whether the line has it.
-func (l *Line) Text(name string) (string, bool) {
+// Field returns the value of a field, and whether the line has it.
+func (l *Line) Field(name string) (string, bool) {
 	for i := range l.fields {
 		if l.fields[i].name == name {
 			return l.fields[i].value, true
@@ -76,7 +76,7 @@
 
 // Text returns a required text field. It must not be empty.
 func (r *Reader) Text(name string) string {
-	s, ok := r.Line.Text(name)
+	s, ok := r.Line.Field(name)
 	if !ok || s == "" {
 		r.fail("missing field %s", name)
 	}
@@ -85,7 +85,7 @@
 
 // OptText returns an optional text field, empty if absent.
 func (r *Reader) OptText(name string) string {
-	s, _ := r.Line.Text(name)
+	s, _ := r.Line.Field(name)
 	return s
 }
 
@@ -104,7 +104,7 @@
 
 // OptInt returns an optional integer, 0 if absent.
 func (r *Reader) OptInt(name string) int64 {
-	if _, ok := r.Line.Text(name); !ok {
+	if _, ok := r.Line.Field(name); !ok {
 		return 0
 	}
 	return r.Int(name)
@@ -112,7 +112,7 @@
 
 // OptNum returns an optional number, def if absent. NaN and magnitudes above 1e18 are errors.
 func (r *Reader) OptNum(name string, def float64) float64 {
-	s, ok := r.Line.Text(name)
+	s, ok := r.Line.Field(name)
 	if !ok {
 		return def
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -25,7 +25,7 @@
 		if !tc.ok {
 			continue
 		}
-		if got, _ := l.Text(tc.field); l.Name != tc.name || got != tc.want {
+		if got, _ := l.Field(tc.field); l.Name != tc.name || got != tc.want {
 			t.Errorf("%q: name %q, %s = %q", tc.line, l.Name, tc.field, got)
 		}
 	}
