--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -547,15 +547,15 @@
 		full        bool     // members in slow start refuse their attempts
 	}{
 		{name: "held writes", cold: []string{"00"}, gone: []string{"00"}, held: 60, reads: 25, rest: 60, writes: 5},
-		{name: "a group asked for more", cold: []string{"01", "02"}, reads: 240, rest: 60, writes: 5},
-		{name: "repeats", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true},
-		{name: "unmarked repeats", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true, unmarked: true},
+		{name: "a surge in one group", cold: []string{"01", "02"}, reads: 240, rest: 60, writes: 5},
+		{name: "retries", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true},
+		{name: "unmarked retries", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true, unmarked: true},
 		{name: "reads and writes", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 60},
 		{name: "a short list", cold: []string{"01"}, gone: []string{"10", "11", "12", "20", "21", "22"}, reads: 90, writes: 5},
-		{name: "a fresh front", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 10, fresh: true},
-		{name: "a fresh front, unmarked repeats", cold: []string{"00", "01", "02"}, reads: 60, rest: 30, writes: 10, fresh: true, again: true, unmarked: true},
+		{name: "a restarted front", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 10, fresh: true},
+		{name: "a restarted front, unmarked retries", cold: []string{"00", "01", "02"}, reads: 60, rest: 30, writes: 10, fresh: true, again: true, unmarked: true},
 		{name: "after a lull", cold: []string{"01", "02"}, reads: 200, rest: 60, writes: 5, lull: 7 * time.Second},
-		{name: "turned away", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 30, full: true, again: true},
+		{name: "refused by members", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 30, full: true, again: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newSingleRouterSim(t, c.full, c.again, !c.unmarked)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -579,7 +579,7 @@
 		t.Error("the half-open probe was cancelled")
 	}
 	if gap := g.r.members[first].halfOpenAt - g.now; gap > maxHalfOpenDelay {
-		t.Errorf("next trial in %v", gap)
+		t.Errorf("next half-open probe in %v", gap)
 	}
 	g.answer(id, 0, first, Served, RoleUnknown, 0)
 	if g.r.members[first].suspect {
@@ -740,7 +740,7 @@
 			}
 			g := &routerTest{t: t, r: r, now: time.Hour}
 			g.step(Event{Kind: ListSaved})
-			g.step(Event{Kind: ListChange}) // asked once
+			g.step(Event{Kind: ListChange}) // one call was answered
 			for range 6 {
 				g.step(Event{Kind: ListError})
 				at := g.now
@@ -895,7 +895,7 @@
 	as = g.step(Event{Kind: Probed, Member: p[0].Member, Result: Served,
 		Report: Report{HasPosition: true, Position: g.now - 50*ms, HasRole: true, Role: Replica}})
 	if got := g.sentTo(as, 1); got != p[0].Member {
-		t.Errorf("sent to %s, want %s that was asked", got, p[0].Member)
+		t.Errorf("sent to %s, want %s that was probed", got, p[0].Member)
 	}
 }
 
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -16,9 +16,9 @@
 	rec        record.Record
 }
 
-// SetRecordSink sends records to s from now on, nil for none. cold is how long members are in slow start after their start.
+// SetRecordSink sends records to s from now on, nil for none. slowStart is how long members are in slow start after their start.
 // It may be called from any goroutine.
-func (c *Core) SetRecordSink(s record.Sink, cold time.Duration) {
+func (c *Core) SetRecordSink(s record.Sink, slowStart time.Duration) {
 	if s == nil {
 		c.sink.Store(nil)
 	} else {
@@ -29,7 +29,7 @@
 			c.recorder = nil
 			return
 		}
-		c.recorder = &recorder{sink: s, membership: record.NewRoster(cold), positions: map[string]Time{}}
+		c.recorder = &recorder{sink: s, membership: record.NewRoster(slowStart), positions: map[string]Time{}}
 	})
 }
 
