--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -12,126 +12,126 @@
 	"time"
 )
 
-// A fleet of routers before one set of members, in virtual time: routers with uneven traffic, groups with uneven
-// demand, members that crash or are replaced and come back cold, told late, clients that come again.
+// A simulated fleet of routers and their members, in virtual time: routers with uneven traffic, groups with uneven demand,
+// members that crash or are replaced and come back in slow start, late lists, and clients that retry.
 
-const coldBegins = 8 * time.Second // into a day, by when costs are partly learned
+const warmUpTime = 8 * time.Second // from the start to the faults; costs are partly learned by then
 
-// coldDay is one drawn day.
-type coldDay struct {
-	routers, groups, each int // each: members of a group
-	rate                  float64
-	span                  Time
-	what                  string // "one", "group", "primary", "third", "renewed"
-	marked                bool   // clients mark what they repeat
-	seed                  uint64
+// slowStartScenario is one randomly drawn scenario.
+type slowStartScenario struct {
+	routers, groups, groupSize int // each: members per group
+	rate                       float64
+	span                       Time
+	fault                      string // "one", "group", "primary", "third", "renewed"
+	marksRetries               bool   // clients mark their retries
+	seed                       uint64
 }
 
-func (d coldDay) String() string {
-	return fmt.Sprintf("%d routers, %s, marked %v, seed %d", d.routers, d.what, d.marked, d.seed)
+func (d slowStartScenario) String() string {
+	return fmt.Sprintf("%d routers, %s, marked %v, seed %d", d.routers, d.fault, d.marksRetries, d.seed)
 }
 
-type coldEvent struct {
+type simEvent struct {
 	at  Time
 	seq int
 	do  func()
 }
 
-type coldQueue []coldEvent
+type simQueue []simEvent
 
-func (q coldQueue) Len() int { return len(q) }
-func (q coldQueue) Less(i, j int) bool {
+func (q simQueue) Len() int { return len(q) }
+func (q simQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q coldQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *coldQueue) Push(x any)   { *q = append(*q, x.(coldEvent)) }
-func (q *coldQueue) Pop() any {
+func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *simQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *simQueue) Pop() any {
 	e := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return e
 }
 
-// coldMember is a machine: its answers take a class's cost, later where its queue is long, and it works off
-// capacity a second, or the part that it has when cold.
-type coldMember struct {
-	id       string
-	group    int
-	primary  bool
-	up       bool
-	capacity float64
-	started  Time
-	free     Time // when its queue is worked off
-	life     int
-	window   []coldWork // of the last FallTime
-	told     float64    // work sent while cold by those who had been told
-	could    float64    // of what it was allowed since all had been told
-	allTold  Time
-	worst    float64 // most beyond N, in roots of N with 2 for single requests taken off
-	used     float64 // work sent since all had been told
-}
-
-type coldWork struct {
-	at   Time
-	work float64
-	told bool
-}
-
-type coldRouter struct {
+// simMember is a simulated member: an answer takes its class's cost, or longer where the queue is long. It completes
+// capacity work per second, or the fraction of it that it has in slow start.
+type simMember struct {
+	id        string
+	group     int
+	primary   bool
+	up        bool
+	capacity  float64
+	started   Time
+	free      Time // when its queue is worked off
+	life      int
+	window    []sentWork // of the last OverloadTime
+	sentKnown float64    // work sent in slow start by routers that knew of it
+	allowed   float64    // work allowed since all routers knew
+	allKnowAt Time
+	worst     float64 // largest excess over N + 2, in square roots of N
+	used      float64 // work sent since all routers knew
+}
+
+type sentWork struct {
+	at    Time
+	work  float64
+	known bool
+}
+
+type simRouter struct {
 	r       *Router
 	n       int
 	life    int
 	rate    float64
-	list    map[string]Member // as told
-	started map[string]Time   // the start told of each
-	wake    Time
-	calls   map[uint64]*coldCall
+	list    map[string]Member // as the router knows it
+	started map[string]Time   // the start that the router knows of each
+	wakeAt  Time
+	calls   map[uint64]*clientCall
 	out     []Action
 }
 
-type coldCall struct {
+type clientCall struct {
 	class    int
 	group    int
 	session  string
 	deadline Time
 	tries    int
-	sent     map[int]*coldMember
-}
-
-type coldSim struct {
-	coldDay
-	cfg     Config
-	rng     *rand.Rand
-	now     Time
-	events  coldQueue
-	seq     int
-	ids     uint64
-	fronts  []*coldRouter
-	members []*coldMember
-	byID    map[string]*coldMember
-	demand  []float64 // of each group, summing to 1
-	mean    float64   // work of a mean request, ns
-	burst   float64
-	after   Time // nothing more crashes
-	served  int
-	refused int
-	asked   int
-	worst   float64
-	where   string
-	used    float64
-	could   float64
-}
-
-// What a request of each class of testConfig costs: reads and writes differ.
-var coldCosts = []Time{anyRead: 12 * ms, bounded: 12 * ms, session: 10 * ms, fresh: 15 * ms, once: 30 * ms, keyed: 25 * ms}
-
-func newColdSim(d coldDay) *coldSim {
+	sent     map[int]*simMember
+}
+
+type fleetSim struct {
+	slowStartScenario
+	cfg         Config
+	rng         *rand.Rand
+	now         Time
+	events      simQueue
+	seq         int
+	ids         uint64
+	fronts      []*simRouter
+	members     []*simMember
+	byID        map[string]*simMember
+	demand      []float64 // of each group, summing to 1
+	mean        float64   // work of a mean request, ns
+	burst       float64
+	faultsUntil Time // no crashes from then on
+	served      int
+	refused     int
+	asked       int
+	worst       float64
+	worstAt     string
+	used        float64
+	allowed     float64
+}
+
+// The cost of a request of each class of testConfig: reads and writes differ.
+var classCosts = []Time{anyRead: 12 * ms, bounded: 12 * ms, session: 10 * ms, fresh: 15 * ms, once: 30 * ms, keyed: 25 * ms}
+
+func newFleetSim(d slowStartScenario) *fleetSim {
 	cfg := testConfig()
 	cfg.Fronts, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = d.routers, 0.24, 12*time.Second, 2.5, time.Second
-	cfg.ClientsMarkRetries, cfg.MayDuplicate = d.marked, false
-	s := &coldSim{coldDay: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, uint64(d.routers))), now: time.Hour, burst: 1, worst: math.Inf(-1),
-		byID: map[string]*coldMember{}}
+	cfg.ClientsMarkRetries, cfg.MayDuplicate = d.marksRetries, false
+	s := &fleetSim{slowStartScenario: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, uint64(d.routers))), now: time.Hour, burst: 1, worst: math.Inf(-1),
+		byID: map[string]*simMember{}}
 	for range 1000 {
-		s.mean += float64(coldCosts[s.class()]) / 1000
+		s.mean += float64(classCosts[s.class()]) / 1000
 	}
 	all := 0.0
 	for range d.groups {
@@ -142,16 +142,16 @@
 	for i := range s.demand {
 		s.demand[i] /= all
 	}
-	load := d.rate * float64(d.routers) * s.mean / float64(d.groups*d.each) // of a member, ns a second
-	used := 0.5 + 0.4*s.rng.Float64()                                       // of the members' capacity
+	load := d.rate * float64(d.routers) * s.mean / float64(d.groups*d.groupSize) // per member, ns per second
+	used := 0.5 + 0.4*s.rng.Float64()                                            // of the members' capacity
 	for g := range d.groups {
-		for j := range d.each {
-			s.add(&coldMember{id: fmt.Sprintf("g%d-%d", g, j), group: g, primary: j == 0, up: true, capacity: load / used})
+		for j := range d.groupSize {
+			s.add(&simMember{id: fmt.Sprintf("g%d-%d", g, j), group: g, primary: j == 0, up: true, capacity: load / used})
 		}
 	}
 	all = 0
 	for n := range d.routers {
-		f := &coldRouter{n: n, rate: math.Exp(0.8 * s.rng.NormFloat64())}
+		f := &simRouter{n: n, rate: math.Exp(0.8 * s.rng.NormFloat64())}
 		all += f.rate
 		s.fronts = append(s.fronts, f)
 	}
@@ -167,7 +167,7 @@
 	return s
 }
 
-func (s *coldSim) class() int {
+func (s *fleetSim) class() int {
 	switch u := s.rng.IntN(20); {
 	case u < 4:
 		return anyRead
@@ -185,24 +185,24 @@
 	return keyed
 }
 
-func (s *coldSim) entry(m *coldMember) Member {
+func (s *fleetSim) entry(m *simMember) Member {
 	return Member{ID: m.id, Group: int64(m.group), Zone: "a", Primary: m.primary, Started: m.started}
 }
 
-func (s *coldSim) later(d Time, do func()) {
+func (s *fleetSim) later(d Time, do func()) {
 	s.seq++
-	heap.Push(&s.events, coldEvent{s.now + d, s.seq, do})
+	heap.Push(&s.events, simEvent{s.now + d, s.seq, do})
 }
 
-// boot starts a router anew: it has the list that was told, and has learned nothing.
-func (s *coldSim) boot(f *coldRouter) {
+// boot restarts a router: it has its last list, and has learned nothing.
+func (s *fleetSim) boot(f *simRouter) {
 	cfg := s.cfg
 	cfg.Self = f.n
 	r, err := New(cfg, s.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	f.r, f.life, f.wake, f.calls = r, f.life+1, 0, map[uint64]*coldCall{}
+	f.r, f.life, f.wakeAt, f.calls = r, f.life+1, 0, map[uint64]*clientCall{}
 	var list []Member
 	for _, m := range f.list {
 		list = append(list, m)
@@ -211,16 +211,16 @@
 	s.step(f, Event{Kind: ListSaved, Members: list})
 }
 
-func (s *coldSim) arrivals(f *coldRouter) {
+func (s *fleetSim) arrivals(f *simRouter) {
 	s.later(Time(s.rng.ExpFloat64()/(f.rate*s.burst)*float64(time.Second)), func() {
 		g, u := 0, s.rng.Float64()
 		for ; g < len(s.demand)-1 && u >= s.demand[g]; g++ {
 			u -= s.demand[g]
 		}
 		k := s.class()
-		c := &coldCall{class: k, group: g, deadline: s.now + s.cfg.Classes[k].Deadline,
+		c := &clientCall{class: k, group: g, deadline: s.now + s.cfg.Classes[k].Deadline,
 			session: fmt.Sprint("s", f.n, s.rng.IntN(40))}
-		if s.now > time.Hour+coldBegins {
+		if s.now > time.Hour+warmUpTime {
 			s.asked++
 		}
 		s.call(f, c)
@@ -228,30 +228,30 @@
 	})
 }
 
-func (s *coldSim) call(f *coldRouter, c *coldCall) {
+func (s *fleetSim) call(f *simRouter, c *clientCall) {
 	s.ids++
-	c.sent = map[int]*coldMember{}
+	c.sent = map[int]*simMember{}
 	f.calls[s.ids] = c
 	s.step(f, Event{Kind: Arrive, Request: s.ids, Class: c.class, Tenant: -1, Group: int64(c.group), Session: c.session,
-		IsRetry: c.tries > 0 && s.marked, Remaining: c.deadline - s.now})
+		IsRetry: c.tries > 0 && s.marksRetries, Remaining: c.deadline - s.now})
 }
 
-// again is a client whose request came to nothing.
-func (s *coldSim) again(f *coldRouter, c *coldCall, d Time) {
+// retry is a client's retry of a request that was not served, after the delay d.
+func (s *fleetSim) retry(f *simRouter, c *clientCall, d Time) {
 	if d += Time(s.rng.Float64() * float64(20*ms)); c.tries < 6 && s.now+d < c.deadline-50*ms {
 		c.tries++
 		s.later(d, func() { s.call(f, c) })
 	}
 }
 
-func (s *coldSim) step(f *coldRouter, e Event) {
+func (s *fleetSim) step(f *simRouter, e Event) {
 	f.out = f.r.Step(s.now, []Event{e}, f.out[:0])
 	for _, a := range slices.Clone(f.out) {
 		s.act(f, a)
 	}
 }
 
-func (s *coldSim) act(f *coldRouter, a Action) {
+func (s *fleetSim) act(f *simRouter, a Action) {
 	life := f.life
 	c := f.calls[a.Request]
 	soon := func(d Time, e Event) {
@@ -263,9 +263,9 @@
 	}
 	switch a.Kind {
 	case Wake:
-		if f.wake = a.At; a.At > s.now {
+		if f.wakeAt = a.At; a.At > s.now {
 			s.later(a.At-s.now, func() {
-				if f.life == life && f.wake == a.At {
+				if f.life == life && f.wakeAt == a.At {
 					s.step(f, Event{Kind: Timer})
 				}
 			})
@@ -279,7 +279,7 @@
 		if a.Timeout > 0 && d > a.Timeout {
 			d, e = a.Timeout, Event{Kind: Outcome, Request: a.Request, Attempt: no, Member: a.Member, Result: TimedOut}
 		}
-		if e.Result == Served && s.now > time.Hour+coldBegins {
+		if e.Result == Served && s.now > time.Hour+warmUpTime {
 			s.served++
 		}
 		soon(d, e)
@@ -287,10 +287,10 @@
 		soon(0, Event{Kind: Outcome, Request: a.Request, Attempt: a.Attempt, Member: c.sent[a.Attempt].id, Result: Cancelled})
 	case Refuse:
 		s.refused++
-		s.again(f, c, min(a.RetryAfter, 300*ms))
+		s.retry(f, c, min(a.RetryAfter, 300*ms))
 	case Fail:
 		if s.rng.IntN(2) == 0 {
-			s.again(f, c, 50*ms)
+			s.retry(f, c, 50*ms)
 		}
 	case Probe:
 		m := s.byID[a.Member]
@@ -302,40 +302,40 @@
 	}
 }
 
-func (m *coldMember) role() Role {
+func (m *simMember) role() Role {
 	if m.primary {
 		return Primary
 	}
 	return Replica
 }
 
-func (s *coldSim) position(m *coldMember) Time {
+func (s *fleetSim) position(m *simMember) Time {
 	if m.primary {
 		return s.now
 	}
 	return s.now - 15*ms
 }
 
-func (s *coldSim) add(m *coldMember) {
+func (s *fleetSim) add(m *simMember) {
 	s.members = append(s.members, m)
 	s.byID[m.id] = m
 }
 
-// part is what m can do now of what it can do warm.
-func (s *coldSim) part(m *coldMember) float64 {
+// capacityFraction is the fraction of its full capacity that m has now.
+func (s *fleetSim) capacityFraction(m *simMember) float64 {
 	if m.started == 0 || s.now >= m.started+s.cfg.SlowStartTime {
 		return 1
 	}
 	return s.cfg.SlowStartFraction + (1-s.cfg.SlowStartFraction)*float64(s.now-m.started)/float64(s.cfg.SlowStartTime)
 }
 
-// send plays an attempt at m and returns when it ends.
-func (s *coldSim) send(f *coldRouter, m *coldMember, c *coldCall, e *Event) Time {
+// send simulates an attempt at m and returns how long it takes.
+func (s *fleetSim) send(f *simRouter, m *simMember, c *clientCall, e *Event) Time {
 	if !m.up {
 		e.Result = Unreachable
 		return ms
 	}
-	work := float64(coldCosts[c.class])
+	work := float64(classCosts[c.class])
 	s.count(f, m, work)
 	if s.cfg.Classes[c.class].Writes() && !m.primary {
 		e.Result, e.Role = Misdirected, Replica
@@ -346,45 +346,45 @@
 		e.Result = Full
 		return ms
 	}
-	m.free += Time(work / (m.capacity * s.part(m)) * float64(time.Second))
+	m.free += Time(work / (m.capacity * s.capacityFraction(m)) * float64(time.Second))
 	e.Result, e.Ended, e.Role, e.HasPosition, e.Position = Served, true, m.role(), true, s.position(m)
 	return max(m.free-s.now, Time(work*(0.9+0.2*s.rng.Float64())))
 }
 
-// count holds what a cold member was sent in the last FallTime against what the settings allow.
-func (s *coldSim) count(f *coldRouter, m *coldMember, work float64) {
-	part := s.part(m)
+// count compares the work sent to a member in slow start in the last OverloadTime with what the settings allow.
+func (s *fleetSim) count(f *simRouter, m *simMember, work float64) {
+	part := s.capacityFraction(m)
 	if part == 1 {
 		m.window = nil
 		return
 	}
 	told := f.started[m.id] == m.started
-	m.window = append(m.window, coldWork{s.now, work / s.mean, told})
+	m.window = append(m.window, sentWork{s.now, work / s.mean, told})
 	for len(m.window) > 0 && m.window[0].at <= s.now-s.cfg.OverloadTime {
 		m.window = m.window[1:]
 	}
 	n := s.cfg.OverloadMultiple * m.capacity * part * s.cfg.OverloadTime.Seconds() / s.mean
 	sum := 0.0
 	for _, w := range m.window {
-		if w.told {
+		if w.known {
 			sum += w.work
 		}
 	}
 	if x := (sum - n - 2) / math.Sqrt(n); x > s.worst {
-		s.worst, s.where = x, fmt.Sprintf("%s (primary %v) %.1f s after its start: %.1f, allowed %.1f", m.id, m.primary, (s.now-m.started).Seconds(), sum, n)
+		s.worst, s.worstAt = x, fmt.Sprintf("%s (primary %v) %.1f s after its start: %.1f, allowed %.1f", m.id, m.primary, (s.now-m.started).Seconds(), sum, n)
 	}
-	if told && part < coldUsed {
+	if told && part < scarceFraction {
 		s.used += work / s.mean
 	}
 }
 
-// notice tells every router of m as it is now, each in its time.
-func (s *coldSim) notice(m *coldMember, state MemberState) {
+// announce sends m's present list entry to every router, after a random delay each.
+func (s *fleetSim) announce(m *simMember, state MemberState) {
 	l := s.entry(m)
 	l.State = state
 	for _, f := range s.fronts {
 		d := 200*ms + Time(s.rng.Float64()*3.8*float64(time.Second))
-		m.allTold = max(m.allTold, s.now+d)
+		m.allKnowAt = max(m.allKnowAt, s.now+d)
 		s.later(d, func() {
 			if old, ok := f.list[m.id]; ok && old.Started > l.Started || ok && old.Started == l.Started && old.State != Up && state == Up {
 				return
@@ -395,54 +395,54 @@
 	}
 }
 
-func (s *coldSim) crash(m *coldMember, down Time) {
+func (s *fleetSim) crash(m *simMember, down Time) {
 	m.up = false
 	gone := s.rng.IntN(2) == 0
 	if gone {
-		s.notice(m, Removed)
+		s.announce(m, Removed)
 	}
 	s.later(down, func() {
-		m.up, m.started, m.free, m.window, m.allTold = true, s.now, s.now, nil, 0
-		s.notice(m, Up)
-		s.account(m)
+		m.up, m.started, m.free, m.window, m.allKnowAt = true, s.now, s.now, nil, 0
+		s.announce(m, Up)
+		s.addAllowed(m)
 	})
 }
 
-// renew takes m out of the list, then down, and brings another in its place that nobody has seen.
-func (s *coldSim) renew(m *coldMember) {
+// replace removes m from the list, then stops it, and starts a new member in its place.
+func (s *fleetSim) replace(m *simMember) {
 	l := *m
-	s.notice(m, Removed)
+	s.announce(m, Removed)
 	s.later(5*time.Second, func() { m.up = false })
-	n := &coldMember{id: l.id + "x", group: l.group, up: true, capacity: l.capacity, started: s.now, free: s.now, primary: l.primary}
+	n := &simMember{id: l.id + "x", group: l.group, up: true, capacity: l.capacity, started: s.now, free: s.now, primary: l.primary}
 	m.primary = false
 	s.add(n)
-	s.notice(n, Up)
-	s.account(n)
+	s.announce(n, Up)
+	s.addAllowed(n)
 }
 
-// coldUsed is the part of what it can do up to which a cold member's budget is less than it is asked for.
-const coldUsed = 0.5
+// scarceFraction is the fraction of its capacity up to which a member's slow-start budget is below the demand.
+const scarceFraction = 0.5
 
-// account adds up what m was allowed, in the part of those who had been told, while that was scarce.
-func (s *coldSim) account(m *coldMember) {
+// addAllowed adds up the work that m's budget allowed to routers that knew of its start, while the budget was scarce.
+func (s *fleetSim) addAllowed(m *simMember) {
 	const tick = 100 * ms
 	s.later(tick, func() {
-		if part := s.part(m); part < 1 && m.up {
+		if part := s.capacityFraction(m); part < 1 && m.up {
 			for _, f := range s.fronts {
-				if f.started[m.id] == m.started && part < coldUsed {
-					s.could += s.cfg.OverloadMultiple * m.capacity * part * tick.Seconds() / s.mean * f.rate / s.rate / float64(s.routers)
+				if f.started[m.id] == m.started && part < scarceFraction {
+					s.allowed += s.cfg.OverloadMultiple * m.capacity * part * tick.Seconds() / s.mean * f.rate / s.rate / float64(s.routers)
 				}
 			}
-			s.account(m)
+			s.addAllowed(m)
 		}
 	})
 }
 
-func (s *coldSim) trouble() {
-	var hit []*coldMember
+func (s *fleetSim) injectFaults() {
+	var hit []*simMember
 	g := s.rng.IntN(s.groups)
 	for _, m := range s.members {
-		switch s.what {
+		switch s.fault {
 		case "one":
 			if m.group == g && !m.primary && len(hit) == 0 {
 				hit = append(hit, m)
@@ -456,7 +456,7 @@
 				hit = append(hit, m)
 			}
 		default:
-			if s.rng.IntN(3) == 0 || s.what == "renewed" && s.rng.IntN(2) == 0 {
+			if s.rng.IntN(3) == 0 || s.fault == "renewed" && s.rng.IntN(2) == 0 {
 				hit = append(hit, m)
 			}
 		}
@@ -465,39 +465,39 @@
 		hit = s.members[:1]
 	}
 	for _, m := range hit {
-		if s.what == "renewed" {
-			s.later(Time(s.rng.Float64()*6*float64(time.Second)), func() { s.renew(m) })
+		if s.fault == "renewed" {
+			s.later(Time(s.rng.Float64()*6*float64(time.Second)), func() { s.replace(m) })
 		} else {
 			s.crash(m, time.Second+Time(s.rng.Float64()*3*float64(time.Second)))
 		}
 	}
 }
 
-func (s *coldSim) run() {
-	s.later(coldBegins, s.trouble)
-	for _, f := range s.fronts { // a third of the routers start anew meanwhile
+func (s *fleetSim) run() {
+	s.later(warmUpTime, s.injectFaults)
+	for _, f := range s.fronts { // a third of the routers restart meanwhile
 		if s.rng.IntN(3) == 0 {
-			s.later(coldBegins-2*time.Second+Time(s.rng.Float64()*12*float64(time.Second)), func() { s.boot(f) })
+			s.later(warmUpTime-2*time.Second+Time(s.rng.Float64()*12*float64(time.Second)), func() { s.boot(f) })
 		}
 	}
-	s.later(coldBegins+2*time.Second+Time(s.rng.Float64()*5*float64(time.Second)), func() {
+	s.later(warmUpTime+2*time.Second+Time(s.rng.Float64()*5*float64(time.Second)), func() {
 		s.burst = 1.5
 		s.later(3*time.Second, func() { s.burst = 1 })
 	})
-	for end := s.now + coldBegins + s.span; len(s.events) > 0 && s.events[0].at < end; {
-		e := heap.Pop(&s.events).(coldEvent)
+	for end := s.now + warmUpTime + s.span; len(s.events) > 0 && s.events[0].at < end; {
+		e := heap.Pop(&s.events).(simEvent)
 		s.now = e.at
 		e.do()
 	}
 }
 
-// What all routers that have been told of a member's start send it while it is cold stays within N + 2 x root of N + 2
-// in any FallTime, whatever the fleet's size, whoever is asked for what, and however often clients come again.
-func TestColdFleet(t *testing.T) {
+// The requests that all routers which know of a member's start send it in slow start stay within N + 2 x root of N + 2 in
+// any OverloadTime, where N is its allowed load, whatever the size of the fleet, the demand and the retries of clients.
+func TestSlowStartOfFleet(t *testing.T) {
 	for _, size := range []struct {
 		routers, groups, each int
 		rate                  float64
-		span                  Time // from the trouble on
+		span                  Time // from the faults on
 	}{{1, 3, 3, 250, 12 * time.Second}, {6, 3, 3, 25, 15 * time.Second}, {20, 3, 4, 25, 15 * time.Second},
 		{30, 4, 4, 25, 15 * time.Second}, {300, 12, 5, 10, 6 * time.Second}} {
 		for i, what := range []string{"one", "primary", "group", "third", "renewed"} {
@@ -506,17 +506,17 @@
 			}
 			worst, used, could, served, asked := math.Inf(-1), 0.0, 0.0, 0, 0
 			for n := range *coldSeeds {
-				d := coldDay{routers: size.routers, groups: size.groups, each: size.each, rate: size.rate, span: size.span,
-					what: what, marked: (n+i)%2 == 0, seed: uint64(100*n + i)}
-				s := newColdSim(d)
+				d := slowStartScenario{routers: size.routers, groups: size.groups, groupSize: size.each, rate: size.rate, span: size.span,
+					fault: what, marksRetries: (n+i)%2 == 0, seed: uint64(100*n + i)}
+				s := newFleetSim(d)
 				s.run()
-				worst, used, could = max(worst, s.worst), used+s.used, could+s.could
+				worst, used, could = max(worst, s.worst), used+s.used, could+s.allowed
 				served, asked = served+s.served, asked+s.asked
 				if s.worst > 2 {
-					t.Errorf("%v: %.2f roots of N beyond N + 2: %s", d, s.worst, s.where)
+					t.Errorf("%v: %.2f roots of N beyond N + 2: %s", d, s.worst, s.worstAt)
 				}
-				if s.could == 0 || s.used == 0 {
-					t.Errorf("%v: nothing sent to cold members", d)
+				if s.allowed == 0 || s.used == 0 {
+					t.Errorf("%v: nothing sent to members in slow start", d)
 				}
 			}
 			t.Logf("%d routers, %s: at most %.2f roots of N beyond N + 2, used %.2f of N, served %.3f", size.routers, what, worst, used/could,
@@ -525,48 +525,48 @@
 	}
 }
 
-// coldSeeds times as many days are drawn.
-var coldSeeds = flag.Int("coldseeds", 1, "days of TestColdFleet, times")
+// coldSeeds is the number of scenarios per size and fault.
+var coldSeeds = flag.Int("coldseeds", 1, "scenarios of TestSlowStartOfFleet per size and fault")
 
-// Where more was sent to a cold member than its budget, one cause each, at one front: three groups of three, 100
-// requests a second for 10 s; then some members start anew, and what is
-// sent in the next 2 s is counted.
-func TestColdRamp(t *testing.T) {
-	const usual = 100.0 / 9 // requests a second of a member
+// Situations in which one front sent a member in slow start more than its budget, each with one cause: three groups of
+// three members get 100 requests a second for 10 s; then some members restart, and the attempts sent to them in the next
+// 2 s are counted.
+func TestSlowStartAtOneFront(t *testing.T) {
+	const usual = 100.0 / 9 // requests per second and member
 	for _, c := range []struct {
 		name        string
-		cold        []string // started anew then
-		gone        []string // left the list a second before
-		held        int      // writes of the group that came just before
-		reads, rest int      // of group 0, and of the others, a second from then on
+		cold        []string // members that restart then
+		gone        []string // members that left the list a second before
+		held        int      // writes of group 0 that arrived just before
+		reads, rest int      // of group 0, and of the others, per second from then on
 		writes      int      // of group 0
-		again       bool     // what is refused comes again
-		unmarked    bool     // by clients that don't say so
-		fresh       bool     // the front too starts anew
-		lull        Time     // nobody asks for so long first
-		full        bool     // cold ones turn away what they are sent
+		again       bool     // clients retry refused requests
+		unmarked    bool     // without marking the retries
+		fresh       bool     // the front restarts too
+		lull        Time     // time without requests before
+		full        bool     // members in slow start refuse their attempts
 	}{
 		{name: "held writes", cold: []string{"00"}, gone: []string{"00"}, held: 60, reads: 25, rest: 60, writes: 5},
-		{name: "a group asked for more", cold: []string{"01", "02"}, reads: 240, rest: 60, writes: 5},
-		{name: "repeats", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true},
-		{name: "unmarked repeats", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true, unmarked: true},
+		{name: "a surge in one group", cold: []string{"01", "02"}, reads: 240, rest: 60, writes: 5},
+		{name: "retries", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true},
+		{name: "unmarked retries", cold: []string{"00", "01", "02"}, reads: 100, rest: 60, writes: 30, again: true, unmarked: true},
 		{name: "reads and writes", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 60},
 		{name: "a short list", cold: []string{"01"}, gone: []string{"10", "11", "12", "20", "21", "22"}, reads: 90, writes: 5},
-		{name: "a fresh front", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 10, fresh: true},
-		{name: "a fresh front, unmarked repeats", cold: []string{"00", "01", "02"}, reads: 60, rest: 30, writes: 10, fresh: true, again: true, unmarked: true},
+		{name: "a restarted front", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 10, fresh: true},
+		{name: "a restarted front, unmarked retries", cold: []string{"00", "01", "02"}, reads: 60, rest: 30, writes: 10, fresh: true, again: true, unmarked: true},
 		{name: "after a lull", cold: []string{"01", "02"}, reads: 200, rest: 60, writes: 5, lull: 7 * time.Second},
-		{name: "turned away", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 30, full: true, again: true},
+		{name: "refused by members", cold: []string{"00", "01", "02"}, reads: 60, rest: 60, writes: 30, full: true, again: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newColdPlay(t, c.full, c.again, !c.unmarked)
+			p := newSingleRouterSim(t, c.full, c.again, !c.unmarked)
 			for range 10 * 100 {
-				p.pass(10 * ms)
+				p.advance(10 * ms)
 				p.request(p.rng.Int64N(3), p.rng.IntN(6) == 0)
 			}
 			for _, id := range c.gone {
 				p.list(Member{ID: id, Group: int64(id[0] - '0'), Primary: id[1] == '0', State: Removed})
 			}
-			p.pass(time.Second)
+			p.advance(time.Second)
 			for range c.held {
 				p.request(0, true)
 			}
@@ -576,10 +576,10 @@
 			for _, id := range c.cold {
 				p.list(Member{ID: id, Group: int64(id[0] - '0'), Primary: id[1] == '0', Started: p.g.now})
 			}
-			p.pass(c.lull)
+			p.advance(c.lull)
 			p.sent = map[string]int{}
 			for range 2 * 500 {
-				p.pass(2 * ms)
+				p.advance(2 * ms)
 				switch u := p.rng.IntN(500); {
 				case u < c.reads:
 					p.request(0, false)
@@ -589,7 +589,7 @@
 					p.request(1+p.rng.Int64N(2), p.rng.IntN(6) == 0)
 				}
 			}
-			cfg := &p.g.r.cfg // at the end, so the most that was allowed
+			cfg := &p.g.r.cfg // as of the end, when most is allowed
 			n := usual * cfg.OverloadMultiple * cfg.OverloadTime.Seconds() * (cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*(2+c.lull.Seconds())/cfg.SlowStartTime.Seconds())
 			all := 0
 			for _, id := range c.cold {
@@ -606,29 +606,29 @@
 	}
 }
 
-// coldPlay is one router and members that answer after 20 ms.
-type coldPlay struct {
-	g                   *rig
-	rng                 *rand.Rand
-	members             map[string]Member
-	sent                map[string]int
-	id                  uint64
-	full, again, marked bool
-	writes              map[uint64]bool
-	groups              map[uint64]int64
-	due                 []coldDue
+// singleRouterSim is one router with members that answer after 20 ms.
+type singleRouterSim struct {
+	g                              *routerTest
+	rng                            *rand.Rand
+	members                        map[string]Member
+	sent                           map[string]int
+	id                             uint64
+	refuses, retries, marksRetries bool
+	writes                         map[uint64]bool
+	groups                         map[uint64]int64
+	due                            []dueEvent
 }
 
-type coldDue struct {
+type dueEvent struct {
 	at    Time
 	e     Event
-	group int64 // of a repeat
+	group int64 // of a retry
 	write bool
 }
 
-func newColdPlay(t *testing.T, full, again, marked bool) *coldPlay {
-	p := &coldPlay{g: &rig{t: t, now: time.Hour}, rng: rand.New(rand.NewPCG(5, 5)), members: map[string]Member{},
-		sent: map[string]int{}, full: full, again: again, marked: marked,
+func newSingleRouterSim(t *testing.T, full, again, marked bool) *singleRouterSim {
+	p := &singleRouterSim{g: &routerTest{t: t, now: time.Hour}, rng: rand.New(rand.NewPCG(5, 5)), members: map[string]Member{},
+		sent: map[string]int{}, refuses: full, retries: again, marksRetries: marked,
 		writes: map[uint64]bool{}, groups: map[uint64]int64{}}
 	for n := range 9 {
 		m := Member{ID: fmt.Sprintf("%d%d", n/3, n%3), Group: int64(n / 3), Zone: "a", Primary: n%3 == 0}
@@ -638,10 +638,10 @@
 	return p
 }
 
-// boot puts a new router in the place of the one before.
-func (p *coldPlay) boot() {
+// boot replaces the router by a new one.
+func (p *singleRouterSim) boot() {
 	cfg := testConfig()
-	cfg.Fronts, cfg.ClientsMarkRetries = 1, p.marked
+	cfg.Fronts, cfg.ClientsMarkRetries = 1, p.marksRetries
 	r, err := New(cfg, 9)
 	if err != nil {
 		p.g.t.Fatal(err)
@@ -654,26 +654,26 @@
 	p.g.step(Event{Kind: ListFull, Members: list})
 }
 
-func (p *coldPlay) list(m Member) {
+func (p *singleRouterSim) list(m Member) {
 	m.Zone = "a"
 	p.members[m.ID] = m
 	p.act(p.g.step(Event{Kind: ListChange, Members: []Member{m}}))
 }
 
-func (p *coldPlay) request(group int64, write bool) { p.try(group, write, false) }
+func (p *singleRouterSim) request(group int64, write bool) { p.try(group, write, false) }
 
-func (p *coldPlay) try(group int64, write, again bool) {
+func (p *singleRouterSim) try(group int64, write, again bool) {
 	p.id++
 	class := anyRead
 	if write {
 		class = keyed
 	}
 	p.writes[p.id], p.groups[p.id] = write, group
-	p.act(p.g.step(Event{Kind: Arrive, Request: p.id, Class: class, Tenant: -1, Group: group, Session: "u", IsRetry: again && p.marked, Remaining: 2 * time.Second}))
+	p.act(p.g.step(Event{Kind: Arrive, Request: p.id, Class: class, Tenant: -1, Group: group, Session: "u", IsRetry: again && p.marksRetries, Remaining: 2 * time.Second}))
 }
 
-// pass lets time go by, and gives the answers that are due.
-func (p *coldPlay) pass(d Time) {
+// advance advances the clock by d, and delivers the events that are due.
+func (p *singleRouterSim) advance(d Time) {
 	for end := p.g.now + d; p.g.now < end; {
 		p.g.now += ms
 		p.act(p.g.step(Event{Kind: Timer}))
@@ -688,7 +688,7 @@
 	}
 }
 
-func (p *coldPlay) act(as []Action) {
+func (p *singleRouterSim) act(as []Action) {
 	for _, a := range slices.Clone(as) {
 		switch a.Kind {
 		case Send:
@@ -701,20 +701,20 @@
 			}
 			if p.writes[a.Request] && !m.Primary {
 				e.Result, e.Ended = Misdirected, false
-			} else if p.full && m.Started != 0 {
+			} else if p.refuses && m.Started != 0 {
 				e.Result, e.Ended = Full, false
 			}
-			p.wait(20*ms, coldDue{e: e})
+			p.schedule(20*ms, dueEvent{e: e})
 		case Refuse:
-			if p.again {
-				p.wait(50*ms, coldDue{e: Event{Kind: Arrive}, group: p.groups[a.Request], write: p.writes[a.Request]})
+			if p.retries {
+				p.schedule(50*ms, dueEvent{e: Event{Kind: Arrive}, group: p.groups[a.Request], write: p.writes[a.Request]})
 			}
 		}
 	}
 }
 
-func (p *coldPlay) wait(d Time, x coldDue) {
+func (p *singleRouterSim) schedule(d Time, x dueEvent) {
 	x.at = p.g.now + d
-	i, _ := slices.BinarySearchFunc(p.due, x, func(a, b coldDue) int { return cmp.Compare(a.at, b.at+1) })
+	i, _ := slices.BinarySearchFunc(p.due, x, func(a, b dueEvent) int { return cmp.Compare(a.at, b.at+1) })
 	p.due = slices.Insert(p.due, i, x)
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,4 +1,5 @@
-// The whole policy of reachwind, top to bottom. Its types, events and actions are in api.go, its records in
+// The decision policy of the gateway, top to bottom: which member each attempt goes to, and when a
+// request is held, refused or failed. Types, events and actions are in api.go, the router's state in
 // state.go.
 package decide
 
@@ -10,187 +11,205 @@
 	"time"
 )
 
-// never lies before every time of the clock, forever after it.
+// distantPast lies before every time of the clock, distantFuture after it.
 const (
-	never   Time = -1 << 60
-	forever Time = 1 << 62
+	distantPast   Time = -1 << 60
+	distantFuture Time = 1 << 62
 )
 
-// Tuned values, each with its reason.
+// Parameters of the policy. A ratio without a unit is a fraction or a multiple of what its comment names.
 const (
-	sweepEvery = 10 * time.Millisecond // timers, holds and silence are looked at so often; well under any aim
-	sweepAll   = 4 * sweepEvery        // also in groups for which nothing came in
-	activeFor  = 2 * time.Second
-	clockSlack = 2 * time.Millisecond // rounding of told positions and ages
-	listLag    = 8 * time.Second      // a list's word on roles is older than it looks; newer evidence beats it
-	costGuess  = 0.2                  // first guess of a class's cost, as a part of its aim
+	sweepInterval       = 10 * time.Millisecond // period of the checks of deadlines and silent members
+	fullSweepInterval   = 4 * sweepInterval     // period of the same checks in groups without recent requests
+	groupActiveTime     = 2 * time.Second       // a request or outcome within this time makes its group active
+	clockSlack          = 2 * time.Millisecond  // rounding of reported positions and ages
+	listLag             = 8 * time.Second       // assumed age of a role in the list; newer evidence overrides it
+	initialCostFraction = 0.2                   // initial cost of a class, as a fraction of its latency target
 
-	costUp, costDown = 0.01, 0.03 // cost follows the faster answers, as waiting is not cost
+	costRiseRate = 0.01 // weight of an answer slower than the cost: small, as queueing is not cost
+	costFallRate = 0.03 // weight of a faster answer
 
-	blend       = 0.1             // weight of one answer in a member's averages: about ten answers
-	blendMost   = 0.9             // and of one after a long silence, as old answers are little evidence:
-	blendTime   = 4 * time.Second // those of so long ago are
-	stretchMax  = 30.0            // one very late answer must not shut a member out for good
-	stretchFade = 3 * time.Second // unheard-of slowness is forgotten, so that a mended member is tried
-	zoneFactor  = 1.2             // a member of another zone must be a fifth better; breaks ties by zone
-	tieNoise    = 0.1             // seeded chance, so that fronts that see the same don't herd
+	sampleWeight     = 0.1             // weight of one answer in a member's averages: about ten answers count
+	maxSampleWeight  = 0.9             // largest weight, after a long silence: old samples are weak
+	sampleAgeScale   = 4 * time.Second // the weight is the age of the last sample as a fraction of this
+	maxSlowdown      = 30.0            // cap of one sample, so that one very late answer can't exclude a member
+	evidenceLifetime = 3 * time.Second // older evidence loses weight, so that a recovered member is tried again
+	otherZoneFactor  = 1.2             // score factor of a member in another zone; breaks ties by zone
+	tieBreakNoise    = 0.1             // random part of a score, so that fronts with the same view don't herd
 
-	behindTimes, behindLoad = 3.0, 2.0 // a replica so many tightest bounds behind is as good as twice as busy
+	laggingMultiple   = 3.0 // multiple of the tightest bound from which on a lagging replica has to catch up
+	laggingLoadFactor = 2.0 // and counts as this many times as loaded
 
-	longTimes  = 4.0  // a read costing so many times the cheapest class is long
-	strainAim  = 0.45 // answers taking this part of their aim: queues are as long as is useful
-	cutBy      = 0.85 // a limit falls so much for each round trip above strainAim
-	fewAtOnce  = 4.0  // any member works on so many side by side, from all fronts together
-	limitLeast = 2.0  // a limit stays above so many small requests: answers tell of recovery
+	longReadMultiple = 4.0  // a read that costs this multiple of the cheapest class counts as long
+	maxLatencyRatio  = 0.45 // above this ratio of latency to target the limit falls: longer queues gain nothing
+	limitCutFactor   = 0.85 // factor of the limit for each round trip above maxLatencyRatio
+	minConcurrency   = 4.0  // requests that any member processes in parallel, from all fronts together
+	minLimitRequests = 2.0  // lowest limit, in the cheapest requests: only answers show a recovery
 
-	shedAim, shedSteep = 0.38, 3.0 // above this part of their aim reads stay away by chance, 7 in 8 at twice it
+	shedLatencyRatio = 0.38 // above this ratio of latency to target some reads are shed, at random
+	shedExponent     = 3.0  // exponent of the shed fraction: 7 in 8 at twice the ratio
 
-	spareShare = 0.5 // reads spill to a primary under this part of its limit
+	spareLimitFraction = 0.5 // reads spill over to a primary that uses less than this fraction of its limit
 
-	silentTimes, silentFew = 5.0, 2.0 // overdue by so many times what is usual is silence, more so with few out
+	silenceMultiple  = 5.0 // a member is silent once an answer is overdue by this multiple of the usual time,
+	silenceFewFactor = 2.0 // and longer with few attempts outstanding, by this divided by their number
 
-	silentLeast = 60 * time.Millisecond
-	failsMost   = 2 // so many broken connections with no answer between are no chance
+	minSilence      = 60 * time.Millisecond // shortest silence that counts
+	maxConnFailures = 2                     // broken connections in a row that are no coincidence
 
-	lostTimes, lostPassed = 5.0, 3 // out for so long, in as is usual there, while so many sent later came: lost
+	lostMultiple = 5.0 // an answer is presumed lost after this multiple of its usual time
+	minOvertaken = 3   // if as many attempts sent later have been answered
 
-	lossyLeast, lossyBlend = 0.08, 0.02 // no chance where so many answers are lost, over about fifty attempts
+	minLossRate      = 0.08 // from this fraction of lost answers on, losses are no coincidence
+	lossSampleWeight = 0.02 // weight of one attempt in that fraction: about fifty attempts count
 
-	errsMost = 0.3 // a member that errs more often is the last to be used
+	maxErrorRate = 0.3 // a member with a higher fraction of errors is used last
 
-	trialFirst, trialMost = 300 * time.Millisecond, time.Second // a suspect gets one trial, at doubling spans
+	minHalfOpenDelay = 300 * time.Millisecond // delay of a suspect's first half-open probe, doubling with each
+	maxHalfOpenDelay = time.Second            // longest delay between half-open probes
 
-	lateTimes, freshTry = 1.5, 0.6 // times the usual latency, this of the aim at most, must be left for a try
+	attemptTimeMultiple = 1.5 // an attempt is worth sending while this multiple of its usual time is left,
+	attemptTimeFraction = 0.6 // or this fraction of the latency target, whichever is less
 
-	rescueAt = 0.5 // a read out for this part of its aim may go elsewhere too
+	rerouteFraction = 0.5 // a read outstanding for this fraction of its target may be sent to another member too
 
-	retryEarn, retryMost = 0.2, 20.0 // further attempts after failures: for one in five requests, in bursts
+	retryTokensPerRequest = 0.2  // tokens earned by each request: one in five may be retried after a failure
+	maxRetryTokens        = 20.0 // most tokens kept, for bursts
 
-	retryPause = 50 * time.Millisecond // a member that turned a request away isn't asked again for it before
+	retryPause = 50 * time.Millisecond // a member that turned a request away isn't tried again for it before
 
-	seekEvery, seekEach = 150 * time.Millisecond, 5 * time.Millisecond // between looks for a primary
+	primarySearchInterval = 150 * time.Millisecond // interval between checks of a member that may be primary
+	primarySearchPerFront = 5 * time.Millisecond   // the same for each front, where that is longer
 
-	probeEach  = 10 * time.Millisecond // a member is probed by all fronts together once in this at most
-	guessSpare = 2                     // attempts left for when it is known
-	renewBy    = 0.25                  // a replica unheard of for the tightest bound is liked so much better
+	fleetProbeInterval = 10 * time.Millisecond // shortest interval of probes of a member by all fronts
+	reservedAttempts   = 2                     // attempts kept for when the search for a primary succeeds
+	refreshBonus       = 0.25                  // largest score bonus, of a replica unheard of for that bound
 
-	toldFor = 2 * time.Second // a look that others' words led to must have ended
+	peerReportLifetime = 2 * time.Second // a probe started by a peer's report must have ended within this time
 
-	askWait, askTimes = 30 * time.Millisecond, 2 // a read waits so long for a probe of its own, at most so often
+	probeWait        = 30 * time.Millisecond // how long a read waits for a probe made for it
+	maxProbesPerRead = 2                     // most probes made for one read
 
-	coldShare = 1.25 // of the stated multiple of what is usual for a member, as it can do more than that
+	slowStartHeadroom = 1.25 // factor on the overload multiple, as members can take more than their usual load
 
-	// credit at a cold member is kept for this part of FallTime, or of the first request, or so many mean gaps
-	coldSave, coldFirst, coldGaps = 0.125, 0.5, 2.0
+	tokenLifetimeFraction      = 0.125 // unused slow-start tokens are kept for this fraction of OverloadTime,
+	firstTokenLifetimeFraction = 0.5   // for this fraction of it up to the first request,
+	tokenLifetimeGaps          = 2.0   // or for this many mean gaps between requests, whichever is longer
 
-	sessionMost = 4096 // sessions a group whose commits are kept while a member may lack them
+	maxSessions = 4096 // sessions per group whose commits are kept while a member may lack them
 
-	goneKeep, logEvery = time.Minute, time.Second
+	goneRetention = time.Minute // members that left the list are kept so long, as they may restart
+	logInterval   = time.Second // shortest interval between log texts
 )
 
-// New returns a router for one front, or the first fault of cfg.
+// New returns a router for one front. The error names the first invalid setting of cfg. Routers with
+// equal settings, seed and events act alike.
 func New(cfg Config, seed uint64) (*Router, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	r := &Router{rng: rand.New(rand.NewPCG(seed, 0x656c646572)), now: never, floor: never,
-		members: map[string]*member{}, groups: map[int64]*group{}, parts: [4]float64{1, 1, 1, 1},
-		requests: map[uint64]*request{}, retries: retryMost,
-		wakeAt: never, logAt: never, sweptAt: never, sweptAllAt: never, savedUntil: forever, askedAt: never}
-	r.calls = DiscoveryPacer{Fronts: cfg.Fronts, Random: r.rng.Float64}
-	r.tune(cfg)
+	r := &Router{rng: rand.New(rand.NewPCG(seed, 0x656c646572)), now: distantPast, commitFloor: distantPast,
+		members: map[string]*member{}, groups: map[int64]*group{}, budgetShares: [4]float64{1, 1, 1, 1},
+		requests: map[uint64]*request{}, retryTokens: maxRetryTokens,
+		wakeAt: distantPast, nextLogAt: distantPast, sweptAt: distantPast, sweptAllAt: distantPast,
+		savedListUntil: distantFuture, watchSentAt: distantPast}
+	r.pacer = DiscoveryPacer{Fronts: cfg.Fronts, Random: r.rng.Float64}
+	r.configure(cfg)
 	return r, nil
 }
 
-// Step takes the events of one moment in order and appends what must be done to out.
+// Step handles the events of time now in order and appends the resulting actions to out.
 func (r *Router) Step(now Time, events []Event, out []Action) []Action {
 	r.now, r.out = max(now, r.now), out
 	for i := range events {
-		r.take(&events[i])
+		r.handle(&events[i])
 	}
-	if r.now-r.sweptAt >= sweepEvery {
+	if r.now-r.sweptAt >= sweepInterval {
 		r.sweptAt = r.now
 		r.sweep()
 	}
 	r.dispatch()
-	r.open = slices.DeleteFunc(r.open, func(q *request) bool { return q.ended })
-	r.wake()
+	r.openRequests = slices.DeleteFunc(r.openRequests, func(q *request) bool { return q.ended })
+	r.scheduleWake()
 	return r.out
 }
 
-// wake keeps the sweep going, and brings it forward when a request comes to an idle front.
-func (r *Router) wake() {
-	at := r.now + 10*sweepEvery
-	if len(r.open) > 0 {
-		at = r.now + sweepEvery
+// scheduleWake requests the next timer event, and an earlier one when a request reaches an idle front.
+func (r *Router) scheduleWake() {
+	at := r.now + 10*sweepInterval
+	if len(r.openRequests) > 0 {
+		at = r.now + sweepInterval
 	}
 	if r.wakeAt <= r.now || r.wakeAt > at {
 		r.wakeAt = at
-		r.do(Action{Kind: Wake, At: at})
+		r.emit(Action{Kind: Wake, At: at})
 	}
 }
 
-// note tells of a change, once a second also in words.
-func (r *Router) note(c Change, g *group, member string) {
+// notify reports a state change; at most one per logInterval carries a log text.
+func (r *Router) notify(c Change, g *group, member string) {
 	a := Action{Kind: Notify, Change: c, Group: g.id, Member: member}
-	if r.now >= r.logAt {
-		r.logAt, a.Text = r.now+logEvery, a.words()
+	if r.now >= r.nextLogAt {
+		r.nextLogAt, a.Text = r.now+logInterval, a.text()
 	}
-	r.do(a)
+	r.emit(a)
 }
 
-func (r *Router) take(e *Event) {
+func (r *Router) handle(e *Event) {
 	q := r.requests[e.Request]
 	switch e.Kind {
 	case ListFull, ListSaved, ListChange, ListError, DiscoveryUnreachable:
-		r.takeList(e)
+		r.handleList(e)
 	case Arrive:
-		r.arrive(e)
+		r.handleArrival(e)
 	case FirstByte:
 		if q != nil {
 			q.streaming = true
 		}
 	case Outcome:
-		r.outcome(e)
+		r.handleOutcome(e)
 	case ClientGone:
 		if q != nil && !q.ended {
-			r.callOff(q)
+			r.cancelAttempts(q)
 			r.end(q)
 		}
 	case Probed:
-		r.probed(e)
+		r.handleProbe(e)
 	case PeerReport:
-		r.told(e)
+		r.handlePeerReport(e)
 	case BudgetShares:
-		r.parts = e.BudgetShares
+		r.budgetShares = e.BudgetShares
 	}
 }
 
-// told takes what other gateways say of a member: it brings a look or trial forward, whose outcome counts.
-func (r *Router) told(e *Event) {
+// handlePeerReport handles what other gateways report of a member. It only triggers a probe or half-open
+// probe, whose own outcome counts.
+func (r *Router) handlePeerReport(e *Event) {
 	m := r.members[e.Member]
 	switch {
 	case m == nil:
 	case e.Role == Primary && m.role != Primary:
-		m.roleAt = never
+		m.roleAt = distantPast
 	case e.Result == Served:
-		m.trialAt = min(m.trialAt, r.now)
+		m.halfOpenAt = min(m.halfOpenAt, r.now)
 	default:
-		m.toldAt = r.now
+		m.peerReportAt = r.now
 		r.probe(m)
 	}
 }
 
 // Positions and roles.
 
-// learnPosition keeps the newest position told: one ahead of the clock is impossible, one behind is old news.
+// learnPosition keeps the newest reported position. It ignores impossible ones, ahead of the clock, and
+// older ones.
 func (r *Router) learnPosition(m *member, p Time) {
-	if p >= m.pos && p <= r.now+clockSlack {
-		m.pos, m.lag = p, r.now-p
+	if p >= m.position && p <= r.now+clockSlack {
+		m.position, m.lag = p, r.now-p
 	}
 }
 
-// learnRole keeps the newest evidence of a role. A group has one primary: newer evidence of one ends another.
+// learnRole keeps the newest evidence of a role. A group has one primary: newer evidence of one demotes
+// another.
 func (r *Router) learnRole(m *member, role Role, at Time) {
 	if role == RoleUnknown || at < m.roleAt || at > r.now+clockSlack {
 		return
@@ -208,13 +227,13 @@
 			o.role, o.roleAt = Replica, at
 		}
 	}
-	if m.role == Primary && m.group.lost {
-		m.group.lost = false
-		r.note(PrimaryFound, m.group, m.ID)
+	if m.role == Primary && m.group.primaryUnknown {
+		m.group.primaryUnknown = false
+		r.notify(PrimaryFound, m.group, m.ID)
 	}
 }
 
-// learnReport takes a report: its position is also the least age of its role.
+// learnReport handles a member's report. Its role is at least as old as its position.
 func (r *Router) learnReport(m *member, p *Report) {
 	if p.HasPosition && p.Position <= r.now+clockSlack {
 		r.learnPosition(m, p.Position)
@@ -222,7 +241,8 @@
 	}
 }
 
-// forgetCommits drops commits that every member has for a common floor, which later members must reach too.
+// forgetCommits replaces commits that every member has by one common floor, which members that join must
+// reach too.
 func (r *Router) forgetCommits(g *group) {
 	if len(g.sessions) == 0 {
 		return
@@ -230,15 +250,15 @@
 	least := r.now
 	for _, m := range g.members {
 		if !m.gone && m.role != Primary {
-			least = min(least, m.pos)
+			least = min(least, m.position)
 		}
 	}
-	if len(g.sessions) > sessionMost { // a member that stays behind must not keep them all
+	if len(g.sessions) > maxSessions { // a member that lags for long must not keep them all
 		least = r.now
 	}
-	for s, c := range g.sessions { // in any order: max and delete
+	for s, c := range g.sessions { // the order has no effect: max and delete
 		if c <= least {
-			g.floor = max(g.floor, c)
+			g.commitFloor = max(g.commitFloor, c)
 			delete(g.sessions, s)
 		}
 	}
@@ -246,85 +266,89 @@
 
 // Requests.
 
-func (r *Router) arrive(e *Event) {
+func (r *Router) handleArrival(e *Event) {
 	var k *class
 	if e.ClassDef != nil {
-		k = r.classOf(e.ClassDef)
+		k = r.classRecord(e.ClassDef)
 	} else {
 		k = r.classes[e.Class]
 	}
 	q := &request{id: e.Request, class: k, group: r.groups[e.Group], session: e.Session, arrived: r.now,
-		most: r.cfg.MaxAttempts, aim: r.now + k.LatencyTarget - e.Waited, deadline: r.now + e.Remaining, token: never,
-		floor: never, luck: r.rng.Float64()}
+		maxAttempts: r.cfg.MaxAttempts, targetAt: r.now + k.LatencyTarget - e.Waited,
+		deadline: r.now + e.Remaining, sessionPosition: distantPast,
+		minPosition: distantPast, chance: r.rng.Float64()}
 	r.requests[q.id] = q
-	r.open = append(r.open, q)
-	r.retries = min(retryMost, r.retries+retryEarn)
-	r.asked(k, !e.IsRetry)
-	worth := k.Value * r.share(e.Tenant)
+	r.openRequests = append(r.openRequests, q)
+	r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
+	r.countArrival(k, !e.IsRetry)
+	value := k.Value * r.chargeTenant(e.Tenant)
 	if !e.IsRetry {
-		k.longest = max(k.longest, e.Remaining+e.Waited)
-	} else if e.Remaining+e.Waited < k.longest-clockSlack { // what the deadline leaves tells when it began
-		q.aim -= max(0, k.Deadline-e.Remaining-e.Waited)
+		k.maxWait = max(k.maxWait, e.Remaining+e.Waited)
+	} else if e.Remaining+e.Waited < k.maxWait-clockSlack { // the time left shows when the first try began
+		q.targetAt -= max(0, k.Deadline-e.Remaining-e.Waited)
 	}
-	q.rank = worth / k.cost
-	if q.group == nil || q.usefulUntil() <= r.now+sweepEvery {
-		r.giveUp(q, forever)
+	q.rank = value / k.cost
+	if q.group == nil || q.usefulUntil() <= r.now+sweepInterval {
+		r.abandon(q, distantFuture)
 		return
 	}
 	q.group.activeAt = r.now
 	if e.MinPosition > 0 {
-		q.floor = e.MinPosition
+		q.minPosition = e.MinPosition
 	}
 	if c, ok := q.group.sessions[q.session]; ok {
-		q.token = c
+		q.sessionPosition = c
 	} else if r.cfg.RemembersSessions {
-		q.token = q.group.floor
+		q.sessionPosition = q.group.commitFloor
 	} else if e.HasToken {
-		q.token = r.now - e.TokenAge + clockSlack/2
+		q.sessionPosition = r.now - e.TokenAge + clockSlack/2
 	}
 }
 
-// share books a request on its tenant and returns what part of its worth is left, in this front's traffic.
-func (r *Router) share(tenant int) float64 {
-	if tenant < 0 || tenant >= len(r.credit) {
+// chargeTenant takes a token of the tenant for a request and returns the factor on the request's value: 1
+// within the tenant's share of this front's traffic, less beyond it.
+func (r *Router) chargeTenant(tenant int) float64 {
+	if tenant < 0 || tenant >= len(r.tenantTokens) {
 		return 1
 	}
-	for i := range r.credit {
-		r.credit[i] = min(retryMost, r.credit[i]+r.cfg.Tenants[i].Share*r.parts[TenantBudget])
+	for i := range r.tenantTokens {
+		r.tenantTokens[i] = min(maxRetryTokens,
+			r.tenantTokens[i]+r.cfg.Tenants[i].Share*r.budgetShares[TenantBudget])
 	}
-	if !r.spend(TenantBudget, r.credit[tenant] >= 1) {
+	if !r.countBudgetUse(TenantBudget, r.tenantTokens[tenant] >= 1) {
 		return max(r.cfg.OverShareFactor, 0.01)
 	}
-	r.credit[tenant]--
+	r.tenantTokens[tenant]--
 	return 1
 }
 
-// usefulUntil is when an answer stops being worth anything.
+// usefulUntil is the time from which an answer has no value.
 func (q *request) usefulUntil() Time {
 	if q.class.LateValue > 0 {
 		return q.deadline
 	}
-	return min(q.aim, q.deadline)
+	return min(q.targetAt, q.deadline)
 }
 
 func (q *request) mayRefuse() bool {
-	return q.class.Effect == Repeatable || q.out == 0 && !q.riskSet ||
+	return q.class.Effect == Repeatable || q.outstanding == 0 && !q.mayHaveRun ||
 		q.class.Effect == Keyed && q.class.KeyScope == ScopeAll
 }
 
-// giveUp ends a request with its final answer at once; refused, it may come back after so long.
-func (r *Router) giveUp(q *request, after Time) {
+// abandon ends a request without a served answer: refused where a retry is harmless, to come after that
+// time, else failed.
+func (r *Router) abandon(q *request, after Time) {
 	a := Action{Kind: Fail, Request: q.id}
 	if q.mayRefuse() {
 		a.Kind, a.RetryAfter = Refuse, min(after, r.cfg.MaxRetryAfter)
 	}
-	r.do(a)
-	r.callOff(q)
+	r.emit(a)
+	r.cancelAttempts(q)
 	r.end(q)
 }
 
-// callOff cancels what a finished request still has out, so that members may drop it; writes are left to run.
-func (r *Router) callOff(q *request) {
+// cancelAttempts cancels the outstanding attempts of a finished request. Writes are left to run.
+func (r *Router) cancelAttempts(q *request) {
 	for _, a := range q.attempts {
 		if r.cfg.MayCancel && q.class.Consistency != Write {
 			r.cancel(a)
@@ -333,258 +357,275 @@
 }
 
 func (r *Router) cancel(a *attempt) {
-	if !a.done && !a.off {
-		a.off = true
-		r.do(Action{Kind: Cancel, Request: a.q.id, Attempt: a.no})
+	if !a.done && !a.cancelled {
+		a.cancelled = true
+		r.emit(Action{Kind: Cancel, Request: a.request.id, Attempt: a.number})
 	}
 }
 
 func (r *Router) end(q *request) {
-	r.unserved(q)
+	r.discountUnserved(q)
 	q.ended = true
-	if q.out == 0 {
+	if q.outstanding == 0 {
 		delete(r.requests, q.id)
 	}
 }
 
-// mayTry tells whether the class allows another attempt at m now.
-func (r *Router) mayTry(q *request, m *member) bool {
-	if q.ended || q.streaming || q.most > 0 && len(q.attempts) >= q.most {
+// mayAttempt reports whether the class allows another attempt at m now.
+func (r *Router) mayAttempt(q *request, m *member) bool {
+	if q.ended || q.streaming || q.maxAttempts > 0 && len(q.attempts) >= q.maxAttempts {
 		return false
 	}
 	switch q.class.Effect {
 	case Repeatable:
-		return q.out == 0 || r.cfg.MayDuplicate && q.out < 2
+		return q.outstanding == 0 || r.cfg.MayDuplicate && q.outstanding < 2
 	case Keyed:
-		inScope := q.class.KeyScope != ScopeZone || m.Zone == q.riskZone
-		return q.out == 0 && (!q.riskSet || inScope && r.now-q.riskAt < q.class.KeyWindow-sweepEvery)
+		inScope := q.class.KeyScope != ScopeZone || m.Zone == q.firstRunZone
+		return q.outstanding == 0 && (!q.mayHaveRun ||
+			inScope && r.now-q.firstRunAt < q.class.KeyWindow-sweepInterval)
 	}
-	return q.out == 0 && !q.riskSet
+	return q.outstanding == 0 && !q.mayHaveRun
 }
 
-// The ordinary path: token-or-bound test, SELF, primary as fallback.
+// Choice of a member: replicas that have the required position, by SELF (least outstanding work), else
+// the primary.
 
-// dispatch places what waits, highest worth for its work first.
+// dispatch sends the waiting requests, those with the highest value per unit of work first.
 func (r *Router) dispatch() {
-	waiting := slices.DeleteFunc(slices.Clone(r.open), func(q *request) bool {
-		return q.out > 0 || q.ended || q.streaming
+	waiting := slices.DeleteFunc(slices.Clone(r.openRequests), func(q *request) bool {
+		return q.outstanding > 0 || q.ended || q.streaming
 	})
 	slices.SortStableFunc(waiting, func(a, b *request) int { return cmp.Compare(b.rank, a.rank) })
-	r.waits = 0
+	r.heldRequests = 0
 	for _, q := range waiting {
-		if m := r.choose(q); m != nil {
+		if m := r.chooseMember(q); m != nil {
 			r.send(q, m)
-		} else if r.hopeless(q) {
-			r.giveUp(q, retryPause)
+		} else if r.infeasible(q) {
+			r.abandon(q, retryPause)
 		} else {
-			r.waits++
+			r.heldRequests++
 		}
 	}
 }
 
-// hopeless tells that all members left are doubtful, or cold and q has missed its chance there.
-func (r *Router) hopeless(q *request) bool {
+// infeasible reports that every member left may be draining, or is in slow start and did not admit q.
+func (r *Router) infeasible(q *request) bool {
 	return !slices.ContainsFunc(q.group.members, func(m *member) bool {
-		return !r.barred(m) && (!r.cold(m) || r.coldRoom(m, q))
+		return !r.barred(m) && (!r.inSlowStart(m) || r.slowStartAdmits(m, q))
 	})
 }
 
-// need is the log position that a replica must be known to have reached.
-func (r *Router) need(q *request) Time {
+// requiredPosition is the log position that a replica must be known to have reached to answer q.
+func (r *Router) requiredPosition(q *request) Time {
 	switch q.class.Consistency {
 	case Bounded:
-		return max(q.floor, r.now-q.class.Bound)
-	case Session:
-		return max(q.floor, q.token, cmp.Or(q.group.sessions[q.session], never), r.unheard(q)) // told while held
+		return max(q.minPosition, r.now-q.class.Bound)
+	case Session: // the session's commit may be reported while q is held
+		return max(q.minPosition, q.sessionPosition, cmp.Or(q.group.sessions[q.session], distantPast),
+			r.inDoubtUntil(q))
 	case Fresh:
 		return q.arrived
 	}
-	return q.floor
+	return q.minPosition
 }
 
-// unheard is until when a write of q's session that is out may have committed, its answer lost on the way.
-func (r *Router) unheard(q *request) Time {
+// inDoubtUntil is the time up to which an outstanding write of q's session may have committed, its answer
+// being lost.
+func (r *Router) inDoubtUntil(q *request) Time {
 	known := r.now - r.cfg.AssumeCommittedAfter
 	for _, m := range q.group.members {
-		for _, a := range m.open {
-			if a.q.class.Writes() && a.q.session == q.session && a.sent < known && known < r.now {
+		for _, a := range m.attempts {
+			if a.request.class.Writes() && a.request.session == q.session && a.sent < known && known < r.now {
 				return known
 			}
 		}
 	}
-	return never
+	return distantPast
 }
 
-// choose picks the member for the next attempt, or nil to hold the request.
-func (r *Router) choose(q *request) *member {
+// chooseMember returns the member for the next attempt, or nil to hold the request.
+func (r *Router) chooseMember(q *request) *member {
 	p := q.group.primary()
 	if q.class.Consistency == Write {
-		return r.writeTo(q, p)
+		return r.chooseWriteMember(q, p)
 	}
-	need, qualified := r.need(q), false
+	need, qualified := r.requiredPosition(q), false
 	var best, ahead, errs *member
 	var least, leastErrs float64
-	// Exception: a long read that any replica may answer goes to the one furthest behind, at all fronts alike:
-	// spread by SELF, long reads hold back all. It could harm where long reads are most of the work.
-	long := q.class.Consistency == AnyData && q.class.cost > longTimes*r.leastCost()
+	// A long read that any replica may answer goes to the one that lags most, on every front: spread by
+	// SELF, long reads would make all replicas lag. It could harm where long reads are most of the work.
+	long := q.class.Consistency == AnyData && q.class.cost > longReadMultiple*r.leastCost()
 	for _, m := range q.group.members {
 		if m == p || !r.usable(m, q) {
 			continue
 		}
-		if m.pos < need {
-			if r.cfg.StaleReads != StaleReadAnswer && r.room(m, q, 1) && (ahead == nil || m.pos > ahead.pos) {
+		if m.position < need {
+			if r.cfg.StaleReads != StaleReadAnswer && r.hasCapacity(m, q, 1) &&
+				(ahead == nil || m.position > ahead.position) {
 				ahead = m
 			}
 			continue
 		}
-		if !r.room(m, q, 1) {
-			qualified = qualified || !r.cold(m) // a cold one without room is as good as none
+		if !r.hasCapacity(m, q, 1) {
+			qualified = qualified || !r.inSlowStart(m) // one in slow start without capacity does not count
 			continue
 		}
 		qualified = true
 		s := r.score(m, q)
-		if r.errs(m) {
+		if r.errorProne(m) {
 			if errs == nil || s < leastErrs {
 				errs, leastErrs = m, s
 			}
 			continue
 		}
 		if long {
-			s = float64(m.pos)
+			s = float64(m.position)
 		}
 		if best == nil || s < least {
 			best, least = m, s
 		}
 	}
 	switch {
-	case best != nil && (r.cold(best) || r.spares(best, q)):
+	case best != nil && (r.inSlowStart(best) || r.admitsRead(best, q)):
 		return best
 	case best != nil:
 		return nil
 	case !qualified && ahead != nil:
-		return ahead // stores check: the most advanced one first
-	case !qualified && r.cfg.MayProbe && q.class.Consistency != Fresh && r.ask(q, p, need):
+		return ahead // the store checks positions itself: try the most advanced replica first
+	case !qualified && r.cfg.MayProbe && q.class.Consistency != Fresh && r.probeForRead(q, p, need):
 		return nil
 	case p == nil || !r.usable(p, q):
-		q.group.wanted = r.now
+		q.group.neededAt = r.now
 		return errs
-	case !qualified && r.room(p, q, 1) && r.spares(p, q), qualified && r.room(p, q, spareShare):
+	case !qualified && r.hasCapacity(p, q, 1) && r.admitsRead(p, q),
+		qualified && r.hasCapacity(p, q, spareLimitFraction):
 		return p
 	}
 	return errs
 }
 
-// writeTo is p, or where it is not sound a member that may have become primary: else it turns the write away.
-func (r *Router) writeTo(q *request, p *member) (best *member) {
-	if p != nil && r.usable(p, q) && r.room(p, q, 1) {
+// chooseWriteMember returns p, or where p may not be primary any more a member that may have become it. A
+// member that is not primary refuses the write, which does no harm.
+func (r *Router) chooseWriteMember(q *request, p *member) (best *member) {
+	if p != nil && r.usable(p, q) && r.hasCapacity(p, q, 1) {
 		return p
 	} else if !q.group.leaderless(p) {
 		return nil
 	}
-	if q.most > 0 && len(q.attempts)+min(guessSpare, q.most-1) >= q.most {
-		q.group.wanted = r.now
+	if q.maxAttempts > 0 && len(q.attempts)+min(reservedAttempts, q.maxAttempts-1) >= q.maxAttempts {
+		q.group.neededAt = r.now
 		return nil
 	}
 	for _, m := range q.group.members {
-		if m != p && r.now-m.roleAt >= r.seekGap && (best == nil || m.roleAt < best.roleAt) &&
-			r.usable(m, q) && r.room(m, q, 1) {
+		if m != p && r.now-m.roleAt >= r.primarySearchGap && (best == nil || m.roleAt < best.roleAt) &&
+			r.usable(m, q) && r.hasCapacity(m, q, 1) {
 			best = m
 		}
 	}
 	return best
 }
 
-// spares tells whether m should take a read: where its answers or its role's come late some stay away.
-func (r *Router) spares(m *member, q *request) bool {
-	f := m.fade(r.now)
-	return q.luck*math.Pow((f*m.strain+(1-f)*r.alike(m).strain)/shedAim, shedSteep) < 1
+// admitsRead reports whether a read may go to m: where its answers or those of its role are late, some
+// are shed.
+func (r *Router) admitsRead(m *member, q *request) bool {
+	f := m.evidenceWeight(r.now)
+	return q.chance*math.Pow((f*m.latencyRatio+(1-f)*r.roleStats(m).latencyRatio)/shedLatencyRatio,
+		shedExponent) < 1
 }
 
-// score is SELF: the work outstanding there with this request's own. Own work is a part of the load only,
-// so it is scaled by how much slower than usual the member's answers have been.
+// score is SELF, lower is better: the work outstanding at m from this front plus q's own. As other fronts
+// load m too, it is scaled by how much slower than usual m's answers have been.
 func (r *Router) score(m *member, q *request) float64 {
-	s := (m.held() + q.class.cost) * m.slowness(r.now) * (1 + tieNoise*r.rng.Float64())
+	s := (m.heldWork() + q.class.cost) * m.slowness(r.now) * (1 + tieBreakNoise*r.rng.Float64())
 	if m.Zone != r.cfg.Zone {
-		s *= zoneFactor
+		s *= otherZoneFactor
 	}
-	if k := q.class.Consistency; k == AnyData || k == Bounded { // answers renew what is known
-		s *= 1 - renewBy*min(1, float64(r.now-m.pos-m.lag)/float64(r.freshFor))
+	if k := q.class.Consistency; k == AnyData || k == Bounded { // an answer refreshes the known position
+		s *= 1 - refreshBonus*min(1, float64(r.now-m.position-m.lag)/float64(r.tightestBound))
 	}
-	if m.lag > behindTimes*r.freshFor { // it needs its cores to catch up
-		s *= behindLoad
+	if m.lag > laggingMultiple*r.tightestBound {
+		s *= laggingLoadFactor
 	}
 	return s
 }
 
-func (r *Router) erred(m *member) { m.errors, m.erredAt = m.errors+blend*(1-m.errors), r.now }
+func (r *Router) recordError(m *member) {
+	m.errorRate, m.errorAt = m.errorRate+sampleWeight*(1-m.errorRate), r.now
+}
 
-// errs tells that m mostly errs. Errors come fast: SELF would send such a member all there is.
-func (r *Router) errs(m *member) bool {
-	return m.errors*min(1, float64(stretchFade)/float64(max(1, r.now-m.erredAt))) > errsMost
+// errorProne reports that many answers of m are errors. As errors come fast, SELF would send such a
+// member everything.
+func (r *Router) errorProne(m *member) bool {
+	return m.errorRate*min(1, float64(evidenceLifetime)/float64(max(1, r.now-m.errorAt))) > maxErrorRate
 }
 
-// slowness is the member's stretch, fading while nothing is heard.
-func (m *member) slowness(now Time) float64 { return 1 + (m.stretch-1)*m.fade(now) }
+// slowness is the member's slowdown, closer to 1 the older its evidence.
+func (m *member) slowness(now Time) float64 { return 1 + (m.slowdown-1)*m.evidenceWeight(now) }
 
-// fade is what evidence of m still counts: less the longer nothing was learnt of it.
-func (m *member) fade(now Time) float64 {
-	return min(1, float64(stretchFade)/float64(max(1, now-m.learnt)))
+// evidenceWeight is the weight, 0 to 1, of what is known of m: less the older the last sample.
+func (m *member) evidenceWeight(now Time) float64 {
+	return min(1, float64(evidenceLifetime)/float64(max(1, now-m.sampledAt)))
 }
 
 func (r *Router) usable(m *member, q *request) bool {
-	if r.barred(m) || q.away[m] > r.now || !r.mayTry(q, m) || r.tooLate(q, m) ||
-		slices.ContainsFunc(q.attempts, func(a *attempt) bool { return !a.done && a.m == m }) {
+	if r.barred(m) || q.avoidUntil[m] > r.now || !r.mayAttempt(q, m) || r.tooLate(q, m) ||
+		slices.ContainsFunc(q.attempts, func(a *attempt) bool { return !a.done && a.member == m }) {
 		return false
 	}
-	if m.suspect { // a trial needs the time to be answered
+	if m.suspect { // a half-open probe needs the time to be answered
 		left := float64(q.usefulUntil() - r.now)
-		return r.now >= m.trialAt && len(m.open) == 0 && left > freshTry*float64(q.class.LatencyTarget)
+		return r.now >= m.halfOpenAt && len(m.attempts) == 0 &&
+			left > attemptTimeFraction*float64(q.class.LatencyTarget)
 	}
 	return true
 }
 
-// tooLate tells that m would most likely answer too late. What is not held is always worth a try.
+// tooLate reports that m would probably answer too late. With the whole target left an attempt is always
+// worth it.
 func (r *Router) tooLate(q *request, m *member) bool {
-	takes := min(lateTimes*q.class.cost*m.slowness(r.now), freshTry*float64(q.class.LatencyTarget))
+	takes := min(attemptTimeMultiple*q.class.cost*m.slowness(r.now),
+		attemptTimeFraction*float64(q.class.LatencyTarget))
 	return float64(q.usefulUntil()-r.now) < takes
 }
 
-// room tells whether a member may take the request's work on top of what it holds, within part of its limit.
-func (r *Router) room(m *member, q *request, part float64) bool {
-	if r.cold(m) {
-		return r.coldRoom(m, q)
+// hasCapacity reports whether m may take q's work on top of what it holds, within a fraction of its
+// limit.
+func (r *Router) hasCapacity(m *member, q *request, fraction float64) bool {
+	if r.inSlowStart(m) {
+		return r.slowStartAdmits(m, q)
 	}
 	if m.limit == 0 {
-		return part == 1 || m.strain < strainAim*part
+		return fraction == 1 || m.latencyRatio < maxLatencyRatio*fraction
 	}
-	few := fewAtOnce / float64(r.cfg.Fronts) * q.class.cost // else small requests would keep large ones out
-	return m.held()+q.class.cost <= m.limit*part || part == 1 && m.held() <= few
+	few := minConcurrency / float64(r.cfg.Fronts) * q.class.cost // else cheap requests would starve costly ones
+	return m.heldWork()+q.class.cost <= m.limit*fraction || fraction == 1 && m.heldWork() <= few
 }
 
 func (r *Router) send(q *request, m *member) {
-	a := &attempt{q: q, m: m, no: len(q.attempts), sent: r.now, cost: q.class.cost}
+	a := &attempt{request: q, member: m, number: len(q.attempts), sent: r.now, cost: q.class.cost}
 	q.attempts = append(q.attempts, a)
-	q.out++
-	m.open = append(m.open, a)
-	m.booked += a.cost
-	r.await(m, a)
+	q.outstanding++
+	m.attempts = append(m.attempts, a)
+	m.outstandingWork += a.cost
+	r.expectAnswer(m, a)
 	if m.suspect {
-		m.trialAt = r.now + m.trialGap
-		m.trialGap = min(2*m.trialGap, trialMost)
+		m.halfOpenAt = r.now + m.halfOpenDelay
+		m.halfOpenDelay = min(2*m.halfOpenDelay, maxHalfOpenDelay)
 	}
 	act := Action{Kind: Send, Request: q.id, Member: m.ID, Timeout: max(q.usefulUntil()-r.now, clockSlack),
-		MinPosition: r.need(q)}
-	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() && r.cfg.StaleReads == StaleReadAnswer {
-		act.WriteBy = m.pos + k.Bound // what is known of m does no longer
-	} else if k.Effect == Keyed && q.riskSet {
-		act.WriteBy = q.riskAt + k.KeyWindow // it may wait for a connection
-	}
-	r.do(act)
+		MinPosition: r.requiredPosition(q)}
+	if k := &q.class.Class; k.Consistency == Bounded && m != q.group.primary() &&
+		r.cfg.StaleReads == StaleReadAnswer {
+		act.WriteBy = m.position + k.Bound // the known position meets the bound until then
+	} else if k.Effect == Keyed && q.mayHaveRun {
+		act.WriteBy = q.firstRunAt + k.KeyWindow // the attempt may wait for a connection
+	}
+	r.emit(act)
 }
 
 // Outcomes.
 
-func (r *Router) outcome(e *Event) {
+func (r *Router) handleOutcome(e *Event) {
 	m := r.members[e.Member]
 	q := r.requests[e.Request]
 	if m == nil || q == nil || e.Attempt < 0 || e.Attempt >= len(q.attempts) || q.attempts[e.Attempt].done {
@@ -592,46 +633,46 @@
 	}
 	a := q.attempts[e.Attempt]
 	a.done = true
-	q.out--
+	q.outstanding--
 	q.group.activeAt = r.now
-	m.open = slices.DeleteFunc(m.open, func(o *attempt) bool { return o == a })
-	m.booked = max(0, m.booked-a.cost)
-	m.took(a, e.Result)
+	m.attempts = slices.DeleteFunc(m.attempts, func(o *attempt) bool { return o == a })
+	m.outstandingWork = max(0, m.outstandingWork-a.cost)
+	m.recordEnd(a, e.Result)
 	r.learnAnswer(m, q, e)
-	r.health(m, a, e)
+	r.updateHealth(m, a, e)
 	if q.ended = q.ended || e.Ended || e.Result == Served; q.ended {
-		r.callOff(q) // the other copy
+		r.cancelAttempts(q) // the other attempt
 		r.end(q)
 		return
 	}
-	if e.Result.MayHaveRun() && (!q.riskSet || a.sent < q.riskAt) {
-		q.riskSet, q.riskAt, q.riskZone = true, a.sent, m.Zone
+	if e.Result.MayHaveRun() && (!q.mayHaveRun || a.sent < q.firstRunAt) {
+		q.mayHaveRun, q.firstRunAt, q.firstRunZone = true, a.sent, m.Zone
 	}
 	switch {
-	case e.Result == Rejected: // it is for its client to mend
-		r.do(Action{Kind: Fail, Request: q.id})
+	case e.Result == Rejected: // the client has to correct it
+		r.emit(Action{Kind: Fail, Request: q.id})
 		r.end(q)
-	case q.out == 0 && q.riskSet && q.class.Effect == Once:
-		r.giveUp(q, forever)
-	case e.Result == Stale || !e.Result.MayHaveRun(): // another member may do
-		if q.away == nil {
-			q.away = map[*member]Time{}
+	case q.outstanding == 0 && q.mayHaveRun && q.class.Effect == Once:
+		r.abandon(q, distantFuture)
+	case e.Result == Stale || !e.Result.MayHaveRun(): // another member may serve it
+		if q.avoidUntil == nil {
+			q.avoidUntil = map[*member]Time{}
 		}
-		q.away[m] = r.now + retryPause
-	case q.out == 0 && !e.Reused && !r.spendRetry():
-		r.giveUp(q, forever)
+		q.avoidUntil[m] = r.now + retryPause
+	case q.outstanding == 0 && !e.Reused && !r.takeRetryToken():
+		r.abandon(q, distantFuture)
 	}
 }
 
-func (r *Router) spendRetry() bool {
-	if r.retries < 1 {
+func (r *Router) takeRetryToken() bool {
+	if r.retryTokens < 1 {
 		return false
 	}
-	r.retries--
+	r.retryTokens--
 	return true
 }
 
-// learnAnswer takes what an answer says of positions, roles and commits.
+// learnAnswer records the position, role and commit that an answer carries.
 func (r *Router) learnAnswer(m *member, q *request, e *Event) {
 	write := q.class.Writes() && (e.Result == Served || e.InDoubt)
 	if s := q.group.sessions; write && e.HasPosition && r.cfg.RemembersSessions && q.session != "" {
@@ -640,7 +681,7 @@
 	if e.HasPosition && !write && e.Role == Replica {
 		r.learnPosition(m, e.Position)
 	}
-	if e.Result == Misdirected && q.class.Consistency == Write { // whatever it says, it is no primary now
+	if e.Result == Misdirected && q.class.Consistency == Write { // whatever it reports, it is no primary
 		r.learnRole(m, Replica, r.now)
 	} else {
 		r.learnRole(m, e.Role, r.now)
@@ -650,114 +691,119 @@
 
 // Health.
 
-// health books what an outcome tells of its member. Symptoms count, not names: an answer of any kind ends
-// suspicion; a broken or impossible connection begins it; late answers raise stretch and strain.
-func (r *Router) health(m *member, a *attempt, e *Event) {
+// updateHealth records what an outcome shows of its member. An answer of any kind ends suspicion, a
+// connection that broke or was not possible begins it, and late answers raise the slowdown and the
+// latency ratio.
+func (r *Router) updateHealth(m *member, a *attempt, e *Event) {
 	took := float64(max(r.now-a.sent, 1))
 	switch e.Result {
 	case Served:
-		k := a.q.class
-		rate := costUp
+		k := a.request.class
+		rate := costRiseRate
 		if took < k.cost {
-			rate = costDown
+			rate = costFallRate
 		}
 		k.cost += rate * (min(took, float64(k.Deadline)) - k.cost)
-		r.observe(m, a, took)
-		m.errors -= blend * m.errors
-		m.quick += blend * (min(took/a.cost, stretchMax) - m.quick)
-		r.learnLoss(false)
-		for _, o := range m.open {
+		r.recordLatency(m, a, took)
+		m.errorRate -= sampleWeight * m.errorRate
+		m.servedSlowdown += sampleWeight * (min(took/a.cost, maxSlowdown) - m.servedSlowdown)
+		r.recordLoss(false)
+		for _, o := range m.attempts {
 			if o.sent < a.sent {
-				o.passed++
+				o.overtaken++
 			}
 		}
 		fallthrough
 	case Errored, Misdirected, Full, Rejected, Stale:
 		if e.Result == Errored {
-			r.erred(m)
+			r.recordError(m)
 		}
-		m.heard, m.overdue, m.fails = r.now, forever, 0
-		for _, o := range m.open {
-			r.await(m, o)
+		m.answeredAt, m.silentAt, m.connFailures = r.now, distantFuture, 0
+		for _, o := range m.attempts {
+			r.expectAnswer(m, o)
 		}
 		if m.suspect {
-			m.suspect, m.trialGap = false, trialFirst
-			r.note(Recovered, m.group, m.ID)
+			m.suspect, m.halfOpenDelay = false, minHalfOpenDelay
+			r.notify(Recovered, m.group, m.ID)
 		}
 		if e.Result == Full {
-			r.cutLimit(m)
+			r.lowerLimit(m)
 		}
-	case TimedOut, Cancelled: // it may run on: the member stays booked as long as that should take
-		lost := r.lost(a)
-		r.learnLoss(r.late(a))
-		if lost { // it tells nothing of how busy the member is
-			r.erred(m)
+	case TimedOut, Cancelled: // it may go on running: its work counts for as long as that should take
+		lost := r.presumedLost(a)
+		r.recordLoss(r.overdueAnswer(a))
+		if lost { // a lost answer shows nothing of the member's load
+			r.recordError(m)
 			break
 		}
-		r.observe(m, a, took)
-		m.ghosts = append(m.ghosts, spent{r.now + Time(a.cost*m.stretch), a.cost})
-	case Unreachable, Reset: // one broken connection of a member that answered a moment ago is no sign
-		if e.Reused { // it may have been old: a new one will tell
+		r.recordLatency(m, a, took)
+		m.orphans = append(m.orphans, orphan{r.now + Time(a.cost*m.slowdown), a.cost})
+	case Unreachable, Reset: // one broken connection of a member that just answered shows nothing
+		if e.Reused { // an idle connection may have been closed: a new one will show
 			break
 		}
-		m.fails++
-		if again := m.fails >= failsMost || m.suspect || m.heard < r.now-silentLeast; again &&
-			(m.heard < a.sent || e.Result == Unreachable) {
-			r.suspect(m, e.Result == Unreachable)
+		m.connFailures++
+		if again := m.connFailures >= maxConnFailures || m.suspect || m.answeredAt < r.now-minSilence; again &&
+			(m.answeredAt < a.sent || e.Result == Unreachable) {
+			r.markSuspect(m, e.Result == Unreachable)
 		}
 	}
 }
 
-// late tells that the answer to a should long have come; later attempts have more patience.
-func (r *Router) late(a *attempt) bool {
-	usual := a.cost * a.m.quick * float64(a.no+1)
-	return (a.passed >= lostPassed || r.lossy > lossyLeast) && float64(r.now-a.sent) > lostTimes*usual
+// overdueAnswer reports that a's answer is long overdue. Later attempts of a request are given more time.
+func (r *Router) overdueAnswer(a *attempt) bool {
+	usual := a.cost * a.member.servedSlowdown * float64(a.number+1)
+	return (a.overtaken >= minOvertaken || r.lossRate > minLossRate) &&
+		float64(r.now-a.sent) > lostMultiple*usual
 }
 
-// lost tells that it will not come: late answers that did come, or did not, have told how likely that is.
-func (r *Router) lost(a *attempt) bool { return r.lossy > lossyLeast && r.late(a) }
+// presumedLost reports that a's answer will not come, given the fraction of overdue answers that did not.
+func (r *Router) presumedLost(a *attempt) bool { return r.lossRate > minLossRate && r.overdueAnswer(a) }
 
-// learnLoss takes how an attempt ended.
-func (r *Router) learnLoss(lost bool) {
-	r.lossy -= lossyBlend * r.lossy
+// recordLoss counts an attempt whose answer came, or was lost.
+func (r *Router) recordLoss(lost bool) {
+	r.lossRate -= lossSampleWeight * r.lossRate
 	if lost {
-		r.lossy += lossyBlend
-	}
-}
-
-func (r *Router) observe(m *member, a *attempt, took float64) {
-	k := a.q.class
-	w := min(blendMost, max(blend, float64(r.now-m.learnt)/float64(blendTime)))
-	m.stretch += w * (min(took/k.cost, stretchMax) - m.stretch)
-	m.strain += w * (min(took/float64(k.LatencyTarget), 2) - m.strain)
-	of := r.alike(m)
-	w = min(blendMost, max(blend, float64(r.now-of.learnt)/float64(blendTime)))
-	of.strain += w * (min(took/float64(k.LatencyTarget), 2) - of.strain)
-	m.learnt, of.learnt = r.now, r.now
-	if m.strain > strainAim {
-		r.cutLimit(m)
-	} else if m.limit > 0 && m.booked+a.cost >= m.limit/2 {
+		r.lossRate += lossSampleWeight
+	}
+}
+
+// recordLatency adds an answer that took so many ns to the averages of m and of its role, and adapts m's
+// limit.
+func (r *Router) recordLatency(m *member, a *attempt, took float64) {
+	k := a.request.class
+	w := min(maxSampleWeight, max(sampleWeight, float64(r.now-m.sampledAt)/float64(sampleAgeScale)))
+	m.slowdown += w * (min(took/k.cost, maxSlowdown) - m.slowdown)
+	m.latencyRatio += w * (min(took/float64(k.LatencyTarget), 2) - m.latencyRatio)
+	stats := r.roleStats(m)
+	w = min(maxSampleWeight, max(sampleWeight, float64(r.now-stats.sampledAt)/float64(sampleAgeScale)))
+	stats.latencyRatio += w * (min(took/float64(k.LatencyTarget), 2) - stats.latencyRatio)
+	m.sampledAt, stats.sampledAt = r.now, r.now
+	if m.latencyRatio > maxLatencyRatio {
+		r.lowerLimit(m)
+	} else if m.limit > 0 && m.outstandingWork+a.cost >= m.limit/2 {
 		m.limit += a.cost * a.cost / m.limit
 	}
 }
 
-// cutLimit lowers the work a member may hold, at most once a round trip.
-func (r *Router) cutLimit(m *member) {
-	if r.now < m.cutAt {
+// lowerLimit lowers the work that m may hold, at most once per round trip.
+func (r *Router) lowerLimit(m *member) {
+	if r.now < m.nextCutAt {
 		return
 	}
-	held := m.booked + r.leastCost()
+	held := m.outstandingWork + r.leastCost()
 	if m.limit > 0 {
 		held = min(held, m.limit)
 	}
-	m.limit = max(held*cutBy, limitLeast*r.leastCost())
-	m.cutAt = r.now + Time(r.leastCost()*m.stretch)
+	m.limit = max(held*limitCutFactor, minLimitRequests*r.leastCost())
+	m.nextCutAt = r.now + Time(r.leastCost()*m.slowdown)
 }
 
-// suspect takes a member out until a trial answers; for silence, maybe the network's, at most half a group.
-func (r *Router) suspect(m *member, sure bool) {
+// markSuspect takes m out of use until a half-open probe is answered. Unless sure, the network may be the
+// cause: then at most half of a group is out.
+func (r *Router) markSuspect(m *member, sure bool) {
 	if m.suspect {
-		m.overdue = forever
+		m.silentAt = distantFuture
 		return
 	}
 	n := 0
@@ -767,214 +813,226 @@
 		}
 	}
 	if !sure && 2*(n+1) > len(m.group.members) {
-		m.overdue = r.now + silentLeast // looked at again then
+		m.silentAt = r.now + minSilence // checked again then
 		return
 	}
-	m.suspect, m.suspectAt, m.trialAt, m.overdue = true, r.now, r.now+m.trialGap, forever
-	m.limit = limitLeast * r.leastCost()
-	r.note(Suspected, m.group, m.ID)
+	m.suspect, m.suspectAt, m.halfOpenAt, m.silentAt = true, r.now, r.now+m.halfOpenDelay, distantFuture
+	m.limit = minLimitRequests * r.leastCost()
+	r.notify(Suspected, m.group, m.ID)
 }
 
-// await notes by when m must be heard of for a, so that silence shows also when a is called off before.
-func (r *Router) await(m *member, a *attempt) {
-	m.overdue = min(m.overdue, r.now+r.patience(m, a.cost))
+// expectAnswer sets when m must have answered a, so that silence shows even if a is cancelled before.
+func (r *Router) expectAnswer(m *member, a *attempt) {
+	m.silentAt = min(m.silentAt, r.now+r.silenceTolerance(m, a.cost))
 }
 
-// patience is how long a silence is usual: longer with few attempts out, as one slow answer is poor evidence.
-func (r *Router) patience(m *member, cost float64) Time {
-	few := 1 + silentFew/float64(max(1, len(m.open)))
-	return max(Time(silentTimes*few*cost*m.slowness(r.now)), silentLeast)
+// silenceTolerance is the longest usual silence: longer with few attempts outstanding, as one slow answer
+// is weak evidence.
+func (r *Router) silenceTolerance(m *member, cost float64) Time {
+	few := 1 + silenceFewFactor/float64(max(1, len(m.attempts)))
+	return max(Time(silenceMultiple*few*cost*m.slowness(r.now)), minSilence)
 }
 
-// Cold start.
+// Slow start.
 
-func (r *Router) cold(m *member) bool {
+// inSlowStart reports that m started less than SlowStartTime ago, where the settings ask for a slow
+// start.
+func (r *Router) inSlowStart(m *member) bool {
 	return m.Started != 0 && r.cfg.OverloadMultiple > 0 && r.now < m.Started+r.cfg.SlowStartTime
 }
 
-// coldRoom keeps to a cold member's budget: each front asks of one the cold part of what is usual, and what
-// all send adds up. It comes with time and is not kept, so repeats, held requests or a group asked for more
-// get no more. Where it is less than a request, each takes what there is as its chance, and chances add up.
-func (r *Router) coldRoom(m *member, q *request) bool {
+// slowStartAdmits keeps to the budget of a member in slow start: each front sends it the present fraction
+// of its usual work, so that the sum over all fronts is bounded. Tokens accrue with time and expire, so
+// retries, held requests or a surge in one group get no more. Where there is less than a request's work,
+// that is its chance; chances add up.
+func (r *Router) slowStartAdmits(m *member, q *request) bool {
 	p, sent := q.group.primary(), q.sentTo(m)
-	if t, drawn := q.turns[m]; drawn && t.sent == sent { // an attempt uses its turn
-		return t.yes
-	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // hopeless asks too
+	if t, drawn := q.admissions[m]; drawn && t.attemptsBefore == sent { // an attempt uses up its admission
+		return t.admitted
+	} else if q.class.Writes() && m != p && !q.group.leaderless(p) { // infeasible calls this too
 		return false
 	}
-	part := r.cfg.SlowStartFraction + (1-r.cfg.SlowStartFraction)*float64(r.now-m.Started)/float64(max(r.cfg.SlowStartTime, 1))
-	rate := r.usual() * part * r.cfg.OverloadMultiple * coldShare * r.parts[ColdBudget]
-	m.ramp.add(r.now, rate, float64(r.cfg.OverloadTime))
-	yes := m.ramp.turn(q.class.cost, !q.hasTurn())
-	q.took(m, turn{sent, yes})
-	return r.spend(ColdBudget, yes)
+	fraction := r.cfg.SlowStartFraction +
+		(1-r.cfg.SlowStartFraction)*float64(r.now-m.Started)/float64(max(r.cfg.SlowStartTime, 1))
+	rate := r.usualWork() * fraction * r.cfg.OverloadMultiple *
+		slowStartHeadroom * r.budgetShares[SlowStartBudget]
+	m.slowStart.accrue(r.now, rate, float64(r.cfg.OverloadTime))
+	admitted := m.slowStart.admit(q.class.cost, !q.hasUnusedAdmission())
+	q.recordAdmission(m, admission{sent, admitted})
+	return r.countBudgetUse(SlowStartBudget, admitted)
 }
 
-// The sweep: deadlines, silence, rescue, probing and asking.
+// Periodic checks: deadlines, silent members, rerouting, the search for primaries and calls to discovery.
 
 func (r *Router) sweep() {
-	all := r.now-r.sweptAllAt >= sweepAll
-	for _, g := range r.order {
-		if all || r.now-g.activeAt < activeFor {
+	all := r.now-r.sweptAllAt >= fullSweepInterval
+	for _, g := range r.groupOrder {
+		if all || r.now-g.activeAt < groupActiveTime {
 			r.sweepGroup(g)
 		}
 	}
 	if all {
 		r.sweptAllAt = r.now
-		r.sweepList()
+		r.sweepMembership()
 	}
-	for _, q := range r.open {
+	for _, q := range r.openRequests {
 		if !q.ended && !q.streaming {
 			r.sweepRequest(q)
 		}
 	}
-	r.askList()
+	r.watchList()
 }
 
 func (r *Router) sweepGroup(g *group) {
 	for _, m := range g.members {
-		if r.now > m.overdue {
-			r.suspect(m, false)
+		if r.now > m.silentAt {
+			r.markSuspect(m, false)
 		}
-		m.ghosts = slices.DeleteFunc(m.ghosts, func(s spent) bool { return s.at <= r.now })
+		m.orphans = slices.DeleteFunc(m.orphans, func(s orphan) bool { return s.until <= r.now })
 	}
 	r.forgetCommits(g)
-	r.gather(g)
+	r.searchPrimary(g)
 }
 
-// sweepList counts the members that are listed, and forgets members and groups that are not.
-func (r *Router) sweepList() {
-	r.inList = 0
-	r.order = slices.DeleteFunc(r.order, func(g *group) bool {
+// sweepMembership counts the listed members, and drops members and groups that are not listed.
+func (r *Router) sweepMembership() {
+	r.listedMembers = 0
+	r.groupOrder = slices.DeleteFunc(r.groupOrder, func(g *group) bool {
 		for _, m := range g.members {
 			if !m.gone {
-				r.inList++
+				r.listedMembers++
 			}
 		}
-		r.dropGone(g)
+		r.dropUnlisted(g)
 		empty := len(g.members)+len(g.sessions) == 0
-		if empty { // members that come under its number must still reach what was committed in it
-			r.floor = max(r.floor, g.floor)
+		if empty { // members that join under its number later must still have its commits
+			r.commitFloor = max(r.commitFloor, g.commitFloor)
 			delete(r.groups, g.id)
 		}
 		return empty
 	})
 }
 
-// sweepRequest ends a request that no answer can serve any more, or has it tried elsewhere.
+// sweepRequest abandons a request that can't be answered in time any more, or reroutes it.
 func (r *Router) sweepRequest(q *request) {
-	until := q.usefulUntil() - sweepEvery
-	if q.out == 0 {
+	until := q.usefulUntil() - sweepInterval
+	if q.outstanding == 0 {
 		inTime := func(m *member) bool { return !m.gone && !r.tooLate(q, m) }
 		if !slices.ContainsFunc(q.group.members, inTime) {
 			until = r.now
 		}
 	} else if q.class.Effect != Repeatable {
-		until = q.deadline - sweepEvery
+		until = q.deadline - sweepInterval
 	}
-	if r.now >= until || r.now >= q.deadline-sweepEvery {
-		r.giveUp(q, forever)
-	} else if q.out == 1 {
-		r.rescue(q)
+	if r.now >= until || r.now >= q.deadline-sweepInterval {
+		r.abandon(q, distantFuture)
+	} else if q.outstanding == 1 {
+		r.reroute(q)
 	}
 }
 
-// rescue sends elsewhere what a member sits on: as a second copy if that is allowed, else called off first.
-func (r *Router) rescue(q *request) {
+// reroute sends a request that its member doesn't answer elsewhere: as a second attempt if that is
+// allowed, else after the first one is cancelled.
+func (r *Router) reroute(q *request) {
 	a := q.attempts[slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.done })]
-	late := r.waits == 0 && r.now-a.sent > Time(rescueAt*float64(q.class.LatencyTarget))
-	// a trial of a suspect must be left the time to be answered
-	stuck := a.m.suspect && (a.sent <= a.m.suspectAt || r.now-a.sent > r.patience(a.m, a.cost))
-	lost := r.lost(a)
-	if a.off || q.class.Effect == Once || r.retries < 1 || !stuck && !late && !lost {
+	late := r.heldRequests == 0 && r.now-a.sent > Time(rerouteFraction*float64(q.class.LatencyTarget))
+	// a half-open probe of a suspect must have the time to be answered
+	stuck := a.member.suspect && (a.sent <= a.member.suspectAt ||
+		r.now-a.sent > r.silenceTolerance(a.member, a.cost))
+	lost := r.presumedLost(a)
+	if a.cancelled || q.class.Effect == Once || r.retryTokens < 1 || !stuck && !late && !lost {
 		return
 	}
 	if q.class.Effect == Repeatable && r.cfg.MayDuplicate {
-		if m := r.choose(q); m != nil && m != a.m {
-			r.spendRetry()
+		if m := r.chooseMember(q); m != nil && m != a.member {
+			r.takeRetryToken()
 			r.send(q, m)
 		}
 		return
 	}
 	p := q.group.primary()
-	held := p == nil || p == a.m || r.now-a.sent > q.class.KeyWindow
+	held := p == nil || p == a.member || r.now-a.sent > q.class.KeyWindow
 	if r.cfg.MayCancel && (stuck || lost) && (q.class.Consistency != Write || lost || !held) {
 		r.cancel(a)
 	}
 }
 
-// gather looks for a primary that something waits for.
-func (r *Router) gather(g *group) {
+// searchPrimary probes the members of g while requests wait for a primary.
+func (r *Router) searchPrimary(g *group) {
 	p := g.primary()
-	if p == nil && !g.lost {
-		g.lost = true
-		r.note(PrimaryUnknown, g, "")
+	if p == nil && !g.primaryUnknown {
+		g.primaryUnknown = true
+		r.notify(PrimaryUnknown, g, "")
 	}
-	if !r.cfg.MayProbe || !g.leaderless(p) || r.now-g.wanted > 2*sweepEvery {
+	if !r.cfg.MayProbe || !g.leaderless(p) || r.now-g.neededAt > 2*sweepInterval {
 		return
 	}
 	for _, m := range g.members {
-		if m != p && r.now-m.probedAt >= r.seekGap {
+		if m != p && r.now-m.probedAt >= r.primarySearchGap {
 			r.probe(m)
 		}
 	}
 }
 
-// ask probes the replica that SELF would take, where none qualifies, and tells whether to wait for it.
-func (r *Router) ask(q *request, p *member, need Time) bool {
-	if r.now-need < r.reportAge { // no report can tell of it yet
+// probeForRead probes the replica that SELF prefers, where none qualifies, and reports whether to wait
+// for the outcome.
+func (r *Router) probeForRead(q *request, p *member, need Time) bool {
+	if r.now-need < r.reportAge { // no report can show so new a position yet
 		return false
 	}
 	var best *member
 	var least float64
 	for _, m := range q.group.members {
-		if m == p || !r.usable(m, q) || m.pos >= need {
+		if m == p || !r.usable(m, q) || m.position >= need {
 			continue
 		}
-		if m.probing && r.now-m.probedAt < askWait {
+		if m.probing && r.now-m.probedAt < probeWait {
 			return true
 		}
-		s := r.score(m, q) * (1 + float64(m.lag)/float64(r.freshFor)) // the more advanced sooner
+		s := r.score(m, q) * (1 + float64(m.lag)/float64(r.tightestBound)) // prefers those that lag less
 		if !m.probing && r.now-m.probedAt >= m.probeGap && (best == nil || s < least) {
 			best, least = m, s
 		}
 	}
-	if best == nil || q.asked >= askTimes || !r.probe(best) {
+	if best == nil || q.probes >= maxProbesPerRead || !r.probe(best) {
 		return false
 	}
-	q.asked++
+	q.probes++
 	return true
 }
 
-// probe asks m for its report, unless all fronts together might ask too often.
+// probe requests m's report, unless all fronts together might probe it too often. It reports whether it
+// did.
 func (r *Router) probe(m *member) bool {
-	if r.barred(m) || !r.spend(ProbeBudget, r.now-m.probedAt >= r.each(probeEach, ProbeBudget)) {
+	if r.barred(m) ||
+		!r.countBudgetUse(ProbeBudget, r.now-m.probedAt >= r.fleetInterval(fleetProbeInterval, ProbeBudget)) {
 		return false
 	}
 	m.probedAt, m.probing = r.now, true
-	r.do(Action{Kind: Probe, Member: m.ID})
+	r.emit(Action{Kind: Probe, Member: m.ID})
 	return true
 }
 
-func (r *Router) probed(e *Event) {
+func (r *Router) handleProbe(e *Event) {
 	m := r.members[e.Member]
 	if m == nil {
 		return
 	}
 	m.probing = false
 	if e.Result != Served || !e.Report.HasPosition {
-		if r.now-m.toldAt < toldFor && m.heard < m.probedAt && (e.Result == TimedOut || e.Result == Unreachable) {
-			r.suspect(m, e.Result == Unreachable) // it was looked at, and is silent here too
+		if r.now-m.peerReportAt < peerReportLifetime && m.answeredAt < m.probedAt &&
+			(e.Result == TimedOut || e.Result == Unreachable) {
+			r.markSuspect(m, e.Result == Unreachable) // the peer's report is confirmed
 		}
-		m.probeGap = min(2*m.probeGap, max(r.freshFor*3, time.Second))
+		m.probeGap = min(2*m.probeGap, max(r.tightestBound*3, time.Second))
 		return
 	}
 	r.learnReport(m, &e.Report)
-	if age := r.now - e.Report.Position; age < r.freshFor && e.Report.Role == Replica {
-		r.reportAge += Time(blend * float64(age-r.reportAge))
+	if age := r.now - e.Report.Position; age < r.tightestBound && e.Report.Role == Replica {
+		r.reportAge += Time(sampleWeight * float64(age-r.reportAge))
 	}
-	m.probeGap = r.freshFor / 3
-	if r.now-m.pos > r.freshFor { // too old to meet any bound: ask less often
-		m.probeGap = min(r.freshFor*3, r.now-m.pos)
+	m.probeGap = r.tightestBound / 3
+	if r.now-m.position > r.tightestBound { // too old to meet any bound: probe less often
+		m.probeGap = min(r.tightestBound*3, r.now-m.position)
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -36,8 +36,8 @@
 	keyed
 )
 
-// rig drives one router by hand.
-type rig struct {
+// routerTest drives one router step by step.
+type routerTest struct {
 	t   *testing.T
 	r   *Router
 	now Time
@@ -48,7 +48,7 @@
 	return []Member{{ID: "p", Zone: "a", Primary: true}, {ID: "q", Zone: "a"}, {ID: "s", Zone: "b"}}
 }
 
-func newRig(t *testing.T, change func(*Config), list []Member) *rig {
+func newRig(t *testing.T, change func(*Config), list []Member) *routerTest {
 	t.Helper()
 	cfg := testConfig()
 	if change != nil {
@@ -58,18 +58,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, r: r, now: time.Hour}
+	g := &routerTest{t: t, r: r, now: time.Hour}
 	g.step(Event{Kind: ListSaved, Members: list})
 	return g
 }
 
-func (g *rig) step(ev ...Event) []Action {
+func (g *routerTest) step(ev ...Event) []Action {
 	g.got = g.r.Step(g.now, ev, nil)
 	return g.got
 }
 
 // run steps timers over a span and returns all actions.
-func (g *rig) run(d Time) (all []Action) {
+func (g *routerTest) run(d Time) (all []Action) {
 	for end := g.now + d; g.now < end; {
 		g.now += 5 * ms
 		all = append(all, g.step(Event{Kind: Timer})...)
@@ -77,11 +77,11 @@
 	return all
 }
 
-func (g *rig) arrive(id uint64, class int, wait Time, s string) []Action {
+func (g *routerTest) arrive(id uint64, class int, wait Time, s string) []Action {
 	return g.step(Event{Kind: Arrive, Request: id, Class: class, Tenant: -1, Session: s, Remaining: wait})
 }
 
-func (g *rig) answer(id uint64, attempt int, m string, res Result, role Role, pos Time) []Action {
+func (g *routerTest) answer(id uint64, attempt int, m string, res Result, role Role, pos Time) []Action {
 	e := Event{Kind: Outcome, Request: id, Attempt: attempt, Member: m, Result: res, Role: role, Ended: res == Served}
 	if pos != 0 {
 		e.HasPosition, e.Position = true, pos
@@ -89,7 +89,7 @@
 	return g.step(e)
 }
 
-func pick(as []Action, k ActionKind, id uint64) (out []Action) {
+func actionsOf(as []Action, k ActionKind, id uint64) (out []Action) {
 	for _, a := range as {
 		if a.Kind == k && a.Request == id {
 			out = append(out, a)
@@ -98,35 +98,35 @@
 	return out
 }
 
-// sentTo fails unless exactly one attempt of id went out, and returns where.
-func (g *rig) sentTo(as []Action, id uint64) string {
+// sentTo returns the member of the one attempt of id, and fails unless there is exactly one.
+func (g *routerTest) sentTo(as []Action, id uint64) string {
 	g.t.Helper()
-	s := pick(as, Send, id)
+	s := actionsOf(as, Send, id)
 	if len(s) != 1 {
 		g.t.Fatalf("request %d: %d sends, want 1", id, len(s))
 	}
 	return s[0].Member
 }
 
-// tell gives replica m a position, as a probe does.
-func (g *rig) tell(m string, pos Time) {
+// reportPosition gives replica m a position, as a probe does.
+func (g *routerTest) reportPosition(m string, pos Time) {
 	g.t.Helper()
 	g.step(Event{Kind: Probed, Member: m, Result: Served,
 		Report: Report{HasPosition: true, Position: pos, HasRole: true, Role: Replica}})
 }
 
-func TestOrdinaryPath(t *testing.T) {
+func TestMemberByConsistency(t *testing.T) {
 	tests := []struct {
 		name  string
 		class int
-		age   Time // of q's told position; negative = none told
+		age   Time // of q's reported position; -1 = none reported
 		want  string
 	}{
 		{"any read goes to a replica", anyRead, -1, "replica"},
 		{"bounded read with no position known goes to the primary", bounded, -1, "p"},
 		{"bounded read goes where the position reaches the bound", bounded, 50 * ms, "q"},
-		{"bounded read does not go beneath its bound", bounded, 150 * ms, "p"},
-		{"position ahead of the clock is not believed", bounded, -60 * ms, "p"},
+		{"bounded read does not go below its bound", bounded, 150 * ms, "p"},
+		{"position ahead of the clock is ignored", bounded, -60 * ms, "p"},
 		{"fresh read goes to the primary", fresh, 10 * ms, "p"},
 		{"write goes to the primary", once, 10 * ms, "p"},
 	}
@@ -134,7 +134,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := newRig(t, nil, members())
 			if tc.age != -1 {
-				g.tell("q", g.now-tc.age)
+				g.reportPosition("q", g.now-tc.age)
 			}
 			got := g.sentTo(append(g.arrive(1, tc.class, time.Second, "u"), g.run(100*ms)...), 1)
 			if tc.want == "replica" && got != "p" {
@@ -153,13 +153,13 @@
 	commit := g.now + ms
 	g.now += 20 * ms
 	g.answer(1, 0, "p", Served, Primary, commit)
-	g.tell("q", commit-5*ms)
+	g.reportPosition("q", commit-5*ms)
 	if got := g.sentTo(append(g.arrive(2, session, time.Second, "u"), g.run(100*ms)...), 2); got != "p" {
 		t.Errorf("replicas behind the session's write: sent to %s, want p", got)
 	}
 	g.answer(2, 0, "p", Served, Primary, 0)
 	g.now += 20 * ms
-	g.tell("q", commit)
+	g.reportPosition("q", commit)
 	if got := g.sentTo(g.arrive(3, session, time.Second, "u"), 3); got != "q" {
 		t.Errorf("replica that has the write: sent to %s, want q", got)
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-// A commit that all members had is forgotten, yet a member that joins later must reach it.
+// A member that joins later must reach a commit that was forgotten because all members had it.
 func TestForgottenCommitsBindNewMembers(t *testing.T) {
 	list := members()[:2]
 	g := newRig(t, nil, list)
@@ -176,7 +176,7 @@
 	commit := g.now
 	g.now += 20 * ms
 	g.answer(1, 0, "p", Served, Primary, commit)
-	g.tell("q", commit+10*ms)
+	g.reportPosition("q", commit+10*ms)
 	g.run(20 * ms)
 	if n := len(g.r.groups[0].sessions); n != 0 {
 		t.Fatalf("%d commits kept that every member has", n)
@@ -186,13 +186,13 @@
 		t.Errorf("sent to %s, which is not known to have the write", got)
 	}
 	g.answer(2, 0, "p", Served, Primary, g.now)
-	g.step(Event{Kind: ListFull}) // the whole group goes for so long that it is forgotten, and its number comes anew
-	g.run(goneKeep + 100*ms)
-	if n := len(g.r.groups) + len(g.r.order); n != 0 {
+	g.step(Event{Kind: ListFull}) // the whole group leaves the list until it is dropped, and its number is used again
+	g.run(goneRetention + 100*ms)
+	if n := len(g.r.groups) + len(g.r.groupOrder); n != 0 {
 		t.Fatalf("%d entries of a group without members are kept", n)
 	}
 	g.step(Event{Kind: ListFull, Members: []Member{{ID: "p", Primary: true}, {ID: "behind", Zone: "a"}}})
-	g.tell("behind", commit-ms)
+	g.reportPosition("behind", commit-ms)
 	if got := g.sentTo(append(g.arrive(3, session, time.Second, "u"), g.run(100*ms)...), 3); got != "p" {
 		t.Errorf("sent to %s, which lacks a write of before its group was forgotten", got)
 	}
@@ -200,7 +200,7 @@
 
 func TestCarriedToken(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.RemembersSessions = false }, members())
-	g.tell("q", g.now-50*ms)
+	g.reportPosition("q", g.now-50*ms)
 	for _, tc := range []struct {
 		age  Time
 		want string
@@ -212,17 +212,17 @@
 	}
 }
 
-// Stores that check: the most advanced replica first, the primary when that one turns the read away.
+// Where members check positions, the most advanced replica is tried first, and not again once it refused the read.
 func TestCheckedReads(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.StaleReads = StaleReadRefuse }, members())
-	g.tell("q", g.now-300*ms)
-	g.tell("s", g.now-500*ms)
+	g.reportPosition("q", g.now-300*ms)
+	g.reportPosition("s", g.now-500*ms)
 	if got := g.sentTo(g.arrive(1, bounded, time.Second, ""), 1); got != "q" {
 		t.Fatalf("sent to %s, want the most advanced, q", got)
 	}
 	g.now += 2 * ms
 	if got := g.sentTo(g.answer(1, 0, "q", Misdirected, Replica, g.now-290*ms), 1); got == "q" {
-		t.Error("sent again at once to the member that turned it away")
+		t.Error("sent again at once to the member that refused it")
 	}
 }
 
@@ -230,7 +230,7 @@
 	g := newRig(t, nil, members())
 	g.arrive(1, once, 2*time.Second, "u")
 	g.now += 2 * ms
-	for no, last := 0, "p"; no < 2; no++ { // the write itself looks for the new primary, member by member
+	for no, last := 0, "p"; no < 2; no++ { // the write itself is tried at member after member
 		m := g.sentTo(g.answer(1, no, last, Misdirected, Replica, 0), 1)
 		if m == last || m == "p" {
 			t.Fatalf("tried %s after %s", m, last)
@@ -238,13 +238,13 @@
 		last = m
 	}
 	g.now += 2 * ms
-	if as := g.answer(1, 2, g.r.requests[1].attempts[2].m.ID, Misdirected, Replica, 0); len(pick(as, Send, 1)) != 0 {
+	if as := g.answer(1, 2, g.r.requests[1].attempts[2].member.ID, Misdirected, Replica, 0); len(actionsOf(as, Send, 1)) != 0 {
 		t.Fatal("sent again with all known as replicas a moment ago")
 	}
 	g.run(60 * ms)
 	g.step(Event{Kind: ListChange, Members: []Member{{ID: "p", Zone: "a", Primary: true}}})
-	if len(pick(g.got, Send, 1)) != 0 {
-		t.Fatal("an old list beat a member's own word")
+	if len(actionsOf(g.got, Send, 1)) != 0 {
+		t.Fatal("an old list overrode a member's own report")
 	}
 	as := g.step(Event{Kind: Probed, Member: "s", Result: Served,
 		Report: Report{HasPosition: true, Position: g.now - ms, HasRole: true, Role: Primary}})
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestRepeats(t *testing.T) {
+func TestRetriesByEffect(t *testing.T) {
 	tests := []struct {
 		name   string
 		class  int
@@ -274,22 +274,22 @@
 			to := g.sentTo(g.arrive(1, tc.class, 2*time.Second, "u"), 1)
 			g.now += tc.after
 			as := append(g.answer(1, 0, to, tc.res, RoleUnknown, 0), g.run(3*time.Second)...)
-			if got := len(pick(as, Send, 1)) > 0; got != tc.resend {
+			if got := len(actionsOf(as, Send, 1)) > 0; got != tc.resend {
 				t.Errorf("sent again: %v, want %v", got, tc.resend)
 			}
-			if len(pick(as, tc.end, 1)) != 1 || len(pick(as, Refuse, 1))+len(pick(as, Fail, 1)) != 1 {
+			if len(actionsOf(as, tc.end, 1)) != 1 || len(actionsOf(as, Refuse, 1))+len(actionsOf(as, Fail, 1)) != 1 {
 				t.Errorf("want exactly one final answer of kind %d, got %v", tc.end, as)
 			}
 		})
 	}
 }
 
-func TestDrainedAndGone(t *testing.T) {
+func TestDrainingAndUnlistedMembers(t *testing.T) {
 	for _, st := range []MemberState{Draining, Removed} {
 		g := newRig(t, nil, members())
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: "q", Zone: "a", State: st}}})
 		for id := uint64(1); id < 40; id++ {
-			for _, a := range pick(g.arrive(id, anyRead, time.Second, ""), Send, id) {
+			for _, a := range actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id) {
 				if a.Member == "q" {
 					t.Fatalf("state %d: sent to q", st)
 				}
@@ -303,16 +303,16 @@
 	}
 }
 
-// What all fronts together send to a cold member keeps to its budget, and uses it, in small fleets and in large
-// ones in which the budget of a front is far under one request.
-func TestColdBudget(t *testing.T) {
+// The work that all fronts together send to a member in slow start keeps to its budget, and uses it, in small fleets
+// and in large ones, where the budget of one front is far below one request.
+func TestSlowStartBudgetByFleetSize(t *testing.T) {
 	for _, fronts := range []int{1, 5, 80, 200} {
 		const groups, rate = 5, 100.0 // requests a second of all fronts, a fifth of them writes
 		rng := rand.New(rand.NewPCG(3, uint64(fronts)))
-		var rigs []*rig
+		var rigs []*routerTest
 		for i := range fronts {
 			var list []Member
-			for g := range groups { // in group 0 the primary is cold, in group 1 a replica
+			for g := range groups { // in slow start are the primary of group 0 and a replica of group 1
 				for j := range 3 {
 					m := Member{ID: fmt.Sprintf("%d%d", g, j), Group: int64(g), Primary: j == 0}
 					if g == j && g < 2 {
@@ -327,7 +327,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &rig{t: t, r: r, now: time.Hour}
+			g := &routerTest{t: t, r: r, now: time.Hour}
 			g.step(Event{Kind: ListFull, Members: list})
 			rigs = append(rigs, g)
 		}
@@ -339,7 +339,7 @@
 			if id%5 == 0 {
 				class = once
 			}
-			g.now += Time(float64(time.Second) / rate) // of this front, slower than the fleet's
+			g.now += Time(float64(time.Second) / rate) // this front's clock, slower than the fleet's
 			as := g.step(Event{Kind: Arrive, Request: uint64(id + 1), Class: class, Tenant: -1, Group: rng.Int64N(groups),
 				Remaining: time.Second, Session: "u"})
 			cost := 40 * ms
@@ -347,16 +347,16 @@
 				cost = 100 * ms
 			}
 			all += float64(cost)
-			for _, a := range pick(as, Send, uint64(id+1)) {
+			for _, a := range actionsOf(as, Send, uint64(id+1)) {
 				cold[a.Member] += float64(cost)
 				g.now += cost
 				g.answer(uint64(id+1), 0, a.Member, Served, RoleUnknown, 0)
 			}
 			g.step(Event{Kind: ClientGone, Request: uint64(id + 1)})
 		}
-		usual := all / (3 * groups) // of a member
+		usual := all / (3 * groups) // per member
 		for _, id := range []string{"00", "11"} {
-			part := cold[id] / usual / (0.24 * 2.5 * coldShare)
+			part := cold[id] / usual / (0.24 * 2.5 * slowStartHeadroom)
 			t.Logf("%d fronts: %s took %.2f of its budget", fronts, id, part)
 			if part > 1.3 || part < 0.3 {
 				t.Errorf("%d fronts sent %s %.2f of its budget", fronts, id, part)
@@ -365,9 +365,9 @@
 	}
 }
 
-// Where all members are cold, a read that missed its chance hears so at once: held, it would only lose the time
-// to ask again, which is a new chance. Nothing is refused where some member is warm.
-func TestMissedChanceIsToldAtOnce(t *testing.T) {
+// Where all members are in slow start, a read that none admits is refused at once: held, it would only lose the time
+// for a retry, which is a new chance. Nothing is refused while some member is not in slow start.
+func TestUnadmittedReadIsRefusedAtOnce(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		list := members()
 		for i := range list {
@@ -379,35 +379,35 @@
 		g := newRig(t, nil, list)
 		sent, refused := 0, 0
 		for id := uint64(1); id <= 60; id++ {
-			g.now += 10 * ms // what may be sent comes with time
+			g.now += 10 * ms // tokens accrue with time
 			as := g.arrive(id, anyRead, time.Second, "")
-			sent += len(pick(as, Send, id))
-			for _, a := range pick(as, Refuse, id) {
+			sent += len(actionsOf(as, Send, id))
+			for _, a := range actionsOf(as, Refuse, id) {
 				if refused++; a.RetryAfter <= 0 || a.RetryAfter > 100*ms {
-					t.Errorf("told to come back after %v, too late to be of use", a.RetryAfter)
+					t.Errorf("told to retry after %v, too late to be of use", a.RetryAfter)
 				}
 			}
 		}
 		if (refused == 0) != warm || sent == 0 || !warm && sent+refused != 60 {
-			t.Errorf("one warm %v: %d sent and %d refused of 60", warm, sent, refused)
+			t.Errorf("one not in slow start %v: %d sent and %d refused of 60", warm, sent, refused)
 		}
 	}
 }
 
-// While a group has no primary, all fronts together probe each member a hundred times a second at most, after the
-// first round.
-func TestProbesOverTheFleet(t *testing.T) {
+// While a group has no primary, all fronts together probe each member at most a hundred times a second, after the first
+// probe of each front.
+func TestProbeRateOfTheFleet(t *testing.T) {
 	const span = 3
 	for _, fronts := range []int{1, 5, 80, 200} {
 		probes := map[string]int{}
 		for i := range fronts {
 			g := newRig(t, func(c *Config) { c.Self, c.Fronts = i, fronts }, []Member{{ID: "p"}, {ID: "q"}, {ID: "s"}})
-			for id := uint64(1); id <= 10*span; id++ { // someone always waits
+			for id := uint64(1); id <= 10*span; id++ { // some request always waits
 				as := append(g.arrive(id, fresh, time.Second, ""), g.run(100*ms)...)
 				for _, a := range as {
 					if a.Kind == Probe {
 						probes[a.Member]++
-						g.tell(a.Member, g.now-ms)
+						g.reportPosition(a.Member, g.now-ms)
 					}
 				}
 			}
@@ -423,27 +423,27 @@
 	}
 }
 
-// Cold replicas without room for a read are as good as none: the warm primary takes it at once.
-func TestReadsBesideColdReplicas(t *testing.T) {
+// Replicas in slow start that don't admit a read count as none: the primary gets it at once.
+func TestReadsBesideReplicasInSlowStart(t *testing.T) {
 	list := members()
 	list[1].Started, list[2].Started = time.Hour, time.Hour
 	g := newRig(t, nil, list)
 	to := map[string]int{}
 	for id := uint64(1); id <= 60; id++ {
-		g.r.members["p"].limit = 1.5 * g.r.classes[anyRead].cost // room for one, but not within the spare half
+		g.r.members["p"].limit = 1.5 * g.r.classes[anyRead].cost // capacity for one, but not within spareLimitFraction
 		m := g.sentTo(g.arrive(id, anyRead, time.Second, ""), id)
 		to[m]++
 		g.now += 20 * ms
 		g.answer(id, 0, m, Served, RoleUnknown, 0)
 	}
 	if to["p"] == 0 || to["q"]+to["s"] == 0 {
-		t.Errorf("sent %v, want the primary and the replicas within their chance", to)
+		t.Errorf("sent %v, want some at the primary and some at the replicas", to)
 	}
 }
 
-// A start with an empty list, or with one whose members are all gone, asks discovery and nobody else for long, tells
-// clients so in time, and serves as soon as the list has come.
-func TestUselessSavedList(t *testing.T) {
+// A front that starts with an empty list, or one whose members are all gone, calls discovery once, refuses requests in
+// time, and serves as soon as the list has come.
+func TestUnusableSavedList(t *testing.T) {
 	for name, saved := range map[string][]Member{"empty": nil, "gone": {{ID: "x"}, {ID: "y"}}} {
 		cfg := testConfig()
 		cfg.ListOnRequest, cfg.Fronts = true, 80
@@ -451,11 +451,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: time.Hour}
+		g := &routerTest{t: t, r: r, now: time.Hour}
 		all := g.step(Event{Kind: ListSaved, Members: saved})
 		all = append(all, g.arrive(1, anyRead, time.Second, "")...)
-		for range 400 { // whatever it sends finds nobody
-			for _, a := range pick(all, Send, 1) {
+		for range 400 { // no attempt reaches a member
+			for _, a := range actionsOf(all, Send, 1) {
 				all = append(all, g.answer(1, a.Attempt, a.Member, Unreachable, RoleUnknown, 0)...)
 			}
 			all = append(all, g.run(10*ms)...)
@@ -466,8 +466,8 @@
 				watches++
 			}
 		}
-		if watches != 1 || len(pick(all, Refuse, 1)) != 1 || len(all) > 4000 {
-			t.Errorf("%s: %d watches, %d refusals, %d actions", name, watches, len(pick(all, Refuse, 1)), len(all))
+		if watches != 1 || len(actionsOf(all, Refuse, 1)) != 1 || len(all) > 4000 {
+			t.Errorf("%s: %d watches, %d refusals, %d actions", name, watches, len(actionsOf(all, Refuse, 1)), len(all))
 		}
 		g.step(Event{Kind: ListFull, Members: []Member{{ID: "z"}}})
 		if got := g.sentTo(g.arrive(2, anyRead, time.Second, ""), 2); got != "z" {
@@ -478,17 +478,17 @@
 
 func TestNoMemberOrNoTime(t *testing.T) {
 	g := newRig(t, nil, nil)
-	if as := g.arrive(1, once, time.Second, ""); len(pick(as, Refuse, 1)) != 1 {
+	if as := g.arrive(1, once, time.Second, ""); len(actionsOf(as, Refuse, 1)) != 1 {
 		t.Error("no member: want a refusal at once")
 	}
 	g = newRig(t, nil, members())
-	if as := g.arrive(1, once, 0, ""); len(pick(as, Refuse, 1)) != 1 {
+	if as := g.arrive(1, once, 0, ""); len(actionsOf(as, Refuse, 1)) != 1 {
 		t.Error("no time: want a refusal at once")
 	}
 }
 
-// An idle front looks around seldom; a request with little time must still be answered (sapporo, lost).
-func TestShortTryOnIdleFront(t *testing.T) {
+// An idle front wakes seldom; a request with little time left must still be answered (seen in sapporo, lost).
+func TestShortDeadlineOnIdleFront(t *testing.T) {
 	g := newRig(t, nil, members())
 	as := g.arrive(1, keyed, 40*ms, "u")
 	var at Time
@@ -501,17 +501,17 @@
 		t.Fatalf("woken %v after the arrival, too late for 40 ms", at-g.now)
 	}
 	as = append(as, g.run(45*ms)...)
-	if len(pick(as, Fail, 1))+len(pick(as, Refuse, 1)) != 1 {
+	if len(actionsOf(as, Fail, 1))+len(actionsOf(as, Refuse, 1)) != 1 {
 		t.Errorf("want one final answer in time, got %v", as)
 	}
 }
 
-// One reset each must not eject the members of a group (incident i8985ed).
+// One connection reset each must not take the members of a group out of use (incident i8985ed).
 func TestResetsDoNotEjectAll(t *testing.T) {
 	list := append(members(), Member{ID: "x", Zone: "a"}, Member{ID: "y", Zone: "a"})
 	g := newRig(t, nil, list)
 	for id := uint64(1); id < 60; id++ {
-		for _, a := range pick(g.arrive(id, anyRead, time.Second, ""), Send, id) {
+		for _, a := range actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id) {
 			g.answer(id, 0, a.Member, Reset, RoleUnknown, 0)
 		}
 		g.now += ms
@@ -527,14 +527,14 @@
 	}
 }
 
-// One broken connection says nothing of a member that answered a moment ago; a second one does, and so does
-// silence before it.
-func TestOneResetIsNoSign(t *testing.T) {
+// One broken connection is no evidence against a member that has just answered; a second one is, and so is silence
+// before it.
+func TestOneResetIsNoEvidence(t *testing.T) {
 	for name, tc := range map[string]struct {
 		quiet  Time
 		resets int
 		want   bool
-	}{"among answers": {0, 1, false}, "two": {0, 2, true}, "after silence": {2 * silentLeast, 1, true}} {
+	}{"among answers": {0, 1, false}, "two": {0, 2, true}, "after silence": {2 * minSilence, 1, true}} {
 		g := newRig(t, nil, members())
 		g.arrive(1, once, time.Second, "u")
 		g.arrive(2, once, time.Second, "u")
@@ -549,36 +549,37 @@
 			t.Errorf("%s: suspect %v", name, got)
 		}
 		g = newRig(t, nil, members())
-		for id := uint64(1); id < 5; id++ { // connections that were used before may just have been old
+		for id := uint64(1); id < 5; id++ { // reused connections may just have been closed while idle
 			g.arrive(id, once, time.Second, "u")
 			g.step(Event{Kind: Outcome, Request: id, Member: "p", Result: Reset, Reused: true})
 		}
-		if g.r.members["p"].suspect || g.r.retries < retryMost-1 {
-			t.Errorf("suspect %v, %v retries left", g.r.members["p"].suspect, g.r.retries)
+		if g.r.members["p"].suspect || g.r.retryTokens < maxRetryTokens-1 {
+			t.Errorf("suspect %v, %v retries left", g.r.members["p"].suspect, g.r.retryTokens)
 		}
 	}
 }
 
-// A suspect's trial is left to be answered, which is how suspicion ends; what was out before goes elsewhere.
-func TestTrialIsLeftToRun(t *testing.T) {
+// The half-open probe of a suspect must not be cancelled, as its answer ends the suspicion; attempts that were
+// outstanding before are cancelled.
+func TestHalfOpenProbeIsNotCancelled(t *testing.T) {
 	g := newRig(t, nil, members()[:2])
 	first := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
-	g.r.suspect(g.r.members[first], true)
-	if as := g.run(20 * ms); len(pick(as, Cancel, 1)) != 1 {
-		t.Error("an attempt out at a suspect was not called off")
+	g.r.markSuspect(g.r.members[first], true)
+	if as := g.run(20 * ms); len(actionsOf(as, Cancel, 1)) != 1 {
+		t.Error("an attempt out at a suspect was not cancelled")
 	}
 	g.answer(1, 0, first, Cancelled, RoleUnknown, 0)
-	g.now += trialFirst
+	g.now += minHalfOpenDelay
 	id := uint64(1)
 	for m := ""; m != first; g.now += ms {
 		id++
 		m = g.sentTo(g.arrive(id, anyRead, time.Second, ""), id)
 	}
-	if as := g.run(50 * ms); len(pick(as, Cancel, id)) != 0 {
-		t.Error("the trial was called off")
+	if as := g.run(50 * ms); len(actionsOf(as, Cancel, id)) != 0 {
+		t.Error("the half-open probe was cancelled")
 	}
-	if gap := g.r.members[first].trialAt - g.now; gap > trialMost {
-		t.Errorf("next trial in %v", gap)
+	if gap := g.r.members[first].halfOpenAt - g.now; gap > maxHalfOpenDelay {
+		t.Errorf("next half-open probe in %v", gap)
 	}
 	g.answer(id, 0, first, Served, RoleUnknown, 0)
 	if g.r.members[first].suspect {
@@ -586,8 +587,8 @@
 	}
 }
 
-// Where answers get lost, a read that others have passed is called off and sent again, and the member is not
-// taken for busy. Where late answers come after all, reads are left to run.
+// Where answers get lost, a read that later ones have overtaken is cancelled and sent again, and the member does not
+// count as loaded. Where late answers do come, reads are not cancelled.
 func TestLostAnswers(t *testing.T) {
 	for _, lossy := range []bool{true, false} {
 		g := newRig(t, nil, members()[:2])
@@ -608,7 +609,7 @@
 			}
 			as = append(as, g.run(100*ms)...)
 			switch {
-			case len(pick(as, Cancel, late)) > 0:
+			case len(actionsOf(as, Cancel, late)) > 0:
 				early++
 				again := g.sentTo(g.answer(late, 0, m, Cancelled, RoleUnknown, 0), late)
 				g.now += 10 * ms
@@ -621,16 +622,16 @@
 			}
 		}
 		if lossy && early < 20 || !lossy && early > 0 {
-			t.Errorf("lossy %v: %d of 30 late reads called off early", lossy, early)
+			t.Errorf("lossy %v: %d of 30 late reads cancelled early", lossy, early)
 		}
-		if strain := g.r.members["q"].strain; lossy && strain > strainAim {
-			t.Errorf("strain %.2f by lost answers", strain)
+		if strain := g.r.members["q"].latencyRatio; lossy && strain > maxLatencyRatio {
+			t.Errorf("latency ratio %.2f from lost answers", strain)
 		}
 	}
 }
 
-// A replica that errs at once has the least outstanding, but is not sent all there is: the primary has room.
-func TestErringMemberComesLast(t *testing.T) {
+// A replica that fails every read at once has the least outstanding work, but must not get all reads.
+func TestErrorProneMemberIsUsedLast(t *testing.T) {
 	g := newRig(t, nil, members()[:2])
 	bad := 0
 	for id := uint64(1); id <= 200; id++ {
@@ -642,7 +643,7 @@
 		}
 		bad++
 		as := g.answer(id, 0, m, Errored, Replica, 0)
-		if len(pick(as, Send, id)) == 1 {
+		if len(actionsOf(as, Send, id)) == 1 {
 			g.answer(id, 1, "p", Served, Primary, g.now)
 		}
 	}
@@ -651,47 +652,47 @@
 	}
 }
 
-// A read called off may run on: its work stays booked for a while (incident i8985ed).
-func TestCalledOffWorkStaysBooked(t *testing.T) {
+// A cancelled read may go on running: its work counts for a while (incident i8985ed).
+func TestCancelledWorkStaysHeld(t *testing.T) {
 	g := newRig(t, nil, members())
 	to := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	g.run(250 * ms)
 	g.answer(1, 0, to, Cancelled, RoleUnknown, 0)
-	if m := g.r.members[to]; m.booked != 0 || m.held() == 0 {
-		t.Errorf("booked %v, held %v: want only the called-off work held", m.booked, m.held())
+	if m := g.r.members[to]; m.outstandingWork != 0 || m.heldWork() == 0 {
+		t.Errorf("booked %v, held %v: want only the cancelled work held", m.outstandingWork, m.heldWork())
 	}
 	g.run(10 * time.Second)
-	if h := g.r.members[to].held(); h != 0 {
+	if h := g.r.members[to].heldWork(); h != 0 {
 		t.Errorf("%v still held long after", h)
 	}
 }
 
-// A held read is refused once no member can answer it in time, well before its aim (incident id91b7e).
-func TestHopelessReadIsRefusedAtOnce(t *testing.T) {
+// A held read is refused once no member can answer it in time, well before its latency target (incident id91b7e).
+func TestInfeasibleReadIsRefusedEarly(t *testing.T) {
 	g := newRig(t, nil, members())
 	for _, m := range g.r.groups[0].members {
-		m.limit, m.booked, m.stretch, m.heard = 1, 1e9, 4, g.now
-		m.open = append(m.open, &attempt{})
+		m.limit, m.outstandingWork, m.slowdown, m.answeredAt = 1, 1e9, 4, g.now
+		m.attempts = append(m.attempts, &attempt{})
 	}
 	g.arrive(1, anyRead, time.Second, "")
 	start := g.now
 	for g.now < start+190*ms {
-		if len(pick(g.run(5*ms), Refuse, 1)) == 1 {
+		if len(actionsOf(g.run(5*ms), Refuse, 1)) == 1 {
 			if waited := g.now - start; waited > 150*ms {
-				t.Errorf("refused after %v of an aim of 200 ms", waited)
+				t.Errorf("refused after %v of a latency target of 200 ms", waited)
 			}
 			return
 		}
 	}
-	t.Error("not refused before its aim")
+	t.Error("not refused before its latency target")
 }
 
-// Silence also shows when attempts are called off before it could.
-func TestSilenceSurvivesCallOffs(t *testing.T) {
+// Silence is noticed even when every attempt is cancelled before its answer is overdue.
+func TestSilenceIsNoticedDespiteCancels(t *testing.T) {
 	g := newRig(t, nil, append(members(), Member{ID: "x", Zone: "a"}))
 	m := g.r.members["q"]
 	for id := uint64(1); id < 200 && !m.suspect; id++ {
-		for _, a := range pick(g.arrive(id, anyRead, 200*ms, ""), Send, id) {
+		for _, a := range actionsOf(g.arrive(id, anyRead, 200*ms, ""), Send, id) {
 			res := Served
 			g.now += 20 * ms
 			if a.Member == "q" {
@@ -703,11 +704,11 @@
 		g.run(5 * ms)
 	}
 	if !m.suspect {
-		t.Errorf("a member that answers nothing was never suspected: overdue by %v, stretch %v", g.now-m.overdue, m.stretch)
+		t.Errorf("a member that answers nothing was never suspected: overdue by %v, slowdown %v", g.now-m.silentAt, m.slowdown)
 	}
 }
 
-func TestDiscoveryIsAskedAgain(t *testing.T) {
+func TestDiscoveryIsRetried(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.ListOnRequest = true }, members())
 	asks := 0
 	for i := 0; i < 5; i++ {
@@ -719,14 +720,14 @@
 		}
 	}
 	if asks < 4 || asks > 30 {
-		t.Errorf("%d asks in 30 s of failures", asks)
+		t.Errorf("%d calls in 30 s of failures", asks)
 	}
 }
 
-// TestRefusedAsksComeInTime: an ask that a crowd was before is refused after 2 s, and the next one may stand in the queue
-// as long: what lies between leaves it to be told in 6 s, where the fronts' asks can be served in that time. Else they
-// come so late that the queue can empty.
-func TestRefusedAsksComeInTime(t *testing.T) {
+// TestPauseAfterRefusedCalls: a call to discovery is refused after 2 s in its queue, and the next one may queue as long.
+// The pause between them must let the front learn of changes within 6 s, where discovery can serve the fleet's calls in
+// that time. Otherwise it must be long enough for the queue to empty.
+func TestPauseAfterRefusedCalls(t *testing.T) {
 	const queue, told = 2 * time.Second, 6 * time.Second
 	for _, fronts := range []int{1, 5, 20, 37, 80, 100, 101, 300} {
 		var sum, most Time
@@ -737,9 +738,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &rig{t: t, r: r, now: time.Hour}
+			g := &routerTest{t: t, r: r, now: time.Hour}
 			g.step(Event{Kind: ListSaved})
-			g.step(Event{Kind: ListChange}) // asked once
+			g.step(Event{Kind: ListChange}) // one call was answered
 			for range 6 {
 				g.step(Event{Kind: ListError})
 				at := g.now
@@ -753,19 +754,19 @@
 		}
 		mean := sum / 120
 		if fronts <= 100 && most > told-2*queue-200*ms || mean < 500*ms || fronts > 100 && mean < 40*ms*Time(fronts) {
-			t.Errorf("%d fronts ask again after %v in the mean, %v at most", fronts, mean, most)
+			t.Errorf("%d fronts call again after %v in the mean, %v at most", fronts, mean, most)
 		}
 	}
 }
 
-func TestConfigFaults(t *testing.T) {
+func TestInvalidConfigs(t *testing.T) {
 	tests := map[string]func(*Config){
 		"no classes":          func(c *Config) { c.Classes = nil },
 		"negative time":       func(c *Config) { c.SlowStartTime = -1 },
 		"unknown effect":      func(c *Config) { c.Classes[0].Effect = 9 },
 		"unknown consistency": func(c *Config) { c.Classes[0].Consistency = 9 },
 		"front out of range":  func(c *Config) { c.Self = 2 },
-		"no aim":              func(c *Config) { c.Classes[0].LatencyTarget = 0 },
+		"no latency target":   func(c *Config) { c.Classes[0].LatencyTarget = 0 },
 	}
 	for name, change := range tests {
 		cfg := testConfig()
@@ -776,12 +777,12 @@
 	}
 }
 
-// Ended requests, sessions and booked work leave nothing behind.
+// Ended requests, sessions and outstanding work leave nothing behind.
 func TestMemoryIsBounded(t *testing.T) {
 	g := newRig(t, nil, members())
 	for id := uint64(1); id < 5000; id++ {
 		g.now += 5 * ms
-		for _, a := range pick(g.arrive(id, int(id)%6, time.Second, string(rune('a'+id%26))+"x"), Send, id) {
+		for _, a := range actionsOf(g.arrive(id, int(id)%6, time.Second, string(rune('a'+id%26))+"x"), Send, id) {
 			role := Replica
 			if a.Member == "p" {
 				role = Primary
@@ -790,18 +791,18 @@
 		}
 	}
 	g.run(150 * ms)
-	for id, q := range g.r.requests { // sent once their probes stayed silent
+	for id, q := range g.r.requests { // sent after their probes had no answer
 		for _, a := range q.attempts {
-			g.answer(id, a.no, a.m.ID, Served, RoleUnknown, 0)
+			g.answer(id, a.number, a.member.ID, Served, RoleUnknown, 0)
 		}
 	}
 	g.run(3 * time.Second)
-	if n := len(g.r.requests) + len(g.r.open); n != 0 {
+	if n := len(g.r.requests) + len(g.r.openRequests); n != 0 {
 		t.Errorf("%d ended requests kept", n)
 	}
 	for _, m := range g.r.groups[0].members {
-		if len(m.open)+len(m.ghosts) != 0 {
-			t.Errorf("%s: %d open, %d ghosts", m.ID, len(m.open), len(m.ghosts))
+		if len(m.attempts)+len(m.orphans) != 0 {
+			t.Errorf("%s: %d open, %d ghosts", m.ID, len(m.attempts), len(m.orphans))
 		}
 	}
 	if n := len(g.r.groups[0].sessions); n > 30 {
@@ -809,21 +810,21 @@
 	}
 }
 
-// What no member can use fails at once and is tried nowhere else; it says nothing against the member.
+// A rejected request fails at once and is not tried elsewhere; it is no evidence against the member.
 func TestRejectedIsFinal(t *testing.T) {
 	g := newRig(t, nil, members())
 	m := g.sentTo(g.arrive(1, anyRead, time.Second, ""), 1)
 	as := g.answer(1, 0, m, Rejected, RoleUnknown, 0)
-	if len(pick(as, Fail, 1)) != 1 || len(pick(as, Send, 1)) != 0 || g.r.members[m].errors > 0 || len(g.r.requests) != 0 {
-		t.Errorf("actions %+v, errors %v", as, g.r.members[m].errors)
+	if len(actionsOf(as, Fail, 1)) != 1 || len(actionsOf(as, Send, 1)) != 0 || g.r.members[m].errorRate > 0 || len(g.r.requests) != 0 {
+		t.Errorf("actions %+v, errors %v", as, g.r.members[m].errorRate)
 	}
 }
 
-// Members come and go under ever new ids, and sessions with them; neither table grows, though one replica is
-// never heard of. What is forgotten of sessions still binds.
+// Members join and leave under ever new ids, and sessions likewise; neither table grows, though one replica is never
+// heard of. Commits of forgotten sessions are still required.
 func TestTablesAreBounded(t *testing.T) {
 	g := newRig(t, nil, members())
-	for id := uint64(1); id < 3*sessionMost; id++ {
+	for id := uint64(1); id < 3*maxSessions; id++ {
 		name := fmt.Sprint("m", id)
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: name}}})
 		as := g.arrive(id, once, time.Second, fmt.Sprint("s", id))
@@ -831,11 +832,11 @@
 		g.answer(id, 0, g.sentTo(as, id), Served, Primary, g.now)
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: name, State: Removed}}})
 	}
-	g.run(goneKeep + 50*ms)
-	if n, s := len(g.r.members), len(g.r.groups[0].sessions); n != 3 || s > sessionMost {
+	g.run(goneRetention + 50*ms)
+	if n, s := len(g.r.members), len(g.r.groups[0].sessions); n != 3 || s > maxSessions {
 		t.Errorf("%d members, %d sessions kept", n, s)
 	}
-	g.tell("q", g.now-Time(sessionMost)*20*ms)
+	g.reportPosition("q", g.now-Time(maxSessions)*20*ms)
 	if m := g.sentTo(append(g.arrive(1e6, session, time.Second, "s1"), g.run(100*ms)...), 1e6); m != "p" {
 		t.Errorf("read of a forgotten session sent to %s, which lags", m)
 	}
@@ -847,17 +848,17 @@
 	}
 }
 
-// Long any reads go to the replica furthest behind, so that the others keep applying (incident icd29a7).
-func TestLongReadsGather(t *testing.T) {
+// Long reads of any data go to the replica that lags most, so that the others keep applying writes (incident icd29a7).
+func TestLongReadsGoToLaggingReplica(t *testing.T) {
 	g := newRig(t, func(c *Config) {
 		c.Classes = append(c.Classes, Class{Name: "long", LatencyTarget: 4 * time.Second, Deadline: 8 * time.Second, Value: 5})
 	}, append(members(), Member{ID: "x", Zone: "a"}))
-	g.tell("q", g.now-10*ms)
-	g.tell("x", g.now-10*ms)
-	g.tell("s", g.now-90*ms)
+	g.reportPosition("q", g.now-10*ms)
+	g.reportPosition("x", g.now-10*ms)
+	g.reportPosition("s", g.now-90*ms)
 	for id := uint64(1); id < 4; id++ {
 		if got := g.sentTo(g.arrive(id, 6, 8*time.Second, ""), id); got != "s" {
-			t.Errorf("long read %d sent to %s, want the one furthest behind, s", id, got)
+			t.Errorf("long read %d sent to %s, want the one that lags most, s", id, got)
 		}
 	}
 	if got := g.sentTo(g.arrive(9, anyRead, time.Second, ""), 9); got == "s" {
@@ -865,11 +866,11 @@
 	}
 }
 
-// A replica far behind counts as more loaded, so that it catches up (incident i86c17f).
-func TestReplicaFarBehindIsSpared(t *testing.T) {
+// A replica that lags far counts as more loaded, so that it catches up (incident i86c17f).
+func TestLaggingReplicaIsSpared(t *testing.T) {
 	g := newRig(t, nil, []Member{{ID: "p", Primary: true}, {ID: "q", Zone: "a"}, {ID: "x", Zone: "a"}})
-	g.tell("q", g.now-10*time.Second)
-	g.tell("x", g.now-10*ms)
+	g.reportPosition("q", g.now-10*time.Second)
+	g.reportPosition("x", g.now-10*ms)
 	for id := uint64(1); id < 30; id++ {
 		if got := g.sentTo(g.arrive(id, anyRead, time.Second, ""), id); got != "x" {
 			t.Fatalf("read %d sent to %s though x, as idle, is up to date", id, got)
@@ -880,25 +881,25 @@
 
 // A front with few reads probes for the read that needs it and for no other, one replica at a time, and the
 // read waits for the answer.
-func TestReadAsksForPosition(t *testing.T) {
+func TestReadProbesForPosition(t *testing.T) {
 	g := newRig(t, nil, members())
-	if as := g.run(2 * time.Second); len(pick(as, Probe, 0)) != 0 {
-		t.Fatalf("%d probes with nothing to read", len(pick(as, Probe, 0)))
+	if as := g.run(2 * time.Second); len(actionsOf(as, Probe, 0)) != 0 {
+		t.Fatalf("%d probes with nothing to read", len(actionsOf(as, Probe, 0)))
 	}
 	as := g.arrive(1, bounded, time.Second, "")
-	p := pick(as, Probe, 0)
-	if len(p) != 1 || p[0].Member == "p" || len(pick(as, Send, 1)) != 0 {
+	p := actionsOf(as, Probe, 0)
+	if len(p) != 1 || p[0].Member == "p" || len(actionsOf(as, Send, 1)) != 0 {
 		t.Fatalf("want one probe of a replica and the read held, got %v", as)
 	}
 	g.now += 2 * ms
 	as = g.step(Event{Kind: Probed, Member: p[0].Member, Result: Served,
 		Report: Report{HasPosition: true, Position: g.now - 50*ms, HasRole: true, Role: Replica}})
 	if got := g.sentTo(as, 1); got != p[0].Member {
-		t.Errorf("sent to %s, want %s that was asked", got, p[0].Member)
+		t.Errorf("sent to %s, want %s that was probed", got, p[0].Member)
 	}
 }
 
-// Probes that nobody answers must not hold a read long: the primary takes it.
+// Probes without an answer must not hold a read for long: the primary gets it.
 func TestSilentProbesHoldAReadShortly(t *testing.T) {
 	g := newRig(t, nil, members())
 	if got := g.sentTo(append(g.arrive(1, bounded, time.Second, ""), g.run(80*ms)...), 1); got != "p" {
@@ -906,9 +907,9 @@
 	}
 }
 
-// The cold budget of many fronts together: what all send to a cold member stays under the cold part of what a
-// warm one gets, though each front has less than one request for it (cairo-print-later, failback).
-func TestColdBudgetOfManyFronts(t *testing.T) {
+// With many fronts the work sent to a member in slow start stays under the fraction it can take of what other members
+// get, though the budget of each front is below one request (seen in cairo-print-later, failback).
+func TestSlowStartBudgetOfManyFronts(t *testing.T) {
 	const fronts = 300
 	list := append(members(), Member{ID: "x", Zone: "a", Started: time.Hour + 3*time.Second})
 	cold, warm := 0, 0
@@ -919,13 +920,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: time.Hour}
+		g := &routerTest{t: t, r: r, now: time.Hour}
 		g.step(Event{Kind: ListSaved, Members: members()})
 		for id := uint64(1); id <= 12; id++ { // two a second
 			if id == 7 {
 				g.step(Event{Kind: ListChange, Members: list[3:]})
 			}
-			for _, a := range pick(g.arrive(id, anyRead, time.Second, ""), Send, id) {
+			for _, a := range actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id) {
 				if a.Member == "x" {
 					cold++
 				} else if id >= 7 {
@@ -939,35 +940,35 @@
 	}
 	// Three seconds; x does 0.3 to 0.5 of its work, and may be sent twice that over any two of them.
 	if most := float64(warm) / 2 * 0.4 * 2; float64(cold) > most {
-		t.Errorf("%d requests to the cold member, %d to two warm ones: want at most %.0f", cold, warm, most)
+		t.Errorf("%d requests to the member in slow start, %d to the two others: want at most %.0f", cold, warm, most)
 	}
 	if cold == 0 {
-		t.Error("the cold member never gets anything")
+		t.Error("the member in slow start never gets anything")
 	}
 }
 
-// One slow answer is no silence where a front has one request out at a time.
+// One slow answer is no silence where a front has one request outstanding at a time.
 func TestOneSlowAnswerIsNoSilence(t *testing.T) {
 	g := newRig(t, nil, members())
 	g.arrive(1, once, 2*time.Second, "u")
-	g.run(Time(2 * silentTimes * g.r.classes[once].cost))
+	g.run(Time(2 * silenceMultiple * g.r.classes[once].cost))
 	if g.r.members["p"].suspect {
-		t.Error("suspect for one attempt out twice as long as many would be given")
+		t.Error("suspect for one attempt outstanding for twice the tolerance with many outstanding")
 	}
-	g.run(Time(1.5 * silentTimes * g.r.classes[once].cost))
+	g.run(Time(1.5 * silenceMultiple * g.r.classes[once].cost))
 	if !g.r.members["p"].suspect {
 		t.Error("never suspect")
 	}
 }
 
-// Reads stay away from a primary whose answers come late, by chance and not all; writes go on.
-func TestLateMemberIsSpared(t *testing.T) {
+// Some reads, chosen at random, are kept away from a primary whose answers are late; writes are not.
+func TestReadsAreShedFromLateMember(t *testing.T) {
 	g := newRig(t, nil, members()[:1])
 	p := g.r.members["p"]
 	sent := 0
 	for id := uint64(1); id <= 200; id++ {
-		p.strain, p.learnt = 2*shedAim, g.now
-		sent += len(pick(g.arrive(id, anyRead, time.Second, ""), Send, id))
+		p.latencyRatio, p.sampledAt = 2*shedLatencyRatio, g.now
+		sent += len(actionsOf(g.arrive(id, anyRead, time.Second, ""), Send, id))
 		g.answer(id, 0, "p", Served, Primary, 0)
 	}
 	if sent < 5 || sent > 60 {
@@ -975,34 +976,34 @@
 	}
 	g = newRig(t, nil, members()[:1])
 	p = g.r.members["p"]
-	p.strain, p.learnt = 2*shedAim, g.now
-	if len(pick(g.arrive(999, once, 2*time.Second, "u"), Send, 999)) != 1 {
-		t.Error("a write was kept away")
+	p.latencyRatio, p.sampledAt = 2*shedLatencyRatio, g.now
+	if len(actionsOf(g.arrive(999, once, 2*time.Second, "u"), Send, 999)) != 1 {
+		t.Error("a write was shed")
 	}
 }
 
-// A member with nothing out takes one request whatever its limit, also when its booked work has come to a rest
-// of rounding.
-func TestRestOfRoundingLeavesRoom(t *testing.T) {
+// A member without outstanding attempts gets one request whatever its limit, also when rounding errors have left its
+// outstanding work slightly above 0.
+func TestRoundingErrorLeavesCapacity(t *testing.T) {
 	g := newRig(t, nil, members()[:1])
 	m := g.r.members["p"]
-	m.limit, m.booked = 1, 1e-6
-	if len(pick(g.arrive(1, once, 2*time.Second, "u"), Send, 1)) != 1 {
-		t.Error("an idle member took nothing")
+	m.limit, m.outstandingWork = 1, 1e-6
+	if len(actionsOf(g.arrive(1, once, 2*time.Second, "u"), Send, 1)) != 1 {
+		t.Error("an idle member got nothing")
 	}
 }
 
-// What a sparse front saw of one replica stands for those it knows nothing of, but not for the primary
-// (incident ie3c7be).
-func TestStrainIsSharedInARole(t *testing.T) {
+// On a front with few requests the latency ratio of one replica stands for the replicas it knows nothing of, but not for
+// the primary (incident ie3c7be).
+func TestLatencyRatioIsSharedInARole(t *testing.T) {
 	g := newRig(t, nil, members())
 	tried := func() (replicas, primary int) {
 		for i := 0; i < 200; i++ {
-			q := &request{luck: g.r.rng.Float64()}
-			if g.r.spares(g.r.members["s"], q) {
+			q := &request{chance: g.r.rng.Float64()}
+			if g.r.admitsRead(g.r.members["s"], q) {
 				replicas++
 			}
-			if g.r.spares(g.r.members["p"], q) {
+			if g.r.admitsRead(g.r.members["p"], q) {
 				primary++
 			}
 		}
@@ -1011,9 +1012,9 @@
 	if a, b := tried(); a != 200 || b != 200 {
 		t.Fatalf("with nothing known %d and %d of 200 go", a, b)
 	}
-	for id := uint64(1); id < 4; id++ { // q answers at its aim
+	for id := uint64(1); id < 4; id++ { // q answers at the latency target
 		q := &request{class: g.r.classes[anyRead]}
-		g.r.observe(g.r.members["q"], &attempt{q: q, m: g.r.members["q"]}, float64(q.class.LatencyTarget))
+		g.r.recordLatency(g.r.members["q"], &attempt{request: q, member: g.r.members["q"]}, float64(q.class.LatencyTarget))
 		g.now += time.Second
 		g.run(5 * ms)
 	}
@@ -1022,16 +1023,16 @@
 	}
 }
 
-// A write whose answer was lost on the way may have committed: its session's reads must see it, while it is out and
+// A write whose answer was lost may have committed: the reads of its session must see it, while it is outstanding and
 // after it has ended in doubt.
 func TestWriteInDoubtBindsItsSession(t *testing.T) {
 	known := func(c *Config) { c.AssumeCommittedAfter = 80 * ms }
-	fresh := func(g *rig) { g.tell("q", g.now-10*ms); g.tell("s", g.now-10*ms) }
+	fresh := func(g *routerTest) { g.reportPosition("q", g.now-10*ms); g.reportPosition("s", g.now-10*ms) }
 	t.Run("out", func(t *testing.T) {
 		g := newRig(t, known, members())
 		g.arrive(1, keyed, time.Second, "u")
-		g.tell("q", g.now-10*ms)
-		g.now += 60 * ms // an answer would come, or count as known, later
+		g.reportPosition("q", g.now-10*ms)
+		g.now += 60 * ms // before the write counts as committed
 		if got := g.sentTo(g.arrive(2, session, time.Second, "u"), 2); got == "p" {
 			t.Error("a write that is out for less than an answer may take binds nothing")
 		}
@@ -1041,10 +1042,10 @@
 		}
 		fresh(g)
 		if got := g.sentTo(g.arrive(4, session, time.Second, "u"), 4); got == "p" {
-			t.Error("a replica known to be young enough may answer")
+			t.Error("a replica known to be new enough may answer")
 		}
 		if got := g.sentTo(g.arrive(5, session, time.Second, "other"), 5); got == "p" {
-			t.Error("another session is not bound")
+			t.Error("the write binds only its own session")
 		}
 	})
 	for _, end := range []Result{TimedOut, Reset, Cancelled, Errored} {
@@ -1055,7 +1056,7 @@
 			g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: end, InDoubt: true, HasPosition: true, Position: g.now})
 			fresh(g)
 			g.now += 5 * ms
-			for _, a := range pick(append(g.arrive(2, session, time.Second, "u"), g.run(60*ms)...), Send, 2) { // none, where p is suspect now
+			for _, a := range actionsOf(append(g.arrive(2, session, time.Second, "u"), g.run(60*ms)...), Send, 2) { // none, where p is suspect now
 				if a.Member != "p" {
 					t.Errorf("after outcome %d: sent to %s, which may lack the write", end, a.Member)
 				}
@@ -1072,14 +1073,14 @@
 		g.arrive(1, keyed, time.Second, "u")
 		g.now += 100 * ms
 		g.step(Event{Kind: ListChange, Members: []Member{{ID: "p", Zone: "a", State: Draining}}})
-		if got := pick(append(g.arrive(2, session, time.Second, "u"), g.run(20*ms)...), Send, 2); len(got) > 0 {
+		if got := actionsOf(append(g.arrive(2, session, time.Second, "u"), g.run(20*ms)...), Send, 2); len(got) > 0 {
 			t.Fatalf("sent %v while the write is out", got)
 		}
 		got := g.step(Event{Kind: Outcome, Request: 1, Member: "p", Result: Reset, InDoubt: true, HasPosition: true, Position: g.now})
-		if got = pick(append(got, g.run(20*ms)...), Send, 2); len(got) > 0 {
+		if got = actionsOf(append(got, g.run(20*ms)...), Send, 2); len(got) > 0 {
 			t.Errorf("sent %v, which may lack the write", got)
 		}
-		g.tell("q", g.now)
+		g.reportPosition("q", g.now)
 		if got := g.sentTo(g.got, 2); got != "q" {
 			t.Errorf("sent to %s, want the replica that has it", got)
 		}
@@ -1089,31 +1090,31 @@
 		g.arrive(1, keyed, time.Second, "u")
 		g.now += 300 * ms
 		if got := g.sentTo(g.arrive(2, session, time.Second, "u"), 2); got == "p" {
-			t.Error("only commits that were told bind")
+			t.Error("only reported commits are required")
 		}
 	})
 }
 
-// A repeat of a keyed write must not be written past its window, however long it waits for a connection; and a read
-// names what its answer must hold.
+// A repeat of a keyed write must not be written after its window, however long it waits for a connection; and a read
+// states the position that its answer must have.
 func TestSendNamesItsBounds(t *testing.T) {
 	g := newRig(t, nil, members())
-	if read := pick(g.arrive(2, fresh, time.Second, ""), Send, 2); len(read) != 1 || read[0].MinPosition != g.now {
+	if read := actionsOf(g.arrive(2, fresh, time.Second, ""), Send, 2); len(read) != 1 || read[0].MinPosition != g.now {
 		t.Errorf("read %+v, want at least what was committed at %v", read, g.now)
 	}
-	first := pick(g.arrive(1, keyed, 3*time.Second, "u"), Send, 1)
+	first := actionsOf(g.arrive(1, keyed, 3*time.Second, "u"), Send, 1)
 	at := g.now
 	if len(first) != 1 || first[0].WriteBy != 0 {
 		t.Fatalf("the first attempt has no window: %+v", first)
 	}
 	g.now += 200 * ms
-	again := pick(append(g.answer(1, 0, "p", Reset, RoleUnknown, 0), g.run(100*ms)...), Send, 1)
+	again := actionsOf(append(g.answer(1, 0, "p", Reset, RoleUnknown, 0), g.run(100*ms)...), Send, 1)
 	if len(again) != 1 || again[0].WriteBy != at+time.Second {
 		t.Errorf("repeat %+v, want it written before %v", again, at+time.Second)
 	}
 }
 
-// Few attempts, no probes and no roles listed: a write still finds its primary, as one that is none turns it away.
+// With few attempts, no probes and no roles in the list a write still finds its primary, as replicas refuse it.
 func TestFewAttemptsFindThePrimary(t *testing.T) {
 	for most := 1; most <= 3; most++ {
 		list := members()
@@ -1123,10 +1124,10 @@
 		for id := uint64(1); id <= 40; id++ {
 			as := g.arrive(id, once, time.Second, "")
 			for n := 0; n < most; n++ {
-				s := pick(as, Send, id)
+				s := actionsOf(as, Send, id)
 				if len(s) == 0 {
 					as = g.run(60 * ms)
-					if s = pick(as, Send, id); len(s) == 0 {
+					if s = actionsOf(as, Send, id); len(s) == 0 {
 						break
 					}
 				}
@@ -1145,8 +1146,8 @@
 	}
 }
 
-// Where the settings name no multiple at which a cold member falls, there is no ramp to keep.
-func TestNoRampWithoutItsRule(t *testing.T) {
+// Where the settings have no overload multiple there is no slow start.
+func TestNoSlowStartWithoutOverloadMultiple(t *testing.T) {
 	list := members()
 	for i := range list {
 		list[i].Started = time.Hour - time.Second
@@ -1157,9 +1158,10 @@
 	}
 }
 
-// TestWaited: what a request has waited behind others counts against its aim, a retry's no less and not twice: too late
-// to be worth anything it is refused at once, that those behind it get their turn; late but worth something it is sent.
-func TestWaited(t *testing.T) {
+// TestWaitedTimeCountsAgainstTarget: the time that a request has waited behind others counts against its latency target,
+// for a retry too and only once. Too late to have any value it is refused at once, so that those behind it get their
+// turn; late but of some value it is sent.
+func TestWaitedTimeCountsAgainstTarget(t *testing.T) {
 	for _, tc := range []struct {
 		class  int
 		waited Time
@@ -1181,7 +1183,7 @@
 			g.step(Event{Kind: ClientGone, Request: 100 + id})
 		}
 		g.step(Event{Kind: Arrive, Request: 1, Class: tc.class, Tenant: -1, IsRetry: tc.retry, Waited: tc.waited, Remaining: k.Deadline - tc.waited})
-		got := append(pick(g.got, Send, 1), pick(g.got, Refuse, 1)...)
+		got := append(actionsOf(g.got, Send, 1), actionsOf(g.got, Refuse, 1)...)
 		if len(got) != 1 || got[0].Kind != tc.want || got[0].Timeout != tc.most {
 			t.Errorf("%+v: %+v", tc, got)
 		}
--- a/decide/memberlist.go
+++ b/decide/memberlist.go
@@ -5,50 +5,52 @@
 	"time"
 )
 
-// A call to discovery with no reply for so long is made again; its own end comes before.
-const askLost = 8 * time.Second
+// watchTimeout is the time after which a call to discovery without a reply is made again. It is longer than the time-out of
+// the call itself.
+const watchTimeout = 8 * time.Second
 
-// askList asks discovery for changes from now on, where that is due.
-func (r *Router) askList() {
-	if r.cfg.ListOnRequest && r.now >= r.askAt {
-		r.askAt, r.askedAt = r.now+askLost, r.now
-		r.do(Action{Kind: Watch})
+// watchList requests list changes from discovery when that is due.
+func (r *Router) watchList() {
+	if r.cfg.ListOnRequest && r.now >= r.watchAt {
+		r.watchAt, r.watchSentAt = r.now+watchTimeout, r.now
+		r.emit(Action{Kind: Watch})
 	}
 }
 
-// pace has the next call to discovery come in its time, after an event of the list.
-func (r *Router) pace(e *Event) {
+// paceDiscovery schedules the next call to discovery after a list event.
+func (r *Router) paceDiscovery(e *Event) {
 	switch e.Kind {
 	case ListSaved:
-		r.askAt = r.now + r.calls.InitialPause()
+		r.watchAt = r.now + r.pacer.InitialPause()
 		r.trustSaved(e.Members)
-	case DiscoveryUnreachable: // the old list holds
-		r.savedUntil = forever
+	case DiscoveryUnreachable: // the old list stays in use
+		r.savedListUntil = distantFuture
 	case ListError: // the same
-		r.savedUntil = forever
-		r.askAt, r.askedAt = r.now+r.calls.PauseAfterRefusal(r.parts[DiscoveryBudget]), never
-		r.spend(DiscoveryBudget, false)
+		r.savedListUntil = distantFuture
+		r.watchAt, r.watchSentAt = r.now+r.pacer.PauseAfterRefusal(r.budgetShares[DiscoveryBudget]), distantPast
+		r.countBudgetUse(DiscoveryBudget, false)
 	default:
-		if r.askedAt != never {
-			r.calls.Answered(r.now - r.askedAt)
+		if r.watchSentAt != distantPast {
+			r.pacer.Answered(r.now - r.watchSentAt)
 		}
-		r.askAt, r.askedAt, r.savedUntil = forever, never, forever
+		r.watchAt, r.watchSentAt, r.savedListUntil = distantFuture, distantPast, distantFuture
 	}
 }
 
-func (r *Router) takeList(e *Event) {
+// handleList applies a list event: a whole list, a change or a failure.
+func (r *Router) handleList(e *Event) {
 	if r.cfg.ListOnRequest {
-		r.pace(e)
+		r.paceDiscovery(e)
 	}
 	named := make(map[string]bool, len(e.Members))
 	for i := range e.Members {
 		named[e.Members[i].ID] = true
-		r.listed(e.Members[i])
+		r.applyEntry(e.Members[i])
 	}
 	if e.Kind != ListFull && e.Kind != ListSaved {
 		return
 	}
-	for _, g := range r.order {
+	for _, g := range r.groupOrder {
 		for _, m := range g.members {
 			if !named[m.ID] {
 				m.gone, m.State = !r.cfg.UseUnlisted, Removed
@@ -57,18 +59,19 @@
 	}
 }
 
-// barred tells that the list allows no send to m.
+// barred reports that the list forbids sends to m.
 func (r *Router) barred(m *member) bool {
-	return m.gone || m.State == Draining || r.doubtful(m)
+	return m.gone || m.State == Draining || r.mayBeDraining(m)
 }
 
-// dropGone forgets members that left the list, after a while: one that restarts comes back under its own id.
-func (r *Router) dropGone(g *group) {
+// dropUnlisted drops members that left the list goneRetention ago, or sooner when there are many: a member that
+// restarts comes back under its id.
+func (r *Router) dropUnlisted(g *group) {
 	g.members = slices.DeleteFunc(g.members, func(m *member) bool {
-		if !m.gone && (m.State != Removed || !m.suspect) || len(m.open) > 0 {
-			m.left = r.now
+		if !m.gone && (m.State != Removed || !m.suspect) || len(m.attempts) > 0 {
+			m.listedAt = r.now
 		}
-		drop := r.now-m.left > goneKeep || r.now > m.left && len(r.members) > MaxMembers/2
+		drop := r.now-m.listedAt > goneRetention || r.now > m.listedAt && len(r.members) > MaxMembers/2
 		if drop {
 			delete(r.members, m.ID)
 		}
@@ -76,8 +79,9 @@
 	})
 }
 
-// listed takes one entry. A drained or removed member gets nothing new from now on: the list is late enough.
-func (r *Router) listed(l Member) {
+// applyEntry applies one list entry. A draining or removed member gets no new attempts from now on: the list reports it
+// late already.
+func (r *Router) applyEntry(l Member) {
 	m := r.members[l.ID]
 	if m == nil {
 		if l.State == Removed || len(r.members) >= MaxMembers {
@@ -85,24 +89,24 @@
 		}
 		g := r.groups[l.Group]
 		if g == nil {
-			g = &group{id: l.Group, sessions: map[string]Time{}, floor: r.floor, wanted: never, activeAt: r.now}
+			g = &group{id: l.Group, sessions: map[string]Time{}, commitFloor: r.commitFloor, neededAt: distantPast, activeAt: r.now}
 			r.groups[l.Group] = g
-			r.order = append(r.order, g)
+			r.groupOrder = append(r.groupOrder, g)
 		}
-		m = &member{Member: l, group: g, left: r.now, pos: never, roleAt: never, heard: never, toldAt: never,
-			probedAt: never, tookAt: never, stretch: 1, quick: 1, overdue: forever, cutAt: never, probeGap: r.freshFor / 3,
-			trialGap: trialFirst}
+		m = &member{Member: l, group: g, listedAt: r.now, position: distantPast, roleAt: distantPast, answeredAt: distantPast, peerReportAt: distantPast,
+			probedAt: distantPast, acceptedAt: distantPast, slowdown: 1, servedSlowdown: 1, silentAt: distantFuture, nextCutAt: distantPast, probeGap: r.tightestBound / 3,
+			halfOpenDelay: minHalfOpenDelay}
 		g.members = append(g.members, m)
 		r.members[l.ID] = m
-	} else if l.Started > m.Started { // it started anew: cold, no primary, and as yet unproven
-		m.stretch, m.strain, m.limit, m.suspect, m.trialGap = 1, 0, limitLeast*r.leastCost(), false, trialFirst
-		m.errors = 0
+	} else if l.Started > m.Started { // it restarted: in slow start, no primary, and nothing known of its health
+		m.slowdown, m.latencyRatio, m.limit, m.suspect, m.halfOpenDelay = 1, 0, minLimitRequests*r.leastCost(), false, minHalfOpenDelay
+		m.errorRate = 0
 		if m.role == Primary && m.roleAt < l.Started {
 			m.role, m.roleAt = Replica, l.Started
 		}
 	}
 	m.Member = l
-	m.ramp.open(l.Started, r.now, r.rng)
+	m.slowStart.begin(l.Started, r.now, r.rng)
 	m.gone = l.State == Removed && !r.cfg.UseUnlisted
 	if l.Primary && l.State == Up {
 		at := r.now - listLag
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -8,49 +8,50 @@
 	"time"
 )
 
-// FuzzRules feeds random events with no server model behind them and checks what a front can see of the rules.
+// FuzzRules feeds random events, without a model of the members, and checks the rules that a front can observe: one final
+// answer in time, no unsafe repeat, no send against the list or below a bound, and equal actions for equal events.
 func FuzzRules(f *testing.F) {
 	for seed := uint64(0); seed < 12; seed++ {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		a, b := playRandom(t, seed), playRandom(t, seed)
+		a, b := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if !reflect.DeepEqual(a, b) {
 			t.Error("the same events gave other actions")
 		}
 	})
 }
 
-type track struct {
-	class    Class
-	most     int // attempts allowed when it came
-	arrived  Time
-	deadline Time
-	sends    []track1
-	out      int
-	risk     bool
-	riskAt   Time
-	over     bool
+type requestTrack struct {
+	class       Class
+	maxAttempts int // attempts allowed when it arrived
+	arrived     Time
+	deadline    Time
+	sends       []attemptTrack
+	outstanding int
+	mayHaveRun  bool
+	firstRunAt  Time
+	ended       bool
 }
 
-type track1 struct {
-	m    string
-	at   Time
-	done bool
+type attemptTrack struct {
+	member string
+	at     Time
+	done   bool
 }
 
-// world is what a front knows of its own events.
-type world struct {
-	t       *testing.T
-	now     Time
-	reqs    map[uint64]*track
-	drained map[string]bool
-	pos     map[string]Time
-	seen    int // actions checked
-	mayDup  bool
+// observedState is what a front knows from its own events.
+type observedState struct {
+	t            *testing.T
+	now          Time
+	reqs         map[uint64]*requestTrack
+	drained      map[string]bool
+	positions    map[string]Time
+	seen         int // actions checked
+	mayDuplicate bool
 }
 
-func playRandom(t *testing.T, seed uint64) (all []Action) {
+func runRandomEvents(t *testing.T, seed uint64) (all []Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := testConfig()
 	cfg.MayDuplicate, cfg.ListOnRequest = seed%2 == 0, seed%3 == 0
@@ -59,8 +60,8 @@
 		t.Fatal(err)
 	}
 	list := []Member{{ID: "a", Primary: true}, {ID: "b", Zone: "a"}, {ID: "c"}, {ID: "d"}}
-	w := &world{t: t, now: time.Hour, reqs: map[uint64]*track{}, drained: map[string]bool{},
-		pos: map[string]Time{}, mayDup: cfg.MayDuplicate}
+	w := &observedState{t: t, now: time.Hour, reqs: map[uint64]*requestTrack{}, drained: map[string]bool{},
+		positions: map[string]Time{}, mayDuplicate: cfg.MayDuplicate}
 	events := []Event{{Kind: ListSaved, Members: list}}
 	before, retunes := cfg.Classes, seed%4 == 3
 	var open [][2]uint64
@@ -82,7 +83,7 @@
 			}
 			bad := cfg
 			if bad.MaxAttempts = -1; r.Reconfigure(bad) == nil {
-				t.Fatal("took a config that is not valid")
+				t.Fatal("accepted an invalid config")
 			}
 		}
 		for n := rng.IntN(3); n > 0; n-- {
@@ -90,12 +91,12 @@
 			wait := Time(rng.IntN(1500)) * ms
 			e := Event{Kind: Arrive, Request: id, Class: c, Tenant: -1, Session: "s", Remaining: wait}
 			class := cfg.Classes[c]
-			if retunes { // some were taken before the settings changed
+			if retunes { // some were accepted before the settings changed
 				all := [][]Class{cfg.Classes, before}[rng.IntN(2)]
 				e.ClassDef, e.Class = &all[rng.IntN(len(all))], -1
 				class = *e.ClassDef
 			}
-			w.reqs[id] = &track{class: class, most: cfg.MaxAttempts, arrived: w.now, deadline: w.now + wait}
+			w.reqs[id] = &requestTrack{class: class, maxAttempts: cfg.MaxAttempts, arrived: w.now, deadline: w.now + wait}
 			events = append(events, e)
 			id++
 		}
@@ -115,8 +116,8 @@
 		if rng.IntN(5) == 0 {
 			m := list[1+rng.IntN(3)].ID
 			p := w.now - Time(rng.IntN(300)-20)*ms
-			if p <= w.now+clockSlack { // as the module takes it: told times are rounded
-				w.pos[m] = max(w.pos[m], p)
+			if p <= w.now+clockSlack { // as the router does: reported times are rounded
+				w.positions[m] = max(w.positions[m], p)
 			}
 			events = append(events, Event{Kind: Probed, Member: m, Result: Served,
 				Report: Report{HasPosition: true, Position: p, HasRole: true, Role: Replica}})
@@ -125,7 +126,7 @@
 	return all
 }
 
-// retuned are settings with other effects and attempts; some classes go, all may come back.
+// retuned returns settings with other effects and attempts. Some classes are left out, and may come back later.
 func retuned(rng *rand.Rand, cfg Config) Config {
 	all := testConfig().Classes
 	cfg.Classes = nil
@@ -139,35 +140,35 @@
 	return cfg
 }
 
-func (w *world) outcome(rng *rand.Rand, id uint64, n int) Event {
+func (w *observedState) outcome(rng *rand.Rand, id uint64, n int) Event {
 	q := w.reqs[id]
 	s := &q.sends[n]
 	s.done = true
-	q.out--
+	q.outstanding--
 	res := Result(rng.IntN(int(Stale) + 1))
-	e := Event{Kind: Outcome, Request: id, Attempt: n, Member: s.m, Result: res, Role: Replica}
-	if s.m == "a" {
+	e := Event{Kind: Outcome, Request: id, Attempt: n, Member: s.member, Result: res, Role: Replica}
+	if s.member == "a" {
 		e.Role = Primary
 	}
 	switch res {
 	case Served:
-		q.over, e.Ended = true, true
+		q.ended, e.Ended = true, true
 	case Full, Unreachable, NotSent, Misdirected, Rejected:
 	default:
-		if !q.risk || s.at < q.riskAt {
-			q.risk, q.riskAt = true, s.at
+		if !q.mayHaveRun || s.at < q.firstRunAt {
+			q.mayHaveRun, q.firstRunAt = true, s.at
 		}
 	}
-	e.Ended = e.Ended || q.over
-	if res == Served && s.m != "a" && q.class.Consistency != Write {
+	e.Ended = e.Ended || q.ended
+	if res == Served && s.member != "a" && q.class.Consistency != Write {
 		e.HasPosition, e.Position = true, w.now-Time(rng.IntN(200))*ms
-		w.pos[s.m] = max(w.pos[s.m], e.Position)
+		w.positions[s.member] = max(w.positions[s.member], e.Position)
 	}
 	return e
 }
 
-// check goes through the actions not seen yet and returns where they begin.
-func (w *world) check(all []Action) int {
+// check checks the actions not seen yet and returns the index of the first.
+func (w *observedState) check(all []Action) int {
 	from := w.seen
 	w.seen = len(all)
 	for _, a := range all[from:] {
@@ -175,51 +176,51 @@
 		switch a.Kind {
 		case Send:
 			w.checkSend(q, a)
-			q.sends = append(q.sends, track1{m: a.Member, at: w.now})
-			q.out++
+			q.sends = append(q.sends, attemptTrack{member: a.Member, at: w.now})
+			q.outstanding++
 		case Refuse, Fail:
-			if q.over {
+			if q.ended {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
-			if a.Kind == Refuse && q.class.Effect != Repeatable && (q.risk || q.out > 0) {
+			if a.Kind == Refuse && q.class.Effect != Repeatable && (q.mayHaveRun || q.outstanding > 0) {
 				w.t.Fatalf("request %d: refused though it may have run", a.Request)
 			}
-			q.over = true
+			q.ended = true
 		}
 	}
 	return from
 }
 
-func (w *world) checkSend(q *track, a Action) {
+func (w *observedState) checkSend(q *requestTrack, a Action) {
 	switch {
-	case q.over:
+	case q.ended:
 		w.t.Fatalf("request %d: sent after its end", a.Request)
-	case q.most > 0 && len(q.sends) >= q.most:
-		w.t.Fatalf("request %d: attempt %d of %d", a.Request, len(q.sends)+1, q.most)
-	case q.class.Effect == Once && (q.risk || q.out > 0):
+	case q.maxAttempts > 0 && len(q.sends) >= q.maxAttempts:
+		w.t.Fatalf("request %d: attempt %d of %d", a.Request, len(q.sends)+1, q.maxAttempts)
+	case q.class.Effect == Once && (q.mayHaveRun || q.outstanding > 0):
 		w.t.Fatalf("request %d: unsafe repeat", a.Request)
-	case q.class.Effect == Keyed && q.risk && w.now-q.riskAt >= q.class.KeyWindow:
+	case q.class.Effect == Keyed && q.mayHaveRun && w.now-q.firstRunAt >= q.class.KeyWindow:
 		w.t.Fatalf("request %d: repeat past its window", a.Request)
-	case q.out > 0 && (q.class.Effect != Repeatable || !w.mayDup):
+	case q.outstanding > 0 && (q.class.Effect != Repeatable || !w.mayDuplicate):
 		w.t.Fatalf("request %d: two copies out", a.Request)
 	case w.drained[a.Member]:
 		w.t.Fatalf("request %d: sent to drained %s", a.Request, a.Member)
-	case q.class.Consistency == Bounded && a.Member != "a" && w.pos[a.Member] < w.now-q.class.Bound:
-		w.t.Fatalf("request %d: %s known at %v, beneath the bound", a.Request, a.Member, w.now-w.pos[a.Member])
+	case q.class.Consistency == Bounded && a.Member != "a" && w.positions[a.Member] < w.now-q.class.Bound:
+		w.t.Fatalf("request %d: %s known at %v, below the bound", a.Request, a.Member, w.now-w.positions[a.Member])
 	}
 }
 
-// overdue fails for requests with no final answer at their deadline and a little.
-func (w *world) overdue() {
+// overdue fails for requests without a final answer 8 ms after their deadline.
+func (w *observedState) overdue() {
 	for id, q := range w.reqs {
-		if !q.over && w.now > q.deadline+8*ms {
+		if !q.ended && w.now > q.deadline+8*ms {
 			w.t.Fatalf("request %d: no final answer in time", id)
 		}
 	}
 }
 
-// TestStaleAnswerCountsAsRun guards against repeating or refusing reads that a member answered from an old position.
-func TestStaleAnswerCountsAsRun(t *testing.T) {
+// TestStaleResultCountsAsRun guards against repeating or refusing reads that a member answered from an older position than they require.
+func TestStaleResultCountsAsRun(t *testing.T) {
 	for _, tc := range []struct {
 		effect Effect
 		again  bool // sent to another member
@@ -237,20 +238,20 @@
 		all = append(all, g.step(Event{Kind: Probed, Member: "q", Result: Served,
 			Report: Report{HasPosition: true, Position: g.now, HasRole: true, Role: Primary}})...)
 		all = append(all, g.run(20*ms)...)
-		if again := len(pick(all, Send, 1)) == 2; again != tc.again {
-			t.Errorf("effect %d: sent %d times", tc.effect, len(pick(all, Send, 1)))
+		if again := len(actionsOf(all, Send, 1)) == 2; again != tc.again {
+			t.Errorf("effect %d: sent %d times", tc.effect, len(actionsOf(all, Send, 1)))
 		}
 		if tc.again {
 			all = append(all, g.answer(1, 1, "q", Misdirected, Replica, 0)...)
 		}
 		all = append(all, g.run(time.Second)...)
-		if len(pick(all, tc.last, 1)) != 1 {
+		if len(actionsOf(all, tc.last, 1)) != 1 {
 			t.Errorf("effect %d: no final answer of kind %d in %+v", tc.effect, tc.last, all)
 		}
 	}
 }
 
-// TestLargeListIsUsed guards against members of a large list that are never sent to.
+// TestLargeListIsUsed guards against members of a large list never being used.
 func TestLargeListIsUsed(t *testing.T) {
 	const groups, each = 800, 4
 	var list []Member
@@ -261,20 +262,21 @@
 	for i := range groups {
 		id := uint64(i + 1)
 		all := g.step(Event{Kind: Arrive, Request: id, Class: anyRead, Tenant: -1, Group: int64(i), Remaining: time.Second})
-		if len(pick(all, Send, id)) != 1 {
+		if len(actionsOf(all, Send, id)) != 1 {
 			t.Fatalf("a request for group %d of %d went nowhere", i, groups)
 		}
 	}
 }
 
-// TestSavedListIsNotTrustedForLong guards against sends to members that drain since before a restart, while discovery is too busy to say so.
+// TestSavedListIsNotTrustedForLong guards against sends to members that began to drain before a restart, while
+// discovery is too busy to report it.
 func TestSavedListIsNotTrustedForLong(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.ListOnRequest, c.MayProbe = true, false }, members())
 	id := uint64(0)
 	ask := func() string {
 		id++
 		all := g.arrive(id, anyRead, time.Second, "")
-		for _, a := range pick(all, Send, id) {
+		for _, a := range actionsOf(all, Send, id) {
 			g.now += 5 * ms
 			role := Replica
 			if a.Member == "p" {
@@ -283,25 +285,25 @@
 			g.answer(id, 0, a.Member, Served, role, g.now)
 			return a.Member
 		}
-		if len(pick(all, Refuse, id)) != 1 {
+		if len(actionsOf(all, Refuse, id)) != 1 {
 			t.Errorf("request %d is neither sent nor refused at once", id)
 		}
 		return ""
 	}
 	proven := ask()
-	g.run(savedMost + 500*ms)
+	g.run(savedListTime + 500*ms)
 	for range 20 {
 		if got := ask(); got != proven {
 			t.Fatalf("sent to %q, want %q alone, which took a request", got, proven)
 		}
 	}
-	g.run(provenFor)
+	g.run(acceptedEvidenceTime)
 	if got := ask(); got != "" {
-		t.Errorf("sent to %q, which took its last request %v ago", got, provenFor)
+		t.Errorf("sent to %q, which took its last request %v ago", got, acceptedEvidenceTime)
 	}
 	for _, kind := range []EventKind{DiscoveryUnreachable, ListError, ListChange} {
 		g.step(Event{Kind: ListSaved, Members: members()})
-		g.run(savedMost + provenFor)
+		g.run(savedListTime + acceptedEvidenceTime)
 		if got := ask(); got != "" {
 			t.Errorf("sent to %q by an old list", got)
 		}
@@ -313,21 +315,22 @@
 	}
 }
 
-// TestSavedListOfRelease guards against sends by an old list that was handed over while members were being replaced.
-func TestSavedListOfRelease(t *testing.T) {
-	at := time.Hour // where the rig begins
+// TestSavedListDuringRelease guards against sends by an outdated list that was handed over while members were
+// being replaced.
+func TestSavedListDuringRelease(t *testing.T) {
+	at := time.Hour // the start of the test's clock
 	for name, tc := range map[string]struct {
 		change func(m *Member)
-		want   Time // that the list is used as it is
+		want   Time // how long the list is used as it is
 	}{
-		"quiet":                {func(*Member) {}, savedMost},
-		"started long ago":     {func(m *Member) { m.Started = at - time.Minute }, savedMost},
-		"started 10 s ago":     {func(m *Member) { m.Started = at - 10*time.Second }, savedLeast},
+		"quiet":                {func(*Member) {}, savedListTime},
+		"started long ago":     {func(m *Member) { m.Started = at - time.Minute }, savedListTime},
+		"started 10 s ago":     {func(m *Member) { m.Started = at - 10*time.Second }, minSavedListTime},
 		"started 4 s ago":      {func(m *Member) { m.Started = at - 4*time.Second }, 2 * time.Second},
-		"started just now":     {func(m *Member) { m.Started = at }, savedMost},
-		"started in an hour":   {func(m *Member) { m.Started = at + time.Hour }, savedMost},
-		"draining, no start":   {func(m *Member) { m.State = Draining }, savedLeast},
-		"draining, just begun": {func(m *Member) { m.State, m.Started = Draining, at-time.Second }, savedMost},
+		"started just now":     {func(m *Member) { m.Started = at }, savedListTime},
+		"started in an hour":   {func(m *Member) { m.Started = at + time.Hour }, savedListTime},
+		"draining, no start":   {func(m *Member) { m.State = Draining }, minSavedListTime},
+		"draining, just begun": {func(m *Member) { m.State, m.Started = Draining, at-time.Second }, savedListTime},
 	} {
 		list := members()
 		tc.change(&list[2])
@@ -335,7 +338,7 @@
 		for id, after := uint64(1), tc.want-100*ms; id <= 2; id, after = id+1, 200*ms {
 			g.run(after)
 			all := g.step(Event{Kind: Arrive, Request: id, Class: anyRead, Tenant: -1, Remaining: time.Second})
-			if sent := len(pick(all, Send, id)) == 1; sent != (id == 1) {
+			if sent := len(actionsOf(all, Send, id)) == 1; sent != (id == 1) {
 				t.Errorf("%s: request %d, around %v, sent %v", name, id, tc.want, sent)
 			}
 		}
--- a/decide/savedlist.go
+++ b/decide/savedlist.go
@@ -3,44 +3,47 @@
 import "time"
 
 const (
-	// The list of before a restart is used as it is for savedMost. A change made while no process ran counts as told
-	// toldAfter after it was made, and the restart has taken part of that. A list that shows members being replaced is used
-	// so for savedLeast only, in which the front learns which members take requests, or until toldAfter past the newest
-	// start in it: what it lacks was changed later.
-	savedMost, savedLeast = 4 * time.Second, time.Second
-	// releaseFor is how long after a start or a drain others are likely.
-	releaseFor = 30 * time.Second
+	// The list from before a restart is used as it is for savedListTime: the front must learn of a change that was made
+	// while no process ran within maxUpdateDelay of it, and the restart took part of that time. A list in which members
+	// are being replaced is used so for minSavedListTime only, in which the front learns which members accept requests,
+	// or until maxUpdateDelay after the newest start in it: changes that it lacks were made after that start.
+	savedListTime    = 4 * time.Second
+	minSavedListTime = time.Second
 
-	// provenFor: a member that took a request was not draining then; if it drains now, that counts as told later than this.
-	provenFor = toldAfter - 500*time.Millisecond
+	// releaseDuration is the time after a start or a drain during which others are likely.
+	releaseDuration = 30 * time.Second
+
+	// acceptedEvidenceTime is the time for which an accepted request shows that its member may be sent to: it was not
+	// draining then, and if it has begun since, the front need not know of that yet.
+	acceptedEvidenceTime = maxUpdateDelay - 500*time.Millisecond
 )
 
-// trustSaved sets until when the list of before a restart is used as it is.
+// trustSaved sets until when the list from before a restart is used as it is.
 func (r *Router) trustSaved(list []Member) {
-	r.savedUntil = r.now + savedMost
-	newest, draining := never, false
+	r.savedListUntil = r.now + savedListTime
+	newest, draining := distantPast, false
 	for i := range list {
 		newest = max(newest, list[i].Started)
 		draining = draining || list[i].State == Draining
 	}
-	if draining || r.now-newest < releaseFor {
-		r.savedUntil = min(max(newest+toldAfter, r.now+savedLeast), r.savedUntil)
+	if draining || r.now-newest < releaseDuration {
+		r.savedListUntil = min(max(newest+maxUpdateDelay, r.now+minSavedListTime), r.savedListUntil)
 	}
 }
 
-// doubtful tells that m may have been draining for so long that nothing may be sent to it: the first call to discovery
-// since the front started is still out, and m has not taken a request lately. A call that has failed makes the list hold:
-// fronts go on by it while discovery is down.
-func (r *Router) doubtful(m *member) bool {
-	return r.now >= r.savedUntil && r.now-m.tookAt >= provenFor
+// mayBeDraining reports that m may have been draining for so long that nothing may be sent to it: the first call to
+// discovery since the front started is still outstanding, and m has not accepted a request lately. Once a call has
+// failed the list is used as it is, as fronts go on with it while discovery is down.
+func (r *Router) mayBeDraining(m *member) bool {
+	return r.now >= r.savedListUntil && r.now-m.acceptedAt >= acceptedEvidenceTime
 }
 
-// took notes what the end of an attempt proves of its member.
-func (m *member) took(a *attempt, result Result) {
+// recordEnd records what the end of an attempt shows of its member.
+func (m *member) recordEnd(a *attempt, result Result) {
 	switch {
-	case result == Full: // draining members turn requests away so
-		m.tookAt = never
+	case result == Full: // draining members refuse requests this way
+		m.acceptedAt = distantPast
 	case result.Answered():
-		m.tookAt = max(m.tookAt, a.sent)
+		m.acceptedAt = max(m.acceptedAt, a.sent)
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,8 +10,8 @@
 	"reachwind/decide"
 )
 
-// script takes the place of the module and of the members: it acts as told and notes what comes.
-type script struct {
+// fakeModule stands for the module and the members: it returns given actions and records what it is passed.
+type fakeModule struct {
 	on     map[decide.EventKind][]decide.Action
 	events []decide.Event
 	sent   []*Attempt
@@ -19,7 +19,7 @@
 	steps  int
 }
 
-func (s *script) Step(_ Time, events []decide.Event, out []decide.Action) []decide.Action {
+func (s *fakeModule) Step(_ Time, events []decide.Event, out []decide.Action) []decide.Action {
 	s.steps++
 	for _, e := range events {
 		s.events = append(s.events, e)
@@ -27,10 +27,10 @@
 	}
 	return out
 }
-func (s *script) Send(a *Attempt)                       { s.sent = append(s.sent, a) }
-func (s *script) Stop(_ *Attempt, why decide.Result)    { s.stops = append(s.stops, why) }
-func (s *script) Probe(string)                          {}
-func (s *script) List(decide.EventKind, []ListedMember) {}
+func (s *fakeModule) Send(a *Attempt)                       { s.sent = append(s.sent, a) }
+func (s *fakeModule) Stop(_ *Attempt, why decide.Result)    { s.stops = append(s.stops, why) }
+func (s *fakeModule) Probe(string)                          {}
+func (s *fakeModule) List(decide.EventKind, []ListedMember) {}
 
 type payload struct{ released int }
 
@@ -40,10 +40,10 @@
 
 func (c *client) Answer(a Answer) { c.answers = append(c.answers, a) }
 
-// run plays f against a core whose module sends each request that arrives.
-func run(t *testing.T, f func(c *Core, s *script, cl *client, call *payload, q *Request)) {
+// withCore runs f with a core whose module sends each request that arrives, and one request q.
+func withCore(t *testing.T, f func(c *Core, s *fakeModule, cl *client, call *payload, q *Request)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{on: map[decide.EventKind][]decide.Action{decide.Arrive: {{Kind: decide.Send, Request: 1, Member: "m",
+		s := &fakeModule{on: map[decide.EventKind][]decide.Action{decide.Arrive: {{Kind: decide.Send, Request: 1, Member: "m",
 			Timeout: 100 * time.Millisecond}}}}
 		c := New(NewClock(), s, slog.New(slog.DiscardHandler))
 		c.Connect(s, nil)
@@ -59,9 +59,9 @@
 	})
 }
 
-// TestDeadline: a request that the module forgets is answered all the same, and its attempt stopped once.
+// TestDeadline: a request that the module does not answer is answered all the same, and its attempt stopped once.
 func TestDeadline(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		time.Sleep(301 * time.Millisecond)
 		synctest.Wait()
 		c.Post(func() {
@@ -75,7 +75,7 @@
 			t.Errorf("answers %v, events %v", cl.answers, s.events)
 		}
 		if call.released != 0 {
-			t.Error("the statement was released while an attempt is out")
+			t.Error("the statement was released while an attempt is outstanding")
 		}
 		c.Done(s.sent[0], Outcome{Result: decide.TimedOut})
 		synctest.Wait()
@@ -85,9 +85,10 @@
 	})
 }
 
-// TestCame: the module is told how long a request has waited for its turn, and what its client still waits.
-func TestCame(t *testing.T) {
-	run(t, func(c *Core, s *script, _ *client, _ *payload, _ *Request) {
+// TestWaitingTimeIsReported: the module is told how long a request has waited for its turn, and how long its client will
+// still wait.
+func TestWaitingTimeIsReported(t *testing.T) {
+	withCore(t, func(c *Core, s *fakeModule, _ *client, _ *payload, _ *Request) {
 		c.Post(func() { clear(s.on) })
 		now := c.Now()
 		for _, came := range []Time{0, now - 70*time.Millisecond, now + time.Second} {
@@ -106,7 +107,7 @@
 
 // TestOneAnswer: the first answer is the only one, late ones are released, and a second outcome is not passed on.
 func TestOneAnswer(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		first, second := new(payload), new(payload)
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: first})
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: second})
@@ -117,7 +118,7 @@
 				first.released, second.released, call.released)
 		}
 	})
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		late := new(payload)
 		c.Gone(q)
 		c.Done(s.sent[0], Outcome{Result: decide.Served, Body: late})
@@ -128,9 +129,9 @@
 	})
 }
 
-// TestNoSecondCopy: whatever the module says, no request has two attempts out.
+// TestNoSecondCopy: whatever the module does, no request has two outstanding attempts.
 func TestNoSecondCopy(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		s.on[decide.ListError] = s.on[decide.Arrive]
 		c.List(decide.ListError, nil)
 		synctest.Wait()
@@ -141,9 +142,9 @@
 	})
 }
 
-// TestBatch: what waits goes to the module in one step.
+// TestBatch: queued events go to the module in one step.
 func TestBatch(t *testing.T) {
-	run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
+	withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
 		before := s.steps
 		c.Post(func() {
 			for range 10 {
@@ -157,8 +158,9 @@
 	})
 }
 
-// TestTooOldAnswer: a replica's answer that lacks what its read must see is not passed on, and counts as one that ran.
-func TestTooOldAnswer(t *testing.T) {
+// TestStaleAnswerIsNotPassedOn: a replica's answer that lacks commits which its read must see is not passed on, and counts
+// as one that ran.
+func TestStaleAnswerIsNotPassedOn(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		o    Outcome
@@ -167,11 +169,11 @@
 		{"demoted and behind", Outcome{Role: decide.Replica, HasPosition: true, Position: 9}, decide.Stale},
 		{"a replica that holds it", Outcome{Role: decide.Replica, HasPosition: true, Position: 10}, decide.Served},
 		{"a primary, its position rounded", Outcome{Role: decide.Primary, HasPosition: true, Position: 9}, decide.Served},
-		{"no position told", Outcome{Role: decide.Replica}, decide.Served},
+		{"no position reported", Outcome{Role: decide.Replica}, decide.Served},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			run(t, func(c *Core, s *script, cl *client, call *payload, q *Request) {
-				s.on[decide.Outcome] = []decide.Action{{Kind: decide.Fail, Request: 1}} // at the latest then
+			withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, q *Request) {
+				s.on[decide.Outcome] = []decide.Action{{Kind: decide.Fail, Request: 1}} // by then at the latest
 				s.sent[0].atLeast = 10
 				body := new(payload)
 				tc.o.Body = body
@@ -187,18 +189,18 @@
 	}
 }
 
-// ledger notes what is shared with another process.
-type ledger struct{ commits []Time }
+// fakeSharedCommits records what is shared with another process.
+type fakeSharedCommits struct{ commits []Time }
 
-func (l *ledger) RecordCommit(_ int64, _ string, p Time) { l.commits = append(l.commits, p) }
-func (l *ledger) LastCommit(_ int64, _ string) (p Time)  { return 0 }
+func (l *fakeSharedCommits) RecordCommit(_ int64, _ string, p Time) { l.commits = append(l.commits, p) }
+func (l *fakeSharedCommits) LastCommit(_ int64, _ string) (p Time)  { return 0 }
 
-// TestWriteInDoubt: a write that may have run counts as committed by its end, here and at another process; and at the
-// other one also while it is out, as its answer may be lost.
+// TestWriteInDoubt: a write that may have run counts as committed from its end on, here and at another process; there also
+// while it is outstanding, as its answer may be lost.
 func TestWriteInDoubt(t *testing.T) {
 	for _, end := range []decide.Result{decide.Reset, decide.TimedOut, decide.Cancelled, decide.Errored, decide.NotSent, decide.Unreachable} {
-		run(t, func(c *Core, s *script, cl *client, call *payload, _ *Request) {
-			l := new(ledger)
+		withCore(t, func(c *Core, s *fakeModule, cl *client, call *payload, _ *Request) {
+			l := new(fakeSharedCommits)
 			c.SetSharedCommits(l)
 			q := &Request{Class: &decide.Class{Consistency: decide.Write}, Session: "u", Deadline: c.Now() + time.Second, Call: call, Client: cl}
 			s.on[decide.Arrive] = []decide.Action{{Kind: decide.Send, Request: 2, Member: "m"}}
@@ -208,7 +210,7 @@
 			time.Sleep(AssumeCommittedAfter + time.Millisecond)
 			synctest.Wait()
 			if len(l.commits) != 1 || l.commits[0] < sent+AssumeCommittedAfter {
-				t.Errorf("shared %v while the write is out", l.commits)
+				t.Errorf("shared %v while the write is outstanding", l.commits)
 			}
 			c.Done(s.sent[1], Outcome{Result: end})
 			synctest.Wait()
@@ -222,7 +224,7 @@
 }
 
 // TestEndBy: when the process ends, each request is answered by then, however long its client would wait: refused where
-// nothing may have run, failed else. One that comes later is the module's, which knows that there is no time left.
+// nothing may have run, failed otherwise. For one that arrives later the module is told that no time is left.
 func TestEndBy(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class *decide.Class
@@ -231,14 +233,14 @@
 		"keyed anywhere": {&decide.Class{Effect: decide.Keyed, KeyScope: decide.ScopeAll}, Refused},
 		"keyed here":     {&decide.Class{Effect: decide.Keyed, KeyScope: decide.ScopeZone}, Failed}} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(c *Core, s *script, cl *client, _ *payload, q *Request) {
+			withCore(t, func(c *Core, s *fakeModule, cl *client, _ *payload, q *Request) {
 				c.Post(func() { q.Class = tc.class })
 				q.Deadline += time.Minute
 				by := c.Now() + 50*time.Millisecond
 				c.EndBy(by)
 				c.EndBy(by + time.Minute)
 				next, held := new(client), new(client)
-				look := func(f func()) { // on the owner's goroutine, which also writes
+				look := func(f func()) { // on the owner's goroutine, which also writes these fields
 					c.Post(f)
 					synctest.Wait()
 				}
@@ -247,13 +249,13 @@
 				time.Sleep(49 * time.Millisecond)
 				look(func() {
 					if n := len(cl.answers) + len(held.answers); n > 0 {
-						t.Errorf("%d answers before their time", n)
+						t.Errorf("%d answers too early", n)
 					}
 					if e := s.events[len(s.events)-1]; e.Kind != decide.Arrive || e.Remaining > 50*time.Millisecond {
 						t.Errorf("the module was told %+v", e)
 					}
 				})
-				time.Sleep(2 * deadlineSlack)
+				time.Sleep(2 * answerSlack)
 				look(func() {
 					if len(cl.answers) != 1 || cl.answers[0].Verdict != tc.want || len(held.answers) != 1 || held.answers[0].Verdict != Refused {
 						t.Errorf("answers %+v, one not sent %+v", cl.answers, held.answers)
@@ -264,7 +266,7 @@
 				synctest.Wait()
 				look(func() {
 					if e := s.events[len(s.events)-1]; len(next.answers) != 1 || next.answers[0].Verdict != Refused || e.Kind != decide.Arrive || e.Remaining > 0 {
-						t.Errorf("one that came later: answers %+v, last event %+v", next.answers, e)
+						t.Errorf("one that arrived later: answers %+v, last event %+v", next.answers, e)
 					}
 				})
 				c.Done(s.sent[0], Outcome{Result: decide.TimedOut})
