--- a/internal/fleet/subscribe/permit.go
+++ b/internal/fleet/subscribe/permit.go
@@ -33,7 +33,7 @@
 // DecodePermitRequest parses a request; ok is false if it is malformed.
 func DecodePermitRequest(b []byte) (a PermitRequest, ok bool) {
 	err := cbor.Unmarshal(b, &a)
-	return a, err == nil && a.Name != "" && len(a.Name) <= maxTextBytes && len(a.Addr) <= maxTextBytes && len(a.Reason) <= agreed.TextMost
+	return a, err == nil && a.Name != "" && len(a.Name) <= maxTextBytes && len(a.Addr) <= maxTextBytes && len(a.Reason) <= agreed.MaxTextBytes
 }
 
 // PermitAnswer is the council's answer to a request.
@@ -127,15 +127,15 @@
 
 // Counts holds a gateway's final answers since its start.
 type Counts struct {
-	Classes [agreed.ClassesMost]agreed.Served `cbor:"1,keyasint"`
-	Latency [agreed.BucketsCount]uint32       `cbor:"2,keyasint"`
+	Classes [agreed.MaxClasses]agreed.AnswerCounts `cbor:"1,keyasint"`
+	Latency [agreed.BucketCount]uint32             `cbor:"2,keyasint"`
 }
 
 // since returns what was counted after an earlier count of the same start.
 func (c *Counts) since(earlier *Counts) (d Counts) {
 	for i := range c.Classes {
 		x, y := &c.Classes[i], &earlier.Classes[i]
-		d.Classes[i] = agreed.Served{Requests: saturatingSub(x.Requests, y.Requests), Refused: saturatingSub(x.Refused, y.Refused), Late: saturatingSub(x.Late, y.Late)}
+		d.Classes[i] = agreed.AnswerCounts{Requests: saturatingSub(x.Requests, y.Requests), Refused: saturatingSub(x.Refused, y.Refused), Late: saturatingSub(x.Late, y.Late)}
 	}
 	for i := range c.Latency {
 		d.Latency[i] = uint32(saturatingSub(uint64(c.Latency[i]), uint64(earlier.Latency[i])))
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -158,7 +158,7 @@
 
 	members  map[string]map[string]memberState // by member, then by zone of the witness
 	versions map[string]*agreed.VersionHealth
-	zones    map[[2]string]*zoneplan.Seen // by witness zone and zone
+	zones    map[[2]string]*zoneplan.Evidence // by witness zone and zone
 	zonesAt  Time
 }
 
@@ -176,7 +176,7 @@
 
 // NewRegistry returns an empty record.
 func NewRegistry() *Registry {
-	return &Registry{gateways: map[string]*gatewayState{}, members: map[string]map[string]memberState{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
+	return &Registry{gateways: map[string]*gatewayState{}, members: map[string]map[string]memberState{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Evidence{}}
 }
 
 // HandleReport handles a report. Malformed reports and those of an older start or number are dropped.
@@ -213,7 +213,7 @@
 		if len(reg.versions) >= 16 {
 			return
 		}
-		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketsCount)}
+		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketCount)}
 		reg.versions[r.Version] = v
 	}
 	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaving {
@@ -237,11 +237,11 @@
 }
 
 // zoneRecord returns the record of what the gateways of one zone observed of another since the last evaluation.
-func (reg *Registry) zoneRecord(witness, of string) *zoneplan.Seen {
+func (reg *Registry) zoneRecord(witness, of string) *zoneplan.Evidence {
 	z := reg.zones[[2]string{witness, of}]
 	if z == nil {
-		z = &zoneplan.Seen{Witness: witness, Of: of}
-		if len(reg.zones) < agreed.ZonesMost*agreed.ZonesMost {
+		z = &zoneplan.Evidence{Witness: witness, Zone: of}
+		if len(reg.zones) < agreed.MaxZones*agreed.MaxZones {
 			reg.zones[[2]string{witness, of}] = z
 		}
 	}
@@ -250,7 +250,7 @@
 
 // addZoneAttempts adds a gateway's attempts since its last report, and its clients' requests.
 func (reg *Registry) addZoneAttempts(h *gatewayState, r *Report) {
-	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.ZonesMost {
+	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.MaxZones {
 		return
 	}
 	was := map[string]ZoneAttempts{}
@@ -266,7 +266,7 @@
 		attempts, failed := saturatingSub(t.Attempts, was[t.Zone].Attempts), saturatingSub(t.Failed, was[t.Zone].Failed)
 		z := reg.zoneRecord(r.Zone, t.Zone)
 		z.Attempts, z.Failed = z.Attempts+float64(attempts), z.Failed+float64(min(failed, attempts))
-		reg.zoneRecord(t.Zone, t.Zone).Done += float64(attempts - min(failed, attempts))
+		reg.zoneRecord(t.Zone, t.Zone).Served += float64(attempts - min(failed, attempts))
 	}
 	if r.Counts != nil && r.Zone != "" {
 		earlier := &Counts{}
@@ -282,11 +282,11 @@
 
 // TakeZoneCounts returns and resets what was observed of zones since the last call: offered and completed
 // work per second, attempts as totals.
-func (reg *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
+func (reg *Registry) TakeZoneCounts(now Time) (all []zoneplan.Evidence) {
 	span := max(now-reg.zonesAt, time.Millisecond).Seconds()
 	reg.zonesAt = now
 	for _, z := range reg.zones {
-		z.Offered, z.Done = z.Offered/span, z.Done/span
+		z.Offered, z.Served = z.Offered/span, z.Served/span
 		all = append(all, *z)
 	}
 	clear(reg.zones)
@@ -371,8 +371,8 @@
 			}
 		}
 		for _, o := range groups[g] {
-			o.target.Caught = !o.target.Primary && o.position > 0 && newest-o.position <= caughtUpDistance.Milliseconds()
-			o.target.Best = o == best
+			o.target.CaughtUp = !o.target.Primary && o.position > 0 && newest-o.position <= caughtUpDistance.Milliseconds()
+			o.target.BestSuccessor = o == best
 			all = append(all, o.target)
 		}
 	}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -111,7 +111,7 @@
 // countAttempt counts an attempt at a member of a zone. It runs on the core's goroutine.
 func (g *fleetAdapter) countAttempt(zone string, r decide.Result) {
 	t, ok := g.attempts[zone]
-	if !ok && len(g.attempts) >= agreed.ZonesMost {
+	if !ok && len(g.attempts) >= agreed.MaxZones {
 		return
 	}
 	t.Zone = zone
@@ -160,7 +160,7 @@
 
 // RequestEnded implements core.Observer.
 func (s coreObserver) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
-	c := &s.counters.Classes[min(q.ClassIndex, agreed.ClassesMost-1)]
+	c := &s.counters.Classes[min(q.ClassIndex, agreed.MaxClasses-1)]
 	c.Requests++
 	if v != core.Served {
 		c.Refused++
