--- a/internal/fleet/council/admin.go
+++ b/internal/fleet/council/admin.go
@@ -35,7 +35,7 @@
 }
 
 var ops = map[string]agreed.Op{"budget": agreed.SetBudget, "acquire": agreed.Acquire, "renew": agreed.Renew, "give_back": agreed.GiveBack, "revoke": agreed.Revoke,
-	"rules": agreed.SetRules, "plan": agreed.Plan, "drive": agreed.Drive, "next": agreed.Next, "started": agreed.Started, "ended": agreed.Ended, "steer": agreed.Steer, "raise": agreed.Raise, "zone": agreed.ActZone}
+	"rules": agreed.SetRules, "plan": agreed.PlanRelease, "drive": agreed.DriveRelease, "next": agreed.NextTarget, "started": agreed.TargetStarted, "ended": agreed.TargetEnded, "steer": agreed.SteerRelease, "raise": agreed.RaiseFormat, "zone": agreed.OverrideZone}
 
 // VoterState is a voter as another one knows it.
 type VoterState struct {
@@ -58,36 +58,36 @@
 
 // Status is what `reachwind fleet status` shows.
 type Status struct {
-	Name     string                    `json:"name"`
-	Quorum   bool                      `json:"quorum"`
-	Leader   string                    `json:"leader"`
-	Leading  bool                      `json:"leading"`
-	Term     uint64                    `json:"term"`
-	Index    uint64                    `json:"index"`
-	TimeMs   int64                     `json:"time_ms"`
-	Budgets  []agreed.Budget           `json:"budgets"`
-	Permits  []agreed.Permit           `json:"permits"`
-	Targets  []agreed.Target           `json:"targets"`
-	Releases []agreed.Release          `json:"releases"`
-	Rules    agreed.Rules              `json:"rules"`
-	Serves   agreed.Serves             `json:"serves"`
-	Form     int                       `json:"form"`
-	Identity uint64                    `json:"identity"` // of this voter's folder
-	ID       uint64                    `json:"id"`
-	Listen   string                    `json:"listen"`
-	Starts   uint64                    `json:"starts"`
-	Lineage  uint64                    `json:"lineage,omitempty"`
-	Voters   []VoterState              `json:"voters"`
-	Zones    *agreed.ZonePlan          `json:"zones,omitempty"`
-	ZoneActs map[string]agreed.ZoneAct `json:"zone_acts,omitempty"`
+	Name     string                         `json:"name"`
+	Quorum   bool                           `json:"quorum"`
+	Leader   string                         `json:"leader"`
+	Leading  bool                           `json:"leading"`
+	Term     uint64                         `json:"term"`
+	Index    uint64                         `json:"index"`
+	TimeMs   int64                          `json:"time_ms"`
+	Budgets  []agreed.Budget                `json:"budgets"`
+	Permits  []agreed.Permit                `json:"permits"`
+	Targets  []agreed.Target                `json:"targets"`
+	Releases []agreed.Release               `json:"releases"`
+	Rules    agreed.Rules                   `json:"rules"`
+	Serves   agreed.FleetHealth             `json:"serves"`
+	Form     int                            `json:"form"`
+	Identity uint64                         `json:"identity"` // of this voter's folder
+	ID       uint64                         `json:"id"`
+	Listen   string                         `json:"listen"`
+	Starts   uint64                         `json:"starts"`
+	Lineage  uint64                         `json:"lineage,omitempty"`
+	Voters   []VoterState                   `json:"voters"`
+	Zones    *agreed.ZonePlan               `json:"zones,omitempty"`
+	ZoneActs map[string]agreed.ZoneOverride `json:"zone_acts,omitempty"`
 }
 
 func (v *Voter) status() Status {
 	id, leading := v.node.Leader()
 	m := v.node.Machine
 	s := Status{Name: v.conf.Name, Quorum: id != 0, Leader: v.name(id), Leading: leading, Term: v.node.Term(), Index: m.Index(), TimeMs: m.Time(),
-		Budgets: m.Budgets(), Permits: m.Permits(), Targets: m.Targets(), Releases: m.Releases(), Rules: m.Rules(), Serves: m.Serves(),
-		Form: m.Form(), Identity: v.life.Identity, ID: v.self, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneActs()), Starts: v.life.Starts, Lineage: m.Lineage()}
+		Budgets: m.Budgets(), Permits: m.Permits(), Targets: m.Targets(), Releases: m.Releases(), Rules: m.Rules(), Serves: m.FleetHealth(),
+		Form: m.Format(), Identity: v.life.Identity, ID: v.self, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneOverrides()), Starts: v.life.Starts, Lineage: m.Lineage()}
 	conf := v.node.Conf()
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
 		o := VoterState{Name: v.name(id), ID: id, Address: v.address(id), Learns: slices.Contains(conf.Learners, id), HeardMs: -1}
@@ -95,7 +95,7 @@
 			o.HeardMs, o.Form = (v.now() - n.at).Milliseconds(), n.form
 		}
 		if id == v.self {
-			o.HeardMs, o.Form = 0, agreed.Form
+			o.HeardMs, o.Form = 0, agreed.NewestFormat
 		}
 		s.Voters = append(s.Voters, o)
 	}
@@ -191,7 +191,7 @@
 			leader string
 		}
 		got := make(chan end, 1)
-		c := &agreed.Command{Rules: q.Rules, Release: q.Release, Name: q.Name, OK: q.OK, Steer: q.Steer, To: agreed.Form, Op: op, Client: q.Client, Number: q.Number, Who: q.Who, Target: q.Target, Reason: q.Reason, Term: q.TermMs, Fence: q.Fence, Budget: q.Budget}
+		c := &agreed.Command{Rules: q.Rules, Release: q.Release, Name: q.Name, OK: q.OK, Steer: q.Steer, To: agreed.NewestFormat, Op: op, Client: q.Client, Number: q.Number, Actor: q.Who, Target: q.Target, Reason: q.Reason, Term: q.TermMs, Fence: q.Fence, Budget: q.Budget}
 		err = v.ask(ctx, func() {
 			id, _ := v.node.Leader()
 			tell := func(res agreed.Result, err error) { got <- end{res, err, v.name(id)} }
@@ -199,8 +199,8 @@
 				tell(agreed.Result{}, ErrNotLeader)
 				return
 			}
-			if op == agreed.Raise && !v.allSpeak() {
-				tell(agreed.Result{Refused: fmt.Sprintf("not all voters were heard to speak form %d: upgrade them first", agreed.Form)}, nil)
+			if op == agreed.RaiseFormat && !v.allSpeak() {
+				tell(agreed.Result{Refused: fmt.Sprintf("not all voters were heard to speak form %d: upgrade them first", agreed.NewestFormat)}, nil)
 				return
 			}
 			t, err := v.node.Propose(v.now(), c)
@@ -234,7 +234,7 @@
 // allSpeak tells that all voters were heard lately to speak the newest form.
 func (v *Voter) allSpeak() bool {
 	for _, id := range v.others() {
-		if n, ok := v.heard[v.name(id)]; !ok || v.now()-n.at > heardFor || n.form < agreed.Form {
+		if n, ok := v.heard[v.name(id)]; !ok || v.now()-n.at > heardFor || n.form < agreed.NewestFormat {
 			return false
 		}
 	}
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -276,17 +276,17 @@
 	same := true
 	for _, id := range v.others() {
 		name := v.name(id)
-		if n, ok := v.heard[name]; !ok || v.now()-n.at > heardFor || n.form < agreed.Form {
+		if n, ok := v.heard[name]; !ok || v.now()-n.at > heardFor || n.form < agreed.NewestFormat {
 			same = false
 		}
-		v.carry(frameHello, id, &envelope2{Form: agreed.Form, ID: v.self, Addr: v.net.AdvertisedAddr()})
+		v.carry(frameHello, id, &envelope2{Form: agreed.NewestFormat, ID: v.self, Addr: v.net.AdvertisedAddr()})
 	}
-	if _, leads := v.node.Leader(); !same || !leads || v.node.Machine.Form() >= agreed.Form {
+	if _, leads := v.node.Leader(); !same || !leads || v.node.Machine.Format() >= agreed.NewestFormat {
 		v.forms = 0
 	} else if v.forms == 0 {
 		v.forms = v.now()
 	} else if v.now()-v.forms > stayForm {
-		v.propose(&agreed.Command{Op: agreed.Raise, To: agreed.Form})
+		v.propose(&agreed.Command{Op: agreed.RaiseFormat, To: agreed.NewestFormat})
 	}
 }
 
@@ -311,7 +311,7 @@
 
 // speaks tells that a voter takes messages with lives.
 func (v *Voter) speaks(name string) bool {
-	return v.node.Machine.Form() >= agreed.Releases || v.heard[name].form >= agreed.Releases
+	return v.node.Machine.Format() >= agreed.ReleasesFormat || v.heard[name].form >= agreed.ReleasesFormat
 }
 
 func (v *Voter) send(messages []raftpb.Message) {
@@ -349,7 +349,7 @@
 		v.asked(b)
 	case frameRaft:
 		var e envelope
-		if cbor.Unmarshal(b, &e) == nil && v.node.Machine.Form() < agreed.Releases {
+		if cbor.Unmarshal(b, &e) == nil && v.node.Machine.Format() < agreed.ReleasesFormat {
 			v.message(&envelope2{Name: e.Name, Life: Life{Identity: e.Identity}, Message: e.Message})
 		}
 	case frameRaft2:
@@ -371,7 +371,7 @@
 		return
 	}
 	v.heard[e.Name] = neighbour{v.now(), e.Form}
-	if len(v.node.Conf().Voters) == 0 && len(v.guides) < VotersMost && len(e.Name) <= agreed.TextMost {
+	if len(v.node.Conf().Voters) == 0 && len(v.guides) < VotersMost && len(e.Name) <= agreed.MaxTextBytes {
 		v.guides[e.ID] = agreed.Voter{Name: e.Name, Addr: e.Addr}
 	}
 }
--- a/internal/fleet/council/gateways.go
+++ b/internal/fleet/council/gateways.go
@@ -27,7 +27,7 @@
 	m := v.node.Machine
 	target := "gateway/" + name
 	told.Name = name
-	told.Term, told.Index, told.Recall = v.node.Term(), m.Index(), m.Recalled(target)
+	told.Term, told.Index, told.Recall = v.node.Term(), m.Index(), m.ShouldRecall(target)
 	if p, ok := m.Permit(target); ok && !p.Overdue {
 		told.Fence, told.LeftMs = p.Fence, max(0, p.Until-m.Time())
 	}
@@ -83,7 +83,7 @@
 	if op == 0 {
 		return
 	}
-	c := &agreed.Command{Op: op, Client: fmt.Sprintf("gateway/%s/%d", a.Name, a.Epoch), Number: a.Number, Who: "gateway/" + a.Name, Target: "gateway/" + a.Name, Reason: a.Reason, Term: a.TermMs, Fence: a.Fence}
+	c := &agreed.Command{Op: op, Client: fmt.Sprintf("gateway/%s/%d", a.Name, a.Epoch), Number: a.Number, Actor: "gateway/" + a.Name, Target: "gateway/" + a.Name, Reason: a.Reason, Term: a.TermMs, Fence: a.Fence}
 	t, err := v.node.Propose(v.now(), c)
 	if err != nil {
 		return
@@ -111,9 +111,9 @@
 	v.reportAt = v.now() + subscribe.ReportInterval
 	m := v.node.Machine
 	known := m.Targets()
-	full := m.Form() >= agreed.Releases
+	full := m.Format() >= agreed.ReleasesFormat
 	if targets, changed := v.reports.Targets(v.now(), known, full); changed {
-		v.propose(&agreed.Command{Op: agreed.Population, Targets: targets})
+		v.propose(&agreed.Command{Op: agreed.SetTargets, Targets: targets})
 	}
 	for _, p := range m.Permits() {
 		// One that left under its own permit is back once a later start of it serves.
@@ -122,10 +122,10 @@
 			v.propose(&agreed.Command{Op: agreed.GiveBack, Target: p.Target, Fence: p.Fence, Reason: "seen back"})
 		}
 	}
-	if full && (m.Moving() || m.Rules().Worth > 0) && v.now() >= v.healthAt {
+	if full && (m.ReleaseActive() || m.Rules().MinInTimeFraction > 0) && v.now() >= v.healthAt {
 		v.healthAt = v.now() + healthEvery
 		if all := v.reports.TakeHealth(); len(all) > 0 {
-			v.propose(&agreed.Command{Op: agreed.Health, Versions: all})
+			v.propose(&agreed.Command{Op: agreed.ReportHealth, Versions: all})
 		}
 	}
 }
@@ -135,6 +135,6 @@
 // propose has the council do something of this voter's own; whether it came about is seen the next time.
 func (v *Voter) propose(c *agreed.Command) {
 	v.number++
-	c.Who, c.Client, c.Number = "council", fmt.Sprint("voter/", v.conf.Name, "/", v.store.Identity, "/", v.begin.UnixNano()), v.number
+	c.Actor, c.Client, c.Number = "council", fmt.Sprint("voter/", v.conf.Name, "/", v.store.Identity, "/", v.begin.UnixNano()), v.number
 	_, _ = v.node.Propose(v.now(), c)
 }
--- a/internal/fleet/council/node.go
+++ b/internal/fleet/council/node.go
@@ -108,7 +108,7 @@
 
 // NewNode returns a node that goes on from what was saved; saved is empty for the first start of all.
 func NewNode(c NodeConfig, s Saved, now Time) (*Node, error) {
-	n := &Node{cfg: c, mem: raft.NewMemoryStorage(), Machine: agreed.New(cmp.Or(c.Form, agreed.Form), c.Off), now: now, ticked: now, led: now, tickets: map[uint64]waiting{}}
+	n := &Node{cfg: c, mem: raft.NewMemoryStorage(), Machine: agreed.New(cmp.Or(c.Form, agreed.NewestFormat), c.Off), now: now, ticked: now, led: now, tickets: map[uint64]waiting{}}
 	n.conf = raftpb.ConfState{Voters: c.Voters}
 	if !raft.IsEmptySnap(s.Snapshot) {
 		if err := n.mem.ApplySnapshot(s.Snapshot); err != nil {
@@ -168,7 +168,7 @@
 	if n.raw.BasicStatus().Lead != 0 && !n.leading {
 		n.led = now
 	}
-	if n.leading && now >= n.timeAt && n.Machine.Ticks() {
+	if n.leading && now >= n.timeAt && n.Machine.NeedsTicks() {
 		n.timeAt = now + timeEvery
 		_ = n.propose(&agreed.Command{Op: agreed.Tick}) // a leader that is not heard loses its lead soon
 	}
@@ -268,15 +268,15 @@
 func (n *Node) councilTime() int64 { return n.base + (n.now - n.lead).Milliseconds() }
 
 func (n *Node) propose(c *agreed.Command) error {
-	c.Form, c.At = n.Machine.Form(), n.councilTime()
-	if c.Op == agreed.Raise {
-		c.Form = c.To
+	c.Format, c.At = n.Machine.Format(), n.councilTime()
+	if c.Op == agreed.RaiseFormat {
+		c.Format = c.To
 	}
 	return n.raw.Propose(c.Encode())
 }
 
 // ErrForm is returned for a command that voters of the form in use would not know.
-var ErrForm = fmt.Errorf("council: the council works in form 1 until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", agreed.Releases)
+var ErrForm = fmt.Errorf("council: the council works in form 1 until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", agreed.ReleasesFormat)
 
 // Propose takes a command and returns a ticket by which its result will come.
 func (n *Node) Propose(now Time, c *agreed.Command) (uint64, error) {
@@ -284,7 +284,7 @@
 	if !n.leading {
 		return 0, ErrNotLeader
 	}
-	if c.Op > agreed.Revoke && c.Op != agreed.Raise && n.Machine.Form() < agreed.Releases {
+	if c.Op > agreed.Revoke && c.Op != agreed.RaiseFormat && n.Machine.Format() < agreed.ReleasesFormat {
 		return 0, ErrForm
 	}
 	if err := n.propose(c); err != nil {
@@ -403,8 +403,8 @@
 	switch {
 	case !n.leading:
 		return ErrNotLeader
-	case n.Machine.Form() < agreed.Releases:
-		return fmt.Errorf("%w: the council works in form %d", ErrVoters, n.Machine.Form())
+	case n.Machine.Format() < agreed.ReleasesFormat:
+		return fmt.Errorf("%w: the council works in form %d", ErrVoters, n.Machine.Format())
 	case c.Leave && len(n.conf.Voters) == 1 && n.conf.Voters[0] == c.ID:
 		return fmt.Errorf("%w: it is the last one", ErrVoters)
 	case !c.Leave && !c.Learn && !n.caughtUp(c.ID):
@@ -478,8 +478,8 @@
 	}
 	if leads && !n.leading {
 		n.base, n.lead, n.timeAt = n.Machine.Time(), n.now, n.now
-		if gap := n.now - n.led; gap > lostFor && n.Machine.Moving() {
-			_ = n.propose(&agreed.Command{Op: agreed.Steer, Name: "*", Steer: "halt", Who: "council", Reason: fmt.Sprintf("nobody led for %v", gap.Round(time.Second))})
+		if gap := n.now - n.led; gap > lostFor && n.Machine.ReleaseActive() {
+			_ = n.propose(&agreed.Command{Op: agreed.SteerRelease, Name: "*", Steer: "halt", Actor: "council", Reason: fmt.Sprintf("nobody led for %v", gap.Round(time.Second))})
 		}
 	}
 	n.leading = leads
--- a/internal/fleet/council/store.go
+++ b/internal/fleet/council/store.go
@@ -116,7 +116,7 @@
 	if err := m.Put(keySelf, sum(binary.BigEndian.AppendUint64(nil, s.Identity))); err != nil {
 		return err
 	}
-	if err := m.Put(keyBorn, sum([]byte{agreed.Form})); err != nil {
+	if err := m.Put(keyBorn, sum([]byte{agreed.NewestFormat})); err != nil {
 		return err
 	}
 	return m.Put(keyForm, sum([]byte{storeForm}))
