--- a/internal/fleet/agreed/agreed.go
+++ b/internal/fleet/agreed/agreed.go
@@ -54,14 +54,14 @@
 
 // Bounds of what the state holds.
 const (
-	BudgetsMost  = 256
-	PermitsMost  = 4096
-	HistoryMost  = 4096
-	DedupeMost   = 4096
-	TargetsMost  = 8192
-	MaxTextBytes = 256
-	TermMost     = 24 * 3600 * 1000 // ms
-	HistoryKeep  = 7 * 24 * 3600 * 1000
+	MaxBudgets         = 256
+	MaxPermits         = 4096
+	MaxHistory         = 4096
+	MaxClients         = 4096
+	MaxTargets         = 8192
+	MaxTextBytes       = 256
+	MaxTermMs          = 24 * 3600 * 1000 // ms
+	HistoryRetentionMs = 7 * 24 * 3600 * 1000
 )
 
 // Budget is how many of some targets may be out at once.
@@ -98,7 +98,7 @@
 	BestSuccessor bool   `cbor:"9,keyasint,omitempty" json:"best,omitempty"`      // the replica that lacks least
 }
 
-func (t *Target) of() string {
+func (t *Target) kind() string {
 	if strings.HasPrefix(t.Name, "gateway/") {
 		return "gateways"
 	}
@@ -169,18 +169,18 @@
 
 // The guards.
 const (
-	GuardBudget  Guard = 1 << iota // no more out than the budgets say
-	GuardOverdue                   // an overdue target counts as out
-	GuardFence                     // only the newest fence renews or gives back
-	GuardOnce                      // a command that comes twice is done once
-	GuardFailed                    // who fails by itself counts as out
-	GuardHeld                      // a target is held once
-	GuardDriver                    // only the newest driver takes targets out
-	GuardStart                     // nothing starts under a permit that ended, or after a halt
-	GuardTwice                     // a target is taken out once in a step, whoever drives
-	GuardBack                      // a target counts as done once it is seen back, in the version wanted
-	GuardTold                      // a step is left only when its health can be told and is good
-	GuardLast                      // never the last caught-up replica, never a primary beside its best successor
+	GuardBudget      Guard = 1 << iota // no more out than the budgets say
+	GuardOverdue                       // an overdue target counts as out
+	GuardFence                         // only the newest fence renews or gives back
+	GuardDedupe                        // a command that comes twice is done once
+	GuardFailed                        // who fails by itself counts as out
+	GuardHeld                          // a target is held once
+	GuardDriver                        // only the newest driver takes targets out
+	GuardStart                         // nothing starts under a permit that ended, or after a halt
+	GuardOncePerStep                   // a target is taken out once in a step, whoever drives
+	GuardSeenBack                      // a target counts as done once it is seen back, in the version wanted
+	GuardHealth                        // a step is left only when its health can be told and is good
+	GuardGroupSafety                   // never the last caught-up replica, never a primary beside its best successor
 )
 
 // Guards are all of them, with what each keeps.
@@ -189,36 +189,36 @@
 	Name  string
 }{
 	{GuardBudget, "no more out than the budgets say"}, {GuardOverdue, "an overdue target counts as out until it is seen back"},
-	{GuardFence, "only the newest fence renews or gives back"}, {GuardOnce, "a command that comes twice is done once"},
+	{GuardFence, "only the newest fence renews or gives back"}, {GuardDedupe, "a command that comes twice is done once"},
 	{GuardFailed, "who fails by itself counts as out"}, {GuardHeld, "a target is held once"},
 	{GuardDriver, "only the newest driver takes targets out"}, {GuardStart, "nothing starts under a permit that ended, or after a halt"},
-	{GuardTwice, "a target is taken out once in a step"}, {GuardBack, "a target is done once it is seen back in the version wanted"},
-	{GuardTold, "a step is left only when its health is told and good"}, {GuardLast, "never the last caught-up replica, nor primary and successor"},
+	{GuardOncePerStep, "a target is taken out once in a step"}, {GuardSeenBack, "a target is done once it is seen back in the version wanted"},
+	{GuardHealth, "a step is left only when its health is told and good"}, {GuardGroupSafety, "never the last caught-up replica, nor primary and successor"},
 }
 
 // state is what a snapshot holds.
 type state struct {
-	Form    int               `cbor:"1,keyasint"`
-	Time    int64             `cbor:"2,keyasint"`
-	Fence   uint64            `cbor:"3,keyasint"` // the last that was given
-	Index   uint64            `cbor:"4,keyasint"` // of the last command
-	Budgets map[string]Budget `cbor:"5,keyasint"`
-	Permits map[string]Permit `cbor:"6,keyasint"` // by target
-	Targets map[string]Target `cbor:"7,keyasint"`
-	Done    map[string]done   `cbor:"8,keyasint"` // by client
-	History []Entry           `cbor:"9,keyasint"`
+	Format      int                     `cbor:"1,keyasint"`
+	Time        int64                   `cbor:"2,keyasint"`
+	Fence       uint64                  `cbor:"3,keyasint"` // the last that was given
+	Index       uint64                  `cbor:"4,keyasint"` // of the last command
+	Budgets     map[string]Budget       `cbor:"5,keyasint"`
+	Permits     map[string]Permit       `cbor:"6,keyasint"` // by target
+	Targets     map[string]Target       `cbor:"7,keyasint"`
+	LastResults map[string]clientResult `cbor:"8,keyasint"` // by client
+	History     []Entry                 `cbor:"9,keyasint"`
 
 	// From form 2 on.
-	Rules    Rules                   `cbor:"10,keyasint,omitzero"`
-	Releases map[string]Release      `cbor:"11,keyasint,omitempty"`
-	Serves   FleetHealth             `cbor:"12,keyasint,omitzero"`
-	Voters   map[uint64]Voter        `cbor:"13,keyasint,omitempty"` // that were added; the first are the configuration's
-	Lineage  uint64                  `cbor:"14,keyasint,omitempty"` // changes when a council is restored from one folder
-	Zones    *ZonePlan               `cbor:"15,keyasint,omitempty"`
-	ZoneActs map[string]ZoneOverride `cbor:"16,keyasint,omitempty"`
+	Rules         Rules                   `cbor:"10,keyasint,omitzero"`
+	Releases      map[string]Release      `cbor:"11,keyasint,omitempty"`
+	FleetHealth   FleetHealth             `cbor:"12,keyasint,omitzero"`
+	Voters        map[uint64]Voter        `cbor:"13,keyasint,omitempty"` // that were added; the first are the configuration's
+	Lineage       uint64                  `cbor:"14,keyasint,omitempty"` // changes when a council is restored from one folder
+	Zones         *ZonePlan               `cbor:"15,keyasint,omitempty"`
+	ZoneOverrides map[string]ZoneOverride `cbor:"16,keyasint,omitempty"`
 }
 
-type done struct {
+type clientResult struct {
 	Number uint64 `cbor:"1,keyasint"`
 	At     int64  `cbor:"2,keyasint"`
 	Result Result `cbor:"3,keyasint"`
@@ -226,17 +226,17 @@
 
 // Machine is the agreed state. It is its owner's alone.
 type Machine struct {
-	s   state
-	off Guard
+	s              state
+	disabledGuards Guard
 }
 
 // New returns an empty state of a form, as the program that founds a council has it. Guards are switched off for
 // checkers only.
 func New(form int, off Guard) *Machine {
-	return &Machine{off: off, s: state{Form: min(max(form, 1), NewestFormat), Budgets: map[string]Budget{}, Permits: map[string]Permit{}, Targets: map[string]Target{}, Done: map[string]done{}}}
+	return &Machine{disabledGuards: off, s: state{Format: min(max(form, 1), NewestFormat), Budgets: map[string]Budget{}, Permits: map[string]Permit{}, Targets: map[string]Target{}, LastResults: map[string]clientResult{}}}
 }
 
-func (m *Machine) on(g Guard) bool { return m.off&g == 0 }
+func (m *Machine) guarded(g Guard) bool { return m.disabledGuards&g == 0 }
 
 var encoder = func() cbor.EncMode {
 	e, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
@@ -256,8 +256,8 @@
 }
 
 var (
-	errForm  = errors.New("agreed: of a form newer than this program knows")
-	errState = errors.New("agreed: a snapshot that makes no sense")
+	errNewerFormat = errors.New("agreed: of a form newer than this program knows")
+	errBadSnapshot = errors.New("agreed: a snapshot that makes no sense")
 )
 
 // Decode reads a command. One of a newer form is an error: a process that can't do what was agreed must stop.
@@ -267,7 +267,7 @@
 		return nil, err
 	}
 	if c.Format > NewestFormat || c.Op < Tick || c.Op > lastOp {
-		return nil, fmt.Errorf("%w: form %d, operation %d", errForm, c.Format, c.Op)
+		return nil, fmt.Errorf("%w: form %d, operation %d", errNewerFormat, c.Format, c.Op)
 	}
 	return c, nil
 }
@@ -287,11 +287,11 @@
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return err
 	}
-	if s.Form > NewestFormat {
-		return errForm
+	if s.Format > NewestFormat {
+		return errNewerFormat
 	}
-	if s.Budgets == nil || s.Permits == nil || s.Targets == nil || s.Done == nil {
-		return errState
+	if s.Budgets == nil || s.Permits == nil || s.Targets == nil || s.LastResults == nil {
+		return errBadSnapshot
 	}
 	m.s = s
 	return nil
@@ -343,21 +343,21 @@
 	s.Time = max(s.Time, c.At) // a leader counts on from what was agreed, so it never goes back; nor if a leader erred
 	m.expire()
 	m.advance()
-	if c.Client != "" && m.on(GuardOnce) {
-		if d, ok := s.Done[c.Client]; ok && c.Number <= d.Number {
+	if c.Client != "" && m.guarded(GuardDedupe) {
+		if d, ok := s.LastResults[c.Client]; ok && c.Number <= d.Number {
 			if c.Number < d.Number {
 				return Result{Refused: "an older command of this client; its result is no longer known"}
 			}
 			return d.Result
 		}
 	}
-	r := m.do(c)
+	r := m.execute(c)
 	m.advance()
 	if c.Client != "" {
-		if len(s.Done) >= DedupeMost {
-			m.forgetClient()
+		if len(s.LastResults) >= MaxClients {
+			m.evictClient()
 		}
-		s.Done[c.Client] = done{c.Number, s.Time, r}
+		s.LastResults[c.Client] = clientResult{c.Number, s.Time, r}
 	}
 	if c.Op != Tick && c.Op != SetTargets && c.Op != ReportHealth && c.Op != SetZones && !((c.Op == Renew || c.Op == DriveRelease || c.Op == NextTarget) && (r.OK || c.Op == NextTarget)) {
 		result := "done"
@@ -380,22 +380,22 @@
 	s := &m.s
 	e.At = s.Time
 	s.History = append(s.History, e)
-	drop := max(0, len(s.History)-HistoryMost)
-	for drop < len(s.History) && s.Time-s.History[drop].At > HistoryKeep {
+	drop := max(0, len(s.History)-MaxHistory)
+	for drop < len(s.History) && s.Time-s.History[drop].At > HistoryRetentionMs {
 		drop++
 	}
 	s.History = slices.Delete(s.History, 0, drop)
 }
 
-// forgetClient drops the client that was heard of least lately; by name among those of one time, so that all drop the same.
-func (m *Machine) forgetClient() {
+// evictClient drops the client that was heard of least lately; by name among those of one time, so that all drop the same.
+func (m *Machine) evictClient() {
 	oldest, at := "", int64(0)
-	for name, d := range m.s.Done {
+	for name, d := range m.s.LastResults {
 		if oldest == "" || d.At < at || d.At == at && name < oldest {
 			oldest, at = name, d.At
 		}
 	}
-	delete(m.s.Done, oldest)
+	delete(m.s.LastResults, oldest)
 }
 
 // expire has permits whose term ended become overdue: their targets count as out until they are seen back.
@@ -408,7 +408,7 @@
 		p.Overdue = true
 		m.s.Permits[target] = p
 		m.record(Entry{Index: m.s.Index, Action: "permit ended", Target: target, Fence: p.Fence, Result: "counts as out until it is seen back"})
-		if !m.on(GuardOverdue) {
+		if !m.guarded(GuardOverdue) {
 			delete(m.s.Permits, target)
 		}
 	}
@@ -416,22 +416,22 @@
 
 func refuse(format string, args ...any) Result { return Result{Refused: fmt.Sprintf(format, args...)} }
 
-func (m *Machine) do(c *Command) Result {
+func (m *Machine) execute(c *Command) Result {
 	s := &m.s
 	if len(c.Target) > MaxTextBytes || len(c.Actor) > MaxTextBytes || len(c.Reason) > MaxTextBytes || len(c.Client) > MaxTextBytes {
 		return refuse("a text is longer than %d bytes", MaxTextBytes)
 	}
-	if c.Op > Revoke && c.Op != RaiseFormat && s.Form < ReleasesFormat {
-		return refuse("the council works in form %d until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", s.Form, ReleasesFormat)
+	if c.Op > Revoke && c.Op != RaiseFormat && s.Format < ReleasesFormat {
+		return refuse("the council works in form %d until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", s.Format, ReleasesFormat)
 	}
 	switch c.Op {
 	case Tick:
 		return Result{OK: true}
 	case RaiseFormat:
-		if c.To <= s.Form || c.To > NewestFormat {
-			return refuse("the council works in form %d, it can't be raised to %d", s.Form, c.To)
+		if c.To <= s.Format || c.To > NewestFormat {
+			return refuse("the council works in form %d, it can't be raised to %d", s.Format, c.To)
 		}
-		s.Form = c.To
+		s.Format = c.To
 		return Result{OK: true}
 	case SetRules:
 		if c.Rules == nil || c.Rules.MinInTimeFraction < 0 || c.Rules.MinInTimeFraction > 1 {
@@ -440,15 +440,15 @@
 		s.Rules = *c.Rules
 		return Result{OK: true}
 	case PlanRelease:
-		return m.plan(c)
+		return m.planRelease(c)
 	case DriveRelease, NextTarget, TargetStarted, TargetEnded, SteerRelease:
-		return m.release(c)
+		return m.applyRelease(c)
 	case SetZones:
 		return m.setZones(c)
 	case OverrideZone:
-		return m.zoneAct(c)
+		return m.overrideZone(c)
 	case ReportHealth:
-		m.health(c.Versions)
+		m.applyHealth(c.Versions)
 		return Result{OK: true}
 	case SetBudget:
 		b := c.Budget
@@ -458,7 +458,7 @@
 			return refuse("a budget is of gateways or of members")
 		case b.MaxOut < -1 || b.MaxFraction < 0 || b.MaxFraction > 1 || b.MaxOut == -1 && b.MaxFraction == 0:
 			return refuse("most %d and share %g bound nothing, want a number from 0 or a share up to 1", b.MaxOut, b.MaxFraction)
-		case len(s.Budgets) >= BudgetsMost && !again:
+		case len(s.Budgets) >= MaxBudgets && !again:
 			return refuse("there are %d budgets already", len(s.Budgets))
 		}
 		s.Budgets[b.Key()] = *b
@@ -470,7 +470,7 @@
 		if !ok {
 			return refuse("%s holds no permit", c.Target)
 		}
-		if c.Fence != p.Fence && m.on(GuardFence) {
+		if c.Fence != p.Fence && m.guarded(GuardFence) {
 			return refuse("fence %d of %s is of the past, the permit that holds is %d of %s", c.Fence, c.Target, p.Fence, p.Holder)
 		}
 		switch {
@@ -482,17 +482,17 @@
 		case p.Overdue:
 			return refuse("the permit of %s ended, it can't be renewed", c.Target)
 		default:
-			p.Until = s.Time + min(max(c.Term, 0), TermMost)
+			p.Until = s.Time + min(max(c.Term, 0), MaxTermMs)
 			s.Permits[c.Target] = p
 		}
 		return Result{OK: true, Permit: &p}
 	case SetTargets:
-		if len(c.Targets) > TargetsMost {
-			return refuse("%d targets, want at most %d", len(c.Targets), TargetsMost)
+		if len(c.Targets) > MaxTargets {
+			return refuse("%d targets, want at most %d", len(c.Targets), MaxTargets)
 		}
 		s.Targets = make(map[string]Target, len(c.Targets))
 		for _, t := range c.Targets {
-			if s.Form < ReleasesFormat { // as a voter of the former program has it
+			if s.Format < ReleasesFormat { // as a voter of the former program has it
 				t = Target{Name: t.Name, Zone: t.Zone, Group: t.Group, Out: t.Out}
 			}
 			s.Targets[t.Name] = t
@@ -506,7 +506,7 @@
 func (m *Machine) acquire(c *Command) Result {
 	s := &m.s
 	own := strings.HasPrefix(c.Actor, "release/") && s.Permits[c.Target].Holder == c.Actor && s.Permits[c.Target].Overdue
-	if why := m.bars(c.Target); why != "" && !own {
+	if why := m.blockedBy(c.Target); why != "" && !own {
 		return Result{Refused: why}
 	}
 	t := Target{Name: c.Target}
@@ -516,12 +516,12 @@
 	switch {
 	case !strings.HasPrefix(c.Target, "gateway/") && !strings.HasPrefix(c.Target, "db/"):
 		return refuse("target is %q, want gateway/NAME or db/NAME", c.Target)
-	case c.Term <= 0 || c.Term > TermMost:
-		return refuse("term is %d ms, want from 1 to %d", c.Term, TermMost)
-	case len(s.Permits) >= PermitsMost:
+	case c.Term <= 0 || c.Term > MaxTermMs:
+		return refuse("term is %d ms, want from 1 to %d", c.Term, MaxTermMs)
+	case len(s.Permits) >= MaxPermits:
 		return refuse("there are %d permits already", len(s.Permits))
 	}
-	if p, ok := s.Permits[c.Target]; ok && m.on(GuardHeld) && !own { // what a release left out, it may mend: it counts as out already
+	if p, ok := s.Permits[c.Target]; ok && m.guarded(GuardHeld) && !own { // what a release left out, it may mend: it counts as out already
 		if p.Overdue {
 			return refuse("%s is out since the permit %d of %s ended, and not seen back", c.Target, p.Fence, p.Holder)
 		}
@@ -529,11 +529,11 @@
 	}
 	for _, k := range slices.Sorted(maps.Keys(s.Budgets)) {
 		b := s.Budgets[k]
-		if !b.covers(&t) || !m.on(GuardBudget) || own {
+		if !b.covers(&t) || !m.guarded(GuardBudget) || own {
 			continue
 		}
-		out, all, holder := m.out(&b, c.Target)
-		if most, ok := b.allows(all); ok && out+1 > most {
+		out, all, holder := m.countOut(&b, c.Target)
+		if most, ok := b.limit(all); ok && out+1 > most {
 			why := fmt.Sprintf("budget of %s", b.Kind)
 			if b.Zone != "" {
 				why += " in zone " + b.Zone
@@ -552,11 +552,11 @@
 
 // covers tells whether a budget is about a target. One that is not known counts for every zone and group.
 func (b *Budget) covers(t *Target) bool {
-	return b.Kind == t.of() && (b.Zone == "" || t.Zone == "" || b.Zone == t.Zone) && (b.Group == "" || t.Group == "" || b.Group == t.Group)
+	return b.Kind == t.kind() && (b.Zone == "" || t.Zone == "" || b.Zone == t.Zone) && (b.Group == "" || t.Group == "" || b.Group == t.Group)
 }
 
-// allows is how many may be out of so many; ok is false where the budget bounds nothing.
-func (b *Budget) allows(all int) (most int, ok bool) {
+// limit is how many may be out of so many; ok is false where the budget bounds nothing.
+func (b *Budget) limit(all int) (most int, ok bool) {
 	most = b.MaxOut
 	if b.MaxFraction > 0 {
 		if n := int(b.MaxFraction * float64(all)); most < 0 || n < most {
@@ -566,8 +566,8 @@
 	return most, most >= 0
 }
 
-// out counts who is out under a budget, beside one target: by permit or by itself, each once. holder tells of some.
-func (m *Machine) out(b *Budget, but string) (out, all int, holder string) {
+// countOut counts who is out under a budget, beside one target: by permit or by itself, each once. holder tells of some.
+func (m *Machine) countOut(b *Budget, but string) (out, all int, holder string) {
 	s := &m.s
 	names := map[string]bool{}
 	var some []string
@@ -592,7 +592,7 @@
 			continue
 		}
 		all++
-		if t.Out && name != but && !names[name] && m.on(GuardFailed) {
+		if t.Out && name != but && !names[name] && m.guarded(GuardFailed) {
 			names[name] = true
 			some = append(some, name+" by itself")
 		}
--- a/internal/fleet/agreed/forecast.go
+++ b/internal/fleet/agreed/forecast.go
@@ -68,7 +68,7 @@
 						size++
 					}
 				}
-				if most, ok := b.allows(size); ok && used[i]+1 > most {
+				if most, ok := b.limit(size); ok && used[i]+1 > most {
 					fits = false
 					if most == 0 {
 						return n, fmt.Sprintf("the budget of %s %s %s allows none of %d out", b.Kind, b.Zone, b.Group, size)
--- a/internal/fleet/agreed/health.go
+++ b/internal/fleet/agreed/health.go
@@ -7,20 +7,20 @@
 
 // Buckets are bounds of latency in microseconds, each √2 of the one before: the last takes all that is longer.
 const (
-	BucketCount = 30
-	bucketFirst = 500.0
+	BucketCount   = 30
+	firstBucketUs = 500.0
 )
 
 // Bucket is the place of a latency in microseconds.
 func Bucket(us int64) int {
-	if us <= bucketFirst {
+	if us <= firstBucketUs {
 		return 0
 	}
-	return min(BucketCount-1, int(math.Ceil(2*math.Log2(float64(us)/bucketFirst))))
+	return min(BucketCount-1, int(math.Ceil(2*math.Log2(float64(us)/firstBucketUs))))
 }
 
 // BucketMax is the longest latency in microseconds that a bucket takes.
-func BucketMax(i int) int64 { return int64(bucketFirst * math.Pow(2, float64(i)/2)) }
+func BucketMax(i int) int64 { return int64(firstBucketUs * math.Pow(2, float64(i)/2)) }
 
 // AnswerCounts counts final answers.
 type AnswerCounts struct {
@@ -45,14 +45,14 @@
 	Gateways int                      `cbor:"5,keyasint,omitempty"`
 }
 
-// Side is what was counted of one side of a comparison.
-type Side struct {
+// SideCounts is what was counted of one side of a comparison.
+type SideCounts struct {
 	Classes  [MaxClasses]AnswerCounts `cbor:"1,keyasint" json:"classes"`
 	Latency  [BucketCount]uint32      `cbor:"2,keyasint" json:"latency"`
 	Restarts int                      `cbor:"3,keyasint,omitempty" json:"restarts,omitempty"`
 }
 
-func (s *Side) add(v *VersionHealth) {
+func (s *SideCounts) add(v *VersionHealth) {
 	for i := range s.Classes {
 		s.Classes[i].add(&v.Classes[i])
 	}
@@ -62,14 +62,14 @@
 	s.Restarts += v.Restarts
 }
 
-func (s *Side) total() (t AnswerCounts) {
+func (s *SideCounts) total() (t AnswerCounts) {
 	for i := range s.Classes {
 		t.add(&s.Classes[i])
 	}
 	return t
 }
 
-func part(n, of uint64) float64 {
+func fraction(n, of uint64) float64 {
 	if of == 0 {
 		return 0
 	}
@@ -77,7 +77,7 @@
 }
 
 // p99 is in microseconds, 0 = nothing was served.
-func (s *Side) p99() int64 {
+func (s *SideCounts) p99() int64 {
 	n := uint64(0)
 	for _, c := range s.Latency {
 		n += uint64(c)
@@ -91,12 +91,12 @@
 	return 0
 }
 
-// Window is what was seen of a release's version and of the others. Base is the others over the whole release, for the
+// Comparison is what was seen of a release's version and of the others. Base is the others over the whole release, for the
 // time when none is left.
-type Window struct {
-	New  Side `cbor:"1,keyasint" json:"new"`
-	Old  Side `cbor:"2,keyasint" json:"old"`
-	Base Side `cbor:"3,keyasint" json:"base"`
+type Comparison struct {
+	New  SideCounts `cbor:"1,keyasint" json:"new"`
+	Old  SideCounts `cbor:"2,keyasint" json:"old"`
+	Base SideCounts `cbor:"3,keyasint" json:"base"`
 }
 
 // FleetHealth is how the whole fleet served lately.
@@ -116,11 +116,11 @@
 func (m *Machine) Rules() Rules { return m.s.Rules }
 
 // FleetHealth is how the fleet served lately.
-func (m *Machine) FleetHealth() FleetHealth { return m.s.Serves }
+func (m *Machine) FleetHealth() FleetHealth { return m.s.FleetHealth }
 
 const (
-	servesFresh = 30 * 1000 // ms for which a count of what is served holds
-	servesLeast = 20        // requests by which the fleet's worth can be told
+	fleetHealthValidMs = 30 * 1000 // ms for which a count of what is served holds
+	minFleetRequests   = 20        // requests by which the fleet's worth can be told
 )
 
 // HealthLimits is the health that must hold for a release to go on: bounds on what the new version may do worse than the others.
@@ -138,7 +138,7 @@
 	if w.Disabled {
 		return ""
 	}
-	if w.RefusedMargin < 0 || w.RefusedMargin > 1 || w.LateMargin < 0 || w.LateMargin > 1 || w.P99Factor < 1 || w.MaxRestarts < 0 || w.MinRequests == 0 || w.WithinMs <= 0 || w.WithinMs > TermMost {
+	if w.RefusedMargin < 0 || w.RefusedMargin > 1 || w.LateMargin < 0 || w.LateMargin > 1 || w.P99Factor < 1 || w.MaxRestarts < 0 || w.MinRequests == 0 || w.WithinMs <= 0 || w.WithinMs > MaxTermMs {
 		return fmt.Sprintf("health wants refused %g and late %g from 0 to 1, p99 times %g from 1, restarts %d from 0, requests %d from 1 and within %d ms",
 			w.RefusedMargin, w.LateMargin, w.P99Factor, w.MaxRestarts, w.MinRequests, w.WithinMs)
 	}
@@ -148,13 +148,13 @@
 type verdict int
 
 const (
-	untold verdict = iota
+	undecided verdict = iota
 	good
 	bad
 )
 
-// judge compares the new version with the others: bad as soon as that can be told, good only once both can be.
-func (w *HealthLimits) judge(r *Release) (verdict, string) {
+// evaluate compares the new version with the others: bad as soon as that can be told, good only once both can be.
+func (w *HealthLimits) evaluate(r *Release) (verdict, string) {
 	if w.Disabled {
 		return good, ""
 	}
@@ -169,13 +169,13 @@
 		b = others.total()
 	}
 	if a.Requests < w.MinRequests || b.Requests < w.MinRequests {
-		return untold, fmt.Sprintf("the new version had %d requests, the others %d, want %d of each", a.Requests, b.Requests, w.MinRequests)
+		return undecided, fmt.Sprintf("the new version had %d requests, the others %d, want %d of each", a.Requests, b.Requests, w.MinRequests)
 	}
 	compare := func(what string, x, y AnswerCounts) string {
-		if p, q := part(x.Refused, x.Requests), part(y.Refused, y.Requests); p > q+w.RefusedMargin+noise(x.Requests) {
+		if p, q := fraction(x.Refused, x.Requests), fraction(y.Refused, y.Requests); p > q+w.RefusedMargin+chanceMargin(x.Requests) {
 			return fmt.Sprintf("the new version refused %.1f %% of %s, the others %.1f %%", 100*p, what, 100*q)
 		}
-		if p, q := part(x.Late, x.Requests), part(y.Late, y.Requests); p > q+w.LateMargin+noise(x.Requests) {
+		if p, q := fraction(x.Late, x.Requests), fraction(y.Late, y.Requests); p > q+w.LateMargin+chanceMargin(x.Requests) {
 			return fmt.Sprintf("the new version served %.1f %% of %s late, the others %.1f %%", 100*p, what, 100*q)
 		}
 		return ""
@@ -187,7 +187,7 @@
 	for i := range mine.Classes {
 		x, y := mine.Classes[i], others.Classes[i]
 		if least := max(w.MinRequests/10, 10); x.Requests < least || y.Requests < least {
-			if part(y.Requests, b.Requests) >= classPart && x.Requests < least {
+			if fraction(y.Requests, b.Requests) >= minClassFraction && x.Requests < least {
 				dim = fmt.Sprintf("the new version had %d requests of class %d, want %d", x.Requests, i, least)
 			}
 			continue
@@ -200,25 +200,25 @@
 		return bad, fmt.Sprintf("p99 of the new version is %.1f ms, of the others %.1f ms", float64(p)/1000, float64(q)/1000)
 	}
 	if dim != "" {
-		return untold, dim
+		return undecided, dim
 	}
 	return good, ""
 }
 
-// classPart is the part of the others' requests from which on a class must be told for a version to be good.
-const classPart = 0.05
+// minClassFraction is the part of the others' requests from which on a class must be told for a version to be good.
+const minClassFraction = 0.05
 
-// noise is by how much a part of so many requests may differ by chance: two standard deviations of a part of 5 %.
-func noise(n uint64) float64 { return 2 * math.Sqrt(0.05*0.95/float64(max(n, 1))) }
+// chanceMargin is by how much a part of so many requests may differ by chance: two standard deviations of a part of 5 %.
+func chanceMargin(n uint64) float64 { return 2 * math.Sqrt(0.05*0.95/float64(max(n, 1))) }
 
-// health takes what gateways counted.
-func (m *Machine) health(all []VersionHealth) {
-	var whole Side
+// applyHealth takes what gateways counted.
+func (m *Machine) applyHealth(all []VersionHealth) {
+	var whole SideCounts
 	for i := range all {
 		whole.add(&all[i])
 	}
-	if t := whole.total(); t.Requests >= servesLeast {
-		m.s.Serves = FleetHealth{At: m.s.Time, Requests: t.Requests, InTimeFraction: 1 - part(t.Refused+t.Late, t.Requests)}
+	if t := whole.total(); t.Requests >= minFleetRequests {
+		m.s.FleetHealth = FleetHealth{At: m.s.Time, Requests: t.Requests, InTimeFraction: 1 - fraction(t.Refused+t.Late, t.Requests)}
 	}
 	for _, r := range m.Releases() {
 		if r.State != Running || r.Kind != "gateways" {
@@ -232,20 +232,20 @@
 				r.Counts.Base.add(v)
 			}
 		}
-		m.keep(&r)
+		m.storeRelease(&r)
 	}
 }
 
-// bars says why nothing new, or not this target, may go out whatever the budgets say; empty: nothing bars it.
-func (m *Machine) bars(target string) string {
+// blockedBy says why nothing new, or not this target, may go out whatever the budgets say; empty: nothing bars it.
+func (m *Machine) blockedBy(target string) string {
 	s := &m.s
-	if s.Form < ReleasesFormat {
+	if s.Format < ReleasesFormat {
 		return ""
 	}
 	if s.Rules.BlockOnZoneLoss {
 		all, lost := map[string]int{}, map[string]int{}
 		for _, t := range s.Targets {
-			if t.of() == "gateways" && t.Zone != "" && s.Permits[t.Name].Fence == 0 {
+			if t.kind() == "gateways" && t.Zone != "" && s.Permits[t.Name].Fence == 0 {
 				all[t.Zone]++
 				if t.Out {
 					lost[t.Zone]++
@@ -262,20 +262,20 @@
 			return fmt.Sprintf("zone %s is lost, %d of its %d gateways are out by themselves: nothing new goes out", zone, lost[zone], all[zone])
 		}
 	}
-	if w := s.Rules.MinInTimeFraction; w > 0 && s.Serves.Requests > 0 && s.Time-s.Serves.At < servesFresh && s.Serves.InTimeFraction < w {
-		return fmt.Sprintf("the fleet serves %.1f %% in time, under %.1f %%: nothing new goes out", 100*s.Serves.InTimeFraction, 100*w)
+	if w := s.Rules.MinInTimeFraction; w > 0 && s.FleetHealth.Requests > 0 && s.Time-s.FleetHealth.At < fleetHealthValidMs && s.FleetHealth.InTimeFraction < w {
+		return fmt.Sprintf("the fleet serves %.1f %% in time, under %.1f %%: nothing new goes out", 100*s.FleetHealth.InTimeFraction, 100*w)
 	}
 	t, ok := s.Targets[target]
-	if why := m.zoneBars(t.Zone); why != "" && t.of() == "gateways" {
+	if why := m.zoneBlockedBy(t.Zone); why != "" && t.kind() == "gateways" {
 		return why
 	}
-	if !ok || t.of() != "members" || t.Group == "" || !m.on(GuardLast) {
+	if !ok || t.kind() != "members" || t.Group == "" || !m.guarded(GuardGroupSafety) {
 		return ""
 	}
 	caught, out := 0, 0
 	primary, best := "", ""
 	for _, o := range s.Targets {
-		if o.Group != t.Group || o.of() != "members" {
+		if o.Group != t.Group || o.kind() != "members" {
 			continue
 		}
 		_, held := s.Permits[o.Name]
@@ -325,8 +325,8 @@
 		if !b.covers(&t) {
 			continue
 		}
-		out, all, _ := m.out(&b, "")
-		if most, ok := b.allows(all); ok && out > most && p.Fence > 0 {
+		out, all, _ := m.countOut(&b, "")
+		if most, ok := b.limit(all); ok && out > most && p.Fence > 0 {
 			return true
 		}
 	}
--- a/internal/fleet/agreed/release.go
+++ b/internal/fleet/agreed/release.go
@@ -11,12 +11,12 @@
 
 // Bounds of releases.
 const (
-	ReleasesMost = 64
-	StepsMost    = 32
-	MaxItems     = 4096
-	WordsMost    = 64
-	DriveMost    = 60 * 1000 // ms, a driver's term
-	EndedKeep    = 7 * 24 * 3600 * 1000
+	MaxReleases      = 64
+	MaxSteps         = 32
+	MaxItems         = 4096
+	MaxCommandWords  = 64
+	MaxDriverTermMs  = 60 * 1000 // ms, a driver's term
+	EndedRetentionMs = 7 * 24 * 3600 * 1000
 )
 
 // States of a release.
@@ -80,18 +80,18 @@
 	HealthLimits HealthLimits `cbor:"10,keyasint" json:"health"`
 	AutoBack     bool         `cbor:"11,keyasint,omitempty" json:"auto_back,omitempty"` // goes back by itself once halted by health or a target
 
-	State        string `cbor:"20,keyasint" json:"state"`
-	Reason       string `cbor:"21,keyasint,omitempty" json:"why,omitempty"`
-	StateSince   int64  `cbor:"22,keyasint" json:"since_ms"` // in this state
-	Step         int    `cbor:"23,keyasint" json:"step"`
-	StepDoneAt   int64  `cbor:"24,keyasint,omitempty" json:"step_done_ms,omitempty"` // all targets of it are back since
-	Reverse      bool   `cbor:"25,keyasint,omitempty" json:"reverse,omitempty"`      // it goes, or went when it was halted, backwards
-	Items        []Item `cbor:"26,keyasint" json:"items"`
-	Driver       string `cbor:"27,keyasint,omitempty" json:"driver,omitempty"`
-	DriverClient string `cbor:"28,keyasint,omitempty" json:"-"`
-	DriverFence  uint64 `cbor:"29,keyasint,omitempty" json:"driver_fence,omitempty"`
-	DriverUntil  int64  `cbor:"30,keyasint,omitempty" json:"driver_until_ms,omitempty"`
-	Counts       Window `cbor:"31,keyasint" json:"seen"` // since the step began, or its last target came back
+	State        string     `cbor:"20,keyasint" json:"state"`
+	Reason       string     `cbor:"21,keyasint,omitempty" json:"why,omitempty"`
+	StateSince   int64      `cbor:"22,keyasint" json:"since_ms"` // in this state
+	Step         int        `cbor:"23,keyasint" json:"step"`
+	StepDoneAt   int64      `cbor:"24,keyasint,omitempty" json:"step_done_ms,omitempty"` // all targets of it are back since
+	Reverse      bool       `cbor:"25,keyasint,omitempty" json:"reverse,omitempty"`      // it goes, or went when it was halted, backwards
+	Items        []Item     `cbor:"26,keyasint" json:"items"`
+	Driver       string     `cbor:"27,keyasint,omitempty" json:"driver,omitempty"`
+	DriverClient string     `cbor:"28,keyasint,omitempty" json:"-"`
+	DriverFence  uint64     `cbor:"29,keyasint,omitempty" json:"driver_fence,omitempty"`
+	DriverUntil  int64      `cbor:"30,keyasint,omitempty" json:"driver_until_ms,omitempty"`
+	Counts       Comparison `cbor:"31,keyasint" json:"seen"` // since the step began, or its last target came back
 }
 
 // Ended tells that nothing more comes of a release by itself.
@@ -99,18 +99,18 @@
 	return r.State == Finished || r.State == RolledBack || r.State == Failed
 }
 
-// moves tells that targets may go out.
-func (r *Release) moves() bool { return r.State == Running || r.State == RollingBack }
+// active tells that targets may go out.
+func (r *Release) active() bool { return r.State == Running || r.State == RollingBack }
 
-func (r *Release) set(now int64, state, why string) {
+func (r *Release) setState(now int64, state, why string) {
 	r.State, r.Reason, r.StateSince = state, why, now
 }
 
 // halt stops a release; what is out comes back first.
 func (r *Release) halt(now int64, why string) {
-	if r.moves() {
+	if r.active() {
 		r.Reverse = r.State == RollingBack
-		r.set(now, Halting, why)
+		r.setState(now, Halting, why)
 	}
 }
 
@@ -146,7 +146,7 @@
 // ReleaseActive tells that some release moves or halts.
 func (m *Machine) ReleaseActive() bool {
 	for _, r := range m.s.Releases {
-		if r.moves() || r.State == Halting {
+		if r.active() || r.State == Halting {
 			return true
 		}
 	}
@@ -154,7 +154,7 @@
 }
 
 // Format is the form that the council works in.
-func (m *Machine) Format() int { return m.s.Form }
+func (m *Machine) Format() int { return m.s.Format }
 
 // Check finds what is wrong with a plan, empty if nothing.
 func (r *Release) Check() string {
@@ -169,17 +169,17 @@
 		return fmt.Sprintf("a release is of %q, want gateways or members", r.Kind)
 	case len(r.Version) > MaxTextBytes || len(r.Former) > MaxTextBytes:
 		return "a version is too long"
-	case len(r.Command) == 0 || len(r.Command) > WordsMost || len(r.UndoCommand) > WordsMost || bytes > WordsMost*MaxTextBytes:
-		return fmt.Sprintf("the command has %d words and %d bytes with that of the way back, want 1 to %d words", len(r.Command), bytes, WordsMost)
-	case r.TermMs < 1000 || r.TermMs > TermMost:
-		return fmt.Sprintf("a target's term is %d ms, want from 1000 to %d", r.TermMs, TermMost)
+	case len(r.Command) == 0 || len(r.Command) > MaxCommandWords || len(r.UndoCommand) > MaxCommandWords || bytes > MaxCommandWords*MaxTextBytes:
+		return fmt.Sprintf("the command has %d words and %d bytes with that of the way back, want 1 to %d words", len(r.Command), bytes, MaxCommandWords)
+	case r.TermMs < 1000 || r.TermMs > MaxTermMs:
+		return fmt.Sprintf("a target's term is %d ms, want from 1000 to %d", r.TermMs, MaxTermMs)
 	case r.MaxTogether < 1:
 		return fmt.Sprintf("%d targets together, want 1 at least", r.MaxTogether)
-	case len(r.Steps) == 0 || len(r.Steps) > StepsMost:
-		return fmt.Sprintf("%d steps, want from 1 to %d", len(r.Steps), StepsMost)
+	case len(r.Steps) == 0 || len(r.Steps) > MaxSteps:
+		return fmt.Sprintf("%d steps, want from 1 to %d", len(r.Steps), MaxSteps)
 	}
 	for _, s := range r.Steps {
-		if len(s.Name) > MaxTextBytes || s.Count < 0 || s.Share < 0 || s.Share > 1 || math.IsNaN(s.Share) || (s.Count > 0) == (s.Share > 0) || s.PauseMs < 0 || s.PauseMs > TermMost {
+		if len(s.Name) > MaxTextBytes || s.Count < 0 || s.Share < 0 || s.Share > 1 || math.IsNaN(s.Share) || (s.Count > 0) == (s.Share > 0) || s.PauseMs < 0 || s.PauseMs > MaxTermMs {
 			return fmt.Sprintf("step %q has count %d, share %g and a pause of %d ms, want a count or a share", s.Name, s.Count, s.Share, s.PauseMs)
 		}
 	}
@@ -194,7 +194,7 @@
 		byZone := map[string][]string{}
 		size, had := 0, 0
 		for _, t := range all {
-			if t.of() != r.Kind || s.Zone != "" && t.Zone != s.Zone {
+			if t.kind() != r.Kind || s.Zone != "" && t.Zone != s.Zone {
 				continue
 			}
 			size++
@@ -227,8 +227,8 @@
 	}
 }
 
-// plan takes a new release.
-func (m *Machine) plan(c *Command) Result {
+// planRelease takes a new release.
+func (m *Machine) planRelease(c *Command) Result {
 	s := &m.s
 	if c.Release == nil {
 		return refuse("no plan")
@@ -247,25 +247,25 @@
 	case len(r.Items) > MaxItems:
 		return refuse("release %s has %d targets, want at most %d", r.Name, len(r.Items), MaxItems)
 	}
-	if why := m.rival(&r); why != "" {
+	if why := m.competingRelease(&r); why != "" {
 		return Result{Refused: why, State: CompetingRelease}
 	}
-	if len(s.Releases) >= ReleasesMost && !m.forgetRelease() {
+	if len(s.Releases) >= MaxReleases && !m.evictRelease() {
 		return refuse("there are %d releases that have not ended", len(s.Releases))
 	}
-	r.Step, r.StepDoneAt, r.Reverse, r.Driver, r.DriverClient, r.DriverFence, r.DriverUntil, r.Counts = 0, 0, false, "", "", 0, 0, Window{}
-	r.set(s.Time, Planned, "")
-	m.keep(&r)
+	r.Step, r.StepDoneAt, r.Reverse, r.Driver, r.DriverClient, r.DriverFence, r.DriverUntil, r.Counts = 0, 0, false, "", "", 0, 0, Comparison{}
+	r.setState(s.Time, Planned, "")
+	m.storeRelease(&r)
 	return Result{OK: true, State: r.State}
 }
 
 // CompetingRelease is the state told to a release that may not move as another one moves targets of its own.
 const CompetingRelease = "rival"
 
-// rival names a release that moves, or comes to a halt, with targets of r; empty: there is none.
-func (m *Machine) rival(r *Release) string {
+// competingRelease names a release that moves, or comes to a halt, with targets of r; empty: there is none.
+func (m *Machine) competingRelease(r *Release) string {
 	for _, o := range m.Releases() {
-		if o.Name != r.Name && (o.moves() || o.State == Halting) && overlap(&o, r) {
+		if o.Name != r.Name && (o.active() || o.State == Halting) && overlap(&o, r) {
 			return fmt.Sprintf("release %s, which is %s, has targets of %s", o.Name, o.State, r.Name)
 		}
 	}
@@ -285,8 +285,8 @@
 	return false
 }
 
-// forgetRelease drops the release that ended first.
-func (m *Machine) forgetRelease() bool {
+// evictRelease drops the release that ended first.
+func (m *Machine) evictRelease() bool {
 	first := ""
 	for _, r := range m.Releases() {
 		if r.Ended() && (first == "" || r.StateSince < m.s.Releases[first].StateSince) {
@@ -297,34 +297,34 @@
 	return first != ""
 }
 
-func (m *Machine) keep(r *Release) {
+func (m *Machine) storeRelease(r *Release) {
 	if m.s.Releases == nil {
 		m.s.Releases = map[string]Release{}
 	}
 	m.s.Releases[r.Name] = *r
 }
 
-// own is a copy of a release, whose items may be changed before keep.
-func (m *Machine) own(name string) (r Release, ok bool) {
+// copyRelease is a copy of a release, whose items may be changed before keep.
+func (m *Machine) copyRelease(name string) (r Release, ok bool) {
 	r, ok = m.s.Releases[name]
 	r.Items = slices.Clone(r.Items)
 	return r, ok
 }
 
-// release does what is asked of a release.
-func (m *Machine) release(c *Command) Result {
+// applyRelease does what is asked of a release.
+func (m *Machine) applyRelease(c *Command) Result {
 	s := &m.s
 	if c.Op == SteerRelease && c.Name == "*" {
 		for _, r := range m.Releases() {
 			r.Items = slices.Clone(r.Items)
 			if c.Steer == "halt" {
 				r.halt(s.Time, c.Reason)
-				m.keep(&r)
+				m.storeRelease(&r)
 			}
 		}
 		return Result{OK: true}
 	}
-	r, ok := m.own(c.Name)
+	r, ok := m.copyRelease(c.Name)
 	if !ok {
 		return refuse("there is no release %q", c.Name)
 	}
@@ -335,7 +335,7 @@
 	case DriveRelease:
 		res = m.drive(&r, c)
 	default:
-		if m.on(GuardDriver) && (c.Fence != r.DriverFence || c.Client != r.DriverClient || s.Time >= r.DriverUntil) {
+		if m.guarded(GuardDriver) && (c.Fence != r.DriverFence || c.Client != r.DriverClient || s.Time >= r.DriverUntil) {
 			return refuse("%s drives %s under fence %d; fence %d is of the past", r.Driver, r.Name, r.DriverFence, c.Fence)
 		}
 		switch c.Op {
@@ -348,7 +348,7 @@
 		}
 	}
 	if res.OK {
-		m.keep(&r)
+		m.storeRelease(&r)
 		res.State = r.State
 	}
 	return res
@@ -358,13 +358,13 @@
 func (m *Machine) steer(r *Release, c *Command) Result {
 	now := m.s.Time
 	why := cmp.Or(c.Reason, "by "+c.Actor)
-	if other := m.rival(r); other != "" && c.Steer != "halt" {
+	if other := m.competingRelease(r); other != "" && c.Steer != "halt" {
 		return Result{Refused: other, State: CompetingRelease}
 	}
 	switch {
 	case c.Steer == "halt" && r.State == Planned:
-		r.set(now, Halted, why)
-	case c.Steer == "halt" && r.moves():
+		r.setState(now, Halted, why)
+	case c.Steer == "halt" && r.active():
 		r.halt(now, why)
 	case c.Steer == "halt" && (r.State == Halting || r.State == Halted):
 	case c.Steer == "resume" && r.State == Halted: // the operator has looked at what failed: it is tried anew
@@ -377,11 +377,11 @@
 				}
 			}
 		}
-		r.Counts = Window{}
+		r.Counts = Comparison{}
 		if r.StepDoneAt > 0 {
 			r.StepDoneAt = now
 		}
-		r.set(now, Running, why)
+		r.setState(now, Running, why)
 		if r.Reverse {
 			r.State = RollingBack
 		}
@@ -389,22 +389,22 @@
 		if len(r.UndoCommand) == 0 {
 			return refuse("release %s has no way back: its plan names no command for it", r.Name)
 		}
-		m.turn(r, why)
+		m.startRollback(r, why)
 	default:
 		return refuse("release %s is %s, it can't be told to %s", r.Name, r.State, c.Steer)
 	}
 	return Result{OK: true}
 }
 
-// turn has a release go back. What is out forwards ends that way first.
-func (m *Machine) turn(r *Release, why string) {
+// startRollback has a release go back. What is out forwards ends that way first.
+func (m *Machine) startRollback(r *Release, why string) {
 	for i := range r.Items {
 		if it := &r.Items[i]; it.State == ItemDone || it.State == ItemFailed {
 			it.State = ItemUndo
 		}
 	}
 	r.Reverse = true
-	r.set(m.s.Time, RollingBack, why)
+	r.setState(m.s.Time, RollingBack, why)
 }
 
 // drive makes a process the driver, or renews its term. What the former driver was granted and had not begun waits
@@ -414,12 +414,12 @@
 	switch {
 	case r.Ended():
 		return refuse("release %s is %s", r.Name, r.State)
-	case c.Term <= 0 || c.Term > DriveMost:
-		return refuse("a driver's term is %d ms, want from 1 to %d", c.Term, DriveMost)
-	case r.State == Planned && m.rival(r) != "":
-		return Result{Refused: m.rival(r), State: CompetingRelease}
+	case c.Term <= 0 || c.Term > MaxDriverTermMs:
+		return refuse("a driver's term is %d ms, want from 1 to %d", c.Term, MaxDriverTermMs)
+	case r.State == Planned && m.competingRelease(r) != "":
+		return Result{Refused: m.competingRelease(r), State: CompetingRelease}
 	case r.DriverClient == c.Client && r.DriverFence == c.Fence && r.DriverFence > 0 && now < r.DriverUntil: // renewed
-	case r.DriverClient != "" && now < r.DriverUntil && m.on(GuardDriver):
+	case r.DriverClient != "" && now < r.DriverUntil && m.guarded(GuardDriver):
 		return refuse("%s drives release %s until %d ms", r.Driver, r.Name, r.DriverUntil)
 	default:
 		m.s.Fence++
@@ -432,7 +432,7 @@
 	}
 	r.DriverUntil = now + c.Term
 	if r.State == Planned {
-		r.set(now, Running, "")
+		r.setState(now, Running, "")
 	}
 	return Result{OK: true, Fence: r.DriverFence}
 }
@@ -455,7 +455,7 @@
 
 // next grants the next target that the budgets allow.
 func (m *Machine) next(r *Release) Result {
-	if !r.moves() {
+	if !r.active() {
 		return Result{OK: true} // the driver sees the state and asks again, or ends
 	}
 	if n := r.count(ItemGranted, ItemOut); n >= r.MaxTogether {
@@ -485,20 +485,20 @@
 	}
 	for i := range r.Items {
 		it := &r.Items[i]
-		if it.Step == r.Step && (it.State == ItemWaiting || !m.on(GuardTwice) && it.State == ItemDone) {
+		if it.Step == r.Step && (it.State == ItemWaiting || !m.guarded(GuardOncePerStep) && it.State == ItemDone) {
 			if res := try(it); res != nil {
 				return *res
 			}
 		}
 	}
 	if why == "" {
-		why = m.waits(r)
+		why = m.waitReason(r)
 	}
 	return refuse("%s", why)
 }
 
-// waits says what a release that grants nothing now waits for.
-func (m *Machine) waits(r *Release) string {
+// waitReason says what a release that grants nothing now waits for.
+func (m *Machine) waitReason(r *Release) string {
 	step := r.Steps[r.Step].Name
 	switch left := r.StepDoneAt + r.Steps[r.Step].PauseMs - m.s.Time; {
 	case r.StepDoneAt == 0:
@@ -506,7 +506,7 @@
 	case left > 0:
 		return fmt.Sprintf("step %s is complete, it pauses for %d ms more", step, left)
 	}
-	_, why := r.HealthLimits.judge(r)
+	_, why := r.HealthLimits.evaluate(r)
 	return fmt.Sprintf("step %s is complete, its health is not told: %s", step, why)
 }
 
@@ -517,7 +517,7 @@
 	if it == nil || it.State != ItemGranted {
 		return refuse("%s is not granted to go out", target)
 	}
-	if p, ok := m.s.Permits[target]; m.on(GuardStart) && (!ok || p.Fence != it.Fence || p.Overdue || !r.moves()) {
+	if p, ok := m.s.Permits[target]; m.guarded(GuardStart) && (!ok || p.Fence != it.Fence || p.Overdue || !r.active()) {
 		return refuse("the permit of %s is of the past, or the release is %s", target, r.State)
 	}
 	it.State = ItemOut
@@ -560,27 +560,27 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.s.Releases)) {
 		if old := m.s.Releases[name]; !old.Ended() && old.State != Planned && old.State != Halted {
-			r, _ := m.own(name)
-			m.look(&r)
-			m.keep(&r)
+			r, _ := m.copyRelease(name)
+			m.advanceRelease(&r)
+			m.storeRelease(&r)
 		}
 	}
 }
 
-// look looks at a release's items, then at what follows from them.
-func (m *Machine) look(r *Release) {
+// advanceRelease looks at a release's items, then at what follows from them.
+func (m *Machine) advanceRelease(r *Release) {
 	now := m.s.Time
 	for i := range r.Items {
 		it := &r.Items[i]
 		switch it.State {
 		case ItemGranted:
 			if p, ok := m.s.Permits[it.Target]; r.State == Halting || !ok || p.Fence != it.Fence || p.Overdue {
-				if m.on(GuardStart) {
+				if m.guarded(GuardStart) {
 					m.ungrant(it)
 				}
 			}
 		case ItemOut:
-			m.returned(r, it)
+			m.checkReturned(r, it)
 		}
 	}
 	if r.count(ItemGranted, ItemOut) > 0 && r.State != Running {
@@ -589,25 +589,25 @@
 	switch r.State {
 	case Halting:
 		auto := r.AutoBack && !r.Reverse && len(r.UndoCommand) > 0 && !strings.HasPrefix(r.Reason, "by ")
-		r.set(now, Halted, r.Reason)
+		r.setState(now, Halted, r.Reason)
 		if auto {
-			m.turn(r, r.Reason)
+			m.startRollback(r, r.Reason)
 		}
 	case RollingBack:
 		if r.count(ItemUndo) > 0 {
 			return
 		}
-		r.set(now, RolledBack, r.Reason)
+		r.setState(now, RolledBack, r.Reason)
 		if r.count(ItemFailed) > 0 {
 			r.State = Failed
 		}
 	case Running:
-		m.step(r)
+		m.advanceStep(r)
 	}
 }
 
-// returned sees whether a target that is out is back.
-func (m *Machine) returned(r *Release, it *Item) {
+// checkReturned sees whether a target that is out is back.
+func (m *Machine) checkReturned(r *Release, it *Item) {
 	p, held := m.s.Permits[it.Target]
 	held = held && p.Fence == it.Fence
 	t, known := m.s.Targets[it.Target]
@@ -620,7 +620,7 @@
 	if known && strings.HasPrefix(it.Target, "gateway/") {
 		back = !t.Out && t.Epoch > it.Epoch
 	}
-	if !m.on(GuardBack) {
+	if !m.guarded(GuardSeenBack) {
 		back, want = it.ReportedBack, ""
 	}
 	right := want == "" || t.Version == want
@@ -645,11 +645,11 @@
 	}
 }
 
-// step sees whether a running release's step is through.
-func (m *Machine) step(r *Release) {
+// advanceStep sees whether a running release's step is through.
+func (m *Machine) advanceStep(r *Release) {
 	now := m.s.Time
-	ok, why := r.HealthLimits.judge(r)
-	if ok == bad && m.on(GuardTold) {
+	ok, why := r.HealthLimits.evaluate(r)
+	if ok == bad && m.guarded(GuardHealth) {
 		r.halt(now, fmt.Sprintf("step %s: %s", r.Steps[r.Step].Name, why))
 		return
 	}
@@ -660,22 +660,22 @@
 		}
 	}
 	if r.StepDoneAt == 0 {
-		r.StepDoneAt, r.Counts = max(now, 1), Window{Base: r.Counts.Base}
+		r.StepDoneAt, r.Counts = max(now, 1), Comparison{Base: r.Counts.Base}
 		return
 	}
 	if now < r.StepDoneAt+r.Steps[r.Step].PauseMs {
 		return
 	}
-	if ok == untold && m.on(GuardTold) {
+	if ok == undecided && m.guarded(GuardHealth) {
 		if now > r.StepDoneAt+r.Steps[r.Step].PauseMs+r.HealthLimits.WithinMs {
 			r.halt(now, fmt.Sprintf("step %s: health can't be told: %s", r.Steps[r.Step].Name, why))
 		}
 		return
 	}
 	if r.Step+1 == len(r.Steps) {
-		r.set(now, Finished, "")
+		r.setState(now, Finished, "")
 		return
 	}
 	r.Step++
-	r.StepDoneAt, r.Counts = 0, Window{Base: r.Counts.Base}
+	r.StepDoneAt, r.Counts = 0, Comparison{Base: r.Counts.Base}
 }
--- a/internal/fleet/agreed/release_test.go
+++ b/internal/fleet/agreed/release_test.go
@@ -227,7 +227,7 @@
 				return "", fmt.Errorf("seed %d: the release is done and nobody told of its health", seed)
 			}
 		}
-		if sick && r.Step > 0 && off&GuardTold == 0 && !r.Reverse && r.count(ItemDone) > 1 {
+		if sick && r.Step > 0 && off&GuardHealth == 0 && !r.Reverse && r.count(ItemDone) > 1 {
 			return "", fmt.Errorf("seed %d: a version that refuses a quarter came past the canary: %s", seed, r.State)
 		}
 		if sick && r.Step > 1 {
@@ -283,7 +283,7 @@
 		t.Errorf("the plays end %v: they show little", ends)
 	}
 	// From seeds near which some play misses them, as rare ones take hundreds.
-	for g, from := range map[Guard]uint64{GuardDriver: 590, GuardStart: 0, GuardTwice: 0, GuardBack: 0, GuardTold: 0} {
+	for g, from := range map[Guard]uint64{GuardDriver: 590, GuardStart: 0, GuardOncePerStep: 0, GuardSeenBack: 0, GuardHealth: 0} {
 		for seed := from; ; seed++ {
 			if _, err := playRelease(seed, g); err != nil {
 				t.Logf("without guard %d: %v", g, err)
@@ -342,21 +342,21 @@
 
 	w := plan().HealthLimits
 	r := &Release{Steps: plan().Steps}
-	side := func(s *Side, v VersionHealth) { *s = Side{}; s.add(&v) }
+	side := func(s *SideCounts, v VersionHealth) { *s = SideCounts{}; s.add(&v) }
 	for _, c := range []struct {
 		what     string
 		mine, at VersionHealth
 		want     verdict
 	}{
-		{"nothing", counted("2", 0, 0), counted("1", 900, 0), untold},
-		{"few of the others", counted("2", 900, 0), counted("1", 3, 0), untold},
+		{"nothing", counted("2", 0, 0), counted("1", 900, 0), undecided},
+		{"few of the others", counted("2", 900, 0), counted("1", 3, 0), undecided},
 		{"alike", counted("2", 900, 9), counted("1", 900, 9), good},
 		{"worse", counted("2", 900, 90), counted("1", 900, 9), bad},
 		{"better", counted("2", 900, 9), counted("1", 900, 90), good},
 	} {
 		side(&r.Counts.New, c.mine)
 		side(&r.Counts.Old, c.at)
-		if got, why := w.judge(r); got != c.want {
+		if got, why := w.evaluate(r); got != c.want {
 			t.Errorf("%s: %d (%s), want %d", c.what, got, why, c.want)
 		}
 	}
@@ -366,14 +366,14 @@
 	old.Classes[3] = AnswerCounts{Requests: 40}
 	side(&r.Counts.New, one)
 	side(&r.Counts.Old, old)
-	if got, why := w.judge(r); got != bad {
+	if got, why := w.evaluate(r); got != bad {
 		t.Errorf("one class refused: %d (%s)", got, why)
 	}
 	slow := counted("2", 900, 0)
 	slow.Latency[5], slow.Latency[12] = 0, 900
 	side(&r.Counts.New, slow)
 	side(&r.Counts.Old, counted("1", 900, 0))
-	if got, why := w.judge(r); got != bad {
+	if got, why := w.evaluate(r); got != bad {
 		t.Errorf("slow: %d (%s)", got, why)
 	}
 }
--- a/internal/fleet/agreed/voters.go
+++ b/internal/fleet/agreed/voters.go
@@ -35,15 +35,15 @@
 // Lineage tells councils apart that were restored from one folder: 0 for one that never was.
 func (m *Machine) Lineage() uint64 { return m.s.Lineage }
 
-// fenceJump puts the fences of a restored council above all that the lost one can have given.
-const fenceJump = 1 << 40
+// restoredFenceGap puts the fences of a restored council above all that the lost one can have given.
+const restoredFenceGap = 1 << 40
 
 // MarkRestored makes the state of one voter's folder that of a new council: fences go on far above all that the lost voters
 // may have agreed without it, what was out stays counted as out until it is seen back, releases are halted.
 func (m *Machine) MarkRestored(lineage uint64, who string) {
 	s := &m.s
 	s.Lineage = lineage
-	s.Fence += fenceJump
+	s.Fence += restoredFenceGap
 	s.Voters = nil
 	for name, p := range s.Permits {
 		p.Overdue, p.Until = true, min(p.Until, s.Time)
@@ -52,8 +52,8 @@
 	for _, r := range m.Releases() {
 		if !r.Ended() {
 			r.DriverClient, r.Driver, r.DriverUntil = "", "", 0
-			r.set(s.Time, Halted, "the council was restored")
-			m.keep(&r)
+			r.setState(s.Time, Halted, "the council was restored")
+			m.storeRelease(&r)
 		}
 	}
 	m.record(Entry{Index: s.Index, Actor: who, Action: "council restored", Result: "from one folder", OK: true})
--- a/internal/fleet/agreed/zones.go
+++ b/internal/fleet/agreed/zones.go
@@ -38,12 +38,12 @@
 func (m *Machine) Zones() *ZonePlan { return m.s.Zones }
 
 // ZoneOverrides are the operators' words that stand.
-func (m *Machine) ZoneOverrides() map[string]ZoneOverride { return m.s.ZoneActs }
+func (m *Machine) ZoneOverrides() map[string]ZoneOverride { return m.s.ZoneOverrides }
 
 // setZones takes a plan. One with a number that is not above the last is of a leader of the past.
 func (m *Machine) setZones(c *Command) Result {
 	z := c.Zones
-	if z == nil || len(z.Zones) > MaxZones || c.Term <= 0 || c.Term > TermMost {
+	if z == nil || len(z.Zones) > MaxZones || c.Term <= 0 || c.Term > MaxTermMs {
 		return refuse("no plan of zones, or more than %d, or a term of %d ms", MaxZones, c.Term)
 	}
 	if old := m.s.Zones; old != nil && z.Number <= old.Number {
@@ -62,8 +62,8 @@
 	return Result{OK: true}
 }
 
-// zoneAct takes an operator's word.
-func (m *Machine) zoneAct(c *Command) Result {
+// overrideZone takes an operator's word.
+func (m *Machine) overrideZone(c *Command) Result {
 	s := &m.s
 	if s.Zones == nil {
 		return refuse("there is no plan of zones: the council's configuration names none, or nobody has reported yet")
@@ -71,7 +71,7 @@
 	if _, ok := s.Zones.Zones[c.Name]; !ok {
 		return refuse("there is no zone %q, want one of %v", c.Name, slices.Sorted(maps.Keys(s.Zones.Zones)))
 	}
-	a := s.ZoneActs[c.Name]
+	a := s.ZoneOverrides[c.Name]
 	switch c.Steer {
 	case "out":
 		a.Forced = "out"
@@ -86,15 +86,15 @@
 		return refuse("a zone can't be told to %q, want out, back or hold", c.Steer)
 	}
 	a.Reason = c.Reason
-	if s.ZoneActs == nil {
-		s.ZoneActs = map[string]ZoneOverride{}
+	if s.ZoneOverrides == nil {
+		s.ZoneOverrides = map[string]ZoneOverride{}
 	}
-	s.ZoneActs[c.Name] = a
+	s.ZoneOverrides[c.Name] = a
 	return Result{OK: true}
 }
 
-// zoneBars says why a target of a zone may not go out now: the zone is in trouble or comes back, or carries another's load.
-func (m *Machine) zoneBars(zone string) string {
+// zoneBlockedBy says why a target of a zone may not go out now: the zone is in trouble or comes back, or carries another's load.
+func (m *Machine) zoneBlockedBy(zone string) string {
 	p := m.s.Zones
 	if p == nil || zone == "" || m.s.Time >= p.Until {
 		return ""
--- a/internal/fleet/zoneplan/zoneplan.go
+++ b/internal/fleet/zoneplan/zoneplan.go
@@ -30,25 +30,25 @@
 
 // Tuned values, each with its reason.
 const (
-	look      = 5 * time.Second        // evidence counts for so long, halving each half of it
-	sickPart  = 0.3                    // of the attempts in a zone fail: it is sick
-	gonePart  = 0.9                    // it is gone
-	wellPart  = 0.05                   // it is well
-	least     = 10.0                   // attempts by which a witness zone can tell
-	sickFor   = 2 * time.Second        // before a sick zone strains, and a straining one sheds
-	goneFor   = time.Second            // before one that is gone is out
-	stepEvery = 3 * time.Second        // a step must have been held for so long, and be confirmed by those that receive
-	stepPart  = 0.25                   // of a zone's load
-	trialPart = 0.05                   // of its load is sent to a zone that was out, first
-	calmFirst = 5 * time.Second        // least time between changes of a zone's direction, doubling
-	calmMost  = 5 * time.Minute        // up to this
-	calmHalve = 2 * time.Minute        // and halving for each such span without one
-	reserve   = 0.2                    // of what a zone can carry is left free by what is moved there
-	coldPart  = 0.5                    // of it, while its members are cold
-	forget    = 0.999                  // a second, of the most that a zone was seen to carry well
-	PlanTerm  = 15 * time.Second       // a plan holds for so long unless it is renewed
-	partsOff  = 0.02                   // parts closer than that are the same
-	tick      = 500 * time.Millisecond // plans are looked at so often
+	evidenceWindow      = 5 * time.Second        // evidence counts for so long, halving each half of it
+	sickFraction        = 0.3                    // of the attempts in a zone fail: it is sick
+	goneFraction        = 0.9                    // it is gone
+	wellFraction        = 0.05                   // it is well
+	minAttempts         = 10.0                   // attempts by which a witness zone can tell
+	sickFor             = 2 * time.Second        // before a sick zone strains, and a straining one sheds
+	goneFor             = time.Second            // before one that is gone is out
+	stepInterval        = 3 * time.Second        // a step must have been held for so long, and be confirmed by those that receive
+	stepFraction        = 0.25                   // of a zone's load
+	trialFraction       = 0.05                   // of its load is sent to a zone that was out, first
+	minTurnInterval     = 5 * time.Second        // least time between changes of a zone's direction, doubling
+	maxTurnInterval     = 5 * time.Minute        // up to this
+	turnIntervalHalving = 2 * time.Minute        // and halving for each such span without one
+	reserveFraction     = 0.2                    // of what a zone can carry is left free by what is moved there
+	coldFraction        = 0.5                    // of it, while its members are cold
+	peakDecayPerSecond  = 0.999                  // a second, of the most that a zone was seen to carry well
+	PlanTerm            = 15 * time.Second       // a plan holds for so long unless it is renewed
+	shareTolerance      = 0.02                   // parts closer than that are the same
+	evaluateInterval    = 500 * time.Millisecond // plans are looked at so often
 )
 
 // Zone is one of the topology.
@@ -82,12 +82,12 @@
 
 // The guards.
 const (
-	GuardWitness Guard = 1 << iota // a witness that sees all zones fail tells of itself
-	GuardReserve                   // no zone is sent more than it can carry, less a reserve
-	GuardCalm                      // a zone that turns again and again turns less often
-	GuardSteps                     // load moves by steps that are confirmed
-	GuardHold                      // an operator's hold stops what is automatic
-	GuardCold                      // members that started lately carry half
+	GuardWitness      Guard = 1 << iota // a witness that sees all zones fail tells of itself
+	GuardReserve                        // no zone is sent more than it can carry, less a reserve
+	GuardTurnInterval                   // a zone that turns again and again turns less often
+	GuardSteps                          // load moves by steps that are confirmed
+	GuardHold                           // an operator's hold stops what is automatic
+	GuardCold                           // members that started lately carry half
 )
 
 // Guards are all of them, with what each keeps.
@@ -96,7 +96,7 @@
 	Name  string
 }{
 	{GuardWitness, "a witness that sees all zones fail tells of itself"}, {GuardReserve, "no zone is sent more than it can carry, less a reserve"},
-	{GuardCalm, "a zone that turns again and again turns less often"}, {GuardSteps, "load moves by steps that are confirmed"},
+	{GuardTurnInterval, "a zone that turns again and again turns less often"}, {GuardSteps, "load moves by steps that are confirmed"},
 	{GuardHold, "an operator's hold stops what is automatic"}, {GuardCold, "members that started lately carry half"},
 }
 
@@ -123,51 +123,51 @@
 	at                     Time
 }
 
-// place is a zone at work.
-type place struct {
+// zoneState is a zone at work.
+type zoneState struct {
 	Zone
-	state   State
-	since   Time
-	away    float64
-	stepAt  Time
-	sick    Time // since then, 0 = it is not
-	gone    Time
-	well    Time
-	calm    Time // least time to the next turn
-	turned  Time
-	load    float64 // offered to its gateways, a second
-	done    float64 // by its members, a second
-	most    float64 // that they were seen to do well
-	cold    bool
-	held    bool
-	forced  State // by an operator, empty: none
-	reason  string
-	tallies map[string]*tally // by witness zone
+	state        State
+	since        Time
+	away         float64
+	stepAt       Time
+	sickSince    Time // since then, 0 = it is not
+	goneSince    Time
+	wellSince    Time
+	turnInterval Time // least time to the next turn
+	lastTurn     Time
+	load         float64 // offered to its gateways, a second
+	served       float64 // by its members, a second
+	peakServed   float64 // that they were seen to do well
+	cold         bool
+	held         bool
+	forced       State // by an operator, empty: none
+	reason       string
+	tallies      map[string]*tally // by witness zone
 }
 
 // Planner makes plans. It is its owner's alone.
 type Planner struct {
-	zones  map[string]*place
-	names  []string
-	off    Guard
-	number uint64
-	last   Plan
-	lookAt Time
-	Turns  int // changes of state so far
+	zones          map[string]*zoneState
+	names          []string
+	disabledGuards Guard
+	number         uint64
+	last           Plan
+	evaluatedAt    Time
+	StateChanges   int // changes of state so far
 }
 
 // New returns the planner of a topology. A zone without neighbours may shed only.
 func New(zones []Zone, off Guard) *Planner {
-	p := &Planner{zones: map[string]*place{}, off: off}
+	p := &Planner{zones: map[string]*zoneState{}, disabledGuards: off}
 	for _, z := range zones {
-		p.zones[z.Name] = &place{Zone: z, state: Serving, calm: calmFirst, turned: -calmMost, most: z.Capacity, tallies: map[string]*tally{}}
+		p.zones[z.Name] = &zoneState{Zone: z, state: Serving, turnInterval: minTurnInterval, lastTurn: -maxTurnInterval, peakServed: z.Capacity, tallies: map[string]*tally{}}
 		p.names = append(p.names, z.Name)
 	}
 	slices.Sort(p.names)
 	return p
 }
 
-func (p *Planner) on(g Guard) bool { return p.off&g == 0 }
+func (p *Planner) guarded(g Guard) bool { return p.disabledGuards&g == 0 }
 
 // AddEvidence takes evidence.
 func (p *Planner) AddEvidence(now Time, all []Evidence) {
@@ -188,24 +188,24 @@
 		t.fade(now)
 		t.attempts, t.failed, t.late = t.attempts+s.Attempts, t.failed+s.Failed, t.late+s.Late
 		if s.Witness == s.Zone {
-			z.load, z.done, z.cold = s.Offered, s.Served, s.Cold
+			z.load, z.served, z.cold = s.Offered, s.Served, s.Cold
 		}
 	}
 }
 
 func (t *tally) fade(now Time) {
-	f := math.Exp2(-2 * float64(now-t.at) / float64(look))
+	f := math.Exp2(-2 * float64(now-t.at) / float64(evidenceWindow))
 	t.attempts, t.failed, t.late, t.at = t.attempts*f, t.failed*f, t.late*f, now
 }
 
-// part is which part of the attempts in a zone fails, as its witnesses say: the one in the middle, each zone one witness
+// failedFraction is which part of the attempts in a zone fails, as its witnesses say: the one in the middle, each zone one witness
 // however many gateways it has. A witness to whom most zones fail tells of itself. known is false where nobody can tell.
-func (p *Planner) part(now Time, z *place) (part float64, witnesses int, known bool) {
+func (p *Planner) failedFraction(now Time, z *zoneState) (part float64, witnesses int, known bool) {
 	var parts []float64
 	for _, w := range slices.Sorted(maps.Keys(z.tallies)) {
 		t := z.tallies[w]
 		t.fade(now)
-		if t.attempts < least || p.on(GuardWitness) && p.blind(now, w) {
+		if t.attempts < minAttempts || p.guarded(GuardWitness) && p.isolated(now, w) {
 			continue
 		}
 		parts = append(parts, t.failed/t.attempts)
@@ -217,8 +217,8 @@
 	return parts[(len(parts)-1)/2], len(parts), true // of two the milder: one witness alone takes nothing out
 }
 
-// blind tells that a witness sees most other zones fail: it is the one that is cut off.
-func (p *Planner) blind(now Time, witness string) bool {
+// isolated tells that a witness sees most other zones fail: it is the one that is cut off.
+func (p *Planner) isolated(now Time, witness string) bool {
 	bad, all := 0, 0
 	for _, name := range p.names {
 		t := p.zones[name].tallies[witness]
@@ -226,11 +226,11 @@
 			continue
 		}
 		t.fade(now)
-		if t.attempts < least {
+		if t.attempts < minAttempts {
 			continue
 		}
 		all++
-		if t.failed >= sickPart*t.attempts {
+		if t.failed >= sickFraction*t.attempts {
 			bad++
 		}
 	}
@@ -243,7 +243,7 @@
 	p.number = max(p.number, number)
 	for name, e := range zones {
 		if z := p.zones[name]; z != nil {
-			z.state, z.away, z.reason, z.held, z.since, z.stepAt, z.turned = e.State, e.Away, e.Reason, e.Held, now, now, now
+			z.state, z.away, z.reason, z.held, z.since, z.stepAt, z.lastTurn = e.State, e.Away, e.Reason, e.Held, now, now, now
 		}
 	}
 	p.last = Plan{Number: p.number, MadeAt: now - PlanTerm, Zones: zones}
@@ -263,8 +263,8 @@
 	}
 	z.forced, z.reason = s, cmp.Or(reason, z.reason)
 	if s == Out && z.state != Out {
-		p.turn(now, z, Shedding, cmp.Or(reason, "by an operator"))
-		z.away = max(z.away, stepPart)
+		p.setState(now, z, Shedding, cmp.Or(reason, "by an operator"))
+		z.away = max(z.away, stepFraction)
 	}
 	return nil
 }
@@ -279,29 +279,29 @@
 	return nil
 }
 
-// turn changes a zone's state.
-func (p *Planner) turn(now Time, z *place, s State, reason string) {
+// setState changes a zone's state.
+func (p *Planner) setState(now Time, z *zoneState, s State, reason string) {
 	if z.state == s {
 		return
 	}
 	leaves := func(s State) bool { return s == Shedding || s == Out }
 	if leaves(s) != leaves(z.state) { // it turns round
-		if now-z.turned < calmHalve {
-			z.calm = min(2*z.calm, calmMost)
+		if now-z.lastTurn < turnIntervalHalving {
+			z.turnInterval = min(2*z.turnInterval, maxTurnInterval)
 		}
-		z.turned = now
+		z.lastTurn = now
 	}
 	z.state, z.since, z.stepAt, z.reason = s, now, now, reason
-	p.Turns++
+	p.StateChanges++
 }
 
 // mayTurn tells that a zone may turn round: not too soon after it last did.
-func (p *Planner) mayTurn(now Time, z *place) bool {
-	return !p.on(GuardCalm) || now-z.turned >= z.calm
+func (p *Planner) mayTurn(now Time, z *zoneState) bool {
+	return !p.guarded(GuardTurnInterval) || now-z.lastTurn >= z.turnInterval
 }
 
-// since notes from when on something holds.
-func since(at *Time, now Time, holds bool) Time {
+// holdsFor notes from when on something holds.
+func holdsFor(at *Time, now Time, holds bool) Time {
 	if !holds {
 		*at = 0
 		return -1
@@ -315,15 +315,15 @@
 // Evaluate looks at all zones and returns the plan that holds from now on, and whether it is another one than the last or
 // needs to be renewed. It is to be called each half second or so.
 func (p *Planner) Evaluate(now Time) (Plan, bool) {
-	if now-p.lookAt < tick && p.number > 0 {
+	if now-p.evaluatedAt < evaluateInterval && p.number > 0 {
 		return p.last, false
 	}
-	span := now - p.lookAt
-	p.lookAt = now
+	span := now - p.evaluatedAt
+	p.evaluatedAt = now
 	for _, name := range p.names {
-		p.judge(now, span, p.zones[name])
+		p.updateZone(now, span, p.zones[name])
 	}
-	zones := p.place()
+	zones := p.assignLoad()
 	changed := !same(zones, p.last.Zones)
 	if changed || now-p.last.MadeAt >= PlanTerm/3 {
 		p.number++
@@ -333,121 +333,121 @@
 	return p.last, false
 }
 
-// judge moves one zone on by what is seen of it.
-func (p *Planner) judge(now, span Time, z *place) {
-	part, witnesses, known := p.part(now, z)
-	sick := since(&z.sick, now, known && part >= sickPart)
-	gone := since(&z.gone, now, known && part >= gonePart && witnesses > 1)
-	well := since(&z.well, now, known && part <= wellPart)
-	if z.well > 0 && z.state == Serving {
-		z.most = max(z.most*math.Pow(forget, span.Seconds()), z.done, z.Capacity)
+// updateZone moves one zone on by what is seen of it.
+func (p *Planner) updateZone(now, span Time, z *zoneState) {
+	part, witnesses, known := p.failedFraction(now, z)
+	sick := holdsFor(&z.sickSince, now, known && part >= sickFraction)
+	gone := holdsFor(&z.goneSince, now, known && part >= goneFraction && witnesses > 1)
+	well := holdsFor(&z.wellSince, now, known && part <= wellFraction)
+	if z.wellSince > 0 && z.state == Serving {
+		z.peakServed = max(z.peakServed*math.Pow(peakDecayPerSecond, span.Seconds()), z.served, z.Capacity)
 	}
-	if now-z.turned > calmHalve && z.calm > calmFirst {
-		z.calm, z.turned = max(calmFirst, z.calm/2), now-z.calm
+	if now-z.lastTurn > turnIntervalHalving && z.turnInterval > minTurnInterval {
+		z.turnInterval, z.lastTurn = max(minTurnInterval, z.turnInterval/2), now-z.turnInterval
 	}
 	why := fmt.Sprintf("%.0f %% of the attempts there fail, as %d zones see it", 100*part, witnesses)
-	if z.held && p.on(GuardHold) {
+	if z.held && p.guarded(GuardHold) {
 		return
 	}
 	switch {
 	case z.forced == Out:
-		p.leave(now, z, false)
+		p.moveAway(now, z, false)
 		return
 	case z.forced == Serving && (z.state == Out || z.state == Shedding):
-		p.turn(now, z, Returning, cmp.Or(z.reason, "by an operator"))
-		z.away = min(z.away, 1-trialPart)
+		p.setState(now, z, Returning, cmp.Or(z.reason, "by an operator"))
+		z.away = min(z.away, 1-trialFraction)
 	}
 	switch z.state {
 	case Serving:
 		if sick >= sickFor || gone >= goneFor {
-			p.turn(now, z, Degraded, why)
+			p.setState(now, z, Degraded, why)
 		}
 	case Degraded:
 		switch {
 		case gone >= goneFor && p.mayTurn(now, z):
-			p.turn(now, z, Shedding, why)
-			p.leave(now, z, true)
+			p.setState(now, z, Shedding, why)
+			p.moveAway(now, z, true)
 		case sick >= 2*sickFor && p.mayTurn(now, z):
-			p.turn(now, z, Shedding, why)
-			z.away = stepPart
+			p.setState(now, z, Shedding, why)
+			z.away = stepFraction
 		case well >= sickFor:
-			p.turn(now, z, Serving, "")
+			p.setState(now, z, Serving, "")
 		}
 	case Shedding:
 		switch {
 		case gone >= goneFor:
-			p.leave(now, z, true)
+			p.moveAway(now, z, true)
 		case sick >= 0:
-			p.leave(now, z, false)
-		case well >= stepEvery && p.mayTurn(now, z):
-			p.turn(now, z, Returning, "it is well")
+			p.moveAway(now, z, false)
+		case well >= stepInterval && p.mayTurn(now, z):
+			p.setState(now, z, Returning, "it is well")
 		}
 	case Out:
 		// Nothing is sent there but what gateways try by themselves; it is well once those say so.
-		if well >= stepEvery && p.mayTurn(now, z) {
-			p.turn(now, z, Returning, "it answers again")
-			z.away = 1 - trialPart
+		if well >= stepInterval && p.mayTurn(now, z) {
+			p.setState(now, z, Returning, "it answers again")
+			z.away = 1 - trialFraction
 		}
 	case Returning:
 		switch {
 		case gone >= goneFor || sick >= sickFor:
-			p.turn(now, z, Shedding, why)
-			p.leave(now, z, gone >= goneFor)
-		case now-z.stepAt >= stepEvery && well >= sickFor:
+			p.setState(now, z, Shedding, why)
+			p.moveAway(now, z, gone >= goneFor)
+		case now-z.stepAt >= stepInterval && well >= sickFor:
 			z.stepAt = now
-			z.away = max(0, z.away-stepPart)
+			z.away = max(0, z.away-stepFraction)
 			if z.away == 0 {
-				p.turn(now, z, Serving, "")
+				p.setState(now, z, Serving, "")
 			}
 		}
 	}
 }
 
-// leave moves a zone's load away: all at once where nothing is served there anyway, else by steps that those who receive
+// moveAway moves a zone's load away: all at once where nothing is served there anyway, else by steps that those who receive
 // it confirm by being well.
-func (p *Planner) leave(now Time, z *place, atOnce bool) {
+func (p *Planner) moveAway(now Time, z *zoneState, atOnce bool) {
 	if z.state != Shedding {
 		return
 	}
 	switch {
-	case atOnce, !p.on(GuardSteps):
+	case atOnce, !p.guarded(GuardSteps):
 		z.away = 1
-	case now-z.stepAt >= stepEvery && p.confirmed(now, z):
+	case now-z.stepAt >= stepInterval && p.confirmed(now, z):
 		z.stepAt = now
-		z.away = min(1, z.away+stepPart)
+		z.away = min(1, z.away+stepFraction)
 	}
 	if z.away >= 1 {
-		p.turn(now, z, Out, z.reason)
+		p.setState(now, z, Out, z.reason)
 	}
 }
 
 // confirmed tells that those who receive a zone's load are well.
-func (p *Planner) confirmed(now Time, z *place) bool {
+func (p *Planner) confirmed(now Time, z *zoneState) bool {
 	for to := range p.last.Zones[z.Name].GoesTo {
-		if n := p.zones[to]; n != nil && (n.state != Serving || n.sick > 0) {
+		if n := p.zones[to]; n != nil && (n.state != Serving || n.sickSince > 0) {
 			return false
 		}
 	}
 	return true
 }
 
-// place lays out where load goes: for each zone in trouble its neighbours in their order, as far as they can carry it beside
+// assignLoad lays out where load goes: for each zone in trouble its neighbours in their order, as far as they can carry it beside
 // their own and what others send them; the rest is shed. No zone that is itself in trouble, or coming back, receives any.
-func (p *Planner) place() map[string]Entry {
+func (p *Planner) assignLoad() map[string]Entry {
 	spare := map[string]float64{}
 	for _, name := range p.names {
 		z := p.zones[name]
-		can := max(z.most, z.Capacity)
-		if z.cold && p.on(GuardCold) {
-			can *= coldPart
+		can := max(z.peakServed, z.Capacity)
+		if z.cold && p.guarded(GuardCold) {
+			can *= coldFraction
 		}
-		if p.on(GuardReserve) {
-			can *= 1 - reserve
+		if p.guarded(GuardReserve) {
+			can *= 1 - reserveFraction
 		}
 		if z.state == Serving && !z.held {
 			spare[name] = max(0, can-z.load*(1-z.away)) // what is moved there already is counted as it is laid out
 		}
-		if !p.on(GuardReserve) {
+		if !p.guarded(GuardReserve) {
 			spare[name] = math.Inf(1)
 			if z.state != Serving {
 				spare[name] = 0
@@ -479,7 +479,7 @@
 	if len(a) != len(b) {
 		return false
 	}
-	near := func(x, y float64) bool { return math.Abs(x-y) < partsOff }
+	near := func(x, y float64) bool { return math.Abs(x-y) < shareTolerance }
 	for name, x := range a {
 		y := b[name]
 		if x.State != y.State || x.Held != y.Held || !near(x.Away, y.Away) || !near(x.Shed, y.Shed) || len(x.GoesTo) != len(y.GoesTo) {
--- a/internal/fleet/zoneplan/zoneplan_test.go
+++ b/internal/fleet/zoneplan/zoneplan_test.go
@@ -68,7 +68,7 @@
 
 // step plays half a second and returns what was broken.
 func (w *sim) step() error {
-	w.now += tick
+	w.now += evaluateInterval
 	traffic := w.traffic()
 	var all []Evidence
 	for _, from := range w.zones {
@@ -106,10 +106,10 @@
 			return fmt.Errorf("at %v of %s goes %g away, laid out are %g", w.now, name, e.Away, sum)
 		}
 		was := before.Zones[name]
-		if e.Away > was.Away+stepPart+1e-9 && e.State != Out {
+		if e.Away > was.Away+stepFraction+1e-9 && e.State != Out {
 			return fmt.Errorf("at %v %s moves %g at a stroke and is %s", w.now, name, e.Away-was.Away, e.State)
 		}
-		if e.State == Out && was.Away < 1-stepPart-1e-9 && !w.lost[name] && !w.cut[name] && was.State != "" {
+		if e.State == Out && was.Away < 1-stepFraction-1e-9 && !w.lost[name] && !w.cut[name] && was.State != "" {
 			return fmt.Errorf("at %v %s, which serves a part, goes from %g out at a stroke", w.now, name, was.Away)
 		}
 	}
@@ -168,7 +168,7 @@
 			}
 			clear(w.cut)
 		case 3: // flapping
-			from, at := w.p.Turns, w.now
+			from, at := w.p.StateChanges, w.now
 			for range 20 {
 				w.lost[z] = !w.lost[z]
 				if err := run(15 * time.Second); err != nil {
@@ -176,7 +176,7 @@
 				}
 			}
 			w.lost[z] = false
-			if n := w.p.Turns - from; n > 22 {
+			if n := w.p.StateChanges - from; n > 22 {
 				return 0, fmt.Errorf("seed %d: %d turns in %v of flapping", seed, n, w.now-at)
 			}
 		case 4: // an operator holds it, and it is lost
@@ -222,7 +222,7 @@
 			return 0, fmt.Errorf("seed %d: after twelve quiet minutes %s is %s with %g away: %s", seed, name, e.State, e.Away, e.Reason)
 		}
 	}
-	return w.p.Turns, nil
+	return w.p.StateChanges, nil
 }
 
 // TestDays: no zone that is healthy is ever sent more than it can carry by the others' failover, one that is cut off takes
