--- a/internal/fleet/agreed/agreed.go
+++ b/internal/fleet/agreed/agreed.go
@@ -1,8 +1,10 @@
-// Package agreed is the state that the council agrees on: budgets of what may be
-// out at once, and permits to be out. It is a deterministic state machine: it does
-// no I/O, starts no goroutine, reads no clock and draws no chance, and the same
-// commands in the same order give the same bytes. Time comes with the commands, as
-// the council's own: it never goes back, and stands still while there is no leader.
+// Package agreed implements the replicated state machine of the council. Its state
+// holds budgets (how many targets may be out of service at once), permits (which
+// targets may be out now), releases, voters and the zone plan. It is deterministic: it
+// does no I/O, starts no goroutine, reads no clock and uses no randomness, and the same
+// commands in the same order give the same bytes. Time arrives with the commands as
+// council time in milliseconds: it never goes back, and stands still while there is no
+// leader.
 package agreed
 
 import (
@@ -16,43 +18,43 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// NewestFormat is the newest form of commands and snapshots that this program knows. What is newer is refused, not guessed.
-// Form 1 has budgets and permits; form 2 releases, rules, health and changes of voters too. A council uses what its
-// state says: it begins at the form of the program that founded it, and is raised once all voters speak the newer one.
+// NewestFormat is the newest format version of commands and snapshots that this program knows. Newer ones are refused.
+// Version 1 has budgets and permits; version 2 adds releases, rules, health and voter changes. A council uses the version
+// in its state: it begins at that of the program that founded it, and is raised once all voters support a newer one.
 const NewestFormat = 2
 
-// ReleasesFormat is the form from which on there are releases, rules and changes of voters.
+// ReleasesFormat is the first format version with releases, rules and voter changes.
 const ReleasesFormat = 2
 
-// Op is what a command does. Numbers are in the log: they are never used anew.
+// Op is the operation of a command. The numbers are stored in the log and are never reused.
 type Op uint8
 
 // The operations.
 const (
-	Tick       Op = 1 // time passes
+	Tick       Op = 1 // advances council time
 	SetBudget  Op = 2
-	Acquire    Op = 3 // a permit
+	Acquire    Op = 3 // takes a permit
 	Renew      Op = 4
-	GiveBack   Op = 5 // the target is seen back
-	SetTargets Op = 6 // who is there, and who is out by itself
-	Revoke     Op = 7 // an operator takes a permit back: its holder is fenced at once
+	GiveBack   Op = 5 // returns a permit: the target was seen back in service
+	SetTargets Op = 6 // reports the known targets and which of them have failed
+	Revoke     Op = 7 // an operator ends a permit: its holder is fenced at once
 
-	// From form 2 on.
-	RaiseFormat   Op = 8 // all voters speak a newer form
+	// From format version 2 on.
+	RaiseFormat   Op = 8 // all voters support a newer format version
 	SetRules      Op = 9
-	PlanRelease   Op = 10 // a release
-	DriveRelease  Op = 11 // a process drives a release, or goes on driving it
-	NextTarget    Op = 12 // the driver asks for the next target to go out
-	TargetStarted Op = 13 // the driver is about to take a target out
-	TargetEnded   Op = 14 // the driver has brought a target back, or not
-	SteerRelease  Op = 15 // halt, resume, back
-	ReportHealth  Op = 16 // how the versions serve, as gateways count
-	SetZones      Op = 17 // where the zones' load goes
-	OverrideZone  Op = 18 // an operator's word on a zone
+	PlanRelease   Op = 10 // adds a release
+	DriveRelease  Op = 11 // a process becomes the driver of a release, or renews its term
+	NextTarget    Op = 12 // the driver requests a permit for the next target
+	TargetStarted Op = 13 // the driver is about to take a target out of service
+	TargetEnded   Op = 14 // the driver's command for a target succeeded or failed
+	SteerRelease  Op = 15 // an operator halts, resumes or rolls back a release
+	ReportHealth  Op = 16 // answer counts by version, from the gateways
+	SetZones      Op = 17 // replaces the zone plan
+	OverrideZone  Op = 18 // an operator overrides the planner for a zone
 	lastOp           = OverrideZone
 )
 
-// Bounds of what the state holds.
+// Limits of the state's size. Times are in milliseconds.
 const (
 	MaxBudgets         = 256
 	MaxPermits         = 4096
@@ -64,16 +66,16 @@
 	HistoryRetentionMs = 7 * 24 * 3600 * 1000
 )
 
-// Budget is how many of some targets may be out at once.
+// Budget limits how many of a set of targets may be out of service at once.
 type Budget struct {
 	Kind        string  `cbor:"1,keyasint" json:"of"` // gateways or members
 	Zone        string  `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
 	Group       string  `cbor:"3,keyasint,omitempty" json:"group,omitempty"`
-	MaxOut      int     `cbor:"4,keyasint" json:"most"`                      // -1 = no bound by number
-	MaxFraction float64 `cbor:"5,keyasint,omitempty" json:"share,omitempty"` // of those that are there, rounded down; 0 = no bound by share
+	MaxOut      int     `cbor:"4,keyasint" json:"most"`                      // -1 = no limit by number
+	MaxFraction float64 `cbor:"5,keyasint,omitempty" json:"share,omitempty"` // of the known targets, rounded down; 0 = no limit by fraction
 }
 
-// Key names a budget: there is one for each set of targets.
+// Key identifies a budget: there is one for each kind, zone and group.
 func (b *Budget) Key() string { return b.Kind + "|" + b.Zone + "|" + b.Group }
 
 func (b *Budget) key() string {
@@ -83,19 +85,19 @@
 	return b.Key()
 }
 
-// Target is something that may go out.
+// Target is a gateway or a member that may be taken out of service.
 type Target struct {
 	Name  string `cbor:"1,keyasint" json:"name"` // gateway/NAME or db/NAME
 	Zone  string `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
 	Group string `cbor:"3,keyasint,omitempty" json:"group,omitempty"`
-	Out   bool   `cbor:"4,keyasint,omitempty" json:"out,omitempty"` // failed by itself
+	Out   bool   `cbor:"4,keyasint,omitempty" json:"out,omitempty"` // out of service without a permit
 
-	// From form 2 on.
+	// From format version 2 on.
 	Version       string `cbor:"5,keyasint,omitempty" json:"version,omitempty"`
 	Epoch         uint64 `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"`
 	Primary       bool   `cbor:"7,keyasint,omitempty" json:"primary,omitempty"`
-	CaughtUp      bool   `cbor:"8,keyasint,omitempty" json:"caught_up,omitempty"` // a replica that lacks little of what its group has
-	BestSuccessor bool   `cbor:"9,keyasint,omitempty" json:"best,omitempty"`      // the replica that lacks least
+	CaughtUp      bool   `cbor:"8,keyasint,omitempty" json:"caught_up,omitempty"` // a replica with little replication lag
+	BestSuccessor bool   `cbor:"9,keyasint,omitempty" json:"best,omitempty"`      // the replica with the least replication lag
 }
 
 func (t *Target) kind() string {
@@ -105,53 +107,53 @@
 	return "members"
 }
 
-// Permit lets a holder take a target out.
+// Permit allows its holder to take a target out of service.
 type Permit struct {
 	Target  string `cbor:"1,keyasint" json:"target"`
 	Holder  string `cbor:"2,keyasint" json:"holder"`
 	Reason  string `cbor:"3,keyasint,omitempty" json:"reason,omitempty"`
 	Fence   uint64 `cbor:"4,keyasint" json:"fence"`
-	Until   int64  `cbor:"5,keyasint" json:"until_ms"`                    // council time
-	Overdue bool   `cbor:"6,keyasint,omitempty" json:"overdue,omitempty"` // its term ended: the target counts as out until it is seen back
+	Until   int64  `cbor:"5,keyasint" json:"until_ms"`                    // council time in ms
+	Overdue bool   `cbor:"6,keyasint,omitempty" json:"overdue,omitempty"` // its term expired: the target counts as out until it is seen back
 }
 
 // Command is an entry of the log.
 type Command struct {
 	Format  int      `cbor:"1,keyasint"`
 	Op      Op       `cbor:"2,keyasint"`
-	At      int64    `cbor:"3,keyasint"` // council time in ms, by the leader that took it
+	At      int64    `cbor:"3,keyasint"` // council time in ms, set by the leader that accepted it
 	Client  string   `cbor:"4,keyasint,omitempty"`
-	Number  uint64   `cbor:"5,keyasint,omitempty"` // of the client, growing: a command that comes twice is done once
-	Actor   string   `cbor:"6,keyasint,omitempty"` // for the history
+	Number  uint64   `cbor:"5,keyasint,omitempty"` // increases with each command of a client, so that repeats are detected
+	Actor   string   `cbor:"6,keyasint,omitempty"` // recorded in the history
 	Budget  *Budget  `cbor:"7,keyasint,omitempty"`
 	Target  string   `cbor:"8,keyasint,omitempty"`
 	Reason  string   `cbor:"9,keyasint,omitempty"`
-	Term    int64    `cbor:"10,keyasint,omitempty"` // ms
+	Term    int64    `cbor:"10,keyasint,omitempty"` // in ms
 	Fence   uint64   `cbor:"11,keyasint,omitempty"`
 	Targets []Target `cbor:"12,keyasint,omitempty"`
 
-	// From form 2 on.
+	// From format version 2 on.
 	Rules    *Rules          `cbor:"13,keyasint,omitempty"`
-	Release  *Release        `cbor:"14,keyasint,omitempty"` // the plan
-	Name     string          `cbor:"15,keyasint,omitempty"` // of a release; "*" = all
+	Release  *Release        `cbor:"14,keyasint,omitempty"` // the release to add
+	Name     string          `cbor:"15,keyasint,omitempty"` // of a release or zone; "*" = all releases
 	OK       bool            `cbor:"16,keyasint,omitempty"`
 	Steer    string          `cbor:"17,keyasint,omitempty"`
 	Versions []VersionHealth `cbor:"18,keyasint,omitempty"`
-	To       int             `cbor:"19,keyasint,omitempty"` // the form that Raise raises to
+	To       int             `cbor:"19,keyasint,omitempty"` // the format version that RaiseFormat sets
 	Zones    *ZonePlan       `cbor:"20,keyasint,omitempty"`
 }
 
-// Result is what a command gave.
+// Result is the outcome of a command.
 type Result struct {
 	OK       bool    `cbor:"1,keyasint" json:"ok"`
-	Refused  string  `cbor:"2,keyasint,omitempty" json:"refused,omitempty"` // why not: the budget, who holds it and until when
+	Refused  string  `cbor:"2,keyasint,omitempty" json:"refused,omitempty"` // the reason, e.g. the budget, who uses it and until when
 	Permit   *Permit `cbor:"3,keyasint,omitempty" json:"permit,omitempty"`
-	Fence    uint64  `cbor:"4,keyasint,omitempty" json:"fence,omitempty"` // of a driver
-	State    string  `cbor:"5,keyasint,omitempty" json:"state,omitempty"` // of a release
-	RollBack bool    `cbor:"6,keyasint,omitempty" json:"back,omitempty"`  // the target goes back to the former version
+	Fence    uint64  `cbor:"4,keyasint,omitempty" json:"fence,omitempty"` // of the release's driver
+	State    string  `cbor:"5,keyasint,omitempty" json:"state,omitempty"` // of the release
+	RollBack bool    `cbor:"6,keyasint,omitempty" json:"back,omitempty"`  // the target returns to the former version
 }
 
-// Entry is a line of the history.
+// Entry is one history record.
 type Entry struct {
 	At     int64  `cbor:"1,keyasint" json:"at_ms"`
 	Index  uint64 `cbor:"2,keyasint" json:"index"`
@@ -164,26 +166,26 @@
 	OK     bool   `cbor:"9,keyasint,omitempty" json:"ok"`
 }
 
-// Guard is one of the checks that keep the budgets. A checker switches them off one at a time.
+// Guard is one of the safety checks of the state machine. Tests switch them off one at a time to show that each is needed.
 type Guard uint16
 
 // The guards.
 const (
-	GuardBudget      Guard = 1 << iota // no more out than the budgets say
+	GuardBudget      Guard = 1 << iota // no more targets are out than the budgets allow
 	GuardOverdue                       // an overdue target counts as out
-	GuardFence                         // only the newest fence renews or gives back
-	GuardDedupe                        // a command that comes twice is done once
-	GuardFailed                        // who fails by itself counts as out
-	GuardHeld                          // a target is held once
+	GuardFence                         // only the newest fence can renew or return a permit
+	GuardDedupe                        // a repeated command is executed once
+	GuardFailed                        // a failed target counts as out
+	GuardHeld                          // a target has at most one permit
 	GuardDriver                        // only the newest driver takes targets out
-	GuardStart                         // nothing starts under a permit that ended, or after a halt
-	GuardOncePerStep                   // a target is taken out once in a step, whoever drives
-	GuardSeenBack                      // a target counts as done once it is seen back, in the version wanted
-	GuardHealth                        // a step is left only when its health can be told and is good
-	GuardGroupSafety                   // never the last caught-up replica, never a primary beside its best successor
+	GuardStart                         // no target is taken out under an expired permit or after a halt
+	GuardOncePerStep                   // a target is taken out once in a step, whichever process drives
+	GuardSeenBack                      // a target is done only once it is seen back in the wanted version
+	GuardHealth                        // a step ends only when its health is known to be good
+	GuardGroupSafety                   // never the last caught-up replica, nor a primary and its best successor together
 )
 
-// Guards are all of them, with what each keeps.
+// Guards lists all guards with the property that each ensures.
 var Guards = []struct {
 	Guard Guard
 	Name  string
@@ -196,11 +198,11 @@
 	{GuardHealth, "a step is left only when its health is told and good"}, {GuardGroupSafety, "never the last caught-up replica, nor primary and successor"},
 }
 
-// state is what a snapshot holds.
+// state is the content of a snapshot.
 type state struct {
 	Format      int                     `cbor:"1,keyasint"`
 	Time        int64                   `cbor:"2,keyasint"`
-	Fence       uint64                  `cbor:"3,keyasint"` // the last that was given
+	Fence       uint64                  `cbor:"3,keyasint"` // the last one issued
 	Index       uint64                  `cbor:"4,keyasint"` // of the last command
 	Budgets     map[string]Budget       `cbor:"5,keyasint"`
 	Permits     map[string]Permit       `cbor:"6,keyasint"` // by target
@@ -208,12 +210,12 @@
 	LastResults map[string]clientResult `cbor:"8,keyasint"` // by client
 	History     []Entry                 `cbor:"9,keyasint"`
 
-	// From form 2 on.
+	// From format version 2 on.
 	Rules         Rules                   `cbor:"10,keyasint,omitzero"`
 	Releases      map[string]Release      `cbor:"11,keyasint,omitempty"`
 	FleetHealth   FleetHealth             `cbor:"12,keyasint,omitzero"`
-	Voters        map[uint64]Voter        `cbor:"13,keyasint,omitempty"` // that were added; the first are the configuration's
-	Lineage       uint64                  `cbor:"14,keyasint,omitempty"` // changes when a council is restored from one folder
+	Voters        map[uint64]Voter        `cbor:"13,keyasint,omitempty"` // added after the council was founded; the founding voters are in the configuration
+	Lineage       uint64                  `cbor:"14,keyasint,omitempty"` // changes when the council is restored from one voter's folder
 	Zones         *ZonePlan               `cbor:"15,keyasint,omitempty"`
 	ZoneOverrides map[string]ZoneOverride `cbor:"16,keyasint,omitempty"`
 }
@@ -224,14 +226,14 @@
 	Result Result `cbor:"3,keyasint"`
 }
 
-// Machine is the agreed state. It is its owner's alone.
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
 	s              state
 	disabledGuards Guard
 }
 
-// New returns an empty state of a form, as the program that founds a council has it. Guards are switched off for
-// checkers only.
+// New returns an empty state of the given format version, clamped to the known ones, for a council that is founded. Only
+// tests and simulations disable guards.
 func New(form int, off Guard) *Machine {
 	return &Machine{disabledGuards: off, s: state{Format: min(max(form, 1), NewestFormat), Budgets: map[string]Budget{}, Permits: map[string]Permit{}, Targets: map[string]Target{}, LastResults: map[string]clientResult{}}}
 }
@@ -246,7 +248,7 @@
 	return e
 }()
 
-// Encode is the command as the log holds it.
+// Encode returns the command as stored in the log.
 func (c *Command) Encode() []byte {
 	b, err := encoder.Marshal(c)
 	if err != nil {
@@ -260,7 +262,8 @@
 	errBadSnapshot = errors.New("agreed: a snapshot that makes no sense")
 )
 
-// Decode reads a command. One of a newer form is an error: a process that can't do what was agreed must stop.
+// Decode parses a command. A newer format version or an unknown operation is an error: a process that can't apply an
+// agreed command must stop.
 func Decode(b []byte) (*Command, error) {
 	c := new(Command)
 	if err := cbor.Unmarshal(b, c); err != nil {
@@ -272,7 +275,7 @@
 	return c, nil
 }
 
-// Snapshot is the state's bytes.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
 	b, err := encoder.Marshal(&m.s)
 	if err != nil {
@@ -281,7 +284,7 @@
 	return b
 }
 
-// Restore takes over a snapshot.
+// Restore replaces the state by a snapshot. On an error the state is unchanged.
 func (m *Machine) Restore(b []byte) error {
 	var s state
 	if err := cbor.Unmarshal(b, &s); err != nil {
@@ -297,13 +300,13 @@
 	return nil
 }
 
-// Time is the council's time in milliseconds.
+// Time returns the council time in milliseconds.
 func (m *Machine) Time() int64 { return m.s.Time }
 
-// Index is that of the last command.
+// Index returns the log index of the last command.
 func (m *Machine) Index() uint64 { return m.s.Index }
 
-// Budgets are all budgets, in the order of their keys.
+// Budgets returns all budgets, ordered by key.
 func (m *Machine) Budgets() (all []Budget) {
 	for _, k := range slices.Sorted(maps.Keys(m.s.Budgets)) {
 		all = append(all, m.s.Budgets[k])
@@ -311,7 +314,7 @@
 	return all
 }
 
-// Permits are all permits, in the order of their targets.
+// Permits returns all permits, ordered by target.
 func (m *Machine) Permits() (all []Permit) {
 	for _, k := range slices.Sorted(maps.Keys(m.s.Permits)) {
 		all = append(all, m.s.Permits[k])
@@ -319,7 +322,7 @@
 	return all
 }
 
-// Targets are those that were reported last, in the order of their names.
+// Targets returns the targets of the last report, ordered by name.
 func (m *Machine) Targets() (all []Target) {
 	for _, k := range slices.Sorted(maps.Keys(m.s.Targets)) {
 		all = append(all, m.s.Targets[k])
@@ -327,20 +330,20 @@
 	return all
 }
 
-// History are the last entries, the oldest first.
+// History returns the retained entries, oldest first. The caller must not change them.
 func (m *Machine) History() []Entry { return m.s.History }
 
-// Permit is that of a target.
+// Permit returns the permit of a target.
 func (m *Machine) Permit(target string) (Permit, bool) {
 	p, ok := m.s.Permits[target]
 	return p, ok
 }
 
-// Apply does a command. The same commands give the same results everywhere.
+// Apply executes a committed command. The same commands in the same order give the same results on every voter.
 func (m *Machine) Apply(index uint64, c *Command) Result {
 	s := &m.s
 	s.Index = index
-	s.Time = max(s.Time, c.At) // a leader counts on from what was agreed, so it never goes back; nor if a leader erred
+	s.Time = max(s.Time, c.At) // leaders continue from the agreed time; max also holds if a leader is wrong
 	m.expire()
 	m.advance()
 	if c.Client != "" && m.guarded(GuardDedupe) {
@@ -387,7 +390,7 @@
 	s.History = slices.Delete(s.History, 0, drop)
 }
 
-// evictClient drops the client that was heard of least lately; by name among those of one time, so that all drop the same.
+// evictClient drops the least recently active client; ties are broken by name, so that all voters drop the same one.
 func (m *Machine) evictClient() {
 	oldest, at := "", int64(0)
 	for name, d := range m.s.LastResults {
@@ -398,7 +401,7 @@
 	delete(m.s.LastResults, oldest)
 }
 
-// expire has permits whose term ended become overdue: their targets count as out until they are seen back.
+// expire marks permits as overdue once their term ends: their targets count as out until they are seen back.
 func (m *Machine) expire() {
 	for _, target := range slices.Sorted(maps.Keys(m.s.Permits)) {
 		p := m.s.Permits[target]
@@ -492,7 +495,7 @@
 		}
 		s.Targets = make(map[string]Target, len(c.Targets))
 		for _, t := range c.Targets {
-			if s.Format < ReleasesFormat { // as a voter of the former program has it
+			if s.Format < ReleasesFormat { // voters of the previous program version store only these fields
 				t = Target{Name: t.Name, Zone: t.Zone, Group: t.Group, Out: t.Out}
 			}
 			s.Targets[t.Name] = t
@@ -502,7 +505,7 @@
 	return refuse("unknown operation %d", c.Op)
 }
 
-// acquire gives a permit where the budgets allow one more out.
+// acquire issues a permit if the rules and budgets allow one more target to be out.
 func (m *Machine) acquire(c *Command) Result {
 	s := &m.s
 	own := strings.HasPrefix(c.Actor, "release/") && s.Permits[c.Target].Holder == c.Actor && s.Permits[c.Target].Overdue
@@ -521,7 +524,7 @@
 	case len(s.Permits) >= MaxPermits:
 		return refuse("there are %d permits already", len(s.Permits))
 	}
-	if p, ok := s.Permits[c.Target]; ok && m.guarded(GuardHeld) && !own { // what a release left out, it may mend: it counts as out already
+	if p, ok := s.Permits[c.Target]; ok && m.guarded(GuardHeld) && !own { // a release may retry a target that it left out: it counts as out already
 		if p.Overdue {
 			return refuse("%s is out since the permit %d of %s ended, and not seen back", c.Target, p.Fence, p.Holder)
 		}
@@ -550,12 +553,12 @@
 	return Result{OK: true, Permit: &p}
 }
 
-// covers tells whether a budget is about a target. One that is not known counts for every zone and group.
+// covers reports whether a budget applies to a target. A target of unknown zone or group counts in every one.
 func (b *Budget) covers(t *Target) bool {
 	return b.Kind == t.kind() && (b.Zone == "" || t.Zone == "" || b.Zone == t.Zone) && (b.Group == "" || t.Group == "" || b.Group == t.Group)
 }
 
-// limit is how many may be out of so many; ok is false where the budget bounds nothing.
+// limit returns how many of all targets may be out; ok is false if the budget sets no limit.
 func (b *Budget) limit(all int) (most int, ok bool) {
 	most = b.MaxOut
 	if b.MaxFraction > 0 {
@@ -566,7 +569,8 @@
 	return most, most >= 0
 }
 
-// countOut counts who is out under a budget, beside one target: by permit or by itself, each once. holder tells of some.
+// countOut counts the targets of a budget that are out by permit or have failed, each once, without the target but. all is the
+// number of known targets; holder describes up to three of those that are out.
 func (m *Machine) countOut(b *Budget, but string) (out, all int, holder string) {
 	s := &m.s
 	names := map[string]bool{}
