--- a/internal/fleet/agreed/forecast.go
+++ b/internal/fleet/agreed/forecast.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// StepForecast is what a forecast says of a step.
+// StepForecast is the forecast of one step of a release.
 type StepForecast struct {
 	Step       string   `json:"step"`
 	Targets    []string `json:"targets"`
-	Rounds     int      `json:"rounds"`  // one after another
-	MaxMs      int64    `json:"most_ms"` // the longest that it takes, if every target takes its whole term
+	Rounds     int      `json:"rounds"`  // sequential groups of targets
+	MaxMs      int64    `json:"most_ms"` // if every target takes its whole term
 	MinMs      int64    `json:"least_ms"`
-	Infeasible string   `json:"cannot,omitempty"` // why it can't be kept under the budgets
+	Infeasible string   `json:"cannot,omitempty"` // why the step can't be carried out under the budgets
 }
 
-// Forecast says what would go out when under some budgets, with nothing else out.
+// Forecast estimates the steps of a release under the given budgets with nothing else out. It assigns the items if the
+// release has none.
 func (r *Release) Forecast(all []Target, budgets []Budget) (legs []StepForecast) {
 	if len(r.Items) == 0 {
 		r.AssignTargets(all)
@@ -42,7 +43,7 @@
 	return legs
 }
 
-// rounds packs targets into as few rounds as budgets and Together allow, in their order.
+// rounds packs targets, in their order, into as few rounds as the budgets and MaxTogether allow.
 func (r *Release) rounds(targets []string, all []Target, budgets []Budget) (n int, cannot string) {
 	by := map[string]Target{}
 	for _, t := range all {
--- a/internal/fleet/agreed/health.go
+++ b/internal/fleet/agreed/health.go
@@ -5,13 +5,13 @@
 	"math"
 )
 
-// Buckets are bounds of latency in microseconds, each √2 of the one before: the last takes all that is longer.
+// Latency buckets: upper bounds grow by √2 from the first, in microseconds; the last bucket takes all longer latencies.
 const (
 	BucketCount   = 30
 	firstBucketUs = 500.0
 )
 
-// Bucket is the place of a latency in microseconds.
+// Bucket returns the bucket index of a latency in microseconds.
 func Bucket(us int64) int {
 	if us <= firstBucketUs {
 		return 0
@@ -19,33 +19,33 @@
 	return min(BucketCount-1, int(math.Ceil(2*math.Log2(float64(us)/firstBucketUs))))
 }
 
-// BucketMax is the longest latency in microseconds that a bucket takes.
+// BucketMax returns the upper bound of a bucket in microseconds.
 func BucketMax(i int) int64 { return int64(firstBucketUs * math.Pow(2, float64(i)/2)) }
 
-// AnswerCounts counts final answers.
+// AnswerCounts counts final answers to requests.
 type AnswerCounts struct {
 	Requests uint64 `cbor:"1,keyasint" json:"requests"`
 	Refused  uint64 `cbor:"2,keyasint,omitempty" json:"refused,omitempty"` // or failed
-	Late     uint64 `cbor:"3,keyasint,omitempty" json:"late,omitempty"`    // served after the time that its class aims at
+	Late     uint64 `cbor:"3,keyasint,omitempty" json:"late,omitempty"`    // served after the latency target of its class
 }
 
 func (s *AnswerCounts) add(o *AnswerCounts) {
 	s.Requests, s.Refused, s.Late = s.Requests+o.Requests, s.Refused+o.Refused, s.Late+o.Late
 }
 
-// MaxClasses are how many classes are told apart; the last takes the rest.
+// MaxClasses is how many classes are counted separately; the last takes the rest.
 const MaxClasses = 8
 
-// VersionHealth is how gateways of a version served in a while.
+// VersionHealth is what the gateways of one version counted over a period.
 type VersionHealth struct {
 	Version  string                   `cbor:"1,keyasint"`
 	Classes  [MaxClasses]AnswerCounts `cbor:"2,keyasint"`
-	Latency  []uint32                 `cbor:"3,keyasint"` // by bucket, of what was served
+	Latency  []uint32                 `cbor:"3,keyasint"` // served requests by bucket
 	Restarts int                      `cbor:"4,keyasint,omitempty"`
 	Gateways int                      `cbor:"5,keyasint,omitempty"`
 }
 
-// SideCounts is what was counted of one side of a comparison.
+// SideCounts are the counts of one side of a comparison.
 type SideCounts struct {
 	Classes  [MaxClasses]AnswerCounts `cbor:"1,keyasint" json:"classes"`
 	Latency  [BucketCount]uint32      `cbor:"2,keyasint" json:"latency"`
@@ -76,7 +76,7 @@
 	return float64(n) / float64(of)
 }
 
-// p99 is in microseconds, 0 = nothing was served.
+// p99 returns the 99th percentile of latency in microseconds, 0 if nothing was served.
 func (s *SideCounts) p99() int64 {
 	n := uint64(0)
 	for _, c := range s.Latency {
@@ -91,47 +91,47 @@
 	return 0
 }
 
-// Comparison is what was seen of a release's version and of the others. Base is the others over the whole release, for the
-// time when none is left.
+// Comparison holds the counts of a release's version (New) and of the other versions (Old). Base counts the others over
+// the whole release, for the time when too few of them are left.
 type Comparison struct {
 	New  SideCounts `cbor:"1,keyasint" json:"new"`
 	Old  SideCounts `cbor:"2,keyasint" json:"old"`
 	Base SideCounts `cbor:"3,keyasint" json:"base"`
 }
 
-// FleetHealth is how the whole fleet served lately.
+// FleetHealth is how the whole fleet served in the last counted period.
 type FleetHealth struct {
 	At             int64   `cbor:"1,keyasint,omitempty" json:"at_ms"`
 	Requests       uint64  `cbor:"2,keyasint,omitempty" json:"requests"`
-	InTimeFraction float64 `cbor:"3,keyasint,omitempty" json:"worth"` // served in time
+	InTimeFraction float64 `cbor:"3,keyasint,omitempty" json:"worth"` // of requests, served within the latency target
 }
 
-// Rules hold for whatever goes out.
+// Rules apply to every target that is to be taken out.
 type Rules struct {
-	BlockOnZoneLoss   bool    `cbor:"1,keyasint,omitempty" json:"zone_lost,omitempty"` // nothing new goes out while a zone is lost
-	MinInTimeFraction float64 `cbor:"2,keyasint,omitempty" json:"worth,omitempty"`     // nor while less than this part is served in time
+	BlockOnZoneLoss   bool    `cbor:"1,keyasint,omitempty" json:"zone_lost,omitempty"` // refuse permits while a zone is lost
+	MinInTimeFraction float64 `cbor:"2,keyasint,omitempty" json:"worth,omitempty"`     // refuse permits while a smaller fraction of requests is served in time
 }
 
-// Rules are those that hold.
+// Rules returns the rules in force.
 func (m *Machine) Rules() Rules { return m.s.Rules }
 
-// FleetHealth is how the fleet served lately.
+// FleetHealth returns how the fleet served in the last counted period.
 func (m *Machine) FleetHealth() FleetHealth { return m.s.FleetHealth }
 
 const (
-	fleetHealthValidMs = 30 * 1000 // ms for which a count of what is served holds
-	minFleetRequests   = 20        // requests by which the fleet's worth can be told
+	fleetHealthValidMs = 30 * 1000 // how long a count of the fleet's health is valid
+	minFleetRequests   = 20        // fewer requests say nothing about the fleet's health
 )
 
-// HealthLimits is the health that must hold for a release to go on: bounds on what the new version may do worse than the others.
+// HealthLimits are the conditions for a release to go on: how much worse the new version may serve than the others.
 type HealthLimits struct {
-	RefusedMargin float64 `cbor:"1,keyasint" json:"refused"` // so much larger a part of its requests may be refused or failed, in all and of each class
+	RefusedMargin float64 `cbor:"1,keyasint" json:"refused"` // allowed excess in the fraction of refused or failed requests, in total and per class
 	LateMargin    float64 `cbor:"2,keyasint" json:"late"`
 	P99Factor     float64 `cbor:"3,keyasint" json:"p99_times"`
-	MaxRestarts   int     `cbor:"4,keyasint" json:"restarts"` // beside those of the release
-	MinRequests   uint64  `cbor:"5,keyasint" json:"requests"` // by which each side can be told
+	MaxRestarts   int     `cbor:"4,keyasint" json:"restarts"` // allowed, besides those of the release itself
+	MinRequests   uint64  `cbor:"5,keyasint" json:"requests"` // needed on each side for a comparison
 	WithinMs      int64   `cbor:"6,keyasint" json:"within_ms"`
-	Disabled      bool    `cbor:"7,keyasint,omitempty" json:"off,omitempty"` // the operator says that nothing is compared
+	Disabled      bool    `cbor:"7,keyasint,omitempty" json:"off,omitempty"` // the operator wants no comparison
 }
 
 func (w *HealthLimits) check() string {
@@ -153,7 +153,8 @@
 	bad
 )
 
-// evaluate compares the new version with the others: bad as soon as that can be told, good only once both can be.
+// evaluate compares the new version with the others: bad as soon as that is certain, good only once both sides have
+// enough requests. The text says why it is not good.
 func (w *HealthLimits) evaluate(r *Release) (verdict, string) {
 	if w.Disabled {
 		return good, ""
@@ -205,13 +206,13 @@
 	return good, ""
 }
 
-// minClassFraction is the part of the others' requests from which on a class must be told for a version to be good.
+// minClassFraction is the fraction of the others' requests above which a class must be compared for a version to be good.
 const minClassFraction = 0.05
 
-// chanceMargin is by how much a part of so many requests may differ by chance: two standard deviations of a part of 5 %.
+// chanceMargin is by how much a fraction of n requests may differ by chance: two standard deviations at a fraction of 5 %.
 func chanceMargin(n uint64) float64 { return 2 * math.Sqrt(0.05*0.95/float64(max(n, 1))) }
 
-// applyHealth takes what gateways counted.
+// applyHealth adds the gateways' counts to the fleet's health and to running releases of gateways.
 func (m *Machine) applyHealth(all []VersionHealth) {
 	var whole SideCounts
 	for i := range all {
@@ -236,7 +237,7 @@
 	}
 }
 
-// blockedBy says why nothing new, or not this target, may go out whatever the budgets say; empty: nothing bars it.
+// blockedBy says which rule or group condition forbids taking the target out, whatever the budgets allow; empty if none.
 func (m *Machine) blockedBy(target string) string {
 	s := &m.s
 	if s.Format < ReleasesFormat {
@@ -310,8 +311,8 @@
 	return ""
 }
 
-// ShouldRecall tells that a target which is out by a permit had better come back: more is out than a budget allows, as
-// others failed since.
+// ShouldRecall reports whether a target that is out under a permit should come back early: more is out than a budget
+// allows, as others have failed since.
 func (m *Machine) ShouldRecall(target string) bool {
 	p, ok := m.s.Permits[target]
 	if !ok {
--- a/internal/fleet/agreed/release.go
+++ b/internal/fleet/agreed/release.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// Bounds of releases.
+// Limits of releases.
 const (
 	MaxReleases      = 64
 	MaxSteps         = 32
 	MaxItems         = 4096
 	MaxCommandWords  = 64
-	MaxDriverTermMs  = 60 * 1000 // ms, a driver's term
+	MaxDriverTermMs  = 60 * 1000 // of a driver, in ms
 	EndedRetentionMs = 7 * 24 * 3600 * 1000
 )
 
@@ -31,10 +31,11 @@
 	Failed      = "failed"
 )
 
-// States of an item. Forwards: waiting, granted, out, done or failed; backwards: undo, granted, out, undone or failed.
+// States of an item. Rolling out: waiting, granted, out, then done or failed; rolling back: undo, granted, out, then undone
+// or failed.
 const (
 	ItemWaiting = "waiting"
-	ItemGranted = "granted" // may go out; the driver has not begun
+	ItemGranted = "granted" // has a permit; the driver has not begun
 	ItemOut     = "out"
 	ItemDone    = "done"
 	ItemFailed  = "failed"
@@ -42,71 +43,71 @@
 	ItemUndone  = "undone"
 )
 
-// Step is a part of a release. Its targets are drawn when the release is planned: of Zone, or of all zones in turn, and
-// of those not in an earlier step as many as bring the release to Count, or to Share of those that the step is of.
+// Step is a stage of a release. Its targets are chosen when the release is planned, from Zone or from all zones in turn:
+// as many of those not in an earlier step as bring the release to Count, or to Share of the targets in the step's scope.
 type Step struct {
 	Name    string  `cbor:"1,keyasint" json:"name"`
 	Zone    string  `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
 	Count   int     `cbor:"3,keyasint,omitempty" json:"count,omitempty"`
 	Share   float64 `cbor:"4,keyasint,omitempty" json:"share,omitempty"`
-	PauseMs int64   `cbor:"5,keyasint,omitempty" json:"pause_ms,omitempty"` // after its last target is back
+	PauseMs int64   `cbor:"5,keyasint,omitempty" json:"pause_ms,omitempty"` // wait after its last target is back
 }
 
-// Item is a target of a release.
+// Item is a target of a release and its progress.
 type Item struct {
 	Target       string `cbor:"1,keyasint" json:"target"`
 	Zone         string `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
 	Step         int    `cbor:"3,keyasint" json:"step"`
 	State        string `cbor:"4,keyasint" json:"state"`
 	Fence        uint64 `cbor:"5,keyasint,omitempty" json:"fence,omitempty"`
-	Epoch        uint64 `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"` // of its start before it went out
-	ReportedBack bool   `cbor:"7,keyasint,omitempty" json:"said,omitempty"`  // its driver says that it brought it back
-	RollBack     bool   `cbor:"8,keyasint,omitempty" json:"back,omitempty"`  // it goes back to the former version
-	WasOut       bool   `cbor:"10,keyasint,omitempty" json:"left,omitempty"` // it was out already when it was granted
-	TimesOut     int    `cbor:"9,keyasint,omitempty" json:"times,omitempty"` // it was taken out, either way
+	Epoch        uint64 `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"` // of the target's process before it was taken out
+	ReportedBack bool   `cbor:"7,keyasint,omitempty" json:"said,omitempty"`  // its driver reports that it brought it back
+	RollBack     bool   `cbor:"8,keyasint,omitempty" json:"back,omitempty"`  // it returns to the former version
+	WasOut       bool   `cbor:"10,keyasint,omitempty" json:"left,omitempty"` // it was already out when its permit was issued
+	TimesOut     int    `cbor:"9,keyasint,omitempty" json:"times,omitempty"` // how often it was taken out, rolling out or back
 }
 
-// Release is a plan and how far it has come.
+// Release is a plan (the fields before State) and its progress.
 type Release struct {
 	Name         string       `cbor:"1,keyasint" json:"name"`
 	Kind         string       `cbor:"2,keyasint" json:"of"`                          // gateways or members
-	Version      string       `cbor:"3,keyasint,omitempty" json:"version,omitempty"` // what a gateway must say when it is back
+	Version      string       `cbor:"3,keyasint,omitempty" json:"version,omitempty"` // that a gateway must report when it is back
 	Former       string       `cbor:"4,keyasint,omitempty" json:"former,omitempty"`
 	Command      []string     `cbor:"5,keyasint" json:"command"` // {target} and {version} are filled in
 	UndoCommand  []string     `cbor:"6,keyasint,omitempty" json:"back,omitempty"`
-	TermMs       int64        `cbor:"7,keyasint" json:"term_ms"` // of a target's permit: it must be back by then
+	TermMs       int64        `cbor:"7,keyasint" json:"term_ms"` // of a target's permit: the target must be back within it
 	MaxTogether  int          `cbor:"8,keyasint" json:"together"`
 	Steps        []Step       `cbor:"9,keyasint" json:"steps"`
 	HealthLimits HealthLimits `cbor:"10,keyasint" json:"health"`
-	AutoBack     bool         `cbor:"11,keyasint,omitempty" json:"auto_back,omitempty"` // goes back by itself once halted by health or a target
+	AutoBack     bool         `cbor:"11,keyasint,omitempty" json:"auto_back,omitempty"` // roll back automatically once halted by health or a failed target
 
 	State        string     `cbor:"20,keyasint" json:"state"`
 	Reason       string     `cbor:"21,keyasint,omitempty" json:"why,omitempty"`
-	StateSince   int64      `cbor:"22,keyasint" json:"since_ms"` // in this state
+	StateSince   int64      `cbor:"22,keyasint" json:"since_ms"` // council time in ms when State was entered
 	Step         int        `cbor:"23,keyasint" json:"step"`
-	StepDoneAt   int64      `cbor:"24,keyasint,omitempty" json:"step_done_ms,omitempty"` // all targets of it are back since
-	Reverse      bool       `cbor:"25,keyasint,omitempty" json:"reverse,omitempty"`      // it goes, or went when it was halted, backwards
+	StepDoneAt   int64      `cbor:"24,keyasint,omitempty" json:"step_done_ms,omitempty"` // council time in ms since when all its targets are back; 0 = not yet
+	Reverse      bool       `cbor:"25,keyasint,omitempty" json:"reverse,omitempty"`      // it rolls back, or did when it was halted
 	Items        []Item     `cbor:"26,keyasint" json:"items"`
 	Driver       string     `cbor:"27,keyasint,omitempty" json:"driver,omitempty"`
 	DriverClient string     `cbor:"28,keyasint,omitempty" json:"-"`
 	DriverFence  uint64     `cbor:"29,keyasint,omitempty" json:"driver_fence,omitempty"`
 	DriverUntil  int64      `cbor:"30,keyasint,omitempty" json:"driver_until_ms,omitempty"`
-	Counts       Comparison `cbor:"31,keyasint" json:"seen"` // since the step began, or its last target came back
+	Counts       Comparison `cbor:"31,keyasint" json:"seen"` // since the step began or its last target came back
 }
 
-// Ended tells that nothing more comes of a release by itself.
+// Ended reports whether a release has reached a final state; only an operator can still roll back a finished one.
 func (r *Release) Ended() bool {
 	return r.State == Finished || r.State == RolledBack || r.State == Failed
 }
 
-// active tells that targets may go out.
+// active reports whether targets may be taken out.
 func (r *Release) active() bool { return r.State == Running || r.State == RollingBack }
 
 func (r *Release) setState(now int64, state, why string) {
 	r.State, r.Reason, r.StateSince = state, why, now
 }
 
-// halt stops a release; what is out comes back first.
+// halt stops a release; the targets that are out come back first.
 func (r *Release) halt(now int64, why string) {
 	if r.active() {
 		r.Reverse = r.State == RollingBack
@@ -114,7 +115,7 @@
 	}
 }
 
-// count is how many items are in one of some states.
+// count returns how many items are in one of the given states.
 func (r *Release) count(states ...string) (n int) {
 	for i := range r.Items {
 		if slices.Contains(states, r.Items[i].State) {
@@ -124,7 +125,7 @@
 	return n
 }
 
-// Releases are all releases, in the order of their names.
+// Releases returns all releases, ordered by name.
 func (m *Machine) Releases() (all []Release) {
 	for _, k := range slices.Sorted(maps.Keys(m.s.Releases)) {
 		all = append(all, m.s.Releases[k])
@@ -132,18 +133,18 @@
 	return all
 }
 
-// Release is one release.
+// Release returns the release of that name.
 func (m *Machine) Release(name string) (Release, bool) {
 	r, ok := m.s.Releases[name]
 	return r, ok
 }
 
-// NeedsTicks tells that some term runs, so that council time must be told.
+// NeedsTicks reports whether a term is running, so that Tick commands must advance council time.
 func (m *Machine) NeedsTicks() bool {
 	return len(m.s.Permits) > 0 || m.ReleaseActive() || m.s.Zones != nil && m.s.Time < m.s.Zones.Until
 }
 
-// ReleaseActive tells that some release moves or halts.
+// ReleaseActive reports whether a release is running, rolling back or halting.
 func (m *Machine) ReleaseActive() bool {
 	for _, r := range m.s.Releases {
 		if r.active() || r.State == Halting {
@@ -153,10 +154,10 @@
 	return false
 }
 
-// Format is the form that the council works in.
+// Format returns the format version that the council works in.
 func (m *Machine) Format() int { return m.s.Format }
 
-// Check finds what is wrong with a plan, empty if nothing.
+// Check returns why a plan is invalid, empty if it is valid.
 func (r *Release) Check() string {
 	bytes := 0
 	for _, w := range append(slices.Clone(r.Command), r.UndoCommand...) {
@@ -186,7 +187,7 @@
 	return r.HealthLimits.check()
 }
 
-// AssignTargets draws a plan's items from those that are there: by steps, over zones in turn.
+// AssignTargets chooses the items of a plan from the known targets: step by step, over the zones in turn.
 func (r *Release) AssignTargets(all []Target) {
 	r.Items = nil
 	taken := map[string]bool{}
@@ -227,7 +228,7 @@
 	}
 }
 
-// planRelease takes a new release.
+// planRelease adds a new release.
 func (m *Machine) planRelease(c *Command) Result {
 	s := &m.s
 	if c.Release == nil {
@@ -259,10 +260,11 @@
 	return Result{OK: true, State: r.State}
 }
 
-// CompetingRelease is the state told to a release that may not move as another one moves targets of its own.
+// CompetingRelease is the result state of a command for a release that may not proceed, as another active release has some of
+// the same targets.
 const CompetingRelease = "rival"
 
-// competingRelease names a release that moves, or comes to a halt, with targets of r; empty: there is none.
+// competingRelease describes an active or halting release that shares targets with r; empty if there is none.
 func (m *Machine) competingRelease(r *Release) string {
 	for _, o := range m.Releases() {
 		if o.Name != r.Name && (o.active() || o.State == Halting) && overlap(&o, r) {
@@ -285,7 +287,7 @@
 	return false
 }
 
-// evictRelease drops the release that ended first.
+// evictRelease drops the release that ended first; false if none has ended.
 func (m *Machine) evictRelease() bool {
 	first := ""
 	for _, r := range m.Releases() {
@@ -304,14 +306,14 @@
 	m.s.Releases[r.Name] = *r
 }
 
-// copyRelease is a copy of a release, whose items may be changed before keep.
+// copyRelease returns a copy of a release whose items may be changed before storeRelease.
 func (m *Machine) copyRelease(name string) (r Release, ok bool) {
 	r, ok = m.s.Releases[name]
 	r.Items = slices.Clone(r.Items)
 	return r, ok
 }
 
-// applyRelease does what is asked of a release.
+// applyRelease executes a command on a release.
 func (m *Machine) applyRelease(c *Command) Result {
 	s := &m.s
 	if c.Op == SteerRelease && c.Name == "*" {
@@ -354,7 +356,7 @@
 	return res
 }
 
-// steer is an operator's word, or the council's own.
+// steer executes an operator's halt, resume or back.
 func (m *Machine) steer(r *Release, c *Command) Result {
 	now := m.s.Time
 	why := cmp.Or(c.Reason, "by "+c.Actor)
@@ -367,7 +369,7 @@
 	case c.Steer == "halt" && r.active():
 		r.halt(now, why)
 	case c.Steer == "halt" && (r.State == Halting || r.State == Halted):
-	case c.Steer == "resume" && r.State == Halted: // the operator has looked at what failed: it is tried anew
+	case c.Steer == "resume" && r.State == Halted: // the operator has dealt with what failed: retry it
 		for i := range r.Items {
 			it := &r.Items[i]
 			if it.State == ItemFailed {
@@ -396,7 +398,7 @@
 	return Result{OK: true}
 }
 
-// startRollback has a release go back. What is out forwards ends that way first.
+// startRollback rolls a release back. Targets that are out for the new version finish that first.
 func (m *Machine) startRollback(r *Release, why string) {
 	for i := range r.Items {
 		if it := &r.Items[i]; it.State == ItemDone || it.State == ItemFailed {
@@ -407,8 +409,8 @@
 	r.setState(m.s.Time, RollingBack, why)
 }
 
-// drive makes a process the driver, or renews its term. What the former driver was granted and had not begun waits
-// again: its fence is of the past, so it can't begin now.
+// drive makes a process the driver, or renews its term. Targets granted to the former driver and not begun wait again:
+// its fence is stale, so it can no longer begin them.
 func (m *Machine) drive(r *Release, c *Command) Result {
 	now := m.s.Time
 	switch {
@@ -418,7 +420,7 @@
 		return refuse("a driver's term is %d ms, want from 1 to %d", c.Term, MaxDriverTermMs)
 	case r.State == Planned && m.competingRelease(r) != "":
 		return Result{Refused: m.competingRelease(r), State: CompetingRelease}
-	case r.DriverClient == c.Client && r.DriverFence == c.Fence && r.DriverFence > 0 && now < r.DriverUntil: // renewed
+	case r.DriverClient == c.Client && r.DriverFence == c.Fence && r.DriverFence > 0 && now < r.DriverUntil: // renewal by the current driver
 	case r.DriverClient != "" && now < r.DriverUntil && m.guarded(GuardDriver):
 		return refuse("%s drives release %s until %d ms", r.Driver, r.Name, r.DriverUntil)
 	default:
@@ -437,11 +439,11 @@
 	return Result{OK: true, Fence: r.DriverFence}
 }
 
-// ungrant takes back what was granted and not begun: the target did not go out by it.
+// ungrant withdraws a permit that the driver has not used: the target was not taken out under it.
 func (m *Machine) ungrant(it *Item) {
 	if p, ok := m.s.Permits[it.Target]; ok && p.Fence == it.Fence {
 		delete(m.s.Permits, it.Target)
-		if it.WasOut { // it is out still
+		if it.WasOut { // it is still out from before
 			p.Overdue, p.Until = true, min(p.Until, m.s.Time)
 			m.s.Permits[it.Target] = p
 		}
@@ -453,10 +455,10 @@
 	it.Fence = 0
 }
 
-// next grants the next target that the budgets allow.
+// next issues a permit for the next target that the budgets allow.
 func (m *Machine) next(r *Release) Result {
 	if !r.active() {
-		return Result{OK: true} // the driver sees the state and asks again, or ends
+		return Result{OK: true} // the driver sees the state and asks again or stops
 	}
 	if n := r.count(ItemGranted, ItemOut); n >= r.MaxTogether {
 		return refuse("%d are out, %d together as planned", n, r.MaxTogether)
@@ -497,7 +499,7 @@
 	return refuse("%s", why)
 }
 
-// waitReason says what a release that grants nothing now waits for.
+// waitReason says what a release waits for that can issue no permit now.
 func (m *Machine) waitReason(r *Release) string {
 	step := r.Steps[r.Step].Name
 	switch left := r.StepDoneAt + r.Steps[r.Step].PauseMs - m.s.Time; {
@@ -510,8 +512,8 @@
 	return fmt.Sprintf("step %s is complete, its health is not told: %s", step, why)
 }
 
-// started notes that a target goes out now. A driver that was stopped past its term, or whose release was halted
-// meanwhile, does not start it.
+// started records that a target is taken out now. It is refused if the permit expired while the driver was stopped, or
+// the release was halted meanwhile.
 func (m *Machine) started(r *Release, target string) Result {
 	it := r.item(target)
 	if it == nil || it.State != ItemGranted {
@@ -534,7 +536,8 @@
 	return nil
 }
 
-// ended takes a driver's word on how its command ended. Whether the target is back is seen, not believed.
+// ended records the driver's report on its command. Whether the target is back is decided by checkReturned from the
+// reported targets.
 func (m *Machine) ended(r *Release, c *Command) Result {
 	it := r.item(c.Target)
 	if it == nil || it.State != ItemOut {
@@ -553,7 +556,7 @@
 	return Result{OK: true}
 }
 
-// advance moves releases on by what is known and by time.
+// advance moves all releases on by the current state and time.
 func (m *Machine) advance() {
 	if len(m.s.Releases) == 0 {
 		return
@@ -567,7 +570,7 @@
 	}
 }
 
-// advanceRelease looks at a release's items, then at what follows from them.
+// advanceRelease updates a release's items, then its state.
 func (m *Machine) advanceRelease(r *Release) {
 	now := m.s.Time
 	for i := range r.Items {
@@ -606,7 +609,7 @@
 	}
 }
 
-// checkReturned sees whether a target that is out is back.
+// checkReturned decides whether a target that is out is back, has failed or is late.
 func (m *Machine) checkReturned(r *Release, it *Item) {
 	p, held := m.s.Permits[it.Target]
 	held = held && p.Fence == it.Fence
@@ -625,15 +628,15 @@
 	}
 	right := want == "" || t.Version == want
 	switch {
-	case back && right && (it.ReportedBack || !it.WasOut && want != ""): // of one that was out before, a later start may be of then
+	case back && right && (it.ReportedBack || !it.WasOut && want != ""): // a target that was out before may have restarted before this permit
 		it.State = done
-		if !it.RollBack && r.Reverse { // the release turned round while it was out
+		if !it.RollBack && r.Reverse { // the rollback began while it was out
 			it.State = ItemUndo
 		}
 		if held {
 			delete(m.s.Permits, it.Target)
 		}
-	case back && it.ReportedBack: // its driver is through with it, and this is what came of it
+	case back && it.ReportedBack: // its driver has finished, but the target runs another version
 		it.State = ItemFailed
 		if held {
 			delete(m.s.Permits, it.Target)
@@ -645,7 +648,7 @@
 	}
 }
 
-// advanceStep sees whether a running release's step is through.
+// advanceStep halts a running release on bad health, and moves it on once its step is complete.
 func (m *Machine) advanceStep(r *Release) {
 	now := m.s.Time
 	ok, why := r.HealthLimits.evaluate(r)
--- a/internal/fleet/agreed/voters.go
+++ b/internal/fleet/agreed/voters.go
@@ -1,14 +1,14 @@
 package agreed
 
-// Voter is one that was added to the council after it was founded.
+// Voter is a council voter, added after the council was founded or taken from its configuration.
 type Voter struct {
 	Name     string `cbor:"1,keyasint" json:"name"`
 	Addr     string `cbor:"2,keyasint" json:"address"`
-	Identity uint64 `cbor:"3,keyasint" json:"identity"` // of its folder; 0 = as each voter met it
+	Identity uint64 `cbor:"3,keyasint" json:"identity"` // of its data folder; 0 = as each voter first saw it
 }
 
-// AddVoter notes a voter that joins, by its number; the council's log does it in the order of all commands.
-// All are those that are there, whose names it may not know.
+// AddVoter records a voter that joins under a voter number, in log order with all commands. all are the present voters;
+// those not yet recorded are added too.
 func (m *Machine) AddVoter(index, id uint64, v Voter, all map[uint64]Voter) {
 	if m.s.Voters == nil {
 		m.s.Voters = map[uint64]Voter{}
@@ -22,24 +22,24 @@
 	m.record(Entry{Index: index, Action: "voter added", Target: v.Name, OK: true, Result: "done"})
 }
 
-// DropVoter forgets one that left.
+// DropVoter removes a voter that left.
 func (m *Machine) DropVoter(index, id uint64, name string) {
 	delete(m.s.Voters, id)
 	m.s.Index = index
 	m.record(Entry{Index: index, Action: "voter removed", Target: name, OK: true, Result: "done"})
 }
 
-// Voters are those that were added, by number.
+// Voters returns the recorded voters by number. The caller must not change the map.
 func (m *Machine) Voters() map[uint64]Voter { return m.s.Voters }
 
-// Lineage tells councils apart that were restored from one folder: 0 for one that never was.
+// Lineage identifies a council restored from one voter's folder; 0 if it never was restored.
 func (m *Machine) Lineage() uint64 { return m.s.Lineage }
 
-// restoredFenceGap puts the fences of a restored council above all that the lost one can have given.
+// restoredFenceGap puts the fences of a restored council above all that the lost one can have issued.
 const restoredFenceGap = 1 << 40
 
-// MarkRestored makes the state of one voter's folder that of a new council: fences go on far above all that the lost voters
-// may have agreed without it, what was out stays counted as out until it is seen back, releases are halted.
+// MarkRestored turns the state of one voter's folder into that of a new council: fences continue far above all that the
+// lost voters may have agreed without it, targets that were out count as out until they are seen back, releases are halted.
 func (m *Machine) MarkRestored(lineage uint64, who string) {
 	s := &m.s
 	s.Lineage = lineage
--- a/internal/fleet/agreed/zones.go
+++ b/internal/fleet/agreed/zones.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// ZoneEntry is what the agreed plan says of a zone.
+// ZoneEntry is a zone's entry in the agreed plan. Loads are fractions of the zone's own load.
 type ZoneEntry struct {
 	State  string             `cbor:"1,keyasint" json:"state"`
-	Away   float64            `cbor:"2,keyasint,omitempty" json:"away"` // part of its load that goes elsewhere or is shed
+	Away   float64            `cbor:"2,keyasint,omitempty" json:"away"` // fraction that goes elsewhere or is shed
 	GoesTo map[string]float64 `cbor:"3,keyasint,omitempty" json:"goes_to,omitempty"`
 	Shed   float64            `cbor:"4,keyasint,omitempty" json:"shed,omitempty"`
 	Reason string             `cbor:"5,keyasint,omitempty" json:"reason,omitempty"`
@@ -17,30 +17,30 @@
 	Region string             `cbor:"7,keyasint,omitempty" json:"region,omitempty"`
 }
 
-// ZonePlan is where the zones' load goes. Numbers only grow; it holds until its term ends.
+// ZonePlan says where the zones' load goes. Plan numbers only grow; a plan holds until its term ends.
 type ZonePlan struct {
 	Number uint64               `cbor:"1,keyasint" json:"number"`
-	Until  int64                `cbor:"2,keyasint" json:"until_ms"` // council time
+	Until  int64                `cbor:"2,keyasint" json:"until_ms"` // council time in ms
 	Zones  map[string]ZoneEntry `cbor:"3,keyasint" json:"zones"`
 }
 
-// ZoneOverride is an operator's word on a zone that stands until another one.
+// ZoneOverride is an operator's override for a zone; it holds until the next one.
 type ZoneOverride struct {
-	Forced string `cbor:"1,keyasint,omitempty" json:"forced,omitempty"` // out, serving, empty: as the planner sees it
+	Forced string `cbor:"1,keyasint,omitempty" json:"forced,omitempty"` // out or serving; empty: the planner decides
 	Held   bool   `cbor:"2,keyasint,omitempty" json:"held,omitempty"`
 	Reason string `cbor:"3,keyasint,omitempty" json:"reason,omitempty"`
 }
 
-// MaxZones bounds plans.
+// MaxZones limits the zones of a plan.
 const MaxZones = 64
 
-// Zones is the agreed plan, nil if there never was one.
+// Zones returns the agreed plan, nil if there never was one. It may have expired.
 func (m *Machine) Zones() *ZonePlan { return m.s.Zones }
 
-// ZoneOverrides are the operators' words that stand.
+// ZoneOverrides returns the operators' overrides in force, by zone.
 func (m *Machine) ZoneOverrides() map[string]ZoneOverride { return m.s.ZoneOverrides }
 
-// setZones takes a plan. One with a number that is not above the last is of a leader of the past.
+// setZones replaces the plan. One whose number is not above the last comes from a former leader and is refused.
 func (m *Machine) setZones(c *Command) Result {
 	z := c.Zones
 	if z == nil || len(z.Zones) > MaxZones || c.Term <= 0 || c.Term > MaxTermMs {
@@ -62,7 +62,7 @@
 	return Result{OK: true}
 }
 
-// overrideZone takes an operator's word.
+// overrideZone executes an operator's override.
 func (m *Machine) overrideZone(c *Command) Result {
 	s := &m.s
 	if s.Zones == nil {
@@ -93,7 +93,8 @@
 	return Result{OK: true}
 }
 
-// zoneBlockedBy says why a target of a zone may not go out now: the zone is in trouble or comes back, or carries another's load.
+// zoneBlockedBy says why a target of a zone may not be taken out now: the zone does not serve normally, or carries another
+// zone's load. Empty if nothing prevents it.
 func (m *Machine) zoneBlockedBy(zone string) string {
 	p := m.s.Zones
 	if p == nil || zone == "" || m.s.Time >= p.Until {
