--- a/internal/fleet/zoneplan/zoneplan.go
+++ b/internal/fleet/zoneplan/zoneplan.go
@@ -1,7 +1,7 @@
-// Package zoneplan decides in common when a zone is left, where its load goes and how
-// fast, and when it is come back to. It is pure: evidence of many witnesses and the
-// time go in, plans come out; whoever agrees on a plan, and the gateways that act by
-// it, are elsewhere.
+// Package zoneplan decides for all gateways when load is moved out of a zone, where it
+// goes and how fast, and when it returns. It does no I/O and reads no clock: it takes the
+// evidence of many zones and the time, and returns plans. Agreement on a plan and its
+// execution by the gateways are in other packages.
 package zoneplan
 
 import (
@@ -13,84 +13,84 @@
 	"time"
 )
 
-// Time is a point on the owner's clock, or a span on it.
+// Time is a point on the caller's clock, or a duration.
 type Time = time.Duration
 
-// State is where a zone stands.
+// State is the state of a zone.
 type State string
 
 // The states.
 const (
 	Serving   State = "serving"
-	Degraded  State = "straining" // it serves, worse than it should: nothing new is sent there
-	Shedding  State = "shedding"  // a part of its load goes elsewhere
+	Degraded  State = "straining" // it serves with too many failures: no load of other zones is sent there
+	Shedding  State = "shedding"  // a fraction of its load goes elsewhere
 	Out       State = "out"       // none of its members is used
-	Returning State = "returning" // it gets a part of its load back, by steps
+	Returning State = "returning" // it gets its load back step by step
 )
 
-// Tuned values, each with its reason.
+// Thresholds and times of the planner.
 const (
-	evidenceWindow      = 5 * time.Second        // evidence counts for so long, halving each half of it
-	sickFraction        = 0.3                    // of the attempts in a zone fail: it is sick
-	goneFraction        = 0.9                    // it is gone
-	wellFraction        = 0.05                   // it is well
-	minAttempts         = 10.0                   // attempts by which a witness zone can tell
-	sickFor             = 2 * time.Second        // before a sick zone strains, and a straining one sheds
-	goneFor             = time.Second            // before one that is gone is out
-	stepInterval        = 3 * time.Second        // a step must have been held for so long, and be confirmed by those that receive
-	stepFraction        = 0.25                   // of a zone's load
-	trialFraction       = 0.05                   // of its load is sent to a zone that was out, first
-	minTurnInterval     = 5 * time.Second        // least time between changes of a zone's direction, doubling
-	maxTurnInterval     = 5 * time.Minute        // up to this
-	turnIntervalHalving = 2 * time.Minute        // and halving for each such span without one
-	reserveFraction     = 0.2                    // of what a zone can carry is left free by what is moved there
-	coldFraction        = 0.5                    // of it, while its members are cold
-	peakDecayPerSecond  = 0.999                  // a second, of the most that a zone was seen to carry well
-	PlanTerm            = 15 * time.Second       // a plan holds for so long unless it is renewed
-	shareTolerance      = 0.02                   // parts closer than that are the same
-	evaluateInterval    = 500 * time.Millisecond // plans are looked at so often
+	evidenceWindow      = 5 * time.Second        // evidence loses half of its weight in each half of it
+	sickFraction        = 0.3                    // failed attempts from which on a zone is sick
+	goneFraction        = 0.9                    // failed attempts from which on a zone is gone
+	wellFraction        = 0.05                   // failed attempts up to which a zone is well
+	minAttempts         = 10.0                   // a witness zone with fewer attempts is ignored
+	sickFor             = 2 * time.Second        // how long a zone is sick before it is degraded; twice that before a degraded one sheds
+	goneFor             = time.Second            // how long a zone is gone before all its load is moved away
+	stepInterval        = 3 * time.Second        // least time between steps; the receiving zones must also be well
+	stepFraction        = 0.25                   // of a zone's load, moved in a step
+	trialFraction       = 0.05                   // of its load, sent first to a zone that was out
+	minTurnInterval     = 5 * time.Second        // least time between changes of a zone's direction; it doubles with each that follows soon
+	maxTurnInterval     = 5 * time.Minute        // upper limit of the doubling
+	turnIntervalHalving = 2 * time.Minute        // the time halves again for each such period without a change
+	reserveFraction     = 0.2                    // of a zone's capacity, kept free when load is moved there
+	coldFraction        = 0.5                    // of a zone's capacity, usable while its members are in slow start
+	peakDecayPerSecond  = 0.999                  // factor per second on the highest load that a zone was seen to serve well
+	PlanTerm            = 15 * time.Second       // validity of a plan unless it is renewed
+	shareTolerance      = 0.02                   // fractions closer than that count as equal
+	evaluateInterval    = 500 * time.Millisecond // least time between evaluations
 )
 
-// Zone is one of the topology.
+// Zone is a zone of the topology.
 type Zone struct {
 	Name, Region string
-	Neighbours   []Neighbour // in the order of preference; those of the own region come first
-	Capacity     float64     // work a second that it can carry, 0 = as seen
+	Neighbours   []Neighbour // in order of preference; those of the same region come first
+	Capacity     float64     // work per second that it can serve, 0 = as observed
 }
 
-// Neighbour is where a zone's load may go, and what that costs.
+// Neighbour is a zone that may receive another zone's load.
 type Neighbour struct {
 	Zone string
-	Cost Time // a round trip more
+	Cost Time // additional round-trip time
 }
 
-// Evidence is what the gateways of one zone saw of the members of another since the last time, and what their own load is.
+// Evidence is what the gateways of one zone saw of the members of a zone since the previous report, and their own load.
 type Evidence struct {
-	Witness  string // the zone of the gateways that tell
+	Witness  string // the zone of the reporting gateways
 	Zone     string // the zone of the members
 	Attempts float64
 	Failed   float64
 	Late     float64
-	// Only where Witness is Of:
-	Offered float64 // work a second that clients ask of the gateways of the zone, wherever it is done
-	Served  float64 // work a second that its members do, for whomever
-	Cold    bool    // most of its members started lately
+	// Only where Witness is Zone:
+	Offered float64 // work per second that clients request from the zone's gateways, wherever it is served
+	Served  float64 // work per second that its members serve, for any zone
+	Cold    bool    // most of its members are in slow start
 }
 
-// Guard is one of the checks that keep a plan harmless. A checker switches them off one at a time.
+// Guard is one of the safety checks of the planner. Tests switch them off one at a time to show that each is needed.
 type Guard uint8
 
 // The guards.
 const (
-	GuardWitness      Guard = 1 << iota // a witness that sees all zones fail tells of itself
-	GuardReserve                        // no zone is sent more than it can carry, less a reserve
-	GuardTurnInterval                   // a zone that turns again and again turns less often
-	GuardSteps                          // load moves by steps that are confirmed
-	GuardHold                           // an operator's hold stops what is automatic
-	GuardCold                           // members that started lately carry half
+	GuardWitness      Guard = 1 << iota // evidence of a witness that sees most other zones fail is ignored
+	GuardReserve                        // no zone is sent more than its capacity less a reserve
+	GuardTurnInterval                   // a zone that changes direction repeatedly does so ever less often
+	GuardSteps                          // load moves in confirmed steps
+	GuardHold                           // an operator's hold stops automatic changes
+	GuardCold                           // members in slow start serve half
 )
 
-// Guards are all of them, with what each keeps.
+// Guards lists all guards with the property that each ensures.
 var Guards = []struct {
 	Guard Guard
 	Name  string
@@ -100,52 +100,52 @@
 	{GuardHold, "an operator's hold stops what is automatic"}, {GuardCold, "members that started lately carry half"},
 }
 
-// Entry is what a plan says of a zone.
+// Entry is a zone's entry in a plan. Loads are fractions of the zone's own load.
 type Entry struct {
 	State  State              `json:"state"`
-	Away   float64            `json:"away"`              // part of its load that goes elsewhere or is shed
-	GoesTo map[string]float64 `json:"goes_to,omitempty"` // parts of its load, by zone
-	Shed   float64            `json:"shed,omitempty"`    // part that fits nowhere: refused at the edge, low worth first
+	Away   float64            `json:"away"`              // fraction that goes elsewhere or is shed
+	GoesTo map[string]float64 `json:"goes_to,omitempty"` // fractions, by receiving zone
+	Shed   float64            `json:"shed,omitempty"`    // fraction that fits nowhere: refused by the gateways, lowest value first
 	Reason string             `json:"reason,omitempty"`
 	Held   bool               `json:"held,omitempty"`
 }
 
-// Plan is what holds for all zones. Numbers only grow; a plan ends a Term after Made unless it is renewed.
+// Plan covers all zones. Numbers only grow; a plan expires PlanTerm after MadeAt unless it is renewed.
 type Plan struct {
 	Number uint64           `json:"number"`
 	MadeAt Time             `json:"made"`
 	Zones  map[string]Entry `json:"zones"`
 }
 
-// tally is what a witness zone saw of a zone, fading.
+// tally is what a witness zone saw of a zone, with exponential decay.
 type tally struct {
 	attempts, failed, late float64
 	at                     Time
 }
 
-// zoneState is a zone at work.
+// zoneState is a zone with its current state.
 type zoneState struct {
 	Zone
 	state        State
 	since        Time
 	away         float64
 	stepAt       Time
-	sickSince    Time // since then, 0 = it is not
+	sickSince    Time // 0 = it is not; so are goneSince and wellSince
 	goneSince    Time
 	wellSince    Time
-	turnInterval Time // least time to the next turn
+	turnInterval Time // least time to the next change of direction
 	lastTurn     Time
-	load         float64 // offered to its gateways, a second
-	served       float64 // by its members, a second
-	peakServed   float64 // that they were seen to do well
+	load         float64 // work per second offered to its gateways
+	served       float64 // work per second served by its members
+	peakServed   float64 // the most that they were seen to serve well, decaying
 	cold         bool
 	held         bool
-	forced       State // by an operator, empty: none
+	forced       State // by an operator; empty: not forced
 	reason       string
 	tallies      map[string]*tally // by witness zone
 }
 
-// Planner makes plans. It is its owner's alone.
+// Planner computes plans. It is not safe for concurrent use.
 type Planner struct {
 	zones          map[string]*zoneState
 	names          []string
@@ -153,10 +153,10 @@
 	number         uint64
 	last           Plan
 	evaluatedAt    Time
-	StateChanges   int // changes of state so far
+	StateChanges   int // count of zone state changes
 }
 
-// New returns the planner of a topology. A zone without neighbours may shed only.
+// New returns a planner for a topology. A zone without neighbours can only shed load. Only tests disable guards.
 func New(zones []Zone, off Guard) *Planner {
 	p := &Planner{zones: map[string]*zoneState{}, disabledGuards: off}
 	for _, z := range zones {
@@ -169,7 +169,7 @@
 
 func (p *Planner) guarded(g Guard) bool { return p.disabledGuards&g == 0 }
 
-// AddEvidence takes evidence.
+// AddEvidence adds evidence. Entries of unknown zones or with inconsistent counts are ignored.
 func (p *Planner) AddEvidence(now Time, all []Evidence) {
 	for i := range all {
 		s := &all[i]
@@ -198,8 +198,8 @@
 	t.attempts, t.failed, t.late, t.at = t.attempts*f, t.failed*f, t.late*f, now
 }
 
-// failedFraction is which part of the attempts in a zone fails, as its witnesses say: the one in the middle, each zone one witness
-// however many gateways it has. A witness to whom most zones fail tells of itself. known is false where nobody can tell.
+// failedFraction returns the fraction of failed attempts in a zone: the median over the witness zones, each of which counts
+// once however many gateways it has. Isolated witnesses are ignored. known is false without a usable witness.
 func (p *Planner) failedFraction(now Time, z *zoneState) (part float64, witnesses int, known bool) {
 	var parts []float64
 	for _, w := range slices.Sorted(maps.Keys(z.tallies)) {
@@ -214,10 +214,10 @@
 		return 0, 0, false
 	}
 	slices.Sort(parts)
-	return parts[(len(parts)-1)/2], len(parts), true // of two the milder: one witness alone takes nothing out
+	return parts[(len(parts)-1)/2], len(parts), true // of two the lower: a single witness can't take a zone out
 }
 
-// isolated tells that a witness sees most other zones fail: it is the one that is cut off.
+// isolated reports whether a witness sees most other zones fail, so that it is the one cut off.
 func (p *Planner) isolated(now Time, witness string) bool {
 	bad, all := 0, 0
 	for _, name := range p.names {
@@ -237,8 +237,7 @@
 	return all > 1 && 2*bad > all
 }
 
-// Resume goes on from the plan that holds, as a planner that takes over does: what was decided stands until it is seen
-// otherwise.
+// Resume continues from the agreed plan after a change of leader: its decisions stand until evidence changes them.
 func (p *Planner) Resume(now Time, number uint64, zones map[string]Entry) {
 	p.number = max(p.number, number)
 	for name, e := range zones {
@@ -249,7 +248,8 @@
 	p.last = Plan{Number: p.number, MadeAt: now - PlanTerm, Zones: zones}
 }
 
-// Force is an operator's act: a zone out, back (Serving), or as the planner sees it (empty).
+// Force applies an operator's override: Out, Serving, or empty to let the planner decide. It fails for an unknown zone or
+// another state.
 func (p *Planner) Force(now Time, zone string, s State, reason string) error {
 	z := p.zones[zone]
 	switch {
@@ -269,7 +269,7 @@
 	return nil
 }
 
-// Hold stops all that is automatic for a zone, or has it go on.
+// Hold stops (yes) or resumes automatic changes of a zone. It fails for an unknown zone.
 func (p *Planner) Hold(zone string, yes bool) error {
 	z := p.zones[zone]
 	if z == nil {
@@ -279,13 +279,13 @@
 	return nil
 }
 
-// setState changes a zone's state.
+// setState sets a zone's state and limits how often its direction changes.
 func (p *Planner) setState(now Time, z *zoneState, s State, reason string) {
 	if z.state == s {
 		return
 	}
 	leaves := func(s State) bool { return s == Shedding || s == Out }
-	if leaves(s) != leaves(z.state) { // it turns round
+	if leaves(s) != leaves(z.state) { // the direction changes
 		if now-z.lastTurn < turnIntervalHalving {
 			z.turnInterval = min(2*z.turnInterval, maxTurnInterval)
 		}
@@ -295,12 +295,12 @@
 	p.StateChanges++
 }
 
-// mayTurn tells that a zone may turn round: not too soon after it last did.
+// mayTurn reports whether a zone may change its direction: not too soon after the last change.
 func (p *Planner) mayTurn(now Time, z *zoneState) bool {
 	return !p.guarded(GuardTurnInterval) || now-z.lastTurn >= z.turnInterval
 }
 
-// holdsFor notes from when on something holds.
+// holdsFor records in at since when a condition holds and returns for how long, -1 if it does not hold.
 func holdsFor(at *Time, now Time, holds bool) Time {
 	if !holds {
 		*at = 0
@@ -312,8 +312,7 @@
 	return now - *at
 }
 
-// Evaluate looks at all zones and returns the plan that holds from now on, and whether it is another one than the last or
-// needs to be renewed. It is to be called each half second or so.
+// Evaluate updates all zones and returns the current plan, and whether it is new or renewed. Call it about every half second.
 func (p *Planner) Evaluate(now Time) (Plan, bool) {
 	if now-p.evaluatedAt < evaluateInterval && p.number > 0 {
 		return p.last, false
@@ -333,7 +332,7 @@
 	return p.last, false
 }
 
-// updateZone moves one zone on by what is seen of it.
+// updateZone updates one zone by its evidence.
 func (p *Planner) updateZone(now, span Time, z *zoneState) {
 	part, witnesses, known := p.failedFraction(now, z)
 	sick := holdsFor(&z.sickSince, now, known && part >= sickFraction)
@@ -383,7 +382,7 @@
 			p.setState(now, z, Returning, "it is well")
 		}
 	case Out:
-		// Nothing is sent there but what gateways try by themselves; it is well once those say so.
+		// Only the gateways' own probes go there; the zone is well once they succeed.
 		if well >= stepInterval && p.mayTurn(now, z) {
 			p.setState(now, z, Returning, "it answers again")
 			z.away = 1 - trialFraction
@@ -403,8 +402,8 @@
 	}
 }
 
-// moveAway moves a zone's load away: all at once where nothing is served there anyway, else by steps that those who receive
-// it confirm by being well.
+// moveAway moves a zone's load away: all at once where nothing is served there anyway, else step by step as long as the
+// receiving zones are well.
 func (p *Planner) moveAway(now Time, z *zoneState, atOnce bool) {
 	if z.state != Shedding {
 		return
@@ -421,7 +420,7 @@
 	}
 }
 
-// confirmed tells that those who receive a zone's load are well.
+// confirmed reports whether the zones that receive a zone's load are well.
 func (p *Planner) confirmed(now Time, z *zoneState) bool {
 	for to := range p.last.Zones[z.Name].GoesTo {
 		if n := p.zones[to]; n != nil && (n.state != Serving || n.sickSince > 0) {
@@ -431,8 +430,8 @@
 	return true
 }
 
-// assignLoad lays out where load goes: for each zone in trouble its neighbours in their order, as far as they can carry it beside
-// their own and what others send them; the rest is shed. No zone that is itself in trouble, or coming back, receives any.
+// assignLoad distributes the load that leaves each zone over its neighbours in their order, as far as they have capacity
+// besides their own load and that from other zones; the rest is shed. Only zones that are Serving and not held receive load.
 func (p *Planner) assignLoad() map[string]Entry {
 	spare := map[string]float64{}
 	for _, name := range p.names {
@@ -445,7 +444,7 @@
 			can *= 1 - reserveFraction
 		}
 		if z.state == Serving && !z.held {
-			spare[name] = max(0, can-z.load*(1-z.away)) // what is moved there already is counted as it is laid out
+			spare[name] = max(0, can-z.load*(1-z.away)) // load moved there is subtracted as it is assigned below
 		}
 		if !p.guarded(GuardReserve) {
 			spare[name] = math.Inf(1)
