--- a/cmd/reachwind-council/main.go
+++ b/cmd/reachwind-council/main.go
@@ -25,7 +25,7 @@
 			if path == "" {
 				return errors.New("no configuration: use --config")
 			}
-			conf, err := council.Load(path)
+			conf, err := council.LoadConfig(path)
 			if err != nil {
 				return err
 			}
--- a/cmd/windlab/councilcost.go
+++ b/cmd/windlab/councilcost.go
@@ -172,7 +172,7 @@
 		return nil, err
 	}
 	number := uint64(0)
-	do := func(q council.Request) (r agreed.Result, err error) {
+	do := func(q council.CommandRequest) (r agreed.Result, err error) {
 		number++
 		q.Client, q.Number, q.Who = "cost", number, "cost"
 		body, _ := json.Marshal(q)
@@ -213,12 +213,12 @@
 	begin := time.Now()
 	for i := range times {
 		at := time.Now()
-		r, err := do(council.Request{Op: "acquire", Target: fmt.Sprintf("gateway/none-%d", i), TermMs: 60000})
+		r, err := do(council.CommandRequest{Op: "acquire", Target: fmt.Sprintf("gateway/none-%d", i), TermMs: 60000})
 		if err != nil {
 			return nil, err
 		}
 		_ = grant.RecordValue(time.Since(at).Microseconds())
-		if _, err := do(council.Request{Op: "give_back", Target: r.Permit.Target, Fence: r.Permit.Fence}); err != nil {
+		if _, err := do(council.CommandRequest{Op: "give_back", Target: r.Permit.Target, Fence: r.Permit.Fence}); err != nil {
 			return nil, err
 		}
 	}
@@ -230,7 +230,7 @@
 	for i := range times / 4 {
 		member := fmt.Sprintf("m-%d", i)
 		at := time.Now()
-		r, err := do(council.Request{Op: "acquire", Target: "db/" + member, TermMs: 60000})
+		r, err := do(council.CommandRequest{Op: "acquire", Target: "db/" + member, TermMs: 60000})
 		if err != nil {
 			return nil, err
 		}
@@ -253,21 +253,21 @@
 		}
 		subs.mu.Unlock()
 		_ = told.RecordValue(last.Sub(at).Microseconds())
-		if _, err := do(council.Request{Op: "give_back", Target: r.Permit.Target, Fence: r.Permit.Fence}); err != nil {
+		if _, err := do(council.CommandRequest{Op: "give_back", Target: r.Permit.Target, Fence: r.Permit.Fence}); err != nil {
 			return nil, err
 		}
 	}
 	for i := range min(times/4, 30) {
 		name := fmt.Sprint("r", i)
 		plan := &agreed.Release{Name: name, Of: "gateways", Command: []string{"true"}, TermMs: 60000, Together: 1, Steps: []agreed.Step{{Name: "all", Share: 1}}, Want: agreed.Want{Off: true}}
-		if _, err := do(council.Request{Op: "plan", Release: plan}); err != nil {
+		if _, err := do(council.CommandRequest{Op: "plan", Release: plan}); err != nil {
 			return nil, err
 		}
-		if _, err := do(council.Request{Op: "drive", Name: name, TermMs: 10000}); err != nil {
+		if _, err := do(council.CommandRequest{Op: "drive", Name: name, TermMs: 10000}); err != nil {
 			return nil, err
 		}
 		at := time.Now()
-		if _, err := do(council.Request{Op: "steer", Name: name, Steer: "halt"}); err != nil {
+		if _, err := do(council.CommandRequest{Op: "steer", Name: name, Steer: "halt"}); err != nil {
 			return nil, err
 		}
 		for _, s := range c.Seats {
--- a/internal/fleet/council/admin.go
+++ b/internal/fleet/council/admin.go
@@ -15,8 +15,8 @@
 
 // Admin.
 
-// Request is a command as it comes by the admin address.
-type Request struct {
+// CommandRequest is a command as it comes by the admin address.
+type CommandRequest struct {
 	Op     string         `json:"op"` // budget, acquire, renew, give_back, revoke
 	Client string         `json:"client"`
 	Number uint64         `json:"number"`
@@ -88,7 +88,7 @@
 	s := Status{Name: v.conf.Name, Quorum: id != 0, Leader: v.name(id), Leading: leading, Term: v.node.Term(), Index: m.Index(), TimeMs: m.Time(),
 		Budgets: m.Budgets(), Permits: m.Permits(), Targets: m.Targets(), Releases: m.Releases(), Rules: m.Rules(), Serves: m.Serves(),
 		Form: m.Form(), Identity: v.life.Identity, ID: v.self, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneActs()), Starts: v.life.Starts, Lineage: m.Lineage()}
-	conf := v.node.Conf()
+	conf := v.node.ConfState()
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
 		o := VoterState{Name: v.name(id), ID: id, Address: v.address(id), Learns: slices.Contains(conf.Learners, id), HeardMs: -1}
 		if n, ok := v.heard[o.Name]; ok {
@@ -173,7 +173,7 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/command", func(w http.ResponseWriter, r *http.Request) {
-		var q Request
+		var q CommandRequest
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
 		if err == nil {
 			err = json.Unmarshal(text, &q)
@@ -204,7 +204,7 @@
 				return
 			}
 			t, err := v.node.Propose(v.now(), c)
-			if errors.Is(err, ErrForm) {
+			if errors.Is(err, ErrFormTooOld) {
 				tell(agreed.Result{Refused: err.Error()}, nil)
 				return
 			}
@@ -244,7 +244,7 @@
 // changeVoters proposes the next step of a change: a new voter learns first and votes once it has caught up. Whoever
 // asks repeats it until the voters are as wanted.
 func (v *Voter) changeVoters(q *VoterChange) error {
-	conf := v.node.Conf()
+	conf := v.node.ConfState()
 	has := uint64(0)
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
 		if v.name(id) == q.Name {
@@ -255,25 +255,25 @@
 		if has == 0 {
 			return nil
 		}
-		return v.node.ChangeVoters(v.now(), Change{ID: has, Voter: agreed.Voter{Name: q.Name}, Leave: true})
+		return v.node.ChangeVoters(v.now(), MembershipChange{ID: has, Voter: agreed.Voter{Name: q.Name}, Leave: true})
 	}
 	switch {
 	case q.Address == "" || q.Identity == 0 || q.ID <= idFirst:
-		return fmt.Errorf("%w: want the address, identity and number of %s, as its own status tells", ErrVoters, q.Name)
+		return fmt.Errorf("%w: want the address, identity and number of %s, as its own status tells", ErrVoterChange, q.Name)
 	case has != 0 && has != q.ID:
-		return fmt.Errorf("%w: %s is a voter with another folder, remove it first", ErrVoters, q.Name)
+		return fmt.Errorf("%w: %s is a voter with another folder, remove it first", ErrVoterChange, q.Name)
 	case slices.Contains(conf.Voters, q.ID):
 		return nil
-	case len(conf.Voters) >= VotersMost:
-		return fmt.Errorf("%w: there are %d voters", ErrVoters, len(conf.Voters))
+	case len(conf.Voters) >= MaxVoters:
+		return fmt.Errorf("%w: there are %d voters", ErrVoterChange, len(conf.Voters))
 	}
-	return v.node.ChangeVoters(v.now(), Change{ID: q.ID, Voter: agreed.Voter{Name: q.Name, Addr: q.Address, Identity: q.Identity}, Learn: has == 0, All: v.all()})
+	return v.node.ChangeVoters(v.now(), MembershipChange{ID: q.ID, Voter: agreed.Voter{Name: q.Name, Addr: q.Address, Identity: q.Identity}, Learn: has == 0, All: v.all()})
 }
 
 // all are the voters as this one knows them.
 func (v *Voter) all() map[uint64]agreed.Voter {
 	m := map[uint64]agreed.Voter{}
-	conf := v.node.Conf()
+	conf := v.node.ConfState()
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
 		o := v.node.Machine.Voters()[id]
 		if m[id] = o; o.Name == "" {
--- a/internal/fleet/council/config.go
+++ b/internal/fleet/council/config.go
@@ -26,15 +26,15 @@
 
 // Bounds of a council.
 const (
-	VotersLeast = 1 // one is for trying things out: nothing is left when it is gone
-	VotersMost  = 7
+	MinVoters = 1 // one is for trying things out: nothing is left when it is gone
+	MaxVoters = 7
 )
 
-// Load reads a voter's configuration.
-func Load(path string) (c *Config, err error) {
+// LoadConfig reads a voter's configuration.
+func LoadConfig(path string) (c *Config, err error) {
 	err = edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("council", false, func(b *edgeconf.Block) {
-			read := Read(b)
+			read := ReadConfig(b)
 			c = &read
 		})
 		if c == nil {
@@ -44,8 +44,8 @@
 	return c, err
 }
 
-// Read reads a council block. Faults are the block's.
-func Read(b *edgeconf.Block) Config {
+// ReadConfig reads a council block. Faults are the block's.
+func ReadConfig(b *edgeconf.Block) Config {
 	c := Config{Name: b.String("name", ""), Listen: b.String("listen", ""), Admin: b.String("admin", ""), Folder: b.FilePath("folder"), KeyFile: b.FilePath("key_file"),
 		Voters: map[string]string{}}
 	address := func(in *edgeconf.Block, name, value string) {
@@ -91,7 +91,7 @@
 	if _, ok := c.Voters[c.Name]; !ok {
 		b.AddFaultAt("name", "name is %q, want that of one of the voters", c.Name)
 	}
-	if n := len(c.Voters); n < VotersLeast || n > VotersMost || n%2 == 0 {
+	if n := len(c.Voters); n < MinVoters || n > MaxVoters || n%2 == 0 {
 		b.AddFault("%d voters, want 3, 5 or 7 (1 to try things out)", n)
 	}
 	if c.Folder == "" {
--- a/internal/fleet/council/copy_test.go
+++ b/internal/fleet/council/copy_test.go
@@ -18,7 +18,7 @@
 	"reachwind/internal/fleet/peers"
 )
 
-var scripted = Life{Identity: 11, Starts: 1, Run: 1}
+var scripted = Incarnation{Identity: 11, Starts: 1, ProcessID: 1}
 
 // life begins a life of voter c3 in a folder.
 func life(t *testing.T, dir string) *Voter {
@@ -39,7 +39,7 @@
 }
 
 // tell has c1 tell something, and returns what the voter answers; nothing once it is to end.
-func tell(t *testing.T, v *Voter, known Life, m raftpb.Message) (answers []raftpb.Message) {
+func tell(t *testing.T, v *Voter, known Incarnation, m raftpb.Message) (answers []raftpb.Message) {
 	t.Helper()
 	m.From, m.To = 1, 3
 	raw, err := m.Marshal()
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		answers = append(answers, r.Messages...)
-		if v.node.Done(&r); r.Fatal != nil {
+		if v.node.Advance(&r); r.Fatal != nil {
 			t.Fatal(r.Fatal)
 		}
 	}
@@ -88,8 +88,8 @@
 		{"heartbeat to a copy of the present life", true, false, true, beat, ErrOldCopy},
 		{"vote", false, false, true, raftpb.Message{Type: raftpb.MsgVote, Term: 4, Index: 3, LogTerm: 2}, ErrOldCopy},
 		{"entries", false, false, true, raftpb.Message{Type: raftpb.MsgApp, Term: 3, Index: 3, LogTerm: 2, Entries: []raftpb.Entry{entry(4, 3)}}, ErrOldCopy},
-		{"entries after another one that is agreed here", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 3, LogTerm: 4, Entries: []raftpb.Entry{entry(4, 4)}}, ErrParted},
-		{"entries that replace an agreed one", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 2, LogTerm: 2, Entries: []raftpb.Entry{entry(3, 4)}}, ErrParted},
+		{"entries after another one that is agreed here", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 3, LogTerm: 4, Entries: []raftpb.Entry{entry(4, 4)}}, ErrLogConflict},
+		{"entries that replace an agreed one", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 2, LogTerm: 2, Entries: []raftpb.Entry{entry(3, 4)}}, ErrLogConflict},
 		{"entries of a leader of the past", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 3, LogTerm: 1, Entries: []raftpb.Entry{entry(4, 1)}}, nil},
 		{"heartbeat to its own folder", false, true, true, beat, nil},
 	} {
@@ -101,7 +101,7 @@
 				}
 			}
 			v := life(t, dir)
-			tell(t, v, Life{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Commit: 3, Entries: []raftpb.Entry{entry(2, 2), entry(3, 2)}})
+			tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Commit: 3, Entries: []raftpb.Entry{entry(2, 2), entry(3, 2)}})
 			_ = v.store.Close()
 			if !c.within {
 				take()
@@ -121,7 +121,7 @@
 			}
 			v = life(t, copied)
 			if !c.known {
-				later = Life{}
+				later = Incarnation{}
 			}
 			answers = tell(t, v, later, c.first)
 			if !errors.Is(v.fatal, c.want) || c.want != nil && (len(answers) > 0 || v.fatal == nil || !strings.Contains(v.fatal.Error(), "empty one")) {
@@ -137,7 +137,7 @@
 // TestKnownIsTold: each message tells whom it is sent to which life of it is known, so that no message comes before it.
 func TestKnownIsTold(t *testing.T) {
 	v := life(t, filepath.Join(t.TempDir(), "f"))
-	tell(t, v, Life{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
+	tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
 	for _, kind := range []byte{frameRaft2, frameHello} {
 		var e envelope2
 		if err := cbor.Unmarshal(v.sealed(kind, 1, &envelope2{})[1:], &e); err != nil || e.Known != scripted || e.Life != v.life {
@@ -150,12 +150,12 @@
 // joins with an empty folder, and one of a council that just begins, are told nothing of the kind and learn the log.
 func TestEmptied(t *testing.T) {
 	v := life(t, filepath.Join(t.TempDir(), "f"))
-	if tell(t, v, Life{Identity: 12, Starts: 4, Run: 5}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 3, Commit: 4}); !errors.Is(v.fatal, ErrOldCopy) {
+	if tell(t, v, Incarnation{Identity: 12, Starts: 4, ProcessID: 5}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 3, Commit: 4}); !errors.Is(v.fatal, ErrOldCopy) {
 		t.Errorf("an emptied folder: it ends with %v", v.fatal)
 	}
 	v = life(t, filepath.Join(t.TempDir(), "f"))
-	tell(t, v, Life{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
-	if a := tell(t, v, Life{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Entries: []raftpb.Entry{entry(2, 2)}}); v.fatal != nil || len(a) != 1 || a[0].Reject {
+	tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
+	if a := tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Entries: []raftpb.Entry{entry(2, 2)}}); v.fatal != nil || len(a) != 1 || a[0].Reject {
 		t.Errorf("a voter of a council that begins ends with %v, answers %v", v.fatal, a)
 	}
 	joins, err := NewNode(NodeConfig{ID: idFirst + 1, Log: slog.New(slog.DiscardHandler)}, Saved{}, 0)
@@ -170,8 +170,8 @@
 		}
 		drain(joins)
 	}
-	if len(joins.Conf().Learners) != 1 || joins.raw.BasicStatus().Commit != 900 {
-		t.Errorf("who joins has %+v, agreed up to %d", joins.Conf(), joins.raw.BasicStatus().Commit)
+	if len(joins.ConfState().Learners) != 1 || joins.raw.BasicStatus().Commit != 900 {
+		t.Errorf("who joins has %+v, agreed up to %d", joins.ConfState(), joins.raw.BasicStatus().Commit)
 	}
 }
 
@@ -183,7 +183,7 @@
 			return all, nil
 		}
 		all = append(all, r.Messages...)
-		if n.Done(&r); r.Fatal != nil {
+		if n.Advance(&r); r.Fatal != nil {
 			return all, r.Fatal
 		}
 	}
@@ -291,7 +291,7 @@
 		switch {
 		case errors.Is(err, ErrOldCopy):
 			old++
-		case errors.Is(err, ErrParted):
+		case errors.Is(err, ErrLogConflict):
 			parted++
 		}
 	}
@@ -321,7 +321,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := drain(n); !errors.Is(err, ErrParted) {
+	if _, err := drain(n); !errors.Is(err, ErrLogConflict) {
 		t.Errorf("an unknown change of voters: %v", err)
 	}
 }
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -48,16 +48,16 @@
 
 // envelope2 carries a raft message with the life of the voter that sends it. Fields are added, never changed.
 type envelope2 struct {
-	Name    string `cbor:"1,keyasint"`
-	Life    Life   `cbor:"2,keyasint"`
-	Lineage uint64 `cbor:"3,keyasint,omitempty"`
-	Message []byte `cbor:"4,keyasint,omitempty"`
+	Name    string      `cbor:"1,keyasint"`
+	Life    Incarnation `cbor:"2,keyasint"`
+	Lineage uint64      `cbor:"3,keyasint,omitempty"`
+	Message []byte      `cbor:"4,keyasint,omitempty"`
 	// Of hellos, Known of all; the former program tells it in hellos only:
-	Form  int      `cbor:"5,keyasint,omitempty"` // the newest that it speaks
-	Known Life     `cbor:"6,keyasint,omitzero"`  // what it knows of the one it is sent to
-	ID    uint64   `cbor:"7,keyasint,omitempty"`
-	Addr  string   `cbor:"8,keyasint,omitempty"`
-	Past  []uint64 `cbor:"9,keyasint,omitempty"` // numbers of the processes of the folder before
+	Form  int         `cbor:"5,keyasint,omitempty"` // the newest that it speaks
+	Known Incarnation `cbor:"6,keyasint,omitzero"`  // what it knows of the one it is sent to
+	ID    uint64      `cbor:"7,keyasint,omitempty"`
+	Addr  string      `cbor:"8,keyasint,omitempty"`
+	Past  []uint64    `cbor:"9,keyasint,omitempty"` // numbers of the processes of the folder before
 }
 
 // neighbour is what another voter said last.
@@ -70,8 +70,8 @@
 // may have counted towards a majority.
 var ErrOldCopy = errors.New("council: the folder is an old copy")
 
-// ErrParted is returned where another voter's message can't follow from what this folder holds as agreed.
-var ErrParted = errors.New("council: the folder does not go with the council")
+// ErrLogConflict is returned where another voter's message can't follow from what this folder holds as agreed.
+var ErrLogConflict = errors.New("council: the folder does not go with the council")
 
 // What an operator can do about them.
 const (
@@ -87,7 +87,7 @@
 	store   *Store
 	node    *Node
 	self    uint64
-	life    Life
+	life    Incarnation
 	saved   Saved
 	begin   time.Time
 	asks    chan func()
@@ -136,7 +136,7 @@
 	admin := &http.Server{Handler: v.handler(), ReadHeaderTimeout: askWait, ReadTimeout: askWait, WriteTimeout: 2 * askWait, IdleTimeout: askWait, MaxHeaderBytes: 8 << 10}
 	go func() { _ = admin.Serve(l) }()
 	defer func() { _ = admin.Close() }()
-	log.Info("council serves", "name", c.Name, "voters", len(v.node.Conf().Voters), "listen", c.Listen, "admin", c.Admin, "index", v.node.Machine.Index())
+	log.Info("council serves", "name", c.Name, "voters", len(v.node.ConfState().Voters), "listen", c.Listen, "admin", c.Admin, "index", v.node.Machine.Index())
 	return v.run(ctx)
 }
 
@@ -149,7 +149,7 @@
 		names, id = []string{}, idFirst+store.Identity>>16
 	}
 	life := rand.Uint64() | 1
-	if err := store.Begin(&saved, names, id, life); err != nil {
+	if err := store.RecordStart(&saved, names, id, life); err != nil {
 		return nil, err
 	}
 	v.saved = saved
@@ -159,7 +159,7 @@
 	if v.self == 0 {
 		return nil, fmt.Errorf("council: the folder is that of a council of %v, %s is none of them", saved.Founders, c.Name)
 	}
-	v.life = Life{store.Identity, saved.Starts, life}
+	v.life = Incarnation{store.Identity, saved.Starts, life}
 	var ids []uint64
 	for i := range saved.Founders {
 		ids = append(ids, uint64(i+1))
@@ -205,12 +205,12 @@
 				return fmt.Errorf("council: saving: %w", err)
 			}
 			v.send(r.Messages)
-			snap := v.node.Done(&r)
+			snap := v.node.Advance(&r)
 			if r.Fatal != nil {
 				return r.Fatal
 			}
 			if snap.Metadata.Index > 0 {
-				if err := v.store.Cut(snap); err != nil {
+				if err := v.store.SaveSnapshot(snap); err != nil {
 					return fmt.Errorf("council: cutting the log: %w", err)
 				}
 			}
@@ -258,7 +258,7 @@
 
 // others are the numbers of all other voters, those that learn among them.
 func (v *Voter) others() (ids []uint64) {
-	c := v.node.Conf()
+	c := v.node.ConfState()
 	for _, id := range slices.Concat(c.Voters, c.Learners) {
 		if id != v.self {
 			ids = append(ids, id)
@@ -301,7 +301,7 @@
 // as heartbeats come before hellos and an old copy must learn that it is one before it acts on anything else.
 func (v *Voter) sealed(kind byte, to uint64, e *envelope2) []byte {
 	e.Name, e.Life, e.Past, e.Lineage = v.conf.Name, v.life, v.saved.Past, v.node.Machine.Lineage()
-	e.Known = v.store.Roll.Lives[v.name(to)]
+	e.Known = v.store.Roll.ByName[v.name(to)]
 	b, err := cbor.Marshal(e)
 	if err != nil {
 		panic(err) // plain fields
@@ -350,7 +350,7 @@
 	case frameRaft:
 		var e envelope
 		if cbor.Unmarshal(b, &e) == nil && v.node.Machine.Form() < agreed.Releases {
-			v.message(&envelope2{Name: e.Name, Life: Life{Identity: e.Identity}, Message: e.Message})
+			v.message(&envelope2{Name: e.Name, Life: Incarnation{Identity: e.Identity}, Message: e.Message})
 		}
 	case frameRaft2:
 		var e envelope2
@@ -371,7 +371,7 @@
 		return
 	}
 	v.heard[e.Name] = neighbour{v.now(), e.Form}
-	if len(v.node.Conf().Voters) == 0 && len(v.guides) < VotersMost && len(e.Name) <= agreed.TextMost {
+	if len(v.node.ConfState().Voters) == 0 && len(v.guides) < MaxVoters && len(e.Name) <= agreed.TextMost {
 		v.guides[e.ID] = agreed.Voter{Name: e.Name, Addr: e.Addr}
 	}
 }
@@ -379,7 +379,7 @@
 // outlived tells that another voter knows a later life of this folder: this one must not go on.
 func (v *Voter) outlived(e *envelope2) bool {
 	k := e.Known
-	if k.Identity != v.life.Identity || k.Starts < v.life.Starts || k.Starts == v.life.Starts && k.Run == v.life.Run {
+	if k.Identity != v.life.Identity || k.Starts < v.life.Starts || k.Starts == v.life.Starts && k.ProcessID == v.life.ProcessID {
 		return false
 	}
 	v.fatal = fmt.Errorf("%w: it has seen %d starts, voter %s knows of %d. %s", ErrOldCopy, v.life.Starts, e.Name, k.Starts, anew)
@@ -387,38 +387,38 @@
 }
 
 // meets tells whether a message of a life is taken: of the folder that its voter has, in its present life.
-func (v *Voter) meets(name string, l Life, past []uint64) bool {
+func (v *Voter) meets(name string, l Incarnation, past []uint64) bool {
 	id := uint64(0)
 	for _, o := range append(v.others(), v.self) {
 		if v.name(o) == name {
 			id = o
 		}
 	}
-	if id == 0 && len(v.node.Conf().Voters) > 0 { // who joins knows nobody yet
+	if id == 0 && len(v.node.ConfState().Voters) > 0 { // who joins knows nobody yet
 		return false
 	}
 	if added, ok := v.node.Machine.Voters()[id]; ok && added.Identity != 0 && added.Identity != l.Identity {
 		v.foreign.Warn(v.log, "council voter has another identity, its folder was lost or swapped", "voter", name)
 		return false
 	}
-	if known, ok := v.store.Roll.Lives[name]; ok && known.Identity != l.Identity && l.Identity != 0 && v.node.Machine.Voters()[id].Identity == l.Identity {
+	if known, ok := v.store.Roll.ByName[name]; ok && known.Identity != l.Identity && l.Identity != 0 && v.node.Machine.Voters()[id].Identity == l.Identity {
 		if err := v.store.Forget(name); err != nil { // the council has agreed on another folder for this name
 			v.log.Error("council: identities not kept", "err", err)
 			return false
 		}
 	}
-	if len(v.store.Roll.Lives) > 64 {
+	if len(v.store.Roll.ByName) > 64 {
 		return false
 	}
-	m, err := v.store.Meet(name, l, past)
+	m, err := v.store.CheckIncarnation(name, l, past)
 	switch {
 	case err != nil:
 		v.log.Error("council: identities not kept", "err", err)
 		return false
-	case m == Foreign:
+	case m == IncarnationForeign:
 		v.foreign.Warn(v.log, "council voter has another identity, its folder was lost or swapped", "voter", name)
 		return false
-	case m == Stale:
+	case m == IncarnationStale:
 		v.stale.Warn(v.log, "council voter goes on from an old copy of its folder", "voter", name)
 		return false
 	}
@@ -431,7 +431,7 @@
 	if m.Unmarshal(e.Message) != nil || e.Name == v.conf.Name || e.Name == "" || m.From == v.self {
 		return
 	}
-	if n := v.name(m.From); n != e.Name && (n != "" || len(v.node.Conf().Voters) > 0) {
+	if n := v.name(m.From); n != e.Name && (n != "" || len(v.node.ConfState().Voters) > 0) {
 		return
 	}
 	if !v.meets(e.Name, e.Life, e.Past) || v.outlived(e) {
@@ -439,7 +439,7 @@
 	}
 	if err := v.node.Receive(v.now(), m); err != nil {
 		advice := anew
-		if errors.Is(err, ErrParted) {
+		if errors.Is(err, ErrLogConflict) {
 			advice = keep
 		}
 		v.fatal = fmt.Errorf("%w; voter %s told it. %s", err, e.Name, advice)
--- a/internal/fleet/council/node.go
+++ b/internal/fleet/council/node.go
@@ -61,13 +61,13 @@
 	Save     Saved
 	Sync     bool // Save must be synced
 	Messages []raftpb.Message
-	Results  []Done
+	Results  []CommandResult
 	Fatal    error // this program can't do what was agreed: it must stop
 	ready    raft.Ready
 }
 
-// Done is the result of a command that this node took.
-type Done struct {
+// CommandResult is the result of a command that this node took.
+type CommandResult struct {
 	Ticket uint64
 	Result agreed.Result
 	Err    error
@@ -210,7 +210,7 @@
 	at, term := m.Index, m.LogTerm
 	for i := 0; at <= agreed; i++ {
 		if has, err := n.mem.Term(at); err == nil && has != term { // an error: it is cut off, or not there
-			return fmt.Errorf("%w: entry %d is of term %d here, of term %d there", ErrParted, at, has, term)
+			return fmt.Errorf("%w: entry %d is of term %d here, of term %d there", ErrLogConflict, at, has, term)
 		}
 		if i == len(m.Entries) {
 			break
@@ -224,7 +224,7 @@
 func caught(do func()) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %v", ErrParted, p)
+			err = fmt.Errorf("%w: %v", ErrLogConflict, p)
 		}
 	}()
 	do()
@@ -275,8 +275,8 @@
 	return n.raw.Propose(c.Encode())
 }
 
-// ErrForm is returned for a command that voters of the form in use would not know.
-var ErrForm = fmt.Errorf("council: the council works in form 1 until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", agreed.Releases)
+// ErrFormTooOld is returned for a command that voters of the form in use would not know.
+var ErrFormTooOld = fmt.Errorf("council: the council works in form 1 until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", agreed.Releases)
 
 // Propose takes a command and returns a ticket by which its result will come.
 func (n *Node) Propose(now Time, c *agreed.Command) (uint64, error) {
@@ -285,7 +285,7 @@
 		return 0, ErrNotLeader
 	}
 	if c.Op > agreed.Revoke && c.Op != agreed.Raise && n.Machine.Form() < agreed.Releases {
-		return 0, ErrForm
+		return 0, ErrFormTooOld
 	}
 	if err := n.propose(c); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotLeader, err)
@@ -314,9 +314,9 @@
 		Messages: rd.Messages, ready: rd}, true
 }
 
-// Done goes on after what Ready returned is saved, and fills in results. snapshot is not empty where the log can be
+// Advance goes on after what Ready returned is saved, and fills in results. snapshot is not empty where the log can be
 // cut off there: it must be saved before the entries go.
-func (n *Node) Done(r *Ready) (snapshot raftpb.Snapshot) {
+func (n *Node) Advance(r *Ready) (snapshot raftpb.Snapshot) {
 	rd := &r.ready
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := n.mem.ApplySnapshot(rd.Snapshot); err == nil {
@@ -372,18 +372,18 @@
 	}
 	for t, w := range n.tickets {
 		if w.client == c.Client && w.number == c.Number {
-			r.Results = append(r.Results, Done{Ticket: t, Result: res})
+			r.Results = append(r.Results, CommandResult{Ticket: t, Result: res})
 			delete(n.tickets, t)
 		}
 	}
 	return nil
 }
 
-// ErrVoters is returned for a change of voters that can't be made now.
-var ErrVoters = errors.New("council: voters can't change so now")
+// ErrVoterChange is returned for a change of voters that can't be made now.
+var ErrVoterChange = errors.New("council: voters can't change so now")
 
-// Change is a change of voters: one joins as a learner, a learner becomes a voter, or one leaves.
-type Change struct {
+// MembershipChange is a change of voters: one joins as a learner, a learner becomes a voter, or one leaves.
+type MembershipChange struct {
 	ID    uint64
 	Voter agreed.Voter
 	Learn bool
@@ -398,19 +398,19 @@
 }
 
 // ChangeVoters proposes a change. One is under way at a time, which raft sees to.
-func (n *Node) ChangeVoters(now Time, c Change) error {
+func (n *Node) ChangeVoters(now Time, c MembershipChange) error {
 	n.now = now
 	switch {
 	case !n.leading:
 		return ErrNotLeader
 	case n.Machine.Form() < agreed.Releases:
-		return fmt.Errorf("%w: the council works in form %d", ErrVoters, n.Machine.Form())
+		return fmt.Errorf("%w: the council works in form %d", ErrVoterChange, n.Machine.Form())
 	case c.Leave && len(n.conf.Voters) == 1 && n.conf.Voters[0] == c.ID:
-		return fmt.Errorf("%w: it is the last one", ErrVoters)
+		return fmt.Errorf("%w: it is the last one", ErrVoterChange)
 	case !c.Leave && !c.Learn && !n.caughtUp(c.ID):
-		return fmt.Errorf("%w: %s has not caught up yet", ErrVoters, c.Voter.Name)
+		return fmt.Errorf("%w: %s has not caught up yet", ErrVoterChange, c.Voter.Name)
 	case n.raw.Status().Config.Learners != nil && c.Learn && len(n.raw.Status().Config.Learners) > 0:
-		return fmt.Errorf("%w: another one joins", ErrVoters)
+		return fmt.Errorf("%w: another one joins", ErrVoterChange)
 	}
 	kind := raftpb.ConfChangeAddNode
 	if c.Learn {
@@ -461,8 +461,8 @@
 	return nil
 }
 
-// Conf is who votes and who learns.
-func (n *Node) Conf() raftpb.ConfState { return n.conf }
+// ConfState is who votes and who learns.
+func (n *Node) ConfState() raftpb.ConfState { return n.conf }
 
 // lostFor is how long a council may have been without a leader before its releases are halted.
 const lostFor = 8 * time.Second
@@ -485,7 +485,7 @@
 	n.leading = leads
 	for t, w := range n.tickets {
 		if !leads || w.term != s.Term {
-			r.Results = append(r.Results, Done{Ticket: t, Err: ErrNotLeader})
+			r.Results = append(r.Results, CommandResult{Ticket: t, Err: ErrNotLeader})
 			delete(n.tickets, t)
 		}
 	}
--- a/internal/fleet/council/restore.go
+++ b/internal/fleet/council/restore.go
@@ -16,8 +16,8 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// Restoring is what a restore would do, or did.
-type Restoring struct {
+// RestoreReport is what a restore would do, or did.
+type RestoreReport struct {
 	Index   uint64   // of the last entry in the folder, which may be more than its council agreed on
 	Applied int      // entries after its snapshot
 	Voters  []string // of the lost council, as the folder knows them
@@ -26,13 +26,13 @@
 	Confirm string   // what must be given to do it
 }
 
-// ErrConfirm is returned until a restore is confirmed by what a dry run told.
-var ErrConfirm = errors.New("council: a restore makes a second council if the other voters are not gone for good: stop them all, then confirm")
+// ErrNotConfirmed is returned until a restore is confirmed by what a dry run told.
+var ErrNotConfirmed = errors.New("council: a restore makes a second council if the other voters are not gone for good: stop them all, then confirm")
 
 // Restore makes a new council of one voter from one folder of a council that has lost its majority for good. The folder
 // is read, never changed, and its voter must not run; into must not exist. lost must name all other voters, confirm
 // must be what an earlier call told. Fences go on far above the lost council's; its voters can't talk to the new one.
-func Restore(from, into, name string, lost []string, confirm, who string) (r Restoring, err error) {
+func Restore(from, into, name string, lost []string, confirm, who string) (r RestoreReport, err error) {
 	if _, err := os.Stat(filepath.Join(from, storeFile)); err != nil {
 		return r, err
 	}
@@ -107,9 +107,9 @@
 	given := slices.Sorted(slices.Values(lost))
 	switch {
 	case !slices.Equal(given, r.Voters):
-		return r, fmt.Errorf("%w: the other voters are %s, %s were named as lost", ErrConfirm, strings.Join(r.Voters, ","), strings.Join(given, ","))
+		return r, fmt.Errorf("%w: the other voters are %s, %s were named as lost", ErrNotConfirmed, strings.Join(r.Voters, ","), strings.Join(given, ","))
 	case confirm != r.Confirm:
-		return r, fmt.Errorf("%w with %s", ErrConfirm, r.Confirm)
+		return r, fmt.Errorf("%w with %s", ErrNotConfirmed, r.Confirm)
 	}
 	if _, err := os.Stat(into); !errors.Is(err, os.ErrNotExist) {
 		return r, fmt.Errorf("council: %s is there, want a folder that is not", into)
@@ -121,7 +121,7 @@
 	}
 	defer func() { err = errors.Join(err, fresh.Close()) }()
 	id := idFirst + fresh.Identity>>16
-	if err := fresh.Begin(&now, []string{name}, id, 0); err != nil {
+	if err := fresh.RecordStart(&now, []string{name}, id, 0); err != nil {
 		return r, err
 	}
 	snap := raftpb.Snapshot{Data: m.Snapshot(), Metadata: raftpb.SnapshotMetadata{Index: r.Index + 1, Term: term + 1, ConfState: raftpb.ConfState{Voters: []uint64{id}}}}
--- a/internal/fleet/council/store.go
+++ b/internal/fleet/council/store.go
@@ -24,7 +24,7 @@
 type Store struct {
 	db       *bbolt.DB
 	Identity uint64 // drawn when the folder was made: a voter whose folder is lost is another one
-	Roll     Roll
+	Roll     PeerIncarnations
 }
 
 const (
@@ -86,7 +86,7 @@
 			s = nil
 		}
 	}()
-	s = &Store{db: db, Roll: Roll{Lives: map[string]Life{}}}
+	s = &Store{db: db, Roll: PeerIncarnations{ByName: map[string]Incarnation{}}}
 	if err := db.Update(s.init); err != nil {
 		return nil, saved, err
 	}
@@ -182,9 +182,9 @@
 		if len(b) != 8 {
 			return fmt.Errorf("voter %s: %w", k, ErrDamaged)
 		}
-		l := Life{Identity: binary.BigEndian.Uint64(b)}
+		l := Incarnation{Identity: binary.BigEndian.Uint64(b)}
 		if raw := tx.Bucket(bucketLife).Get(k); raw != nil {
-			var kept Life
+			var kept Incarnation
 			b, err := whole(raw)
 			if err == nil {
 				err = cbor.Unmarshal(b, &kept)
@@ -196,7 +196,7 @@
 				l = kept
 			}
 		}
-		s.Roll.Lives[string(k)] = l
+		s.Roll.ByName[string(k)] = l
 		return nil
 	})
 	if err != nil {
@@ -270,8 +270,8 @@
 	})
 }
 
-// Cut saves a snapshot of this voter's own and drops the entries that it makes needless.
-func (s *Store) Cut(snap raftpb.Snapshot) error {
+// SaveSnapshot saves a snapshot of this voter's own and drops the entries that it makes needless.
+func (s *Store) SaveSnapshot(snap raftpb.Snapshot) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b, err := snap.Marshal()
 		if err != nil {
@@ -301,9 +301,9 @@
 	ID    uint64   `cbor:"2,keyasint,omitempty"`
 }
 
-// Begin counts a start and keeps who the first voters are, if that is not known yet: their numbers must not move when a
+// RecordStart counts a start and keeps who the first voters are, if that is not known yet: their numbers must not move when a
 // configuration names others later.
-func (s *Store) Begin(saved *Saved, names []string, id, run uint64) error {
+func (s *Store) RecordStart(saved *Saved, names []string, id, run uint64) error {
 	saved.Starts++
 	saved.Past = saved.Past[max(0, len(saved.Past)-pastMost):]
 	runs, err := cbor.Marshal(append(slices.Clone(saved.Past), run))
@@ -329,11 +329,11 @@
 	})
 }
 
-// Meet takes the life that a message of another voter carries, and keeps it where it is new.
-func (s *Store) Meet(name string, l Life, past []uint64) (Meeting, error) {
-	was, had := s.Roll.Lives[name]
-	m := s.Roll.Meet(name, l, past)
-	if m != New {
+// CheckIncarnation takes the life that a message of another voter carries, and keeps it where it is new.
+func (s *Store) CheckIncarnation(name string, l Incarnation, past []uint64) (IncarnationCheck, error) {
+	was, had := s.Roll.ByName[name]
+	m := s.Roll.Check(name, l, past)
+	if m != IncarnationNew {
 		return m, nil
 	}
 	b, err := cbor.Marshal(&l)
@@ -346,9 +346,9 @@
 		})
 	}
 	if err != nil {
-		delete(s.Roll.Lives, name)
+		delete(s.Roll.ByName, name)
 		if had {
-			s.Roll.Lives[name] = was
+			s.Roll.ByName[name] = was
 		}
 	}
 	return m, err
--- a/internal/fleet/council/store_test.go
+++ b/internal/fleet/council/store_test.go
@@ -38,34 +38,34 @@
 	save(Saved{Hard: raftpb.HardState{Term: 3, Vote: 2, Commit: 2}, Entries: []raftpb.Entry{entry(3, 3, "c"), entry(4, 3, "needle in the log")}})
 	self := s.Identity
 	for _, c := range []struct {
-		life Life
-		want Meeting
-	}{{Life{7, 0, 0}, New}, {Life{7, 3, 1}, New}, {Life{7, 3, 1}, Same}, {Life{8, 9, 1}, Foreign}, {Life{7, 2, 5}, Stale}, {Life{7, 3, 5}, Stale}, {Life{7, 4, 5}, New}, {Life{7, 3, 1}, Stale}} {
-		if got, err := s.Meet("c2", c.life, nil); got != c.want || err != nil {
+		life Incarnation
+		want IncarnationCheck
+	}{{Incarnation{7, 0, 0}, IncarnationNew}, {Incarnation{7, 3, 1}, IncarnationNew}, {Incarnation{7, 3, 1}, IncarnationSame}, {Incarnation{8, 9, 1}, IncarnationForeign}, {Incarnation{7, 2, 5}, IncarnationStale}, {Incarnation{7, 3, 5}, IncarnationStale}, {Incarnation{7, 4, 5}, IncarnationNew}, {Incarnation{7, 3, 1}, IncarnationStale}} {
+		if got, err := s.CheckIncarnation("c2", c.life, nil); got != c.want || err != nil {
 			t.Errorf("%+v: meeting %d, %v, want %d", c.life, got, err, c.want)
 		}
 	}
-	r := Roll{Lives: map[string]Life{"c2": {7, 5, 55}}}
-	if m := r.Meet("c2", Life{7, 7, 70}, []uint64{30, 40, 41, 42}); m != Stale { // an old copy, started till it counts past
+	r := PeerIncarnations{ByName: map[string]Incarnation{"c2": {7, 5, 55}}}
+	if m := r.Check("c2", Incarnation{7, 7, 70}, []uint64{30, 40, 41, 42}); m != IncarnationStale { // an old copy, started till it counts past
 		t.Errorf("an old copy that counts past the known life is met as %d", m)
 	}
-	if m := r.Meet("c2", Life{7, 7, 70}, []uint64{44, 55, 66}); m != New {
+	if m := r.Check("c2", Incarnation{7, 7, 70}, []uint64{44, 55, 66}); m != IncarnationNew {
 		t.Errorf("a later life is met as %d", m)
 	}
-	if err := s.Begin(&saved, []string{"c1", "c2", "c3"}, 0, 9); err != nil || saved.Starts != 1 {
+	if err := s.RecordStart(&saved, []string{"c1", "c2", "c3"}, 0, 9); err != nil || saved.Starts != 1 {
 		t.Errorf("start %d, %v", saved.Starts, err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	s, saved = open()
-	if l := s.Roll.Lives["c2"]; saved.Starts != 1 || len(saved.Founders) != 3 || l != (Life{7, 4, 5}) {
+	if l := s.Roll.ByName["c2"]; saved.Starts != 1 || len(saved.Founders) != 3 || l != (Incarnation{7, 4, 5}) {
 		t.Errorf("found start %d, founders %v, c2 %+v", saved.Starts, saved.Founders, l)
 	}
 	if saved.Hard.Term != 3 || len(saved.Entries) != 3 || string(saved.Entries[1].Data) != "c" || saved.Entries[1].Term != 3 || s.Identity != self {
 		t.Errorf("found %+v", saved)
 	}
-	if err := s.Cut(raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 3, Term: 3}}); err != nil {
+	if err := s.SaveSnapshot(raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 3, Term: 3}}); err != nil {
 		t.Fatal(err)
 	}
 	_ = s.Close()
--- a/internal/lab/simcouncil/simcouncil.go
+++ b/internal/lab/simcouncil/simcouncil.go
@@ -47,18 +47,18 @@
 	life    int
 	looked  uint64 // index at which its state was compared
 	starts  uint64 // of its folder
-	lives   council.Life
-	roll    *council.Roll // on its disk
-	copies  []folder      // of its folder, taken while it ran
-	gone    bool          // it found that its folder is an old copy, and ended for good
-	time    int64         // the council's, as it had it last
+	lives   council.Incarnation
+	roll    *council.PeerIncarnations // on its disk
+	copies  []folder                  // of its folder, taken while it ran
+	gone    bool                      // it found that its folder is an old copy, and ended for good
+	time    int64                     // the council's, as it had it last
 }
 
 // folder is a copy of what a voter keeps.
 type folder struct {
 	disk   council.Saved
 	starts uint64
-	lives  map[string]council.Life
+	lives  map[string]council.Incarnation
 }
 
 // GuardRoll is the roll of lives, by which an old copy of a folder is found out. It is the council's, not the state's.
@@ -165,7 +165,7 @@
 		size = 5
 	}
 	for i := range size {
-		w.voters = append(w.voters, &voter{id: uint64(i + 1), drift: drift * (2*w.rng.Float64() - 1), roll: &council.Roll{Lives: map[string]council.Life{}, Off: off&GuardRoll != 0}})
+		w.voters = append(w.voters, &voter{id: uint64(i + 1), drift: drift * (2*w.rng.Float64() - 1), roll: &council.PeerIncarnations{ByName: map[string]council.Incarnation{}, Disabled: off&GuardRoll != 0}})
 	}
 	for _, v := range w.voters {
 		w.start(v)
@@ -230,7 +230,7 @@
 	v.life++
 	v.time = 0
 	v.starts++
-	v.lives = council.Life{Identity: v.id, Starts: v.starts, Run: w.rng.Uint64() | 1}
+	v.lives = council.Incarnation{Identity: v.id, Starts: v.starts, ProcessID: w.rng.Uint64() | 1}
 	n, err := council.NewNode(council.NodeConfig{ID: v.id, Voters: ids, Log: slog.New(slog.DiscardHandler), Off: w.off}, clone(v.disk), 0)
 	if err != nil {
 		w.err = fmt.Errorf("voter %d does not start: %w", v.id, err)
@@ -254,7 +254,7 @@
 		v.node.Tick(w.clock(v))
 		w.work(v)
 		if w.rng.IntN(40) == 0 && len(v.copies) < 8 { // somebody copies its folder
-			v.copies = append(v.copies, folder{clone(v.disk), v.starts, maps.Clone(v.roll.Lives)})
+			v.copies = append(v.copies, folder{clone(v.disk), v.starts, maps.Clone(v.roll.ByName)})
 		}
 	}
 	w.at(w.now+tick, func() { w.tick(v, life) })
@@ -280,7 +280,7 @@
 		if w.dies(v) { // told and not applied
 			return
 		}
-		snap := v.node.Done(&r)
+		snap := v.node.Advance(&r)
 		if r.Fatal != nil {
 			w.err = fmt.Errorf("voter %d: %w", v.id, r.Fatal)
 			return
@@ -342,7 +342,7 @@
 	if w.cut[[2]uint64{m.From, m.To}] || w.rng.Float64() < w.loss {
 		return
 	}
-	life, known := from.lives, from.roll.Lives[fmt.Sprint(to.id)]
+	life, known := from.lives, from.roll.ByName[fmt.Sprint(to.id)]
 	times := 1
 	if w.rng.IntN(50) == 0 {
 		times = 2
@@ -381,14 +381,14 @@
 
 // meets does what a voter does with the lives that a message carries: it takes none of a past one, and ends where others
 // know a later life of its own folder.
-func (w *world) meets(to *voter, from uint64, l, known council.Life) bool {
-	if w.off&GuardRoll == 0 && known.Identity == to.id && (known.Starts > to.lives.Starts || known.Starts == to.lives.Starts && known.Run != to.lives.Run) {
+func (w *world) meets(to *voter, from uint64, l, known council.Incarnation) bool {
+	if w.off&GuardRoll == 0 && known.Identity == to.id && (known.Starts > to.lives.Starts || known.Starts == to.lives.Starts && known.ProcessID != to.lives.ProcessID) {
 		w.kill(to, 0)
 		to.gone = true
 		return false
 	}
-	m := to.roll.Meet(fmt.Sprint(from), l, nil)
-	return m == council.Same || m == council.New
+	m := to.roll.Check(fmt.Sprint(from), l, nil)
+	return m == council.IncarnationSame || m == council.IncarnationNew
 }
 
 // putBack puts an old copy of a voter's folder in place, where all others have heard of its present life: one that none
@@ -405,13 +405,13 @@
 		return
 	}
 	for _, o := range w.voters {
-		if o != v && (o.gone || o.roll.Lives[fmt.Sprint(v.id)] != v.lives) {
+		if o != v && (o.gone || o.roll.ByName[fmt.Sprint(v.id)] != v.lives) {
 			return
 		}
 	}
 	c := can[w.rng.IntN(len(can))]
 	w.olds++
-	v.disk, v.starts, v.roll.Lives = clone(c.disk), c.starts, maps.Clone(c.lives)
+	v.disk, v.starts, v.roll.ByName = clone(c.disk), c.starts, maps.Clone(c.lives)
 }
 
 // fault draws a fault, ends earlier ones now and then, and draws on.
@@ -545,7 +545,7 @@
 }
 
 // answered takes a result as the client hears it, unless the client has given up.
-func (w *world) answered(q *call, d council.Done) {
+func (w *world) answered(q *call, d council.CommandResult) {
 	if d.Err != nil || q.done {
 		return
 	}
