--- a/internal/fleet/council/admin.go
+++ b/internal/fleet/council/admin.go
@@ -34,7 +34,7 @@
 	Steer   string          `json:"steer,omitempty"` // halt, resume, back
 }
 
-var ops = map[string]agreed.Op{"budget": agreed.SetBudget, "acquire": agreed.Acquire, "renew": agreed.Renew, "give_back": agreed.GiveBack, "revoke": agreed.Revoke,
+var operations = map[string]agreed.Op{"budget": agreed.SetBudget, "acquire": agreed.Acquire, "renew": agreed.Renew, "give_back": agreed.GiveBack, "revoke": agreed.Revoke,
 	"rules": agreed.SetRules, "plan": agreed.Plan, "drive": agreed.Drive, "next": agreed.Next, "started": agreed.Started, "ended": agreed.Ended, "steer": agreed.Steer, "raise": agreed.Raise, "zone": agreed.ActZone}
 
 // VoterState is a voter as another one knows it.
@@ -85,16 +85,16 @@
 func (v *Voter) status() Status {
 	id, leading := v.node.Leader()
 	m := v.node.Machine
-	s := Status{Name: v.conf.Name, Quorum: id != 0, Leader: v.name(id), Leading: leading, Term: v.node.Term(), Index: m.Index(), TimeMs: m.Time(),
+	s := Status{Name: v.conf.Name, Quorum: id != 0, Leader: v.voterName(id), Leading: leading, Term: v.node.Term(), Index: m.Index(), TimeMs: m.Time(),
 		Budgets: m.Budgets(), Permits: m.Permits(), Targets: m.Targets(), Releases: m.Releases(), Rules: m.Rules(), Serves: m.Serves(),
-		Form: m.Form(), Identity: v.life.Identity, ID: v.self, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneActs()), Starts: v.life.Starts, Lineage: m.Lineage()}
+		Form: m.Form(), Identity: v.incarnation.Identity, ID: v.selfID, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneActs()), Starts: v.incarnation.Starts, Lineage: m.Lineage()}
 	conf := v.node.ConfState()
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
-		o := VoterState{Name: v.name(id), ID: id, Address: v.address(id), Learns: slices.Contains(conf.Learners, id), HeardMs: -1}
-		if n, ok := v.heard[o.Name]; ok {
+		o := VoterState{Name: v.voterName(id), ID: id, Address: v.voterAddr(id), Learns: slices.Contains(conf.Learners, id), HeardMs: -1}
+		if n, ok := v.lastHellos[o.Name]; ok {
 			o.HeardMs, o.Form = (v.now() - n.at).Milliseconds(), n.form
 		}
-		if id == v.self {
+		if id == v.selfID {
 			o.HeardMs, o.Form = 0, agreed.Form
 		}
 		s.Voters = append(s.Voters, o)
@@ -114,10 +114,10 @@
 	return s
 }
 
-// ask has the owner run a function.
-func (v *Voter) ask(ctx context.Context, do func()) error {
+// runInLoop has the owner run a function.
+func (v *Voter) runInLoop(ctx context.Context, do func()) error {
 	select {
-	case v.asks <- do:
+	case v.requests <- do:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -133,10 +133,10 @@
 	}
 	get := func(path string, f func() any) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
-			ctx, cancel := context.WithTimeout(r.Context(), askWait)
+			ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 			defer cancel()
 			got := make(chan any, 1)
-			if v.ask(ctx, func() { got <- f() }) == nil {
+			if v.runInLoop(ctx, func() { got <- f() }) == nil {
 				select {
 				case x := <-got:
 					reply(w, http.StatusOK, x)
@@ -151,21 +151,21 @@
 	get("/v1/history", func() any { return slices.Clone(v.node.Machine.History()) })
 	mux.HandleFunc("POST /v1/voter", func(w http.ResponseWriter, r *http.Request) {
 		var q VoterChange
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(&q); err != nil || q.Name == "" {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&q); err != nil || q.Name == "" {
 			http.Error(w, fmt.Sprintf("no change of voters: %v, name %q", err, q.Name), http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), askWait)
+		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 		defer cancel()
 		got := make(chan error, 1)
-		if v.ask(ctx, func() { got <- v.changeVoters(&q) }) != nil {
+		if v.runInLoop(ctx, func() { got <- v.changeVoters(&q) }) != nil {
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 			return
 		}
 		switch err := <-got; {
 		case errors.Is(err, ErrNotLeader):
 			id, _ := v.node.Leader()
-			reply(w, http.StatusMisdirectedRequest, map[string]string{"leader": v.name(id)})
+			reply(w, http.StatusMisdirectedRequest, map[string]string{"leader": v.voterName(id)})
 		case err != nil:
 			reply(w, http.StatusOK, agreed.Result{Refused: err.Error()})
 		default:
@@ -174,16 +174,16 @@
 	})
 	mux.HandleFunc("POST /v1/command", func(w http.ResponseWriter, r *http.Request) {
 		var q CommandRequest
-		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err == nil {
 			err = json.Unmarshal(text, &q)
 		}
-		op, ok := ops[q.Op]
+		op, ok := operations[q.Op]
 		if err != nil || !ok || q.Client == "" || q.Number == 0 {
 			http.Error(w, fmt.Sprintf("no command: %v, operation %q, client %q, number %d", err, q.Op, q.Client, q.Number), http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), askWait)
+		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 		defer cancel()
 		type end struct {
 			res    agreed.Result
@@ -192,14 +192,14 @@
 		}
 		got := make(chan end, 1)
 		c := &agreed.Command{Rules: q.Rules, Release: q.Release, Name: q.Name, OK: q.OK, Steer: q.Steer, To: agreed.Form, Op: op, Client: q.Client, Number: q.Number, Who: q.Who, Target: q.Target, Reason: q.Reason, Term: q.TermMs, Fence: q.Fence, Budget: q.Budget}
-		err = v.ask(ctx, func() {
+		err = v.runInLoop(ctx, func() {
 			id, _ := v.node.Leader()
-			tell := func(res agreed.Result, err error) { got <- end{res, err, v.name(id)} }
-			if len(v.waiting) >= ticketsMost {
+			tell := func(res agreed.Result, err error) { got <- end{res, err, v.voterName(id)} }
+			if len(v.pending) >= maxPendingCommands {
 				tell(agreed.Result{}, ErrNotLeader)
 				return
 			}
-			if op == agreed.Raise && !v.allSpeak() {
+			if op == agreed.Raise && !v.allOnNewestForm() {
 				tell(agreed.Result{Refused: fmt.Sprintf("not all voters were heard to speak form %d: upgrade them first", agreed.Form)}, nil)
 				return
 			}
@@ -212,7 +212,7 @@
 				tell(agreed.Result{}, err)
 				return
 			}
-			v.waiting[t] = tell
+			v.pending[t] = tell
 		})
 		if err == nil {
 			select {
@@ -231,10 +231,10 @@
 	return mux
 }
 
-// allSpeak tells that all voters were heard lately to speak the newest form.
-func (v *Voter) allSpeak() bool {
-	for _, id := range v.others() {
-		if n, ok := v.heard[v.name(id)]; !ok || v.now()-n.at > heardFor || n.form < agreed.Form {
+// allOnNewestForm tells that all voters were heard lately to speak the newest form.
+func (v *Voter) allOnNewestForm() bool {
+	for _, id := range v.otherIDs() {
+		if n, ok := v.lastHellos[v.voterName(id)]; !ok || v.now()-n.at > helloValidity || n.form < agreed.Form {
 			return false
 		}
 	}
@@ -247,7 +247,7 @@
 	conf := v.node.ConfState()
 	has := uint64(0)
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
-		if v.name(id) == q.Name {
+		if v.voterName(id) == q.Name {
 			has = id
 		}
 	}
@@ -258,7 +258,7 @@
 		return v.node.ChangeVoters(v.now(), MembershipChange{ID: has, Voter: agreed.Voter{Name: q.Name}, Leave: true})
 	}
 	switch {
-	case q.Address == "" || q.Identity == 0 || q.ID <= idFirst:
+	case q.Address == "" || q.Identity == 0 || q.ID <= firstJoinedID:
 		return fmt.Errorf("%w: want the address, identity and number of %s, as its own status tells", ErrVoterChange, q.Name)
 	case has != 0 && has != q.ID:
 		return fmt.Errorf("%w: %s is a voter with another folder, remove it first", ErrVoterChange, q.Name)
@@ -267,17 +267,17 @@
 	case len(conf.Voters) >= MaxVoters:
 		return fmt.Errorf("%w: there are %d voters", ErrVoterChange, len(conf.Voters))
 	}
-	return v.node.ChangeVoters(v.now(), MembershipChange{ID: q.ID, Voter: agreed.Voter{Name: q.Name, Addr: q.Address, Identity: q.Identity}, Learn: has == 0, All: v.all()})
+	return v.node.ChangeVoters(v.now(), MembershipChange{ID: q.ID, Voter: agreed.Voter{Name: q.Name, Addr: q.Address, Identity: q.Identity}, Learn: has == 0, All: v.knownVoters()})
 }
 
-// all are the voters as this one knows them.
-func (v *Voter) all() map[uint64]agreed.Voter {
+// knownVoters are the voters as this one knows them.
+func (v *Voter) knownVoters() map[uint64]agreed.Voter {
 	m := map[uint64]agreed.Voter{}
 	conf := v.node.ConfState()
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
 		o := v.node.Machine.Voters()[id]
 		if m[id] = o; o.Name == "" {
-			m[id] = agreed.Voter{Name: v.name(id), Addr: v.address(id)}
+			m[id] = agreed.Voter{Name: v.voterName(id), Addr: v.voterAddr(id)}
 		}
 	}
 	return m
--- a/internal/fleet/council/copy_test.go
+++ b/internal/fleet/council/copy_test.go
@@ -18,16 +18,16 @@
 	"reachwind/internal/fleet/peers"
 )
 
-var scripted = Incarnation{Identity: 11, Starts: 1, ProcessID: 1}
+var leaderIncarnation = Incarnation{Identity: 11, Starts: 1, ProcessID: 1}
 
-// life begins a life of voter c3 in a folder.
-func life(t *testing.T, dir string) *Voter {
+// startVoter begins a life of voter c3 in a folder.
+func startVoter(t *testing.T, dir string) *Voter {
 	t.Helper()
 	store, saved, err := OpenStore(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := begin(Config{Name: "c3", Voters: map[string]string{"c1": "", "c2": "", "c3": ""}}, slog.New(slog.DiscardHandler), store, saved)
+	v, err := newVoter(Config{Name: "c3", Voters: map[string]string{"c1": "", "c2": "", "c3": ""}}, slog.New(slog.DiscardHandler), store, saved)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,19 +38,19 @@
 	return v
 }
 
-// tell has c1 tell something, and returns what the voter answers; nothing once it is to end.
-func tell(t *testing.T, v *Voter, known Incarnation, m raftpb.Message) (answers []raftpb.Message) {
+// sendFromC1 has c1 tell something, and returns what the voter answers; nothing once it is to end.
+func sendFromC1(t *testing.T, v *Voter, known Incarnation, m raftpb.Message) (answers []raftpb.Message) {
 	t.Helper()
 	m.From, m.To = 1, 3
 	raw, err := m.Marshal()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := cbor.Marshal(&envelope2{Name: "c1", Life: scripted, Known: known, Message: raw})
+	b, err := cbor.Marshal(&envelopeV2{Name: "c1", Incarnation: leaderIncarnation, KnownIncarnation: known, Message: raw})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.frame(peers.Incoming{Frame: append([]byte{frameRaft2}, b...)})
+	v.handleFrame(peers.Incoming{Frame: append([]byte{frameRaftV2}, b...)})
 	for v.fatal == nil {
 		r, ok := v.node.Ready()
 		if !ok {
@@ -67,8 +67,8 @@
 	return answers
 }
 
-// entry is a leader's first, which holds nothing.
-func entry(index, term uint64) raftpb.Entry { return raftpb.Entry{Index: index, Term: term} }
+// emptyEntry is a leader's first, which holds nothing.
+func emptyEntry(index, term uint64) raftpb.Entry { return raftpb.Entry{Index: index, Term: term} }
 
 // TestOldCopy: a voter that goes on from an old copy of its folder ends, whatever the leader's first message to it is and
 // before any hello: it neither panics nor votes. One that goes on from its own folder is told the same and goes on, and
@@ -87,10 +87,10 @@
 		{"heartbeat of the former program", false, false, false, beat, ErrOldCopy},
 		{"heartbeat to a copy of the present life", true, false, true, beat, ErrOldCopy},
 		{"vote", false, false, true, raftpb.Message{Type: raftpb.MsgVote, Term: 4, Index: 3, LogTerm: 2}, ErrOldCopy},
-		{"entries", false, false, true, raftpb.Message{Type: raftpb.MsgApp, Term: 3, Index: 3, LogTerm: 2, Entries: []raftpb.Entry{entry(4, 3)}}, ErrOldCopy},
-		{"entries after another one that is agreed here", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 3, LogTerm: 4, Entries: []raftpb.Entry{entry(4, 4)}}, ErrLogConflict},
-		{"entries that replace an agreed one", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 2, LogTerm: 2, Entries: []raftpb.Entry{entry(3, 4)}}, ErrLogConflict},
-		{"entries of a leader of the past", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 3, LogTerm: 1, Entries: []raftpb.Entry{entry(4, 1)}}, nil},
+		{"entries", false, false, true, raftpb.Message{Type: raftpb.MsgApp, Term: 3, Index: 3, LogTerm: 2, Entries: []raftpb.Entry{emptyEntry(4, 3)}}, ErrOldCopy},
+		{"entries after another one that is agreed here", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 3, LogTerm: 4, Entries: []raftpb.Entry{emptyEntry(4, 4)}}, ErrLogConflict},
+		{"entries that replace an agreed one", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 2, LogTerm: 2, Entries: []raftpb.Entry{emptyEntry(3, 4)}}, ErrLogConflict},
+		{"entries of a leader of the past", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 3, LogTerm: 1, Entries: []raftpb.Entry{emptyEntry(4, 1)}}, nil},
 		{"heartbeat to its own folder", false, true, true, beat, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,18 +100,18 @@
 					t.Fatal(err)
 				}
 			}
-			v := life(t, dir)
-			tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Commit: 3, Entries: []raftpb.Entry{entry(2, 2), entry(3, 2)}})
+			v := startVoter(t, dir)
+			sendFromC1(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Commit: 3, Entries: []raftpb.Entry{emptyEntry(2, 2), emptyEntry(3, 2)}})
 			_ = v.store.Close()
 			if !c.within {
 				take()
 			}
-			v = life(t, dir)
+			v = startVoter(t, dir)
 			if c.within { // as disks are copied: between two writes
 				take()
 			}
-			later := v.life
-			answers := tell(t, v, later, raftpb.Message{Type: raftpb.MsgApp, Term: 3, Index: 3, LogTerm: 2, Commit: 3, Entries: []raftpb.Entry{entry(4, 3)}})
+			later := v.incarnation
+			answers := sendFromC1(t, v, later, raftpb.Message{Type: raftpb.MsgApp, Term: 3, Index: 3, LogTerm: 2, Commit: 3, Entries: []raftpb.Entry{emptyEntry(4, 3)}})
 			if len(answers) != 1 || answers[0].Reject || answers[0].Index != 4 {
 				t.Fatalf("entry 4 is answered by %v", answers)
 			}
@@ -119,11 +119,11 @@
 			if c.own {
 				copied = dir
 			}
-			v = life(t, copied)
+			v = startVoter(t, copied)
 			if !c.known {
 				later = Incarnation{}
 			}
-			answers = tell(t, v, later, c.first)
+			answers = sendFromC1(t, v, later, c.first)
 			if !errors.Is(v.fatal, c.want) || c.want != nil && (len(answers) > 0 || v.fatal == nil || !strings.Contains(v.fatal.Error(), "empty one")) {
 				t.Errorf("it ends with %v, want %v, and answers %v", v.fatal, c.want, answers)
 			}
@@ -134,37 +134,37 @@
 	}
 }
 
-// TestKnownIsTold: each message tells whom it is sent to which life of it is known, so that no message comes before it.
-func TestKnownIsTold(t *testing.T) {
-	v := life(t, filepath.Join(t.TempDir(), "f"))
-	tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
-	for _, kind := range []byte{frameRaft2, frameHello} {
-		var e envelope2
-		if err := cbor.Unmarshal(v.sealed(kind, 1, &envelope2{})[1:], &e); err != nil || e.Known != scripted || e.Life != v.life {
+// TestMessagesCarryKnownIncarnation: each message tells whom it is sent to which life of it is known, so that no message comes before it.
+func TestMessagesCarryKnownIncarnation(t *testing.T) {
+	v := startVoter(t, filepath.Join(t.TempDir(), "f"))
+	sendFromC1(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
+	for _, kind := range []byte{frameRaftV2, frameHello} {
+		var e envelopeV2
+		if err := cbor.Unmarshal(v.encodeFrame(kind, 1, &envelopeV2{})[1:], &e); err != nil || e.KnownIncarnation != leaderIncarnation || e.Incarnation != v.incarnation {
 			t.Errorf("frame %d tells %+v, %v", kind, e, err)
 		}
 	}
 }
 
-// TestEmptied: a founder whose folder was emptied ends where a leader holds its word for what it no longer has; a voter that
+// TestEmptiedFolder: a founder whose folder was emptied ends where a leader holds its word for what it no longer has; a voter that
 // joins with an empty folder, and one of a council that just begins, are told nothing of the kind and learn the log.
-func TestEmptied(t *testing.T) {
-	v := life(t, filepath.Join(t.TempDir(), "f"))
-	if tell(t, v, Incarnation{Identity: 12, Starts: 4, ProcessID: 5}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 3, Commit: 4}); !errors.Is(v.fatal, ErrOldCopy) {
+func TestEmptiedFolder(t *testing.T) {
+	v := startVoter(t, filepath.Join(t.TempDir(), "f"))
+	if sendFromC1(t, v, Incarnation{Identity: 12, Starts: 4, ProcessID: 5}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 3, Commit: 4}); !errors.Is(v.fatal, ErrOldCopy) {
 		t.Errorf("an emptied folder: it ends with %v", v.fatal)
 	}
-	v = life(t, filepath.Join(t.TempDir(), "f"))
-	tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
-	if a := tell(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Entries: []raftpb.Entry{entry(2, 2)}}); v.fatal != nil || len(a) != 1 || a[0].Reject {
+	v = startVoter(t, filepath.Join(t.TempDir(), "f"))
+	sendFromC1(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
+	if a := sendFromC1(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 1, LogTerm: 1, Entries: []raftpb.Entry{emptyEntry(2, 2)}}); v.fatal != nil || len(a) != 1 || a[0].Reject {
 		t.Errorf("a voter of a council that begins ends with %v, answers %v", v.fatal, a)
 	}
-	joins, err := NewNode(NodeConfig{ID: idFirst + 1, Log: slog.New(slog.DiscardHandler)}, Saved{}, 0)
+	joins, err := NewNode(NodeConfig{ID: firstJoinedID + 1, Log: slog.New(slog.DiscardHandler)}, Saved{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	snap := raftpb.Snapshot{Data: agreed.New(agreed.Form, 0).Snapshot(), Metadata: raftpb.SnapshotMetadata{Index: 900, Term: 7, ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{idFirst + 1}}}}
+	snap := raftpb.Snapshot{Data: agreed.New(agreed.Form, 0).Snapshot(), Metadata: raftpb.SnapshotMetadata{Index: 900, Term: 7, ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{firstJoinedID + 1}}}}
 	for _, m := range []raftpb.Message{{Type: raftpb.MsgHeartbeat}, {Type: raftpb.MsgApp, Index: 950, LogTerm: 7, Commit: 950}, {Type: raftpb.MsgSnap, Snapshot: &snap}, {Type: raftpb.MsgHeartbeat, Commit: 900}} {
-		m.From, m.To, m.Term = 1, idFirst+1, 7
+		m.From, m.To, m.Term = 1, firstJoinedID+1, 7
 		if err := joins.Receive(0, m); err != nil {
 			t.Errorf("%v to a voter that joins: %v", m.Type, err)
 		}
@@ -197,7 +197,7 @@
 		case 0:
 			return 1<<64 - 1 - rng.Uint64N(2)
 		case 1:
-			return numberMost - 1
+			return numberLimit - 1
 		}
 		return rng.Uint64N(8)
 	}
@@ -213,7 +213,7 @@
 		if rng.IntN(5) == 0 {
 			voters = nil // who joins
 		}
-		saved := Saved{Hard: raftpb.HardState{Term: 2, Commit: 4}, Entries: []raftpb.Entry{entry(2, 2), entry(3, 2), entry(4, 2), entry(5, 2), entry(6, 2)}}
+		saved := Saved{Hard: raftpb.HardState{Term: 2, Commit: 4}, Entries: []raftpb.Entry{emptyEntry(2, 2), emptyEntry(3, 2), emptyEntry(4, 2), emptyEntry(5, 2), emptyEntry(6, 2)}}
 		if voters == nil || rng.IntN(4) == 0 {
 			saved = Saved{}
 		}
@@ -278,7 +278,7 @@
 				if err = n.Receive(now, m); err == nil {
 					_, err = drain(n)
 				}
-				if now += tick; err == nil {
+				if now += tickInterval; err == nil {
 					n.Tick(now)
 					_, err = drain(n)
 				}
@@ -301,13 +301,13 @@
 	}
 }
 
-// TestUnusable: a folder that can't be, and a change of voters that raft does not know, end by errors.
-func TestUnusable(t *testing.T) {
+// TestInvalidFolderAndVoterChange: a folder that can't be, and a change of voters that raft does not know, end by errors.
+func TestInvalidFolderAndVoterChange(t *testing.T) {
 	c := NodeConfig{ID: 3, Voters: []uint64{1, 2, 3}, Log: slog.New(slog.DiscardHandler)}
 	for _, s := range []Saved{
-		{Hard: raftpb.HardState{Term: 2, Commit: 4}, Entries: []raftpb.Entry{entry(2, 2)}},
-		{Hard: raftpb.HardState{Term: 2}, Entries: []raftpb.Entry{entry(2, 2)}},
-		{Hard: raftpb.HardState{Term: 2, Commit: 1}, Entries: []raftpb.Entry{entry(3, 2)}},
+		{Hard: raftpb.HardState{Term: 2, Commit: 4}, Entries: []raftpb.Entry{emptyEntry(2, 2)}},
+		{Hard: raftpb.HardState{Term: 2}, Entries: []raftpb.Entry{emptyEntry(2, 2)}},
+		{Hard: raftpb.HardState{Term: 2, Commit: 1}, Entries: []raftpb.Entry{emptyEntry(3, 2)}},
 	} {
 		if _, err := NewNode(c, s, 0); !errors.Is(err, ErrDamaged) {
 			t.Errorf("%+v: %v", s, err)
--- a/internal/fleet/council/gateways.go
+++ b/internal/fleet/council/gateways.go
@@ -9,21 +9,21 @@
 	"reachwind/internal/fleet/subscribe"
 )
 
-// report takes a gateway's word that it is there, and answers with what is agreed, as far as this voter knows.
-func (v *Voter) report(b []byte) {
+// handleReport takes a gateway's word that it is there, and answers with what is agreed, as far as this voter knows.
+func (v *Voter) handleReport(b []byte) {
 	r, ok := v.reports.HandleReport(v.now(), b)
 	if !ok {
 		return
 	}
 	id, _ := v.node.Leader()
-	if len(v.told) < subscribe.MaxGateways || v.told[r.Name] != "" {
-		v.told[r.Name] = r.Addr
+	if len(v.gatewayAddrs) < subscribe.MaxGateways || v.gatewayAddrs[r.Name] != "" {
+		v.gatewayAddrs[r.Name] = r.Addr
 	}
-	v.tell(r.Name, &subscribe.Update{Number: r.Number, Leader: v.name(id)})
+	v.sendUpdate(r.Name, &subscribe.Update{Number: r.Number, Leader: v.voterName(id)})
 }
 
-// tell tells a gateway what is agreed, as far as this voter knows.
-func (v *Voter) tell(name string, told *subscribe.Update) {
+// sendUpdate tells a gateway what is agreed, as far as this voter knows.
+func (v *Voter) sendUpdate(name string, told *subscribe.Update) {
 	m := v.node.Machine
 	target := "gateway/" + name
 	told.Name = name
@@ -31,13 +31,13 @@
 	if p, ok := m.Permit(target); ok && !p.Overdue {
 		told.Fence, told.LeftMs = p.Fence, max(0, p.Until-m.Time())
 	}
-	told.Drains = v.draining()
-	v.zonesAway(told)
-	v.net.Send(name, v.told[name], append([]byte{subscribe.FrameUpdate}, told.Encode()...), false, false)
+	told.Drains = v.drainingMembers()
+	v.addZonesAway(told)
+	v.net.Send(name, v.gatewayAddrs[name], append([]byte{subscribe.FrameUpdate}, told.Encode()...), false, false)
 }
 
-// draining are the members that are permitted to go out.
-func (v *Voter) draining() (all []subscribe.MemberDrain) {
+// drainingMembers are the members that are permitted to go out.
+func (v *Voter) drainingMembers() (all []subscribe.MemberDrain) {
 	m := v.node.Machine
 	for _, p := range m.Permits() {
 		if name, ok := strings.CutPrefix(p.Target, "db/"); ok && !p.Overdue && len(all) < subscribe.MaxDrainsPerUpdate {
@@ -47,31 +47,31 @@
 	return all
 }
 
-// tellDrains tells all gateways at once where members are newly permitted to go out, or no longer are: they move work off
+// notifyGateways tells all gateways at once where members are newly permitted to go out, or no longer are: they move work off
 // them before they go.
-func (v *Voter) tellDrains() {
+func (v *Voter) notifyGateways() {
 	names := ""
 	var t subscribe.Update
-	v.zonesAway(&t)
+	v.addZonesAway(&t)
 	for _, z := range t.Zones {
 		names += fmt.Sprintf("%s %.3f ", z.Zone, z.Away)
 	}
-	for _, d := range v.draining() {
+	for _, d := range v.drainingMembers() {
 		names += d.Member + " "
 	}
-	if names == v.drains {
+	if names == v.lastNotified {
 		return
 	}
-	v.drains = names
-	for name := range v.told {
-		v.tell(name, &subscribe.Update{})
+	v.lastNotified = names
+	for name := range v.gatewayAddrs {
+		v.sendUpdate(name, &subscribe.Update{})
 	}
 }
 
-// asked takes a gateway's command about itself, and answers once it is decided. Who does not lead does not answer.
-func (v *Voter) asked(b []byte) {
+// handlePermitRequest takes a gateway's command about itself, and answers once it is decided. Who does not lead does not answer.
+func (v *Voter) handlePermitRequest(b []byte) {
 	a, ok := subscribe.DecodePermitRequest(b)
-	if _, leads := v.node.Leader(); !ok || !leads || len(v.waiting) >= ticketsMost {
+	if _, leads := v.node.Leader(); !ok || !leads || len(v.pending) >= maxPendingCommands {
 		return
 	}
 	if p, held := v.node.Machine.Permit("gateway/" + a.Name); a.Op == "leave" && held && !p.Overdue { // whoever has it out has asked already
@@ -88,7 +88,7 @@
 	if err != nil {
 		return
 	}
-	v.waiting[t] = func(r agreed.Result, err error) {
+	v.pending[t] = func(r agreed.Result, err error) {
 		if err != nil {
 			return
 		}
@@ -100,15 +100,15 @@
 	}
 }
 
-// population has the leader tell the council who is there and who failed by itself, where that changed, and give back
+// proposePopulation has the leader tell the council who is there and who failed by itself, where that changed, and give back
 // permits that ended and whose gateways are seen serving.
-func (v *Voter) population() {
+func (v *Voter) proposePopulation() {
 	_, leads := v.node.Leader()
 	v.reports.SetLeading(v.now(), leads)
-	if !leads || v.now() < v.reportAt {
+	if !leads || v.now() < v.nextPopulation {
 		return
 	}
-	v.reportAt = v.now() + subscribe.ReportInterval
+	v.nextPopulation = v.now() + subscribe.ReportInterval
 	m := v.node.Machine
 	known := m.Targets()
 	full := m.Form() >= agreed.Releases
@@ -122,19 +122,19 @@
 			v.propose(&agreed.Command{Op: agreed.GiveBack, Target: p.Target, Fence: p.Fence, Reason: "seen back"})
 		}
 	}
-	if full && (m.Moving() || m.Rules().Worth > 0) && v.now() >= v.healthAt {
-		v.healthAt = v.now() + healthEvery
+	if full && (m.Moving() || m.Rules().Worth > 0) && v.now() >= v.nextHealth {
+		v.nextHealth = v.now() + healthInterval
 		if all := v.reports.TakeHealth(); len(all) > 0 {
 			v.propose(&agreed.Command{Op: agreed.Health, Versions: all})
 		}
 	}
 }
 
-const healthEvery = 2 * time.Second
+const healthInterval = 2 * time.Second
 
 // propose has the council do something of this voter's own; whether it came about is seen the next time.
 func (v *Voter) propose(c *agreed.Command) {
-	v.number++
-	c.Who, c.Client, c.Number = "council", fmt.Sprint("voter/", v.conf.Name, "/", v.store.Identity, "/", v.begin.UnixNano()), v.number
+	v.commandNumber++
+	c.Who, c.Client, c.Number = "council", fmt.Sprint("voter/", v.conf.Name, "/", v.store.Identity, "/", v.startedAt.UnixNano()), v.commandNumber
 	_, _ = v.node.Propose(v.now(), c)
 }
--- a/internal/fleet/council/node.go
+++ b/internal/fleet/council/node.go
@@ -22,14 +22,14 @@
 type Time = time.Duration
 
 const (
-	tick          = 100 * time.Millisecond
-	electionTicks = 10
-	inflightMost  = 64
-	messageMost   = 256 << 10
-	uncommitted   = 4 << 20                // bytes of commands that wait for a majority; more are refused
-	snapshotEvery = 1000                   // commands
-	keepBehind    = 200                    // entries kept before a snapshot, for those who are a little behind
-	timeEvery     = 500 * time.Millisecond // council time is told so often while permits run
+	tickInterval        = 100 * time.Millisecond
+	electionTicks       = 10
+	maxInflightMessages = 64
+	maxMessageBytes     = 256 << 10
+	maxUncommittedBytes = 4 << 20                // bytes of commands that wait for a majority; more are refused
+	entriesPerSnapshot  = 1000                   // commands
+	entriesKeptBehind   = 200                    // entries kept before a snapshot, for those who are a little behind
+	councilTimeInterval = 500 * time.Millisecond // council time is told so often while permits run
 )
 
 // NodeConfig is what a node is told.
@@ -58,12 +58,12 @@
 
 // Ready is what must be done, in this order: Save must be on disk before Messages go out.
 type Ready struct {
-	Save     Saved
-	Sync     bool // Save must be synced
-	Messages []raftpb.Message
-	Results  []CommandResult
-	Fatal    error // this program can't do what was agreed: it must stop
-	ready    raft.Ready
+	Save      Saved
+	Sync      bool // Save must be synced
+	Messages  []raftpb.Message
+	Results   []CommandResult
+	Fatal     error // this program can't do what was agreed: it must stop
+	raftReady raft.Ready
 }
 
 // CommandResult is the result of a command that this node took.
@@ -84,23 +84,23 @@
 	mem     *raft.MemoryStorage
 	Machine *agreed.Machine
 
-	now     Time
-	ticked  Time
-	timeAt  Time
-	base    int64 // council time when this node began to lead
-	lead    Time
-	leading bool
-	snapped uint64
-	conf    raftpb.ConfState
-	tickets map[uint64]waiting
-	last    uint64
-	led     Time // when this node last knew of a leader
-	joins   bool // a voter joins: it takes a snapshot only if that names it
-	Removed bool // this node was removed from the council
+	now               Time
+	lastTick          Time
+	nextCouncilTime   Time
+	leadBaseMs        int64 // council time when this node began to lead
+	leadSince         Time
+	leading           bool
+	snapshotIndex     uint64
+	conf              raftpb.ConfState
+	tickets           map[uint64]pendingCommand
+	lastTicket        uint64
+	leaderLastKnown   Time // when this node last knew of a leader
+	snapshotForJoiner bool // a voter joins: it takes a snapshot only if that names it
+	Removed           bool // this node was removed from the council
 }
 
-// waiting is a command that was proposed and is not known to be done.
-type waiting struct {
+// pendingCommand is a command that was proposed and is not known to be done.
+type pendingCommand struct {
 	client string
 	number uint64
 	term   uint64
@@ -108,7 +108,7 @@
 
 // NewNode returns a node that goes on from what was saved; saved is empty for the first start of all.
 func NewNode(c NodeConfig, s Saved, now Time) (*Node, error) {
-	n := &Node{cfg: c, mem: raft.NewMemoryStorage(), Machine: agreed.New(cmp.Or(c.Form, agreed.Form), c.Off), now: now, ticked: now, led: now, tickets: map[uint64]waiting{}}
+	n := &Node{cfg: c, mem: raft.NewMemoryStorage(), Machine: agreed.New(cmp.Or(c.Form, agreed.Form), c.Off), now: now, lastTick: now, leaderLastKnown: now, tickets: map[uint64]pendingCommand{}}
 	n.conf = raftpb.ConfState{Voters: c.Voters}
 	if !raft.IsEmptySnap(s.Snapshot) {
 		if err := n.mem.ApplySnapshot(s.Snapshot); err != nil {
@@ -117,13 +117,13 @@
 		if err := n.Machine.Restore(s.Snapshot.Data); err != nil {
 			return nil, err
 		}
-		n.conf, n.snapped = s.Snapshot.Metadata.ConfState, s.Snapshot.Metadata.Index
+		n.conf, n.snapshotIndex = s.Snapshot.Metadata.ConfState, s.Snapshot.Metadata.Index
 	} else if len(c.Voters) > 0 { // all begin with the same voters, as if a snapshot had said so; who joins begins with none
 		first := raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{ConfState: n.conf, Index: 1, Term: 1}, Data: n.Machine.Snapshot()}
 		if err := n.mem.ApplySnapshot(first); err != nil {
 			return nil, err
 		}
-		n.snapped = 1
+		n.snapshotIndex = 1
 	}
 	last, err := n.mem.LastIndex()
 	if err == nil && len(s.Entries) > 0 && s.Entries[0].Index > last+1 {
@@ -139,20 +139,20 @@
 		return nil, err
 	}
 	if !raft.IsEmptyHardState(s.Hard) {
-		if s.Hard.Commit < n.snapped || s.Hard.Commit > last {
-			return nil, fmt.Errorf("%w: agreed up to %d, it holds %d to %d", ErrDamaged, s.Hard.Commit, n.snapped, last)
+		if s.Hard.Commit < n.snapshotIndex || s.Hard.Commit > last {
+			return nil, fmt.Errorf("%w: agreed up to %d, it holds %d to %d", ErrDamaged, s.Hard.Commit, n.snapshotIndex, last)
 		}
 		if err := n.mem.SetHardState(s.Hard); err != nil {
 			return nil, err
 		}
 	} else if len(c.Voters) > 0 {
-		if err := n.mem.SetHardState(raftpb.HardState{Term: 1, Commit: n.snapped}); err != nil {
+		if err := n.mem.SetHardState(raftpb.HardState{Term: 1, Commit: n.snapshotIndex}); err != nil {
 			return nil, err
 		}
 	}
-	n.raw, err = raft.NewRawNode(&raft.Config{ID: c.ID, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: n.mem, Applied: n.snapped,
-		MaxSizePerMsg: messageMost, MaxInflightMsgs: inflightMost, MaxUncommittedEntriesSize: uncommitted, CheckQuorum: true, PreVote: true,
-		ReadOnlyOption: raft.ReadOnlySafe, Logger: quiet{c.Log}, DisableProposalForwarding: true})
+	n.raw, err = raft.NewRawNode(&raft.Config{ID: c.ID, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: n.mem, Applied: n.snapshotIndex,
+		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: maxUncommittedBytes, CheckQuorum: true, PreVote: true,
+		ReadOnlyOption: raft.ReadOnlySafe, Logger: raftLogger{c.Log}, DisableProposalForwarding: true})
 	return n, err
 }
 
@@ -160,16 +160,16 @@
 // that a voter that was stopped asks before it acts.
 func (n *Node) Tick(now Time) {
 	n.now = now
-	if now-n.ticked < tick {
+	if now-n.lastTick < tickInterval {
 		return
 	}
-	n.ticked = now
+	n.lastTick = now
 	n.raw.Tick()
 	if n.raw.BasicStatus().Lead != 0 && !n.leading {
-		n.led = now
+		n.leaderLastKnown = now
 	}
-	if n.leading && now >= n.timeAt && n.Machine.Ticks() {
-		n.timeAt = now + timeEvery
+	if n.leading && now >= n.nextCouncilTime && n.Machine.Ticks() {
+		n.nextCouncilTime = now + councilTimeInterval
 		_ = n.propose(&agreed.Command{Op: agreed.Tick}) // a leader that is not heard loses its lead soon
 	}
 }
@@ -178,7 +178,7 @@
 // not go on, nor do what Ready may still have: ErrOldCopy or ErrParted.
 func (n *Node) Receive(now Time, m raftpb.Message) error {
 	n.now = now
-	if m.To != n.cfg.ID || !fits(&m) {
+	if m.To != n.cfg.ID || !validMessage(&m) {
 		return nil
 	}
 	last, err := n.mem.LastIndex()
@@ -194,18 +194,18 @@
 		// nothing until that has acknowledged something, so this folder has forgotten what it had.
 		return fmt.Errorf("%w, or was emptied: its log ends at %d, it had acknowledged %d", ErrOldCopy, last, m.Commit)
 	case m.Type == raftpb.MsgApp && m.Term >= n.Term() && !n.raw.HasReady():
-		if err := n.parted(&m); err != nil {
+		if err := n.checkLogConflict(&m); err != nil {
 			return err
 		}
 	case m.Type == raftpb.MsgAppResp && !m.Reject && m.Index > last: // of what was never sent: a leader would count it
 		return nil
 	}
-	return caught(func() { _ = n.raw.Step(m) }) // what does not fit the term is dropped there
+	return recoverRaftPanic(func() { _ = n.raw.Step(m) }) // what does not fit the term is dropped there
 }
 
-// parted looks at what a leader of this term or a later one tells of places that are agreed here: it must have the same
+// checkLogConflict looks at what a leader of this term or a later one tells of places that are agreed here: it must have the same
 // there. Raft refuses such a message only to be sent it again at once, without end, or gives up on it.
-func (n *Node) parted(m *raftpb.Message) error {
+func (n *Node) checkLogConflict(m *raftpb.Message) error {
 	agreed := n.raw.BasicStatus().Commit
 	at, term := m.Index, m.LogTerm
 	for i := 0; at <= agreed; i++ {
@@ -220,8 +220,8 @@
 	return nil
 }
 
-// caught does something of raft's that may panic, as raft does where it finds what it was told not to follow.
-func caught(do func()) (err error) {
+// recoverRaftPanic does something of raft's that may panic, as raft does where it finds what it was told not to follow.
+func recoverRaftPanic(do func()) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", ErrLogConflict, p)
@@ -231,12 +231,12 @@
 	return nil
 }
 
-// numberMost is above all terms and places in the log that come about: raft adds to them without a look.
-const numberMost = 1 << 62
+// numberLimit is above all terms and places in the log that come about: raft adds to them without a look.
+const numberLimit = 1 << 62
 
-// fits tells a message that a voter may send, in itself: raft takes others too and gives up on some, at once or later.
-func fits(m *raftpb.Message) bool {
-	if m.From == 0 || m.From == m.To || m.Term == 0 || max(m.Term, m.Index, m.Commit, m.LogTerm, m.RejectHint) >= numberMost {
+// validMessage tells a message that a voter may send, in itself: raft takes others too and gives up on some, at once or later.
+func validMessage(m *raftpb.Message) bool {
+	if m.From == 0 || m.From == m.To || m.Term == 0 || max(m.Term, m.Index, m.Commit, m.LogTerm, m.RejectHint) >= numberLimit {
 		return false // without a term raft takes it for its own
 	}
 	switch m.Type {
@@ -251,21 +251,21 @@
 		}
 		return term <= m.Term
 	case raftpb.MsgSnap:
-		return m.Snapshot != nil && m.Snapshot.Metadata.Index < numberMost && m.Snapshot.Metadata.Term > 0 && m.Snapshot.Metadata.Term <= m.Term && plain(m.Snapshot.Metadata.ConfState)
+		return m.Snapshot != nil && m.Snapshot.Metadata.Index < numberLimit && m.Snapshot.Metadata.Term > 0 && m.Snapshot.Metadata.Term <= m.Term && isSimpleConfState(m.Snapshot.Metadata.ConfState)
 	case raftpb.MsgAppResp, raftpb.MsgVote, raftpb.MsgVoteResp, raftpb.MsgPreVote, raftpb.MsgPreVoteResp, raftpb.MsgHeartbeat, raftpb.MsgHeartbeatResp:
 		return true
 	}
 	return false // nothing else is sent between voters
 }
 
-// plain tells voters that changed one at a time, none of them twice there.
-func plain(c raftpb.ConfState) bool {
+// isSimpleConfState tells voters that changed one at a time, none of them twice there.
+func isSimpleConfState(c raftpb.ConfState) bool {
 	all := slices.Sorted(slices.Values(slices.Concat(c.Voters, c.Learners)))
 	return len(c.Voters) > 0 && all[0] != 0 && len(slices.Compact(slices.Clone(all))) == len(all) && len(c.VotersOutgoing) == 0 && len(c.LearnersNext) == 0 && !c.AutoLeave
 }
 
 // councilTime is the leader's: it goes on from the agreed one as its own clock runs.
-func (n *Node) councilTime() int64 { return n.base + (n.now - n.lead).Milliseconds() }
+func (n *Node) councilTime() int64 { return n.leadBaseMs + (n.now - n.leadSince).Milliseconds() }
 
 func (n *Node) propose(c *agreed.Command) error {
 	c.Form, c.At = n.Machine.Form(), n.councilTime()
@@ -290,9 +290,9 @@
 	if err := n.propose(c); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotLeader, err)
 	}
-	n.last++
-	n.tickets[n.last] = waiting{c.Client, c.Number, n.raw.BasicStatus().Term}
-	return n.last, nil
+	n.lastTicket++
+	n.tickets[n.lastTicket] = pendingCommand{c.Client, c.Number, n.raw.BasicStatus().Term}
+	return n.lastTicket, nil
 }
 
 // Leader is the leader as this node knows it, 0 = none, and whether it is this node, able to take commands.
@@ -311,20 +311,20 @@
 	}
 	rd := n.raw.Ready()
 	return Ready{Save: Saved{Hard: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}, Sync: rd.MustSync || !raft.IsEmptySnap(rd.Snapshot),
-		Messages: rd.Messages, ready: rd}, true
+		Messages: rd.Messages, raftReady: rd}, true
 }
 
 // Advance goes on after what Ready returned is saved, and fills in results. snapshot is not empty where the log can be
 // cut off there: it must be saved before the entries go.
 func (n *Node) Advance(r *Ready) (snapshot raftpb.Snapshot) {
-	rd := &r.ready
+	rd := &r.raftReady
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := n.mem.ApplySnapshot(rd.Snapshot); err == nil {
 			if err := n.Machine.Restore(rd.Snapshot.Data); err != nil {
 				r.Fatal = err
 				return snapshot
 			}
-			n.conf, n.snapped = rd.Snapshot.Metadata.ConfState, rd.Snapshot.Metadata.Index
+			n.conf, n.snapshotIndex = rd.Snapshot.Metadata.ConfState, rd.Snapshot.Metadata.Index
 		}
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
@@ -341,13 +341,13 @@
 		}
 	}
 	n.raw.Advance(*rd)
-	n.watch(r)
-	if at := n.Machine.Index(); at >= n.snapped+snapshotEvery || n.joins && at > n.snapped {
+	n.updateLeadership(r)
+	if at := n.Machine.Index(); at >= n.snapshotIndex+entriesPerSnapshot || n.snapshotForJoiner && at > n.snapshotIndex {
 		snap, err := n.mem.CreateSnapshot(at, &n.conf, n.Machine.Snapshot())
 		if err == nil {
-			n.snapped, n.joins = at, false
-			if first, err := n.mem.FirstIndex(); err == nil && at > first+keepBehind {
-				_ = n.mem.Compact(at - keepBehind)
+			n.snapshotIndex, n.snapshotForJoiner = at, false
+			if first, err := n.mem.FirstIndex(); err == nil && at > first+entriesKeptBehind {
+				_ = n.mem.Compact(at - entriesKeptBehind)
 			}
 			snapshot = snap
 		}
@@ -357,7 +357,7 @@
 
 func (n *Node) apply(e *raftpb.Entry, r *Ready) error {
 	if e.Type == raftpb.EntryConfChangeV2 || e.Type == raftpb.EntryConfChange {
-		return n.changeVoters(e)
+		return n.applyVoterChange(e)
 	}
 	if len(e.Data) == 0 {
 		return nil // a leader's first
@@ -391,8 +391,8 @@
 	All   map[uint64]agreed.Voter // those that are there, for who joins and knows no names yet
 }
 
-// joined is what a change carries in the log. Fields are added, never changed.
-type joined struct {
+// changeContext is what a change carries in the log. Fields are added, never changed.
+type changeContext struct {
 	Voter agreed.Voter            `cbor:"1,keyasint"`
 	All   map[uint64]agreed.Voter `cbor:"2,keyasint,omitempty"`
 }
@@ -419,7 +419,7 @@
 	if c.Leave {
 		kind = raftpb.ConfChangeRemoveNode
 	}
-	context, err := cbor.Marshal(&joined{c.Voter, c.All})
+	context, err := cbor.Marshal(&changeContext{c.Voter, c.All})
 	if err != nil {
 		return err
 	}
@@ -431,22 +431,22 @@
 func (n *Node) caughtUp(id uint64) bool {
 	last, err := n.mem.LastIndex()
 	pr, ok := n.raw.Status().Progress[id]
-	return err == nil && ok && pr.Match > 0 && pr.Match+keepBehind/2 >= last && pr.RecentActive
+	return err == nil && ok && pr.Match > 0 && pr.Match+entriesKeptBehind/2 >= last && pr.RecentActive
 }
 
-// changeVoters applies a change of voters.
-func (n *Node) changeVoters(e *raftpb.Entry) error {
+// applyVoterChange applies a change of voters.
+func (n *Node) applyVoterChange(e *raftpb.Entry) error {
 	var cc raftpb.ConfChange
 	if err := cc.Unmarshal(e.Data); err != nil {
 		return fmt.Errorf("entry %d: %w", e.Index, err)
 	}
-	if err := caught(func() { n.conf = *n.raw.ApplyConfChange(cc) }); err != nil {
+	if err := recoverRaftPanic(func() { n.conf = *n.raw.ApplyConfChange(cc) }); err != nil {
 		return fmt.Errorf("entry %d: %w", e.Index, err)
 	}
 	if cc.NodeID == 0 || len(cc.Context) == 0 { // refused by raft, as another was under way
 		return nil
 	}
-	var j joined
+	var j changeContext
 	if err := cbor.Unmarshal(cc.Context, &j); err != nil {
 		return fmt.Errorf("entry %d: %w", e.Index, err)
 	}
@@ -456,7 +456,7 @@
 		n.Removed = n.Removed || cc.NodeID == n.cfg.ID
 	} else {
 		n.Machine.AddVoter(e.Index, cc.NodeID, v, j.All)
-		n.joins = true
+		n.snapshotForJoiner = true
 	}
 	return nil
 }
@@ -464,12 +464,12 @@
 // ConfState is who votes and who learns.
 func (n *Node) ConfState() raftpb.ConfState { return n.conf }
 
-// lostFor is how long a council may have been without a leader before its releases are halted.
-const lostFor = 8 * time.Second
+// maxLeaderlessTime is how long a council may have been without a leader before its releases are halted.
+const maxLeaderlessTime = 8 * time.Second
 
-// watch follows whether this node leads. It does once it has applied something of its own term, as only then it knows
+// updateLeadership follows whether this node leads. It does once it has applied something of its own term, as only then it knows
 // all that was agreed before.
-func (n *Node) watch(r *Ready) {
+func (n *Node) updateLeadership(r *Ready) {
 	s := n.raw.BasicStatus()
 	leads := s.RaftState == raft.StateLeader
 	if leads {
@@ -477,8 +477,8 @@
 		leads = err == nil && term == s.Term
 	}
 	if leads && !n.leading {
-		n.base, n.lead, n.timeAt = n.Machine.Time(), n.now, n.now
-		if gap := n.now - n.led; gap > lostFor && n.Machine.Moving() {
+		n.leadBaseMs, n.leadSince, n.nextCouncilTime = n.Machine.Time(), n.now, n.now
+		if gap := n.now - n.leaderLastKnown; gap > maxLeaderlessTime && n.Machine.Moving() {
 			_ = n.propose(&agreed.Command{Op: agreed.Steer, Name: "*", Steer: "halt", Who: "council", Reason: fmt.Sprintf("nobody led for %v", gap.Round(time.Second))})
 		}
 	}
@@ -491,20 +491,20 @@
 	}
 }
 
-// quiet passes raft's own lines on at debug, as what matters is told in words of ours.
-type quiet struct{ log *slog.Logger }
-
-func (q quiet) say(v ...any)                { q.log.Debug("raft", "line", fmt.Sprint(v...)) }
-func (q quiet) sayf(f string, v ...any)     { q.log.Debug("raft", "line", fmt.Sprintf(f, v...)) }
-func (q quiet) Debug(v ...any)              {}
-func (q quiet) Debugf(string, ...any)       {}
-func (q quiet) Info(v ...any)               { q.say(v...) }
-func (q quiet) Infof(f string, v ...any)    { q.sayf(f, v...) }
-func (q quiet) Warning(v ...any)            { q.say(v...) }
-func (q quiet) Warningf(f string, v ...any) { q.sayf(f, v...) }
-func (q quiet) Error(v ...any)              { q.say(v...) }
-func (q quiet) Errorf(f string, v ...any)   { q.sayf(f, v...) }
-func (q quiet) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
-func (q quiet) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
-func (q quiet) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
-func (q quiet) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+// raftLogger passes raft's own lines on at debug, as what matters is told in words of ours.
+type raftLogger struct{ log *slog.Logger }
+
+func (q raftLogger) debug(v ...any)              { q.log.Debug("raft", "line", fmt.Sprint(v...)) }
+func (q raftLogger) debugf(f string, v ...any)   { q.log.Debug("raft", "line", fmt.Sprintf(f, v...)) }
+func (q raftLogger) Debug(v ...any)              {}
+func (q raftLogger) Debugf(string, ...any)       {}
+func (q raftLogger) Info(v ...any)               { q.debug(v...) }
+func (q raftLogger) Infof(f string, v ...any)    { q.debugf(f, v...) }
+func (q raftLogger) Warning(v ...any)            { q.debug(v...) }
+func (q raftLogger) Warningf(f string, v ...any) { q.debugf(f, v...) }
+func (q raftLogger) Error(v ...any)              { q.debug(v...) }
+func (q raftLogger) Errorf(f string, v ...any)   { q.debugf(f, v...) }
+func (q raftLogger) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
+func (q raftLogger) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+func (q raftLogger) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
+func (q raftLogger) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
--- a/internal/fleet/council/restore.go
+++ b/internal/fleet/council/restore.go
@@ -58,7 +58,7 @@
 			if err := cc.Unmarshal(e.Data); err != nil {
 				return r, err
 			}
-			var j joined
+			var j changeContext
 			if len(cc.Context) > 0 {
 				if err := cbor.Unmarshal(cc.Context, &j); err != nil {
 					return r, fmt.Errorf("entry %d: %w", e.Index, err)
@@ -120,7 +120,7 @@
 		return r, err
 	}
 	defer func() { err = errors.Join(err, fresh.Close()) }()
-	id := idFirst + fresh.Identity>>16
+	id := firstJoinedID + fresh.Identity>>16
 	if err := fresh.RecordStart(&now, []string{name}, id, 0); err != nil {
 		return r, err
 	}
--- a/internal/fleet/council/roll.go
+++ b/internal/fleet/council/roll.go
@@ -27,8 +27,8 @@
 	IncarnationStale                    // a life of the past: the folder is an old copy
 )
 
-// pastMost is how many lives of a folder's past it tells; who was not heard of for more is taken at its word.
-const pastMost = 16
+// maxPastRuns is how many lives of a folder's past it tells; who was not heard of for more is taken at its word.
+const maxPastRuns = 16
 
 // Check takes the life that a message carries, with the numbers of the processes of the folder's lives before, the last
 // one last. Zero starts: a voter of the former program, whose folder counts none.
--- a/internal/fleet/council/store.go
+++ b/internal/fleet/council/store.go
@@ -28,34 +28,34 @@
 }
 
 const (
-	storeFile = "council.db"
-	storeForm = 1
+	storeFile   = "council.db"
+	storeFormat = 1
 )
 
 var (
-	bucketLog  = []byte("log")
-	bucketMeta = []byte("meta")
-	bucketSeen = []byte("voters") // identities that were met, by name; the former program reads them too
-	bucketLife = []byte("lives")  // the last life of each
-	keyForm    = []byte("form")
-	keyHard    = []byte("hard")
-	keySnap    = []byte("snapshot")
-	keySelf    = []byte("identity")
-	keyBorn    = []byte("born")     // the form that the council was founded with; absent: 1
-	keyFirst   = []byte("founders") // names, and the number of this voter
-	keyStarts  = []byte("starts")
-	keyRuns    = []byte("runs") // numbers of the last processes, this one last
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	bucketLog          = []byte("log")
+	bucketMeta         = []byte("meta")
+	bucketIdentities   = []byte("voters") // identities that were met, by name; the former program reads them too
+	bucketIncarnations = []byte("lives")  // the last life of each
+	keyFormat          = []byte("form")
+	keyHardState       = []byte("hard")
+	keySnapshot        = []byte("snapshot")
+	keyIdentity        = []byte("identity")
+	keyFoundingForm    = []byte("born")     // the form that the council was founded with; absent: 1
+	keyFounders        = []byte("founders") // names, and the number of this voter
+	keyStarts          = []byte("starts")
+	keyRuns            = []byte("runs") // numbers of the last processes, this one last
+	castagnoli         = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // ErrDamaged is returned for a file that holds what was never written so.
 var ErrDamaged = errors.New("council: the file is damaged")
 
-func sum(b []byte) []byte {
+func withChecksum(b []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(b)), crc32.Checksum(b, castagnoli)), b...)
 }
 
-func whole(b []byte) ([]byte, error) {
+func verifyChecksum(b []byte) ([]byte, error) {
 	if len(b) < 4 || binary.BigEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
 		return nil, ErrDamaged
 	}
@@ -95,17 +95,17 @@
 }
 
 func (s *Store) init(tx *bbolt.Tx) error {
-	for _, b := range [][]byte{bucketLog, bucketMeta, bucketSeen, bucketLife} {
+	for _, b := range [][]byte{bucketLog, bucketMeta, bucketIdentities, bucketIncarnations} {
 		if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 			return err
 		}
 	}
 	m := tx.Bucket(bucketMeta)
-	if v := m.Get(keyForm); v != nil {
-		if f, err := whole(v); err != nil || len(f) != 1 || f[0] > storeForm {
-			return fmt.Errorf("%w: form %v found, want up to %d", ErrDamaged, f, storeForm)
+	if v := m.Get(keyFormat); v != nil {
+		if f, err := verifyChecksum(v); err != nil || len(f) != 1 || f[0] > storeFormat {
+			return fmt.Errorf("%w: form %v found, want up to %d", ErrDamaged, f, storeFormat)
 		}
-		self, err := whole(m.Get(keySelf))
+		self, err := verifyChecksum(m.Get(keyIdentity))
 		if err != nil {
 			return err
 		}
@@ -113,13 +113,13 @@
 		return nil
 	}
 	s.Identity = rand.Uint64() | 1
-	if err := m.Put(keySelf, sum(binary.BigEndian.AppendUint64(nil, s.Identity))); err != nil {
+	if err := m.Put(keyIdentity, withChecksum(binary.BigEndian.AppendUint64(nil, s.Identity))); err != nil {
 		return err
 	}
-	if err := m.Put(keyBorn, sum([]byte{agreed.Form})); err != nil {
+	if err := m.Put(keyFoundingForm, withChecksum([]byte{agreed.Form})); err != nil {
 		return err
 	}
-	return m.Put(keyForm, sum([]byte{storeForm}))
+	return m.Put(keyFormat, withChecksum([]byte{storeFormat}))
 }
 
 func (s *Store) load(tx *bbolt.Tx, saved *Saved) error {
@@ -127,12 +127,12 @@
 	for _, v := range []struct {
 		key  []byte
 		into interface{ Unmarshal([]byte) error }
-	}{{keyHard, &saved.Hard}, {keySnap, &saved.Snapshot}} {
+	}{{keyHardState, &saved.Hard}, {keySnapshot, &saved.Snapshot}} {
 		raw := m.Get(v.key)
 		if raw == nil {
 			continue
 		}
-		b, err := whole(raw)
+		b, err := verifyChecksum(raw)
 		if err == nil {
 			err = v.into.Unmarshal(b)
 		}
@@ -140,33 +140,33 @@
 			return fmt.Errorf("%s: %w", v.key, err)
 		}
 	}
-	if saved.Form = 1; m.Get(keyBorn) != nil {
-		b, err := whole(m.Get(keyBorn))
+	if saved.Form = 1; m.Get(keyFoundingForm) != nil {
+		b, err := verifyChecksum(m.Get(keyFoundingForm))
 		if err != nil || len(b) != 1 {
-			return fmt.Errorf("%s: %w", keyBorn, ErrDamaged)
+			return fmt.Errorf("%s: %w", keyFoundingForm, ErrDamaged)
 		}
 		saved.Form = int(b[0])
 	}
-	if raw := m.Get(keyFirst); raw != nil {
+	if raw := m.Get(keyFounders); raw != nil {
 		var f founders
-		b, err := whole(raw)
+		b, err := verifyChecksum(raw)
 		if err == nil {
 			err = cbor.Unmarshal(b, &f)
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %w", keyFirst, err)
+			return fmt.Errorf("%s: %w", keyFounders, err)
 		}
 		saved.Founders, saved.ID = f.Names, f.ID
 	}
 	if raw := m.Get(keyStarts); raw != nil {
-		b, err := whole(raw)
+		b, err := verifyChecksum(raw)
 		if err != nil || len(b) != 8 {
 			return fmt.Errorf("%s: %w", keyStarts, ErrDamaged)
 		}
 		saved.Starts = binary.BigEndian.Uint64(b)
 	}
 	if raw := m.Get(keyRuns); raw != nil {
-		b, err := whole(raw)
+		b, err := verifyChecksum(raw)
 		if err == nil {
 			err = cbor.Unmarshal(b, &saved.Past)
 		}
@@ -174,8 +174,8 @@
 			return fmt.Errorf("%s: %w", keyRuns, err)
 		}
 	}
-	err := tx.Bucket(bucketSeen).ForEach(func(k, raw []byte) error {
-		b, err := whole(raw)
+	err := tx.Bucket(bucketIdentities).ForEach(func(k, raw []byte) error {
+		b, err := verifyChecksum(raw)
 		if err != nil {
 			return fmt.Errorf("voter %s: %w", k, err)
 		}
@@ -183,9 +183,9 @@
 			return fmt.Errorf("voter %s: %w", k, ErrDamaged)
 		}
 		l := Incarnation{Identity: binary.BigEndian.Uint64(b)}
-		if raw := tx.Bucket(bucketLife).Get(k); raw != nil {
+		if raw := tx.Bucket(bucketIncarnations).Get(k); raw != nil {
 			var kept Incarnation
-			b, err := whole(raw)
+			b, err := verifyChecksum(raw)
 			if err == nil {
 				err = cbor.Unmarshal(b, &kept)
 			}
@@ -204,7 +204,7 @@
 	}
 	next := uint64(0)
 	return tx.Bucket(bucketLog).ForEach(func(k, raw []byte) error {
-		b, err := whole(raw)
+		b, err := verifyChecksum(raw)
 		if err != nil {
 			return fmt.Errorf("entry %x: %w", k, err)
 		}
@@ -236,25 +236,25 @@
 			if err != nil {
 				return err
 			}
-			return m.Put(key, sum(b))
+			return m.Put(key, withChecksum(b))
 		}
 		if !raft.IsEmptySnap(v.Snapshot) {
-			if err := put(keySnap, &v.Snapshot); err != nil {
+			if err := put(keySnapshot, &v.Snapshot); err != nil {
 				return err
 			}
-			if err := cut(log, 0, v.Snapshot.Metadata.Index); err != nil {
+			if err := deleteEntries(log, 0, v.Snapshot.Metadata.Index); err != nil {
 				return err
 			}
 		}
 		if !raft.IsEmptyHardState(v.Hard) {
-			if err := put(keyHard, &v.Hard); err != nil {
+			if err := put(keyHardState, &v.Hard); err != nil {
 				return err
 			}
 		}
 		if len(v.Entries) == 0 {
 			return nil
 		}
-		if err := cut(log, v.Entries[0].Index, 1<<63); err != nil { // what another leader wrote there is void
+		if err := deleteEntries(log, v.Entries[0].Index, 1<<63); err != nil { // what another leader wrote there is void
 			return err
 		}
 		for i := range v.Entries {
@@ -262,7 +262,7 @@
 			if err != nil {
 				return err
 			}
-			if err := log.Put(binary.BigEndian.AppendUint64(nil, v.Entries[i].Index), sum(b)); err != nil {
+			if err := log.Put(binary.BigEndian.AppendUint64(nil, v.Entries[i].Index), withChecksum(b)); err != nil {
 				return err
 			}
 		}
@@ -277,15 +277,15 @@
 		if err != nil {
 			return err
 		}
-		if err := tx.Bucket(bucketMeta).Put(keySnap, sum(b)); err != nil {
+		if err := tx.Bucket(bucketMeta).Put(keySnapshot, withChecksum(b)); err != nil {
 			return err
 		}
-		return cut(tx.Bucket(bucketLog), 0, snap.Metadata.Index)
+		return deleteEntries(tx.Bucket(bucketLog), 0, snap.Metadata.Index)
 	})
 }
 
-// cut deletes the entries from first to last.
-func cut(b *bbolt.Bucket, first, last uint64) error {
+// deleteEntries deletes the entries from first to last.
+func deleteEntries(b *bbolt.Bucket, first, last uint64) error {
 	c := b.Cursor()
 	for k, _ := c.Seek(binary.BigEndian.AppendUint64(nil, first)); k != nil && binary.BigEndian.Uint64(k) <= last; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
@@ -305,27 +305,27 @@
 // configuration names others later.
 func (s *Store) RecordStart(saved *Saved, names []string, id, run uint64) error {
 	saved.Starts++
-	saved.Past = saved.Past[max(0, len(saved.Past)-pastMost):]
+	saved.Past = saved.Past[max(0, len(saved.Past)-maxPastRuns):]
 	runs, err := cbor.Marshal(append(slices.Clone(saved.Past), run))
 	if err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		m := tx.Bucket(bucketMeta)
-		if m.Get(keyFirst) == nil {
+		if m.Get(keyFounders) == nil {
 			saved.Founders, saved.ID = names, id
 			b, err := cbor.Marshal(&founders{names, id})
 			if err != nil {
 				return err
 			}
-			if err := m.Put(keyFirst, sum(b)); err != nil {
+			if err := m.Put(keyFounders, withChecksum(b)); err != nil {
 				return err
 			}
 		}
-		if err := m.Put(keyRuns, sum(runs)); err != nil {
+		if err := m.Put(keyRuns, withChecksum(runs)); err != nil {
 			return err
 		}
-		return m.Put(keyStarts, sum(binary.BigEndian.AppendUint64(nil, saved.Starts)))
+		return m.Put(keyStarts, withChecksum(binary.BigEndian.AppendUint64(nil, saved.Starts)))
 	})
 }
 
@@ -339,10 +339,10 @@
 	b, err := cbor.Marshal(&l)
 	if err == nil {
 		err = s.db.Update(func(tx *bbolt.Tx) error {
-			if err := tx.Bucket(bucketSeen).Put([]byte(name), sum(binary.BigEndian.AppendUint64(nil, l.Identity))); err != nil {
+			if err := tx.Bucket(bucketIdentities).Put([]byte(name), withChecksum(binary.BigEndian.AppendUint64(nil, l.Identity))); err != nil {
 				return err
 			}
-			return tx.Bucket(bucketLife).Put([]byte(name), sum(b))
+			return tx.Bucket(bucketIncarnations).Put([]byte(name), withChecksum(b))
 		})
 	}
 	if err != nil {
@@ -358,10 +358,10 @@
 func (s *Store) Forget(name string) error {
 	s.Roll.Forget(name)
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		if err := tx.Bucket(bucketLife).Delete([]byte(name)); err != nil {
+		if err := tx.Bucket(bucketIncarnations).Delete([]byte(name)); err != nil {
 			return err
 		}
-		return tx.Bucket(bucketSeen).Delete([]byte(name))
+		return tx.Bucket(bucketIdentities).Delete([]byte(name))
 	})
 }
 
--- a/internal/fleet/council/zones.go
+++ b/internal/fleet/council/zones.go
@@ -29,17 +29,17 @@
 			v.planner.Resume(now, p.Number, zones)
 		}
 		v.reports.TakeZoneCounts(now) // what came before this voter led is of no known while
-		v.planAt = now + subscribe.ReportInterval
+		v.nextPlan = now + subscribe.ReportInterval
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.ZoneActs())) {
 		a := m.ZoneActs()[name]
 		_ = v.planner.Hold(name, a.Held)
 		_ = v.planner.Force(now, name, zoneplan.State(a.Forced), a.Reason)
 	}
-	if now < v.planAt {
+	if now < v.nextPlan {
 		return
 	}
-	v.planAt = now + subscribe.ReportInterval
+	v.nextPlan = now + subscribe.ReportInterval
 	v.planner.See(now, v.reports.TakeZoneCounts(now))
 	plan, fresh := v.planner.Look(now)
 	if !fresh {
@@ -53,8 +53,8 @@
 	v.propose(&agreed.Command{Op: agreed.SetZones, Zones: z, Term: zoneplan.Term.Milliseconds()})
 }
 
-// zonesAway is what gateways are told of the plan that holds.
-func (v *Voter) zonesAway(t *subscribe.Update) {
+// addZonesAway is what gateways are told of the plan that holds.
+func (v *Voter) addZonesAway(t *subscribe.Update) {
 	m := v.node.Machine
 	p := m.Zones()
 	if p == nil || m.Time() >= p.Until {
