--- a/cmd/reachwind-council/main.go
+++ b/cmd/reachwind-council/main.go
@@ -1,6 +1,6 @@
-// Command reachwind-council is one voter of the fleet's council. It is a program of
-// its own, as consensus and its storage would cost each gateway memory; `reachwind
-// council` starts it.
+// Command reachwind-council runs one voter of the fleet's council. It is a separate
+// program because consensus and its storage would cost every gateway memory;
+// `reachwind council` starts it.
 package main
 
 import (
@@ -39,8 +39,8 @@
 			return council.Run(ctx, *conf, slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: least})))
 		}}
 	root.Flags().StringVarP(&path, "config", "c", "", "configuration `file`")
-	root.Flags().StringVar(&level, "log-level", "info", "least `level` logged: debug, info, warn or error")
-	root.Flags().BoolVar(&join, "join", false, "join a council that is there: with an empty folder this voter founds none, and waits until it is added")
+	root.Flags().StringVar(&level, "log-level", "info", "lowest `level` logged: debug, info, warn or error")
+	root.Flags().BoolVar(&join, "join", false, "join an existing council: with an empty folder this voter does not found one, and waits until it is added")
 	root.AddCommand(restoreCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "reachwind-council:", err)
--- a/internal/fleet/council/admin.go
+++ b/internal/fleet/council/admin.go
@@ -13,11 +13,9 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// Admin.
-
-// CommandRequest is a command as it comes by the admin address.
+// CommandRequest is the body of POST /v1/command on the admin address.
 type CommandRequest struct {
-	Op     string         `json:"op"` // budget, acquire, renew, give_back, revoke
+	Op     string         `json:"op"` // one of the keys of operations
 	Client string         `json:"client"`
 	Number uint64         `json:"number"`
 	Who    string         `json:"who"`
@@ -28,7 +26,7 @@
 	Budget *agreed.Budget `json:"budget,omitempty"`
 
 	Rules   *agreed.Rules   `json:"rules,omitempty"`
-	Release *agreed.Release `json:"release,omitempty"` // the plan
+	Release *agreed.Release `json:"release,omitempty"` // the plan of a release
 	Name    string          `json:"name,omitempty"`    // of a release
 	OK      bool            `json:"ok,omitempty"`
 	Steer   string          `json:"steer,omitempty"` // halt, resume, back
@@ -37,17 +35,17 @@
 var operations = map[string]agreed.Op{"budget": agreed.SetBudget, "acquire": agreed.Acquire, "renew": agreed.Renew, "give_back": agreed.GiveBack, "revoke": agreed.Revoke,
 	"rules": agreed.SetRules, "plan": agreed.Plan, "drive": agreed.Drive, "next": agreed.Next, "started": agreed.Started, "ended": agreed.Ended, "steer": agreed.Steer, "raise": agreed.Raise, "zone": agreed.ActZone}
 
-// VoterState is a voter as another one knows it.
+// VoterState describes a voter as the answering voter knows it.
 type VoterState struct {
 	Name    string `json:"name"`
 	ID      uint64 `json:"id"`
 	Address string `json:"address"`
-	Learns  bool   `json:"learns,omitempty"` // it has no vote yet
-	HeardMs int64  `json:"heard_ms"`         // since its last word, -1 = never
-	Form    int    `json:"form"`             // the newest that it speaks
+	Learns  bool   `json:"learns,omitempty"` // a learner, without a vote yet
+	HeardMs int64  `json:"heard_ms"`         // time since its last hello, -1 = never heard
+	Form    int    `json:"form"`             // newest format version that it supports
 }
 
-// VoterChange is a change of voters as it comes by the admin address.
+// VoterChange is the body of POST /v1/voter on the admin address.
 type VoterChange struct {
 	Name     string `json:"name"`
 	Address  string `json:"address,omitempty"`
@@ -114,7 +112,7 @@
 	return s
 }
 
-// runInLoop has the owner run a function.
+// runInLoop queues do for the goroutine that owns the voter. It returns ctx's error if the queue stays full until ctx ends.
 func (v *Voter) runInLoop(ctx context.Context, do func()) error {
 	select {
 	case v.requests <- do:
@@ -152,7 +150,7 @@
 	mux.HandleFunc("POST /v1/voter", func(w http.ResponseWriter, r *http.Request) {
 		var q VoterChange
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&q); err != nil || q.Name == "" {
-			http.Error(w, fmt.Sprintf("no change of voters: %v, name %q", err, q.Name), http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("invalid change of voters: %v, name %q, want JSON with a name", err, q.Name), http.StatusBadRequest)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
@@ -180,7 +178,7 @@
 		}
 		op, ok := operations[q.Op]
 		if err != nil || !ok || q.Client == "" || q.Number == 0 {
-			http.Error(w, fmt.Sprintf("no command: %v, operation %q, client %q, number %d", err, q.Op, q.Client, q.Number), http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("invalid command: %v, operation %q, client %q, number %d, want a known operation, a client and a number from 1", err, q.Op, q.Client, q.Number), http.StatusBadRequest)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
@@ -200,7 +198,7 @@
 				return
 			}
 			if op == agreed.Raise && !v.allOnNewestForm() {
-				tell(agreed.Result{Refused: fmt.Sprintf("not all voters were heard to speak form %d: upgrade them first", agreed.Form)}, nil)
+				tell(agreed.Result{Refused: fmt.Sprintf("not all voters have lately reported that they support form %d: upgrade them first", agreed.Form)}, nil)
 				return
 			}
 			t, err := v.node.Propose(v.now(), c)
@@ -226,12 +224,12 @@
 			case <-ctx.Done():
 			}
 		}
-		http.Error(w, "not decided in time: it may still be", http.StatusServiceUnavailable)
+		http.Error(w, "not decided in time: the command may still be applied", http.StatusServiceUnavailable)
 	})
 	return mux
 }
 
-// allOnNewestForm tells that all voters were heard lately to speak the newest form.
+// allOnNewestForm reports whether all other voters said within helloValidity that they support the newest format version.
 func (v *Voter) allOnNewestForm() bool {
 	for _, id := range v.otherIDs() {
 		if n, ok := v.lastHellos[v.voterName(id)]; !ok || v.now()-n.at > helloValidity || n.form < agreed.Form {
@@ -241,8 +239,8 @@
 	return true
 }
 
-// changeVoters proposes the next step of a change: a new voter learns first and votes once it has caught up. Whoever
-// asks repeats it until the voters are as wanted.
+// changeVoters proposes the next step of a change: a new voter first joins as a learner and becomes a voter once it has
+// caught up. Callers repeat the request until it is reported as done.
 func (v *Voter) changeVoters(q *VoterChange) error {
 	conf := v.node.ConfState()
 	has := uint64(0)
@@ -259,7 +257,7 @@
 	}
 	switch {
 	case q.Address == "" || q.Identity == 0 || q.ID <= firstJoinedID:
-		return fmt.Errorf("%w: want the address, identity and number of %s, as its own status tells", ErrVoterChange, q.Name)
+		return fmt.Errorf("%w: want the address, identity and ID of %s, as its own status shows them", ErrVoterChange, q.Name)
 	case has != 0 && has != q.ID:
 		return fmt.Errorf("%w: %s is a voter with another folder, remove it first", ErrVoterChange, q.Name)
 	case slices.Contains(conf.Voters, q.ID):
@@ -270,7 +268,7 @@
 	return v.node.ChangeVoters(v.now(), MembershipChange{ID: q.ID, Voter: agreed.Voter{Name: q.Name, Addr: q.Address, Identity: q.Identity}, Learn: has == 0, All: v.knownVoters()})
 }
 
-// knownVoters are the voters as this one knows them.
+// knownVoters returns all voters and learners by ID as this voter knows them.
 func (v *Voter) knownVoters() map[uint64]agreed.Voter {
 	m := map[uint64]agreed.Voter{}
 	conf := v.node.ConfState()
--- a/internal/fleet/council/config.go
+++ b/internal/fleet/council/config.go
@@ -11,7 +11,7 @@
 	"reachwind/internal/fleet/zoneplan"
 )
 
-// Config is the council block, read and checked.
+// Config is the parsed and checked council block.
 type Config struct {
 	Name    string
 	Listen  string
@@ -19,18 +19,18 @@
 	Folder  string
 	KeyFile string
 	Keys    *peers.Keys
-	Voters  map[string]string // addresses by name, this one among them
-	Zones   []zoneplan.Zone   // whose load may be moved in common; empty: nothing is planned
-	Join    bool              // its empty folder joins a council that is there, and founds none
+	Voters  map[string]string // addresses by name, including this voter's own
+	Zones   []zoneplan.Zone   // zones whose load the council plans; empty: no planning
+	Join    bool              // with an empty folder, join an existing council instead of founding one
 }
 
-// Bounds of a council.
+// Limits on the number of voters.
 const (
-	MinVoters = 1 // one is for trying things out: nothing is left when it is gone
+	MinVoters = 1 // a single voter is for trials only: its loss loses the council
 	MaxVoters = 7
 )
 
-// LoadConfig reads a voter's configuration.
+// LoadConfig reads the council block of a voter's configuration file. It returns an error if the file has faults or no such block.
 func LoadConfig(path string) (c *Config, err error) {
 	err = edgeconf.Load(path, func(b *edgeconf.Block) {
 		b.Blocks("council", false, func(b *edgeconf.Block) {
@@ -44,7 +44,7 @@
 	return c, err
 }
 
-// ReadConfig reads a council block. Faults are the block's.
+// ReadConfig reads a council block. Faults are added to the block.
 func ReadConfig(b *edgeconf.Block) Config {
 	c := Config{Name: b.String("name", ""), Listen: b.String("listen", ""), Admin: b.String("admin", ""), Folder: b.FilePath("folder"), KeyFile: b.FilePath("key_file"),
 		Voters: map[string]string{}}
@@ -95,7 +95,7 @@
 		b.AddFault("%d voters, want 3, 5 or 7 (1 to try things out)", n)
 	}
 	if c.Folder == "" {
-		b.AddFault("no folder, want one that lasts")
+		b.AddFault("no folder, want one that survives restarts")
 	}
 	if c.KeyFile == "" {
 		b.AddFault("no key_file, want a file with a base64 key of 32 bytes a line")
@@ -108,7 +108,7 @@
 	return c
 }
 
-// names are the voters' names in their order; a voter's number is its place from 1.
+// names returns the voters' names in sorted order; a founder's ID is its position, counted from 1.
 func (c *Config) names() (names []string) {
 	for n := range c.Voters {
 		names = append(names, n)
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -23,22 +23,22 @@
 )
 
 const (
-	frameRaftV1        = 20 // the former program's: no life
+	frameRaftV1        = 20 // sent by the former program, without an incarnation
 	frameHello         = 23
 	frameRaftV2        = 24
-	maxBytesPerSecond  = 64 << 20 // a second; a council is small
+	maxBytesPerSecond  = 64 << 20 // for all traffic of a voter; a council is small
 	maxDatagramBytes   = 1200
 	maxQueuedRequests  = 256
 	adminTimeout       = 5 * time.Second
 	maxBodyBytes       = 1 << 20
 	maxPendingCommands = 1024
 	helloInterval      = time.Second
-	formRaiseDelay     = 10 * time.Minute // all voters must have spoken a newer form for so long before it is used; a way back till then
-	helloValidity      = 5 * time.Second  // a voter's last hello counts for so long
-	firstJoinedID      = 1 << 16          // numbers of voters that joined begin above it
+	formRaiseDelay     = 10 * time.Minute // how long all voters must support the newest format version before it is used; until then they can be downgraded
+	helloValidity      = 5 * time.Second  // a voter counts as heard for so long after its last hello
+	firstJoinedID      = 1 << 16          // IDs of voters that joined later are above it; founders are numbered from 1
 )
 
-// envelopeV1 carries a raft message between voters.
+// envelopeV1 carries a raft message to or from a voter of the former program.
 type envelopeV1 struct {
 	_        struct{} `cbor:",toarray"`
 	Name     string
@@ -46,40 +46,41 @@
 	Message  []byte
 }
 
-// envelopeV2 carries a raft message with the life of the voter that sends it. Fields are added, never changed.
+// envelopeV2 carries a raft message with the incarnation of the voter that sends it. Fields may be added but never changed.
 type envelopeV2 struct {
 	Name        string      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	Lineage     uint64      `cbor:"3,keyasint,omitempty"`
 	Message     []byte      `cbor:"4,keyasint,omitempty"`
-	// Of hellos, Known of all; the former program tells it in hellos only:
-	Form             int         `cbor:"5,keyasint,omitempty"` // the newest that it speaks
-	KnownIncarnation Incarnation `cbor:"6,keyasint,omitzero"`  // what it knows of the one it is sent to
+	// Set in hellos only, except KnownIncarnation and PastRuns, which all messages carry; the former program sends
+	// KnownIncarnation in hellos only.
+	Form             int         `cbor:"5,keyasint,omitempty"` // newest format version that the sender supports
+	KnownIncarnation Incarnation `cbor:"6,keyasint,omitzero"`  // incarnation of the receiver that the sender knows
 	ID               uint64      `cbor:"7,keyasint,omitempty"`
 	Addr             string      `cbor:"8,keyasint,omitempty"`
-	PastRuns         []uint64    `cbor:"9,keyasint,omitempty"` // numbers of the processes of the folder before
+	PastRuns         []uint64    `cbor:"9,keyasint,omitempty"` // process IDs of the folder's earlier starts, oldest first
 }
 
-// helloRecord is what another voter said last.
+// helloRecord is the last hello of another voter: when it came and the newest format version that the voter supports.
 type helloRecord struct {
 	at   Time
 	form int
 }
 
-// ErrOldCopy is returned where others know more of this voter than its folder holds. It must not go on: what it forgot
-// may have counted towards a majority.
+// ErrOldCopy is returned where other voters know of later starts or entries of this voter than its folder holds. It must
+// stop: votes and entries that it has forgotten may have counted towards a majority.
 var ErrOldCopy = errors.New("council: the folder is an old copy")
 
-// ErrLogConflict is returned where another voter's message can't follow from what this folder holds as agreed.
+// ErrLogConflict is returned where another voter's message contradicts entries committed in this folder.
 var ErrLogConflict = errors.New("council: the folder does not go with the council")
 
-// What an operator can do about them.
+// Advice to the operator on these errors.
 const (
-	adviceReplaceVoter = "Do not use the folder: remove this voter and add it anew with an empty one"
-	adviceKeepFolder   = "One of them went on from an old copy: keep the folder to look at, remove this voter and add it anew with an empty one"
+	adviceReplaceVoter = "Do not use this folder again: remove this voter and add it again with an empty one"
+	adviceKeepFolder   = "One of the two voters was started from an old copy of its folder: keep this folder for inspection, remove this voter and add it again with an empty one"
 )
 
-// Voter is one voter at work.
+// Voter is a running voter. Its fields are owned by the goroutine that runs loop.
 type Voter struct {
 	conf            Config
 	log             *slog.Logger
@@ -95,24 +96,25 @@
 	lastHellos      map[string]helloRecord
 	nextHello       Time
 	fatal           error
-	planner         *zoneplan.Planner // while this voter leads
+	planner         *zoneplan.Planner // set while this voter leads
 	nextPlan        Time
-	helloVoters     map[uint64]agreed.Voter // who said hello to a voter that joins and knows no voters yet
-	newestFormSince Time                    // all voters speak the newest form since then, 0 = they don't
+	helloVoters     map[uint64]agreed.Voter // senders of hellos, by ID, while this voter joins and has no voter list yet
+	newestFormSince Time                    // since when all voters have supported the newest format version, 0 = not all do
 	leader          uint64
 
 	reports        *subscribe.Registry
 	nextPopulation Time
 	nextHealth     Time
-	commandNumber  uint64            // of this voter's own commands
-	gatewayAddrs   map[string]string // address by gateway, to tell at once what changes
-	lastNotified   string            // the members that are permitted to go out, as gateways were told last
+	commandNumber  uint64            // number of the last command that this voter proposed by itself
+	gatewayAddrs   map[string]string // addresses by gateway name, for updates sent as soon as something changes
+	lastNotified   string            // zones and draining members in the last update sent to all gateways, as text for comparison
 
 	foreignLog, staleLog logthrottle.Line
 }
 
-// Run runs a voter until ctx ends. An error means that it must not go on: its disk fails, its folder is an old copy, or
-// what was agreed needs a newer program. A voter that was removed from the council ends without one.
+// Run runs a voter until ctx ends. It returns an error if the voter can't start or must not continue: its disk fails, its
+// folder is an old copy or contradicts another voter's log, or a committed entry needs a newer program. It returns nil
+// after the voter was removed from the council.
 func Run(ctx context.Context, c Config, log *slog.Logger) error { return run(ctx, c, log, nil) }
 
 func run(ctx context.Context, c Config, log *slog.Logger, o *bbolt.Options) (err error) {
@@ -140,7 +142,7 @@
 	return v.loop(ctx)
 }
 
-// newVoter begins a life of a folder, without sockets.
+// newVoter records a start of the folder and returns its voter, without sockets.
 func newVoter(c Config, log *slog.Logger, store *Store, saved Saved) (*Voter, error) {
 	v := &Voter{conf: c, log: log, store: store, startedAt: time.Now(), requests: make(chan func(), maxQueuedRequests), pending: map[uint64]func(agreed.Result, error){},
 		lastHellos: map[string]helloRecord{}, reports: subscribe.NewRegistry(), gatewayAddrs: map[string]string{}, helloVoters: map[uint64]agreed.Voter{}}
@@ -157,14 +159,14 @@
 		v.selfID = uint64(slices.Index(saved.Founders, c.Name) + 1)
 	}
 	if v.selfID == 0 {
-		return nil, fmt.Errorf("council: the folder is that of a council of %v, %s is none of them", saved.Founders, c.Name)
+		return nil, fmt.Errorf("council: the folder belongs to a council of %v, and voter %s is not among them", saved.Founders, c.Name)
 	}
 	v.incarnation = Incarnation{store.Identity, saved.Starts, life}
 	var ids []uint64
 	for i := range saved.Founders {
 		ids = append(ids, uint64(i+1))
 	}
-	if saved.ID != 0 && len(saved.Founders) == 1 { // restored: alone, under a number of its own
+	if saved.ID != 0 && len(saved.Founders) == 1 { // a restored council has one voter, with a new ID
 		ids = []uint64{saved.ID}
 	}
 	var err error
@@ -201,7 +203,7 @@
 			if !ok {
 				break
 			}
-			if err := v.store.Save(&r.Save); err != nil { // what was not saved must not be told: it goes no further
+			if err := v.store.Save(&r.Save); err != nil { // nothing that is not saved may be sent, so the voter stops
 				return fmt.Errorf("council: saving: %w", err)
 			}
 			v.sendRaft(r.Messages)
@@ -211,7 +213,7 @@
 			}
 			if snap.Metadata.Index > 0 {
 				if err := v.store.SaveSnapshot(snap); err != nil {
-					return fmt.Errorf("council: cutting the log: %w", err)
+					return fmt.Errorf("council: saving a snapshot and trimming the log: %w", err)
 				}
 			}
 			if v.node.Removed {
@@ -245,7 +247,8 @@
 	return v.saved.Founders[id-1]
 }
 
-// voterAddr is where a voter listens: as the configuration has it, which may name a relay, else as it was added.
+// voterAddr returns the address of a voter: the configured one, which may be that of a relay, else the one it was added
+// with. It is empty if unknown.
 func (v *Voter) voterAddr(id uint64) string {
 	if a, ok := v.conf.Voters[v.voterName(id)]; ok {
 		return a
@@ -256,7 +259,7 @@
 	return v.helloVoters[id].Addr
 }
 
-// otherIDs are the numbers of all other voters, those that learn among them.
+// otherIDs returns the IDs of all other voters and learners.
 func (v *Voter) otherIDs() (ids []uint64) {
 	c := v.node.ConfState()
 	for _, id := range slices.Concat(c.Voters, c.Learners) {
@@ -267,7 +270,9 @@
 	return ids
 }
 
-// sendHellos tells the others that this voter is there, what it speaks, and what life of theirs it knows.
+// sendHellos tells the other voters, once per helloInterval, the newest format version that this voter supports and the
+// incarnation of theirs that it knows. A leader also raises the format version once all have supported it for
+// formRaiseDelay.
 func (v *Voter) sendHellos() {
 	if v.now() < v.nextHello {
 		return
@@ -297,8 +302,8 @@
 	}
 }
 
-// encodeFrame is a frame with both lives: this voter's, and the one that it knows of whom it is sent to. Each message has them,
-// as heartbeats come before hellos and an old copy must learn that it is one before it acts on anything else.
+// encodeFrame returns a frame with two incarnations: this voter's, and the receiver's that this voter knows. Every message
+// carries both, as heartbeats may arrive before hellos and an old copy must be detected before it acts on any message.
 func (v *Voter) encodeFrame(kind byte, to uint64, e *envelopeV2) []byte {
 	e.Name, e.Incarnation, e.PastRuns, e.Lineage = v.conf.Name, v.incarnation, v.saved.Past, v.node.Machine.Lineage()
 	e.KnownIncarnation = v.store.Roll.ByName[v.voterName(to)]
@@ -309,7 +314,7 @@
 	return append([]byte{kind}, b...)
 }
 
-// acceptsIncarnations tells that a voter takes messages with lives.
+// acceptsIncarnations reports whether a voter understands messages with incarnations (envelopeV2).
 func (v *Voter) acceptsIncarnations(name string) bool {
 	return v.node.Machine.Form() >= agreed.Releases || v.lastHellos[name].form >= agreed.Releases
 }
@@ -334,10 +339,10 @@
 	}
 }
 
-// handleFrame takes a message of another voter, if it is still the one that it was.
+// handleFrame dispatches a frame of another voter or a gateway by its first byte.
 func (v *Voter) handleFrame(in peers.Incoming) {
 	if in.Stream != 0 {
-		defer v.net.Reply(in.Stream, "", []byte{0}, false) // it has come; what it led to goes its own way
+		defer v.net.Reply(in.Stream, "", []byte{0}, false) // confirms arrival only; any answer is sent separately
 	}
 	if len(in.Frame) < 2 {
 		return
@@ -365,7 +370,7 @@
 	}
 }
 
-// handleHello takes a hello.
+// handleHello handles a hello of another voter.
 func (v *Voter) handleHello(e *envelopeV2) {
 	if e.Name == v.conf.Name || !v.acceptSender(e.Name, e.Incarnation, e.PastRuns) || v.detectOldCopy(e) {
 		return
@@ -376,17 +381,19 @@
 	}
 }
 
-// detectOldCopy tells that another voter knows a later life of this folder: this one must not go on.
+// detectOldCopy reports whether another voter knows a later incarnation of this folder, and makes this voter stop with
+// ErrOldCopy if so.
 func (v *Voter) detectOldCopy(e *envelopeV2) bool {
 	k := e.KnownIncarnation
 	if k.Identity != v.incarnation.Identity || k.Starts < v.incarnation.Starts || k.Starts == v.incarnation.Starts && k.ProcessID == v.incarnation.ProcessID {
 		return false
 	}
-	v.fatal = fmt.Errorf("%w: it has seen %d starts, voter %s knows of %d. %s", ErrOldCopy, v.incarnation.Starts, e.Name, k.Starts, adviceReplaceVoter)
+	v.fatal = fmt.Errorf("%w: it has %d starts, voter %s knows of %d. %s", ErrOldCopy, v.incarnation.Starts, e.Name, k.Starts, adviceReplaceVoter)
 	return true
 }
 
-// acceptSender tells whether a message of a life is taken: of the folder that its voter has, in its present life.
+// acceptSender reports whether a message is from the folder known for this voter name, in its present incarnation. It
+// saves a new incarnation before it returns true.
 func (v *Voter) acceptSender(name string, l Incarnation, past []uint64) bool {
 	id := uint64(0)
 	for _, o := range append(v.otherIDs(), v.selfID) {
@@ -394,7 +401,7 @@
 			id = o
 		}
 	}
-	if id == 0 && len(v.node.ConfState().Voters) > 0 { // who joins knows nobody yet
+	if id == 0 && len(v.node.ConfState().Voters) > 0 { // a joining voter knows no others yet
 		return false
 	}
 	if added, ok := v.node.Machine.Voters()[id]; ok && added.Identity != 0 && added.Identity != l.Identity {
@@ -402,7 +409,7 @@
 		return false
 	}
 	if known, ok := v.store.Roll.ByName[name]; ok && known.Identity != l.Identity && l.Identity != 0 && v.node.Machine.Voters()[id].Identity == l.Identity {
-		if err := v.store.Forget(name); err != nil { // the council has agreed on another folder for this name
+		if err := v.store.Forget(name); err != nil { // the council has committed another folder for this name
 			v.log.Error("council: identities not kept", "err", err)
 			return false
 		}
@@ -425,7 +432,7 @@
 	return true
 }
 
-// handleRaftMessage takes a raft message of another voter, if it is still the one that it was.
+// handleRaftMessage passes a raft message to the node if its sender is an accepted voter. An error makes this voter stop.
 func (v *Voter) handleRaftMessage(e *envelopeV2) {
 	var m raftpb.Message
 	if m.Unmarshal(e.Message) != nil || e.Name == v.conf.Name || e.Name == "" || m.From == v.selfID {
@@ -442,6 +449,6 @@
 		if errors.Is(err, ErrLogConflict) {
 			advice = adviceKeepFolder
 		}
-		v.fatal = fmt.Errorf("%w; voter %s told it. %s", err, e.Name, advice)
+		v.fatal = fmt.Errorf("%w; found by a message of voter %s. %s", err, e.Name, advice)
 	}
 }
--- a/internal/fleet/council/gateways.go
+++ b/internal/fleet/council/gateways.go
@@ -9,7 +9,7 @@
 	"reachwind/internal/fleet/subscribe"
 )
 
-// handleReport takes a gateway's word that it is there, and answers with what is agreed, as far as this voter knows.
+// handleReport handles a gateway's periodic report and answers with the committed state as this voter knows it.
 func (v *Voter) handleReport(b []byte) {
 	r, ok := v.reports.HandleReport(v.now(), b)
 	if !ok {
@@ -22,7 +22,7 @@
 	v.sendUpdate(r.Name, &subscribe.Update{Number: r.Number, Leader: v.voterName(id)})
 }
 
-// sendUpdate tells a gateway what is agreed, as far as this voter knows.
+// sendUpdate fills in the committed state as this voter knows it and sends it to a gateway.
 func (v *Voter) sendUpdate(name string, told *subscribe.Update) {
 	m := v.node.Machine
 	target := "gateway/" + name
@@ -36,7 +36,7 @@
 	v.net.Send(name, v.gatewayAddrs[name], append([]byte{subscribe.FrameUpdate}, told.Encode()...), false, false)
 }
 
-// drainingMembers are the members that are permitted to go out.
+// drainingMembers returns the members with a permit to drain that is not overdue.
 func (v *Voter) drainingMembers() (all []subscribe.MemberDrain) {
 	m := v.node.Machine
 	for _, p := range m.Permits() {
@@ -47,8 +47,8 @@
 	return all
 }
 
-// notifyGateways tells all gateways at once where members are newly permitted to go out, or no longer are: they move work off
-// them before they go.
+// notifyGateways sends all gateways an update as soon as the draining members or the zones' shares change, so that they
+// move work off those members in time.
 func (v *Voter) notifyGateways() {
 	names := ""
 	var t subscribe.Update
@@ -68,13 +68,14 @@
 	}
 }
 
-// handlePermitRequest takes a gateway's command about itself, and answers once it is decided. Who does not lead does not answer.
+// handlePermitRequest proposes a gateway's command about its own permit and answers once it is decided. Only the leader
+// answers.
 func (v *Voter) handlePermitRequest(b []byte) {
 	a, ok := subscribe.DecodePermitRequest(b)
 	if _, leads := v.node.Leader(); !ok || !leads || len(v.pending) >= maxPendingCommands {
 		return
 	}
-	if p, held := v.node.Machine.Permit("gateway/" + a.Name); a.Op == "leave" && held && !p.Overdue { // whoever has it out has asked already
+	if p, held := v.node.Machine.Permit("gateway/" + a.Name); a.Op == "leave" && held && !p.Overdue { // whoever holds it has already asked for it, and the gateway leaves under it
 		g := subscribe.PermitAnswer{Number: a.Number, OK: true, Fence: p.Fence, Index: v.node.Machine.Index()}
 		v.net.Send(a.Name, a.Addr, append([]byte{subscribe.FramePermitAnswer}, g.Encode()...), false, false)
 		return
@@ -100,8 +101,9 @@
 	}
 }
 
-// proposePopulation has the leader tell the council who is there and who failed by itself, where that changed, and give back
-// permits that ended and whose gateways are seen serving.
+// proposePopulation has the leader propose, where they changed, which targets are present and which failed without a
+// permit. It gives back permits that are overdue, or that a gateway held for itself, once the target is serving again,
+// and proposes health figures when releases or rules need them.
 func (v *Voter) proposePopulation() {
 	_, leads := v.node.Leader()
 	v.reports.SetLeading(v.now(), leads)
@@ -116,7 +118,7 @@
 		v.propose(&agreed.Command{Op: agreed.Population, Targets: targets})
 	}
 	for _, p := range m.Permits() {
-		// One that left under its own permit is back once a later start of it serves.
+		// A gateway that left under its own permit is back once a later start of it serves.
 		own := p.Holder == p.Target && v.reports.ReturnedAfterDrain(p.Target)
 		if (p.Overdue || own) && v.reports.Serving(v.now(), p.Target) {
 			v.propose(&agreed.Command{Op: agreed.GiveBack, Target: p.Target, Fence: p.Fence, Reason: "seen back"})
@@ -132,7 +134,8 @@
 
 const healthInterval = 2 * time.Second
 
-// propose has the council do something of this voter's own; whether it came about is seen the next time.
+// propose proposes a command of this voter itself. Errors are ignored: the caller checks the state at its next turn and
+// proposes again where needed.
 func (v *Voter) propose(c *agreed.Command) {
 	v.commandNumber++
 	c.Who, c.Client, c.Number = "council", fmt.Sprint("voter/", v.conf.Name, "/", v.store.Identity, "/", v.startedAt.UnixNano()), v.commandNumber
--- a/internal/fleet/council/node.go
+++ b/internal/fleet/council/node.go
@@ -1,6 +1,7 @@
-// Package council keeps the agreed state on three to seven voters: consensus by
-// go.etcd.io/raft, storage of its log and of snapshots, and the way in for those
-// who ask. Gateways are no voters and serve without it.
+// Package council replicates the agreed state of the fleet on three to seven voters:
+// consensus by go.etcd.io/raft, storage of the raft log and its snapshots, and the
+// interfaces for operators and gateways. Gateways are not voters and keep serving
+// requests without a council.
 package council
 
 import (
@@ -18,7 +19,7 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the owner's monotonic clock, or a duration on it.
 type Time = time.Duration
 
 const (
@@ -26,58 +27,59 @@
 	electionTicks       = 10
 	maxInflightMessages = 64
 	maxMessageBytes     = 256 << 10
-	maxUncommittedBytes = 4 << 20                // bytes of commands that wait for a majority; more are refused
-	entriesPerSnapshot  = 1000                   // commands
-	entriesKeptBehind   = 200                    // entries kept before a snapshot, for those who are a little behind
-	councilTimeInterval = 500 * time.Millisecond // council time is told so often while permits run
+	maxUncommittedBytes = 4 << 20                // of proposed commands that are not committed yet; further ones are refused
+	entriesPerSnapshot  = 1000                   // applied entries between two snapshots
+	entriesKeptBehind   = 200                    // log entries kept before a snapshot, so that voters slightly behind need no snapshot
+	councilTimeInterval = 500 * time.Millisecond // how often the leader commits the council time while permits run
 )
 
-// NodeConfig is what a node is told.
+// NodeConfig configures a Node.
 type NodeConfig struct {
 	ID     uint64
 	Voters []uint64
 	Log    *slog.Logger
-	Form   int          // that the council was founded with; 0 = the newest
-	Off    agreed.Guard // for checkers only
+	Form   int          // format version that the council was founded with; 0 = the newest
+	Off    agreed.Guard // guards to disable, for model checkers only
 }
 
-// Saved is what a node must find again after a start.
+// Saved is the state that a node must find again after a restart.
 type Saved struct {
 	Hard     raftpb.HardState
 	Entries  []raftpb.Entry
 	Snapshot raftpb.Snapshot // empty: none
-	Applied  uint64          // not needed: what is committed is applied again from the snapshot on
-
-	// Of the folder, not of a Ready:
-	Form     int      // that the council was founded with, by the program that made the folder
-	Founders []string // names of the first voters, by number from 1; empty: a voter that joins
-	ID       uint64   // of this voter, 0 = its place among the founders
-	Starts   uint64   // of this folder, this one counted
-	Past     []uint64 // numbers of the processes of the starts before, the last one last
+	Applied  uint64          // not needed: committed entries are applied again, starting from the snapshot
+
+	// The fields below belong to the folder and are not set in a Ready.
+	Form     int      // format version that the council was founded with, set by the program that created the folder
+	Founders []string // names of the first voters, IDs counted from 1; empty: this voter joins an existing council
+	ID       uint64   // of this voter; 0 = its position among the founders
+	Starts   uint64   // starts of this folder, including the present one
+	Past     []uint64 // process IDs of earlier starts, oldest first
 }
 
-// Ready is what must be done, in this order: Save must be on disk before Messages go out.
+// Ready is the work that a Node needs done. Save must be on disk before Messages are sent.
 type Ready struct {
 	Save      Saved
-	Sync      bool // Save must be synced
+	Sync      bool // Save must be synced to disk
 	Messages  []raftpb.Message
 	Results   []CommandResult
-	Fatal     error // this program can't do what was agreed: it must stop
+	Fatal     error // this program can't apply a committed entry: the process must stop
 	raftReady raft.Ready
 }
 
-// CommandResult is the result of a command that this node took.
+// CommandResult is the result of a command that was proposed on this node.
 type CommandResult struct {
 	Ticket uint64
 	Result agreed.Result
 	Err    error
 }
 
-// ErrNotLeader is returned to a command that came to a node which does not lead, or lost the lead meanwhile: it may
-// have been done, and the same client may send it again under the same number.
+// ErrNotLeader is returned for a command proposed on a node that is not the leader, or that lost leadership before the
+// command was committed. The command may still be applied; the same client may resend it under the same number.
 var ErrNotLeader = errors.New("council: not the leader")
 
-// Node is one voter without disk, net and clock: time and messages go in, Ready comes out. It is its owner's alone.
+// Node is the logic of one voter without disk, network and clock: callers pass in time and messages and carry out Ready.
+// It is not safe for concurrent use.
 type Node struct {
 	cfg     NodeConfig
 	raw     *raft.RawNode
@@ -87,26 +89,27 @@
 	now               Time
 	lastTick          Time
 	nextCouncilTime   Time
-	leadBaseMs        int64 // council time when this node began to lead
+	leadBaseMs        int64 // council time, in ms, when this node became leader
 	leadSince         Time
 	leading           bool
 	snapshotIndex     uint64
 	conf              raftpb.ConfState
 	tickets           map[uint64]pendingCommand
 	lastTicket        uint64
-	leaderLastKnown   Time // when this node last knew of a leader
-	snapshotForJoiner bool // a voter joins: it takes a snapshot only if that names it
-	Removed           bool // this node was removed from the council
+	leaderLastKnown   Time // when this node last knew of another leader
+	snapshotForJoiner bool // a voter was added: it accepts only a snapshot whose configuration includes it, so a new one is due
+	Removed           bool // this node is no longer a member of the council
 }
 
-// pendingCommand is a command that was proposed and is not known to be done.
+// pendingCommand is a command that was proposed on this node and has no result yet.
 type pendingCommand struct {
 	client string
 	number uint64
 	term   uint64
 }
 
-// NewNode returns a node that goes on from what was saved; saved is empty for the first start of all.
+// NewNode returns a node that continues from the saved state, which is empty on the very first start. It returns
+// ErrDamaged where log, snapshot and commit index of the saved state contradict each other.
 func NewNode(c NodeConfig, s Saved, now Time) (*Node, error) {
 	n := &Node{cfg: c, mem: raft.NewMemoryStorage(), Machine: agreed.New(cmp.Or(c.Form, agreed.Form), c.Off), now: now, lastTick: now, leaderLastKnown: now, tickets: map[uint64]pendingCommand{}}
 	n.conf = raftpb.ConfState{Voters: c.Voters}
@@ -118,7 +121,7 @@
 			return nil, err
 		}
 		n.conf, n.snapshotIndex = s.Snapshot.Metadata.ConfState, s.Snapshot.Metadata.Index
-	} else if len(c.Voters) > 0 { // all begin with the same voters, as if a snapshot had said so; who joins begins with none
+	} else if len(c.Voters) > 0 { // all founders start from the same snapshot, which names the voters; a joining voter starts with none
 		first := raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{ConfState: n.conf, Index: 1, Term: 1}, Data: n.Machine.Snapshot()}
 		if err := n.mem.ApplySnapshot(first); err != nil {
 			return nil, err
@@ -156,8 +159,8 @@
 	return n, err
 }
 
-// Tick passes time. It is to be called each 100 ms; after a pause the ticks that were missed are not made up for, so
-// that a voter that was stopped asks before it acts.
+// Tick advances the node's time. Call it every 100 ms. Ticks missed during a pause of the process are not made up for,
+// so that a voter that was paused contacts the others before it starts an election.
 func (n *Node) Tick(now Time) {
 	n.now = now
 	if now-n.lastTick < tickInterval {
@@ -170,12 +173,12 @@
 	}
 	if n.leading && now >= n.nextCouncilTime && n.Machine.Ticks() {
 		n.nextCouncilTime = now + councilTimeInterval
-		_ = n.propose(&agreed.Command{Op: agreed.Tick}) // a leader that is not heard loses its lead soon
+		_ = n.propose(&agreed.Command{Op: agreed.Tick}) // a failure needs no handling: a leader without a majority steps down soon
 	}
 }
 
-// Receive takes a message of another voter, after all that Ready has returned is done. An error means that the node must
-// not go on, nor do what Ready may still have: ErrOldCopy or ErrParted.
+// Receive handles a message of another voter. Everything that Ready returned must be done before. After an error, which
+// is ErrOldCopy or ErrLogConflict, the node must stop without carrying out what Ready may still return.
 func (n *Node) Receive(now Time, m raftpb.Message) error {
 	n.now = now
 	if m.To != n.cfg.ID || !validMessage(&m) {
@@ -187,29 +190,30 @@
 	}
 	switch {
 	case m.Type == raftpb.MsgHeartbeat && m.Commit > last:
-		if n.raw.HasReady() { // what is not saved yet may be what it tells of; it comes again
+		if n.raw.HasReady() { // the missing entries may be among those not saved yet; the heartbeat is repeated
 			return nil
 		}
-		// A leader tells what is agreed and this voter has acknowledged, the smaller of both. To one that is new it tells
-		// nothing until that has acknowledged something, so this folder has forgotten what it had.
+		// A heartbeat carries the smaller of the leader's commit index and the index that this voter has acknowledged, and
+		// 0 for a voter that has acknowledged nothing. This folder has therefore lost entries that it once acknowledged.
 		return fmt.Errorf("%w, or was emptied: its log ends at %d, it had acknowledged %d", ErrOldCopy, last, m.Commit)
 	case m.Type == raftpb.MsgApp && m.Term >= n.Term() && !n.raw.HasReady():
 		if err := n.checkLogConflict(&m); err != nil {
 			return err
 		}
-	case m.Type == raftpb.MsgAppResp && !m.Reject && m.Index > last: // of what was never sent: a leader would count it
+	case m.Type == raftpb.MsgAppResp && !m.Reject && m.Index > last: // acknowledges entries that were never sent: a leader would count them
 		return nil
 	}
-	return recoverRaftPanic(func() { _ = n.raw.Step(m) }) // what does not fit the term is dropped there
+	return recoverRaftPanic(func() { _ = n.raw.Step(m) }) // raft drops messages of another term
 }
 
-// checkLogConflict looks at what a leader of this term or a later one tells of places that are agreed here: it must have the same
-// there. Raft refuses such a message only to be sent it again at once, without end, or gives up on it.
+// checkLogConflict compares the entries sent by a leader of this term or a later one with those committed here; both must
+// have the same terms. Without this check raft either rejects the message, which is resent at once and without end, or
+// panics.
 func (n *Node) checkLogConflict(m *raftpb.Message) error {
 	agreed := n.raw.BasicStatus().Commit
 	at, term := m.Index, m.LogTerm
 	for i := 0; at <= agreed; i++ {
-		if has, err := n.mem.Term(at); err == nil && has != term { // an error: it is cut off, or not there
+		if has, err := n.mem.Term(at); err == nil && has != term { // an error: the entry is compacted or missing
 			return fmt.Errorf("%w: entry %d is of term %d here, of term %d there", ErrLogConflict, at, has, term)
 		}
 		if i == len(m.Entries) {
@@ -220,7 +224,7 @@
 	return nil
 }
 
-// recoverRaftPanic does something of raft's that may panic, as raft does where it finds what it was told not to follow.
+// recoverRaftPanic runs a raft call and returns a panic as ErrLogConflict. Raft panics where a message contradicts its state.
 func recoverRaftPanic(do func()) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -231,13 +235,14 @@
 	return nil
 }
 
-// numberLimit is above all terms and places in the log that come about: raft adds to them without a look.
+// numberLimit is above all real terms and log indexes. Raft adds to them without checking for overflow.
 const numberLimit = 1 << 62
 
-// validMessage tells a message that a voter may send, in itself: raft takes others too and gives up on some, at once or later.
+// validMessage reports whether a voter may send such a message, judged by the message alone. Raft accepts others too and
+// panics on some of them, at once or later.
 func validMessage(m *raftpb.Message) bool {
 	if m.From == 0 || m.From == m.To || m.Term == 0 || max(m.Term, m.Index, m.Commit, m.LogTerm, m.RejectHint) >= numberLimit {
-		return false // without a term raft takes it for its own
+		return false // raft treats a message without a term as a local one
 	}
 	switch m.Type {
 	case raftpb.MsgApp:
@@ -255,16 +260,18 @@
 	case raftpb.MsgAppResp, raftpb.MsgVote, raftpb.MsgVoteResp, raftpb.MsgPreVote, raftpb.MsgPreVoteResp, raftpb.MsgHeartbeat, raftpb.MsgHeartbeatResp:
 		return true
 	}
-	return false // nothing else is sent between voters
+	return false // voters send each other no other types
 }
 
-// isSimpleConfState tells voters that changed one at a time, none of them twice there.
+// isSimpleConfState reports whether the configuration lists each ID once and is not a joint one, as voters change one at
+// a time.
 func isSimpleConfState(c raftpb.ConfState) bool {
 	all := slices.Sorted(slices.Values(slices.Concat(c.Voters, c.Learners)))
 	return len(c.Voters) > 0 && all[0] != 0 && len(slices.Compact(slices.Clone(all))) == len(all) && len(c.VotersOutgoing) == 0 && len(c.LearnersNext) == 0 && !c.AutoLeave
 }
 
-// councilTime is the leader's: it goes on from the agreed one as its own clock runs.
+// councilTime returns the leader's council time in ms: the committed time when it became leader plus what its own clock
+// has advanced since.
 func (n *Node) councilTime() int64 { return n.leadBaseMs + (n.now - n.leadSince).Milliseconds() }
 
 func (n *Node) propose(c *agreed.Command) error {
@@ -275,10 +282,11 @@
 	return n.raw.Propose(c.Encode())
 }
 
-// ErrFormTooOld is returned for a command that voters of the form in use would not know.
+// ErrFormTooOld is returned for a command that the format version in use does not have.
 var ErrFormTooOld = fmt.Errorf("council: the council works in form 1 until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", agreed.Releases)
 
-// Propose takes a command and returns a ticket by which its result will come.
+// Propose proposes a command and returns the ticket that its CommandResult will carry. It returns ErrNotLeader or
+// ErrFormTooOld for a command that it does not propose.
 func (n *Node) Propose(now Time, c *agreed.Command) (uint64, error) {
 	n.now = now
 	if !n.leading {
@@ -295,16 +303,16 @@
 	return n.lastTicket, nil
 }
 
-// Leader is the leader as this node knows it, 0 = none, and whether it is this node, able to take commands.
+// Leader returns the ID of the leader that this node knows, 0 = none, and whether this node leads and accepts commands.
 func (n *Node) Leader() (id uint64, leading bool) { return n.raw.BasicStatus().Lead, n.leading }
 
-// Term is the current term.
+// Term returns the current raft term.
 func (n *Node) Term() uint64 { return n.raw.BasicStatus().Term }
 
-// Campaign is for checkers.
+// Campaign starts an election. For model checkers and tests only.
 func (n *Node) Campaign() { _ = n.raw.Campaign() }
 
-// Ready returns what must be done, and false if nothing. Done must follow.
+// Ready returns pending work, and false if there is none. The caller must call Advance once the work is done.
 func (n *Node) Ready() (r Ready, ok bool) {
 	if !n.raw.HasReady() {
 		return r, false
@@ -314,8 +322,8 @@
 		Messages: rd.Messages, raftReady: rd}, true
 }
 
-// Advance goes on after what Ready returned is saved, and fills in results. snapshot is not empty where the log can be
-// cut off there: it must be saved before the entries go.
+// Advance applies committed entries after the caller has saved what Ready returned, and fills in r.Results and r.Fatal.
+// A snapshot that is not empty must be saved before log entries up to it are deleted.
 func (n *Node) Advance(r *Ready) (snapshot raftpb.Snapshot) {
 	rd := &r.raftReady
 	if !raft.IsEmptySnap(rd.Snapshot) {
@@ -360,7 +368,7 @@
 		return n.applyVoterChange(e)
 	}
 	if len(e.Data) == 0 {
-		return nil // a leader's first
+		return nil // the empty entry of a new leader
 	}
 	c, err := agreed.Decode(e.Data)
 	if err != nil {
@@ -379,25 +387,26 @@
 	return nil
 }
 
-// ErrVoterChange is returned for a change of voters that can't be made now.
-var ErrVoterChange = errors.New("council: voters can't change so now")
+// ErrVoterChange is returned for a change of voters that is not possible now.
+var ErrVoterChange = errors.New("council: this change of voters is not possible now")
 
-// MembershipChange is a change of voters: one joins as a learner, a learner becomes a voter, or one leaves.
+// MembershipChange is a change of voters: one joins as a learner, a learner becomes a voter, or one is removed.
 type MembershipChange struct {
 	ID    uint64
 	Voter agreed.Voter
 	Learn bool
 	Leave bool
-	All   map[uint64]agreed.Voter // those that are there, for who joins and knows no names yet
+	All   map[uint64]agreed.Voter // the present voters, for a joining one that knows no names yet
 }
 
-// changeContext is what a change carries in the log. Fields are added, never changed.
+// changeContext is the context of a configuration change in the raft log. Fields may be added but never changed.
 type changeContext struct {
 	Voter agreed.Voter            `cbor:"1,keyasint"`
 	All   map[uint64]agreed.Voter `cbor:"2,keyasint,omitempty"`
 }
 
-// ChangeVoters proposes a change. One is under way at a time, which raft sees to.
+// ChangeVoters proposes a change. Raft allows one at a time. It returns ErrNotLeader or ErrVoterChange for a change that
+// it does not propose.
 func (n *Node) ChangeVoters(now Time, c MembershipChange) error {
 	n.now = now
 	switch {
@@ -406,11 +415,11 @@
 	case n.Machine.Form() < agreed.Releases:
 		return fmt.Errorf("%w: the council works in form %d", ErrVoterChange, n.Machine.Form())
 	case c.Leave && len(n.conf.Voters) == 1 && n.conf.Voters[0] == c.ID:
-		return fmt.Errorf("%w: it is the last one", ErrVoterChange)
+		return fmt.Errorf("%w: it is the last voter", ErrVoterChange)
 	case !c.Leave && !c.Learn && !n.caughtUp(c.ID):
 		return fmt.Errorf("%w: %s has not caught up yet", ErrVoterChange, c.Voter.Name)
 	case n.raw.Status().Config.Learners != nil && c.Learn && len(n.raw.Status().Config.Learners) > 0:
-		return fmt.Errorf("%w: another one joins", ErrVoterChange)
+		return fmt.Errorf("%w: another voter is joining, wait until it votes", ErrVoterChange)
 	}
 	kind := raftpb.ConfChangeAddNode
 	if c.Learn {
@@ -423,18 +432,18 @@
 	if err != nil {
 		return err
 	}
-	// A change while another is under way is taken and does nothing; who asked looks at the voters again.
+	// Raft commits a change proposed while another is in progress as an empty one; callers check the voters again.
 	return n.raw.ProposeConfChange(raftpb.ConfChange{Type: kind, NodeID: c.ID, Context: context})
 }
 
-// caughtUp tells that a learner has nearly all of the log.
+// caughtUp reports whether a learner is active and has nearly all of the log.
 func (n *Node) caughtUp(id uint64) bool {
 	last, err := n.mem.LastIndex()
 	pr, ok := n.raw.Status().Progress[id]
 	return err == nil && ok && pr.Match > 0 && pr.Match+entriesKeptBehind/2 >= last && pr.RecentActive
 }
 
-// applyVoterChange applies a change of voters.
+// applyVoterChange applies a committed change of voters.
 func (n *Node) applyVoterChange(e *raftpb.Entry) error {
 	var cc raftpb.ConfChange
 	if err := cc.Unmarshal(e.Data); err != nil {
@@ -443,7 +452,7 @@
 	if err := recoverRaftPanic(func() { n.conf = *n.raw.ApplyConfChange(cc) }); err != nil {
 		return fmt.Errorf("entry %d: %w", e.Index, err)
 	}
-	if cc.NodeID == 0 || len(cc.Context) == 0 { // refused by raft, as another was under way
+	if cc.NodeID == 0 || len(cc.Context) == 0 { // emptied by raft, as another change was in progress
 		return nil
 	}
 	var j changeContext
@@ -461,14 +470,14 @@
 	return nil
 }
 
-// ConfState is who votes and who learns.
+// ConfState returns the IDs of the voters and learners.
 func (n *Node) ConfState() raftpb.ConfState { return n.conf }
 
-// maxLeaderlessTime is how long a council may have been without a leader before its releases are halted.
+// maxLeaderlessTime is how long the council may be without a leader before a new leader halts its releases.
 const maxLeaderlessTime = 8 * time.Second
 
-// updateLeadership follows whether this node leads. It does once it has applied something of its own term, as only then it knows
-// all that was agreed before.
+// updateLeadership records whether this node leads. It does once it has applied an entry of its own term, as only then
+// has it applied everything committed before. Commands that lost their leader get ErrNotLeader.
 func (n *Node) updateLeadership(r *Ready) {
 	s := n.raw.BasicStatus()
 	leads := s.RaftState == raft.StateLeader
@@ -491,7 +500,7 @@
 	}
 }
 
-// raftLogger passes raft's own lines on at debug, as what matters is told in words of ours.
+// raftLogger logs raft's own lines at level debug, as this package logs what matters to operators itself.
 type raftLogger struct{ log *slog.Logger }
 
 func (q raftLogger) debug(v ...any)              { q.log.Debug("raft", "line", fmt.Sprint(v...)) }
--- a/internal/fleet/council/restore.go
+++ b/internal/fleet/council/restore.go
@@ -16,27 +16,28 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// RestoreReport is what a restore would do, or did.
+// RestoreReport describes what a restore would do or has done.
 type RestoreReport struct {
-	Index   uint64   // of the last entry in the folder, which may be more than its council agreed on
-	Applied int      // entries after its snapshot
-	Voters  []string // of the lost council, as the folder knows them
-	Permits int      // that count as out until they are seen back
-	Halted  []string // releases
-	Confirm string   // what must be given to do it
+	Index   uint64   // of the last entry in the folder, which may be later than the last committed one
+	Applied int      // number of commands applied after the snapshot
+	Voters  []string // names of the other voters of the lost council, as the folder knows them
+	Permits int      // number of permits whose targets count as out until they are seen serving
+	Halted  []string // names of the releases that are halted
+	Confirm string   // the confirmation code to pass to Restore
 }
 
-// ErrNotConfirmed is returned until a restore is confirmed by what a dry run told.
+// ErrNotConfirmed is returned unless Restore is called with the code that an earlier call returned.
 var ErrNotConfirmed = errors.New("council: a restore makes a second council if the other voters are not gone for good: stop them all, then confirm")
 
-// Restore makes a new council of one voter from one folder of a council that has lost its majority for good. The folder
-// is read, never changed, and its voter must not run; into must not exist. lost must name all other voters, confirm
-// must be what an earlier call told. Fences go on far above the lost council's; its voters can't talk to the new one.
+// Restore creates a new council of one voter from one folder of a council that has lost its majority for good. Folder from
+// is read, never changed, and its voter must not run; folder into must not exist. lost must name all other voters, and
+// confirm must be RestoreReport.Confirm of an earlier call. Fences of the new council start far above the lost one's, and
+// voters of the lost council can't talk to the new one.
 func Restore(from, into, name string, lost []string, confirm, who string) (r RestoreReport, err error) {
 	if _, err := os.Stat(filepath.Join(from, storeFile)); err != nil {
 		return r, err
 	}
-	s, saved, err := OpenStore(from) // its lock tells a voter that runs
+	s, saved, err := OpenStore(from) // fails on the file lock if the voter is running
 	if err != nil {
 		return r, err
 	}
@@ -50,7 +51,7 @@
 	r.Index = saved.Snapshot.Metadata.Index
 	term := max(saved.Hard.Term, saved.Snapshot.Metadata.Term)
 	dropped := map[uint64]bool{}
-	for i := range saved.Entries { // entries that are not known to be agreed may be: who was let out counts as out
+	for i := range saved.Entries { // uncommitted entries may have been committed elsewhere: a target they permit to leave counts as out
 		e := &saved.Entries[i]
 		r.Index, term = e.Index, max(term, e.Term)
 		if e.Type != raftpb.EntryNormal {
@@ -107,12 +108,12 @@
 	given := slices.Sorted(slices.Values(lost))
 	switch {
 	case !slices.Equal(given, r.Voters):
-		return r, fmt.Errorf("%w: the other voters are %s, %s were named as lost", ErrNotConfirmed, strings.Join(r.Voters, ","), strings.Join(given, ","))
+		return r, fmt.Errorf("%w: the other voters are %s, but --lost named %s", ErrNotConfirmed, strings.Join(r.Voters, ","), strings.Join(given, ","))
 	case confirm != r.Confirm:
 		return r, fmt.Errorf("%w with %s", ErrNotConfirmed, r.Confirm)
 	}
 	if _, err := os.Stat(into); !errors.Is(err, os.ErrNotExist) {
-		return r, fmt.Errorf("council: %s is there, want a folder that is not", into)
+		return r, fmt.Errorf("council: %s exists already, want a new folder", into)
 	}
 	m.Restored(rand.Uint64()|1, who)
 	fresh, now, err := OpenStore(into)
--- a/internal/fleet/council/roll.go
+++ b/internal/fleet/council/roll.go
@@ -1,37 +1,39 @@
 package council
 
-// Incarnation is one start of one voter's folder. A folder counts its starts, and each process draws a number of its own: an
-// old copy of a folder begins with a count that others have seen already, under another number; and however often it is
-// started before it reaches anyone, the numbers of its past are not those that others have seen.
+// Incarnation identifies one start of one voter's folder. A folder counts its starts, and each process has a random ID.
+// An old copy of a folder therefore either repeats a start number that other voters know under another process ID, or,
+// if it was started several times before it reached anyone, reports past process IDs that differ from those they know.
 type Incarnation struct {
-	Identity  uint64 `cbor:"1,keyasint"` // of the folder
+	Identity  uint64 `cbor:"1,keyasint"` // random ID of the folder
 	Starts    uint64 `cbor:"2,keyasint"`
-	ProcessID uint64 `cbor:"3,keyasint"` // of the process
+	ProcessID uint64 `cbor:"3,keyasint"` // random ID of the process
 }
 
-// PeerIncarnations is what a voter knows of the lives of the others, by name. It is its owner's alone; what Meet says is new must
-// be on disk before the voter acts on it.
+// PeerIncarnations holds the latest known incarnation of each other voter, by name. Whatever Check reports as
+// IncarnationNew must be on disk before the voter acts on the message. It is not safe for concurrent use.
 type PeerIncarnations struct {
 	ByName   map[string]Incarnation
-	Disabled bool // for checkers only
+	Disabled bool // accepts every incarnation of a known folder; for model checkers only
 }
 
-// IncarnationCheck is what came of a message's life.
+// IncarnationCheck is the result of checking the incarnation that a message carries.
 type IncarnationCheck int
 
-// The meetings.
+// The results of a check.
 const (
 	IncarnationSame    IncarnationCheck = iota
-	IncarnationNew                      // to be kept
-	IncarnationForeign                  // another folder: its voter is another one
-	IncarnationStale                    // a life of the past: the folder is an old copy
+	IncarnationNew                      // first or later incarnation, to be saved
+	IncarnationForeign                  // another folder: not the voter known by this name
+	IncarnationStale                    // an earlier incarnation, or one that does not follow the known one: the folder is an old copy
 )
 
-// maxPastRuns is how many lives of a folder's past it tells; who was not heard of for more is taken at its word.
+// maxPastRuns is how many past process IDs a folder keeps and sends. A voter that was started more often than that since
+// it was last heard is accepted without this check.
 const maxPastRuns = 16
 
-// Check takes the life that a message carries, with the numbers of the processes of the folder's lives before, the last
-// one last. Zero starts: a voter of the former program, whose folder counts none.
+// Check compares the incarnation l that a message from voter name carries, and the process IDs of that folder's earlier
+// starts, oldest first, with the known incarnation, and records l where it is new. l.Starts is 0 for a voter of the
+// former program, whose folder counts no starts.
 func (r *PeerIncarnations) Check(name string, l Incarnation, past []uint64) IncarnationCheck {
 	known, ok := r.ByName[name]
 	switch {
@@ -53,5 +55,5 @@
 	return IncarnationNew
 }
 
-// Forget drops a name, whose voter was removed or is to be another one.
+// Forget drops the entry of a voter that was removed or replaced.
 func (r *PeerIncarnations) Forget(name string) { delete(r.ByName, name) }
--- a/internal/fleet/council/store.go
+++ b/internal/fleet/council/store.go
@@ -19,11 +19,11 @@
 	"reachwind/internal/fleet/agreed"
 )
 
-// Store keeps a voter's log, its term and vote, and a snapshot in one bbolt file. Each value has a checksum of its own.
-// It is its owner's alone.
+// Store keeps a voter's log, its term and vote, and a snapshot in one bbolt file. Each value carries a CRC-32C checksum.
+// It is not safe for concurrent use.
 type Store struct {
 	db       *bbolt.DB
-	Identity uint64 // drawn when the folder was made: a voter whose folder is lost is another one
+	Identity uint64 // random ID drawn when the folder was created: a voter whose folder is lost counts as another voter
 	Roll     PeerIncarnations
 }
 
@@ -35,20 +35,21 @@
 var (
 	bucketLog          = []byte("log")
 	bucketMeta         = []byte("meta")
-	bucketIdentities   = []byte("voters") // identities that were met, by name; the former program reads them too
-	bucketIncarnations = []byte("lives")  // the last life of each
+	bucketIdentities   = []byte("voters") // folder identities of other voters, by name; the former program reads them too
+	bucketIncarnations = []byte("lives")  // latest incarnation of each other voter, by name
 	keyFormat          = []byte("form")
 	keyHardState       = []byte("hard")
 	keySnapshot        = []byte("snapshot")
 	keyIdentity        = []byte("identity")
-	keyFoundingForm    = []byte("born")     // the form that the council was founded with; absent: 1
-	keyFounders        = []byte("founders") // names, and the number of this voter
+	keyFoundingForm    = []byte("born")     // format version that the council was founded with; absent: 1
+	keyFounders        = []byte("founders") // names of the first voters, and the ID of this one
 	keyStarts          = []byte("starts")
-	keyRuns            = []byte("runs") // numbers of the last processes, this one last
+	keyRuns            = []byte("runs") // process IDs of the last starts, the present one last
 	castagnoli         = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrDamaged is returned for a file that holds what was never written so.
+// ErrDamaged is returned for a file with content that this program never writes, such as a wrong checksum or a gap in the
+// log.
 var ErrDamaged = errors.New("council: the file is damaged")
 
 func withChecksum(b []byte) []byte {
@@ -62,10 +63,11 @@
 	return b[4:], nil
 }
 
-// OpenStore opens the folder's file, or makes it.
+// OpenStore opens the file in folder dir, creating both if needed, and returns the saved state. It returns ErrDamaged for
+// a damaged file, and fails after 2 s if another process holds the file's lock.
 func OpenStore(dir string) (s *Store, saved Saved, err error) { return openStore(dir, nil) }
 
-// openStore opens it with options of bbolt, for tests of disks that fail.
+// openStore is OpenStore with options of bbolt, for tests of failing disks; nil means the default.
 func openStore(dir string, o *bbolt.Options) (s *Store, saved Saved, err error) {
 	if o == nil {
 		o = &bbolt.Options{Timeout: 2 * time.Second}
@@ -78,7 +80,7 @@
 		return nil, saved, fmt.Errorf("%s: %w", filepath.Join(dir, storeFile), err)
 	}
 	defer func() {
-		if v := recover(); v != nil { // bbolt finds a damaged page by a panic
+		if v := recover(); v != nil { // bbolt panics on a damaged page
 			err = fmt.Errorf("%w: %v", ErrDamaged, v)
 		}
 		if err != nil {
@@ -224,7 +226,7 @@
 	})
 }
 
-// Save puts on disk what a Ready says: all of it or nothing.
+// Save writes the Save part of a Ready to disk, all of it or nothing.
 func (s *Store) Save(v *Saved) error {
 	if raft.IsEmptyHardState(v.Hard) && len(v.Entries) == 0 && raft.IsEmptySnap(v.Snapshot) {
 		return nil
@@ -254,7 +256,7 @@
 		if len(v.Entries) == 0 {
 			return nil
 		}
-		if err := deleteEntries(log, v.Entries[0].Index, 1<<63); err != nil { // what another leader wrote there is void
+		if err := deleteEntries(log, v.Entries[0].Index, 1<<63); err != nil { // entries of an earlier leader from there on are replaced
 			return err
 		}
 		for i := range v.Entries {
@@ -270,7 +272,7 @@
 	})
 }
 
-// SaveSnapshot saves a snapshot of this voter's own and drops the entries that it makes needless.
+// SaveSnapshot saves a snapshot that this voter took and deletes the log entries that it covers.
 func (s *Store) SaveSnapshot(snap raftpb.Snapshot) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b, err := snap.Marshal()
@@ -284,7 +286,7 @@
 	})
 }
 
-// deleteEntries deletes the entries from first to last.
+// deleteEntries deletes the log entries from index first to last, both included.
 func deleteEntries(b *bbolt.Bucket, first, last uint64) error {
 	c := b.Cursor()
 	for k, _ := c.Seek(binary.BigEndian.AppendUint64(nil, first)); k != nil && binary.BigEndian.Uint64(k) <= last; k, _ = c.Next() {
@@ -295,14 +297,14 @@
 	return nil
 }
 
-// founders are the council's first voters, and this voter's number where it is not its place among them.
+// founders are the council's first voters, and this voter's ID where it is not its position among them.
 type founders struct {
 	Names []string `cbor:"1,keyasint"`
 	ID    uint64   `cbor:"2,keyasint,omitempty"`
 }
 
-// RecordStart counts a start and keeps who the first voters are, if that is not known yet: their numbers must not move when a
-// configuration names others later.
+// RecordStart counts a start with process ID run, updates saved accordingly and, on the first start, stores the names of
+// the first voters: their IDs must not change when a later configuration names others.
 func (s *Store) RecordStart(saved *Saved, names []string, id, run uint64) error {
 	saved.Starts++
 	saved.Past = saved.Past[max(0, len(saved.Past)-maxPastRuns):]
@@ -329,7 +331,7 @@
 	})
 }
 
-// CheckIncarnation takes the life that a message of another voter carries, and keeps it where it is new.
+// CheckIncarnation is PeerIncarnations.Check, which also saves a new incarnation to disk. On an error nothing is recorded.
 func (s *Store) CheckIncarnation(name string, l Incarnation, past []uint64) (IncarnationCheck, error) {
 	was, had := s.Roll.ByName[name]
 	m := s.Roll.Check(name, l, past)
@@ -354,7 +356,7 @@
 	return m, err
 }
 
-// Forget drops what is known of a name.
+// Forget deletes what is known of the voter of that name, in memory and on disk.
 func (s *Store) Forget(name string) error {
 	s.Roll.Forget(name)
 	return s.db.Update(func(tx *bbolt.Tx) error {
@@ -365,5 +367,5 @@
 	})
 }
 
-// Close closes the file.
+// Close closes the file and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/fleet/council/zones.go
+++ b/internal/fleet/council/zones.go
@@ -9,8 +9,8 @@
 	"reachwind/internal/fleet/zoneplan"
 )
 
-// planZones has the leader plan where the zones' load goes, from what gateways report, and agree on it. A leader that
-// has just begun goes on from the plan that holds.
+// planZones has the leader compute from the gateways' reports where the zones' load goes, and propose a changed plan. A
+// new leader continues from the committed plan.
 func (v *Voter) planZones() {
 	_, leads := v.node.Leader()
 	m := v.node.Machine
@@ -28,7 +28,7 @@
 			}
 			v.planner.Resume(now, p.Number, zones)
 		}
-		v.reports.TakeZoneCounts(now) // what came before this voter led is of no known while
+		v.reports.TakeZoneCounts(now) // counts from before this voter led cover an unknown period and are discarded
 		v.nextPlan = now + subscribe.ReportInterval
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.ZoneActs())) {
@@ -53,7 +53,7 @@
 	v.propose(&agreed.Command{Op: agreed.SetZones, Zones: z, Term: zoneplan.Term.Milliseconds()})
 }
 
-// addZonesAway is what gateways are told of the plan that holds.
+// addZonesAway adds the zone plan in force, unless it has expired, to an update for gateways.
 func (v *Voter) addZonesAway(t *subscribe.Update) {
 	m := v.node.Machine
 	p := m.Zones()
