--- a/internal/fleet/council/copy_test.go
+++ b/internal/fleet/council/copy_test.go
@@ -20,7 +20,7 @@
 
 var leaderIncarnation = Incarnation{Identity: 11, Starts: 1, ProcessID: 1}
 
-// startVoter begins a life of voter c3 in a folder.
+// startVoter starts voter c3 in a folder, without sockets.
 func startVoter(t *testing.T, dir string) *Voter {
 	t.Helper()
 	store, saved, err := OpenStore(dir)
@@ -32,13 +32,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = store.Close() })
-	if _, err := drain(v.node); err != nil { // what was agreed before is applied again
+	if _, err := drain(v.node); err != nil { // committed entries are applied again
 		t.Fatal(err)
 	}
 	return v
 }
 
-// sendFromC1 has c1 tell something, and returns what the voter answers; nothing once it is to end.
+// sendFromC1 hands the voter a raft message of c1 and returns its answers; none once it must stop.
 func sendFromC1(t *testing.T, v *Voter, known Incarnation, m raftpb.Message) (answers []raftpb.Message) {
 	t.Helper()
 	m.From, m.To = 1, 3
@@ -67,30 +67,30 @@
 	return answers
 }
 
-// emptyEntry is a leader's first, which holds nothing.
+// emptyEntry is the entry without data that a new leader writes first.
 func emptyEntry(index, term uint64) raftpb.Entry { return raftpb.Entry{Index: index, Term: term} }
 
-// TestOldCopy: a voter that goes on from an old copy of its folder ends, whatever the leader's first message to it is and
-// before any hello: it neither panics nor votes. One that goes on from its own folder is told the same and goes on, and
-// ends where a leader has something else in place of what it knows as agreed.
+// TestOldCopy: a voter started from an old copy of its folder stops at the leader's first message, whatever that is and
+// before any hello: it neither panics nor votes. A voter started from its own folder gets the same messages and continues,
+// and stops where a leader has other entries in place of committed ones.
 func TestOldCopy(t *testing.T) {
 	beat := raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 3, Commit: 4}
 	for _, c := range []struct {
 		name   string
-		within bool // the copy is taken within the life that goes on
-		own    bool // no copy
-		known  bool // the leader tells which life it knows
+		within bool // the copy is taken after the second start, before entry 4 arrives
+		own    bool // the voter restarts from its own folder
+		known  bool // the leader's message carries the incarnation that it knows
 		first  raftpb.Message
 		want   error
 	}{
 		{"heartbeat", false, false, true, beat, ErrOldCopy},
 		{"heartbeat of the former program", false, false, false, beat, ErrOldCopy},
-		{"heartbeat to a copy of the present life", true, false, true, beat, ErrOldCopy},
+		{"heartbeat to a copy of the present incarnation", true, false, true, beat, ErrOldCopy},
 		{"vote", false, false, true, raftpb.Message{Type: raftpb.MsgVote, Term: 4, Index: 3, LogTerm: 2}, ErrOldCopy},
 		{"entries", false, false, true, raftpb.Message{Type: raftpb.MsgApp, Term: 3, Index: 3, LogTerm: 2, Entries: []raftpb.Entry{emptyEntry(4, 3)}}, ErrOldCopy},
-		{"entries after another one that is agreed here", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 3, LogTerm: 4, Entries: []raftpb.Entry{emptyEntry(4, 4)}}, ErrLogConflict},
-		{"entries that replace an agreed one", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 2, LogTerm: 2, Entries: []raftpb.Entry{emptyEntry(3, 4)}}, ErrLogConflict},
-		{"entries of a leader of the past", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 3, LogTerm: 1, Entries: []raftpb.Entry{emptyEntry(4, 1)}}, nil},
+		{"entries that follow a conflicting committed entry", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 3, LogTerm: 4, Entries: []raftpb.Entry{emptyEntry(4, 4)}}, ErrLogConflict},
+		{"entries that replace a committed one", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 4, Index: 2, LogTerm: 2, Entries: []raftpb.Entry{emptyEntry(3, 4)}}, ErrLogConflict},
+		{"entries of a former leader", true, true, true, raftpb.Message{Type: raftpb.MsgApp, Term: 2, Index: 3, LogTerm: 1, Entries: []raftpb.Entry{emptyEntry(4, 1)}}, nil},
 		{"heartbeat to its own folder", false, true, true, beat, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 				take()
 			}
 			v = startVoter(t, dir)
-			if c.within { // as disks are copied: between two writes
+			if c.within { // as disk copies are made: between two writes
 				take()
 			}
 			later := v.incarnation
@@ -134,7 +134,8 @@
 	}
 }
 
-// TestMessagesCarryKnownIncarnation: each message tells whom it is sent to which life of it is known, so that no message comes before it.
+// TestMessagesCarryKnownIncarnation: each message carries the receiver's known incarnation, so that an old copy can be
+// detected by the first message of any kind.
 func TestMessagesCarryKnownIncarnation(t *testing.T) {
 	v := startVoter(t, filepath.Join(t.TempDir(), "f"))
 	sendFromC1(t, v, Incarnation{}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 2})
@@ -146,8 +147,9 @@
 	}
 }
 
-// TestEmptiedFolder: a founder whose folder was emptied ends where a leader holds its word for what it no longer has; a voter that
-// joins with an empty folder, and one of a council that just begins, are told nothing of the kind and learn the log.
+// TestEmptiedFolder: a founder whose folder was emptied stops when a leader's heartbeat shows that it had acknowledged
+// entries it no longer has. A voter that joins with an empty folder, and one of a new council, get no such heartbeat and
+// receive the log.
 func TestEmptiedFolder(t *testing.T) {
 	v := startVoter(t, filepath.Join(t.TempDir(), "f"))
 	if sendFromC1(t, v, Incarnation{Identity: 12, Starts: 4, ProcessID: 5}, raftpb.Message{Type: raftpb.MsgHeartbeat, Term: 3, Commit: 4}); !errors.Is(v.fatal, ErrOldCopy) {
@@ -175,7 +177,7 @@
 	}
 }
 
-// drain does all that a node wants done and returns its messages.
+// drain carries out all pending work of a node and returns its messages.
 func drain(n *Node) (all []raftpb.Message, fatal error) {
 	for {
 		r, ok := n.Ready()
@@ -189,10 +191,10 @@
 	}
 }
 
-// TestNoMessagePanics: whatever another voter sends, a node drops it, takes it, or ends with an error that has a type.
+// TestNoMessagePanics: whatever another voter sends, a node drops it, handles it, or stops with a typed error.
 func TestNoMessagePanics(t *testing.T) {
 	rng := rand.New(rand.NewPCG(31, 7))
-	near := func() uint64 { // mostly what nearly fits
+	near := func() uint64 { // mostly small values, which are often nearly valid
 		switch rng.IntN(40) {
 		case 0:
 			return 1<<64 - 1 - rng.Uint64N(2)
@@ -211,7 +213,7 @@
 	for range 150 {
 		voters := []uint64{1, 2, 3}
 		if rng.IntN(5) == 0 {
-			voters = nil // who joins
+			voters = nil // a joining voter
 		}
 		saved := Saved{Hard: raftpb.HardState{Term: 2, Commit: 4}, Entries: []raftpb.Entry{emptyEntry(2, 2), emptyEntry(3, 2), emptyEntry(4, 2), emptyEntry(5, 2), emptyEntry(6, 2)}}
 		if voters == nil || rng.IntN(4) == 0 {
@@ -222,7 +224,7 @@
 			t.Fatal(err)
 		}
 		_, _ = drain(n)
-		if rng.IntN(3) == 0 && voters != nil { // a leader
+		if rng.IntN(3) == 0 && voters != nil { // make the node leader
 			n.Campaign()
 			_, _ = drain(n)
 			_ = n.Receive(0, raftpb.Message{Type: raftpb.MsgPreVoteResp, From: 1, To: 3, Term: n.Term() + 1})
@@ -239,7 +241,7 @@
 			if rng.IntN(2) == 0 {
 				m.Type = []raftpb.MessageType{raftpb.MsgApp, raftpb.MsgSnap, raftpb.MsgHeartbeat, raftpb.MsgAppResp}[rng.IntN(4)]
 			}
-			if rng.IntN(2) == 0 { // of the node's own term, so that it is looked at
+			if rng.IntN(2) == 0 { // of the node's own term, so that raft does not drop it at once
 				m.From, m.Term = 1+rng.Uint64N(2), n.Term()
 			}
 			fit := rng.IntN(2) == 0
@@ -295,13 +297,14 @@
 			parted++
 		}
 	}
-	t.Logf("%d messages taken or dropped, %d nodes led, %d ended as old copies, %d as parted", took, led, old, parted)
+	t.Logf("%d messages handled or dropped, %d nodes led, %d stopped as old copies, %d with a log conflict", took, led, old, parted)
 	if old == 0 || parted == 0 || led == 0 || took == 0 {
-		t.Error("this shows little")
+		t.Error("want at least one message handled, one leader, one old copy and one log conflict")
 	}
 }
 
-// TestInvalidFolderAndVoterChange: a folder that can't be, and a change of voters that raft does not know, end by errors.
+// TestInvalidFolderAndVoterChange: a saved state that contradicts itself, and a change of voters of a kind that raft does not
+// know, lead to errors, not panics.
 func TestInvalidFolderAndVoterChange(t *testing.T) {
 	c := NodeConfig{ID: 3, Voters: []uint64{1, 2, 3}, Log: slog.New(slog.DiscardHandler)}
 	for _, s := range []Saved{
--- a/internal/fleet/council/disk_test.go
+++ b/internal/fleet/council/disk_test.go
@@ -23,8 +23,8 @@
 	"reachwind/internal/fleet/peers"
 )
 
-// TestFailingDisk: a voter whose disk takes no more writes tells nobody what it could not save, says so and ends; started
-// on a disk that does, it goes on from what was saved.
+// TestFailingDisk: a voter whose disk accepts no more writes reports no command as done that it could not save, and stops
+// with an error. What it saved before can be read again.
 func TestFailingDisk(t *testing.T) {
 	dir := t.TempDir()
 	keys := filepath.Join(dir, "keys")
@@ -77,7 +77,7 @@
 		return f, err
 	}})
 	done := 0
-	for range 400 { // until it leads
+	for range 400 { // until the voter leads
 		if command(1) == http.StatusOK {
 			done = 1
 			break
@@ -85,11 +85,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if done != 1 {
-		t.Fatal("a council of one decides nothing")
+		t.Fatal("a council of one voter decided nothing within 400 tries")
 	}
-	_ = file.Close() // whatever is written from here on fails
+	_ = file.Close() // every later write fails
 	if code := command(2); code == http.StatusOK {
-		t.Error("a command is told as done that was not saved")
+		t.Error("a command that was not saved was reported as done")
 	}
 	time.Sleep(100 * time.Millisecond)
 	if err := stop(); err == nil || !strings.Contains(err.Error(), "saving") {
@@ -111,7 +111,7 @@
 	_ = s.Close()
 }
 
-// plainLog is a log of records with a length and a checksum, appended to and synced: what a store of our own would be.
+// plainLog is a synced append-only log of records with length and checksum, the simplest alternative to bbolt.
 type plainLog struct{ f *os.File }
 
 func (l *plainLog) append(entries []raftpb.Entry) error {
@@ -147,8 +147,8 @@
 	return n, err
 }
 
-// BenchmarkStore compares bbolt with a plain log by the time of a decision saved, the file's size and the recovery of so
-// many decisions.
+// BenchmarkStore compares bbolt with a plain log: the time to save a decision, the file's size per decision and the
+// recovery time per decision.
 func BenchmarkStore(b *testing.B) {
 	data := (&agreed.Command{Form: agreed.Form, Op: agreed.Acquire, Client: "0123456789abcdef01234567", Number: 7, Who: "ops@host", Target: "gateway/gw-17", Term: 60000}).Encode()
 	entry := func(i int) []raftpb.Entry { return []raftpb.Entry{{Index: uint64(i + 2), Term: 2, Data: data}} }
--- a/internal/fleet/council/store_test.go
+++ b/internal/fleet/council/store_test.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// TestStore: what was saved is found again; entries of another leader are replaced; a flipped byte of a value is found;
-// identities tell a folder from another.
+// TestStore: saved state is found again after a restart; entries of another leader are replaced; a flipped byte in a value
+// is detected; incarnations of other folders and of old copies are refused.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	open := func() (*Store, Saved) {
@@ -42,15 +42,15 @@
 		want IncarnationCheck
 	}{{Incarnation{7, 0, 0}, IncarnationNew}, {Incarnation{7, 3, 1}, IncarnationNew}, {Incarnation{7, 3, 1}, IncarnationSame}, {Incarnation{8, 9, 1}, IncarnationForeign}, {Incarnation{7, 2, 5}, IncarnationStale}, {Incarnation{7, 3, 5}, IncarnationStale}, {Incarnation{7, 4, 5}, IncarnationNew}, {Incarnation{7, 3, 1}, IncarnationStale}} {
 		if got, err := s.CheckIncarnation("c2", c.life, nil); got != c.want || err != nil {
-			t.Errorf("%+v: meeting %d, %v, want %d", c.life, got, err, c.want)
+			t.Errorf("%+v: check %d, %v, want %d", c.life, got, err, c.want)
 		}
 	}
 	r := PeerIncarnations{ByName: map[string]Incarnation{"c2": {7, 5, 55}}}
-	if m := r.Check("c2", Incarnation{7, 7, 70}, []uint64{30, 40, 41, 42}); m != IncarnationStale { // an old copy, started till it counts past
-		t.Errorf("an old copy that counts past the known life is met as %d", m)
+	if m := r.Check("c2", Incarnation{7, 7, 70}, []uint64{30, 40, 41, 42}); m != IncarnationStale { // an old copy, started so often that its count exceeds the known one
+		t.Errorf("an old copy with more starts than the known incarnation is checked as %d", m)
 	}
 	if m := r.Check("c2", Incarnation{7, 7, 70}, []uint64{44, 55, 66}); m != IncarnationNew {
-		t.Errorf("a later life is met as %d", m)
+		t.Errorf("a later incarnation is checked as %d", m)
 	}
 	if err := s.RecordStart(&saved, []string{"c1", "c2", "c3"}, 0, 9); err != nil || saved.Starts != 1 {
 		t.Errorf("start %d, %v", saved.Starts, err)
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	flipped := 0
-	for i := range text { // every copy of the needle, as old pages hold some too
+	for i := range text { // every copy of the text, as old pages of the file hold some too
 		if i+6 < len(text) && string(text[i:i+6]) == "needle" {
 			text[i] ^= 1
 			flipped++
