--- a/cmd/reachwind/council.go
+++ b/cmd/reachwind/council.go
@@ -131,16 +131,16 @@
 		Most  int     `json:"most"`
 		Share float64 `json:"share,omitempty"`
 	} `json:"budgets"`
-	Permits  []permit         `json:"permits"`
-	Releases []agreed.Release `json:"releases"`
-	Targets  []agreed.Target  `json:"targets"`
-	Rules    agreed.Rules     `json:"rules"`
-	Serves   agreed.Serves    `json:"serves"`
-	Zones    *agreed.ZonePlan `json:"zones"`
-	Form     int              `json:"form"`
-	Identity uint64           `json:"identity"`
-	Listen   string           `json:"listen"`
-	ID       uint64           `json:"id"`
+	Permits  []permit           `json:"permits"`
+	Releases []agreed.Release   `json:"releases"`
+	Targets  []agreed.Target    `json:"targets"`
+	Rules    agreed.Rules       `json:"rules"`
+	Serves   agreed.FleetHealth `json:"serves"`
+	Zones    *agreed.ZonePlan   `json:"zones"`
+	Form     int                `json:"form"`
+	Identity uint64             `json:"identity"`
+	Listen   string             `json:"listen"`
+	ID       uint64             `json:"id"`
 	Voters   []struct {
 		Name    string `json:"name"`
 		ID      uint64 `json:"id"`
@@ -227,8 +227,8 @@
 			}
 			_, _ = fmt.Fprintf(out, "voter %s at %s %s, heard %s, speaks form %d of %d in use\n", v.Name, v.Address, kind, heard, v.Form, s.Form)
 		}
-		if s.Rules.ZoneLost || s.Rules.Worth > 0 {
-			_, _ = fmt.Fprintf(out, "nothing new goes out while a zone is lost: %v; while less than %g is served in time (now %.3f)\n", s.Rules.ZoneLost, s.Rules.Worth, s.Serves.Worth)
+		if s.Rules.BlockOnZoneLoss || s.Rules.MinInTimeFraction > 0 {
+			_, _ = fmt.Fprintf(out, "nothing new goes out while a zone is lost: %v; while less than %g is served in time (now %.3f)\n", s.Rules.BlockOnZoneLoss, s.Rules.MinInTimeFraction, s.Serves.InTimeFraction)
 		}
 		for i := range s.Releases {
 			_, _ = fmt.Fprintln(out, progress(&s.Releases[i], s.TimeMs))
@@ -355,7 +355,7 @@
 		s, err := c.status()
 		if err == nil {
 			i := slices.IndexFunc(s.Targets, func(t agreed.Target) bool { return t.Name == target })
-			if i < 0 || !s.Targets[i].Out && (s.Targets[i].Caught || s.Targets[i].Primary) {
+			if i < 0 || !s.Targets[i].Out && (s.Targets[i].CaughtUp || s.Targets[i].Primary) {
 				return
 			}
 		}
--- a/cmd/reachwind/release.go
+++ b/cmd/reachwind/release.go
@@ -36,25 +36,25 @@
 				b.AddFault("a second release, want one in a file")
 				return
 			}
-			r = agreed.Release{Name: b.Label, Of: b.Enum("of", "gateways", "gateways", "members"), Version: b.String("version", ""), Former: b.String("former", ""),
-				Command: b.Strings("command"), Undo: b.Strings("back"), TermMs: b.Duration("term", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds(),
-				Together: int(b.Int("together", 1, 1, 1000)), AutoBack: b.Enum("on_halt", "stay", "stay", "back") == "back",
-				Want: agreed.Want{Off: true}}
+			r = agreed.Release{Name: b.Label, Kind: b.Enum("of", "gateways", "gateways", "members"), Version: b.String("version", ""), Former: b.String("former", ""),
+				Command: b.Strings("command"), UndoCommand: b.Strings("back"), TermMs: b.Duration("term", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds(),
+				MaxTogether: int(b.Int("together", 1, 1, 1000)), AutoBack: b.Enum("on_halt", "stay", "stay", "back") == "back",
+				HealthLimits: agreed.HealthLimits{Disabled: true}}
 			b.Blocks("step", true, func(b *edgeconf.Block) {
-				r.Steps = append(r.Steps, agreed.Step{Name: b.Label, Zone: b.String("zone", ""), Count: int(b.Int("count", 0, 0, agreed.ItemsMost)), Share: b.Number("share", 0, 0, 1),
+				r.Steps = append(r.Steps, agreed.Step{Name: b.Label, Zone: b.String("zone", ""), Count: int(b.Int("count", 0, 0, agreed.MaxItems)), Share: b.Number("share", 0, 0, 1),
 					PauseMs: b.Duration("pause", 0, 0, 24*time.Hour).Milliseconds()})
 			})
 			b.Blocks("health", false, func(b *edgeconf.Block) {
-				r.Want = agreed.Want{Refused: b.Number("refused", 0.01, 0, 1), Late: b.Number("late", 0.02, 0, 1), P99Times: b.Number("p99_times", 2, 1, 1000),
-					Restarts: int(b.Int("restarts", 0, 0, 1000)), Least: uint64(b.Int("requests", 100, 1, 1e9)), WithinMs: b.Duration("within", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds()}
+				r.HealthLimits = agreed.HealthLimits{RefusedMargin: b.Number("refused", 0.01, 0, 1), LateMargin: b.Number("late", 0.02, 0, 1), P99Factor: b.Number("p99_times", 2, 1, 1000),
+					MaxRestarts: int(b.Int("restarts", 0, 0, 1000)), MinRequests: uint64(b.Int("requests", 100, 1, 1e9)), WithinMs: b.Duration("within", 5*time.Minute, time.Second, 24*time.Hour).Milliseconds()}
 			})
 			if why := r.Check(); why != "" {
 				b.AddFault("%s", why)
 			}
-			if r.Of == "gateways" && r.Version == "" && !r.Want.Off {
+			if r.Kind == "gateways" && r.Version == "" && !r.HealthLimits.Disabled {
 				b.AddFault("health compares versions, and no version is named: want version = what the new gateways say")
 			}
-			if r.AutoBack && len(r.Undo) == 0 {
+			if r.AutoBack && len(r.UndoCommand) == 0 {
 				b.AddFault("on_halt is \"back\", and no command back is named")
 			}
 		})
@@ -78,11 +78,11 @@
 		}
 	}
 	line := fmt.Sprintf("release %s: %s, step %d of %d (%s), %s", r.Name, r.State, r.Step+1, len(r.Steps), r.Steps[r.Step].Name, strings.Join(parts, ", "))
-	if r.Driver != "" && now < r.Until && !r.Ended() {
+	if r.Driver != "" && now < r.DriverUntil && !r.Ended() {
 		line += "; driven by " + r.Driver
 	}
-	if r.Why != "" {
-		line += ": " + r.Why
+	if r.Reason != "" {
+		line += ": " + r.Reason
 	}
 	return line
 }
@@ -116,7 +116,7 @@
 			}
 			var budgets []agreed.Budget
 			for _, b := range s.Budgets {
-				budgets = append(budgets, agreed.Budget{Of: b.Of, Zone: b.Zone, Group: b.Group, Most: b.Most, Share: b.Share})
+				budgets = append(budgets, agreed.Budget{Kind: b.Of, Zone: b.Zone, Group: b.Group, MaxOut: b.Most, MaxFraction: b.Share})
 			}
 			legs := r.Forecast(s.Targets, budgets)
 			if *asJSON {
@@ -184,7 +184,7 @@
 	}
 	steer("halt", "let nothing more go out by a release; what is out comes back", "halt", "")
 	steer("resume", "go on with a halted release, what failed tried anew, and drive it", "resume", agreed.Finished)
-	steer("back", "take a release back, under the same budgets, and drive that", "back", agreed.Back)
+	steer("back", "take a release back, under the same budgets, and drive that", "back", agreed.RolledBack)
 	history := func() *cobra.Command {
 		return &cobra.Command{Use: "history [NAME]", Short: "who asked what of the council, and what came of it", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			c := newCouncillors(*admin)
@@ -203,7 +203,7 @@
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 				_, _ = fmt.Fprintln(w, "COUNCIL TIME\tINDEX\tWHO\tWHAT\tOF\tFENCE\tRESULT")
 				for _, e := range all {
-					_, _ = fmt.Fprintf(w, "%v\t%d\t%s\t%s\t%s\t%d\t%s\n", time.Duration(e.At)*time.Millisecond, e.Index, e.Who, e.What, e.Target, e.Fence, e.Result)
+					_, _ = fmt.Fprintf(w, "%v\t%d\t%s\t%s\t%s\t%d\t%s\n", time.Duration(e.At)*time.Millisecond, e.Index, e.Actor, e.Action, e.Target, e.Fence, e.Result)
 				}
 				return w.Flush()
 			}
@@ -214,7 +214,7 @@
 	c.AddCommand(rel, history())
 }
 
-func printPlan(out io.Writer, r *agreed.Release, legs []agreed.Leg) error {
+func printPlan(out io.Writer, r *agreed.Release, legs []agreed.StepForecast) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "STEP\tTARGETS\tROUNDS\tAT MOST\tPAUSE\tWHICH")
 	var most int64
@@ -224,10 +224,10 @@
 		if len(l.Targets) > 6 {
 			which += " ..."
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%v\t%v\t%s\n", l.Step, len(l.Targets), l.Rounds, time.Duration(l.MostMs)*time.Millisecond, time.Duration(l.LeastMs)*time.Millisecond, which)
-		most += l.MostMs
-		if l.Cannot != "" {
-			cannot = append(cannot, fmt.Sprintf("step %s: %s", l.Step, l.Cannot))
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%v\t%v\t%s\n", l.Step, len(l.Targets), l.Rounds, time.Duration(l.MaxMs)*time.Millisecond, time.Duration(l.MinMs)*time.Millisecond, which)
+		most += l.MaxMs
+		if l.Infeasible != "" {
+			cannot = append(cannot, fmt.Sprintf("step %s: %s", l.Step, l.Infeasible))
 		}
 	}
 	_ = w.Flush()
@@ -282,7 +282,7 @@
 			}
 			if s.Leading && (r.Ended() || r.State == agreed.Halted) && !d.busy() {
 				if r.State != want {
-					return fmt.Errorf("release %s is %s: %s", name, r.State, r.Why)
+					return fmt.Errorf("release %s is %s: %s", name, r.State, r.Reason)
 				}
 				return nil
 			}
@@ -295,7 +295,7 @@
 			case err == nil && res.OK:
 				d.fence, d.until = res.Fence, now.Add(driveTerm)
 				renewAt = now.Add(driveEvery)
-			case err == nil && res.State == agreed.Rival: // it never began, and another one moves
+			case err == nil && res.State == agreed.CompetingRelease: // it never began, and another one moves
 				return errors.New(res.Refused)
 			case err == nil:
 				d.fence, renewAt = 0, now.Add(time.Second) // another one drives
@@ -303,8 +303,8 @@
 				renewAt = now.Add(retryEach)
 			}
 		}
-		if d.fence != 0 && time.Now().Before(d.until) && r != nil && (r.State == agreed.Running || r.State == agreed.GoingBack) {
-			for range r.Together { // as many as there is room for
+		if d.fence != 0 && time.Now().Before(d.until) && r != nil && (r.State == agreed.Running || r.State == agreed.RollingBack) {
+			for range r.MaxTogether { // as many as there is room for
 				if !d.next(r) {
 					break
 				}
@@ -331,7 +331,7 @@
 	words := r.Command
 	version := r.Version
 	if res.Back {
-		words, version = r.Undo, r.Former
+		words, version = r.UndoCommand, r.Former
 	}
 	d.mu.Lock()
 	d.left[p.Target] = true
--- a/cmd/windlab/councilcost.go
+++ b/cmd/windlab/councilcost.go
@@ -259,7 +259,7 @@
 	}
 	for i := range min(times/4, 30) {
 		name := fmt.Sprint("r", i)
-		plan := &agreed.Release{Name: name, Of: "gateways", Command: []string{"true"}, TermMs: 60000, Together: 1, Steps: []agreed.Step{{Name: "all", Share: 1}}, Want: agreed.Want{Off: true}}
+		plan := &agreed.Release{Name: name, Kind: "gateways", Command: []string{"true"}, TermMs: 60000, MaxTogether: 1, Steps: []agreed.Step{{Name: "all", Share: 1}}, HealthLimits: agreed.HealthLimits{Disabled: true}}
 		if _, err := do(council.CommandRequest{Op: "plan", Release: plan}); err != nil {
 			return nil, err
 		}
--- a/cmd/windlab/rollout.go
+++ b/cmd/windlab/rollout.go
@@ -57,12 +57,12 @@
 
 func oneRollout(seed uint64, n, budget int) (took, least time.Duration, most, bytes int, err error) {
 	rng := rand.New(rand.NewPCG(seed, 0x726f6c6c))
-	m := agreed.New(agreed.Form, 0)
+	m := agreed.New(agreed.NewestFormat, 0)
 	index, number, now := uint64(0), uint64(0), int64(1000)
 	do := func(c agreed.Command) agreed.Result {
 		index++
 		number++
-		c.Form, c.At, c.Client, c.Number, c.Who = agreed.Form, now, "driver", number, "driver"
+		c.Format, c.At, c.Client, c.Number, c.Actor = agreed.NewestFormat, now, "driver", number, "driver"
 		return m.Apply(index, &c)
 	}
 	targets := make([]agreed.Target, n)
@@ -71,11 +71,11 @@
 		targets[i] = agreed.Target{Name: fmt.Sprintf("gateway/gw-%04d", i), Zone: string(rune('a' + i%6)), Version: "1", Epoch: 1}
 		at[targets[i].Name] = i
 	}
-	do(agreed.Command{Op: agreed.Population, Targets: targets})
-	do(agreed.Command{Op: agreed.SetBudget, Budget: &agreed.Budget{Of: "gateways", Most: budget}})
-	plan := &agreed.Release{Name: "r", Of: "gateways", Version: "2", Command: []string{"x"}, TermMs: 60000, Together: budget, Want: agreed.Want{Off: true},
+	do(agreed.Command{Op: agreed.SetTargets, Targets: targets})
+	do(agreed.Command{Op: agreed.SetBudget, Budget: &agreed.Budget{Kind: "gateways", MaxOut: budget}})
+	plan := &agreed.Release{Name: "r", Kind: "gateways", Version: "2", Command: []string{"x"}, TermMs: 60000, MaxTogether: budget, HealthLimits: agreed.HealthLimits{Disabled: true},
 		Steps: []agreed.Step{{Name: "canary", Count: 1, PauseMs: 10000}, {Name: "half", Share: 0.5, PauseMs: 10000}, {Name: "rest", Share: 1}}}
-	if r := do(agreed.Command{Op: agreed.Plan, Release: plan}); !r.OK {
+	if r := do(agreed.Command{Op: agreed.PlanRelease, Release: plan}); !r.OK {
 		return 0, 0, 0, 0, fmt.Errorf("%s", r.Refused)
 	}
 	begin := now
@@ -88,29 +88,29 @@
 			b := heap.Pop(&out).(back)
 			t := &targets[at[b.name]]
 			t.Version, t.Epoch = "2", t.Epoch+1
-			do(agreed.Command{Op: agreed.Ended, Name: "r", Target: b.name, Fence: fence, OK: true})
+			do(agreed.Command{Op: agreed.TargetEnded, Name: "r", Target: b.name, Fence: fence, OK: true})
 			changed = true
 		}
 		if changed || now >= told+1000 { // the council's own look at the reports
 			if now >= told+1000 {
 				told = now
-				do(agreed.Command{Op: agreed.Population, Targets: targets})
+				do(agreed.Command{Op: agreed.SetTargets, Targets: targets})
 			}
 		}
 		if now >= renew {
 			renew = now + 2000
-			if r := do(agreed.Command{Op: agreed.Drive, Name: "r", Term: 10000, Fence: fence}); r.OK {
+			if r := do(agreed.Command{Op: agreed.DriveRelease, Name: "r", Term: 10000, Fence: fence}); r.OK {
 				fence = r.Fence
 			}
 		}
 		for now%200 == 0 { // as a driver asks, until it is refused
-			r := do(agreed.Command{Op: agreed.Next, Name: "r", Fence: fence})
+			r := do(agreed.Command{Op: agreed.NextTarget, Name: "r", Fence: fence})
 			if !r.OK || r.Permit == nil {
 				break
 			}
 			{
 				takes := int64(3000 + rng.IntN(8000))
-				do(agreed.Command{Op: agreed.Started, Name: "r", Target: r.Permit.Target, Fence: fence})
+				do(agreed.Command{Op: agreed.TargetStarted, Name: "r", Target: r.Permit.Target, Fence: fence})
 				heap.Push(&out, back{now + takes, r.Permit.Target})
 				if first == 0 {
 					first = takes
@@ -122,7 +122,7 @@
 		most = max(most, len(out))
 		if r, _ := m.Release("r"); r.Ended() {
 			if r.State != agreed.Finished {
-				return 0, 0, most, 0, fmt.Errorf("it ended %s: %s", r.State, r.Why)
+				return 0, 0, most, 0, fmt.Errorf("it ended %s: %s", r.State, r.Reason)
 			}
 			pauses := int64(20000)
 			return time.Duration(now-begin) * time.Millisecond, time.Duration(first+busy/int64(budget)+pauses) * time.Millisecond, most, len(m.Snapshot()), nil
--- a/internal/fleet/agreed/agreed.go
+++ b/internal/fleet/agreed/agreed.go
@@ -16,13 +16,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Form is the newest form of commands and snapshots that this program knows. What is newer is refused, not guessed.
+// NewestFormat is the newest form of commands and snapshots that this program knows. What is newer is refused, not guessed.
 // Form 1 has budgets and permits; form 2 releases, rules, health and changes of voters too. A council uses what its
 // state says: it begins at the form of the program that founded it, and is raised once all voters speak the newer one.
-const Form = 2
+const NewestFormat = 2
 
-// Releases is the form from which on there are releases, rules and changes of voters.
-const Releases = 2
+// ReleasesFormat is the form from which on there are releases, rules and changes of voters.
+const ReleasesFormat = 2
 
 // Op is what a command does. Numbers are in the log: they are never used anew.
 type Op uint8
@@ -34,47 +34,47 @@
 	Acquire    Op = 3 // a permit
 	Renew      Op = 4
 	GiveBack   Op = 5 // the target is seen back
-	Population Op = 6 // who is there, and who is out by itself
+	SetTargets Op = 6 // who is there, and who is out by itself
 	Revoke     Op = 7 // an operator takes a permit back: its holder is fenced at once
 
 	// From form 2 on.
-	Raise    Op = 8 // all voters speak a newer form
-	SetRules Op = 9
-	Plan     Op = 10 // a release
-	Drive    Op = 11 // a process drives a release, or goes on driving it
-	Next     Op = 12 // the driver asks for the next target to go out
-	Started  Op = 13 // the driver is about to take a target out
-	Ended    Op = 14 // the driver has brought a target back, or not
-	Steer    Op = 15 // halt, resume, back
-	Health   Op = 16 // how the versions serve, as gateways count
-	SetZones Op = 17 // where the zones' load goes
-	ActZone  Op = 18 // an operator's word on a zone
-	lastOp      = ActZone
+	RaiseFormat   Op = 8 // all voters speak a newer form
+	SetRules      Op = 9
+	PlanRelease   Op = 10 // a release
+	DriveRelease  Op = 11 // a process drives a release, or goes on driving it
+	NextTarget    Op = 12 // the driver asks for the next target to go out
+	TargetStarted Op = 13 // the driver is about to take a target out
+	TargetEnded   Op = 14 // the driver has brought a target back, or not
+	SteerRelease  Op = 15 // halt, resume, back
+	ReportHealth  Op = 16 // how the versions serve, as gateways count
+	SetZones      Op = 17 // where the zones' load goes
+	OverrideZone  Op = 18 // an operator's word on a zone
+	lastOp           = OverrideZone
 )
 
 // Bounds of what the state holds.
 const (
-	BudgetsMost = 256
-	PermitsMost = 4096
-	HistoryMost = 4096
-	DedupeMost  = 4096
-	TargetsMost = 8192
-	TextMost    = 256
-	TermMost    = 24 * 3600 * 1000 // ms
-	HistoryKeep = 7 * 24 * 3600 * 1000
+	BudgetsMost  = 256
+	PermitsMost  = 4096
+	HistoryMost  = 4096
+	DedupeMost   = 4096
+	TargetsMost  = 8192
+	MaxTextBytes = 256
+	TermMost     = 24 * 3600 * 1000 // ms
+	HistoryKeep  = 7 * 24 * 3600 * 1000
 )
 
 // Budget is how many of some targets may be out at once.
 type Budget struct {
-	Of    string  `cbor:"1,keyasint" json:"of"` // gateways or members
-	Zone  string  `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
-	Group string  `cbor:"3,keyasint,omitempty" json:"group,omitempty"`
-	Most  int     `cbor:"4,keyasint" json:"most"`                      // -1 = no bound by number
-	Share float64 `cbor:"5,keyasint,omitempty" json:"share,omitempty"` // of those that are there, rounded down; 0 = no bound by share
+	Kind        string  `cbor:"1,keyasint" json:"of"` // gateways or members
+	Zone        string  `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
+	Group       string  `cbor:"3,keyasint,omitempty" json:"group,omitempty"`
+	MaxOut      int     `cbor:"4,keyasint" json:"most"`                      // -1 = no bound by number
+	MaxFraction float64 `cbor:"5,keyasint,omitempty" json:"share,omitempty"` // of those that are there, rounded down; 0 = no bound by share
 }
 
 // Key names a budget: there is one for each set of targets.
-func (b *Budget) Key() string { return b.Of + "|" + b.Zone + "|" + b.Group }
+func (b *Budget) Key() string { return b.Kind + "|" + b.Zone + "|" + b.Group }
 
 func (b *Budget) key() string {
 	if b == nil {
@@ -91,11 +91,11 @@
 	Out   bool   `cbor:"4,keyasint,omitempty" json:"out,omitempty"` // failed by itself
 
 	// From form 2 on.
-	Version string `cbor:"5,keyasint,omitempty" json:"version,omitempty"`
-	Epoch   uint64 `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"`
-	Primary bool   `cbor:"7,keyasint,omitempty" json:"primary,omitempty"`
-	Caught  bool   `cbor:"8,keyasint,omitempty" json:"caught_up,omitempty"` // a replica that lacks little of what its group has
-	Best    bool   `cbor:"9,keyasint,omitempty" json:"best,omitempty"`      // the replica that lacks least
+	Version       string `cbor:"5,keyasint,omitempty" json:"version,omitempty"`
+	Epoch         uint64 `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"`
+	Primary       bool   `cbor:"7,keyasint,omitempty" json:"primary,omitempty"`
+	CaughtUp      bool   `cbor:"8,keyasint,omitempty" json:"caught_up,omitempty"` // a replica that lacks little of what its group has
+	BestSuccessor bool   `cbor:"9,keyasint,omitempty" json:"best,omitempty"`      // the replica that lacks least
 }
 
 func (t *Target) of() string {
@@ -117,12 +117,12 @@
 
 // Command is an entry of the log.
 type Command struct {
-	Form    int      `cbor:"1,keyasint"`
+	Format  int      `cbor:"1,keyasint"`
 	Op      Op       `cbor:"2,keyasint"`
 	At      int64    `cbor:"3,keyasint"` // council time in ms, by the leader that took it
 	Client  string   `cbor:"4,keyasint,omitempty"`
 	Number  uint64   `cbor:"5,keyasint,omitempty"` // of the client, growing: a command that comes twice is done once
-	Who     string   `cbor:"6,keyasint,omitempty"` // for the history
+	Actor   string   `cbor:"6,keyasint,omitempty"` // for the history
 	Budget  *Budget  `cbor:"7,keyasint,omitempty"`
 	Target  string   `cbor:"8,keyasint,omitempty"`
 	Reason  string   `cbor:"9,keyasint,omitempty"`
@@ -143,20 +143,20 @@
 
 // Result is what a command gave.
 type Result struct {
-	OK      bool    `cbor:"1,keyasint" json:"ok"`
-	Refused string  `cbor:"2,keyasint,omitempty" json:"refused,omitempty"` // why not: the budget, who holds it and until when
-	Permit  *Permit `cbor:"3,keyasint,omitempty" json:"permit,omitempty"`
-	Fence   uint64  `cbor:"4,keyasint,omitempty" json:"fence,omitempty"` // of a driver
-	State   string  `cbor:"5,keyasint,omitempty" json:"state,omitempty"` // of a release
-	Back    bool    `cbor:"6,keyasint,omitempty" json:"back,omitempty"`  // the target goes back to the former version
+	OK       bool    `cbor:"1,keyasint" json:"ok"`
+	Refused  string  `cbor:"2,keyasint,omitempty" json:"refused,omitempty"` // why not: the budget, who holds it and until when
+	Permit   *Permit `cbor:"3,keyasint,omitempty" json:"permit,omitempty"`
+	Fence    uint64  `cbor:"4,keyasint,omitempty" json:"fence,omitempty"` // of a driver
+	State    string  `cbor:"5,keyasint,omitempty" json:"state,omitempty"` // of a release
+	RollBack bool    `cbor:"6,keyasint,omitempty" json:"back,omitempty"`  // the target goes back to the former version
 }
 
 // Entry is a line of the history.
 type Entry struct {
 	At     int64  `cbor:"1,keyasint" json:"at_ms"`
 	Index  uint64 `cbor:"2,keyasint" json:"index"`
-	Who    string `cbor:"3,keyasint,omitempty" json:"who,omitempty"`
-	What   string `cbor:"4,keyasint" json:"what"`
+	Actor  string `cbor:"3,keyasint,omitempty" json:"who,omitempty"`
+	Action string `cbor:"4,keyasint" json:"what"`
 	Target string `cbor:"5,keyasint,omitempty" json:"target,omitempty"`
 	Fence  uint64 `cbor:"6,keyasint,omitempty" json:"fence,omitempty"`
 	Result string `cbor:"7,keyasint,omitempty" json:"result,omitempty"`
@@ -209,13 +209,13 @@
 	History []Entry           `cbor:"9,keyasint"`
 
 	// From form 2 on.
-	Rules    Rules              `cbor:"10,keyasint,omitzero"`
-	Releases map[string]Release `cbor:"11,keyasint,omitempty"`
-	Serves   Serves             `cbor:"12,keyasint,omitzero"`
-	Voters   map[uint64]Voter   `cbor:"13,keyasint,omitempty"` // that were added; the first are the configuration's
-	Lineage  uint64             `cbor:"14,keyasint,omitempty"` // changes when a council is restored from one folder
-	Zones    *ZonePlan          `cbor:"15,keyasint,omitempty"`
-	ZoneActs map[string]ZoneAct `cbor:"16,keyasint,omitempty"`
+	Rules    Rules                   `cbor:"10,keyasint,omitzero"`
+	Releases map[string]Release      `cbor:"11,keyasint,omitempty"`
+	Serves   FleetHealth             `cbor:"12,keyasint,omitzero"`
+	Voters   map[uint64]Voter        `cbor:"13,keyasint,omitempty"` // that were added; the first are the configuration's
+	Lineage  uint64                  `cbor:"14,keyasint,omitempty"` // changes when a council is restored from one folder
+	Zones    *ZonePlan               `cbor:"15,keyasint,omitempty"`
+	ZoneActs map[string]ZoneOverride `cbor:"16,keyasint,omitempty"`
 }
 
 type done struct {
@@ -233,7 +233,7 @@
 // New returns an empty state of a form, as the program that founds a council has it. Guards are switched off for
 // checkers only.
 func New(form int, off Guard) *Machine {
-	return &Machine{off: off, s: state{Form: min(max(form, 1), Form), Budgets: map[string]Budget{}, Permits: map[string]Permit{}, Targets: map[string]Target{}, Done: map[string]done{}}}
+	return &Machine{off: off, s: state{Form: min(max(form, 1), NewestFormat), Budgets: map[string]Budget{}, Permits: map[string]Permit{}, Targets: map[string]Target{}, Done: map[string]done{}}}
 }
 
 func (m *Machine) on(g Guard) bool { return m.off&g == 0 }
@@ -266,8 +266,8 @@
 	if err := cbor.Unmarshal(b, c); err != nil {
 		return nil, err
 	}
-	if c.Form > Form || c.Op < Tick || c.Op > lastOp {
-		return nil, fmt.Errorf("%w: form %d, operation %d", errForm, c.Form, c.Op)
+	if c.Format > NewestFormat || c.Op < Tick || c.Op > lastOp {
+		return nil, fmt.Errorf("%w: form %d, operation %d", errForm, c.Format, c.Op)
 	}
 	return c, nil
 }
@@ -287,7 +287,7 @@
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return err
 	}
-	if s.Form > Form {
+	if s.Form > NewestFormat {
 		return errForm
 	}
 	if s.Budgets == nil || s.Permits == nil || s.Targets == nil || s.Done == nil {
@@ -359,7 +359,7 @@
 		}
 		s.Done[c.Client] = done{c.Number, s.Time, r}
 	}
-	if c.Op != Tick && c.Op != Population && c.Op != Health && c.Op != SetZones && !((c.Op == Renew || c.Op == Drive || c.Op == Next) && (r.OK || c.Op == Next)) {
+	if c.Op != Tick && c.Op != SetTargets && c.Op != ReportHealth && c.Op != SetZones && !((c.Op == Renew || c.Op == DriveRelease || c.Op == NextTarget) && (r.OK || c.Op == NextTarget)) {
 		result := "done"
 		if !r.OK {
 			result = r.Refused
@@ -368,13 +368,13 @@
 		if r.Permit != nil {
 			fence = r.Permit.Fence
 		}
-		m.record(Entry{Index: index, Who: c.Who, What: opNames[c.Op] + c.Steer, Target: cmp.Or(c.Target, c.Name), Fence: fence, Result: result, Number: c.Number, OK: r.OK})
+		m.record(Entry{Index: index, Actor: c.Actor, Action: opNames[c.Op] + c.Steer, Target: cmp.Or(c.Target, c.Name), Fence: fence, Result: result, Number: c.Number, OK: r.OK})
 	}
 	return r
 }
 
 var opNames = map[Op]string{SetBudget: "budget set", Acquire: "permit asked", Renew: "permit renewed", GiveBack: "given back", Revoke: "permit revoked",
-	Raise: "form raised", SetRules: "rules set", Plan: "release planned", Drive: "driver", Next: "next target", Started: "target out", Ended: "target brought back", Steer: "release ", ActZone: "zone "}
+	RaiseFormat: "form raised", SetRules: "rules set", PlanRelease: "release planned", DriveRelease: "driver", NextTarget: "next target", TargetStarted: "target out", TargetEnded: "target brought back", SteerRelease: "release ", OverrideZone: "zone "}
 
 func (m *Machine) record(e Entry) {
 	s := &m.s
@@ -407,7 +407,7 @@
 		}
 		p.Overdue = true
 		m.s.Permits[target] = p
-		m.record(Entry{Index: m.s.Index, What: "permit ended", Target: target, Fence: p.Fence, Result: "counts as out until it is seen back"})
+		m.record(Entry{Index: m.s.Index, Action: "permit ended", Target: target, Fence: p.Fence, Result: "counts as out until it is seen back"})
 		if !m.on(GuardOverdue) {
 			delete(m.s.Permits, target)
 		}
@@ -418,46 +418,46 @@
 
 func (m *Machine) do(c *Command) Result {
 	s := &m.s
-	if len(c.Target) > TextMost || len(c.Who) > TextMost || len(c.Reason) > TextMost || len(c.Client) > TextMost {
-		return refuse("a text is longer than %d bytes", TextMost)
+	if len(c.Target) > MaxTextBytes || len(c.Actor) > MaxTextBytes || len(c.Reason) > MaxTextBytes || len(c.Client) > MaxTextBytes {
+		return refuse("a text is longer than %d bytes", MaxTextBytes)
 	}
-	if c.Op > Revoke && c.Op != Raise && s.Form < Releases {
-		return refuse("the council works in form %d until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", s.Form, Releases)
+	if c.Op > Revoke && c.Op != RaiseFormat && s.Form < ReleasesFormat {
+		return refuse("the council works in form %d until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", s.Form, ReleasesFormat)
 	}
 	switch c.Op {
 	case Tick:
 		return Result{OK: true}
-	case Raise:
-		if c.To <= s.Form || c.To > Form {
+	case RaiseFormat:
+		if c.To <= s.Form || c.To > NewestFormat {
 			return refuse("the council works in form %d, it can't be raised to %d", s.Form, c.To)
 		}
 		s.Form = c.To
 		return Result{OK: true}
 	case SetRules:
-		if c.Rules == nil || c.Rules.Worth < 0 || c.Rules.Worth > 1 {
+		if c.Rules == nil || c.Rules.MinInTimeFraction < 0 || c.Rules.MinInTimeFraction > 1 {
 			return refuse("no rules, or a worth that is not from 0 to 1")
 		}
 		s.Rules = *c.Rules
 		return Result{OK: true}
-	case Plan:
+	case PlanRelease:
 		return m.plan(c)
-	case Drive, Next, Started, Ended, Steer:
+	case DriveRelease, NextTarget, TargetStarted, TargetEnded, SteerRelease:
 		return m.release(c)
 	case SetZones:
 		return m.setZones(c)
-	case ActZone:
+	case OverrideZone:
 		return m.zoneAct(c)
-	case Health:
+	case ReportHealth:
 		m.health(c.Versions)
 		return Result{OK: true}
 	case SetBudget:
 		b := c.Budget
 		_, again := s.Budgets[b.key()]
 		switch {
-		case b == nil || b.Of != "gateways" && b.Of != "members":
+		case b == nil || b.Kind != "gateways" && b.Kind != "members":
 			return refuse("a budget is of gateways or of members")
-		case b.Most < -1 || b.Share < 0 || b.Share > 1 || b.Most == -1 && b.Share == 0:
-			return refuse("most %d and share %g bound nothing, want a number from 0 or a share up to 1", b.Most, b.Share)
+		case b.MaxOut < -1 || b.MaxFraction < 0 || b.MaxFraction > 1 || b.MaxOut == -1 && b.MaxFraction == 0:
+			return refuse("most %d and share %g bound nothing, want a number from 0 or a share up to 1", b.MaxOut, b.MaxFraction)
 		case len(s.Budgets) >= BudgetsMost && !again:
 			return refuse("there are %d budgets already", len(s.Budgets))
 		}
@@ -486,13 +486,13 @@
 			s.Permits[c.Target] = p
 		}
 		return Result{OK: true, Permit: &p}
-	case Population:
+	case SetTargets:
 		if len(c.Targets) > TargetsMost {
 			return refuse("%d targets, want at most %d", len(c.Targets), TargetsMost)
 		}
 		s.Targets = make(map[string]Target, len(c.Targets))
 		for _, t := range c.Targets {
-			if s.Form < Releases { // as a voter of the former program has it
+			if s.Form < ReleasesFormat { // as a voter of the former program has it
 				t = Target{Name: t.Name, Zone: t.Zone, Group: t.Group, Out: t.Out}
 			}
 			s.Targets[t.Name] = t
@@ -505,7 +505,7 @@
 // acquire gives a permit where the budgets allow one more out.
 func (m *Machine) acquire(c *Command) Result {
 	s := &m.s
-	own := strings.HasPrefix(c.Who, "release/") && s.Permits[c.Target].Holder == c.Who && s.Permits[c.Target].Overdue
+	own := strings.HasPrefix(c.Actor, "release/") && s.Permits[c.Target].Holder == c.Actor && s.Permits[c.Target].Overdue
 	if why := m.bars(c.Target); why != "" && !own {
 		return Result{Refused: why}
 	}
@@ -534,7 +534,7 @@
 		}
 		out, all, holder := m.out(&b, c.Target)
 		if most, ok := b.allows(all); ok && out+1 > most {
-			why := fmt.Sprintf("budget of %s", b.Of)
+			why := fmt.Sprintf("budget of %s", b.Kind)
 			if b.Zone != "" {
 				why += " in zone " + b.Zone
 			}
@@ -545,21 +545,21 @@
 		}
 	}
 	s.Fence++
-	p := Permit{Target: c.Target, Holder: c.Who, Reason: c.Reason, Fence: s.Fence, Until: s.Time + c.Term}
+	p := Permit{Target: c.Target, Holder: c.Actor, Reason: c.Reason, Fence: s.Fence, Until: s.Time + c.Term}
 	s.Permits[c.Target] = p
 	return Result{OK: true, Permit: &p}
 }
 
 // covers tells whether a budget is about a target. One that is not known counts for every zone and group.
 func (b *Budget) covers(t *Target) bool {
-	return b.Of == t.of() && (b.Zone == "" || t.Zone == "" || b.Zone == t.Zone) && (b.Group == "" || t.Group == "" || b.Group == t.Group)
+	return b.Kind == t.of() && (b.Zone == "" || t.Zone == "" || b.Zone == t.Zone) && (b.Group == "" || t.Group == "" || b.Group == t.Group)
 }
 
 // allows is how many may be out of so many; ok is false where the budget bounds nothing.
 func (b *Budget) allows(all int) (most int, ok bool) {
-	most = b.Most
-	if b.Share > 0 {
-		if n := int(b.Share * float64(all)); most < 0 || n < most {
+	most = b.MaxOut
+	if b.MaxFraction > 0 {
+		if n := int(b.MaxFraction * float64(all)); most < 0 || n < most {
 			most = n
 		}
 	}
--- a/internal/fleet/agreed/agreed_test.go
+++ b/internal/fleet/agreed/agreed_test.go
@@ -12,20 +12,20 @@
 func TestSteps(t *testing.T) {
 	names := []string{"gateway/a", "gateway/b", "gateway/c", "db/x", "db/y"}
 	rapid.Check(t, func(t *rapid.T) {
-		m, twin := New(Form, 0), New(Form, 0)
+		m, twin := New(NewestFormat, 0), New(NewestFormat, 0)
 		most, failed := 99, map[string]bool{}
 		at, last, number := int64(0), uint64(0), uint64(0)
 		for index := uint64(1); index < 60; index++ {
 			at += rapid.Int64Range(-500, 2000).Draw(t, "passes")
 			number++
-			c := &Command{Form: Form, At: at, Client: "c", Number: number, Who: "me", Target: rapid.SampledFrom(names).Draw(t, "target"), Term: rapid.Int64Range(0, 5000).Draw(t, "term"),
-				Fence: rapid.Uint64Range(0, last+1).Draw(t, "fence"), Op: rapid.SampledFrom([]Op{Tick, SetBudget, Acquire, Acquire, Renew, GiveBack, Population, Revoke}).Draw(t, "op")}
+			c := &Command{Format: NewestFormat, At: at, Client: "c", Number: number, Actor: "me", Target: rapid.SampledFrom(names).Draw(t, "target"), Term: rapid.Int64Range(0, 5000).Draw(t, "term"),
+				Fence: rapid.Uint64Range(0, last+1).Draw(t, "fence"), Op: rapid.SampledFrom([]Op{Tick, SetBudget, Acquire, Acquire, Renew, GiveBack, SetTargets, Revoke}).Draw(t, "op")}
 			before := m.Time()
 			switch c.Op {
 			case SetBudget:
 				most = rapid.IntRange(0, 3).Draw(t, "most")
-				c.Budget = &Budget{Of: "gateways", Most: most}
-			case Population:
+				c.Budget = &Budget{Kind: "gateways", MaxOut: most}
+			case SetTargets:
 				clear(failed)
 				for _, n := range names {
 					out := rapid.Bool().Draw(t, "out")
@@ -63,7 +63,7 @@
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				fresh := New(Form, 0)
+				fresh := New(NewestFormat, 0)
 				if err := fresh.Restore(twin.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
@@ -74,13 +74,13 @@
 			}
 		}
 	})
-	m := New(Form, GuardFailed) // without the guard, who failed by itself does not count
-	m.Apply(1, &Command{Op: SetBudget, Budget: &Budget{Of: "gateways", Most: 1}})
-	m.Apply(2, &Command{Op: Population, Targets: []Target{{Name: "gateway/b", Out: true}}})
+	m := New(NewestFormat, GuardFailed) // without the guard, who failed by itself does not count
+	m.Apply(1, &Command{Op: SetBudget, Budget: &Budget{Kind: "gateways", MaxOut: 1}})
+	m.Apply(2, &Command{Op: SetTargets, Targets: []Target{{Name: "gateway/b", Out: true}}})
 	if r := m.Apply(3, &Command{Op: Acquire, Target: "gateway/a", Term: 1000}); !r.OK {
 		t.Error("the check of who failed does not rest on its guard")
 	}
-	for _, b := range [][]byte{(&Command{Form: Form + 1, Op: Tick}).Encode(), (&Command{Form: Form, Op: lastOp + 1}).Encode(), []byte("noise")} {
+	for _, b := range [][]byte{(&Command{Format: NewestFormat + 1, Op: Tick}).Encode(), (&Command{Format: NewestFormat, Op: lastOp + 1}).Encode(), []byte("noise")} {
 		if c, err := Decode(b); err == nil {
 			t.Errorf("read as %+v", c)
 		}
--- a/internal/fleet/agreed/forecast.go
+++ b/internal/fleet/agreed/forecast.go
@@ -6,36 +6,36 @@
 	"slices"
 )
 
-// Leg is what a forecast says of a step.
-type Leg struct {
-	Step    string   `json:"step"`
-	Targets []string `json:"targets"`
-	Rounds  int      `json:"rounds"`  // one after another
-	MostMs  int64    `json:"most_ms"` // the longest that it takes, if every target takes its whole term
-	LeastMs int64    `json:"least_ms"`
-	Cannot  string   `json:"cannot,omitempty"` // why it can't be kept under the budgets
+// StepForecast is what a forecast says of a step.
+type StepForecast struct {
+	Step       string   `json:"step"`
+	Targets    []string `json:"targets"`
+	Rounds     int      `json:"rounds"`  // one after another
+	MaxMs      int64    `json:"most_ms"` // the longest that it takes, if every target takes its whole term
+	MinMs      int64    `json:"least_ms"`
+	Infeasible string   `json:"cannot,omitempty"` // why it can't be kept under the budgets
 }
 
 // Forecast says what would go out when under some budgets, with nothing else out.
-func (r *Release) Forecast(all []Target, budgets []Budget) (legs []Leg) {
+func (r *Release) Forecast(all []Target, budgets []Budget) (legs []StepForecast) {
 	if len(r.Items) == 0 {
-		r.Lay(all)
+		r.AssignTargets(all)
 	}
 	for i, s := range r.Steps {
-		l := Leg{Step: s.Name}
+		l := StepForecast{Step: s.Name}
 		for _, it := range r.Items {
 			if it.Step == i {
 				l.Targets = append(l.Targets, it.Target)
 			}
 		}
-		l.Rounds, l.Cannot = r.rounds(l.Targets, all, budgets)
-		l.LeastMs = s.PauseMs
-		l.MostMs = int64(l.Rounds)*r.TermMs + s.PauseMs
-		if !r.Want.Off {
-			l.MostMs += r.Want.WithinMs
+		l.Rounds, l.Infeasible = r.rounds(l.Targets, all, budgets)
+		l.MinMs = s.PauseMs
+		l.MaxMs = int64(l.Rounds)*r.TermMs + s.PauseMs
+		if !r.HealthLimits.Disabled {
+			l.MaxMs += r.HealthLimits.WithinMs
 		}
 		if len(l.Targets) == 0 {
-			l.Cannot = cmp.Or(l.Cannot, "it has no targets")
+			l.Infeasible = cmp.Or(l.Infeasible, "it has no targets")
 		}
 		legs = append(legs, l)
 	}
@@ -56,7 +56,7 @@
 		for _, name := range left {
 			t := by[name]
 			t.Name = name
-			fits := took < r.Together
+			fits := took < r.MaxTogether
 			for i := range budgets {
 				b := &budgets[i]
 				if !b.covers(&t) {
@@ -71,7 +71,7 @@
 				if most, ok := b.allows(size); ok && used[i]+1 > most {
 					fits = false
 					if most == 0 {
-						return n, fmt.Sprintf("the budget of %s %s %s allows none of %d out", b.Of, b.Zone, b.Group, size)
+						return n, fmt.Sprintf("the budget of %s %s %s allows none of %d out", b.Kind, b.Zone, b.Group, size)
 					}
 				}
 			}
--- a/internal/fleet/agreed/release.go
+++ b/internal/fleet/agreed/release.go
@@ -13,7 +13,7 @@
 const (
 	ReleasesMost = 64
 	StepsMost    = 32
-	ItemsMost    = 4096
+	MaxItems     = 4096
 	WordsMost    = 64
 	DriveMost    = 60 * 1000 // ms, a driver's term
 	EndedKeep    = 7 * 24 * 3600 * 1000
@@ -21,14 +21,14 @@
 
 // States of a release.
 const (
-	Planned   = "planned"
-	Running   = "running"
-	Halting   = "halting"
-	Halted    = "halted"
-	GoingBack = "going back"
-	Back      = "back"
-	Finished  = "done"
-	Broken    = "failed"
+	Planned     = "planned"
+	Running     = "running"
+	Halting     = "halting"
+	Halted      = "halted"
+	RollingBack = "going back"
+	RolledBack  = "back"
+	Finished    = "done"
+	Failed      = "failed"
 )
 
 // States of an item. Forwards: waiting, granted, out, done or failed; backwards: undo, granted, out, undone or failed.
@@ -54,58 +54,62 @@
 
 // Item is a target of a release.
 type Item struct {
-	Target string `cbor:"1,keyasint" json:"target"`
-	Zone   string `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
-	Step   int    `cbor:"3,keyasint" json:"step"`
-	State  string `cbor:"4,keyasint" json:"state"`
-	Fence  uint64 `cbor:"5,keyasint,omitempty" json:"fence,omitempty"`
-	Epoch  uint64 `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"` // of its start before it went out
-	Said   bool   `cbor:"7,keyasint,omitempty" json:"said,omitempty"`  // its driver says that it brought it back
-	Back   bool   `cbor:"8,keyasint,omitempty" json:"back,omitempty"`  // it goes back to the former version
-	Left   bool   `cbor:"10,keyasint,omitempty" json:"left,omitempty"` // it was out already when it was granted
-	Times  int    `cbor:"9,keyasint,omitempty" json:"times,omitempty"` // it was taken out, either way
+	Target       string `cbor:"1,keyasint" json:"target"`
+	Zone         string `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
+	Step         int    `cbor:"3,keyasint" json:"step"`
+	State        string `cbor:"4,keyasint" json:"state"`
+	Fence        uint64 `cbor:"5,keyasint,omitempty" json:"fence,omitempty"`
+	Epoch        uint64 `cbor:"6,keyasint,omitempty" json:"epoch,omitempty"` // of its start before it went out
+	ReportedBack bool   `cbor:"7,keyasint,omitempty" json:"said,omitempty"`  // its driver says that it brought it back
+	RollBack     bool   `cbor:"8,keyasint,omitempty" json:"back,omitempty"`  // it goes back to the former version
+	WasOut       bool   `cbor:"10,keyasint,omitempty" json:"left,omitempty"` // it was out already when it was granted
+	TimesOut     int    `cbor:"9,keyasint,omitempty" json:"times,omitempty"` // it was taken out, either way
 }
 
 // Release is a plan and how far it has come.
 type Release struct {
-	Name     string   `cbor:"1,keyasint" json:"name"`
-	Of       string   `cbor:"2,keyasint" json:"of"`                          // gateways or members
-	Version  string   `cbor:"3,keyasint,omitempty" json:"version,omitempty"` // what a gateway must say when it is back
-	Former   string   `cbor:"4,keyasint,omitempty" json:"former,omitempty"`
-	Command  []string `cbor:"5,keyasint" json:"command"` // {target} and {version} are filled in
-	Undo     []string `cbor:"6,keyasint,omitempty" json:"back,omitempty"`
-	TermMs   int64    `cbor:"7,keyasint" json:"term_ms"` // of a target's permit: it must be back by then
-	Together int      `cbor:"8,keyasint" json:"together"`
-	Steps    []Step   `cbor:"9,keyasint" json:"steps"`
-	Want     Want     `cbor:"10,keyasint" json:"health"`
-	AutoBack bool     `cbor:"11,keyasint,omitempty" json:"auto_back,omitempty"` // goes back by itself once halted by health or a target
-
-	State    string `cbor:"20,keyasint" json:"state"`
-	Why      string `cbor:"21,keyasint,omitempty" json:"why,omitempty"`
-	At       int64  `cbor:"22,keyasint" json:"since_ms"` // in this state
-	Step     int    `cbor:"23,keyasint" json:"step"`
-	StepDone int64  `cbor:"24,keyasint,omitempty" json:"step_done_ms,omitempty"` // all targets of it are back since
-	Reverse  bool   `cbor:"25,keyasint,omitempty" json:"reverse,omitempty"`      // it goes, or went when it was halted, backwards
-	Items    []Item `cbor:"26,keyasint" json:"items"`
-	Driver   string `cbor:"27,keyasint,omitempty" json:"driver,omitempty"`
-	Client   string `cbor:"28,keyasint,omitempty" json:"-"`
-	Fence    uint64 `cbor:"29,keyasint,omitempty" json:"driver_fence,omitempty"`
-	Until    int64  `cbor:"30,keyasint,omitempty" json:"driver_until_ms,omitempty"`
-	Seen     Window `cbor:"31,keyasint" json:"seen"` // since the step began, or its last target came back
+	Name         string       `cbor:"1,keyasint" json:"name"`
+	Kind         string       `cbor:"2,keyasint" json:"of"`                          // gateways or members
+	Version      string       `cbor:"3,keyasint,omitempty" json:"version,omitempty"` // what a gateway must say when it is back
+	Former       string       `cbor:"4,keyasint,omitempty" json:"former,omitempty"`
+	Command      []string     `cbor:"5,keyasint" json:"command"` // {target} and {version} are filled in
+	UndoCommand  []string     `cbor:"6,keyasint,omitempty" json:"back,omitempty"`
+	TermMs       int64        `cbor:"7,keyasint" json:"term_ms"` // of a target's permit: it must be back by then
+	MaxTogether  int          `cbor:"8,keyasint" json:"together"`
+	Steps        []Step       `cbor:"9,keyasint" json:"steps"`
+	HealthLimits HealthLimits `cbor:"10,keyasint" json:"health"`
+	AutoBack     bool         `cbor:"11,keyasint,omitempty" json:"auto_back,omitempty"` // goes back by itself once halted by health or a target
+
+	State        string `cbor:"20,keyasint" json:"state"`
+	Reason       string `cbor:"21,keyasint,omitempty" json:"why,omitempty"`
+	StateSince   int64  `cbor:"22,keyasint" json:"since_ms"` // in this state
+	Step         int    `cbor:"23,keyasint" json:"step"`
+	StepDoneAt   int64  `cbor:"24,keyasint,omitempty" json:"step_done_ms,omitempty"` // all targets of it are back since
+	Reverse      bool   `cbor:"25,keyasint,omitempty" json:"reverse,omitempty"`      // it goes, or went when it was halted, backwards
+	Items        []Item `cbor:"26,keyasint" json:"items"`
+	Driver       string `cbor:"27,keyasint,omitempty" json:"driver,omitempty"`
+	DriverClient string `cbor:"28,keyasint,omitempty" json:"-"`
+	DriverFence  uint64 `cbor:"29,keyasint,omitempty" json:"driver_fence,omitempty"`
+	DriverUntil  int64  `cbor:"30,keyasint,omitempty" json:"driver_until_ms,omitempty"`
+	Counts       Window `cbor:"31,keyasint" json:"seen"` // since the step began, or its last target came back
 }
 
 // Ended tells that nothing more comes of a release by itself.
-func (r *Release) Ended() bool { return r.State == Finished || r.State == Back || r.State == Broken }
+func (r *Release) Ended() bool {
+	return r.State == Finished || r.State == RolledBack || r.State == Failed
+}
 
 // moves tells that targets may go out.
-func (r *Release) moves() bool { return r.State == Running || r.State == GoingBack }
+func (r *Release) moves() bool { return r.State == Running || r.State == RollingBack }
 
-func (r *Release) set(now int64, state, why string) { r.State, r.Why, r.At = state, why, now }
+func (r *Release) set(now int64, state, why string) {
+	r.State, r.Reason, r.StateSince = state, why, now
+}
 
 // halt stops a release; what is out comes back first.
 func (r *Release) halt(now int64, why string) {
 	if r.moves() {
-		r.Reverse = r.State == GoingBack
+		r.Reverse = r.State == RollingBack
 		r.set(now, Halting, why)
 	}
 }
@@ -134,13 +138,13 @@
 	return r, ok
 }
 
-// Ticks tells that some term runs, so that council time must be told.
-func (m *Machine) Ticks() bool {
-	return len(m.s.Permits) > 0 || m.Moving() || m.s.Zones != nil && m.s.Time < m.s.Zones.Until
+// NeedsTicks tells that some term runs, so that council time must be told.
+func (m *Machine) NeedsTicks() bool {
+	return len(m.s.Permits) > 0 || m.ReleaseActive() || m.s.Zones != nil && m.s.Time < m.s.Zones.Until
 }
 
-// Moving tells that some release moves or halts.
-func (m *Machine) Moving() bool {
+// ReleaseActive tells that some release moves or halts.
+func (m *Machine) ReleaseActive() bool {
 	for _, r := range m.s.Releases {
 		if r.moves() || r.State == Halting {
 			return true
@@ -149,48 +153,48 @@
 	return false
 }
 
-// Form is the form that the council works in.
-func (m *Machine) Form() int { return m.s.Form }
+// Format is the form that the council works in.
+func (m *Machine) Format() int { return m.s.Form }
 
 // Check finds what is wrong with a plan, empty if nothing.
 func (r *Release) Check() string {
 	bytes := 0
-	for _, w := range append(slices.Clone(r.Command), r.Undo...) {
+	for _, w := range append(slices.Clone(r.Command), r.UndoCommand...) {
 		bytes += len(w)
 	}
 	switch {
-	case r.Name == "" || len(r.Name) > TextMost || r.Name == "*":
-		return fmt.Sprintf("a release's name is %q, want from 1 to %d bytes", r.Name, TextMost)
-	case r.Of != "gateways" && r.Of != "members":
-		return fmt.Sprintf("a release is of %q, want gateways or members", r.Of)
-	case len(r.Version) > TextMost || len(r.Former) > TextMost:
+	case r.Name == "" || len(r.Name) > MaxTextBytes || r.Name == "*":
+		return fmt.Sprintf("a release's name is %q, want from 1 to %d bytes", r.Name, MaxTextBytes)
+	case r.Kind != "gateways" && r.Kind != "members":
+		return fmt.Sprintf("a release is of %q, want gateways or members", r.Kind)
+	case len(r.Version) > MaxTextBytes || len(r.Former) > MaxTextBytes:
 		return "a version is too long"
-	case len(r.Command) == 0 || len(r.Command) > WordsMost || len(r.Undo) > WordsMost || bytes > WordsMost*TextMost:
+	case len(r.Command) == 0 || len(r.Command) > WordsMost || len(r.UndoCommand) > WordsMost || bytes > WordsMost*MaxTextBytes:
 		return fmt.Sprintf("the command has %d words and %d bytes with that of the way back, want 1 to %d words", len(r.Command), bytes, WordsMost)
 	case r.TermMs < 1000 || r.TermMs > TermMost:
 		return fmt.Sprintf("a target's term is %d ms, want from 1000 to %d", r.TermMs, TermMost)
-	case r.Together < 1:
-		return fmt.Sprintf("%d targets together, want 1 at least", r.Together)
+	case r.MaxTogether < 1:
+		return fmt.Sprintf("%d targets together, want 1 at least", r.MaxTogether)
 	case len(r.Steps) == 0 || len(r.Steps) > StepsMost:
 		return fmt.Sprintf("%d steps, want from 1 to %d", len(r.Steps), StepsMost)
 	}
 	for _, s := range r.Steps {
-		if len(s.Name) > TextMost || s.Count < 0 || s.Share < 0 || s.Share > 1 || math.IsNaN(s.Share) || (s.Count > 0) == (s.Share > 0) || s.PauseMs < 0 || s.PauseMs > TermMost {
+		if len(s.Name) > MaxTextBytes || s.Count < 0 || s.Share < 0 || s.Share > 1 || math.IsNaN(s.Share) || (s.Count > 0) == (s.Share > 0) || s.PauseMs < 0 || s.PauseMs > TermMost {
 			return fmt.Sprintf("step %q has count %d, share %g and a pause of %d ms, want a count or a share", s.Name, s.Count, s.Share, s.PauseMs)
 		}
 	}
-	return r.Want.check()
+	return r.HealthLimits.check()
 }
 
-// Lay draws a plan's items from those that are there: by steps, over zones in turn.
-func (r *Release) Lay(all []Target) {
+// AssignTargets draws a plan's items from those that are there: by steps, over zones in turn.
+func (r *Release) AssignTargets(all []Target) {
 	r.Items = nil
 	taken := map[string]bool{}
 	for i, s := range r.Steps {
 		byZone := map[string][]string{}
 		size, had := 0, 0
 		for _, t := range all {
-			if t.of() != r.Of || s.Zone != "" && t.Zone != s.Zone {
+			if t.of() != r.Kind || s.Zone != "" && t.Zone != s.Zone {
 				continue
 			}
 			size++
@@ -234,29 +238,29 @@
 		return Result{Refused: why}
 	}
 	if old, ok := s.Releases[r.Name]; ok {
-		return refuse("release %s is there already, %s since %d ms", r.Name, old.State, old.At)
+		return refuse("release %s is there already, %s since %d ms", r.Name, old.State, old.StateSince)
 	}
-	r.Lay(m.Targets())
+	r.AssignTargets(m.Targets())
 	switch {
 	case len(r.Items) == 0:
-		return refuse("release %s has no targets: no %s are known in its zones", r.Name, r.Of)
-	case len(r.Items) > ItemsMost:
-		return refuse("release %s has %d targets, want at most %d", r.Name, len(r.Items), ItemsMost)
+		return refuse("release %s has no targets: no %s are known in its zones", r.Name, r.Kind)
+	case len(r.Items) > MaxItems:
+		return refuse("release %s has %d targets, want at most %d", r.Name, len(r.Items), MaxItems)
 	}
 	if why := m.rival(&r); why != "" {
-		return Result{Refused: why, State: Rival}
+		return Result{Refused: why, State: CompetingRelease}
 	}
 	if len(s.Releases) >= ReleasesMost && !m.forgetRelease() {
 		return refuse("there are %d releases that have not ended", len(s.Releases))
 	}
-	r.Step, r.StepDone, r.Reverse, r.Driver, r.Client, r.Fence, r.Until, r.Seen = 0, 0, false, "", "", 0, 0, Window{}
+	r.Step, r.StepDoneAt, r.Reverse, r.Driver, r.DriverClient, r.DriverFence, r.DriverUntil, r.Counts = 0, 0, false, "", "", 0, 0, Window{}
 	r.set(s.Time, Planned, "")
 	m.keep(&r)
 	return Result{OK: true, State: r.State}
 }
 
-// Rival is the state told to a release that may not move as another one moves targets of its own.
-const Rival = "rival"
+// CompetingRelease is the state told to a release that may not move as another one moves targets of its own.
+const CompetingRelease = "rival"
 
 // rival names a release that moves, or comes to a halt, with targets of r; empty: there is none.
 func (m *Machine) rival(r *Release) string {
@@ -285,7 +289,7 @@
 func (m *Machine) forgetRelease() bool {
 	first := ""
 	for _, r := range m.Releases() {
-		if r.Ended() && (first == "" || r.At < m.s.Releases[first].At) {
+		if r.Ended() && (first == "" || r.StateSince < m.s.Releases[first].StateSince) {
 			first = r.Name
 		}
 	}
@@ -310,7 +314,7 @@
 // release does what is asked of a release.
 func (m *Machine) release(c *Command) Result {
 	s := &m.s
-	if c.Op == Steer && c.Name == "*" {
+	if c.Op == SteerRelease && c.Name == "*" {
 		for _, r := range m.Releases() {
 			r.Items = slices.Clone(r.Items)
 			if c.Steer == "halt" {
@@ -326,20 +330,20 @@
 	}
 	res := Result{OK: true}
 	switch c.Op {
-	case Steer:
+	case SteerRelease:
 		res = m.steer(&r, c)
-	case Drive:
+	case DriveRelease:
 		res = m.drive(&r, c)
 	default:
-		if m.on(GuardDriver) && (c.Fence != r.Fence || c.Client != r.Client || s.Time >= r.Until) {
-			return refuse("%s drives %s under fence %d; fence %d is of the past", r.Driver, r.Name, r.Fence, c.Fence)
+		if m.on(GuardDriver) && (c.Fence != r.DriverFence || c.Client != r.DriverClient || s.Time >= r.DriverUntil) {
+			return refuse("%s drives %s under fence %d; fence %d is of the past", r.Driver, r.Name, r.DriverFence, c.Fence)
 		}
 		switch c.Op {
-		case Next:
+		case NextTarget:
 			res = m.next(&r)
-		case Started:
+		case TargetStarted:
 			res = m.started(&r, c.Target)
-		case Ended:
+		case TargetEnded:
 			res = m.ended(&r, c)
 		}
 	}
@@ -353,9 +357,9 @@
 // steer is an operator's word, or the council's own.
 func (m *Machine) steer(r *Release, c *Command) Result {
 	now := m.s.Time
-	why := cmp.Or(c.Reason, "by "+c.Who)
+	why := cmp.Or(c.Reason, "by "+c.Actor)
 	if other := m.rival(r); other != "" && c.Steer != "halt" {
-		return Result{Refused: other, State: Rival}
+		return Result{Refused: other, State: CompetingRelease}
 	}
 	switch {
 	case c.Steer == "halt" && r.State == Planned:
@@ -373,16 +377,16 @@
 				}
 			}
 		}
-		r.Seen = Window{}
-		if r.StepDone > 0 {
-			r.StepDone = now
+		r.Counts = Window{}
+		if r.StepDoneAt > 0 {
+			r.StepDoneAt = now
 		}
 		r.set(now, Running, why)
 		if r.Reverse {
-			r.State = GoingBack
+			r.State = RollingBack
 		}
 	case c.Steer == "back" && (r.State == Running || r.State == Halted || r.State == Halting && !r.Reverse || r.State == Finished):
-		if len(r.Undo) == 0 {
+		if len(r.UndoCommand) == 0 {
 			return refuse("release %s has no way back: its plan names no command for it", r.Name)
 		}
 		m.turn(r, why)
@@ -400,7 +404,7 @@
 		}
 	}
 	r.Reverse = true
-	r.set(m.s.Time, GoingBack, why)
+	r.set(m.s.Time, RollingBack, why)
 }
 
 // drive makes a process the driver, or renews its term. What the former driver was granted and had not begun waits
@@ -413,37 +417,37 @@
 	case c.Term <= 0 || c.Term > DriveMost:
 		return refuse("a driver's term is %d ms, want from 1 to %d", c.Term, DriveMost)
 	case r.State == Planned && m.rival(r) != "":
-		return Result{Refused: m.rival(r), State: Rival}
-	case r.Client == c.Client && r.Fence == c.Fence && r.Fence > 0 && now < r.Until: // renewed
-	case r.Client != "" && now < r.Until && m.on(GuardDriver):
-		return refuse("%s drives release %s until %d ms", r.Driver, r.Name, r.Until)
+		return Result{Refused: m.rival(r), State: CompetingRelease}
+	case r.DriverClient == c.Client && r.DriverFence == c.Fence && r.DriverFence > 0 && now < r.DriverUntil: // renewed
+	case r.DriverClient != "" && now < r.DriverUntil && m.on(GuardDriver):
+		return refuse("%s drives release %s until %d ms", r.Driver, r.Name, r.DriverUntil)
 	default:
 		m.s.Fence++
-		r.Driver, r.Client, r.Fence = c.Who, c.Client, m.s.Fence
+		r.Driver, r.DriverClient, r.DriverFence = c.Actor, c.Client, m.s.Fence
 		for i := range r.Items {
 			if r.Items[i].State == ItemGranted {
 				m.ungrant(&r.Items[i])
 			}
 		}
 	}
-	r.Until = now + c.Term
+	r.DriverUntil = now + c.Term
 	if r.State == Planned {
 		r.set(now, Running, "")
 	}
-	return Result{OK: true, Fence: r.Fence}
+	return Result{OK: true, Fence: r.DriverFence}
 }
 
 // ungrant takes back what was granted and not begun: the target did not go out by it.
 func (m *Machine) ungrant(it *Item) {
 	if p, ok := m.s.Permits[it.Target]; ok && p.Fence == it.Fence {
 		delete(m.s.Permits, it.Target)
-		if it.Left { // it is out still
+		if it.WasOut { // it is out still
 			p.Overdue, p.Until = true, min(p.Until, m.s.Time)
 			m.s.Permits[it.Target] = p
 		}
 	}
 	it.State = ItemWaiting
-	if it.Back {
+	if it.RollBack {
 		it.State = ItemUndo
 	}
 	it.Fence = 0
@@ -454,19 +458,19 @@
 	if !r.moves() {
 		return Result{OK: true} // the driver sees the state and asks again, or ends
 	}
-	if n := r.count(ItemGranted, ItemOut); n >= r.Together {
-		return refuse("%d are out, %d together as planned", n, r.Together)
+	if n := r.count(ItemGranted, ItemOut); n >= r.MaxTogether {
+		return refuse("%d are out, %d together as planned", n, r.MaxTogether)
 	}
 	why := ""
 	try := func(it *Item) *Result {
 		_, left := m.s.Permits[it.Target]
-		res := m.acquire(&Command{Target: it.Target, Who: "release/" + r.Name, Reason: r.State, Term: r.TermMs})
+		res := m.acquire(&Command{Target: it.Target, Actor: "release/" + r.Name, Reason: r.State, Term: r.TermMs})
 		if !res.OK {
 			why = cmp.Or(why, res.Refused)
 			return nil
 		}
-		it.Fence, it.State, it.Back, it.Said, it.Epoch = res.Permit.Fence, ItemGranted, r.Reverse, false, m.s.Targets[it.Target].Epoch
-		it.Left, res.Back = left, r.Reverse
+		it.Fence, it.State, it.RollBack, it.ReportedBack, it.Epoch = res.Permit.Fence, ItemGranted, r.Reverse, false, m.s.Targets[it.Target].Epoch
+		it.WasOut, res.RollBack = left, r.Reverse
 		return &res
 	}
 	if r.Reverse {
@@ -496,13 +500,13 @@
 // waits says what a release that grants nothing now waits for.
 func (m *Machine) waits(r *Release) string {
 	step := r.Steps[r.Step].Name
-	switch left := r.StepDone + r.Steps[r.Step].PauseMs - m.s.Time; {
-	case r.StepDone == 0:
+	switch left := r.StepDoneAt + r.Steps[r.Step].PauseMs - m.s.Time; {
+	case r.StepDoneAt == 0:
 		return fmt.Sprintf("step %s: targets are out", step)
 	case left > 0:
 		return fmt.Sprintf("step %s is complete, it pauses for %d ms more", step, left)
 	}
-	_, why := r.Want.judge(r)
+	_, why := r.HealthLimits.judge(r)
 	return fmt.Sprintf("step %s is complete, its health is not told: %s", step, why)
 }
 
@@ -517,7 +521,7 @@
 		return refuse("the permit of %s is of the past, or the release is %s", target, r.State)
 	}
 	it.State = ItemOut
-	it.Times++
+	it.TimesOut++
 	return Result{OK: true}
 }
 
@@ -545,7 +549,7 @@
 		}
 		return Result{OK: true}
 	}
-	it.Said = true
+	it.ReportedBack = true
 	return Result{OK: true}
 }
 
@@ -584,18 +588,18 @@
 	}
 	switch r.State {
 	case Halting:
-		auto := r.AutoBack && !r.Reverse && len(r.Undo) > 0 && !strings.HasPrefix(r.Why, "by ")
-		r.set(now, Halted, r.Why)
+		auto := r.AutoBack && !r.Reverse && len(r.UndoCommand) > 0 && !strings.HasPrefix(r.Reason, "by ")
+		r.set(now, Halted, r.Reason)
 		if auto {
-			m.turn(r, r.Why)
+			m.turn(r, r.Reason)
 		}
-	case GoingBack:
+	case RollingBack:
 		if r.count(ItemUndo) > 0 {
 			return
 		}
-		r.set(now, Back, r.Why)
+		r.set(now, RolledBack, r.Reason)
 		if r.count(ItemFailed) > 0 {
-			r.State = Broken
+			r.State = Failed
 		}
 	case Running:
 		m.step(r)
@@ -609,27 +613,27 @@
 	t, known := m.s.Targets[it.Target]
 	want := r.Version
 	done := ItemDone
-	if it.Back {
+	if it.RollBack {
 		want, done = r.Former, ItemUndone
 	}
-	back := it.Said && (!known || !t.Out)
+	back := it.ReportedBack && (!known || !t.Out)
 	if known && strings.HasPrefix(it.Target, "gateway/") {
 		back = !t.Out && t.Epoch > it.Epoch
 	}
 	if !m.on(GuardBack) {
-		back, want = it.Said, ""
+		back, want = it.ReportedBack, ""
 	}
 	right := want == "" || t.Version == want
 	switch {
-	case back && right && (it.Said || !it.Left && want != ""): // of one that was out before, a later start may be of then
+	case back && right && (it.ReportedBack || !it.WasOut && want != ""): // of one that was out before, a later start may be of then
 		it.State = done
-		if !it.Back && r.Reverse { // the release turned round while it was out
+		if !it.RollBack && r.Reverse { // the release turned round while it was out
 			it.State = ItemUndo
 		}
 		if held {
 			delete(m.s.Permits, it.Target)
 		}
-	case back && it.Said: // its driver is through with it, and this is what came of it
+	case back && it.ReportedBack: // its driver is through with it, and this is what came of it
 		it.State = ItemFailed
 		if held {
 			delete(m.s.Permits, it.Target)
@@ -644,26 +648,26 @@
 // step sees whether a running release's step is through.
 func (m *Machine) step(r *Release) {
 	now := m.s.Time
-	ok, why := r.Want.judge(r)
+	ok, why := r.HealthLimits.judge(r)
 	if ok == bad && m.on(GuardTold) {
 		r.halt(now, fmt.Sprintf("step %s: %s", r.Steps[r.Step].Name, why))
 		return
 	}
 	for i := range r.Items {
 		if it := &r.Items[i]; it.Step <= r.Step && it.State != ItemDone {
-			r.StepDone = 0
+			r.StepDoneAt = 0
 			return
 		}
 	}
-	if r.StepDone == 0 {
-		r.StepDone, r.Seen = max(now, 1), Window{Base: r.Seen.Base}
+	if r.StepDoneAt == 0 {
+		r.StepDoneAt, r.Counts = max(now, 1), Window{Base: r.Counts.Base}
 		return
 	}
-	if now < r.StepDone+r.Steps[r.Step].PauseMs {
+	if now < r.StepDoneAt+r.Steps[r.Step].PauseMs {
 		return
 	}
 	if ok == untold && m.on(GuardTold) {
-		if now > r.StepDone+r.Steps[r.Step].PauseMs+r.Want.WithinMs {
+		if now > r.StepDoneAt+r.Steps[r.Step].PauseMs+r.HealthLimits.WithinMs {
 			r.halt(now, fmt.Sprintf("step %s: health can't be told: %s", r.Steps[r.Step].Name, why))
 		}
 		return
@@ -673,5 +677,5 @@
 		return
 	}
 	r.Step++
-	r.StepDone, r.Seen = 0, Window{Base: r.Seen.Base}
+	r.StepDoneAt, r.Counts = 0, Window{Base: r.Counts.Base}
 }
--- a/internal/fleet/agreed/release_test.go
+++ b/internal/fleet/agreed/release_test.go
@@ -12,21 +12,21 @@
 // does nothing that they would not know.
 func TestFormOne(t *testing.T) {
 	m := New(1, 0)
-	m.Apply(2, &Command{Op: SetBudget, Budget: &Budget{Of: "gateways", Most: 1}, At: 5, Client: "c", Number: 1, Who: "me"})
-	m.Apply(3, &Command{Op: Population, Targets: []Target{{Name: "gateway/a", Zone: "z", Out: true, Version: "2", Epoch: 7}}})
-	m.Apply(4, &Command{Op: Acquire, Target: "gateway/a", Term: 1000, Who: "me"})
+	m.Apply(2, &Command{Op: SetBudget, Budget: &Budget{Kind: "gateways", MaxOut: 1}, At: 5, Client: "c", Number: 1, Actor: "me"})
+	m.Apply(3, &Command{Op: SetTargets, Targets: []Target{{Name: "gateway/a", Zone: "z", Out: true, Version: "2", Epoch: 7}}})
+	m.Apply(4, &Command{Op: Acquire, Target: "gateway/a", Term: 1000, Actor: "me"})
 	// Written by the former program with the same commands.
 	const former = "a9010102050301040405a16a67617465776179737c7ca201686761746577617973040106a169676174657761792f61a40169676174657761792f6102626d650401051903ed07a169676174657761792f61a30169676174657761792f6102617a04f508a16163a30101020503a101f50982a70105020203626d65046a627564676574207365740764646f6e65080109f5a80105020403626d65046c7065726d69742061736b65640569676174657761792f6106010764646f6e6509f5"
 	if got := hex.EncodeToString(m.Snapshot()); got != former {
 		t.Errorf("the state is %s, want %s", got, former)
 	}
-	if r := m.Apply(5, &Command{Op: Steer, Name: "x"}); r.OK || !strings.Contains(r.Refused, "form 1") {
+	if r := m.Apply(5, &Command{Op: SteerRelease, Name: "x"}); r.OK || !strings.Contains(r.Refused, "form 1") {
 		t.Errorf("a release in form 1: %+v", r)
 	}
-	if r := m.Apply(6, &Command{Op: Raise, To: Form}); !r.OK || m.Form() != Form {
-		t.Errorf("raised to %d: %+v", m.Form(), r)
+	if r := m.Apply(6, &Command{Op: RaiseFormat, To: NewestFormat}); !r.OK || m.Format() != NewestFormat {
+		t.Errorf("raised to %d: %+v", m.Format(), r)
 	}
-	if r := m.Apply(7, &Command{Op: Raise, To: Form}); r.OK {
+	if r := m.Apply(7, &Command{Op: RaiseFormat, To: NewestFormat}); r.OK {
 		t.Error("raised twice")
 	}
 }
@@ -41,7 +41,7 @@
 }
 
 func newFleet(off Guard, size int) *fleet {
-	f := &fleet{m: New(Form, off), number: map[string]uint64{}, all: map[string]*Target{}}
+	f := &fleet{m: New(NewestFormat, off), number: map[string]uint64{}, all: map[string]*Target{}}
 	for i := range size {
 		f.all[fmt.Sprintf("gateway/g%d", i)] = &Target{Name: fmt.Sprintf("gateway/g%d", i), Zone: string(rune('a' + i%3)), Version: "1", Epoch: 1}
 	}
@@ -51,7 +51,7 @@
 func (f *fleet) do(who string, c Command) Result {
 	f.index++
 	f.number[who]++
-	c.Form, c.At, c.Client, c.Number, c.Who = Form, f.at, who, f.number[who], who
+	c.Format, c.At, c.Client, c.Number, c.Actor = NewestFormat, f.at, who, f.number[who], who
 	return f.m.Apply(f.index, &c)
 }
 
@@ -60,18 +60,18 @@
 	for i := range len(f.all) {
 		all = append(all, *f.all[fmt.Sprintf("gateway/g%d", i)])
 	}
-	f.do("council", Command{Op: Population, Targets: all})
+	f.do("council", Command{Op: SetTargets, Targets: all})
 }
 
 func plan() *Release {
-	return &Release{Name: "r", Of: "gateways", Version: "2", Former: "1", Command: []string{"go"}, Undo: []string{"back"}, TermMs: 20000, Together: 2,
-		Steps: []Step{{Name: "canary", Count: 1, PauseMs: 2000}, {Name: "half", Share: 0.5}, {Name: "rest", Share: 1}},
-		Want:  Want{Refused: 0.02, Late: 0.05, P99Times: 2, Least: 50, WithinMs: 30000}}
+	return &Release{Name: "r", Kind: "gateways", Version: "2", Former: "1", Command: []string{"go"}, UndoCommand: []string{"back"}, TermMs: 20000, MaxTogether: 2,
+		Steps:        []Step{{Name: "canary", Count: 1, PauseMs: 2000}, {Name: "half", Share: 0.5}, {Name: "rest", Share: 1}},
+		HealthLimits: HealthLimits{RefusedMargin: 0.02, LateMargin: 0.05, P99Factor: 2, MinRequests: 50, WithinMs: 30000}}
 }
 
 func counted(version string, n, refused uint64) VersionHealth {
-	v := VersionHealth{Version: version, Latency: make([]uint32, BucketsCount)}
-	v.Classes[0] = Served{Requests: n, Refused: refused}
+	v := VersionHealth{Version: version, Latency: make([]uint32, BucketCount)}
+	v.Classes[0] = AnswerCounts{Requests: n, Refused: refused}
 	v.Latency[5] = uint32(n - refused)
 	return v
 }
@@ -82,13 +82,13 @@
 	rng := rand.New(rand.NewPCG(seed, 0x72656c))
 	const budget = 2
 	f := newFleet(off, 6+rng.IntN(6))
-	f.do("operator", Command{Op: SetBudget, Budget: &Budget{Of: "gateways", Most: budget}})
+	f.do("operator", Command{Op: SetBudget, Budget: &Budget{Kind: "gateways", MaxOut: budget}})
 	f.told()
 	p := plan()
 	p.AutoBack = rng.IntN(2) == 0
 	sick := rng.IntN(4) == 0 // the new version refuses
 	quiet := rng.IntN(6) == 0
-	if r := f.do("operator", Command{Op: Plan, Release: p}); !r.OK {
+	if r := f.do("operator", Command{Op: PlanRelease, Release: p}); !r.OK {
 		return "", fmt.Errorf("not planned: %s", r.Refused)
 	}
 	type run struct { // a command of a driver
@@ -144,7 +144,7 @@
 				all = append(all, counted("2", 40, bad))
 				toldOnce = true
 			}
-			f.do("council", Command{Op: Health, Versions: all})
+			f.do("council", Command{Op: ReportHealth, Versions: all})
 		}
 		for _, d := range drivers {
 			switch {
@@ -155,7 +155,7 @@
 				continue
 			}
 			if f.at >= d.renew {
-				if r := f.do(d.name, Command{Op: Drive, Name: "r", Term: 5000, Fence: d.fence}); r.OK {
+				if r := f.do(d.name, Command{Op: DriveRelease, Name: "r", Term: 5000, Fence: d.fence}); r.OK {
 					d.fence, d.until = r.Fence, f.at+5000
 				} else {
 					d.fence = 0
@@ -165,9 +165,9 @@
 			if d.fence == 0 {
 				continue
 			}
-			r := f.do(d.name, Command{Op: Next, Name: "r", Fence: d.fence})
+			r := f.do(d.name, Command{Op: NextTarget, Name: "r", Fence: d.fence})
 			if r.OK && r.Permit != nil {
-				c := &run{target: r.Permit.Target, back: r.Back, fence: d.fence, driver: d, until: f.at + p.TermMs}
+				c := &run{target: r.Permit.Target, back: r.RollBack, fence: d.fence, driver: d, until: f.at + p.TermMs}
 				if rng.IntN(10) == 0 {
 					d.stopped = f.at + int64(rng.IntN(30_000))
 				}
@@ -181,14 +181,14 @@
 			case !c.begun:
 				c.begun = true
 				rel, _ := f.m.Release("r")
-				if r := f.do(d.name, Command{Op: Started, Name: "r", Target: c.target, Fence: c.fence}); !r.OK || f.at >= c.until {
+				if r := f.do(d.name, Command{Op: TargetStarted, Name: "r", Target: c.target, Fence: c.fence}); !r.OK || f.at >= c.until {
 					c.ends = -1
 					continue
 				}
 				if _, is := out[c.target]; is && off == 0 && f.at < ended[c.target] { // later its command was stopped, and the release may mend it
 					return "", fmt.Errorf("seed %d: at %d %s is taken out while it is out", seed, f.at, c.target)
 				}
-				if rel.State != Running && rel.State != GoingBack {
+				if rel.State != Running && rel.State != RollingBack {
 					return "", fmt.Errorf("seed %d: at %d %s goes out though the release is %s", seed, f.at, c.target, rel.State)
 				}
 				takes := int64(500 + rng.IntN(4000))
@@ -213,7 +213,7 @@
 			case f.at >= c.ends || f.at >= c.until:
 				ok := f.at >= c.ends && rng.IntN(40) > 0
 				c.ends = -1
-				f.do(d.name, Command{Op: Ended, Name: "r", Target: c.target, Fence: c.fence, OK: ok, Reason: "it broke"})
+				f.do(d.name, Command{Op: TargetEnded, Name: "r", Target: c.target, Fence: c.fence, OK: ok, Reason: "it broke"})
 			}
 		}
 		r, _ := f.m.Release("r")
@@ -241,7 +241,7 @@
 			if sick {
 				word = "back"
 			}
-			if f.do("operator", Command{Op: Steer, Name: "r", Steer: word}).OK {
+			if f.do("operator", Command{Op: SteerRelease, Name: "r", Steer: word}).OK {
 				clear(begun)
 			}
 			for _, p := range f.m.Permits() { // what is overdue and back is given back, as the council does
@@ -251,7 +251,7 @@
 			}
 		}
 		if rng.IntN(900) == 0 {
-			f.do("operator", Command{Op: Steer, Name: "r", Steer: []string{"halt", "back"}[rng.IntN(2)]})
+			f.do("operator", Command{Op: SteerRelease, Name: "r", Steer: []string{"halt", "back"}[rng.IntN(2)]})
 		}
 	}
 	r, _ := f.m.Release("r")
@@ -279,7 +279,7 @@
 		ends[state]++
 	}
 	t.Logf("%d plays ended %v", plays, ends)
-	if ends[Finished] < 20 || ends[Back] < 20 {
+	if ends[Finished] < 20 || ends[RolledBack] < 20 {
 		t.Errorf("the plays end %v: they show little", ends)
 	}
 	// From seeds near which some play misses them, as rare ones take hundreds.
@@ -300,14 +300,14 @@
 // TestRules: a group keeps a caught-up replica, a primary and its successor are not out together, nothing new goes out while
 // a zone is lost or too little is served in time; the health of a version is compared as it should be.
 func TestRules(t *testing.T) {
-	m := New(Form, 0)
+	m := New(NewestFormat, 0)
 	n := uint64(0)
-	do := func(c Command) Result { n++; c.Form = Form; return m.Apply(n, &c) }
-	group := []Target{{Name: "db/p", Group: "1", Primary: true}, {Name: "db/a", Group: "1", Caught: true, Best: true}, {Name: "db/b", Group: "1", Caught: true}, {Name: "db/c", Group: "1"}}
-	do(Command{Op: Population, Targets: group})
+	do := func(c Command) Result { n++; c.Format = NewestFormat; return m.Apply(n, &c) }
+	group := []Target{{Name: "db/p", Group: "1", Primary: true}, {Name: "db/a", Group: "1", CaughtUp: true, BestSuccessor: true}, {Name: "db/b", Group: "1", CaughtUp: true}, {Name: "db/c", Group: "1"}}
+	do(Command{Op: SetTargets, Targets: group})
 	acquire := func(target, want string) uint64 {
 		t.Helper()
-		r := do(Command{Op: Acquire, Target: target, Term: 1000, Who: "me"})
+		r := do(Command{Op: Acquire, Target: target, Term: 1000, Actor: "me"})
 		if r.OK != (want == "") || !strings.Contains(r.Refused, want) {
 			t.Errorf("%s: %+v, want %q", target, r, want)
 		}
@@ -325,22 +325,22 @@
 	acquire("db/a", "best successor of db/p")
 	do(Command{Op: GiveBack, Target: "db/p", Fence: p})
 
-	do(Command{Op: SetRules, Rules: &Rules{ZoneLost: true, Worth: 0.9}})
+	do(Command{Op: SetRules, Rules: &Rules{BlockOnZoneLoss: true, MinInTimeFraction: 0.9}})
 	gws := []Target{{Name: "gateway/1", Zone: "a", Out: true}, {Name: "gateway/2", Zone: "a", Out: true}, {Name: "gateway/3", Zone: "a"}, {Name: "gateway/4", Zone: "b"}}
-	do(Command{Op: Population, Targets: gws})
+	do(Command{Op: SetTargets, Targets: gws})
 	acquire("gateway/4", "zone a is lost")
 	gws[0].Out = false
-	do(Command{Op: Population, Targets: gws})
-	do(Command{Op: Health, Versions: []VersionHealth{counted("1", 100, 20)}})
+	do(Command{Op: SetTargets, Targets: gws})
+	do(Command{Op: ReportHealth, Versions: []VersionHealth{counted("1", 100, 20)}})
 	acquire("gateway/4", "serves 80.0 % in time")
-	do(Command{Op: Health, Versions: []VersionHealth{counted("1", 100, 2)}})
+	do(Command{Op: ReportHealth, Versions: []VersionHealth{counted("1", 100, 2)}})
 	acquire("gateway/4", "")
-	do(Command{Op: SetBudget, Budget: &Budget{Of: "gateways", Most: 1}})
-	if !m.Recalled("gateway/4") {
+	do(Command{Op: SetBudget, Budget: &Budget{Kind: "gateways", MaxOut: 1}})
+	if !m.ShouldRecall("gateway/4") {
 		t.Error("two are out under a budget of one, and the one with a permit is not called back")
 	}
 
-	w := plan().Want
+	w := plan().HealthLimits
 	r := &Release{Steps: plan().Steps}
 	side := func(s *Side, v VersionHealth) { *s = Side{}; s.add(&v) }
 	for _, c := range []struct {
@@ -354,25 +354,25 @@
 		{"worse", counted("2", 900, 90), counted("1", 900, 9), bad},
 		{"better", counted("2", 900, 9), counted("1", 900, 90), good},
 	} {
-		side(&r.Seen.New, c.mine)
-		side(&r.Seen.Old, c.at)
+		side(&r.Counts.New, c.mine)
+		side(&r.Counts.Old, c.at)
 		if got, why := w.judge(r); got != c.want {
 			t.Errorf("%s: %d (%s), want %d", c.what, got, why, c.want)
 		}
 	}
 	one := counted("2", 900, 0)
-	one.Classes[3] = Served{Requests: 40, Refused: 40}
+	one.Classes[3] = AnswerCounts{Requests: 40, Refused: 40}
 	old := counted("1", 900, 0)
-	old.Classes[3] = Served{Requests: 40}
-	side(&r.Seen.New, one)
-	side(&r.Seen.Old, old)
+	old.Classes[3] = AnswerCounts{Requests: 40}
+	side(&r.Counts.New, one)
+	side(&r.Counts.Old, old)
 	if got, why := w.judge(r); got != bad {
 		t.Errorf("one class refused: %d (%s)", got, why)
 	}
 	slow := counted("2", 900, 0)
 	slow.Latency[5], slow.Latency[12] = 0, 900
-	side(&r.Seen.New, slow)
-	side(&r.Seen.Old, counted("1", 900, 0))
+	side(&r.Counts.New, slow)
+	side(&r.Counts.Old, counted("1", 900, 0))
 	if got, why := w.judge(r); got != bad {
 		t.Errorf("slow: %d (%s)", got, why)
 	}
--- a/internal/fleet/agreed/voters.go
+++ b/internal/fleet/agreed/voters.go
@@ -19,14 +19,14 @@
 		}
 	}
 	m.s.Voters[id], m.s.Index = v, index
-	m.record(Entry{Index: index, What: "voter added", Target: v.Name, OK: true, Result: "done"})
+	m.record(Entry{Index: index, Action: "voter added", Target: v.Name, OK: true, Result: "done"})
 }
 
 // DropVoter forgets one that left.
 func (m *Machine) DropVoter(index, id uint64, name string) {
 	delete(m.s.Voters, id)
 	m.s.Index = index
-	m.record(Entry{Index: index, What: "voter removed", Target: name, OK: true, Result: "done"})
+	m.record(Entry{Index: index, Action: "voter removed", Target: name, OK: true, Result: "done"})
 }
 
 // Voters are those that were added, by number.
@@ -38,9 +38,9 @@
 // fenceJump puts the fences of a restored council above all that the lost one can have given.
 const fenceJump = 1 << 40
 
-// Restored makes the state of one voter's folder that of a new council: fences go on far above all that the lost voters
+// MarkRestored makes the state of one voter's folder that of a new council: fences go on far above all that the lost voters
 // may have agreed without it, what was out stays counted as out until it is seen back, releases are halted.
-func (m *Machine) Restored(lineage uint64, who string) {
+func (m *Machine) MarkRestored(lineage uint64, who string) {
 	s := &m.s
 	s.Lineage = lineage
 	s.Fence += fenceJump
@@ -51,10 +51,10 @@
 	}
 	for _, r := range m.Releases() {
 		if !r.Ended() {
-			r.Client, r.Driver, r.Until = "", "", 0
+			r.DriverClient, r.Driver, r.DriverUntil = "", "", 0
 			r.set(s.Time, Halted, "the council was restored")
 			m.keep(&r)
 		}
 	}
-	m.record(Entry{Index: s.Index, Who: who, What: "council restored", Result: "from one folder", OK: true})
+	m.record(Entry{Index: s.Index, Actor: who, Action: "council restored", Result: "from one folder", OK: true})
 }
--- a/internal/fleet/agreed/zones.go
+++ b/internal/fleet/agreed/zones.go
@@ -24,27 +24,27 @@
 	Zones  map[string]ZoneEntry `cbor:"3,keyasint" json:"zones"`
 }
 
-// ZoneAct is an operator's word on a zone that stands until another one.
-type ZoneAct struct {
+// ZoneOverride is an operator's word on a zone that stands until another one.
+type ZoneOverride struct {
 	Forced string `cbor:"1,keyasint,omitempty" json:"forced,omitempty"` // out, serving, empty: as the planner sees it
 	Held   bool   `cbor:"2,keyasint,omitempty" json:"held,omitempty"`
 	Reason string `cbor:"3,keyasint,omitempty" json:"reason,omitempty"`
 }
 
-// ZonesMost bounds plans.
-const ZonesMost = 64
+// MaxZones bounds plans.
+const MaxZones = 64
 
 // Zones is the agreed plan, nil if there never was one.
 func (m *Machine) Zones() *ZonePlan { return m.s.Zones }
 
-// ZoneActs are the operators' words that stand.
-func (m *Machine) ZoneActs() map[string]ZoneAct { return m.s.ZoneActs }
+// ZoneOverrides are the operators' words that stand.
+func (m *Machine) ZoneOverrides() map[string]ZoneOverride { return m.s.ZoneActs }
 
 // setZones takes a plan. One with a number that is not above the last is of a leader of the past.
 func (m *Machine) setZones(c *Command) Result {
 	z := c.Zones
-	if z == nil || len(z.Zones) > ZonesMost || c.Term <= 0 || c.Term > TermMost {
-		return refuse("no plan of zones, or more than %d, or a term of %d ms", ZonesMost, c.Term)
+	if z == nil || len(z.Zones) > MaxZones || c.Term <= 0 || c.Term > TermMost {
+		return refuse("no plan of zones, or more than %d, or a term of %d ms", MaxZones, c.Term)
 	}
 	if old := m.s.Zones; old != nil && z.Number <= old.Number {
 		return refuse("plan %d is of the past, %d holds", z.Number, old.Number)
@@ -54,7 +54,7 @@
 		for _, part := range e.GoesTo {
 			sum += part
 		}
-		if len(name) > TextMost || e.Away < 0 || e.Away > 1 || sum > 1+1e-6 {
+		if len(name) > MaxTextBytes || e.Away < 0 || e.Away > 1 || sum > 1+1e-6 {
 			return refuse("plan %d sends %g of zone %s away and lays out %g", z.Number, e.Away, name, sum)
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 	a.Reason = c.Reason
 	if s.ZoneActs == nil {
-		s.ZoneActs = map[string]ZoneAct{}
+		s.ZoneActs = map[string]ZoneOverride{}
 	}
 	s.ZoneActs[c.Name] = a
 	return Result{OK: true}
--- a/internal/fleet/council/admin.go
+++ b/internal/fleet/council/admin.go
@@ -33,7 +33,7 @@
 }
 
 var operations = map[string]agreed.Op{"budget": agreed.SetBudget, "acquire": agreed.Acquire, "renew": agreed.Renew, "give_back": agreed.GiveBack, "revoke": agreed.Revoke,
-	"rules": agreed.SetRules, "plan": agreed.Plan, "drive": agreed.Drive, "next": agreed.Next, "started": agreed.Started, "ended": agreed.Ended, "steer": agreed.Steer, "raise": agreed.Raise, "zone": agreed.ActZone}
+	"rules": agreed.SetRules, "plan": agreed.PlanRelease, "drive": agreed.DriveRelease, "next": agreed.NextTarget, "started": agreed.TargetStarted, "ended": agreed.TargetEnded, "steer": agreed.SteerRelease, "raise": agreed.RaiseFormat, "zone": agreed.OverrideZone}
 
 // VoterState describes a voter as the answering voter knows it.
 type VoterState struct {
@@ -56,36 +56,36 @@
 
 // Status is what `reachwind fleet status` shows.
 type Status struct {
-	Name     string                    `json:"name"`
-	Quorum   bool                      `json:"quorum"`
-	Leader   string                    `json:"leader"`
-	Leading  bool                      `json:"leading"`
-	Term     uint64                    `json:"term"`
-	Index    uint64                    `json:"index"`
-	TimeMs   int64                     `json:"time_ms"`
-	Budgets  []agreed.Budget           `json:"budgets"`
-	Permits  []agreed.Permit           `json:"permits"`
-	Targets  []agreed.Target           `json:"targets"`
-	Releases []agreed.Release          `json:"releases"`
-	Rules    agreed.Rules              `json:"rules"`
-	Serves   agreed.Serves             `json:"serves"`
-	Form     int                       `json:"form"`
-	Identity uint64                    `json:"identity"` // of this voter's folder
-	ID       uint64                    `json:"id"`
-	Listen   string                    `json:"listen"`
-	Starts   uint64                    `json:"starts"`
-	Lineage  uint64                    `json:"lineage,omitempty"`
-	Voters   []VoterState              `json:"voters"`
-	Zones    *agreed.ZonePlan          `json:"zones,omitempty"`
-	ZoneActs map[string]agreed.ZoneAct `json:"zone_acts,omitempty"`
+	Name     string                         `json:"name"`
+	Quorum   bool                           `json:"quorum"`
+	Leader   string                         `json:"leader"`
+	Leading  bool                           `json:"leading"`
+	Term     uint64                         `json:"term"`
+	Index    uint64                         `json:"index"`
+	TimeMs   int64                          `json:"time_ms"`
+	Budgets  []agreed.Budget                `json:"budgets"`
+	Permits  []agreed.Permit                `json:"permits"`
+	Targets  []agreed.Target                `json:"targets"`
+	Releases []agreed.Release               `json:"releases"`
+	Rules    agreed.Rules                   `json:"rules"`
+	Serves   agreed.FleetHealth             `json:"serves"`
+	Form     int                            `json:"form"`
+	Identity uint64                         `json:"identity"` // of this voter's folder
+	ID       uint64                         `json:"id"`
+	Listen   string                         `json:"listen"`
+	Starts   uint64                         `json:"starts"`
+	Lineage  uint64                         `json:"lineage,omitempty"`
+	Voters   []VoterState                   `json:"voters"`
+	Zones    *agreed.ZonePlan               `json:"zones,omitempty"`
+	ZoneActs map[string]agreed.ZoneOverride `json:"zone_acts,omitempty"`
 }
 
 func (v *Voter) status() Status {
 	id, leading := v.node.Leader()
 	m := v.node.Machine
 	s := Status{Name: v.conf.Name, Quorum: id != 0, Leader: v.voterName(id), Leading: leading, Term: v.node.Term(), Index: m.Index(), TimeMs: m.Time(),
-		Budgets: m.Budgets(), Permits: m.Permits(), Targets: m.Targets(), Releases: m.Releases(), Rules: m.Rules(), Serves: m.Serves(),
-		Form: m.Form(), Identity: v.incarnation.Identity, ID: v.selfID, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneActs()), Starts: v.incarnation.Starts, Lineage: m.Lineage()}
+		Budgets: m.Budgets(), Permits: m.Permits(), Targets: m.Targets(), Releases: m.Releases(), Rules: m.Rules(), Serves: m.FleetHealth(),
+		Form: m.Format(), Identity: v.incarnation.Identity, ID: v.selfID, Listen: v.net.AdvertisedAddr(), Zones: m.Zones(), ZoneActs: maps.Clone(m.ZoneOverrides()), Starts: v.incarnation.Starts, Lineage: m.Lineage()}
 	conf := v.node.ConfState()
 	for _, id := range slices.Concat(conf.Voters, conf.Learners) {
 		o := VoterState{Name: v.voterName(id), ID: id, Address: v.voterAddr(id), Learns: slices.Contains(conf.Learners, id), HeardMs: -1}
@@ -93,7 +93,7 @@
 			o.HeardMs, o.Form = (v.now() - n.at).Milliseconds(), n.form
 		}
 		if id == v.selfID {
-			o.HeardMs, o.Form = 0, agreed.Form
+			o.HeardMs, o.Form = 0, agreed.NewestFormat
 		}
 		s.Voters = append(s.Voters, o)
 	}
@@ -189,7 +189,7 @@
 			leader string
 		}
 		got := make(chan end, 1)
-		c := &agreed.Command{Rules: q.Rules, Release: q.Release, Name: q.Name, OK: q.OK, Steer: q.Steer, To: agreed.Form, Op: op, Client: q.Client, Number: q.Number, Who: q.Who, Target: q.Target, Reason: q.Reason, Term: q.TermMs, Fence: q.Fence, Budget: q.Budget}
+		c := &agreed.Command{Rules: q.Rules, Release: q.Release, Name: q.Name, OK: q.OK, Steer: q.Steer, To: agreed.NewestFormat, Op: op, Client: q.Client, Number: q.Number, Actor: q.Who, Target: q.Target, Reason: q.Reason, Term: q.TermMs, Fence: q.Fence, Budget: q.Budget}
 		err = v.runInLoop(ctx, func() {
 			id, _ := v.node.Leader()
 			tell := func(res agreed.Result, err error) { got <- end{res, err, v.voterName(id)} }
@@ -197,8 +197,8 @@
 				tell(agreed.Result{}, ErrNotLeader)
 				return
 			}
-			if op == agreed.Raise && !v.allOnNewestForm() {
-				tell(agreed.Result{Refused: fmt.Sprintf("not all voters have lately reported that they support form %d: upgrade them first", agreed.Form)}, nil)
+			if op == agreed.RaiseFormat && !v.allOnNewestForm() {
+				tell(agreed.Result{Refused: fmt.Sprintf("not all voters have lately reported that they support form %d: upgrade them first", agreed.NewestFormat)}, nil)
 				return
 			}
 			t, err := v.node.Propose(v.now(), c)
@@ -232,7 +232,7 @@
 // allOnNewestForm reports whether all other voters said within helloValidity that they support the newest format version.
 func (v *Voter) allOnNewestForm() bool {
 	for _, id := range v.otherIDs() {
-		if n, ok := v.lastHellos[v.voterName(id)]; !ok || v.now()-n.at > helloValidity || n.form < agreed.Form {
+		if n, ok := v.lastHellos[v.voterName(id)]; !ok || v.now()-n.at > helloValidity || n.form < agreed.NewestFormat {
 			return false
 		}
 	}
--- a/internal/fleet/council/config.go
+++ b/internal/fleet/council/config.go
@@ -71,22 +71,22 @@
 	b.Blocks("zone", true, func(z *edgeconf.Block) {
 		one := zoneplan.Zone{Name: z.Label, Region: z.String("region", ""), Capacity: z.Number("capacity", 0, 0, 1e9)}
 		for _, n := range z.Strings("near") {
-			one.Near = append(one.Near, zoneplan.Neighbour{Zone: n})
+			one.Neighbours = append(one.Neighbours, zoneplan.Neighbour{Zone: n})
 		}
-		if len(z.Label) > agreed.TextMost {
-			z.AddFault("a name of %d bytes, want at most %d", len(z.Label), agreed.TextMost)
+		if len(z.Label) > agreed.MaxTextBytes {
+			z.AddFault("a name of %d bytes, want at most %d", len(z.Label), agreed.MaxTextBytes)
 		}
 		c.Zones = append(c.Zones, one)
 	})
 	for _, z := range c.Zones {
-		for _, n := range z.Near {
+		for _, n := range z.Neighbours {
 			if n.Zone == z.Name || !slices.ContainsFunc(c.Zones, func(o zoneplan.Zone) bool { return o.Name == n.Zone }) {
 				b.AddFault("zone %q is near %q, want another zone that has a block", z.Name, n.Zone)
 			}
 		}
 	}
-	if len(c.Zones) > agreed.ZonesMost {
-		b.AddFault("%d zones, want at most %d", len(c.Zones), agreed.ZonesMost)
+	if len(c.Zones) > agreed.MaxZones {
+		b.AddFault("%d zones, want at most %d", len(c.Zones), agreed.MaxZones)
 	}
 	if _, ok := c.Voters[c.Name]; !ok {
 		b.AddFaultAt("name", "name is %q, want that of one of the voters", c.Name)
--- a/internal/fleet/council/copy_test.go
+++ b/internal/fleet/council/copy_test.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	snap := raftpb.Snapshot{Data: agreed.New(agreed.Form, 0).Snapshot(), Metadata: raftpb.SnapshotMetadata{Index: 900, Term: 7, ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{firstJoinedID + 1}}}}
+	snap := raftpb.Snapshot{Data: agreed.New(agreed.NewestFormat, 0).Snapshot(), Metadata: raftpb.SnapshotMetadata{Index: 900, Term: 7, ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{firstJoinedID + 1}}}}
 	for _, m := range []raftpb.Message{{Type: raftpb.MsgHeartbeat}, {Type: raftpb.MsgApp, Index: 950, LogTerm: 7, Commit: 950}, {Type: raftpb.MsgSnap, Snapshot: &snap}, {Type: raftpb.MsgHeartbeat, Commit: 900}} {
 		m.From, m.To, m.Term = 1, firstJoinedID+1, 7
 		if err := joins.Receive(0, m); err != nil {
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -281,17 +281,17 @@
 	same := true
 	for _, id := range v.otherIDs() {
 		name := v.voterName(id)
-		if n, ok := v.lastHellos[name]; !ok || v.now()-n.at > helloValidity || n.form < agreed.Form {
+		if n, ok := v.lastHellos[name]; !ok || v.now()-n.at > helloValidity || n.form < agreed.NewestFormat {
 			same = false
 		}
-		v.sendEnvelope(frameHello, id, &envelopeV2{Form: agreed.Form, ID: v.selfID, Addr: v.net.AdvertisedAddr()})
+		v.sendEnvelope(frameHello, id, &envelopeV2{Form: agreed.NewestFormat, ID: v.selfID, Addr: v.net.AdvertisedAddr()})
 	}
-	if _, leads := v.node.Leader(); !same || !leads || v.node.Machine.Form() >= agreed.Form {
+	if _, leads := v.node.Leader(); !same || !leads || v.node.Machine.Format() >= agreed.NewestFormat {
 		v.newestFormSince = 0
 	} else if v.newestFormSince == 0 {
 		v.newestFormSince = v.now()
 	} else if v.now()-v.newestFormSince > formRaiseDelay {
-		v.propose(&agreed.Command{Op: agreed.Raise, To: agreed.Form})
+		v.propose(&agreed.Command{Op: agreed.RaiseFormat, To: agreed.NewestFormat})
 	}
 }
 
@@ -316,7 +316,7 @@
 
 // acceptsIncarnations reports whether a voter understands messages with incarnations (envelopeV2).
 func (v *Voter) acceptsIncarnations(name string) bool {
-	return v.node.Machine.Form() >= agreed.Releases || v.lastHellos[name].form >= agreed.Releases
+	return v.node.Machine.Format() >= agreed.ReleasesFormat || v.lastHellos[name].form >= agreed.ReleasesFormat
 }
 
 func (v *Voter) sendRaft(messages []raftpb.Message) {
@@ -354,7 +354,7 @@
 		v.handlePermitRequest(b)
 	case frameRaftV1:
 		var e envelopeV1
-		if cbor.Unmarshal(b, &e) == nil && v.node.Machine.Form() < agreed.Releases {
+		if cbor.Unmarshal(b, &e) == nil && v.node.Machine.Format() < agreed.ReleasesFormat {
 			v.handleRaftMessage(&envelopeV2{Name: e.Name, Incarnation: Incarnation{Identity: e.Identity}, Message: e.Message})
 		}
 	case frameRaftV2:
@@ -376,7 +376,7 @@
 		return
 	}
 	v.lastHellos[e.Name] = helloRecord{v.now(), e.Form}
-	if len(v.node.ConfState().Voters) == 0 && len(v.helloVoters) < MaxVoters && len(e.Name) <= agreed.TextMost {
+	if len(v.node.ConfState().Voters) == 0 && len(v.helloVoters) < MaxVoters && len(e.Name) <= agreed.MaxTextBytes {
 		v.helloVoters[e.ID] = agreed.Voter{Name: e.Name, Addr: e.Addr}
 	}
 }
--- a/internal/fleet/council/disk_test.go
+++ b/internal/fleet/council/disk_test.go
@@ -105,7 +105,7 @@
 			m.Apply(e.Index, cmd)
 		}
 	}
-	if b := m.Budgets(); len(b) != 1 || b[0].Most != 1 {
+	if b := m.Budgets(); len(b) != 1 || b[0].MaxOut != 1 {
 		t.Errorf("after the disk failed the folder has %+v", b)
 	}
 	_ = s.Close()
@@ -150,7 +150,7 @@
 // BenchmarkStore compares bbolt with a plain log: the time to save a decision, the file's size per decision and the
 // recovery time per decision.
 func BenchmarkStore(b *testing.B) {
-	data := (&agreed.Command{Form: agreed.Form, Op: agreed.Acquire, Client: "0123456789abcdef01234567", Number: 7, Who: "ops@host", Target: "gateway/gw-17", Term: 60000}).Encode()
+	data := (&agreed.Command{Format: agreed.NewestFormat, Op: agreed.Acquire, Client: "0123456789abcdef01234567", Number: 7, Actor: "ops@host", Target: "gateway/gw-17", Term: 60000}).Encode()
 	entry := func(i int) []raftpb.Entry { return []raftpb.Entry{{Index: uint64(i + 2), Term: 2, Data: data}} }
 	size := func(path string) float64 {
 		i, err := os.Stat(path)
--- a/internal/fleet/council/gateways.go
+++ b/internal/fleet/council/gateways.go
@@ -27,7 +27,7 @@
 	m := v.node.Machine
 	target := "gateway/" + name
 	told.Name = name
-	told.Term, told.Index, told.Recall = v.node.Term(), m.Index(), m.Recalled(target)
+	told.Term, told.Index, told.Recall = v.node.Term(), m.Index(), m.ShouldRecall(target)
 	if p, ok := m.Permit(target); ok && !p.Overdue {
 		told.Fence, told.LeftMs = p.Fence, max(0, p.Until-m.Time())
 	}
@@ -84,7 +84,7 @@
 	if op == 0 {
 		return
 	}
-	c := &agreed.Command{Op: op, Client: fmt.Sprintf("gateway/%s/%d", a.Name, a.Epoch), Number: a.Number, Who: "gateway/" + a.Name, Target: "gateway/" + a.Name, Reason: a.Reason, Term: a.TermMs, Fence: a.Fence}
+	c := &agreed.Command{Op: op, Client: fmt.Sprintf("gateway/%s/%d", a.Name, a.Epoch), Number: a.Number, Actor: "gateway/" + a.Name, Target: "gateway/" + a.Name, Reason: a.Reason, Term: a.TermMs, Fence: a.Fence}
 	t, err := v.node.Propose(v.now(), c)
 	if err != nil {
 		return
@@ -113,9 +113,9 @@
 	v.nextPopulation = v.now() + subscribe.ReportInterval
 	m := v.node.Machine
 	known := m.Targets()
-	full := m.Form() >= agreed.Releases
+	full := m.Format() >= agreed.ReleasesFormat
 	if targets, changed := v.reports.Targets(v.now(), known, full); changed {
-		v.propose(&agreed.Command{Op: agreed.Population, Targets: targets})
+		v.propose(&agreed.Command{Op: agreed.SetTargets, Targets: targets})
 	}
 	for _, p := range m.Permits() {
 		// A gateway that left under its own permit is back once a later start of it serves.
@@ -124,10 +124,10 @@
 			v.propose(&agreed.Command{Op: agreed.GiveBack, Target: p.Target, Fence: p.Fence, Reason: "seen back"})
 		}
 	}
-	if full && (m.Moving() || m.Rules().Worth > 0) && v.now() >= v.nextHealth {
+	if full && (m.ReleaseActive() || m.Rules().MinInTimeFraction > 0) && v.now() >= v.nextHealth {
 		v.nextHealth = v.now() + healthInterval
 		if all := v.reports.TakeHealth(); len(all) > 0 {
-			v.propose(&agreed.Command{Op: agreed.Health, Versions: all})
+			v.propose(&agreed.Command{Op: agreed.ReportHealth, Versions: all})
 		}
 	}
 }
@@ -138,6 +138,6 @@
 // proposes again where needed.
 func (v *Voter) propose(c *agreed.Command) {
 	v.commandNumber++
-	c.Who, c.Client, c.Number = "council", fmt.Sprint("voter/", v.conf.Name, "/", v.store.Identity, "/", v.startedAt.UnixNano()), v.commandNumber
+	c.Actor, c.Client, c.Number = "council", fmt.Sprint("voter/", v.conf.Name, "/", v.store.Identity, "/", v.startedAt.UnixNano()), v.commandNumber
 	_, _ = v.node.Propose(v.now(), c)
 }
--- a/internal/fleet/council/node.go
+++ b/internal/fleet/council/node.go
@@ -111,7 +111,7 @@
 // NewNode returns a node that continues from the saved state, which is empty on the very first start. It returns
 // ErrDamaged where log, snapshot and commit index of the saved state contradict each other.
 func NewNode(c NodeConfig, s Saved, now Time) (*Node, error) {
-	n := &Node{cfg: c, mem: raft.NewMemoryStorage(), Machine: agreed.New(cmp.Or(c.Form, agreed.Form), c.Off), now: now, lastTick: now, leaderLastKnown: now, tickets: map[uint64]pendingCommand{}}
+	n := &Node{cfg: c, mem: raft.NewMemoryStorage(), Machine: agreed.New(cmp.Or(c.Form, agreed.NewestFormat), c.Off), now: now, lastTick: now, leaderLastKnown: now, tickets: map[uint64]pendingCommand{}}
 	n.conf = raftpb.ConfState{Voters: c.Voters}
 	if !raft.IsEmptySnap(s.Snapshot) {
 		if err := n.mem.ApplySnapshot(s.Snapshot); err != nil {
@@ -171,7 +171,7 @@
 	if n.raw.BasicStatus().Lead != 0 && !n.leading {
 		n.leaderLastKnown = now
 	}
-	if n.leading && now >= n.nextCouncilTime && n.Machine.Ticks() {
+	if n.leading && now >= n.nextCouncilTime && n.Machine.NeedsTicks() {
 		n.nextCouncilTime = now + councilTimeInterval
 		_ = n.propose(&agreed.Command{Op: agreed.Tick}) // a failure needs no handling: a leader without a majority steps down soon
 	}
@@ -275,15 +275,15 @@
 func (n *Node) councilTime() int64 { return n.leadBaseMs + (n.now - n.leadSince).Milliseconds() }
 
 func (n *Node) propose(c *agreed.Command) error {
-	c.Form, c.At = n.Machine.Form(), n.councilTime()
-	if c.Op == agreed.Raise {
-		c.Form = c.To
+	c.Format, c.At = n.Machine.Format(), n.councilTime()
+	if c.Op == agreed.RaiseFormat {
+		c.Format = c.To
 	}
 	return n.raw.Propose(c.Encode())
 }
 
 // ErrFormTooOld is returned for a command that the format version in use does not have.
-var ErrFormTooOld = fmt.Errorf("council: the council works in form 1 until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", agreed.Releases)
+var ErrFormTooOld = fmt.Errorf("council: the council works in form 1 until all its voters speak form %d: upgrade them, then `reachwind fleet raise`", agreed.ReleasesFormat)
 
 // Propose proposes a command and returns the ticket that its CommandResult will carry. It returns ErrNotLeader or
 // ErrFormTooOld for a command that it does not propose.
@@ -292,7 +292,7 @@
 	if !n.leading {
 		return 0, ErrNotLeader
 	}
-	if c.Op > agreed.Revoke && c.Op != agreed.Raise && n.Machine.Form() < agreed.Releases {
+	if c.Op > agreed.Revoke && c.Op != agreed.RaiseFormat && n.Machine.Format() < agreed.ReleasesFormat {
 		return 0, ErrFormTooOld
 	}
 	if err := n.propose(c); err != nil {
@@ -412,8 +412,8 @@
 	switch {
 	case !n.leading:
 		return ErrNotLeader
-	case n.Machine.Form() < agreed.Releases:
-		return fmt.Errorf("%w: the council works in form %d", ErrVoterChange, n.Machine.Form())
+	case n.Machine.Format() < agreed.ReleasesFormat:
+		return fmt.Errorf("%w: the council works in form %d", ErrVoterChange, n.Machine.Format())
 	case c.Leave && len(n.conf.Voters) == 1 && n.conf.Voters[0] == c.ID:
 		return fmt.Errorf("%w: it is the last voter", ErrVoterChange)
 	case !c.Leave && !c.Learn && !n.caughtUp(c.ID):
@@ -487,8 +487,8 @@
 	}
 	if leads && !n.leading {
 		n.leadBaseMs, n.leadSince, n.nextCouncilTime = n.Machine.Time(), n.now, n.now
-		if gap := n.now - n.leaderLastKnown; gap > maxLeaderlessTime && n.Machine.Moving() {
-			_ = n.propose(&agreed.Command{Op: agreed.Steer, Name: "*", Steer: "halt", Who: "council", Reason: fmt.Sprintf("nobody led for %v", gap.Round(time.Second))})
+		if gap := n.now - n.leaderLastKnown; gap > maxLeaderlessTime && n.Machine.ReleaseActive() {
+			_ = n.propose(&agreed.Command{Op: agreed.SteerRelease, Name: "*", Steer: "halt", Actor: "council", Reason: fmt.Sprintf("nobody led for %v", gap.Round(time.Second))})
 		}
 	}
 	n.leading = leads
--- a/internal/fleet/council/restore.go
+++ b/internal/fleet/council/restore.go
@@ -115,7 +115,7 @@
 	if _, err := os.Stat(into); !errors.Is(err, os.ErrNotExist) {
 		return r, fmt.Errorf("council: %s exists already, want a new folder", into)
 	}
-	m.Restored(rand.Uint64()|1, who)
+	m.MarkRestored(rand.Uint64()|1, who)
 	fresh, now, err := OpenStore(into)
 	if err != nil {
 		return r, err
--- a/internal/fleet/council/store.go
+++ b/internal/fleet/council/store.go
@@ -118,7 +118,7 @@
 	if err := m.Put(keyIdentity, withChecksum(binary.BigEndian.AppendUint64(nil, s.Identity))); err != nil {
 		return err
 	}
-	if err := m.Put(keyFoundingForm, withChecksum([]byte{agreed.Form})); err != nil {
+	if err := m.Put(keyFoundingForm, withChecksum([]byte{agreed.NewestFormat})); err != nil {
 		return err
 	}
 	return m.Put(keyFormat, withChecksum([]byte{storeFormat}))
--- a/internal/fleet/council/zones.go
+++ b/internal/fleet/council/zones.go
@@ -14,7 +14,7 @@
 func (v *Voter) planZones() {
 	_, leads := v.node.Leader()
 	m := v.node.Machine
-	if !leads || len(v.conf.Zones) == 0 || m.Form() < agreed.Releases {
+	if !leads || len(v.conf.Zones) == 0 || m.Format() < agreed.ReleasesFormat {
 		v.planner = nil
 		return
 	}
@@ -31,8 +31,8 @@
 		v.reports.TakeZoneCounts(now) // counts from before this voter led cover an unknown period and are discarded
 		v.nextPlan = now + subscribe.ReportInterval
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.ZoneActs())) {
-		a := m.ZoneActs()[name]
+	for _, name := range slices.Sorted(maps.Keys(m.ZoneOverrides())) {
+		a := m.ZoneOverrides()[name]
 		_ = v.planner.Hold(name, a.Held)
 		_ = v.planner.Force(now, name, zoneplan.State(a.Forced), a.Reason)
 	}
@@ -40,8 +40,8 @@
 		return
 	}
 	v.nextPlan = now + subscribe.ReportInterval
-	v.planner.See(now, v.reports.TakeZoneCounts(now))
-	plan, fresh := v.planner.Look(now)
+	v.planner.AddEvidence(now, v.reports.TakeZoneCounts(now))
+	plan, fresh := v.planner.Evaluate(now)
 	if !fresh {
 		return
 	}
@@ -50,7 +50,7 @@
 		e := plan.Zones[conf.Name]
 		z.Zones[conf.Name] = agreed.ZoneEntry{State: string(e.State), Away: e.Away, GoesTo: e.GoesTo, Shed: e.Shed, Reason: e.Reason, Held: e.Held, Region: conf.Region}
 	}
-	v.propose(&agreed.Command{Op: agreed.SetZones, Zones: z, Term: zoneplan.Term.Milliseconds()})
+	v.propose(&agreed.Command{Op: agreed.SetZones, Zones: z, Term: zoneplan.PlanTerm.Milliseconds()})
 }
 
 // addZonesAway adds the zone plan in force, unless it has expired, to an update for gateways.
--- a/internal/fleet/subscribe/asks.go
+++ b/internal/fleet/subscribe/asks.go
@@ -32,7 +32,7 @@
 // DecodePermitRequest reads an ask; ok is false for one that makes no sense.
 func DecodePermitRequest(b []byte) (a PermitRequest, ok bool) {
 	err := cbor.Unmarshal(b, &a)
-	return a, err == nil && a.Name != "" && len(a.Name) <= textMost && len(a.Addr) <= textMost && len(a.Reason) <= agreed.TextMost
+	return a, err == nil && a.Name != "" && len(a.Name) <= textMost && len(a.Addr) <= textMost && len(a.Reason) <= agreed.MaxTextBytes
 }
 
 // PermitAnswer is what the council decided.
@@ -125,15 +125,15 @@
 
 // Counts are a gateway's final answers since its start.
 type Counts struct {
-	Classes [agreed.ClassesMost]agreed.Served `cbor:"1,keyasint"`
-	Latency [agreed.BucketsCount]uint32       `cbor:"2,keyasint"`
+	Classes [agreed.MaxClasses]agreed.AnswerCounts `cbor:"1,keyasint"`
+	Latency [agreed.BucketCount]uint32             `cbor:"2,keyasint"`
 }
 
 // since is what was counted since an earlier count of the same start.
 func (c *Counts) since(was *Counts) (d Counts) {
 	for i := range c.Classes {
 		x, y := &c.Classes[i], &was.Classes[i]
-		d.Classes[i] = agreed.Served{Requests: less(x.Requests, y.Requests), Refused: less(x.Refused, y.Refused), Late: less(x.Late, y.Late)}
+		d.Classes[i] = agreed.AnswerCounts{Requests: less(x.Requests, y.Requests), Refused: less(x.Refused, y.Refused), Late: less(x.Late, y.Late)}
 	}
 	for i := range c.Latency {
 		d.Latency[i] = uint32(less(uint64(c.Latency[i]), uint64(was.Latency[i])))
--- a/internal/fleet/subscribe/subscribe.go
+++ b/internal/fleet/subscribe/subscribe.go
@@ -155,7 +155,7 @@
 
 	members  map[string]map[string]word // by member, by zone of the witness
 	versions map[string]*agreed.VersionHealth
-	zones    map[[2]string]*zoneplan.Seen // by witness zone and zone
+	zones    map[[2]string]*zoneplan.Evidence // by witness zone and zone
 	zonesAt  Time
 }
 
@@ -173,7 +173,7 @@
 
 // NewRegistry returns an empty book.
 func NewRegistry() *Registry {
-	return &Registry{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Seen{}}
+	return &Registry{seen: map[string]*heard{}, members: map[string]map[string]word{}, versions: map[string]*agreed.VersionHealth{}, zones: map[[2]string]*zoneplan.Evidence{}}
 }
 
 // HandleReport takes a report. One of an older start or number is dropped.
@@ -210,7 +210,7 @@
 		if len(b.versions) >= 16 {
 			return
 		}
-		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketsCount)}
+		v = &agreed.VersionHealth{Version: r.Version, Latency: make([]uint32, agreed.BucketCount)}
 		b.versions[r.Version] = v
 	}
 	if h.Epoch != 0 && r.Epoch != h.Epoch && h.Version == r.Version && !h.Leaving {
@@ -234,11 +234,11 @@
 }
 
 // zone is what the gateways of one zone saw of another since the last look.
-func (b *Registry) zone(witness, of string) *zoneplan.Seen {
+func (b *Registry) zone(witness, of string) *zoneplan.Evidence {
 	z := b.zones[[2]string{witness, of}]
 	if z == nil {
-		z = &zoneplan.Seen{Witness: witness, Of: of}
-		if len(b.zones) < agreed.ZonesMost*agreed.ZonesMost {
+		z = &zoneplan.Evidence{Witness: witness, Zone: of}
+		if len(b.zones) < agreed.MaxZones*agreed.MaxZones {
 			b.zones[[2]string{witness, of}] = z
 		}
 	}
@@ -247,7 +247,7 @@
 
 // tried adds what a gateway tried since its last report, and what its clients asked.
 func (b *Registry) tried(h *heard, r *Report) {
-	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.ZonesMost {
+	if h.Epoch == 0 || len(r.ZoneAttempts) > agreed.MaxZones {
 		return
 	}
 	was := map[string]ZoneAttempts{}
@@ -263,7 +263,7 @@
 		n, bad := less(t.Attempts, was[t.Zone].Attempts), less(t.Failed, was[t.Zone].Failed)
 		z := b.zone(r.Zone, t.Zone)
 		z.Attempts, z.Failed = z.Attempts+float64(n), z.Failed+float64(min(bad, n))
-		b.zone(t.Zone, t.Zone).Done += float64(n - min(bad, n))
+		b.zone(t.Zone, t.Zone).Served += float64(n - min(bad, n))
 	}
 	if r.Counts != nil && r.Zone != "" {
 		old := &Counts{}
@@ -278,11 +278,11 @@
 }
 
 // TakeZoneCounts is what was seen of zones since the last call: work a second, attempts in all.
-func (b *Registry) TakeZoneCounts(now Time) (all []zoneplan.Seen) {
+func (b *Registry) TakeZoneCounts(now Time) (all []zoneplan.Evidence) {
 	span := max(now-b.zonesAt, time.Millisecond).Seconds()
 	b.zonesAt = now
 	for _, z := range b.zones {
-		z.Offered, z.Done = z.Offered/span, z.Done/span
+		z.Offered, z.Served = z.Offered/span, z.Served/span
 		all = append(all, *z)
 	}
 	clear(b.zones)
@@ -366,8 +366,8 @@
 			}
 		}
 		for _, o := range groups[g] {
-			o.t.Caught = !o.t.Primary && o.position > 0 && newest-o.position <= caughtUp.Milliseconds()
-			o.t.Best = o == best
+			o.t.CaughtUp = !o.t.Primary && o.position > 0 && newest-o.position <= caughtUp.Milliseconds()
+			o.t.BestSuccessor = o == best
 			all = append(all, o.t)
 		}
 	}
--- a/internal/fleet/subscribe/subscribe_test.go
+++ b/internal/fleet/subscribe/subscribe_test.go
@@ -16,7 +16,7 @@
 	say := func(name, zone, version string, epoch, requests, refused uint64, more func(*Report)) {
 		number++
 		r := Report{Name: name, Zone: zone, Version: version, Epoch: epoch, Number: number, Counts: &Counts{}}
-		r.Counts.Classes[0] = agreed.Served{Requests: requests, Refused: refused}
+		r.Counts.Classes[0] = agreed.AnswerCounts{Requests: requests, Refused: refused}
 		r.Counts.Latency[3] = uint32(requests - refused)
 		if more != nil {
 			more(&r)
@@ -25,7 +25,7 @@
 			t.Fatalf("the report of %s is not taken", name)
 		}
 	}
-	health := func(want ...agreed.Served) {
+	health := func(want ...agreed.AnswerCounts) {
 		t.Helper()
 		all := b.TakeHealth()
 		if len(all) != len(want) {
@@ -42,7 +42,7 @@
 	say("g1", "a", "1", 1, 1010, 2, nil)
 	say("g2", "b", "2", 1, 5, 0, nil)
 	say("g2", "b", "2", 1, 25, 5, nil)
-	health(agreed.Served{Requests: 10, Refused: 2}, agreed.Served{Requests: 20, Refused: 5})
+	health(agreed.AnswerCounts{Requests: 10, Refused: 2}, agreed.AnswerCounts{Requests: 20, Refused: 5})
 	say("g2", "b", "2", 2, 7, 1, nil) // a start that nobody announced
 	if all := b.TakeHealth(); len(all) != 1 || all[0].Restarts != 1 || all[0].Classes[0].Requests != 7 {
 		t.Errorf("after a restart: %+v", all)
@@ -82,10 +82,10 @@
 	if m := by["db/m1"]; !changed || m.Out || !m.Primary || m.Group != "1" {
 		t.Errorf("m1 is %+v: want the primary, in use, as two zones of three say", m)
 	}
-	if m := by["db/m2"]; !m.Caught || !m.Best {
+	if m := by["db/m2"]; !m.CaughtUp || !m.BestSuccessor {
 		t.Errorf("m2 is %+v: want the best successor, caught up", m)
 	}
-	if m := by["db/m3"]; m.Caught || m.Best {
+	if m := by["db/m3"]; m.CaughtUp || m.BestSuccessor {
 		t.Errorf("m3 is %+v: want one that lags", m)
 	}
 	if _, changed := b.Targets(now, all, true); changed {
--- a/internal/fleet/zoneplan/zoneplan.go
+++ b/internal/fleet/zoneplan/zoneplan.go
@@ -22,7 +22,7 @@
 // The states.
 const (
 	Serving   State = "serving"
-	Straining State = "straining" // it serves, worse than it should: nothing new is sent there
+	Degraded  State = "straining" // it serves, worse than it should: nothing new is sent there
 	Shedding  State = "shedding"  // a part of its load goes elsewhere
 	Out       State = "out"       // none of its members is used
 	Returning State = "returning" // it gets a part of its load back, by steps
@@ -46,7 +46,7 @@
 	reserve   = 0.2                    // of what a zone can carry is left free by what is moved there
 	coldPart  = 0.5                    // of it, while its members are cold
 	forget    = 0.999                  // a second, of the most that a zone was seen to carry well
-	Term      = 15 * time.Second       // a plan holds for so long unless it is renewed
+	PlanTerm  = 15 * time.Second       // a plan holds for so long unless it is renewed
 	partsOff  = 0.02                   // parts closer than that are the same
 	tick      = 500 * time.Millisecond // plans are looked at so often
 )
@@ -54,7 +54,7 @@
 // Zone is one of the topology.
 type Zone struct {
 	Name, Region string
-	Near         []Neighbour // in the order of preference; those of the own region come first
+	Neighbours   []Neighbour // in the order of preference; those of the own region come first
 	Capacity     float64     // work a second that it can carry, 0 = as seen
 }
 
@@ -64,16 +64,16 @@
 	Cost Time // a round trip more
 }
 
-// Seen is what the gateways of one zone saw of the members of another since the last time, and what their own load is.
-type Seen struct {
+// Evidence is what the gateways of one zone saw of the members of another since the last time, and what their own load is.
+type Evidence struct {
 	Witness  string // the zone of the gateways that tell
-	Of       string // the zone of the members
+	Zone     string // the zone of the members
 	Attempts float64
 	Failed   float64
 	Late     float64
 	// Only where Witness is Of:
 	Offered float64 // work a second that clients ask of the gateways of the zone, wherever it is done
-	Done    float64 // work a second that its members do, for whomever
+	Served  float64 // work a second that its members do, for whomever
 	Cold    bool    // most of its members started lately
 }
 
@@ -113,7 +113,7 @@
 // Plan is what holds for all zones. Numbers only grow; a plan ends a Term after Made unless it is renewed.
 type Plan struct {
 	Number uint64           `json:"number"`
-	Made   Time             `json:"made"`
+	MadeAt Time             `json:"made"`
 	Zones  map[string]Entry `json:"zones"`
 }
 
@@ -169,11 +169,11 @@
 
 func (p *Planner) on(g Guard) bool { return p.off&g == 0 }
 
-// See takes evidence.
-func (p *Planner) See(now Time, all []Seen) {
+// AddEvidence takes evidence.
+func (p *Planner) AddEvidence(now Time, all []Evidence) {
 	for i := range all {
 		s := &all[i]
-		z := p.zones[s.Of]
+		z := p.zones[s.Zone]
 		if z == nil || s.Attempts < 0 || s.Failed < 0 || s.Failed > s.Attempts {
 			continue
 		}
@@ -187,8 +187,8 @@
 		}
 		t.fade(now)
 		t.attempts, t.failed, t.late = t.attempts+s.Attempts, t.failed+s.Failed, t.late+s.Late
-		if s.Witness == s.Of {
-			z.load, z.done, z.cold = s.Offered, s.Done, s.Cold
+		if s.Witness == s.Zone {
+			z.load, z.done, z.cold = s.Offered, s.Served, s.Cold
 		}
 	}
 }
@@ -246,7 +246,7 @@
 			z.state, z.away, z.reason, z.held, z.since, z.stepAt, z.turned = e.State, e.Away, e.Reason, e.Held, now, now, now
 		}
 	}
-	p.last = Plan{Number: p.number, Made: now - Term, Zones: zones}
+	p.last = Plan{Number: p.number, MadeAt: now - PlanTerm, Zones: zones}
 }
 
 // Force is an operator's act: a zone out, back (Serving), or as the planner sees it (empty).
@@ -312,9 +312,9 @@
 	return now - *at
 }
 
-// Look looks at all zones and returns the plan that holds from now on, and whether it is another one than the last or
+// Evaluate looks at all zones and returns the plan that holds from now on, and whether it is another one than the last or
 // needs to be renewed. It is to be called each half second or so.
-func (p *Planner) Look(now Time) (Plan, bool) {
+func (p *Planner) Evaluate(now Time) (Plan, bool) {
 	if now-p.lookAt < tick && p.number > 0 {
 		return p.last, false
 	}
@@ -325,9 +325,9 @@
 	}
 	zones := p.place()
 	changed := !same(zones, p.last.Zones)
-	if changed || now-p.last.Made >= Term/3 {
+	if changed || now-p.last.MadeAt >= PlanTerm/3 {
 		p.number++
-		p.last = Plan{Number: p.number, Made: now, Zones: zones}
+		p.last = Plan{Number: p.number, MadeAt: now, Zones: zones}
 		return p.last, true
 	}
 	return p.last, false
@@ -360,9 +360,9 @@
 	switch z.state {
 	case Serving:
 		if sick >= sickFor || gone >= goneFor {
-			p.turn(now, z, Straining, why)
+			p.turn(now, z, Degraded, why)
 		}
-	case Straining:
+	case Degraded:
 		switch {
 		case gone >= goneFor && p.mayTurn(now, z):
 			p.turn(now, z, Shedding, why)
@@ -461,7 +461,7 @@
 		if left := z.away * z.load; left > 0 {
 			total := z.load
 			e.GoesTo = map[string]float64{}
-			for _, n := range z.Near {
+			for _, n := range z.Neighbours {
 				if take := min(left, spare[n.Zone]); take > 0 {
 					e.GoesTo[n.Zone] = take / total
 					spare[n.Zone] -= take
--- a/internal/fleet/zoneplan/zoneplan_test.go
+++ b/internal/fleet/zoneplan/zoneplan_test.go
@@ -31,7 +31,7 @@
 	for i := range n {
 		z := Zone{Name: fmt.Sprintf("z%d", i), Region: fmt.Sprint(i / 2)}
 		for k := range n - 1 {
-			z.Near = append(z.Near, Neighbour{Zone: fmt.Sprintf("z%d", (i+k+1)%n), Cost: time.Duration(k) * time.Millisecond})
+			z.Neighbours = append(z.Neighbours, Neighbour{Zone: fmt.Sprintf("z%d", (i+k+1)%n), Cost: time.Duration(k) * time.Millisecond})
 		}
 		w.capacity[z.Name] = 100 + 100*w.rng.Float64()
 		w.load[z.Name] = w.capacity[z.Name] * (0.3 + 0.4*w.rng.Float64())
@@ -70,7 +70,7 @@
 func (w *sim) step() error {
 	w.now += tick
 	traffic := w.traffic()
-	var all []Seen
+	var all []Evidence
 	for _, from := range w.zones {
 		for _, to := range w.zones {
 			fails := w.grey[to.Name]
@@ -81,18 +81,18 @@
 				fails = 1
 			}
 			n := 5 + 10*w.rng.Float64() // looks at all zones go on, whatever the plan
-			s := Seen{Witness: from.Name, Of: to.Name, Attempts: n, Failed: n * fails}
+			s := Evidence{Witness: from.Name, Zone: to.Name, Attempts: n, Failed: n * fails}
 			if from.Name == to.Name {
-				s.Offered, s.Done, s.Cold = w.load[to.Name], min(traffic[to.Name], w.can(to.Name))*(1-fails), w.now < w.cold[to.Name]
+				s.Offered, s.Served, s.Cold = w.load[to.Name], min(traffic[to.Name], w.can(to.Name))*(1-fails), w.now < w.cold[to.Name]
 			}
 			if !w.lost[from.Name] { // its gateways are gone with it
 				all = append(all, s)
 			}
 		}
 	}
-	w.p.See(w.now, all)
+	w.p.AddEvidence(w.now, all)
 	before := w.plan
-	plan, _ := w.p.Look(w.now)
+	plan, _ := w.p.Evaluate(w.now)
 	w.plan = plan
 	if plan.Number < before.Number {
 		return fmt.Errorf("at %v plan %d came after %d", w.now, plan.Number, before.Number)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -110,7 +110,7 @@
 // try counts an attempt at a member of a zone. It is the owner's.
 func (g *told) try(zone string, r decide.Result) {
 	t, ok := g.tried[zone]
-	if !ok && len(g.tried) >= agreed.ZonesMost {
+	if !ok && len(g.tried) >= agreed.MaxZones {
 		return
 	}
 	t.Zone = zone
@@ -159,7 +159,7 @@
 
 // RequestEnded implements core.Witness.
 func (s sees) RequestEnded(q *core.Request, v core.Verdict, took core.Time) {
-	c := &s.counts.Classes[min(q.ClassIndex, agreed.ClassesMost-1)]
+	c := &s.counts.Classes[min(q.ClassIndex, agreed.MaxClasses-1)]
 	c.Requests++
 	if v != core.Served {
 		c.Refused++
--- a/internal/lab/rig/release_test.go
+++ b/internal/lab/rig/release_test.go
@@ -143,7 +143,7 @@
 			return errors.Join(err, errNone)
 		}
 		if got := st.Releases[0]; got.State != state {
-			return fmt.Errorf("%s, want %s: %s", got.State, state, got.Why)
+			return fmt.Errorf("%s, want %s: %s", got.State, state, got.Reason)
 		}
 		return nil
 	}
@@ -230,7 +230,7 @@
 		t.Errorf("%d went out after the halt", now-n)
 	}
 	resumed, _ := spawn(t, c, "release", "resume", "v2")
-	until(t, "back", release(c, agreed.Back))
+	until(t, "back", release(c, agreed.RolledBack))
 	until(t, "all are of the former version", versions(c, "1"))
 	_ = resumed.Wait()
 	if most, _ := p.Most(); most > 1 {
@@ -264,7 +264,7 @@
 	must(t, c, 0, "budget", "set", "--of", "gateways", "--most", "1")
 	load := asks(t, r, 150, 40*time.Second, "bad")
 	run, out := spawn(t, c, "release", "run", writePlan(t, p, "  on_halt = \"back\"\n"+planSteps+planHealth))
-	until(t, "it went back by itself", release(c, agreed.Back))
+	until(t, "it went back by itself", release(c, agreed.RolledBack))
 	_ = run.Wait()
 	if _, times := p.Most(); len(times) != 2 || run.ProcessState.ExitCode() == 0 {
 		t.Errorf("a version that refuses a class came further than its canary: %v, exit %d, %s", times, run.ProcessState.ExitCode(), out)
@@ -372,7 +372,7 @@
 		st, err := c.State()
 		caught := 0
 		for _, g := range st.Targets {
-			if g.Caught {
+			if g.CaughtUp {
 				caught++
 			}
 		}
--- a/internal/lab/simcouncil/simcouncil.go
+++ b/internal/lab/simcouncil/simcouncil.go
@@ -485,7 +485,7 @@
 
 func (w *world) setBudget() {
 	c := &client{id: 99, name: "operator"}
-	w.call(c, agreed.Command{Op: agreed.SetBudget, Budget: &agreed.Budget{Of: "gateways", Most: budget}})
+	w.call(c, agreed.Command{Op: agreed.SetBudget, Budget: &agreed.Budget{Kind: "gateways", MaxOut: budget}})
 }
 
 // next has a client do what comes next: take a target out, or bring it back.
@@ -508,7 +508,7 @@
 
 func (w *world) call(c *client, cmd agreed.Command) {
 	c.number++
-	cmd.Client, cmd.Number, cmd.Who = c.name, c.number, c.name
+	cmd.Client, cmd.Number, cmd.Actor = c.name, c.number, c.name
 	q := &call{c: c, cmd: cmd, began: w.now}
 	c.call = q
 	if c.id != 99 {
@@ -658,22 +658,22 @@
 	done := map[string]agreed.Entry{}
 	state := m.Init()
 	for _, e := range first.node.Machine.History() {
-		if e.Target == "" || e.Who == "operator" || e.Who == "" {
+		if e.Target == "" || e.Actor == "operator" || e.Actor == "" {
 			continue
 		}
-		key := fmt.Sprint(e.Who, "/", e.Number)
+		key := fmt.Sprint(e.Actor, "/", e.Number)
 		if _, twice := done[key]; twice {
 			return fmt.Errorf("call %s was done twice", key)
 		}
 		done[key] = e
 		in := input{agreed.Acquire, e.Target, 0}
 		out := output{ok: e.OK, fence: e.Fence}
-		if e.What == "given back" {
+		if e.Action == "given back" {
 			in.op, in.fence = agreed.GiveBack, e.Fence
 		}
 		var ok bool
 		if ok, state = m.Step(state, in, out); !ok {
-			return fmt.Errorf("entry %d, %s %s by %s with result %q, does not follow from those before it", e.Index, e.What, e.Target, e.Who, e.Result)
+			return fmt.Errorf("entry %d, %s %s by %s with result %q, does not follow from those before it", e.Index, e.Action, e.Target, e.Actor, e.Result)
 		}
 	}
 	for i, a := range w.history {
