--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -11,7 +11,7 @@
 // goroutine uses it. A nil recorder does nothing: without a sink there is no cost.
 type recorder struct {
 	sink       record.Sink
-	membership *record.Roster
+	membership *record.MemberTracker
 	positions  map[string]Time // members' newest log positions
 	rec        record.Record
 }
@@ -29,7 +29,7 @@
 			c.recorder = nil
 			return
 		}
-		c.recorder = &recorder{sink: s, membership: record.NewRoster(slowStart), positions: map[string]Time{}}
+		c.recorder = &recorder{sink: s, membership: record.NewMemberTracker(slowStart), positions: map[string]Time{}}
 	})
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	r := record.Record{Kind: record.Request, At: c.Now(), Class: -1, Tenant: -1, Front: front, Outcome: o, Cause: why}
-	r.OfRequest()
+	r.SetRequestSeverity()
 	(*s).Put(&r)
 }
 
@@ -70,7 +70,7 @@
 	if w == nil {
 		return
 	}
-	w.membership.Take(now, kind != decide.ListChange, list, func(m decide.Member, c record.Change) {
+	w.membership.Apply(now, kind != decide.ListChange, list, func(m decide.Member, c record.Change) {
 		if c == record.Gone {
 			delete(w.positions, m.ID)
 		}
@@ -82,7 +82,7 @@
 	r := &w.rec
 	*r = record.Record{Kind: record.Member, At: now, Class: -1, Tenant: -1, Group: group, Member: member, Change: c,
 		Position: w.positions[member]}
-	r.OfMember()
+	r.SetMemberSeverity()
 	w.sink.Put(r)
 }
 
@@ -107,7 +107,7 @@
 func (w *recorder) recordAnswer(now Time, q *Request, a *Answer, why record.Cause) {
 	r := &w.rec
 	*r = record.Record{Kind: record.Request, At: now, Class: q.ClassIndex, Tenant: q.Tenant, Front: q.Front, Outcome: record.Served,
-		Cause: why, After: a.RetryAfter, Attempts: len(q.attempts), Waiting: now - q.arrived, Total: now - q.arrived,
+		Cause: why, RetryAfter: a.RetryAfter, Attempts: len(q.attempts), WaitTime: now - q.arrived, Total: now - q.arrived,
 		Session: q.Session, Group: q.Group}
 	switch a.Verdict {
 	case Refused:
@@ -117,7 +117,7 @@
 	}
 	if n := len(q.attempts); n > 0 {
 		t := q.attempts[n-1]
-		r.Waiting, r.Taken = q.attempts[0].sent-q.arrived, now-t.sent
+		r.WaitTime, r.AttemptTime = q.attempts[0].sent-q.arrived, now-t.sent
 		r.Member, r.Role, r.Position, r.Lag, r.HasLag = t.Member, t.role, t.position, t.lag, t.hasLag
 		if r.Cause == record.NoCause && r.Outcome != record.Served {
 			r.Cause = record.Waiting
@@ -128,6 +128,6 @@
 	} else if r.Cause == record.NoCause && r.Outcome != record.Served {
 		r.Cause = record.Unplaced
 	}
-	r.OfRequest()
+	r.SetRequestSeverity()
 	w.sink.Put(r)
 }
