--- a/internal/logqueue/stream.go
+++ b/internal/logqueue/stream.go
@@ -60,7 +60,7 @@
 // Entry is a record that waits. Its fields are not changed once it was pushed, but by the stream.
 type Entry struct {
 	Seq   uint64 // number in the stream, from 1
-	Worth logroute.Worth
+	Worth logroute.Priority
 	Moves uint8
 	Route int
 	Key   uint64 // that a route spreads by
@@ -89,7 +89,7 @@
 func (e *Entry) size() int { return len(e.Msg) + Overhead }
 
 // Wire is the sequenceId of a number: RFC 5424 has it from 1 to 2^31-1, then from 1 again.
-func Wire(seq uint64) uint32 { return uint32((seq-1)%syslog.SeqMost) + 1 }
+func Wire(seq uint64) uint32 { return uint32((seq-1)%syslog.MaxSeq) + 1 }
 
 // list is a queue of entries in the order of their numbers.
 type list struct {
@@ -143,19 +143,19 @@
 	c       Config
 	next    uint64 // number not yet taken
 	bytes   int
-	fresh   [logroute.Worths]list // queued since the connection is up
-	old     [logroute.Worths]list // queued before
-	again   list                  // of a connection that broke
-	loaded  list                  // read back from disk
-	window  list                  // written; the first may be confirmed
-	conf    int                   // how many of the window are confirmed
-	confLen int                   // their bytes
-	outLen  int                   // bytes of the rest of the window
-	unsaved []pushed              // in the order pushed
-	free    []*Entry              // for Get
-	done    []uint64              // saved ones that need be kept no longer
-	onDisk  int                   // waiting on disk only
-	held    map[uint64]*Entry     // in memory and on disk; nil: in done
+	fresh   [logroute.NumPriorities]list // queued since the connection is up
+	old     [logroute.NumPriorities]list // queued before
+	again   list                         // of a connection that broke
+	loaded  list                         // read back from disk
+	window  list                         // written; the first may be confirmed
+	conf    int                          // how many of the window are confirmed
+	confLen int                          // their bytes
+	outLen  int                          // bytes of the rest of the window
+	unsaved []pushed                     // in the order pushed
+	free    []*Entry                     // for Get
+	done    []uint64                     // saved ones that need be kept no longer
+	onDisk  int                          // waiting on disk only
+	held    map[uint64]*Entry            // in memory and on disk; nil: in done
 	drops   [Causes]Drop
 	tokens  float64
 	at      Time
@@ -294,7 +294,7 @@
 
 // victim is the oldest of the least worthy that wait, if it is no worthier than w. What may have arrived already
 // is kept: were it dropped, the gap record would tell of records that came. It is half of the memory at most.
-func (s *Stream) victim(w logroute.Worth) *Entry {
+func (s *Stream) victim(w logroute.Priority) *Entry {
 	for i := range min(int(w)+1, int(logroute.GapRecord)) {
 		if e := s.old[i].first(); e != nil {
 			return e
