--- a/internal/logroute/circuit.go
+++ b/internal/logroute/circuit.go
@@ -7,13 +7,13 @@
 
 // Tuned values, each with its reason.
 const (
-	backoffFirst = 200 * time.Millisecond // a collector that restarts is back in a second or so
-	backoffMost  = 30 * time.Second
-	jitter       = 0.5 // of the back-off, so that gateways do not come back as one
-	budgetRate   = 2.0 // connections tried a second, by all collectors together
-	budgetBurst  = 4.0
-	trialTime    = 500 * time.Millisecond // a connection that breaks sooner was no recovery
-	steadyTime   = 5 * time.Second
+	minBackoff         = 200 * time.Millisecond // a collector that restarts is back in a second or so
+	maxBackoff         = 30 * time.Second
+	backoffJitter      = 0.5 // of the back-off, so that gateways do not come back as one
+	connectBudgetRate  = 2.0 // connections tried a second, by all collectors together
+	connectBudgetBurst = 4.0
+	probationTime      = 500 * time.Millisecond // a connection that breaks sooner was no recovery
+	stableTime         = 5 * time.Second
 )
 
 // Phase is where a collector stands.
@@ -29,25 +29,25 @@
 
 // Circuits keeps the health of all collectors, from connects and writes alone.
 type Circuits struct {
-	all    []circuit
-	tokens float64
-	at     Time
-	now    Time
-	rng    *rand.Rand
+	all      []circuit
+	tokens   float64
+	tokensAt Time
+	now      Time
+	rng      *rand.Rand
 }
 
 type circuit struct {
-	phase  Phase
-	since  Time
-	retry  Time // Closed: not before
-	fails  int  // in a row
-	exempt bool // tries outside the budget: it never failed
-	shaky  bool // it failed, and has not worked for steadyTime since
+	phase        Phase
+	since        Time
+	retryAt      Time // Closed: not before
+	failures     int  // in a row
+	budgetExempt bool // tries outside the budget: it never failed
+	unstable     bool // it failed, and has not worked for steadyTime since
 }
 
 // NewCircuits returns the health of n collectors that were never tried.
 func NewCircuits(n int, seed uint64) *Circuits {
-	c := &Circuits{tokens: budgetBurst, rng: rand.New(rand.NewPCG(seed, 0x63697263))}
+	c := &Circuits{tokens: connectBudgetBurst, rng: rand.New(rand.NewPCG(seed, 0x63697263))}
 	c.Resize(n)
 	return c
 }
@@ -55,7 +55,7 @@
 // Resize adds collectors that were never tried, or forgets the last.
 func (c *Circuits) Resize(n int) {
 	for len(c.all) < n {
-		c.all = append(c.all, circuit{retry: -1, exempt: true})
+		c.all = append(c.all, circuit{retryAt: -1, budgetExempt: true})
 	}
 	c.all = c.all[:n]
 }
@@ -74,12 +74,12 @@
 }
 
 // Reset forgets what was known of a collector, as its address has changed.
-func (c *Circuits) Reset(i int) { c.all[i] = circuit{retry: -1, exempt: true} }
+func (c *Circuits) Reset(i int) { c.all[i] = circuit{retryAt: -1, budgetExempt: true} }
 
 func (c *Circuits) step(now Time) {
 	c.now = max(now, c.now)
-	c.tokens = min(budgetBurst, c.tokens+budgetRate*(c.now-c.at).Seconds())
-	c.at = c.now
+	c.tokens = min(connectBudgetBurst, c.tokens+connectBudgetRate*(c.now-c.tokensAt).Seconds())
+	c.tokensAt = c.now
 }
 
 // TryConnect asks to connect to a collector. It returns 0 if that may begin now, else when to ask again. One that may
@@ -88,18 +88,18 @@
 	c.step(now)
 	t := &c.all[i]
 	if t.phase != Closed {
-		return backoffFirst
+		return minBackoff
 	}
-	if t.retry > c.now {
-		return t.retry - c.now
+	if t.retryAt > c.now {
+		return t.retryAt - c.now
 	}
-	if !t.exempt {
+	if !t.budgetExempt {
 		if c.tokens < 1 {
-			return Time((1-c.tokens)/budgetRate*float64(time.Second)) + time.Millisecond
+			return Time((1-c.tokens)/connectBudgetRate*float64(time.Second)) + time.Millisecond
 		}
 		c.tokens--
 	}
-	t.phase, t.since, t.exempt = Connecting, c.now, false
+	t.phase, t.since, t.budgetExempt = Connecting, c.now, false
 	return 0
 }
 
@@ -107,7 +107,7 @@
 func (c *Circuits) Connected(now Time, i int) {
 	c.step(now)
 	c.all[i].phase, c.all[i].since = Probation, c.now
-	if c.all[i].fails == 0 { // the first, or one after a planned close
+	if c.all[i].failures == 0 { // the first, or one after a planned close
 		c.all[i].phase = Working
 	}
 }
@@ -115,35 +115,35 @@
 // Closed tells that a connection ended as it should, and says nothing against the collector.
 func (c *Circuits) Closed(now Time, i int) {
 	c.step(now)
-	c.all[i].phase, c.all[i].retry, c.all[i].exempt = Closed, c.now, true
+	c.all[i].phase, c.all[i].retryAt, c.all[i].budgetExempt = Closed, c.now, true
 }
 
 // Failed tells that a connect or a write failed, or the connection broke.
 func (c *Circuits) Failed(now Time, i int) {
 	c.step(now)
 	t := &c.all[i]
-	if t.phase == Working && c.now-t.since >= trialTime { // it worked: this is a first failure
-		t.fails = 0
+	if t.phase == Working && c.now-t.since >= probationTime { // it worked: this is a first failure
+		t.failures = 0
 	}
-	t.fails++
-	t.shaky = true
-	wait := backoffMost
-	if t.fails < 16 {
-		wait = min(backoffMost, backoffFirst<<(t.fails-1))
+	t.failures++
+	t.unstable = true
+	wait := maxBackoff
+	if t.failures < 16 {
+		wait = min(maxBackoff, minBackoff<<(t.failures-1))
 	}
-	wait = Time(float64(wait) * (1 - jitter*c.rng.Float64()))
-	t.phase, t.since, t.retry = Closed, c.now, c.now+wait
+	wait = Time(float64(wait) * (1 - backoffJitter*c.rng.Float64()))
+	t.phase, t.since, t.retryAt = Closed, c.now, c.now+wait
 }
 
 // Phase tells where a collector stands. A trial that lasted ends here.
 func (c *Circuits) Phase(now Time, i int) Phase {
 	c.step(now)
 	t := &c.all[i]
-	if t.phase == Probation && c.now-t.since >= trialTime {
-		t.phase, t.fails = Working, 0
+	if t.phase == Probation && c.now-t.since >= probationTime {
+		t.phase, t.failures = Working, 0
 	}
-	if t.phase == Working && c.now-t.since >= steadyTime {
-		t.shaky = false
+	if t.phase == Working && c.now-t.since >= stableTime {
+		t.unstable = false
 	}
 	return t.phase
 }
@@ -152,4 +152,4 @@
 func (c *Circuits) Up(i int) bool { return c.all[i].phase >= Probation }
 
 // Stable implements Upness. One that was never tried counts, as nothing speaks against it.
-func (c *Circuits) Stable(i int) bool { return !c.all[i].shaky }
+func (c *Circuits) Stable(i int) bool { return !c.all[i].unstable }
--- a/internal/logroute/logroute_test.go
+++ b/internal/logroute/logroute_test.go
@@ -11,10 +11,10 @@
 )
 
 // state of collectors, as a test has it.
-type ups []int // 0 down, 1 up, 2 steady
+type fakeAvailability []int // 0 down, 1 up, 2 steady
 
-func (u ups) Up(i int) bool     { return u[i] > 0 }
-func (u ups) Stable(i int) bool { return u[i] == 2 }
+func (u fakeAvailability) Up(i int) bool     { return u[i] > 0 }
+func (u fakeAvailability) Stable(i int) bool { return u[i] == 2 }
 
 func request(tenant int, o record.Outcome) *record.Record {
 	r := &record.Record{Kind: record.Request, Tenant: tenant, Outcome: o}
@@ -51,14 +51,14 @@
 		tb := table(t, []Route{tc.route, {To: []int{1}}}, "a", "b")
 		for want, records := range [][]*record.Record{tc.takes, tc.not} {
 			for _, r := range records {
-				if got := tb.Route(0, r, ups{2, 2}, nil); len(got) != 1 || got[0].Collector != want {
+				if got := tb.Route(0, r, fakeAvailability{2, 2}, nil); len(got) != 1 || got[0].Collector != want {
 					t.Errorf("case %d: %+v went to %+v, want collector %d", i, r, got, want)
 				}
 			}
 		}
 	}
 	both := table(t, []Route{{To: []int{0}, Continue: true}, {To: []int{1}}}, "a", "b")
-	if got := both.Route(0, failed, ups{2, 2}, nil); len(got) != 2 {
+	if got := both.Route(0, failed, fakeAvailability{2, 2}, nil); len(got) != 2 {
 		t.Errorf("with continue it went to %+v", got)
 	}
 	for _, r := range []Route{{}, {To: []int{2}}, {To: []int{0, 0}}, {To: []int{0}, Rate: -1}, {To: []int{0}, Sample: 2}} {
@@ -74,7 +74,7 @@
 	const n = 200_000
 	sum, by := uint64(0), [2]float64{}
 	for i := range n {
-		for _, x := range tb.Route(0, request(i%2, record.Served), ups{2}, nil) {
+		for _, x := range tb.Route(0, request(i%2, record.Served), fakeAvailability{2}, nil) {
 			sum += x.Weight
 			by[i%2] += float64(x.Weight)
 		}
@@ -83,7 +83,7 @@
 		t.Errorf("weights add up to %d and %d more, by customers %v, of %d", sum, tb.state[0].skipped, by, n)
 	}
 	for range 100 {
-		if got := tb.Route(0, &record.Record{Kind: record.Member, Tenant: -1}, ups{2}, nil); len(got) != 1 || got[0].Weight != 1 {
+		if got := tb.Route(0, &record.Record{Kind: record.Member, Tenant: -1}, fakeAvailability{2}, nil); len(got) != 1 || got[0].Weight != 1 {
 			t.Fatalf("a member's change was sampled: %+v", got)
 		}
 	}
@@ -97,7 +97,7 @@
 		now, passed, begin := Time(0), 0, Time(0)
 		for range rapid.IntRange(1, 300).Draw(t, "n") {
 			now += Time(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond
-			if got := tb.Route(now, request(0, record.Failed), ups{2}, nil); len(got) != 1 {
+			if got := tb.Route(now, request(0, record.Failed), fakeAvailability{2}, nil); len(got) != 1 {
 				t.Fatal("a record over the rate is to be counted")
 			} else if !got[0].OverRate {
 				passed++
@@ -113,7 +113,7 @@
 func TestSpread(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	tb := table(t, []Route{{Mode: Spread, To: []int{0, 1, 2, 3, 4}}}, names...)
-	all := ups{2, 2, 2, 2, 2}
+	all := fakeAvailability{2, 2, 2, 2, 2}
 	const customers = 5000
 	count := make([]int, 5)
 	home := make([]int, customers)
@@ -126,14 +126,14 @@
 			t.Errorf("collector %d has %d of %d customers", i, n, customers)
 		}
 	}
-	down := ups{2, 2, 0, 2, 2}
+	down := fakeAvailability{2, 2, 0, 2, 2}
 	for c := range customers {
 		now := tb.Route(0, request(c, record.Served), down, nil)[0].Collector
 		if home[c] != 2 && now != home[c] || home[c] == 2 && now == 2 {
 			t.Fatalf("customer %d went from %d to %d when collector 2 was lost", c, home[c], now)
 		}
 	}
-	if got := tb.Route(0, request(7, record.Served), ups{0, 0, 0, 0, 0}, nil)[0].Collector; got != home[7] {
+	if got := tb.Route(0, request(7, record.Served), fakeAvailability{0, 0, 0, 0, 0}, nil)[0].Collector; got != home[7] {
 		t.Errorf("with none up customer 7 waits for %d, want %d", got, home[7])
 	}
 }
@@ -142,17 +142,17 @@
 func TestFailover(t *testing.T) {
 	tb := table(t, []Route{{Mode: Failover, To: []int{1, 0, 2}}}, "a", "b", "c")
 	for _, tc := range []struct {
-		u    ups
+		u    fakeAvailability
 		want int
-	}{{ups{2, 2, 2}, 1}, {ups{2, 0, 2}, 0}, {ups{2, 1, 2}, 0}, {ups{0, 1, 0}, 1}, {ups{1, 1, 1}, 1}, {ups{0, 0, 2}, 2}, {ups{0, 0, 0}, 1}} {
+	}{{fakeAvailability{2, 2, 2}, 1}, {fakeAvailability{2, 0, 2}, 0}, {fakeAvailability{2, 1, 2}, 0}, {fakeAvailability{0, 1, 0}, 1}, {fakeAvailability{1, 1, 1}, 1}, {fakeAvailability{0, 0, 2}, 2}, {fakeAvailability{0, 0, 0}, 1}} {
 		if got := tb.Route(0, request(0, record.Failed), tc.u, nil)[0].Collector; got != tc.want {
 			t.Errorf("%v: collector %d, want %d", tc.u, got, tc.want)
 		}
 	}
-	if to := tb.Reassign(0, 0, 1, ups{0, 0, 0}); to != -1 {
+	if to := tb.Reassign(0, 0, 1, fakeAvailability{0, 0, 0}); to != -1 {
 		t.Errorf("moved to %d with none up", to)
 	}
-	if to := tb.Reassign(0, 0, 1, ups{2, 2, 2}); to != 0 {
+	if to := tb.Reassign(0, 0, 1, fakeAvailability{2, 2, 2}); to != 0 {
 		t.Errorf("moved to %d, want 0", to)
 	}
 }
@@ -171,7 +171,7 @@
 			switch open[i] {
 			case 0:
 				wait := c.TryConnect(now, i)
-				if wait < 0 || wait > backoffMost+time.Second {
+				if wait < 0 || wait > maxBackoff+time.Second {
 					t.Fatalf("told to wait %v", wait)
 				}
 				if wait == 0 {
@@ -204,7 +204,7 @@
 				t.Fatalf("collector %d: up is %v, its connection in state %d", i, c.Up(i), open[i])
 			}
 		}
-		if most := budgetBurst + budgetRate*now.Seconds() + 1; float64(tries) > most {
+		if most := connectBudgetBurst + connectBudgetRate*now.Seconds() + 1; float64(tries) > most {
 			t.Fatalf("%d tries in %v", tries, now)
 		}
 	})
@@ -217,7 +217,7 @@
 		}
 		c.Failed(now, 0)
 	}
-	if last < backoffMost/4 || last > backoffMost {
+	if last < maxBackoff/4 || last > maxBackoff {
 		t.Errorf("after 12 failures it waits %v", last)
 	}
 	c = NewCircuits(1, 1)
@@ -229,10 +229,10 @@
 	c.Failed(time.Minute, 0)
 	_ = c.TryConnect(2*time.Minute, 0)
 	c.Connected(2*time.Minute, 0)
-	if c.Phase(2*time.Minute+trialTime/2, 0) != Probation || c.Stable(0) {
+	if c.Phase(2*time.Minute+probationTime/2, 0) != Probation || c.Stable(0) {
 		t.Error("after a failure it is on trial")
 	}
-	if c.Phase(2*time.Minute+steadyTime, 0) != Working || !c.Stable(0) {
+	if c.Phase(2*time.Minute+stableTime, 0) != Working || !c.Stable(0) {
 		t.Error("after a while it is trusted again")
 	}
 }
--- a/internal/logroute/route.go
+++ b/internal/logroute/route.go
@@ -128,12 +128,12 @@
 	return ServedRequest
 }
 
-// admitted is how full a store of limited room may be for it still to take a record of each worth. Beyond, room
+// maxFill is how full a store of limited room may be for it still to take a record of each worth. Beyond, room
 // is kept for the worthier.
-var admitted = [NumPriorities]float64{Sampled: 0.5, ServedRequest: 0.7, RefusedRequest: 0.85, FailedRequest: 0.95, MemberChange: 1, GapRecord: 1}
+var maxFill = [NumPriorities]float64{Sampled: 0.5, ServedRequest: 0.7, RefusedRequest: 0.85, FailedRequest: 0.95, MemberChange: 1, GapRecord: 1}
 
 // Admit tells whether a store that can't drop what it holds should take a record, when it is full to that part.
-func Admit(w Priority, full float64) bool { return full < admitted[w] }
+func Admit(w Priority, full float64) bool { return full < maxFill[w] }
 
 // Target is one collector that a record goes to.
 type Target struct {
@@ -152,30 +152,30 @@
 
 // Table is the routes of one configuration with their state.
 type Table struct {
-	routes []Route
-	state  []state
-	names  []uint64 // of the collectors, hashed
-	rng    *rand.Rand
-	now    Time
+	routes          []Route
+	state           []routeState
+	collectorHashes []uint64 // of the collectors, hashed
+	rng             *rand.Rand
+	now             Time
 }
 
-type state struct {
-	tokens  float64
-	at      Time
-	skipped uint64 // requests not kept since the last that was
+type routeState struct {
+	tokens   float64
+	tokensAt Time
+	skipped  uint64 // requests not kept since the last that was
 }
 
 // NewTable returns a table for the collectors of those names, or the first fault of the routes.
 func NewTable(routes []Route, collectors []string, seed uint64) (*Table, error) {
-	t := &Table{routes: routes, state: make([]state, len(routes)), rng: rand.New(rand.NewPCG(seed, 0x6c6f67))}
+	t := &Table{routes: routes, state: make([]routeState, len(routes)), rng: rand.New(rand.NewPCG(seed, 0x6c6f67))}
 	for i := range routes {
 		if err := routes[i].Validate(len(collectors)); err != nil {
 			return nil, err
 		}
-		t.state[i] = state{tokens: max(1, routes[i].Rate), at: -1}
+		t.state[i] = routeState{tokens: max(1, routes[i].Rate), tokensAt: -1}
 	}
 	for _, c := range collectors {
-		t.names = append(t.names, xxhash.Sum64String(c))
+		t.collectorHashes = append(t.collectorHashes, xxhash.Sum64String(c))
 	}
 	return t, nil
 }
@@ -203,7 +203,7 @@
 		if !r.selects(rec) {
 			continue
 		}
-		out = t.take(i, r, rec, up, out)
+		out = t.apply(i, r, rec, up, out)
 		if !r.Continue {
 			break
 		}
@@ -211,7 +211,7 @@
 	return out
 }
 
-func (t *Table) take(i int, r *Route, rec *record.Record, up Availability, out []Target) []Target {
+func (t *Table) apply(i int, r *Route, rec *record.Record, up Availability, out []Target) []Target {
 	s := &t.state[i]
 	target := Target{Route: i, Weight: 1}
 	if rec.Kind == record.Request && r.Sample > 0 && r.Sample < 1 {
@@ -221,7 +221,7 @@
 		}
 		target.Weight, s.skipped = s.skipped+1, 0
 	}
-	target.OverRate = !t.allow(s, r.Rate)
+	target.OverRate = !t.takeToken(s, r.Rate)
 	if r.Mode == All {
 		for _, c := range r.To {
 			target.Collector = c
@@ -229,19 +229,19 @@
 		}
 		return out
 	}
-	target.Collector = t.pick(r, keyOf(rec), up, -1)
+	target.Collector = t.pick(r, spreadKey(rec), up, -1)
 	return append(out, target)
 }
 
-// allow takes a token from a bucket that holds at most a second's worth.
-func (t *Table) allow(s *state, rate float64) bool {
+// takeToken takes a token from a bucket that holds at most a second's worth.
+func (t *Table) takeToken(s *routeState, rate float64) bool {
 	if rate <= 0 {
 		return true
 	}
-	if s.at >= 0 {
-		s.tokens = min(max(1, rate), s.tokens+rate*(t.now-s.at).Seconds())
+	if s.tokensAt >= 0 {
+		s.tokens = min(max(1, rate), s.tokens+rate*(t.now-s.tokensAt).Seconds())
 	}
-	s.at = t.now
+	s.tokensAt = t.now
 	if s.tokens < 1 {
 		return false
 	}
@@ -249,8 +249,8 @@
 	return true
 }
 
-// keyOf is what a record is spread by: its customer, else its member.
-func keyOf(rec *record.Record) uint64 {
+// spreadKey is what a record is spread by: its customer, else its member.
+func spreadKey(rec *record.Record) uint64 {
 	if rec.Tenant >= 0 {
 		return uint64(rec.Tenant)
 	}
@@ -258,7 +258,7 @@
 }
 
 // Key is keyOf for those who keep a record only as a message.
-func Key(rec *record.Record) uint64 { return keyOf(rec) }
+func Key(rec *record.Record) uint64 { return spreadKey(rec) }
 
 // pick chooses among a route's collectors, without the one to be left out. Where none is up it is the one that
 // would be chosen if all were.
@@ -278,7 +278,7 @@
 		}
 		score := uint64(0)
 		if r.Mode == Spread {
-			score = mix(key*0x9e3779b97f4a7c15 ^ t.names[c])
+			score = mix(key*0x9e3779b97f4a7c15 ^ t.collectorHashes[c])
 		}
 		if best < 0 || rank > bestRank || rank == bestRank && score > bestScore {
 			best, bestRank, bestScore = c, rank, score
--- a/internal/record/roster.go
+++ b/internal/record/roster.go
@@ -6,20 +6,20 @@
 	"reachwind/decide"
 )
 
-// rosterMost bounds the members that are followed, as many as the module keeps; changes of others are not told.
-const rosterMost = decide.MaxMembers
+// maxTrackedMembers bounds the members that are followed, as many as the module keeps; changes of others are not told.
+const maxTrackedMembers = decide.MaxMembers
 
 // MemberTracker follows what lists say of members and tells what changed: draining,
 // gone, cold, ready. Its zero value is not ready; use NewRoster. It reads no
 // clock and is not safe for concurrent use.
 type MemberTracker struct {
-	cold  time.Duration
-	known map[string]decide.Member
+	slowStart time.Duration
+	known     map[string]decide.Member
 }
 
 // NewMemberTracker returns a roster for members that are warm so long after their start.
 func NewMemberTracker(cold time.Duration) *MemberTracker {
-	return &MemberTracker{cold: cold, known: map[string]decide.Member{}}
+	return &MemberTracker{slowStart: cold, known: map[string]decide.Member{}}
 }
 
 // Len is how many members are followed.
@@ -39,11 +39,11 @@
 				tell(m, Gone)
 			}
 			continue
-		case !known && len(r.known) >= rosterMost:
+		case !known && len(r.known) >= maxTrackedMembers:
 			continue
 		}
 		r.known[m.ID] = m
-		if m.Started > was.Started && now < m.Started+r.cold {
+		if m.Started > was.Started && now < m.Started+r.slowStart {
 			tell(m, Cold)
 		}
 		switch {
--- a/internal/record/slog.go
+++ b/internal/record/slog.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// textMost bounds a log line as a record: what the encoder cuts is not carried about.
-const textMost = 8 << 10
+// maxTextBytes bounds a log line as a record: what the encoder cuts is not carried about.
+const maxTextBytes = 8 << 10
 
 // Handler passes log lines on to a slog.Handler and, where a sink is set, as
 // Program records too. It is safe for concurrent use.
@@ -56,11 +56,11 @@
 	b.Write(h.attrs)
 	line.Attrs(func(a slog.Attr) bool {
 		appendAttr(b, h.group, a)
-		return b.Len() < textMost
+		return b.Len() < maxTextBytes
 	})
 	text := b.Bytes()
-	if len(text) > textMost {
-		text = text[:textMost] // the encoder ends it at a character
+	if len(text) > maxTextBytes {
+		text = text[:maxTextBytes] // the encoder ends it at a character
 	}
 	s.sink.Put(&Record{Kind: Program, Severity: SeverityOfLevel(line.Level), At: time.Duration(line.Time.UnixNano()),
 		Tenant: -1, Class: -1, Text: string(text)})
--- a/internal/syslog/encode.go
+++ b/internal/syslog/encode.go
@@ -30,16 +30,16 @@
 
 // What RFC 5424 says.
 const (
-	MinMaxBytes     = 480 // a receiver must take messages of this length
-	DefaultMaxBytes = 2048
-	hostMost        = 255
-	appMost         = 48
-	procMost        = 128
-	exampleNo       = 32473
-	daemon          = 3
-	seqDigits       = 10 // room kept for any sequenceId, so that a message can be numbered anew
-	MaxSeq          = 1<<31 - 1
-	upTimeRound     = 1 << 32
+	MinMaxBytes       = 480 // a receiver must take messages of this length
+	DefaultMaxBytes   = 2048
+	maxHostnameLen    = 255
+	maxAppNameLen     = 48
+	maxProcIDLen      = 128
+	exampleEnterprise = 32473
+	daemonFacility    = 3
+	maxSeqDigits      = 10 // room kept for any sequenceId, so that a message can be numbered anew
+	MaxSeq            = 1<<31 - 1
+	sysUpTimeModulus  = 1 << 32
 )
 
 // Gap tells of records that were dropped before they were handed to a collector.
@@ -59,23 +59,23 @@
 
 // Encoder writes records as messages. It is not safe for concurrent use.
 type Encoder struct {
-	c       Config
-	head    [4][]byte // after the timestamp, by kind: " HOST APP PROC MSGID "
-	quality []byte    // timeQuality and origin, whole
-	origin  []byte
-	ids     [4][]byte // "[request@32473", by kind
-	member  []byte
-	mac     hash.Hash
-	scratch []byte
-	sum     []byte
-	day     int64 // that date holds
-	date    [10]byte
+	config             Config
+	head               [4][]byte // after the timestamp, by kind: " HOST APP PROC MSGID "
+	timeQuality        []byte    // timeQuality and origin, whole
+	origin             []byte
+	elementStart       [4][]byte // "[request@32473", by kind
+	memberElementStart []byte
+	mac                hash.Hash
+	scratch            []byte
+	sum                []byte
+	day                int64 // that date holds
+	date               [10]byte
 }
 
 // New returns an encoder, or an error that names what cannot stand in a header or does not fit MaxBytes.
 func New(c Config) (*Encoder, error) {
 	if c.Enterprise == 0 {
-		c.Enterprise = exampleNo
+		c.Enterprise = exampleEnterprise
 	}
 	if c.MaxBytes == 0 {
 		c.MaxBytes = DefaultMaxBytes
@@ -90,7 +90,7 @@
 		name  string
 		value *string
 		most  int
-	}{{"hostname", &c.Hostname, hostMost}, {"app_name", &c.AppName, appMost}, {"process id", &c.ProcID, procMost}} {
+	}{{"hostname", &c.Hostname, maxHostnameLen}, {"app_name", &c.AppName, maxAppNameLen}, {"process id", &c.ProcID, maxProcIDLen}} {
 		if *f.value == "" {
 			*f.value = "-"
 		}
@@ -98,34 +98,34 @@
 			return nil, fmt.Errorf("%s: %w", f.name, err)
 		}
 	}
-	e := &Encoder{c: c, mac: hmac.New(sha256.New, c.Key), day: -1}
+	e := &Encoder{config: c, mac: hmac.New(sha256.New, c.Key), day: -1}
 	for k, name := range record.Kinds {
 		e.head[k] = fmt.Appendf(nil, " %s %s %s %s ", c.Hostname, c.AppName, c.ProcID, name)
-		e.ids[k] = fmt.Appendf(nil, "[%s@%d", name, c.Enterprise)
+		e.elementStart[k] = fmt.Appendf(nil, "[%s@%d", name, c.Enterprise)
 	}
-	e.member = e.ids[record.Member]
+	e.memberElementStart = e.elementStart[record.Member]
 	synced := 0
 	if c.Synced {
 		synced = 1
 	}
-	e.quality = fmt.Appendf(nil, `[timeQuality tzKnown="1" isSynced="%d"]`, synced)
-	e.origin = e.value(fmt.Appendf(nil, `[origin enterpriseId="%d" software="reachwind" swVersion="`, c.Enterprise), cut(c.Version, 32))
+	e.timeQuality = fmt.Appendf(nil, `[timeQuality tzKnown="1" isSynced="%d"]`, synced)
+	e.origin = e.value(fmt.Appendf(nil, `[origin enterpriseId="%d" software="reachwind" swVersion="`, c.Enterprise), truncate(c.Version, 32))
 	e.origin = append(e.origin, `"]`...)
-	if least := e.least(); least > c.MaxBytes {
+	if least := e.minLength(); least > c.MaxBytes {
 		return nil, fmt.Errorf("a message without text takes up to %d bytes, max_bytes allows %d: shorten hostname or app_name", least, c.MaxBytes)
 	}
 	return e, nil
 }
 
-// least is the length of the longest message with all that may be dropped left out.
-func (e *Encoder) least() int {
+// minLength is the length of the longest message with all that may be dropped left out.
+func (e *Encoder) minLength() int {
 	r := record.Record{Kind: record.Request, Class: -1, Tenant: -1, At: 1 << 60, Severity: record.Info, Outcome: record.Refused}
 	m := Meta{Seq: MaxSeq, Number: 1<<64 - 1, Weight: 1<<64 - 1}
 	long := 0
 	for k := range record.Kinds {
 		r.Kind = record.Kind(k)
 		m.Gap = &Gap{Cause: "0123456789abcdef", Count: 1<<64 - 1, First: MaxSeq, Last: MaxSeq}
-		b, _ := e.write(nil, &r, m, ranks, cutAll)
+		b, _ := e.write(nil, &r, m, maxRank, cutAll)
 		long = max(long, len(b)+len(`-4294967295`))
 	}
 	return long
@@ -159,18 +159,18 @@
 	rankPosition
 	rankRole
 	rankMember
-	rankCustomer
+	rankTenant
 	rankCause
 	rankClass
-	ranks = rankClass
+	maxRank = rankClass
 )
 
-type shortened int
+type cutMode int
 
 const (
-	cutNone shortened = iota
-	cutText           // the text was shortened
-	cutAll            // and parameters were dropped
+	cutNone cutMode = iota
+	cutText         // the text was shortened
+	cutAll          // and parameters were dropped
 )
 
 // ErrTooLong is returned for a record that no message within MaxBytes can hold. It cannot happen with the
@@ -182,7 +182,7 @@
 // order of the operators' page, which it says by a parameter "cut".
 func (e *Encoder) Append(dst []byte, r *record.Record, m Meta) (out []byte, seqAt int, err error) {
 	from := len(dst)
-	most := e.c.MaxBytes - seqDigits + digits(uint64(m.Seq))
+	most := e.config.MaxBytes - maxSeqDigits + digits(uint64(m.Seq))
 	dst, seqAt = e.write(dst, r, m, 0, cutNone)
 	textAt := len(dst)
 	dst = e.text(dst, r, m)
@@ -190,7 +190,7 @@
 		return dst, seqAt, nil
 	}
 	for rank, how := 0, cutText; ; rank, how = rank+1, cutAll {
-		if rank > ranks {
+		if rank > maxRank {
 			return dst[:from], 0, ErrTooLong
 		}
 		dst, seqAt = e.write(dst[:from], r, m, rank, how)
@@ -215,10 +215,10 @@
 }
 
 // write writes all but the text, leaving out what has a rank from 1 to drop.
-func (e *Encoder) write(b []byte, r *record.Record, m Meta, drop int, how shortened) (out []byte, seqAt int) {
-	facility := e.c.Facility
+func (e *Encoder) write(b []byte, r *record.Record, m Meta, drop int, how cutMode) (out []byte, seqAt int) {
+	facility := e.config.Facility
 	if r.Kind >= record.Program {
-		facility = daemon
+		facility = daemonFacility
 	}
 	b = append(b, '<')
 	b = strconv.AppendUint(b, uint64(facility*8+int(r.Severity)), 10)
@@ -226,7 +226,7 @@
 	b = e.time(b, r.At)
 	b = append(b, e.head[r.Kind]...)
 	if drop < rankQuality {
-		b = append(b, e.quality...)
+		b = append(b, e.timeQuality...)
 	}
 	if drop < rankOrigin {
 		b = append(b, e.origin...)
@@ -235,12 +235,12 @@
 	seqAt = len(b)
 	b = strconv.AppendUint(b, uint64(m.Seq), 10)
 	b = append(b, `" sysUpTime="`...)
-	b = strconv.AppendUint(b, uint64(max(0, r.At-e.c.Start)/(10*time.Millisecond))%upTimeRound, 10)
+	b = strconv.AppendUint(b, uint64(max(0, r.At-e.config.Start)/(10*time.Millisecond))%sysUpTimeModulus, 10)
 	b = append(b, `"]`...)
-	b = append(b, e.ids[r.Kind]...)
-	b = number(b, "n", m.Number)
+	b = append(b, e.elementStart[r.Kind]...)
+	b = uintParam(b, "n", m.Number)
 	if m.Weight > 1 {
-		b = number(b, "weight", m.Weight)
+		b = uintParam(b, "weight", m.Weight)
 	}
 	switch how {
 	case cutText:
@@ -252,13 +252,13 @@
 	case record.Request:
 		b = e.request(b, r, drop)
 	case record.Member:
-		b = e.change(b, r, drop)
+		b = e.memberChange(b, r, drop)
 	case record.Gap:
 		if m.Gap != nil {
 			b = e.param(b, "cause", m.Gap.Cause)
-			b = number(b, "count", m.Gap.Count)
-			b = number(b, "first", uint64(m.Gap.First))
-			b = number(b, "last", uint64(m.Gap.Last))
+			b = uintParam(b, "count", m.Gap.Count)
+			b = uintParam(b, "first", uint64(m.Gap.First))
+			b = uintParam(b, "last", uint64(m.Gap.Last))
 		}
 	}
 	return append(b, ']'), seqAt
@@ -267,28 +267,28 @@
 func (e *Encoder) request(b []byte, r *record.Record, drop int) []byte {
 	b = e.param(b, "outcome", r.Outcome.String())
 	if drop < rankClass {
-		b = e.param(b, "class", name(e.c.Classes, r.Class))
+		b = e.param(b, "class", nameAt(e.config.Classes, r.Class))
 	}
-	if drop < rankCustomer {
-		b = e.param(b, "customer", name(e.c.Tenants, r.Tenant))
+	if drop < rankTenant {
+		b = e.param(b, "customer", nameAt(e.config.Tenants, r.Tenant))
 	}
 	if r.Cause != record.NoCause && drop < rankCause {
 		b = e.param(b, "cause", r.Cause.String())
 	}
 	if r.Outcome == record.Refused && r.RetryAfter > 0 && drop < rankAfter {
-		b = span(b, "after_ms", r.RetryAfter)
+		b = millisParam(b, "after_ms", r.RetryAfter)
 	}
 	if drop < rankAttempts {
-		b = number(b, "attempts", uint64(r.Attempts))
+		b = uintParam(b, "attempts", uint64(r.Attempts))
 	}
 	if drop < rankTotal {
-		b = span(b, "total_ms", r.Total)
+		b = millisParam(b, "total_ms", r.Total)
 	}
 	if drop < rankWait {
-		b = span(b, "wait_ms", r.WaitTime)
+		b = millisParam(b, "wait_ms", r.WaitTime)
 	}
 	if drop < rankCluster {
-		b = e.signed(b, "cluster", r.Group)
+		b = e.intParam(b, "cluster", r.Group)
 	}
 	if drop < rankFront {
 		b = e.param(b, "front", r.Front)
@@ -308,30 +308,30 @@
 	if r.Member == "" || drop >= rankMember {
 		return b
 	}
-	b = append(append(b, ']'), e.member...)
+	b = append(append(b, ']'), e.memberElementStart...)
 	b = e.param(b, "id", r.Member)
-	b = e.of(b, r, drop)
+	b = e.roleAndPosition(b, r, drop)
 	if r.AttemptTime > 0 && drop < rankTaken {
-		b = span(b, "took_ms", r.AttemptTime)
+		b = millisParam(b, "took_ms", r.AttemptTime)
 	}
 	if r.HasLag && drop < rankLag {
-		b = span(b, "lag_ms", r.Lag)
+		b = millisParam(b, "lag_ms", r.Lag)
 	}
 	return b
 }
 
-func (e *Encoder) change(b []byte, r *record.Record, drop int) []byte {
+func (e *Encoder) memberChange(b []byte, r *record.Record, drop int) []byte {
 	b = e.param(b, "change", r.Change.String())
 	if r.Member != "" && drop < rankMember {
 		b = e.param(b, "id", r.Member)
 	}
 	if drop < rankCluster {
-		b = e.signed(b, "cluster", r.Group)
+		b = e.intParam(b, "cluster", r.Group)
 	}
-	return e.of(b, r, drop)
+	return e.roleAndPosition(b, r, drop)
 }
 
-func (e *Encoder) of(b []byte, r *record.Record, drop int) []byte {
+func (e *Encoder) roleAndPosition(b []byte, r *record.Record, drop int) []byte {
 	if r.Role != decide.RoleUnknown && drop < rankRole {
 		role := "replica"
 		if r.Role == decide.Primary {
@@ -340,7 +340,7 @@
 		b = e.param(b, "role", role)
 	}
 	if r.Position > 0 && drop < rankPosition {
-		b = number(b, "position", uint64(r.Position/time.Millisecond))
+		b = uintParam(b, "position", uint64(r.Position/time.Millisecond))
 	}
 	return b
 }
@@ -412,32 +412,32 @@
 	return append(e.value(b, value), '"')
 }
 
-func (e *Encoder) signed(b []byte, name string, v int64) []byte {
+func (e *Encoder) intParam(b []byte, name string, v int64) []byte {
 	b = append(append(append(b, ' '), name...), `="`...)
 	return append(strconv.AppendInt(b, v, 10), '"')
 }
 
-func number(b []byte, name string, v uint64) []byte {
+func uintParam(b []byte, name string, v uint64) []byte {
 	b = append(append(append(b, ' '), name...), `="`...)
 	return append(strconv.AppendUint(b, v, 10), '"')
 }
 
-// span appends a time in milliseconds, to the microsecond.
-func span(b []byte, name string, d time.Duration) []byte {
+// millisParam appends a time in milliseconds, to the microsecond.
+func millisParam(b []byte, name string, d time.Duration) []byte {
 	us := uint64(max(d, 0) / time.Microsecond)
 	b = append(append(append(b, ' '), name...), `="`...)
 	b = strconv.AppendUint(b, us/1000, 10)
 	return append(b, '.', '0'+byte(us/100%10), '0'+byte(us/10%10), '0'+byte(us%10), '"')
 }
 
-func name(names []string, i int) string {
+func nameAt(names []string, i int) string {
 	if i < 0 || i >= len(names) {
 		return ""
 	}
 	return names[i]
 }
 
-func cut(s string, most int) string {
+func truncate(s string, most int) string {
 	if len(s) > most {
 		s = s[:most]
 	}
--- a/internal/syslog/parse.go
+++ b/internal/syslog/parse.go
@@ -142,7 +142,7 @@
 		to   *[]byte
 		most int
 		want string
-	}{{&m.Hostname, hostMost, "a hostname"}, {&m.AppName, appMost, "an app name"}, {&m.ProcID, procMost, "a process id"},
+	}{{&m.Hostname, maxHostnameLen, "a hostname"}, {&m.AppName, maxAppNameLen, "an app name"}, {&m.ProcID, maxProcIDLen, "a process id"},
 		{&m.MsgID, 32, "a message id"}} {
 		if p.err != nil {
 			return p.err
--- a/internal/syslog/syslog_test.go
+++ b/internal/syslog/syslog_test.go
@@ -103,7 +103,7 @@
 		cut := g.Find(record.Kinds[r.Kind], "cut")
 		full := encoderFor(t, class, customer)
 		long, _, _ := full.Append(nil, r, m)
-		if spare := seqDigits - digits(uint64(m.Seq)); (len(long)+spare <= most) != (cut == "") {
+		if spare := maxSeqDigits - digits(uint64(m.Seq)); (len(long)+spare <= most) != (cut == "") {
 			t.Fatalf("%d bytes in full, limit %d, cut %q", len(long), most, cut)
 		}
 		if cut == "" && r.Kind == record.Request && g.Find("request", "class") != clean(class) {
@@ -161,8 +161,8 @@
 		checked(t, b, most)
 		r.Text = ""
 	}
-	host := strings.Repeat("h", hostMost)
-	for _, c := range []Config{{Hostname: host, AppName: strings.Repeat("a", appMost), ProcID: strings.Repeat("p", procMost), MaxBytes: 480},
+	host := strings.Repeat("h", maxHostnameLen)
+	for _, c := range []Config{{Hostname: host, AppName: strings.Repeat("a", maxAppNameLen), ProcID: strings.Repeat("p", maxProcIDLen), MaxBytes: 480},
 		{MaxBytes: 479}, {Hostname: "two words"}, {Hostname: host + "h"}, {AppName: "ü"}, {Facility: 24}} {
 		if _, err := New(c); err == nil {
 			t.Errorf("%+v: no error", c)
--- a/internal/tlskeys/keys.go
+++ b/internal/tlskeys/keys.go
@@ -33,9 +33,9 @@
 type Store struct {
 	files Files
 
-	mu  sync.Mutex
-	cur *Material
-	bad [sha256.Size]byte // last contents that were refused
+	mu         sync.Mutex
+	current    *Material
+	refusedSum [sha256.Size]byte // last contents that were refused
 }
 
 // Open reads the files for the first time.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.cur = m
+	s.current = m
 	return s, nil
 }
 
@@ -56,7 +56,7 @@
 func (s *Store) Current() *Material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cur
+	return s.current
 }
 
 // Refresh reads the files again. changed tells that there is new material. An error names what is wrong with
@@ -66,16 +66,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case err != nil && sum == s.bad:
+	case err != nil && sum == s.refusedSum:
 		return false, nil
 	case err != nil:
-		s.bad = sum
+		s.refusedSum = sum
 		return false, err
-	case m.sum == s.cur.sum:
+	case m.sum == s.current.sum:
 		return false, nil
 	}
-	m.Generation = s.cur.Generation + 1
-	s.cur, s.bad = m, [sha256.Size]byte{}
+	m.Generation = s.current.Generation + 1
+	s.current, s.refusedSum = m, [sha256.Size]byte{}
 	return true, nil
 }
 
