--- a/internal/logroute/circuit.go
+++ b/internal/logroute/circuit.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Tuned values, each with its reason.
+// Limits on connection attempts to collectors.
 const (
-	minBackoff         = 200 * time.Millisecond // a collector that restarts is back in a second or so
+	minBackoff         = 200 * time.Millisecond // a restarting collector is back in about a second
 	maxBackoff         = 30 * time.Second
-	backoffJitter      = 0.5 // of the back-off, so that gateways do not come back as one
-	connectBudgetRate  = 2.0 // connections tried a second, by all collectors together
+	backoffJitter      = 0.5 // fraction of the back-off that is random, so that gateways do not reconnect all at once
+	connectBudgetRate  = 2.0 // connection attempts per second, for all collectors together
 	connectBudgetBurst = 4.0
-	probationTime      = 500 * time.Millisecond // a connection that breaks sooner was no recovery
+	probationTime      = 500 * time.Millisecond // a connection that breaks sooner does not count as a recovery
 	stableTime         = 5 * time.Second
 )
 
-// Phase is where a collector stands.
+// Phase is the state of the connection to a collector.
 type Phase uint8
 
 // The phases.
 const (
-	Closed     Phase = iota // no connection, none tried before At
-	Connecting              // one connection is being made
-	Probation               // connected, but not for long: what was queued before waits
-	Working                 // connected
+	Closed     Phase = iota // no connection; the next attempt may have to wait
+	Connecting              // a connection attempt is in progress
+	Probation               // connected after a failure, for less than probationTime: records queued before the connection wait
+	Working                 // connected and usable without restriction
 )
 
-// Circuits keeps the health of all collectors, from connects and writes alone.
+// Circuits is a circuit breaker for each collector. It judges a collector's health only by the results of connects
+// and writes.
 type Circuits struct {
 	all      []circuit
 	tokens   float64
@@ -39,20 +40,20 @@
 type circuit struct {
 	phase        Phase
 	since        Time
-	retryAt      Time // Closed: not before
-	failures     int  // in a row
-	budgetExempt bool // tries outside the budget: it never failed
-	unstable     bool // it failed, and has not worked for steadyTime since
+	retryAt      Time // in phase Closed: no attempt before this time
+	failures     int  // consecutive failures
+	budgetExempt bool // the next attempt takes no token: the collector never failed, or its connection was closed as planned
+	unstable     bool // it failed, and has not been in phase Working for stableTime since
 }
 
-// NewCircuits returns the health of n collectors that were never tried.
+// NewCircuits returns circuits for n collectors, none of which has been tried. The seed is that of the back-off's jitter.
 func NewCircuits(n int, seed uint64) *Circuits {
 	c := &Circuits{tokens: connectBudgetBurst, rng: rand.New(rand.NewPCG(seed, 0x63697263))}
 	c.Resize(n)
 	return c
 }
 
-// Resize adds collectors that were never tried, or forgets the last.
+// Resize sets the number of collectors: it adds untried ones or removes the last ones.
 func (c *Circuits) Resize(n int) {
 	for len(c.all) < n {
 		c.all = append(c.all, circuit{retryAt: -1, budgetExempt: true})
@@ -60,7 +61,7 @@
 	c.all = c.all[:n]
 }
 
-// Reorder puts the collectors in a new order: each entry is the place it had before, -1 for a new one.
+// Reorder puts the collectors in a new order: each entry is the collector's previous index, -1 for a new one.
 func (c *Circuits) Reorder(from []int) {
 	old := c.all
 	c.all = nil
@@ -73,7 +74,7 @@
 	}
 }
 
-// Reset forgets what was known of a collector, as its address has changed.
+// Reset makes a collector an untried one, for use when its address has changed.
 func (c *Circuits) Reset(i int) { c.all[i] = circuit{retryAt: -1, budgetExempt: true} }
 
 func (c *Circuits) step(now Time) {
@@ -82,8 +83,8 @@
 	c.tokensAt = c.now
 }
 
-// TryConnect asks to connect to a collector. It returns 0 if that may begin now, else when to ask again. One that may
-// owes Connected or Failed.
+// TryConnect asks for permission to connect to a collector. It returns 0 if the attempt may begin now, otherwise the
+// time to wait before asking again. After a 0 the caller must report the result by Connected or Failed.
 func (c *Circuits) TryConnect(now Time, i int) (wait Time) {
 	c.step(now)
 	t := &c.all[i]
@@ -103,26 +104,26 @@
 	return 0
 }
 
-// Connected tells that a connection is up.
+// Connected reports that a connection attempt succeeded.
 func (c *Circuits) Connected(now Time, i int) {
 	c.step(now)
 	c.all[i].phase, c.all[i].since = Probation, c.now
-	if c.all[i].failures == 0 { // the first, or one after a planned close
+	if c.all[i].failures == 0 { // no failure since it last worked: first connection, or one after a planned close
 		c.all[i].phase = Working
 	}
 }
 
-// Closed tells that a connection ended as it should, and says nothing against the collector.
+// Closed reports that a connection was closed as planned, which does not count as a failure.
 func (c *Circuits) Closed(now Time, i int) {
 	c.step(now)
 	c.all[i].phase, c.all[i].retryAt, c.all[i].budgetExempt = Closed, c.now, true
 }
 
-// Failed tells that a connect or a write failed, or the connection broke.
+// Failed reports that a connect or a write failed or that the connection broke.
 func (c *Circuits) Failed(now Time, i int) {
 	c.step(now)
 	t := &c.all[i]
-	if t.phase == Working && c.now-t.since >= probationTime { // it worked: this is a first failure
+	if t.phase == Working && c.now-t.since >= probationTime { // it had recovered, so this is the first of a new series
 		t.failures = 0
 	}
 	t.failures++
@@ -135,7 +136,7 @@
 	t.phase, t.since, t.retryAt = Closed, c.now, c.now+wait
 }
 
-// Phase tells where a collector stands. A trial that lasted ends here.
+// Phase returns a collector's phase. It also ends a probation that has lasted for probationTime.
 func (c *Circuits) Phase(now Time, i int) Phase {
 	c.step(now)
 	t := &c.all[i]
@@ -148,8 +149,8 @@
 	return t.phase
 }
 
-// Up implements Upness.
+// Up implements Availability: the collector is connected.
 func (c *Circuits) Up(i int) bool { return c.all[i].phase >= Probation }
 
-// Stable implements Upness. One that was never tried counts, as nothing speaks against it.
+// Stable implements Availability. A collector that was never tried counts as stable, as it has not failed.
 func (c *Circuits) Stable(i int) bool { return !c.all[i].unstable }
--- a/internal/logroute/logroute_test.go
+++ b/internal/logroute/logroute_test.go
@@ -10,7 +10,7 @@
 	"reachwind/internal/record"
 )
 
-// state of collectors, as a test has it.
+// fakeAvailability is an Availability with a fixed state for each collector.
 type fakeAvailability []int // 0 down, 1 up, 2 steady
 
 func (u fakeAvailability) Up(i int) bool     { return u[i] > 0 }
@@ -30,8 +30,9 @@
 	return tb
 }
 
-// TestSelect: each thing that a route names narrows it, and the first that selects takes the record.
-func TestSelect(t *testing.T) {
+// TestRouteSelection checks that each field of a route restricts its selection, that a record goes to the first route
+// that selects it, and that invalid routes are refused.
+func TestRouteSelection(t *testing.T) {
 	failed, member := request(1, record.Failed), &record.Record{Kind: record.Member, Severity: record.Warning, Member: "db-1", Tenant: -1}
 	line := &record.Record{Kind: record.Program, Severity: record.Info, Tenant: -1}
 	for i, tc := range []struct {
@@ -68,8 +69,9 @@
 	}
 }
 
-// TestSample: what is kept stands for all, exactly, and for each customer about as many as it asked.
-func TestSample(t *testing.T) {
+// TestSampleWeights checks that the weights of the kept requests add up exactly to all requests, that they are
+// proportional for each tenant, and that other kinds are never sampled.
+func TestSampleWeights(t *testing.T) {
 	tb := table(t, []Route{{Sample: 0.1, To: []int{0}}}, "a")
 	const n = 200_000
 	sum, by := uint64(0), [2]float64{}
@@ -80,7 +82,7 @@
 		}
 	}
 	if sum+tb.state[0].skipped != n || math.Abs(by[0]/by[1]-1) > 0.05 {
-		t.Errorf("weights add up to %d and %d more, by customers %v, of %d", sum, tb.state[0].skipped, by, n)
+		t.Errorf("weights add up to %d and %d more, by tenants %v, of %d", sum, tb.state[0].skipped, by, n)
 	}
 	for range 100 {
 		if got := tb.Route(0, &record.Record{Kind: record.Member, Tenant: -1}, fakeAvailability{2}, nil); len(got) != 1 || got[0].Weight != 1 {
@@ -89,8 +91,8 @@
 	}
 }
 
-// TestRate: over any stretch no more than the rate and one burst pass, and what is over says so.
-func TestRate(t *testing.T) {
+// TestRateLimit checks that no more records pass than the rate and one burst allow, and that the others are marked.
+func TestRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 1000).Draw(t, "rate"))
 		tb, _ := NewTable([]Route{{Rate: rate, To: []int{0}}}, []string{"a"}, 1)
@@ -98,7 +100,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "n") {
 			now += Time(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond
 			if got := tb.Route(now, request(0, record.Failed), fakeAvailability{2}, nil); len(got) != 1 {
-				t.Fatal("a record over the rate is to be counted")
+				t.Fatal("a record over the rate has no target, so it can't be counted")
 			} else if !got[0].OverRate {
 				passed++
 			}
@@ -109,7 +111,8 @@
 	})
 }
 
-// TestSpread: customers keep their collector, and the loss of one moves only its own.
+// TestSpread checks that tenants are spread evenly, that they keep their collector, and that the failure of a collector
+// moves only the tenants on it.
 func TestSpread(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	tb := table(t, []Route{{Mode: Spread, To: []int{0, 1, 2, 3, 4}}}, names...)
@@ -123,22 +126,22 @@
 	}
 	for i, n := range count {
 		if n < customers/5*8/10 || n > customers/5*12/10 {
-			t.Errorf("collector %d has %d of %d customers", i, n, customers)
+			t.Errorf("collector %d has %d of %d tenants", i, n, customers)
 		}
 	}
 	down := fakeAvailability{2, 2, 0, 2, 2}
 	for c := range customers {
 		now := tb.Route(0, request(c, record.Served), down, nil)[0].Collector
 		if home[c] != 2 && now != home[c] || home[c] == 2 && now == 2 {
-			t.Fatalf("customer %d went from %d to %d when collector 2 was lost", c, home[c], now)
+			t.Fatalf("tenant %d went from %d to %d when collector 2 failed", c, home[c], now)
 		}
 	}
 	if got := tb.Route(0, request(7, record.Served), fakeAvailability{0, 0, 0, 0, 0}, nil)[0].Collector; got != home[7] {
-		t.Errorf("with none up customer 7 waits for %d, want %d", got, home[7])
+		t.Errorf("with none up tenant 7 waits for %d, want %d", got, home[7])
 	}
 }
 
-// TestFailover: the first that has worked for a while, else the first that is up, else the first.
+// TestFailover checks the order of preference: the first stable collector, else the first that is up, else the first.
 func TestFailover(t *testing.T) {
 	tb := table(t, []Route{{Mode: Failover, To: []int{1, 0, 2}}}, "a", "b", "c")
 	for _, tc := range []struct {
@@ -157,8 +160,9 @@
 	}
 }
 
-// TestCircuits: through random failures never two connections are made to one collector at once, tries of all stay
-// in their budget, back-off grows and is spread, and a collector that works is tried at once when it comes back.
+// TestCircuits checks with random failures that there is never more than one connection attempt to a collector at a time,
+// that all attempts together stay within their budget, and that the back-off is bounded; then, for one collector, that
+// the back-off grows and that a collector which failed goes through probation.
 func TestCircuits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "collectors")
@@ -224,15 +228,15 @@
 	_ = c.TryConnect(0, 0)
 	c.Connected(0, 0)
 	if c.Phase(0, 0) != Working || !c.Stable(0) {
-		t.Error("the first connection is no trial")
+		t.Error("the first connection: want phase Working and stable, without probation")
 	}
 	c.Failed(time.Minute, 0)
 	_ = c.TryConnect(2*time.Minute, 0)
 	c.Connected(2*time.Minute, 0)
 	if c.Phase(2*time.Minute+probationTime/2, 0) != Probation || c.Stable(0) {
-		t.Error("after a failure it is on trial")
+		t.Error("just after a failure: want phase Probation and not stable")
 	}
 	if c.Phase(2*time.Minute+stableTime, 0) != Working || !c.Stable(0) {
-		t.Error("after a while it is trusted again")
+		t.Error("after stableTime without a failure: want phase Working and stable")
 	}
 }
--- a/internal/logroute/route.go
+++ b/internal/logroute/route.go
@@ -1,8 +1,8 @@
-// Package logroute decides where records go: which route takes one, what its
-// rate and sampling leave of it, which of its collectors gets it, and when a
-// collector that failed is tried again. It does no I/O, starts no goroutine and
-// reads no clock: the same seed and calls give the same answers. Nothing in it is
-// safe for concurrent use.
+// Package logroute routes log records to collectors: it selects the routes for a
+// record, applies their rate limits and sampling, chooses among the collectors of
+// a route, and decides when to reconnect to a collector that failed. It does no
+// I/O, starts no goroutine and reads no clock: the same seed and calls give the
+// same results. Nothing in it is safe for concurrent use.
 package logroute
 
 import (
@@ -16,41 +16,42 @@
 	"reachwind/internal/record"
 )
 
-// Time is a point on the gateway's clock, or a span on it.
+// Time is a point in time on the gateway's clock, or a duration.
 type Time = time.Duration
 
-// Mode tells how a route uses its collectors.
+// Mode is the way in which a route distributes records to its collectors.
 type Mode uint8
 
 // The modes.
 const (
-	All      Mode = iota // each gets every record
-	Failover             // the first that is up gets every record
-	Spread               // each gets its customers' records, by rendezvous hashing
+	All      Mode = iota // each collector gets every record
+	Failover             // the first stable collector, else the first connected one, gets every record
+	Spread               // each collector gets the records of its tenants, by rendezvous hashing
 )
 
-// Modes are the names of the modes.
+// Modes holds the names of the modes.
 var Modes = [...]string{All: "all", Failover: "failover", Spread: "spread"}
 
-// Route selects records and names who gets them. What it does not name it does
-// not look at: the zero Route selects everything. A record goes to the first
-// route that selects it and, where that has Continue, on to the next.
+// Route selects records and names the collectors that get them. An empty field
+// does not restrict the selection: the zero Route selects everything. A record
+// goes to the first route that selects it and, if that has Continue set, also to
+// the next one that does.
 type Route struct {
 	Name     string
 	Kinds    []record.Kind
-	Severity record.Severity // the least severe it takes
+	Severity record.Severity // the least severe level that is selected, 0 = all
 	Classes  []int
-	Tenants  []int // -1 = none
+	Tenants  []int // indexes of tenants, -1 = requests without a tenant
 	Outcomes []record.Outcome
 	Members  []string
-	Rate     float64 // records a second; 0 = no limit. Up to a second's worth may come at once
-	Sample   float64 // part of the requests kept; 0 = all. Other kinds are never sampled
+	Rate     float64 // records per second, with a burst of one second's worth (at least 1); 0 = no limit
+	Sample   float64 // fraction of the requests kept; 0 = all. Other kinds are never sampled
 	Mode     Mode
-	To       []int // places of collectors, in the order of preference
+	To       []int // indexes of collectors, in the order of preference
 	Continue bool
 }
 
-// Validate reports the first fault of a route among so many collectors.
+// Validate returns an error for the first invalid field of a route, given the number of collectors.
 func (r *Route) Validate(collectors int) error {
 	switch {
 	case len(r.To) == 0:
@@ -58,11 +59,11 @@
 	case r.Rate < 0:
 		return fmt.Errorf("route %q: rate is %g, want 0 or more", r.Name, r.Rate)
 	case r.Sample < 0 || r.Sample > 1:
-		return fmt.Errorf("route %q: sample is %g, want a part from 0 to 1", r.Name, r.Sample)
+		return fmt.Errorf("route %q: sample is %g, want a fraction from 0 to 1", r.Name, r.Sample)
 	}
 	for i, c := range r.To {
 		if c < 0 || c >= collectors {
-			return fmt.Errorf("route %q: collector %d of %d", r.Name, c, collectors)
+			return fmt.Errorf("route %q: collector index is %d, but there are only %d collectors", r.Name, c, collectors)
 		}
 		if slices.Contains(r.To[:i], c) {
 			return fmt.Errorf("route %q: names a collector twice", r.Name)
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// selects tells whether the route takes a record. A list of classes, customers or outcomes takes requests only.
+// selects reports whether the route selects a record. With a list of classes, tenants or outcomes it selects requests
+// only.
 func (r *Route) selects(rec *record.Record) bool {
 	if rec.Severity > r.Severity && r.Severity != 0 || len(r.Kinds) > 0 && !slices.Contains(r.Kinds, rec.Kind) {
 		return false
@@ -87,21 +89,21 @@
 		(len(r.Outcomes) == 0 || slices.Contains(r.Outcomes, rec.Outcome))
 }
 
-// Priority orders records by what is dropped first.
+// Priority orders records for dropping: the lowest is dropped first.
 type Priority uint8
 
-// The worths. Log lines stand with the requests of like severity.
+// The priorities. Log lines have that of requests of a like severity.
 const (
-	Sampled Priority = iota // a served request that stands for others too
+	Sampled Priority = iota // a served request that also represents others
 	ServedRequest
 	RefusedRequest
 	FailedRequest
 	MemberChange
-	GapRecord // never dropped: there is one for each cause at a time
+	GapRecord // never dropped: at most one exists for each cause at a time
 	NumPriorities
 )
 
-// PriorityOf is a record's worth where it stands for weight records.
+// PriorityOf returns the priority of a record that represents weight records.
 func PriorityOf(r *record.Record, weight uint64) Priority {
 	switch r.Kind {
 	case record.Member:
@@ -128,33 +130,34 @@
 	return ServedRequest
 }
 
-// maxFill is how full a store of limited room may be for it still to take a record of each worth. Beyond, room
-// is kept for the worthier.
+// maxFill is, for each priority, the fill level of a store of limited capacity (0 to 1) from which it no longer accepts
+// such records. The remaining capacity is reserved for higher priorities.
 var maxFill = [NumPriorities]float64{Sampled: 0.5, ServedRequest: 0.7, RefusedRequest: 0.85, FailedRequest: 0.95, MemberChange: 1, GapRecord: 1}
 
-// Admit tells whether a store that can't drop what it holds should take a record, when it is full to that part.
+// Admit reports whether a store that cannot drop what it holds should accept a record of priority w, where full is its
+// fill level from 0 to 1.
 func Admit(w Priority, full float64) bool { return full < maxFill[w] }
 
-// Target is one collector that a record goes to.
+// Target is a collector that a record is sent to.
 type Target struct {
 	Collector int
 	Route     int
 	Weight    uint64
-	OverRate  bool // beyond the route's rate: to be counted there as dropped
+	OverRate  bool // the record exceeds the route's rate: the caller counts it as dropped
 }
 
-// Availability tells which collectors can be given records now.
+// Availability reports which collectors can accept records now.
 type Availability interface {
-	// Up tells whether a collector takes records, Steady whether it has for a while.
+	// Up reports whether a collector is connected, Stable whether it has not failed recently.
 	Up(collector int) bool
 	Stable(collector int) bool
 }
 
-// Table is the routes of one configuration with their state.
+// Table holds the routes of one configuration and their state.
 type Table struct {
 	routes          []Route
 	state           []routeState
-	collectorHashes []uint64 // of the collectors, hashed
+	collectorHashes []uint64 // hashes of the collectors' names, by index
 	rng             *rand.Rand
 	now             Time
 }
@@ -162,10 +165,10 @@
 type routeState struct {
 	tokens   float64
 	tokensAt Time
-	skipped  uint64 // requests not kept since the last that was
+	skipped  uint64 // requests not kept by sampling since the last one that was
 }
 
-// NewTable returns a table for the collectors of those names, or the first fault of the routes.
+// NewTable returns a table for collectors of the given names, or an error for the first invalid route.
 func NewTable(routes []Route, collectors []string, seed uint64) (*Table, error) {
 	t := &Table{routes: routes, state: make([]routeState, len(routes)), rng: rand.New(rand.NewPCG(seed, 0x6c6f67))}
 	for i := range routes {
@@ -180,7 +183,7 @@
 	return t, nil
 }
 
-// Inherit takes over rates and weights from the table before, for routes of the same name.
+// Inherit takes over the state of rate limits and sampling from the previous table, for routes of the same name.
 func (t *Table) Inherit(old *Table) {
 	t.rng = old.rng
 	for i := range t.routes {
@@ -194,8 +197,8 @@
 	}
 }
 
-// Route appends where a record goes. The weights of what a route keeps add up to the requests that it
-// selected, but for those since the last that it kept.
+// Route appends the targets of a record to out. For each route the weights of the requests kept by sampling add up to
+// the number of requests selected, except those selected since the last one kept.
 func (t *Table) Route(now Time, rec *record.Record, up Availability, out []Target) []Target {
 	t.now = max(now, t.now)
 	for i := range t.routes {
@@ -233,7 +236,7 @@
 	return append(out, target)
 }
 
-// takeToken takes a token from a bucket that holds at most a second's worth.
+// takeToken takes a token from the route's bucket, which holds at most one second's worth (at least 1).
 func (t *Table) takeToken(s *routeState, rate float64) bool {
 	if rate <= 0 {
 		return true
@@ -249,7 +252,7 @@
 	return true
 }
 
-// spreadKey is what a record is spread by: its customer, else its member.
+// spreadKey returns the key for mode Spread: the record's tenant or, without one, a hash of its member.
 func spreadKey(rec *record.Record) uint64 {
 	if rec.Tenant >= 0 {
 		return uint64(rec.Tenant)
@@ -257,11 +260,11 @@
 	return xxhash.Sum64String(rec.Member)
 }
 
-// Key is keyOf for those who keep a record only as a message.
+// Key returns a record's key for Reassign, for callers that keep the record only as an encoded message.
 func Key(rec *record.Record) uint64 { return spreadKey(rec) }
 
-// pick chooses among a route's collectors, without the one to be left out. Where none is up it is the one that
-// would be chosen if all were.
+// pick chooses one of a route's collectors other than without. If none is up, it is the one that would be chosen if
+// all were up.
 func (t *Table) pick(r *Route, key uint64, up Availability, without int) int {
 	best, bestRank := -1, 0
 	var bestScore uint64
@@ -273,7 +276,7 @@
 		if up.Up(c) {
 			rank = 1
 		}
-		if r.Mode == Failover && up.Stable(c) { // one that has only just come back waits for its turn
+		if r.Mode == Failover && up.Stable(c) { // one that has only just recovered ranks lower
 			rank = 2
 		}
 		score := uint64(0)
@@ -295,8 +298,8 @@
 	return h ^ h>>31
 }
 
-// Reassign names the collector that takes over what a route gave to one that has gone down: one that is up, -1 if
-// there is none or the route does not move records.
+// Reassign returns the collector that takes over records which a route sent to a collector that is now down. It is a
+// collector that is up, or -1 if there is none or if the route's mode does not reassign records.
 func (t *Table) Reassign(route int, key uint64, from int, up Availability) int {
 	if route < 0 || route >= len(t.routes) || t.routes[route].Mode == All {
 		return -1
@@ -308,7 +311,7 @@
 	return to
 }
 
-// RouteIndex is the place of a route, -1 if there is none of that name.
+// RouteIndex returns the index of the route with the given name, or -1.
 func (t *Table) RouteIndex(name string) int {
 	return slices.IndexFunc(t.routes, func(r Route) bool { return r.Name == name })
 }
--- a/internal/record/roster.go
+++ b/internal/record/membertracker.go
@@ -6,27 +6,29 @@
 	"reachwind/decide"
 )
 
-// maxTrackedMembers bounds the members that are followed, as many as the module keeps; changes of others are not told.
+// maxTrackedMembers limits memory. It is the number of members that the decision module keeps; changes of members
+// beyond it are not reported.
 const maxTrackedMembers = decide.MaxMembers
 
-// MemberTracker follows what lists say of members and tells what changed: draining,
-// gone, cold, ready. Its zero value is not ready; use NewRoster. It reads no
-// clock and is not safe for concurrent use.
+// MemberTracker compares successive member lists and reports the changes Draining,
+// Gone, Cold and Ready. Use NewMemberTracker; the zero value is not usable. It reads
+// no clock and is not safe for concurrent use.
 type MemberTracker struct {
 	slowStart time.Duration
 	known     map[string]decide.Member
 }
 
-// NewMemberTracker returns a roster for members that are warm so long after their start.
+// NewMemberTracker returns a tracker without members. A member is reported as Cold if it is first listed with its
+// present start time less than the given duration after that start.
 func NewMemberTracker(cold time.Duration) *MemberTracker {
 	return &MemberTracker{slowStart: cold, known: map[string]decide.Member{}}
 }
 
-// Len is how many members are followed.
+// Len returns the number of members that are tracked.
 func (r *MemberTracker) Len() int { return len(r.known) }
 
-// Apply takes a list, whole or of changes only, and calls tell for each change in the list's order; members
-// that a whole list no longer names come last, in no order.
+// Apply takes over a member list, complete (whole) or of changes only, and calls tell for each change in the list's
+// order. Members that are missing from a complete list are reported as Gone after that, in no particular order.
 func (r *MemberTracker) Apply(now time.Duration, whole bool, list []decide.Member, tell func(m decide.Member, c Change)) {
 	named := make(map[string]bool, len(list))
 	for _, m := range list {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,7 +1,8 @@
-// Package record holds what the gateway tells of itself: one record for each
-// final answer, one for each change in what it believes of a member, and its own
-// log lines. Records are plain values. Whoever makes one hands it to a [Sink] and
-// keeps nothing of it; what becomes of it is the sink's matter.
+// Package record defines the gateway's log records: one for each final answer to
+// a request, one for each change in the observed state of a member, and one for
+// each of the gateway's own log lines. Records are plain values. The code that
+// makes a record passes it to a [Sink] and keeps no reference to it; filtering,
+// queueing and delivery are up to the sink.
 package record
 
 import (
@@ -11,47 +12,47 @@
 	"reachwind/decide"
 )
 
-// Kind tells which fields of a Record count.
+// Kind is the type of a Record. It determines which of the record's fields are used.
 type Kind uint8
 
-// The kinds.
+// The kinds of records.
 const (
-	Request Kind = iota // a final answer
-	Member              // a belief about a member, or a group's primary
-	Program             // a log line
-	Gap                 // records that were dropped
+	Request Kind = iota // the final answer to a request
+	Member              // a change in the observed state of a member or of a group's primary
+	Program             // a log line of the gateway
+	Gap                 // a number of records that were dropped
 )
 
-// Kinds are the names of the kinds, as routes and MSGID have them.
+// Kinds holds the names of the kinds, as used in the settings of routes and in a message's MSGID.
 var Kinds = [...]string{Request: "request", Member: "member", Program: "log", Gap: "gap"}
 
 func (k Kind) String() string { return Kinds[k] }
 
-// Outcome is the kind of a final answer.
+// Outcome is the result of a request.
 type Outcome uint8
 
-// The outcomes, by worth: what is dropped last has the highest.
+// The outcomes, in ascending priority: records with the highest are dropped last.
 const (
 	Served Outcome = iota
 	Refused
 	Failed
 )
 
-// Outcomes are the names of the outcomes.
+// Outcomes holds the names of the outcomes.
 var Outcomes = [...]string{Served: "served", Refused: "refused", Failed: "failed"}
 
 func (o Outcome) String() string { return Outcomes[o] }
 
-// Cause tells why a request was not served, in one word.
+// Cause is the reason why a request was not served.
 type Cause uint8
 
-// The causes. All but the first four are how the last attempt ended.
+// The causes. Those without a comment are results of the last attempt, see CauseOf.
 const (
 	NoCause  Cause = iota
-	Unplaced       // no member was found that could take it in time
-	Waiting        // given up with an attempt out
-	Deadline       // its time was up
-	Buffers        // the gateway had no buffer for it
+	Unplaced       // no member was available that could serve it before its deadline
+	Waiting        // abandoned while an attempt was in flight
+	Deadline       // its deadline passed
+	Buffers        // the gateway had no free buffer for it
 	Error
 	Full
 	Timeout
@@ -61,19 +62,19 @@
 	NotSent
 	NotHere
 	Rejected
-	Invalid // the front could not read it
-	InUse   // its id is that of a request in work
-	Stale   // a member answered from data older than the request must see
+	Invalid // the front could not parse it
+	InUse   // a request with the same id is in progress
+	Stale   // a member answered from data older than the request requires
 )
 
-// Causes are the names of the causes.
+// Causes holds the names of the causes; that of NoCause is empty.
 var Causes = [...]string{"", "unplaced", "waiting", "deadline", "buffers", "error", "full", "timeout", "unreachable",
 	"reset", "cancelled", "not-sent", "not-here", "rejected",
 	"invalid", "in-use", "stale"}
 
 func (c Cause) String() string { return Causes[c] }
 
-// CauseOf is the cause that an attempt's end stands for.
+// CauseOf returns the cause for the result of an attempt, NoCause for a result that is not a failure.
 func CauseOf(r decide.Result) Cause {
 	switch r {
 	case decide.Errored:
@@ -100,10 +101,10 @@
 	return NoCause
 }
 
-// Change is what is newly believed.
+// Change is a change in the observed state of a member or of a group's primary.
 type Change uint8
 
-// The changes.
+// The changes. Suspect and Trusted are the failure detector's verdicts on a member.
 const (
 	Suspect Change = iota
 	Trusted
@@ -111,17 +112,17 @@
 	PrimaryLost
 	Draining
 	Gone
-	Cold  // started a short while ago
+	Cold  // in slow start: it started recently
 	Ready // listed as ready: new, or after draining
 )
 
-// Changes are the names of the changes.
+// Changes holds the names of the changes.
 var Changes = [...]string{Suspect: "suspect", Trusted: "trusted", PrimaryFound: "primary-found", PrimaryLost: "primary-lost",
 	Draining: "draining", Gone: "gone", Cold: "cold", Ready: "ready"}
 
 func (c Change) String() string { return Changes[c] }
 
-// Severity is RFC 5424's, section 6.2.1: lower is worse.
+// Severity is a severity of RFC 5424, section 6.2.1. Lower values are more severe.
 type Severity uint8
 
 // The severities in use.
@@ -133,46 +134,46 @@
 	Debug   Severity = 7
 )
 
-// Severities are the names of all severities.
+// Severities holds the names of all eight severities of RFC 5424.
 var Severities = [...]string{"emerg", "alert", "crit", "err", "warning", "notice", "info", "debug"}
 
 func (s Severity) String() string { return Severities[s] }
 
-// Record is one record. It holds no pointer into anything that changes.
+// Record is one log record. It refers to no memory that changes later, so that a copy of it is complete.
 type Record struct {
 	Kind     Kind
 	Severity Severity
-	At       time.Duration // since the start of Unix time
+	At       time.Duration // since the Unix epoch
 
-	// Request. Class and Tenant are places in the settings; Tenant -1 = none.
+	// Of kind Request. Class and Tenant are indexes into the settings; Tenant is -1 for none.
 	Class, Tenant int
 	Front         string
 	Outcome       Outcome
 	Cause         Cause
-	RetryAfter    time.Duration // Refused: when to come back, 0 = not told
+	RetryAfter    time.Duration // Refused: delay after which the client may retry, 0 = none was sent
 	Attempts      int
-	WaitTime      time.Duration // till the first send, or the end
-	AttemptTime   time.Duration // of the last attempt, 0 = none was made
+	WaitTime      time.Duration // until the first send, or until the end if nothing was sent
+	AttemptTime   time.Duration // duration of the last attempt, 0 = none was made
 	Total         time.Duration
-	Session       string // never leaves the process but as a keyed hash
+	Session       string // leaves the process only as a keyed hash
 
-	// Request and Member.
+	// Of kinds Request and Member.
 	Group    int64
-	Member   string // the last that was asked
+	Member   string // Request: the member of the last attempt
 	Role     decide.Role
-	Position time.Duration // log position it told, since the start of Unix time; 0 = none
-	Lag      time.Duration // age of what was known of it at the send
+	Position time.Duration // log position that the member reported, as time since the Unix epoch; 0 = none
+	Lag      time.Duration // age of the member's known position when the request was sent
 	HasLag   bool
 	Change   Change
 
-	Text string // Program: the line
+	Text string // Program: the log line
 }
 
-// Sink takes records. Put copies what it needs, never blocks, and may be called
-// from any goroutine.
+// Sink receives records. Put copies what it needs, never blocks, and is safe for
+// concurrent use.
 type Sink interface{ Put(*Record) }
 
-// SetRequestSeverity sets the severity of a final answer.
+// SetRequestSeverity sets the severity of a Request record from its outcome.
 func (r *Record) SetRequestSeverity() {
 	switch r.Outcome {
 	case Served:
@@ -184,7 +185,7 @@
 	}
 }
 
-// SetMemberSeverity sets the severity of a change.
+// SetMemberSeverity sets the severity of a Member record from its change.
 func (r *Record) SetMemberSeverity() {
 	switch r.Change {
 	case PrimaryLost:
@@ -198,7 +199,7 @@
 	}
 }
 
-// SeverityOfLevel is the severity of a log level.
+// SeverityOfLevel returns the severity for a log level.
 func SeverityOfLevel(l slog.Level) Severity {
 	switch {
 	case l >= slog.LevelError:
--- a/internal/record/slog.go
+++ b/internal/record/slog.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// maxTextBytes bounds a log line as a record: what the encoder cuts is not carried about.
+// maxTextBytes limits the text of a Program record, so that no memory is held for text that the encoder would cut.
 const maxTextBytes = 8 << 10
 
-// Handler passes log lines on to a slog.Handler and, where a sink is set, as
-// Program records too. It is safe for concurrent use.
+// Handler passes log lines to a slog.Handler and, if a sink is set, also to the
+// sink as Program records. It is safe for concurrent use.
 type Handler struct {
 	slog.Handler
 	shared *shared
-	attrs  []byte // of WithAttrs, rendered
+	attrs  []byte // attributes from WithAttrs, already formatted
 	group  string
 }
 
@@ -26,11 +26,11 @@
 	buf  bytes.Buffer
 }
 
-// NewHandler returns a handler over h, without a sink.
+// NewHandler returns a handler that wraps h, without a sink.
 func NewHandler(h slog.Handler) *Handler { return &Handler{Handler: h, shared: new(shared)} }
 
-// SetSink has records go to s from now on, nil for none. Lines that s itself causes must not be logged through
-// this handler, or they would feed themselves.
+// SetSink makes s the sink for later log lines; nil removes the sink. Log lines of s itself must not be logged
+// through this handler, or each record could cause another one.
 func (h *Handler) SetSink(s Sink) {
 	h.shared.mu.Lock()
 	defer h.shared.mu.Unlock()
@@ -60,7 +60,7 @@
 	})
 	text := b.Bytes()
 	if len(text) > maxTextBytes {
-		text = text[:maxTextBytes] // the encoder ends it at a character
+		text = text[:maxTextBytes] // the encoder cuts at a character boundary
 	}
 	s.sink.Put(&Record{Kind: Program, Severity: SeverityOfLevel(line.Level), At: time.Duration(line.Time.UnixNano()),
 		Tenant: -1, Class: -1, Text: string(text)})
--- a/internal/syslog/encode.go
+++ b/internal/syslog/encode.go
@@ -1,4 +1,4 @@
-// Package syslog writes and reads RFC 5424 messages. It does no I/O.
+// Package syslog encodes log records as RFC 5424 messages and parses such messages. It does no I/O.
 package syslog
 
 import (
@@ -15,64 +15,64 @@
 	"reachwind/internal/record"
 )
 
-// Config is what stands in every message. New checks it.
+// Config holds what all messages of an encoder have in common. New validates it.
 type Config struct {
-	Hostname, AppName, ProcID string // as RFC 5424's header fields; empty = NILVALUE
-	Version                   string // origin's swVersion
-	Enterprise                int    // private enterprise number of the elements; 0 = 32473, RFC 5612's for examples
-	MaxBytes                  int    // longest message; 0 = 2048
-	Facility                  int    // of requests and members; log lines and gaps are the daemon's
+	Hostname, AppName, ProcID string // the header fields of RFC 5424; empty = NILVALUE
+	Version                   string // swVersion of the origin element
+	Enterprise                int    // private enterprise number in element ids; 0 = 32473, which RFC 5612 reserves for examples
+	MaxBytes                  int    // length limit of a message; 0 = 2048
+	Facility                  int    // of Request and Member records, 0 to 23; Program and Gap records have the facility daemon (3)
 	Start                     time.Duration
-	Classes, Tenants          []string // names by the places that records hold
-	Key                       []byte   // sessions are hashed with it
-	Synced                    bool     // the clock is known to follow a reliable source
+	Classes, Tenants          []string // names, indexed by Record.Class and Record.Tenant
+	Key                       []byte   // key of the HMAC that replaces session names
+	Synced                    bool     // the clock is synchronized to a reliable source
 }
 
-// What RFC 5424 says.
+// Limits and numbers of RFC 5424.
 const (
-	MinMaxBytes       = 480 // a receiver must take messages of this length
+	MinMaxBytes       = 480 // every receiver must accept messages of this length
 	DefaultMaxBytes   = 2048
 	maxHostnameLen    = 255
 	maxAppNameLen     = 48
 	maxProcIDLen      = 128
 	exampleEnterprise = 32473
 	daemonFacility    = 3
-	maxSeqDigits      = 10 // room kept for any sequenceId, so that a message can be numbered anew
+	maxSeqDigits      = 10 // reserved for any sequenceId, so that Renumber keeps a message within its limit
 	MaxSeq            = 1<<31 - 1
 	sysUpTimeModulus  = 1 << 32
 )
 
-// Gap tells of records that were dropped before they were handed to a collector.
+// Gap describes records that were dropped before they were sent to a collector.
 type Gap struct {
 	Cause       string
 	Count       uint64
-	First, Last uint32 // sequence numbers, both among the dropped
+	First, Last uint32 // sequence numbers of the first and the last dropped record
 }
 
-// Meta is what differs from collector to collector.
+// Meta holds the parts of a message that depend on the collector or the route.
 type Meta struct {
 	Seq    uint32 // sequenceId, 1 to SeqMost
-	Number uint64 // the record's own, the same at every collector
-	Weight uint64 // records that it stands for; 1 = itself
-	Gap    *Gap   // with Kind Gap
+	Number uint64 // number of the record, the same at every collector
+	Weight uint64 // number of records that this one represents after sampling; 1 = only itself
+	Gap    *Gap   // for records of kind Gap
 }
 
-// Encoder writes records as messages. It is not safe for concurrent use.
+// Encoder encodes records as messages. It is not safe for concurrent use.
 type Encoder struct {
 	config             Config
-	head               [4][]byte // after the timestamp, by kind: " HOST APP PROC MSGID "
-	timeQuality        []byte    // timeQuality and origin, whole
+	head               [4][]byte // header after the timestamp, by kind: " HOST APP PROC MSGID "
+	timeQuality        []byte    // complete timeQuality element; origin is the complete origin element
 	origin             []byte
-	elementStart       [4][]byte // "[request@32473", by kind
+	elementStart       [4][]byte // start of the element, by kind: "[request@32473"
 	memberElementStart []byte
 	mac                hash.Hash
 	scratch            []byte
 	sum                []byte
-	day                int64 // that date holds
+	day                int64 // days since the Unix epoch of the cached date; -1 = none
 	date               [10]byte
 }
 
-// New returns an encoder, or an error that names what cannot stand in a header or does not fit MaxBytes.
+// New returns an encoder. It returns an error if a header field is not valid or if MaxBytes or Facility is out of range.
 func New(c Config) (*Encoder, error) {
 	if c.Enterprise == 0 {
 		c.Enterprise = exampleEnterprise
@@ -81,7 +81,7 @@
 		c.MaxBytes = DefaultMaxBytes
 	}
 	if c.MaxBytes < MinMaxBytes {
-		return nil, fmt.Errorf("max_bytes is %d, want at least %d, which RFC 5424 has every receiver take", c.MaxBytes, MinMaxBytes)
+		return nil, fmt.Errorf("max_bytes is %d, want at least %d, the length that every receiver must accept by RFC 5424", c.MaxBytes, MinMaxBytes)
 	}
 	if c.Facility < 0 || c.Facility > 23 {
 		return nil, fmt.Errorf("facility is %d, want 0 to 23", c.Facility)
@@ -117,7 +117,7 @@
 	return e, nil
 }
 
-// minLength is the length of the longest message with all that may be dropped left out.
+// minLength returns the length of the longest message from which everything that may be dropped has been dropped.
 func (e *Encoder) minLength() int {
 	r := record.Record{Kind: record.Request, Class: -1, Tenant: -1, At: 1 << 60, Severity: record.Info, Outcome: record.Refused}
 	m := Meta{Seq: MaxSeq, Number: 1<<64 - 1, Weight: 1<<64 - 1}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// What is dropped from a message over the limit, in this order, after its text. Rank 0 is never dropped.
+// Parts that are dropped, in this order, from a message that exceeds the limit without its text. Rank 0 is never dropped.
 const (
 	rankOrigin = 1 + iota
 	rankQuality
@@ -169,17 +169,17 @@
 
 const (
 	cutNone cutMode = iota
-	cutText         // the text was shortened
-	cutAll          // and parameters were dropped
+	cutText         // the text was cut
+	cutAll          // the text was removed and parameters were dropped
 )
 
-// ErrTooLong is returned for a record that no message within MaxBytes can hold. It cannot happen with the
-// records of this program; it guards what the limit promises.
+// ErrTooLong is returned for a record that does not fit into MaxBytes with all optional parts dropped. The gateway
+// makes no such records; the error ensures that no message exceeds the limit.
 var ErrTooLong = errors.New("syslog: no message within max_bytes holds this record")
 
-// Append appends the message for r, at most MaxBytes long also with any other sequenceId, and returns where in
-// dst its sequenceId begins. A message that would be longer is shortened: its text first, then parameters in the
-// order of the operators' page, which it says by a parameter "cut".
+// Append appends the message for r to dst and returns the offset of its sequenceId in the result. The message is at
+// most MaxBytes long, also after Renumber with any other sequenceId. A longer message is shortened: first its text,
+// then parameters in the order that is documented for operators. Its parameter "cut" then says "text" or "params".
 func (e *Encoder) Append(dst []byte, r *record.Record, m Meta) (out []byte, seqAt int, err error) {
 	from := len(dst)
 	most := e.config.MaxBytes - maxSeqDigits + digits(uint64(m.Seq))
@@ -197,14 +197,14 @@
 		if textAt = len(dst); textAt-from > most {
 			continue
 		}
-		if rank == 0 { // where the elements themselves are too long, no text is left
+		if rank == 0 { // if parameters had to be dropped, the text is left out
 			dst = e.text(dst, r, m)
 			if n := len(dst) - from; n > most {
 				keep := from + most
 				for keep > textAt && !utf8.RuneStart(dst[keep]) {
 					keep--
 				}
-				if keep-textAt <= 1+3 { // a lone space, or a BOM and nothing
+				if keep-textAt <= 1+3 { // only the space, or the space and a BOM, is left
 					keep = textAt
 				}
 				dst = dst[:keep]
@@ -214,7 +214,7 @@
 	}
 }
 
-// write writes all but the text, leaving out what has a rank from 1 to drop.
+// write appends the message without its text. Parts of rank 1 to drop are left out.
 func (e *Encoder) write(b []byte, r *record.Record, m Meta, drop int, how cutMode) (out []byte, seqAt int) {
 	facility := e.config.Facility
 	if r.Kind >= record.Program {
@@ -345,7 +345,8 @@
 	return b
 }
 
-// text appends " MSG". Control bytes in it become #ooo, as RFC 5424 has it for NUL, so that it can be framed by LF.
+// text appends " MSG". Control bytes in it become #ooo (octal), as RFC 5424 suggests for NUL, so that LF can delimit
+// messages.
 func (e *Encoder) text(b []byte, r *record.Record, m Meta) []byte {
 	switch r.Kind {
 	case record.Request:
@@ -371,7 +372,7 @@
 	return b
 }
 
-// plain appends s as valid UTF-8 without control bytes, and without a BOM at its start.
+// plain appends s as valid UTF-8 with control bytes escaped, and without BOMs at its start.
 func (e *Encoder) plain(b []byte, s string) []byte {
 	const bom = "\xEF\xBB\xBF"
 	for len(s) >= len(bom) && s[:len(bom)] == bom {
@@ -383,12 +384,12 @@
 	return b
 }
 
-// char appends the character of s at i and returns where the next begins.
+// char appends the character of s at i and returns the index of the next one.
 func (e *Encoder) char(b []byte, s string, i int) ([]byte, int) {
 	c := s[i]
 	if c >= utf8.RuneSelf {
 		r, n := utf8.DecodeRuneInString(s[i:])
-		return utf8.AppendRune(b, r), i + n // U+FFFD for what is no UTF-8
+		return utf8.AppendRune(b, r), i + n // U+FFFD for invalid UTF-8
 	}
 	if c < ' ' || c == 0x7f {
 		return append(b, '#', '0'+c>>6, '0'+c>>3&7, '0'+c&7), i + 1
@@ -396,7 +397,7 @@
 	return append(b, c), i + 1
 }
 
-// value appends s as a PARAM-VALUE, RFC 5424 section 6.3.3.
+// value appends s, escaped as a PARAM-VALUE of RFC 5424, section 6.3.3.
 func (e *Encoder) value(b []byte, s string) []byte {
 	for i := 0; i < len(s); {
 		if c := s[i]; c == '"' || c == '\\' || c == ']' {
@@ -422,7 +423,7 @@
 	return append(strconv.AppendUint(b, v, 10), '"')
 }
 
-// millisParam appends a time in milliseconds, to the microsecond.
+// millisParam appends a duration in milliseconds with three decimals.
 func millisParam(b []byte, name string, d time.Duration) []byte {
 	us := uint64(max(d, 0) / time.Microsecond)
 	b = append(append(append(b, ' '), name...), `="`...)
@@ -444,7 +445,7 @@
 	return s
 }
 
-// time appends a TIMESTAMP in UTC to the microsecond.
+// time appends a TIMESTAMP in UTC with microseconds.
 func (e *Encoder) time(b []byte, at time.Duration) []byte {
 	us := int64(at / time.Microsecond)
 	day := us / 86_400_000_000
@@ -472,7 +473,7 @@
 	return d
 }
 
-// Renumber appends msg, whose sequenceId begins at seqAt, with another one.
+// Renumber appends msg to dst with its sequenceId, which starts at offset seqAt of msg, replaced by seq.
 func Renumber(dst, msg []byte, seqAt int, seq uint32) []byte {
 	dst = append(dst, msg[:seqAt]...)
 	dst = strconv.AppendUint(dst, uint64(seq), 10)
--- a/internal/syslog/parse.go
+++ b/internal/syslog/parse.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 )
 
-// Message is a parsed message. Its slices point into what was parsed.
+// Message is a parsed message. Its slices refer to the parsed bytes.
 type Message struct {
 	Facility, Severity               int
 	Version                          int
@@ -24,10 +24,10 @@
 	Params []Param
 }
 
-// Param is an SD-PARAM; its value is as it stands in the message, see AppendValue.
+// Param is an SD-PARAM. Its value is still escaped, see AppendValue.
 type Param struct{ Name, Value []byte }
 
-// SyntaxError tells what was wanted at an offset of a message.
+// SyntaxError reports what was expected at a byte offset of a message.
 type SyntaxError struct {
 	At   int
 	Want string
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("syslog: byte %d: want %s", e.At, e.Want)
 }
 
-// Find returns the value of a parameter, as it stands, and whether it is there. An id without "@" also finds
+// Find returns the escaped value of a parameter and whether it exists. An id without "@" also matches elements named
 // "id@number".
 func (m *Message) Find(id, name string) ([]byte, bool) {
 	for i := range m.Elements {
@@ -54,8 +54,8 @@
 	return nil, false
 }
 
-// AppendValue appends a parameter's value without its escapes. A backslash before any other character stands for
-// itself.
+// AppendValue appends a parameter's value with its escapes removed. Only '"', '\\' and ']' can be escaped; a backslash
+// before any other character is kept.
 func AppendValue(dst, raw []byte) []byte {
 	for i := 0; i < len(raw); i++ {
 		if raw[i] == '\\' && i+1 < len(raw) && (raw[i+1] == '"' || raw[i+1] == '\\' || raw[i+1] == ']') {
@@ -87,7 +87,7 @@
 	return true
 }
 
-// number reads least to most digits.
+// number reads a decimal number of least to most digits.
 func (p *parser) number(least, most int, want string) int {
 	n, from := 0, p.at
 	for p.at < len(p.b) && p.at-from < most && p.b[p.at] >= '0' && p.b[p.at] <= '9' {
@@ -100,7 +100,7 @@
 	return n
 }
 
-// field reads a header field of at most so many printable characters and the space after it.
+// field reads a header field of at most most printable characters and the space after it. It returns nil for NILVALUE.
 func (p *parser) field(most int, want string) []byte {
 	from := p.at
 	for p.at < len(p.b) && p.b[p.at] > 32 && p.b[p.at] < 127 {
@@ -119,7 +119,7 @@
 	return f
 }
 
-// Parse reads one message into m, whose slices are used again. The error is a *SyntaxError.
+// Parse parses one message into m and reuses the memory of m's slices. A non-nil error is a *SyntaxError.
 func Parse(b []byte, m *Message) error {
 	p := parser{b: b}
 	*m = Message{Elements: m.Elements[:0], params: m.params[:0]}
@@ -283,7 +283,7 @@
 			p.fail("no bare ']' in a value")
 			return nil
 		case '\\':
-			p.at++ // with what it escapes; before other characters it stands for itself
+			p.at++ // skip the escaped character too; a backslash before another character is literal
 		}
 		p.at++
 	}
--- a/internal/syslog/syslog_test.go
+++ b/internal/syslog/syslog_test.go
@@ -35,7 +35,7 @@
 	return r
 }
 
-// TestMessage pins one message down to the byte: operators' tools rely on the names.
+// TestMessage compares one message byte by byte, because operators' tools rely on its names and layout.
 func TestMessage(t *testing.T) {
 	got, seqAt, err := encoder(t, 2048).Append(nil, served(), Meta{Seq: 41, Number: 9001, Weight: 10})
 	want := `<134>1 2026-01-01T00:00:00.123456Z gw-1 reachwind 77 request [timeQuality tzKnown="1" isSynced="0"]` +
@@ -54,15 +54,15 @@
 		t.Errorf("renumbered %s", again)
 	}
 	if bytes.Contains(got, []byte("skier")) {
-		t.Error("the session stands in the message")
+		t.Error("the message contains the session in plain text")
 	}
 }
 
-// hostile are values that break naive encoders.
+// hostile holds values that break naive encoders.
 var hostile = []string{``, `"`, `]`, `\`, `""""]]]]\\\\`, "a\nb\x00c\x7f", "\xff\xfe broken", "\xEF\xBB\xBFbom", "Aoraki – Mt Cook ❄", `\"`,
 	strings.Repeat(`"]`, 300), strings.Repeat("❄", 700), strings.Repeat("x", 5000)}
 
-// checked parses a message with both parsers, which must agree, and checks the limit.
+// checked parses a message with both parsers, which must both accept it, and checks its length against the limit.
 func checked(t interface{ Fatalf(string, ...any) }, b []byte, most int) *rfc5424.Message {
 	var m Message
 	if err := Parse(b, &m); err != nil {
@@ -78,9 +78,9 @@
 	return g
 }
 
-// TestEncode: whatever stands in a record, the message is sound, within the limit also under any other number, and
-// its values come back.
-func TestEncode(t *testing.T) {
+// TestEncodeArbitraryValues checks that for any values in a record the message is valid, that it stays within the limit
+// also with another sequenceId, and that its values can be read back.
+func TestEncodeArbitraryValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.SampledFrom([]int{480, 481, 700, 2048, 8192}).Draw(t, "most")
 		text := rapid.OneOf(rapid.SampledFrom(hostile), rapid.String(), rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 300), func(b []byte) string { return string(b) }))
@@ -123,7 +123,7 @@
 	return e
 }
 
-// clean is what a value becomes: valid UTF-8, its control bytes written out.
+// clean returns a value as the encoder writes it: valid UTF-8, with control bytes escaped.
 func clean(s string) string {
 	var b strings.Builder
 	for i := 0; i < len(s); {
@@ -139,9 +139,9 @@
 	return b.String()
 }
 
-// TestLimits: a message exactly at the limit is whole, one byte over loses text and nothing else, and headers that
-// leave no room are refused when the encoder is made.
-func TestLimits(t *testing.T) {
+// TestLengthLimits checks that a message exactly at the limit is complete, that one byte more shortens only its text, and
+// that New refuses headers that leave no space for a message.
+func TestLengthLimits(t *testing.T) {
 	r := &record.Record{Kind: record.Program, Severity: record.Info, At: at, Class: -1, Tenant: -1}
 	m := Meta{Seq: MaxSeq, Number: 1, Weight: 1}
 	for _, most := range []int{480, 2048, 8192} {
@@ -156,7 +156,7 @@
 		if g := checked(t, b, most); len(b) < most-8 || g.Find("log", "cut") != "text" {
 			t.Errorf("one over %d: %d bytes, %q", most, len(b), b)
 		}
-		r.Text = strings.Repeat("❄", most) // never cut inside a character
+		r.Text = strings.Repeat("❄", most) // the text must not be cut inside a character
 		b, _, _ = e.Append(nil, r, m)
 		checked(t, b, most)
 		r.Text = ""
@@ -170,7 +170,7 @@
 	}
 }
 
-// FuzzParse: the parser and the grammar, written apart, give the same verdict on every input.
+// FuzzParse checks that the parser and the independently written grammar check accept the same inputs.
 func FuzzParse(f *testing.F) {
 	good, _, _ := encoder(f, 2048).Append(nil, served(), Meta{Seq: 1, Number: 1, Weight: 1})
 	f.Add(good)
@@ -195,15 +195,15 @@
 	})
 }
 
-// TestAllocations: an encoded record costs no allocation.
-func TestAllocations(t *testing.T) {
+// TestAppendAllocations checks that encoding a record allocates no memory.
+func TestAppendAllocations(t *testing.T) {
 	e, r, buf := encoder(t, 2048), served(), make([]byte, 0, 4096)
 	if n := testing.AllocsPerRun(200, func() { buf, _, _ = e.Append(buf[:0], r, Meta{Seq: 1, Number: 1, Weight: 1}) }); n != 0 {
-		t.Errorf("%v allocations a record", n)
+		t.Errorf("%v allocations per record, want 0", n)
 	}
 }
 
-// BenchmarkEncode against the text handler that wrote such a record before, with the same values.
+// BenchmarkEncode compares the encoder with slog's text handler, which wrote such records before, on the same values.
 func BenchmarkEncode(b *testing.B) {
 	r := served()
 	b.Run("rfc5424", func(b *testing.B) {
--- a/internal/tlskeys/keys.go
+++ b/internal/tlskeys/keys.go
@@ -1,7 +1,7 @@
-// Package tlskeys holds certificates, keys and CA bundles that change in service.
-// A Store reads its files again when told to and takes them as a whole: where any
-// of them is missing, half written or does not fit the others, what was read
-// before holds on. It is safe for concurrent use.
+// Package tlskeys loads certificates, keys and CA bundles and reloads them while
+// they are in use. A Store replaces its material only as a whole: if a file is
+// missing, partly written or does not match the others, the material read before
+// stays in force. A Store is safe for concurrent use.
 package tlskeys
 
 import (
@@ -17,28 +17,28 @@
 	"time"
 )
 
-// Files names what is read. Empty names are left out; a certificate and its key go together.
+// Files holds the paths of PEM files. Files with an empty path are not read; Cert and Key are given both or neither.
 type Files struct{ Cert, Key, CA string }
 
-// Material is what was read at one time.
+// Material is the contents of the files from one reading.
 type Material struct {
-	Pair       *tls.Certificate // nil: none
-	Roots      *x509.CertPool   // nil: the system's
-	Expiry     time.Time        // the first end of a certificate of the pair or the bundle; zero without any
-	Generation uint64           // counts the times that something new was taken
+	Pair       *tls.Certificate // nil if no certificate is configured
+	Roots      *x509.CertPool   // nil for the system's roots
+	Expiry     time.Time        // when the certificate of the pair expires; zero without a pair
+	Generation uint64           // number of times that changed material was loaded
 	sum        [sha256.Size]byte
 }
 
-// Store keeps the newest material that is whole.
+// Store keeps the newest valid material.
 type Store struct {
 	files Files
 
 	mu         sync.Mutex
 	current    *Material
-	refusedSum [sha256.Size]byte // last contents that were refused
+	refusedSum [sha256.Size]byte // digest of the contents that were refused last
 }
 
-// Open reads the files for the first time.
+// Open reads the files and returns a store, or an error if they are not valid.
 func Open(f Files) (*Store, error) {
 	s := &Store{files: f}
 	m, _, err := f.read()
@@ -49,18 +49,18 @@
 	return s, nil
 }
 
-// Files tells which files a store reads.
+// Files returns the paths of the files that the store reads.
 func (s *Store) Files() Files { return s.files }
 
-// Current is the newest material.
+// Current returns the newest valid material.
 func (s *Store) Current() *Material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
-// Refresh reads the files again. changed tells that there is new material. An error names what is wrong with
-// files that differ from those refused last; the material before holds.
+// Refresh reads the files again and reports whether new material was loaded. If the files are not valid, the
+// previous material stays in force; the error is returned once, until the contents of the files change.
 func (s *Store) Refresh() (changed bool, err error) {
 	m, sum, err := s.files.read()
 	s.mu.Lock()
@@ -79,7 +79,7 @@
 	return true, nil
 }
 
-// read reads all files. sum stands for their contents, also where they are not usable.
+// read reads all files. The digest covers their contents and read errors; it is returned with an error too.
 func (f Files) read() (*Material, [sha256.Size]byte, error) {
 	h := sha256.New()
 	var parts [3][]byte
@@ -107,7 +107,7 @@
 		}
 	}
 	if (f.Cert == "") != (f.Key == "") {
-		return nil, m.sum, errors.New("a certificate and a key go together: one of them is not named")
+		return nil, m.sum, errors.New("a certificate and a key are needed together, but only one of the two files is configured")
 	}
 	if f.Cert != "" {
 		pair, err := tls.X509KeyPair(parts[0], parts[1])
@@ -119,17 +119,17 @@
 	}
 	if f.CA != "" {
 		m.Roots = x509.NewCertPool()
-		if !bytes.HasSuffix(bytes.TrimSpace(parts[2]), []byte("-----END CERTIFICATE-----")) { // half a bundle would parse too
-			return nil, m.sum, fmt.Errorf("%s: does not end with a whole certificate", f.CA)
+		if !bytes.HasSuffix(bytes.TrimSpace(parts[2]), []byte("-----END CERTIFICATE-----")) { // a truncated bundle would parse too
+			return nil, m.sum, fmt.Errorf("%s: does not end with a complete PEM certificate, the file may be truncated", f.CA)
 		}
 		if !m.Roots.AppendCertsFromPEM(parts[2]) {
-			return nil, m.sum, fmt.Errorf("%s: holds no certificate", f.CA)
+			return nil, m.sum, fmt.Errorf("%s: contains no valid PEM certificate", f.CA)
 		}
 	}
 	return m, m.sum, nil
 }
 
-// Fingerprint is a certificate's, as RFC 5425 section 4.2.2 writes it, by SHA-256.
+// Fingerprint returns the SHA-256 fingerprint of a DER certificate in the form of RFC 5425, section 4.2.2.
 func Fingerprint(der []byte) string {
 	sum := sha256.Sum256(der)
 	parts := make([]string, 0, len(sum))
@@ -139,7 +139,8 @@
 	return "sha-256:" + strings.Join(parts, ":")
 }
 
-// CheckFingerprint reports what is wrong with a fingerprint as an operator wrote it.
+// CheckFingerprint returns an error if a configured fingerprint does not have the form of Fingerprint. It checks the
+// prefix and the number of bytes, not the hexadecimal digits.
 func CheckFingerprint(s string) error {
 	hex, ok := strings.CutPrefix(s, "sha-256:")
 	if n := len(strings.Split(hex, ":")); !ok || n != sha256.Size {
@@ -148,8 +149,9 @@
 	return nil
 }
 
-// Client is the configuration for one connection to a server: its certificate must be for name by the roots
-// and, where fingerprints are given, have one of them. With fingerprints and no CA file they alone decide.
+// Client returns the configuration for one connection to a server. The server's certificate must be valid for name
+// under the roots and, if fingerprints are given, match one of them. With fingerprints but no CA file only the
+// fingerprints are checked.
 func (s *Store) Client(name string, fingerprints []string) *tls.Config {
 	m := s.Current()
 	c := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: m.Roots, ServerName: name}
@@ -157,10 +159,10 @@
 		c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return m.Pair, nil }
 	}
 	if len(fingerprints) > 0 {
-		c.InsecureSkipVerify = m.Roots == nil // the fingerprint is looked at instead
+		c.InsecureSkipVerify = m.Roots == nil // VerifyConnection checks the fingerprint instead
 		c.VerifyConnection = func(cs tls.ConnectionState) error {
 			if len(cs.PeerCertificates) == 0 {
-				return errors.New("the server has no certificate")
+				return errors.New("the server sent no certificate")
 			}
 			has := Fingerprint(cs.PeerCertificates[0].Raw)
 			for _, f := range fingerprints {
@@ -174,13 +176,13 @@
 	return c
 }
 
-// Server is a configuration that takes the newest material for each handshake. With clients it wants
-// certificates by the roots.
+// Server returns a configuration that uses the newest material for each handshake. If clients is true, clients must
+// present a certificate that is valid under the roots.
 func (s *Store) Server(clients bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		m := s.Current()
 		if m.Pair == nil {
-			return nil, errors.New("no certificate")
+			return nil, errors.New("no server certificate is configured")
 		}
 		c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*m.Pair}}
 		if clients {
