--- a/internal/logroute/circuit.go
+++ b/internal/logroute/circuit.go
@@ -62,10 +62,10 @@
 }
 
 // Reorder puts the collectors in a new order: each entry is the collector's previous index, -1 for a new one.
-func (c *Circuits) Reorder(from []int) {
+func (c *Circuits) Reorder(previousIndex []int) {
 	old := c.all
 	c.all = nil
-	for _, f := range from {
+	for _, f := range previousIndex {
 		if f >= 0 {
 			c.all = append(c.all, old[f])
 		} else {
--- a/internal/logroute/logroute_test.go
+++ b/internal/logroute/logroute_test.go
@@ -74,15 +74,15 @@
 func TestSampleWeights(t *testing.T) {
 	tb := table(t, []Route{{Sample: 0.1, To: []int{0}}}, "a")
 	const n = 200_000
-	sum, by := uint64(0), [2]float64{}
+	sum, perTenant := uint64(0), [2]float64{}
 	for i := range n {
 		for _, x := range tb.Route(0, request(i%2, record.Served), fakeAvailability{2}, nil) {
 			sum += x.Weight
-			by[i%2] += float64(x.Weight)
+			perTenant[i%2] += float64(x.Weight)
 		}
 	}
-	if sum+tb.state[0].skipped != n || math.Abs(by[0]/by[1]-1) > 0.05 {
-		t.Errorf("weights add up to %d and %d more, by tenants %v, of %d", sum, tb.state[0].skipped, by, n)
+	if sum+tb.state[0].skipped != n || math.Abs(perTenant[0]/perTenant[1]-1) > 0.05 {
+		t.Errorf("weights add up to %d and %d more, by tenants %v, of %d", sum, tb.state[0].skipped, perTenant, n)
 	}
 	for range 100 {
 		if got := tb.Route(0, &record.Record{Kind: record.Member, Tenant: -1}, fakeAvailability{2}, nil); len(got) != 1 || got[0].Weight != 1 {
@@ -117,20 +117,20 @@
 	names := []string{"a", "b", "c", "d", "e"}
 	tb := table(t, []Route{{Mode: Spread, To: []int{0, 1, 2, 3, 4}}}, names...)
 	all := fakeAvailability{2, 2, 2, 2, 2}
-	const customers = 5000
+	const tenants = 5000
 	count := make([]int, 5)
-	home := make([]int, customers)
-	for c := range customers {
+	home := make([]int, tenants)
+	for c := range tenants {
 		home[c] = tb.Route(0, request(c, record.Served), all, nil)[0].Collector
 		count[home[c]]++
 	}
 	for i, n := range count {
-		if n < customers/5*8/10 || n > customers/5*12/10 {
-			t.Errorf("collector %d has %d of %d tenants", i, n, customers)
+		if n < tenants/5*8/10 || n > tenants/5*12/10 {
+			t.Errorf("collector %d has %d of %d tenants", i, n, tenants)
 		}
 	}
 	down := fakeAvailability{2, 2, 0, 2, 2}
-	for c := range customers {
+	for c := range tenants {
 		now := tb.Route(0, request(c, record.Served), down, nil)[0].Collector
 		if home[c] != 2 && now != home[c] || home[c] == 2 && now == 2 {
 			t.Fatalf("tenant %d went from %d to %d when collector 2 failed", c, home[c], now)
--- a/internal/record/membertracker.go
+++ b/internal/record/membertracker.go
@@ -33,7 +33,7 @@
 	named := make(map[string]bool, len(list))
 	for _, m := range list {
 		named[m.ID] = true
-		was, known := r.known[m.ID]
+		previous, known := r.known[m.ID]
 		switch {
 		case m.State == decide.Removed:
 			if known {
@@ -45,13 +45,13 @@
 			continue
 		}
 		r.known[m.ID] = m
-		if m.Started > was.Started && now < m.Started+r.slowStart {
+		if m.Started > previous.Started && now < m.Started+r.slowStart {
 			tell(m, Cold)
 		}
 		switch {
-		case m.State == decide.Draining && (!known || was.State != decide.Draining):
+		case m.State == decide.Draining && (!known || previous.State != decide.Draining):
 			tell(m, Draining)
-		case m.State == decide.Up && (!known || was.State == decide.Draining):
+		case m.State == decide.Up && (!known || previous.State == decide.Draining):
 			tell(m, Ready)
 		}
 	}
--- a/internal/syslog/encode.go
+++ b/internal/syslog/encode.go
@@ -111,8 +111,8 @@
 	e.timeQuality = fmt.Appendf(nil, `[timeQuality tzKnown="1" isSynced="%d"]`, synced)
 	e.origin = e.value(fmt.Appendf(nil, `[origin enterpriseId="%d" software="reachwind" swVersion="`, c.Enterprise), truncate(c.Version, 32))
 	e.origin = append(e.origin, `"]`...)
-	if least := e.minLength(); least > c.MaxBytes {
-		return nil, fmt.Errorf("a message without text takes up to %d bytes, max_bytes allows %d: shorten hostname or app_name", least, c.MaxBytes)
+	if shortest := e.minLength(); shortest > c.MaxBytes {
+		return nil, fmt.Errorf("a message without text takes up to %d bytes, max_bytes allows %d: shorten hostname or app_name", shortest, c.MaxBytes)
 	}
 	return e, nil
 }
@@ -121,19 +121,19 @@
 func (e *Encoder) minLength() int {
 	r := record.Record{Kind: record.Request, Class: -1, Tenant: -1, At: 1 << 60, Severity: record.Info, Outcome: record.Refused}
 	m := Meta{Seq: MaxSeq, Number: 1<<64 - 1, Weight: 1<<64 - 1}
-	long := 0
+	longest := 0
 	for k := range record.Kinds {
 		r.Kind = record.Kind(k)
 		m.Gap = &Gap{Cause: "0123456789abcdef", Count: 1<<64 - 1, First: MaxSeq, Last: MaxSeq}
 		b, _ := e.write(nil, &r, m, maxRank, cutAll)
-		long = max(long, len(b)+len(`-4294967295`))
+		longest = max(longest, len(b)+len(`-4294967295`))
 	}
-	return long
+	return longest
 }
 
-func printable(s string, most int) error {
-	if len(s) > most {
-		return fmt.Errorf("%d characters, want at most %d", len(s), most)
+func printable(s string, maxLen int) error {
+	if len(s) > maxLen {
+		return fmt.Errorf("%d characters, want at most %d", len(s), maxLen)
 	}
 	for i := range len(s) {
 		if s[i] < 33 || s[i] > 126 {
@@ -181,26 +181,26 @@
 // most MaxBytes long, also after Renumber with any other sequenceId. A longer message is shortened: first its text,
 // then parameters in the order that is documented for operators. Its parameter "cut" then says "text" or "params".
 func (e *Encoder) Append(dst []byte, r *record.Record, m Meta) (out []byte, seqAt int, err error) {
-	from := len(dst)
-	most := e.config.MaxBytes - maxSeqDigits + digits(uint64(m.Seq))
+	start := len(dst)
+	limit := e.config.MaxBytes - maxSeqDigits + digits(uint64(m.Seq))
 	dst, seqAt = e.write(dst, r, m, 0, cutNone)
 	textAt := len(dst)
 	dst = e.text(dst, r, m)
-	if len(dst)-from <= most {
+	if len(dst)-start <= limit {
 		return dst, seqAt, nil
 	}
 	for rank, how := 0, cutText; ; rank, how = rank+1, cutAll {
 		if rank > maxRank {
-			return dst[:from], 0, ErrTooLong
+			return dst[:start], 0, ErrTooLong
 		}
-		dst, seqAt = e.write(dst[:from], r, m, rank, how)
-		if textAt = len(dst); textAt-from > most {
+		dst, seqAt = e.write(dst[:start], r, m, rank, how)
+		if textAt = len(dst); textAt-start > limit {
 			continue
 		}
 		if rank == 0 { // if parameters had to be dropped, the text is left out
 			dst = e.text(dst, r, m)
-			if n := len(dst) - from; n > most {
-				keep := from + most
+			if n := len(dst) - start; n > limit {
+				keep := start + limit
 				for keep > textAt && !utf8.RuneStart(dst[keep]) {
 					keep--
 				}
@@ -438,9 +438,9 @@
 	return names[i]
 }
 
-func truncate(s string, most int) string {
-	if len(s) > most {
-		s = s[:most]
+func truncate(s string, maxLen int) string {
+	if len(s) > maxLen {
+		s = s[:maxLen]
 	}
 	return s
 }
@@ -456,12 +456,12 @@
 	us -= day * 86_400_000_000
 	s := us / 1e6
 	us %= 1e6
-	two := func(b []byte, n int64) []byte { return append(b, byte('0'+n/10), byte('0'+n%10)) }
+	twoDigits := func(b []byte, n int64) []byte { return append(b, byte('0'+n/10), byte('0'+n%10)) }
 	b = append(append(b, e.date[:]...), 'T')
-	b = append(two(b, s/3600), ':')
-	b = append(two(b, s/60%60), ':')
-	b = append(two(b, s%60), '.')
-	b = two(two(two(b, us/10000), us/100%100), us%100)
+	b = append(twoDigits(b, s/3600), ':')
+	b = append(twoDigits(b, s/60%60), ':')
+	b = append(twoDigits(b, s%60), '.')
+	b = twoDigits(twoDigits(twoDigits(b, us/10000), us/100%100), us%100)
 	return append(b, 'Z')
 }
 
--- a/internal/syslog/parse.go
+++ b/internal/syslog/parse.go
@@ -87,27 +87,27 @@
 	return true
 }
 
-// number reads a decimal number of least to most digits.
-func (p *parser) number(least, most int, want string) int {
+// number reads a decimal number of minDigits to maxDigits digits.
+func (p *parser) number(minDigits, maxDigits int, want string) int {
 	n, from := 0, p.at
-	for p.at < len(p.b) && p.at-from < most && p.b[p.at] >= '0' && p.b[p.at] <= '9' {
+	for p.at < len(p.b) && p.at-from < maxDigits && p.b[p.at] >= '0' && p.b[p.at] <= '9' {
 		n = n*10 + int(p.b[p.at]-'0')
 		p.at++
 	}
-	if p.at-from < least {
+	if p.at-from < minDigits {
 		p.fail(want)
 	}
 	return n
 }
 
-// field reads a header field of at most most printable characters and the space after it. It returns nil for NILVALUE.
-func (p *parser) field(most int, want string) []byte {
+// field reads a header field of at most maxLen printable characters and the space after it. It returns nil for NILVALUE.
+func (p *parser) field(maxLen int, want string) []byte {
 	from := p.at
 	for p.at < len(p.b) && p.b[p.at] > 32 && p.b[p.at] < 127 {
 		p.at++
 	}
 	f := p.b[from:p.at]
-	if len(f) == 0 || len(f) > most {
+	if len(f) == 0 || len(f) > maxLen {
 		p.at = from
 		p.fail(want)
 		return nil
@@ -173,28 +173,28 @@
 		p.byte(' ', "a space after the time")
 		return
 	}
-	two := func(want string, least, most int) int {
+	twoDigits := func(want string, minValue, maxValue int) int {
 		n := p.number(2, 2, want)
-		if n < least || n > most {
+		if n < minValue || n > maxValue {
 			p.fail(want)
 		}
 		return n
 	}
 	year := p.number(4, 4, "a year")
 	p.byte('-', "'-'")
-	month := two("a month", 1, 12)
+	month := twoDigits("a month", 1, 12)
 	p.byte('-', "'-'")
-	last := 31
+	lastDay := 31
 	if month >= 1 && month <= 12 {
-		last = time.Date(year, time.Month(month)+1, 0, 0, 0, 0, 0, time.UTC).Day()
+		lastDay = time.Date(year, time.Month(month)+1, 0, 0, 0, 0, 0, time.UTC).Day()
 	}
-	day := two("a day of the month", 1, last)
+	day := twoDigits("a day of the month", 1, lastDay)
 	p.byte('T', "'T'")
-	hour := two("an hour", 0, 23)
+	hour := twoDigits("an hour", 0, 23)
 	p.byte(':', "':'")
-	minute := two("a minute", 0, 59)
+	minute := twoDigits("a minute", 0, 59)
 	p.byte(':', "':'")
-	second := two("a second", 0, 59)
+	second := twoDigits("a second", 0, 59)
 	ns := 0
 	if p.at < len(p.b) && p.b[p.at] == '.' {
 		p.at++
@@ -215,9 +215,9 @@
 		} else {
 			p.byte('+', "'Z', '+' or '-'")
 		}
-		h := two("an hour", 0, 23)
+		h := twoDigits("an hour", 0, 23)
 		p.byte(':', "':'")
-		s := sign * (h*3600 + 60*two("a minute", 0, 59))
+		s := sign * (h*3600 + 60*twoDigits("a minute", 0, 59))
 		zone = time.FixedZone("", s)
 	}
 	p.byte(' ', "a space after the time")
--- a/internal/syslog/syslog_test.go
+++ b/internal/syslog/syslog_test.go
@@ -18,8 +18,8 @@
 
 const at = 1767225600123456 * time.Microsecond
 
-func encoder(t testing.TB, most int) *Encoder {
-	e, err := New(Config{Hostname: "gw-1", AppName: "reachwind", ProcID: "77", Version: "0.1", MaxBytes: most, Facility: 16,
+func encoder(t testing.TB, limit int) *Encoder {
+	e, err := New(Config{Hostname: "gw-1", AppName: "reachwind", ProcID: "77", Version: "0.1", MaxBytes: limit, Facility: 16,
 		Start: at - time.Second, Classes: []string{"map-tiles"}, Tenants: []string{"kea-basin"}, Key: []byte("k")})
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	strings.Repeat(`"]`, 300), strings.Repeat("❄", 700), strings.Repeat("x", 5000)}
 
 // checked parses a message with both parsers, which must both accept it, and checks its length against the limit.
-func checked(t interface{ Fatalf(string, ...any) }, b []byte, most int) *rfc5424.Message {
+func checked(t interface{ Fatalf(string, ...any) }, b []byte, limit int) *rfc5424.Message {
 	var m Message
 	if err := Parse(b, &m); err != nil {
 		t.Fatalf("parser: %v in %q", err, b)
@@ -72,8 +72,8 @@
 	if err != nil {
 		t.Fatalf("grammar: %v in %q", err, b)
 	}
-	if len(b) > most {
-		t.Fatalf("%d bytes, at most %d allowed: %q", len(b), most, b)
+	if len(b) > limit {
+		t.Fatalf("%d bytes, at most %d allowed: %q", len(b), limit, b)
 	}
 	return g
 }
@@ -82,10 +82,10 @@
 // also with another sequenceId, and that its values can be read back.
 func TestEncodeArbitraryValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.SampledFrom([]int{480, 481, 700, 2048, 8192}).Draw(t, "most")
+		limit := rapid.SampledFrom([]int{480, 481, 700, 2048, 8192}).Draw(t, "most")
 		text := rapid.OneOf(rapid.SampledFrom(hostile), rapid.String(), rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 300), func(b []byte) string { return string(b) }))
-		class, customer, member, line := text.Draw(t, "class"), text.Draw(t, "customer"), text.Draw(t, "member"), text.Draw(t, "line")
-		e, err := New(Config{Hostname: "gw", AppName: "reachwind", MaxBytes: most, Classes: []string{class}, Tenants: []string{customer}})
+		class, tenant, member, line := text.Draw(t, "class"), text.Draw(t, "customer"), text.Draw(t, "member"), text.Draw(t, "line")
+		e, err := New(Config{Hostname: "gw", AppName: "reachwind", MaxBytes: limit, Classes: []string{class}, Tenants: []string{tenant}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -98,13 +98,13 @@
 			t.Fatalf("%v %q", err, b)
 		}
 		b, seqAt = b[6:], seqAt-6
-		g := checked(t, b, most)
-		checked(t, Renumber(nil, b, seqAt, MaxSeq), most)
+		g := checked(t, b, limit)
+		checked(t, Renumber(nil, b, seqAt, MaxSeq), limit)
 		cut := g.Find(record.Kinds[r.Kind], "cut")
-		full := encoderFor(t, class, customer)
+		full := encoderFor(t, class, tenant)
 		long, _, _ := full.Append(nil, r, m)
-		if spare := maxSeqDigits - digits(uint64(m.Seq)); (len(long)+spare <= most) != (cut == "") {
-			t.Fatalf("%d bytes in full, limit %d, cut %q", len(long), most, cut)
+		if spare := maxSeqDigits - digits(uint64(m.Seq)); (len(long)+spare <= limit) != (cut == "") {
+			t.Fatalf("%d bytes in full, limit %d, cut %q", len(long), limit, cut)
 		}
 		if cut == "" && r.Kind == record.Request && g.Find("request", "class") != clean(class) {
 			t.Fatalf("class %q came back as %q", class, g.Find("request", "class"))
@@ -115,8 +115,8 @@
 	})
 }
 
-func encoderFor(t *rapid.T, class, customer string) *Encoder {
-	e, err := New(Config{Hostname: "gw", AppName: "reachwind", MaxBytes: 1 << 20, Classes: []string{class}, Tenants: []string{customer}})
+func encoderFor(t *rapid.T, class, tenant string) *Encoder {
+	e, err := New(Config{Hostname: "gw", AppName: "reachwind", MaxBytes: 1 << 20, Classes: []string{class}, Tenants: []string{tenant}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,21 +144,21 @@
 func TestLengthLimits(t *testing.T) {
 	r := &record.Record{Kind: record.Program, Severity: record.Info, At: at, Class: -1, Tenant: -1}
 	m := Meta{Seq: MaxSeq, Number: 1, Weight: 1}
-	for _, most := range []int{480, 2048, 8192} {
-		e := encoder(t, most)
+	for _, limit := range []int{480, 2048, 8192} {
+		e := encoder(t, limit)
 		empty, _, _ := e.Append(nil, r, m)
-		r.Text = strings.Repeat("x", most-len(empty))
-		if b, _, _ := e.Append(nil, r, m); len(b) != most || bytes.Contains(b, []byte("cut=")) {
-			t.Errorf("at the limit of %d: %d bytes, %q", most, len(b), b)
+		r.Text = strings.Repeat("x", limit-len(empty))
+		if b, _, _ := e.Append(nil, r, m); len(b) != limit || bytes.Contains(b, []byte("cut=")) {
+			t.Errorf("at the limit of %d: %d bytes, %q", limit, len(b), b)
 		}
 		r.Text += "y"
 		b, _, _ := e.Append(nil, r, m)
-		if g := checked(t, b, most); len(b) < most-8 || g.Find("log", "cut") != "text" {
-			t.Errorf("one over %d: %d bytes, %q", most, len(b), b)
+		if g := checked(t, b, limit); len(b) < limit-8 || g.Find("log", "cut") != "text" {
+			t.Errorf("one over %d: %d bytes, %q", limit, len(b), b)
 		}
-		r.Text = strings.Repeat("❄", most) // the text must not be cut inside a character
+		r.Text = strings.Repeat("❄", limit) // the text must not be cut inside a character
 		b, _, _ = e.Append(nil, r, m)
-		checked(t, b, most)
+		checked(t, b, limit)
 		r.Text = ""
 	}
 	host := strings.Repeat("h", maxHostnameLen)
@@ -185,9 +185,9 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var m Message
 		err := Parse(b, &m)
-		g, wrong := rfc5424.Check(b)
-		if (err == nil) != (wrong == nil) {
-			t.Fatalf("parser: %v, grammar: %v", err, wrong)
+		g, grammarErr := rfc5424.Check(b)
+		if (err == nil) != (grammarErr == nil) {
+			t.Fatalf("parser: %v, grammar: %v", err, grammarErr)
 		}
 		if err == nil && len(g.Elements) != len(m.Elements) {
 			t.Fatalf("%d elements, by the grammar %d", len(m.Elements), len(g.Elements))
--- a/internal/tlskeys/keys.go
+++ b/internal/tlskeys/keys.go
@@ -101,7 +101,7 @@
 	if failed != nil {
 		return nil, m.sum, failed
 	}
-	ends := func(c *x509.Certificate) {
+	updateExpiry := func(c *x509.Certificate) {
 		if m.Expiry.IsZero() || c.NotAfter.Before(m.Expiry) {
 			m.Expiry = c.NotAfter
 		}
@@ -115,7 +115,7 @@
 			return nil, m.sum, fmt.Errorf("%s and %s: %w", f.Cert, f.Key, err)
 		}
 		m.Pair = &pair
-		ends(pair.Leaf)
+		updateExpiry(pair.Leaf)
 	}
 	if f.CA != "" {
 		m.Roots = x509.NewCertPool()
