--- a/internal/syslog/parse.go
+++ b/internal/syslog/parse.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 )
 
-// Message is a parsed message. Its slices point into what was parsed.
+// Message is a parsed message. Its slices refer to the parsed bytes.
 type Message struct {
 	Facility, Severity               int
 	Version                          int
@@ -24,10 +24,10 @@
 	Params []Param
 }
 
-// Param is an SD-PARAM; its value is as it stands in the message, see AppendValue.
+// Param is an SD-PARAM. Its value is still escaped, see AppendValue.
 type Param struct{ Name, Value []byte }
 
-// SyntaxError tells what was wanted at an offset of a message.
+// SyntaxError reports what was expected at a byte offset of a message.
 type SyntaxError struct {
 	At   int
 	Want string
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("syslog: byte %d: want %s", e.At, e.Want)
 }
 
-// Find returns the value of a parameter, as it stands, and whether it is there. An id without "@" also finds
+// Find returns the escaped value of a parameter and whether it exists. An id without "@" also matches elements named
 // "id@number".
 func (m *Message) Find(id, name string) ([]byte, bool) {
 	for i := range m.Elements {
@@ -54,8 +54,8 @@
 	return nil, false
 }
 
-// AppendValue appends a parameter's value without its escapes. A backslash before any other character stands for
-// itself.
+// AppendValue appends a parameter's value with its escapes removed. Only '"', '\\' and ']' can be escaped; a backslash
+// before any other character is kept.
 func AppendValue(dst, raw []byte) []byte {
 	for i := 0; i < len(raw); i++ {
 		if raw[i] == '\\' && i+1 < len(raw) && (raw[i+1] == '"' || raw[i+1] == '\\' || raw[i+1] == ']') {
@@ -87,27 +87,27 @@
 	return true
 }
 
-// number reads least to most digits.
-func (p *parser) number(least, most int, want string) int {
+// number reads a decimal number of minDigits to maxDigits digits.
+func (p *parser) number(minDigits, maxDigits int, want string) int {
 	n, from := 0, p.at
-	for p.at < len(p.b) && p.at-from < most && p.b[p.at] >= '0' && p.b[p.at] <= '9' {
+	for p.at < len(p.b) && p.at-from < maxDigits && p.b[p.at] >= '0' && p.b[p.at] <= '9' {
 		n = n*10 + int(p.b[p.at]-'0')
 		p.at++
 	}
-	if p.at-from < least {
+	if p.at-from < minDigits {
 		p.fail(want)
 	}
 	return n
 }
 
-// field reads a header field of at most so many printable characters and the space after it.
-func (p *parser) field(most int, want string) []byte {
+// field reads a header field of at most maxLen printable characters and the space after it. It returns nil for NILVALUE.
+func (p *parser) field(maxLen int, want string) []byte {
 	from := p.at
 	for p.at < len(p.b) && p.b[p.at] > 32 && p.b[p.at] < 127 {
 		p.at++
 	}
 	f := p.b[from:p.at]
-	if len(f) == 0 || len(f) > most {
+	if len(f) == 0 || len(f) > maxLen {
 		p.at = from
 		p.fail(want)
 		return nil
@@ -119,7 +119,7 @@
 	return f
 }
 
-// Parse reads one message into m, whose slices are used again. The error is a *SyntaxError.
+// Parse parses one message into m and reuses the memory of m's slices. A non-nil error is a *SyntaxError.
 func Parse(b []byte, m *Message) error {
 	p := parser{b: b}
 	*m = Message{Elements: m.Elements[:0], params: m.params[:0]}
@@ -142,7 +142,7 @@
 		to   *[]byte
 		most int
 		want string
-	}{{&m.Hostname, hostMost, "a hostname"}, {&m.AppName, appMost, "an app name"}, {&m.ProcID, procMost, "a process id"},
+	}{{&m.Hostname, maxHostnameLen, "a hostname"}, {&m.AppName, maxAppNameLen, "an app name"}, {&m.ProcID, maxProcIDLen, "a process id"},
 		{&m.MsgID, 32, "a message id"}} {
 		if p.err != nil {
 			return p.err
@@ -173,28 +173,28 @@
 		p.byte(' ', "a space after the time")
 		return
 	}
-	two := func(want string, least, most int) int {
+	twoDigits := func(want string, minValue, maxValue int) int {
 		n := p.number(2, 2, want)
-		if n < least || n > most {
+		if n < minValue || n > maxValue {
 			p.fail(want)
 		}
 		return n
 	}
 	year := p.number(4, 4, "a year")
 	p.byte('-', "'-'")
-	month := two("a month", 1, 12)
+	month := twoDigits("a month", 1, 12)
 	p.byte('-', "'-'")
-	last := 31
+	lastDay := 31
 	if month >= 1 && month <= 12 {
-		last = time.Date(year, time.Month(month)+1, 0, 0, 0, 0, 0, time.UTC).Day()
+		lastDay = time.Date(year, time.Month(month)+1, 0, 0, 0, 0, 0, time.UTC).Day()
 	}
-	day := two("a day of the month", 1, last)
+	day := twoDigits("a day of the month", 1, lastDay)
 	p.byte('T', "'T'")
-	hour := two("an hour", 0, 23)
+	hour := twoDigits("an hour", 0, 23)
 	p.byte(':', "':'")
-	minute := two("a minute", 0, 59)
+	minute := twoDigits("a minute", 0, 59)
 	p.byte(':', "':'")
-	second := two("a second", 0, 59)
+	second := twoDigits("a second", 0, 59)
 	ns := 0
 	if p.at < len(p.b) && p.b[p.at] == '.' {
 		p.at++
@@ -215,9 +215,9 @@
 		} else {
 			p.byte('+', "'Z', '+' or '-'")
 		}
-		h := two("an hour", 0, 23)
+		h := twoDigits("an hour", 0, 23)
 		p.byte(':', "':'")
-		s := sign * (h*3600 + 60*two("a minute", 0, 59))
+		s := sign * (h*3600 + 60*twoDigits("a minute", 0, 59))
 		zone = time.FixedZone("", s)
 	}
 	p.byte(' ', "a space after the time")
@@ -283,7 +283,7 @@
 			p.fail("no bare ']' in a value")
 			return nil
 		case '\\':
-			p.at++ // with what it escapes; before other characters it stands for itself
+			p.at++ // skip the escaped character too; a backslash before another character is literal
 		}
 		p.at++
 	}
