--- a/internal/spool/fs.go
+++ b/internal/spool/fs.go
@@ -9,31 +9,31 @@
 	"syscall"
 )
 
-// File is an open file of a folder.
+// File is an open file in a spool's folder.
 type File interface {
-	io.Writer // at the end
+	io.Writer // appends
 	io.ReaderAt
 	Sync() error
 	Truncate(size int64) error
 	Close() error
 }
 
-// FS is the folder that a spool lives in. Names hold no slash.
+// FS is the folder that holds a spool's files. File names contain no slash.
 type FS interface {
 	Names() ([]string, error)
-	Create(name string) (File, error) // fails if it is there
-	Open(name string) (File, int64, error)
+	Create(name string) (File, error)      // fails if the file exists
+	Open(name string) (File, int64, error) // the file and its size in bytes
 	Remove(name string) error
 	Rename(from, to string) error
-	Sync() error // of the folder itself
-	// Lock takes the folder for this process alone until unlock is called.
+	Sync() error // makes the folder's entries durable
+	// Lock reserves the folder for this process until unlock is called; it fails with ErrLocked if another holds it.
 	Lock() (unlock func(), err error)
 }
 
-// ErrLocked is returned for a folder that another process uses.
+// ErrLocked is returned for a folder that another process has open.
 var ErrLocked = errors.New("another process uses this folder")
 
-// Dir is a folder of the operating system.
+// Dir is a folder of the operating system's file system, by its path.
 type Dir string
 
 // Names implements FS.
@@ -83,7 +83,7 @@
 	return f.Sync()
 }
 
-// Lock implements FS. The lock goes with the process, however that ends.
+// Lock implements FS and creates the folder if it is missing. The lock ends with the process, however that ends.
 func (d Dir) Lock() (func(), error) {
 	if err := os.MkdirAll(string(d), 0o700); err != nil {
 		return nil, err
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,13 +1,13 @@
-// Package spool keeps records of one collector on disk: segments that are only
-// appended to, each with a file beside it that names what was handed over since.
-// A Spool is used by one goroutine at a time; every call may take as long as the
-// disk does.
+// Package spool stores the waiting log records of one collector on disk, in
+// append-only segment files. Beside each segment a done file lists the records
+// that are no longer needed. A Spool must be used by one goroutine at a time;
+// every call may block for as long as the disk does.
 //
-// What survives: after Append and Sync, a record is found by the next Open,
-// whatever happens to the process, until Done names it or Trim drops it. A record
-// that was written in part is cut off, one that does not match its checksum is
-// skipped and counted; neither is ever returned. Done is not synced: after a crash
-// some records may be found that were handed over already.
+// Durability: after Append and Sync, the next Open finds a record, whatever
+// happens to the process, until Done names it or Trim drops it. A partly written
+// record is cut off, and one that does not match its checksum is skipped and
+// counted; neither is ever returned. Done files are not synced: after a crash,
+// Open may find records that were already handed over.
 package spool
 
 import (
@@ -22,70 +22,70 @@
 	"time"
 )
 
-// Options are what Open is told.
+// Options configure Open.
 type Options struct {
-	Owner    string        // written into each segment; a folder with another is refused
-	Most     int64         // bytes of all segments; the oldest goes for more
-	Age      time.Duration // a segment whose newest record is older goes; 0 = never
+	Owner    string        // written into each segment; a folder with another owner is refused; empty accepts any
+	Most     int64         // bytes of all segments; beyond it Trim removes the oldest segment
+	Age      time.Duration // Trim removes a segment whose newest record is older; 0 = never
 	Segment  int64         // bytes of one segment; 0 = an eighth of Most, at most 16 MB
 	Reserve  uint64        // numbers reserved at a time; 0 = 65536
-	ReadOnly bool          // change nothing: no lock, no cutting off, no new segment
+	ReadOnly bool          // change nothing: no lock, no truncation, no new segment
 }
 
 const (
-	segmentMost = 16 << 20
-	reserve     = 1 << 16
+	maxDefaultSegment = 16 << 20 // bytes
+	defaultReserve    = 1 << 16  // record numbers
 )
 
-// Spool is an open folder.
+// Spool is an open spool folder. Open returns it.
 type Spool struct {
-	fs     FS
-	o      Options
-	unlock func()
-	segs   []*segment
-	lastID uint64
-	bytes  int64
-	out    []byte
-	next   uint64 // numbers below are reserved
-	cursor struct {
-		seg uint64 // id of the segment that Read is in
-		at  int64
-		rec int
+	fs            FS
+	opts          Options
+	unlock        func()
+	segments      []*segment
+	lastID        uint64
+	bytes         int64
+	writeBuf      []byte
+	reservedBelow uint64 // record numbers below it are reserved
+	cursor        struct {
+		seg uint64 // id of the segment that Read reads next
+		at  int64  // offset in the segment's file
+		rec int    // index in the segment's seqs
 	}
 }
 
 type segment struct {
-	id      uint64
-	f       File
-	done    File // nil until something is
-	size    int64
-	head    int64    // where records begin
-	seqs    []uint64 // in order
-	gone    []uint64 // a bit for each record that is handed over or dropped
-	pending int
-	newest  time.Duration
-	closed  bool // takes no more
-	dirty   bool // written to since it was synced
+	id           uint64
+	file         File
+	done         File // nil until a record of the segment is done
+	size         int64
+	recordsStart int64    // offset of the first record, -1 without a usable header
+	seqs         []uint64 // record numbers, ascending
+	goneBits     []uint64 // one bit per record: set once it is done or dropped
+	pending      int      // records that are not gone
+	newest       time.Duration
+	sealed       bool // accepts no more records
+	unsynced     bool // written to since the last sync
 }
 
-func (s *segment) isGone(i int) bool { return s.gone[i>>6]>>(i&63)&1 == 1 }
+func (s *segment) isGone(i int) bool { return s.goneBits[i>>6]>>(i&63)&1 == 1 }
 
 func (s *segment) add(r *Record) {
 	if len(s.seqs)&63 == 0 {
-		s.gone = append(s.gone, 0)
+		s.goneBits = append(s.goneBits, 0)
 	}
 	s.seqs = append(s.seqs, r.Seq)
 	s.pending++
 	s.newest = max(s.newest, r.At)
 }
 
-// forget marks a record as gone and tells whether it was pending here.
-func (s *segment) forget(seq uint64) bool {
+// markGone marks a record as gone and reports whether it was pending in this segment.
+func (s *segment) markGone(seq uint64) bool {
 	i, found := slices.BinarySearch(s.seqs, seq)
 	if !found || s.isGone(i) {
 		return false
 	}
-	s.gone[i>>6] |= 1 << (i & 63)
+	s.goneBits[i>>6] |= 1 << (i & 63)
 	s.pending--
 	return true
 }
@@ -93,27 +93,27 @@
 func (s *segment) name() string     { return fmt.Sprintf("%016x.seg", s.id) }
 func (s *segment) doneName() string { return fmt.Sprintf("%016x.done", s.id) }
 
-// Found is what Open found.
+// Found describes the state in which Open found the folder.
 type Found struct {
-	Records  int    // pending
+	Records  int    // pending records
 	Rotten   int    // places where records did not match their checksums
-	Torn     int    // segments whose tail was cut off
-	Next     uint64 // first number that was surely never used
+	Torn     int    // segments with an incomplete tail
+	Next     uint64 // lowest record number that is certain to be unused
 	Bytes    int64
 	Segments int
 }
 
-// Open takes a folder for this process and finds what is pending in it. Errors that last are ErrLocked,
-// *VersionError and *OwnerError; the folder is then as it was.
+// Open locks a folder for this process and reads which records are pending in it. ErrLocked, *VersionError and
+// *OwnerError are permanent, and after them the folder is unchanged; other errors may be retried.
 func Open(fs FS, o Options) (*Spool, Found, error) {
 	if o.Segment == 0 {
-		o.Segment = min(segmentMost, o.Most/8)
+		o.Segment = min(maxDefaultSegment, o.Most/8)
 	}
-	o.Segment = max(o.Segment, recordMost)
+	o.Segment = max(o.Segment, maxRecordSize)
 	if o.Reserve == 0 {
-		o.Reserve = reserve
+		o.Reserve = defaultReserve
 	}
-	s := &Spool{fs: fs, o: o, unlock: func() {}}
+	s := &Spool{fs: fs, opts: o, unlock: func() {}}
 	var found Found
 	if !o.ReadOnly {
 		unlock, err := fs.Lock()
@@ -124,29 +124,29 @@
 	}
 	err := s.recover(&found)
 	if err != nil {
-		s.abandon()
+		s.closeFiles()
 		return nil, found, err
 	}
 	return s, found, nil
 }
 
-// abandon closes all files.
-func (s *Spool) abandon() {
-	for _, g := range s.segs {
+// closeFiles closes all files and releases the lock.
+func (s *Spool) closeFiles() {
+	for _, g := range s.segments {
 		g.close()
 	}
-	s.segs = nil
+	s.segments = nil
 	s.unlock()
 }
 
 func (s *segment) close() {
-	if s.f != nil {
-		_ = s.f.Close()
+	if s.file != nil {
+		_ = s.file.Close()
 	}
 	if s.done != nil {
 		_ = s.done.Close()
 	}
-	s.f, s.done = nil, nil
+	s.file, s.done = nil, nil
 }
 
 func (s *Spool) recover(found *Found) error {
@@ -155,7 +155,7 @@
 		return err
 	}
 	slices.Sort(names)
-	for _, name := range names { // all are looked at before any is changed
+	for _, name := range names { // the headers of all segments are checked before record data is changed
 		base, ok := strings.CutSuffix(name, ".seg")
 		id, err := strconv.ParseUint(base, 16, 64)
 		if !ok || err != nil || len(base) != 16 {
@@ -165,8 +165,8 @@
 		if err != nil {
 			return err
 		}
-		g := &segment{id: id, f: f, size: size, closed: true}
-		s.segs = append(s.segs, g)
+		g := &segment{id: id, file: f, size: size, sealed: true}
+		s.segments = append(s.segments, g)
 		s.lastID = max(s.lastID, id)
 		head := make([]byte, min(size, 12+1<<16+4))
 		if _, err := f.ReadAt(head, 0); err != nil && !errors.Is(err, io.EOF) {
@@ -174,10 +174,10 @@
 		}
 		owner, n, short, err := parseHeader(name, head)
 		switch {
-		case errors.Is(err, errHeader): // nothing in it can be trusted, not even whose it is: it is set aside
+		case errors.Is(err, errDamagedHeader): // nothing in it can be trusted, not even its owner: it is renamed and left
 			found.Rotten++
-			g.head = -1
-			if !s.o.ReadOnly {
+			g.recordsStart = -1
+			if !s.opts.ReadOnly {
 				if err := s.fs.Rename(name, name+".bad"); err != nil {
 					return err
 				}
@@ -187,18 +187,18 @@
 			return err
 		case short:
 			found.Torn++
-			g.head = -1
-		case owner != s.o.Owner[:min(len(s.o.Owner), ownerMost)] && s.o.Owner != "":
-			return &OwnerError{name, owner, s.o.Owner}
+			g.recordsStart = -1
+		case owner != s.opts.Owner[:min(len(s.opts.Owner), maxOwnerSize)] && s.opts.Owner != "":
+			return &OwnerError{name, owner, s.opts.Owner}
 		}
 		if !short {
-			g.head = int64(n)
+			g.recordsStart = int64(n)
 		}
 	}
 	high := uint64(1)
 	seen := map[uint64]*segment{}
-	for _, g := range s.segs {
-		if g.head < 0 {
+	for _, g := range s.segments {
+		if g.recordsStart < 0 {
 			continue
 		}
 		if err := s.scan(g, found); err != nil {
@@ -206,15 +206,15 @@
 		}
 		for _, q := range g.seqs {
 			high = max(high, q+1)
-			if was := seen[q]; was != nil { // saved twice: the later one holds
-				was.forget(q)
+			if was := seen[q]; was != nil { // saved twice: the later copy counts
+				was.markGone(q)
 			}
 			seen[q] = g
 		}
 		if b, err := s.readAll(g.doneName()); err == nil {
 			parseDone(b, func(first uint64, count uint32) {
 				for i := range uint64(min(count, 1<<20)) {
-					g.forget(first + i)
+					g.markGone(first + i)
 				}
 			})
 		}
@@ -225,18 +225,18 @@
 			high = max(high, n)
 		}
 	}
-	found.Next, s.next = high, high
+	found.Next, s.reservedBelow = high, high
 	found.Records = 0
-	s.segs = slices.DeleteFunc(s.segs, func(g *segment) bool {
+	s.segments = slices.DeleteFunc(s.segments, func(g *segment) bool {
 		found.Records += g.pending
-		if g.pending > 0 || s.o.ReadOnly {
+		if g.pending > 0 || s.opts.ReadOnly {
 			s.bytes += g.size
 			return false
 		}
 		s.remove(g)
 		return true
 	})
-	found.Bytes, found.Segments = s.bytes, len(s.segs)
+	found.Bytes, found.Segments = s.bytes, len(s.segments)
 	return nil
 }
 
@@ -254,18 +254,18 @@
 	return b[:n], err
 }
 
-const scanSize = 4 << 20
+const scanBufferSize = 4 << 20
 
-// scan finds the records of a segment and cuts off a torn tail.
+// scan indexes the records of a segment and truncates an incomplete tail.
 func (s *Spool) scan(g *segment, found *Found) error {
 	var r Record
-	buf := make([]byte, 0, min(scanSize, g.size)+recordMost)
-	at, sound := g.head, g.head // at: file offset of buf[0]
+	buf := make([]byte, 0, min(scanBufferSize, g.size)+maxRecordSize)
+	at, sound := g.recordsStart, g.recordsStart // at: file offset of buf[0]; sound: end of the last valid record
 	bad := false
 	for {
 		want := min(int64(cap(buf)-len(buf)), g.size-at-int64(len(buf)))
 		if want > 0 {
-			n, err := g.f.ReadAt(buf[len(buf):len(buf)+int(want)], at+int64(len(buf)))
+			n, err := g.file.ReadAt(buf[len(buf):len(buf)+int(want)], at+int64(len(buf)))
 			if err != nil && !errors.Is(err, io.EOF) {
 				return err
 			}
@@ -283,14 +283,14 @@
 				sound, bad = at+int64(i), false
 				continue
 			}
-			if !last && len(buf)-i < recordMost { // perhaps only not read whole
+			if !last && len(buf)-i < maxRecordSize { // the record may continue beyond the buffer
 				break
 			}
 			bad = true
 			i++
 			next := nextRecord(buf[i:])
-			if !last && i+next >= len(buf)-recordMost {
-				next = max(0, len(buf)-recordMost-i)
+			if !last && i+next >= len(buf)-maxRecordSize {
+				next = max(0, len(buf)-maxRecordSize-i)
 			}
 			i += next
 		}
@@ -303,8 +303,8 @@
 	}
 	if sound < g.size {
 		found.Torn++
-		if !s.o.ReadOnly {
-			if err := g.f.Truncate(sound); err != nil {
+		if !s.opts.ReadOnly {
+			if err := g.file.Truncate(sound); err != nil {
 				return err
 			}
 			g.size = sound
@@ -313,15 +313,15 @@
 	return nil
 }
 
-// remove deletes a segment that nothing is wanted of.
+// remove deletes a segment without pending records, with its done file.
 func (s *Spool) remove(g *segment) {
 	g.close()
 	_ = s.fs.Remove(g.name())
 	_ = s.fs.Remove(g.doneName())
 }
 
-// NextNumber is a number that was surely never used by those who kept to Reserve, read without looking at any
-// segment. ok tells that the folder names one, or is new.
+// NextNumber returns a record number that is certain to be unused if every writer called Reserve. It reads no
+// segment. ok reports that the folder has a valid reservation file, or holds no segments yet.
 func NextNumber(fs FS) (next uint64, ok bool) {
 	s := Spool{fs: fs}
 	if b, err := s.readAll("numbers"); err == nil {
@@ -336,15 +336,16 @@
 	return 1, err == nil || errors.Is(err, os.ErrNotExist)
 }
 
-// Bytes is what all segments take.
+// Bytes returns the size of all segments in bytes.
 func (s *Spool) Bytes() int64 { return s.bytes }
 
-// Reserve makes sure that numbers below next may be used: the next Open begins above them.
+// Reserve makes it safe to use record numbers below next: the number that the next Open finds is at least next, even
+// after a crash.
 func (s *Spool) Reserve(next uint64) error {
-	if next < s.next {
+	if next < s.reservedBelow {
 		return nil
 	}
-	to := next + s.o.Reserve
+	to := next + s.opts.Reserve
 	_ = s.fs.Remove("numbers.new")
 	f, err := s.fs.Create("numbers.new")
 	if err != nil {
@@ -364,16 +365,16 @@
 		err = s.fs.Sync()
 	}
 	if err == nil {
-		s.next = to
+		s.reservedBelow = to
 	}
 	return err
 }
 
-// Append writes records behind all others, and sorts them. On an error none of them counts as written; the spool
-// may be used on, and goes on in a new segment.
+// Append sorts records by number in place and writes them after all others. On an error none of them counts as
+// written; the spool stays usable and continues in a new segment.
 //
-// Within a segment numbers only grow: what is saved again goes to a new one, as the file beside an old one may say
-// that it was done with then.
+// Within a segment, numbers only grow. A record that is saved again goes to a new segment, because the done file of
+// the old segment may already list it.
 func (s *Spool) Append(records []Record) error {
 	if len(records) == 0 {
 		return nil
@@ -383,35 +384,35 @@
 	if err != nil {
 		return err
 	}
-	s.out = s.out[:0]
+	s.writeBuf = s.writeBuf[:0]
 	for i := range records {
-		s.out = appendRecord(s.out, &records[i])
+		s.writeBuf = appendRecord(s.writeBuf, &records[i])
 	}
-	g.dirty = true
-	if _, err := g.f.Write(s.out); err != nil {
-		g.closed = true
-		if e := g.f.Truncate(g.size); e != nil { // what is half written is cut off by the next Open
+	g.unsynced = true
+	if _, err := g.file.Write(s.writeBuf); err != nil {
+		g.sealed = true
+		if e := g.file.Truncate(g.size); e != nil { // the next Open truncates what was partly written
 			return fmt.Errorf("%w; %w", err, e)
 		}
 		return err
 	}
-	g.size += int64(len(s.out))
-	s.bytes += int64(len(s.out))
+	g.size += int64(len(s.writeBuf))
+	s.bytes += int64(len(s.writeBuf))
 	for i := range records {
 		g.add(&records[i])
 	}
 	return nil
 }
 
-// active is the segment to append to, from a number on.
+// active returns the segment for records numbered first and up, and creates it if needed.
 func (s *Spool) active(first uint64) (*segment, error) {
-	if n := len(s.segs); n > 0 {
-		if g := s.segs[n-1]; !g.closed && g.size < s.o.Segment && (len(g.seqs) == 0 || g.seqs[len(g.seqs)-1] < first) {
+	if n := len(s.segments); n > 0 {
+		if g := s.segments[n-1]; !g.sealed && g.size < s.opts.Segment && (len(g.seqs) == 0 || g.seqs[len(g.seqs)-1] < first) {
 			return g, nil
 		}
 	}
-	if n := len(s.segs); n > 0 {
-		s.segs[n-1].closed = true
+	if n := len(s.segments); n > 0 {
+		s.segments[n-1].sealed = true
 	}
 	g := &segment{id: s.lastID + 1}
 	f, err := s.fs.Create(g.name())
@@ -419,7 +420,7 @@
 		return nil, err
 	}
 	s.lastID = g.id
-	head := appendHeader(nil, s.o.Owner)
+	head := appendHeader(nil, s.opts.Owner)
 	if _, err := f.Write(head); err != nil {
 		_ = f.Close()
 		_ = s.fs.Remove(g.name())
@@ -430,53 +431,53 @@
 		_ = s.fs.Remove(g.name())
 		return nil, err
 	}
-	g.f, g.size, g.head = f, int64(len(head)), int64(len(head))
-	s.segs = append(s.segs, g)
+	g.file, g.size, g.recordsStart = f, int64(len(head)), int64(len(head))
+	s.segments = append(s.segments, g)
 	s.bytes += g.size
 	return g, nil
 }
 
-// Sync makes what was appended last.
+// Sync makes all appended records durable.
 func (s *Spool) Sync() error {
-	for _, g := range s.segs { // one that an error closed may hold records that were written before it
-		if g.dirty {
-			if err := g.f.Sync(); err != nil {
+	for _, g := range s.segments { // a segment sealed after an error may hold records written before the error
+		if g.unsynced {
+			if err := g.file.Sync(); err != nil {
 				return err
 			}
-			g.dirty = false
+			g.unsynced = false
 		}
 	}
 	return nil
 }
 
-// Gone tells whether the folder has been taken away: what is appended would go nowhere.
+// Gone reports whether the folder or the newest segment was removed: what is appended would be lost.
 func (s *Spool) Gone() bool {
-	if len(s.segs) == 0 {
+	if len(s.segments) == 0 {
 		return false
 	}
-	f, _, err := s.fs.Open(s.segs[len(s.segs)-1].name())
+	f, _, err := s.fs.Open(s.segments[len(s.segments)-1].name())
 	if err == nil {
 		_ = f.Close()
 	}
 	return err != nil
 }
 
-// Done tells that records are wanted no longer. Segments of which none is go. Errors only mean that records may
-// be found again.
+// Done marks records as no longer needed, sorting seqs in place, and removes full segments without pending records.
+// After an error the next Open may find some of these records again.
 func (s *Spool) Done(seqs []uint64) error {
 	if len(seqs) == 0 {
 		return nil
 	}
 	slices.Sort(seqs)
 	var failed error
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		if len(g.seqs) == 0 {
 			continue
 		}
 		var out []byte
 		first, count := uint64(0), uint32(0)
 		for _, q := range seqs {
-			if !g.forget(q) {
+			if !g.markGone(q) {
 				continue
 			}
 			if count > 0 && q == first+uint64(count) {
@@ -497,7 +498,7 @@
 			}
 		}
 	}
-	s.sweep()
+	s.removeFinished()
 	return failed
 }
 
@@ -506,7 +507,7 @@
 		f, size, err := fs.Open(s.doneName())
 		if err != nil {
 			f, err = fs.Create(s.doneName())
-		} else if torn := (size - int64(len(doneMagic))) % doneSize; size >= int64(len(doneMagic)) && torn != 0 {
+		} else if torn := (size - int64(len(doneMagic))) % doneEntrySize; size >= int64(len(doneMagic)) && torn != 0 {
 			err = f.Truncate(size - torn)
 		}
 		if err != nil {
@@ -520,10 +521,10 @@
 	return err
 }
 
-// sweep removes segments without pending records, but for the one that is appended to.
-func (s *Spool) sweep() {
-	s.segs = slices.DeleteFunc(s.segs, func(g *segment) bool {
-		if g.pending > 0 || !g.closed && g.size < s.o.Segment {
+// removeFinished removes segments without pending records, except the one that is appended to.
+func (s *Spool) removeFinished() {
+	s.segments = slices.DeleteFunc(s.segments, func(g *segment) bool {
+		if g.pending > 0 || !g.sealed && g.size < s.opts.Segment {
 			return false
 		}
 		s.bytes -= g.size
@@ -532,13 +533,13 @@
 	})
 }
 
-// Trim drops the oldest segments for room and all that are too old, and calls dropped for what was pending in
-// them.
+// Trim removes the oldest segments while the size limit is exceeded, and all segments beyond the age limit. It calls
+// dropped with the records that were pending in each; aged reports that the reason was age.
 func (s *Spool) Trim(now time.Duration, dropped func(aged bool, seqs []uint64)) {
-	for i := 0; i < len(s.segs); {
-		g := s.segs[i]
-		aged := s.o.Age > 0 && len(g.seqs) > 0 && now-g.newest > s.o.Age
-		if !aged && (s.bytes <= s.o.Most || i > 0) {
+	for i := 0; i < len(s.segments); {
+		g := s.segments[i]
+		aged := s.opts.Age > 0 && len(g.seqs) > 0 && now-g.newest > s.opts.Age
+		if !aged && (s.bytes <= s.opts.Most || i > 0) {
 			i++
 			continue
 		}
@@ -549,7 +550,7 @@
 			}
 		}
 		s.bytes -= g.size
-		s.segs = slices.Delete(s.segs, i, i+1)
+		s.segments = slices.Delete(s.segments, i, i+1)
 		s.remove(g)
 		if len(seqs) > 0 {
 			dropped(aged, seqs)
@@ -557,9 +558,9 @@
 	}
 }
 
-// Pending calls each for all that is pending.
+// Pending calls each for every pending record.
 func (s *Spool) Pending(each func(seq uint64)) {
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		for k, q := range g.seqs {
 			if !g.isGone(k) {
 				each(q)
@@ -568,20 +569,20 @@
 	}
 }
 
-// Read returns pending records that want asks for, from where the last Read ended on, up to about so many
-// bytes. None means that the end is reached; the next Read begins anew. Rotten ones are dropped and given by
-// their numbers.
+// Read returns pending records that want accepts, up to about most bytes, continuing where the last Read ended. No
+// records means that the end was reached; the next Read starts from the beginning. Damaged records are dropped, and
+// rotten lists their numbers.
 func (s *Spool) Read(most int, want func(seq uint64) bool) (records []Record, rotten []uint64, err error) {
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		if g.id < s.cursor.seg || g.pending == 0 {
 			continue
 		}
 		if g.id > s.cursor.seg {
-			s.cursor.seg, s.cursor.at, s.cursor.rec = g.id, g.head, 0
+			s.cursor.seg, s.cursor.at, s.cursor.rec = g.id, g.recordsStart, 0
 		}
 		for s.cursor.at < g.size {
-			buf := make([]byte, min(int64(max(most, recordMost)), g.size-s.cursor.at))
-			n, err := g.f.ReadAt(buf, s.cursor.at)
+			buf := make([]byte, min(int64(max(most, maxRecordSize)), g.size-s.cursor.at))
+			n, err := g.file.ReadAt(buf, s.cursor.at)
 			if err != nil && !errors.Is(err, io.EOF) {
 				return records, rotten, err
 			}
@@ -591,18 +592,18 @@
 				var r Record
 				n := parseRecord(buf[at:], &r)
 				if n == 0 {
-					if int64(len(buf)) < g.size-s.cursor.at && len(buf)-at < recordMost && at > 0 {
-						break // the rest comes with the next piece
+					if int64(len(buf)) < g.size-s.cursor.at && len(buf)-at < maxRecordSize && at > 0 {
+						break // the rest is read in the next iteration
 					}
 					at++
 					at += nextRecord(buf[at:])
 					continue
 				}
 				at += n
-				// the record's place in the index tells of those between that could not be read
+				// index entries skipped before this record's belong to records that could not be read
 				for s.cursor.rec < len(g.seqs) && g.seqs[s.cursor.rec] != r.Seq {
 					if k := s.cursor.rec; !g.isGone(k) {
-						g.gone[k>>6] |= 1 << (k & 63)
+						g.goneBits[k>>6] |= 1 << (k & 63)
 						g.pending--
 						rotten = append(rotten, g.seqs[k])
 					}
@@ -623,9 +624,9 @@
 				break
 			}
 		}
-		for ; s.cursor.at >= g.size && s.cursor.rec < len(g.seqs); s.cursor.rec++ { // its tail could not be read
+		for ; s.cursor.at >= g.size && s.cursor.rec < len(g.seqs); s.cursor.rec++ { // the end of the segment could not be read
 			if k := s.cursor.rec; !g.isGone(k) {
-				g.gone[k>>6] |= 1 << (k & 63)
+				g.goneBits[k>>6] |= 1 << (k & 63)
 				g.pending--
 				rotten = append(rotten, g.seqs[k])
 			}
@@ -637,5 +638,5 @@
 	return records, rotten, nil
 }
 
-// Close gives the folder back. What is not synced is left to the operating system.
-func (s *Spool) Close() { s.abandon() }
+// Close closes all files and unlocks the folder. It does not sync: unsynced data is left to the operating system.
+func (s *Spool) Close() { s.closeFiles() }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -14,33 +14,33 @@
 	"time"
 )
 
-// disk is a folder that loses what was not synced when it crashes, and fails as told.
-type disk struct {
+// crashDisk is an in-memory FS that loses unsynced data when it crashes and returns errors on demand.
+type crashDisk struct {
 	r      *rand.Rand
-	files  map[string]*node
-	synced map[string]*node // names that survive
-	fail   int              // the next so many writes and syncs fail
-	full   bool             // writes run short
+	files  map[string]*fileData
+	synced map[string]*fileData // file names that survive a crash
+	fail   int                  // how many of the next operations fail
+	full   bool                 // writes are short and fail
 	locked bool
 }
 
-type node struct {
+type fileData struct {
 	data []byte
-	safe int // bytes that survive
+	safe int // bytes that survive a crash
 }
 
 type handle struct {
-	d *disk
-	n *node
+	d *crashDisk
+	n *fileData
 }
 
 var errDisk = errors.New("disk error")
 
-func newDisk(seed uint64) *disk {
-	return &disk{r: rand.New(rand.NewPCG(seed, 9)), files: map[string]*node{}, synced: map[string]*node{}}
+func newDisk(seed uint64) *crashDisk {
+	return &crashDisk{r: rand.New(rand.NewPCG(seed, 9)), files: map[string]*fileData{}, synced: map[string]*fileData{}}
 }
 
-func (d *disk) failing() bool {
+func (d *crashDisk) failing() bool {
 	if d.fail > 0 {
 		d.fail--
 		return true
@@ -88,25 +88,25 @@
 
 func (h *handle) Close() error { return nil }
 
-func (d *disk) Names() (names []string, err error) {
+func (d *crashDisk) Names() (names []string, err error) {
 	for n := range d.files {
 		names = append(names, n)
 	}
 	return names, nil
 }
 
-func (d *disk) Create(name string) (File, error) {
+func (d *crashDisk) Create(name string) (File, error) {
 	if d.files[name] != nil {
 		return nil, os.ErrExist
 	}
 	if d.failing() {
 		return nil, errDisk
 	}
-	d.files[name] = new(node)
+	d.files[name] = new(fileData)
 	return &handle{d, d.files[name]}, nil
 }
 
-func (d *disk) Open(name string) (File, int64, error) {
+func (d *crashDisk) Open(name string) (File, int64, error) {
 	n := d.files[name]
 	if n == nil {
 		return nil, 0, os.ErrNotExist
@@ -114,12 +114,12 @@
 	return &handle{d, n}, int64(len(n.data)), nil
 }
 
-func (d *disk) Remove(name string) error {
+func (d *crashDisk) Remove(name string) error {
 	delete(d.files, name)
 	return nil
 }
 
-func (d *disk) Rename(from, to string) error {
+func (d *crashDisk) Rename(from, to string) error {
 	if d.failing() {
 		return errDisk
 	}
@@ -128,18 +128,18 @@
 	return nil
 }
 
-func (d *disk) Sync() error {
+func (d *crashDisk) Sync() error {
 	if d.failing() {
 		return errDisk
 	}
-	d.synced = map[string]*node{}
+	d.synced = map[string]*fileData{}
 	for n, f := range d.files {
 		d.synced[n] = f
 	}
 	return nil
 }
 
-func (d *disk) Lock() (func(), error) {
+func (d *crashDisk) Lock() (func(), error) {
 	if d.locked {
 		return nil, ErrLocked
 	}
@@ -147,8 +147,8 @@
 	return func() { d.locked = false }, nil
 }
 
-// crash keeps what was synced, and of the rest a random beginning, perhaps with noise at its end.
-func (d *disk) crash() {
+// crash keeps what was synced, and a random prefix of the rest, whose end may be corrupted.
+func (d *crashDisk) crash() {
 	for name, f := range d.files {
 		if d.synced[name] != f && d.r.IntN(2) == 0 { // its name was not synced
 			delete(d.files, name)
@@ -201,25 +201,25 @@
 	}
 }
 
-// TestCrashes: through random steps, errors of the disk and power cuts at any of them, what was synced and is still
-// wanted is found, nothing corrupt is ever read, and no number is used twice.
+// TestCrashes runs random operations with disk errors and power failures between them. Records that were synced and
+// are still needed must be found, no corrupt record may be read, and no record number may be used twice.
 func TestCrashes(t *testing.T) {
 	for seed := range uint64(150) {
-		crashes(t, seed)
+		checkCrashes(t, seed)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-func crashes(t *testing.T, seed uint64) {
+func checkCrashes(t *testing.T, seed uint64) {
 	d := newDisk(seed)
 	r := d.r
 	o := Options{Owner: "gw/office", Most: 200 << 10, Segment: 1, Age: 0, Reserve: 50}
 	next, used := uint64(1), uint64(0)
-	safe := map[uint64]bool{}   // synced and wanted
-	maybe := map[uint64]bool{}  // written and wanted
-	wanted := map[uint64]bool{} // not done, by the spool that is open
+	safe := map[uint64]bool{}   // synced and not done
+	maybe := map[uint64]bool{}  // written and not done
+	wanted := map[uint64]bool{} // not done, according to the open spool
 	for range 4 {
 		s, found, err := Open(d, o)
 		if err != nil {
@@ -232,7 +232,7 @@
 		have := readAll(t, s)
 		for q := range safe {
 			if !have[q] {
-				t.Fatalf("record %d was synced and is gone", q)
+				t.Fatalf("record %d was synced and is missing", q)
 			}
 		}
 		safe, maybe, wanted = have, map[uint64]bool{}, map[uint64]bool{}
@@ -281,7 +281,7 @@
 					delete(safe, q)
 					delete(maybe, q)
 				}
-				if len(done) > 0 && r.IntN(2) == 0 { // a connection broke: it waits again, and is saved again
+				if len(done) > 0 && r.IntN(2) == 0 { // a broken connection: the record waits again and is saved again
 					if q := done[0]; s.Append([]Record{record(q)}) == nil {
 						maybe[q], wanted[q] = true, true
 					}
@@ -290,7 +290,7 @@
 				if !d.full && d.fail == 0 {
 					for q := range readAll(t, s) {
 						if !wanted[q] {
-							t.Fatalf("record %d came back, which was done with or never written", q)
+							t.Fatalf("record %d was read, but it was done or never written", q)
 						}
 					}
 				}
@@ -305,7 +305,7 @@
 	}
 }
 
-func written(t *testing.T, n uint64) (*disk, string) {
+func spoolWith(t *testing.T, n uint64) (*crashDisk, string) {
 	d := newDisk(1)
 	s, _, err := Open(d, Options{Owner: "gw/office", Most: 1 << 20})
 	if err != nil {
@@ -326,11 +326,11 @@
 	return nil, ""
 }
 
-// TestDamage: a segment cut at any byte gives all records before the cut; with any byte changed it gives all but
-// the one that was hit, or is refused as a whole where its header was.
+// TestDamage truncates a segment at every byte: all records before the cut must be read. It also changes every byte:
+// all records but the damaged one must be read, or none if the header is damaged.
 func TestDamage(t *testing.T) {
 	const n = 12
-	d, name := written(t, n)
+	d, name := spoolWith(t, n)
 	whole := slices.Clone(d.files[name].data)
 	_, head, _, _ := parseHeader(name, whole)
 	var ends []int
@@ -340,7 +340,7 @@
 		ends = append(ends, at)
 	}
 	open := func(data []byte) (map[uint64]bool, Found, error) {
-		d.files = map[string]*node{name: {data: slices.Clone(data)}}
+		d.files = map[string]*fileData{name: {data: slices.Clone(data)}}
 		s, found, err := Open(d, Options{Owner: "gw/office", Most: 1 << 20})
 		if err != nil {
 			return nil, found, err
@@ -365,21 +365,21 @@
 		have, found, err := open(damaged)
 		switch {
 		case at < head && err == nil && (len(have) > 0 || found.Rotten != 1 || d.files[name+".bad"] == nil):
-			t.Fatalf("byte %d of the header changed, and nothing said", at)
+			t.Fatalf("byte %d of the header changed, and Open did not report it", at)
 		case at >= head && (err != nil || len(have) != n-1 || found.Rotten+found.Torn != 1):
 			t.Fatalf("byte %d changed: %d records of %d, %+v, %v", at, len(have), n, found, err)
 		}
 	}
 }
 
-// FuzzRecover: whatever stands in a folder, it is refused or what is read of it is sound.
+// FuzzRecover opens folders with arbitrary content: Open must refuse them, or Read must end without an error.
 func FuzzRecover(f *testing.F) {
-	d, name := written(&testing.T{}, 3)
+	d, name := spoolWith(&testing.T{}, 3)
 	f.Add(d.files[name].data, []byte(doneMagic))
 	f.Add(d.files[name].data[:60], appendDone([]byte(doneMagic), 1, 2))
 	f.Fuzz(func(t *testing.T, seg, done []byte) {
 		d := newDisk(1)
-		d.files["0000000000000001.seg"], d.files["0000000000000001.done"] = &node{data: seg}, &node{data: done}
+		d.files["0000000000000001.seg"], d.files["0000000000000001.done"] = &fileData{data: seg}, &fileData{data: done}
 		s, _, err := Open(d, Options{Owner: "gw/office", Most: 1 << 20})
 		if err != nil {
 			return
@@ -393,17 +393,18 @@
 				return
 			}
 		}
-		t.Fatal("it never ends")
+		t.Fatal("Read still returns records after 1000 calls")
 	})
 }
 
-// TestRefusals: what is not this spool's is refused plainly and left untouched.
+// TestRefusals checks that Open refuses a folder of another owner, of a newer version or in use, and leaves it
+// unchanged.
 func TestRefusals(t *testing.T) {
-	d, name := written(t, 3)
+	d, name := spoolWith(t, 3)
 	before := slices.Clone(d.files[name].data)
 	var owner *OwnerError
 	if _, _, err := Open(d, Options{Owner: "other/office", Most: 1 << 20}); !errors.As(err, &owner) || d.locked {
-		t.Errorf("another's folder: %v", err)
+		t.Errorf("folder of another owner: %v", err)
 	}
 	newer := slices.Clone(before)
 	newer[8] = 2
@@ -412,7 +413,7 @@
 	d.files[name].data = newer
 	var version *VersionError
 	if _, _, err := Open(d, Options{Owner: "gw/office", Most: 1 << 20}); !errors.As(err, &version) {
-		t.Errorf("a newer version: %v", err)
+		t.Errorf("segment of a newer version: %v", err)
 	}
 	if !slices.Equal(d.files[name].data, newer) {
 		t.Error("a refused folder was changed")
@@ -424,12 +425,13 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(dir, Options{Owner: "gw/office", Most: 1 << 20}); !errors.Is(err, ErrLocked) {
-		t.Errorf("a folder in use: %v", err)
+		t.Errorf("folder in use: %v", err)
 	}
 	s.Close()
 }
 
-// TestTrim: the oldest segments go for room, those too old by age, and a clock that steps back ages nothing.
+// TestTrim checks that Trim removes the oldest segments beyond the size limit and expired ones beyond the age limit,
+// and that a clock that steps back expires nothing.
 func TestTrim(t *testing.T) {
 	d := newDisk(1)
 	s, _, err := Open(d, Options{Owner: "o", Most: 300 << 10, Segment: 64 << 10, Age: time.Hour})
