--- a/internal/logqueue/stream.go
+++ b/internal/logqueue/stream.go
@@ -1,16 +1,16 @@
-// Package logqueue keeps what waits for one collector: it numbers records, bounds
-// them in memory, decides what is dropped and what is only on disk, which goes
-// next, and what must go again after a connection broke. It does no I/O and reads
-// no clock, and is not safe for concurrent use.
+// Package logqueue queues the log records that wait for one collector. It numbers
+// records, bounds their memory, and decides which records are dropped, which are
+// kept on disk only, which are sent next, and which are sent again after a broken
+// connection. It does no I/O and reads no clock, and is not safe for concurrent use.
 //
-// Each record takes one number of the stream, also one that is dropped at once.
-// At any time
+// Each record takes one number of the stream, even if it is dropped at once. At
+// any time
 //
-//	numbers taken = handed over + dropped, by causes + waiting in memory + waiting on disk only
+//	numbers taken = handed over + dropped, by cause + waiting in memory + waiting on disk only
 //
-// A record is handed over once the collector's kernel has confirmed it. As that
-// is no word of the collector's own, the last Resend bytes confirmed are kept and
-// go again after a broken connection.
+// A record is handed over once the collector's kernel has confirmed it. Because
+// that does not mean that the collector itself has read it, the last ResendBytes
+// confirmed are kept and sent again after a broken connection.
 package logqueue
 
 import (
@@ -21,106 +21,106 @@
 	"reachwind/internal/syslog"
 )
 
-// Time is a point on the gateway's clock, or a span on it.
+// Time is a time on the gateway's monotonic clock, or a duration.
 type Time = time.Duration
 
-// Cause tells why a record was dropped.
+// Cause is the reason why a record was dropped.
 type Cause uint8
 
 // The causes.
 const (
-	Rate    Cause = iota // beyond its route's rate
-	Memory               // no room, and none less worthy
+	Rate    Cause = iota // above its route's rate limit
+	Memory               // no memory left, and no waiting record had a lower priority
 	Disk                 // the spool was full
 	Age                  // too old
 	Rotten               // could not be read back
-	Size                 // no message within the limit holds it
-	Moved                // given to another collector
-	Removed              // its collector was taken out of the configuration
-	Lost                 // its number was taken before a restart, and nothing of it was found
-	Inbox                // lost before it had a number: the gateway was too busy
-	Causes
+	Size                 // does not fit a message of the maximum size
+	Moved                // moved to another collector
+	Removed              // its collector was removed from the configuration
+	Lost                 // numbered before a restart, and not found afterwards
+	Inbox                // dropped before it was numbered: records came faster than they were routed
+	NumCauses
 )
 
-// Names are the names of the causes, as gap records have them.
-var Names = [Causes]string{"rate", "memory", "disk", "age", "rotten", "size", "moved", "removed", "restart", "inbox"}
+// CauseNames are the names of the causes in gap records.
+var CauseNames = [NumCauses]string{"rate", "memory", "disk", "age", "rotten", "size", "moved", "removed", "restart", "inbox"}
 
-// Config holds a stream's bounds.
+// Config holds a stream's limits.
 type Config struct {
-	Memory  int     // bytes, of messages with their overhead
-	Resend  int     // bytes confirmed that are kept to go again, at most a quarter of Memory
-	CatchUp float64 // records a second of what was queued before the collector came back
-	GapTime Time    // between two gap records of one cause
-	Disk    bool    // Unsaved and Saved are called
+	MemoryBytes int     // limit for messages and EntryOverhead, in bytes
+	ResendBytes int     // confirmed bytes kept to be sent again, at most a quarter of MemoryBytes
+	CatchUpRate float64 // records per second of what was queued before the collector came back; 0 = unlimited
+	GapInterval Time    // minimum time between two gap records of one cause
+	Spooled     bool    // there is a spool: the caller uses Unsaved and Saved
 }
 
-// Overhead is what an entry is counted with on top of its message.
-const Overhead = 160
+// EntryOverhead is the number of bytes that an entry counts in addition to its message.
+const EntryOverhead = 160
 
-// Entry is a record that waits. Its fields are not changed once it was pushed, but by the stream.
+// Entry is a waiting record. After Push only the stream changes its fields.
 type Entry struct {
-	Seq   uint64 // number in the stream, from 1
-	Worth logroute.Worth
-	Moves uint8
-	Route int
-	Key   uint64 // that a route spreads by
-	At    Time   // when its record was made
-	SeqAt int    // where in Msg the sequenceId begins
+	Seq   uint64         // number in the stream, from 1
+	Worth logroute.Worth // priority: lower ones are dropped first
+	Moves uint8          // how often it was moved between collectors
+	Route int            // index of its route, -1 for none
+	Key   uint64         // by which a route spreads records over collectors
+	At    Time           // when its record was made
+	SeqAt int            // offset of the sequenceId in Msg
 	Msg   []byte
 
-	list   *list
-	end    uint64 // in the window: bytes written on the connection with it
-	state  where
-	saved  bool // on disk
-	saving bool
-	again  bool // was written on a connection that broke: may have arrived
-	copied bool // given to another collector too
-	handed bool // counted as handed over
+	list           *list
+	end            uint64 // in the window: bytes written on the connection up to its end
+	state          entryState
+	saved          bool // on disk
+	saving         bool
+	mayHaveArrived bool // was written on a connection that broke, so the collector may have it
+	copied         bool // also queued for another collector
+	handedOver     bool // counted as handed over
 }
 
-type where uint8
+type entryState uint8
 
 const (
-	waiting where = iota
-	window
-	left // confirmed, dropped or only on disk
+	waiting entryState = iota
+	inWindow
+	released // confirmed, dropped or on disk only
 )
 
-func (e *Entry) size() int { return len(e.Msg) + Overhead }
+func (e *Entry) size() int { return len(e.Msg) + EntryOverhead }
 
-// Wire is the sequenceId of a number: RFC 5424 has it from 1 to 2^31-1, then from 1 again.
-func Wire(seq uint64) uint32 { return uint32((seq-1)%syslog.SeqMost) + 1 }
+// SequenceID returns the RFC 5424 sequenceId of a record number: it counts from 1 to 2^31-1 and then from 1 again.
+func SequenceID(seq uint64) uint32 { return uint32((seq-1)%syslog.SeqMost) + 1 }
 
-// list is a queue of entries in the order of their numbers.
+// list is a FIFO queue of entries in the order of their numbers.
 type list struct {
-	e    []*Entry
-	from int
+	entries []*Entry
+	head    int
 }
 
-func (l *list) len() int { return len(l.e) - l.from }
+func (l *list) len() int { return len(l.entries) - l.head }
 func (l *list) first() *Entry {
 	if l.len() == 0 {
 		return nil
 	}
-	return l.e[l.from]
+	return l.entries[l.head]
 }
 
 func (l *list) push(e *Entry) {
-	if l.from > 64 && l.from*2 > len(l.e) {
-		l.e = append(l.e[:0], l.e[l.from:]...)
-		clear(l.e[len(l.e):cap(l.e)])
-		l.from = 0
+	if l.head > 64 && l.head*2 > len(l.entries) {
+		l.entries = append(l.entries[:0], l.entries[l.head:]...)
+		clear(l.entries[len(l.entries):cap(l.entries)])
+		l.head = 0
 	}
-	l.e = append(l.e, e)
+	l.entries = append(l.entries, e)
 	e.list = l
 }
 
 func (l *list) pop() *Entry {
-	e := l.e[l.from]
-	l.e[l.from] = nil
-	l.from++
-	if l.from == len(l.e) {
-		l.e, l.from = l.e[:0], 0
+	e := l.entries[l.head]
+	l.entries[l.head] = nil
+	l.head++
+	if l.head == len(l.entries) {
+		l.entries, l.head = l.entries[:0], 0
 	}
 	return e
 }
@@ -129,69 +129,69 @@
 type Drop struct {
 	Count       uint64
 	First, Last uint64
-	told        Time
+	reportedAt  Time
 }
 
-// pushed names an entry as long as it is that record's: entries are used again.
-type pushed struct {
+// entryRef refers to an entry while it still holds the record seq: entries are reused.
+type entryRef struct {
 	e   *Entry
 	seq uint64
 }
 
-// Stream is what waits for one collector.
+// Stream is the queue of one collector.
 type Stream struct {
-	c       Config
-	next    uint64 // number not yet taken
-	bytes   int
-	fresh   [logroute.Worths]list // queued since the connection is up
-	old     [logroute.Worths]list // queued before
-	again   list                  // of a connection that broke
-	loaded  list                  // read back from disk
-	window  list                  // written; the first may be confirmed
-	conf    int                   // how many of the window are confirmed
-	confLen int                   // their bytes
-	outLen  int                   // bytes of the rest of the window
-	unsaved []pushed              // in the order pushed
-	free    []*Entry              // for Get
-	done    []uint64              // saved ones that need be kept no longer
-	onDisk  int                   // waiting on disk only
-	held    map[uint64]*Entry     // in memory and on disk; nil: in done
-	drops   [Causes]Drop
-	tokens  float64
-	at      Time
-
-	Made, Handed, Repeated uint64
-	Dropped                [Causes]uint64
-}
-
-// New returns a stream whose first number is first.
+	config           Config
+	next             uint64 // next record number
+	bytes            int
+	fresh            [logroute.Worths]list // queued since the connection is up
+	backlog          [logroute.Worths]list // queued before
+	resend           list                  // of a connection that broke
+	loaded           list                  // read back from disk
+	window           list                  // written; the first may be confirmed
+	confirmedCount   int                   // confirmed entries at the start of the window
+	confirmedBytes   int                   // their size in bytes, with overhead
+	unconfirmedBytes int                   // message bytes of the rest of the window
+	unsaved          []entryRef            // to be saved, in the order pushed
+	free             []*Entry              // for Get
+	done             []uint64              // saved records that are no longer needed
+	onDisk           int                   // waiting on disk only
+	savedBySeq       map[uint64]*Entry     // entries both in memory and on disk; nil if listed in done
+	drops            [NumCauses]Drop
+	tokens           float64
+	tokensAt         Time
+
+	Made, HandedOver, Resent uint64
+	Dropped                  [NumCauses]uint64
+}
+
+// New returns an empty stream whose first record number is first, at least 1.
 func New(c Config, first uint64) *Stream {
-	c.Resend = min(c.Resend, c.Memory/4)
-	return &Stream{c: c, next: max(1, first), at: -1, held: map[uint64]*Entry{}}
+	c.ResendBytes = min(c.ResendBytes, c.MemoryBytes/4)
+	return &Stream{config: c, next: max(1, first), tokensAt: -1, savedBySeq: map[uint64]*Entry{}}
 }
 
-// SetConfig changes the bounds. What is over them goes with the next Push.
+// SetConfig changes the limits. Records beyond them are dropped at the next Push.
 func (s *Stream) SetConfig(c Config) {
-	c.Resend = min(c.Resend, c.Memory/4)
-	s.c = c
+	c.ResendBytes = min(c.ResendBytes, c.MemoryBytes/4)
+	s.config = c
 }
 
-// Next is the number that Push or Skip takes.
+// Next returns the number that the next Push or Skip takes.
 func (s *Stream) Next() uint64 { return s.next }
 
-// Bytes is what the stream holds in memory.
+// Bytes returns the memory that the stream's entries use, with overhead.
 func (s *Stream) Bytes() int { return s.bytes }
 
-// Waiting counts what is not handed over: in memory, and on disk only.
+// Waiting counts the records that are not handed over: those in memory, and those on disk only.
 func (s *Stream) Waiting() (memory, disk int) {
-	n := s.again.len() + s.loaded.len() + s.window.len() - s.conf
-	for i := range s.old {
-		n += s.old[i].len() + s.fresh[i].len()
+	n := s.resend.len() + s.loaded.len() + s.window.len() - s.confirmedCount
+	for i := range s.backlog {
+		n += s.backlog[i].len() + s.fresh[i].len()
 	}
 	return n, s.onDisk
 }
 
-// Skip takes a number for a record that is dropped at once.
+// Skip takes a number for a record that is dropped before it is queued.
 func (s *Stream) Skip(cause Cause) {
 	s.Made++
 	s.drop(cause, s.next, 1)
@@ -208,14 +208,14 @@
 	d.Last = max(d.Last, seq)
 }
 
-// Uncounted notes records that were dropped without a number.
-func (s *Stream) Uncounted(cause Cause, count uint64) {
+// DropUnnumbered counts records that were dropped before they were numbered.
+func (s *Stream) DropUnnumbered(cause Cause, count uint64) {
 	s.drops[cause].Count += count
 }
 
-const freeMost = 256
+const maxFreeEntries = 256
 
-// Get returns an entry to fill in for Push, with room from one that has left.
+// Get returns an empty entry to fill in for Push, reusing the buffer of a released one if possible.
 func (s *Stream) Get() *Entry {
 	if n := len(s.free); n > 0 {
 		e := s.free[n-1]
@@ -225,35 +225,36 @@
 	return new(Entry)
 }
 
-// recycle keeps an entry that nobody holds any more for Get.
+// recycle keeps an entry that is no longer used for Get.
 func (s *Stream) recycle(e *Entry) {
-	if !e.saving && len(s.free) < freeMost {
+	if !e.saving && len(s.free) < maxFreeEntries {
 		*e = Entry{Msg: e.Msg[:0]}
 		s.free = append(s.free, e)
 	}
 }
 
-// unsave notes that an entry is to be written to disk.
-func (s *Stream) unsave(e *Entry) {
-	if s.c.Disk {
-		s.unsaved = append(s.unsaved, pushed{e, e.Seq})
+// queueSave schedules an entry to be written to disk.
+func (s *Stream) queueSave(e *Entry) {
+	if s.config.Spooled {
+		s.unsaved = append(s.unsaved, entryRef{e, e.Seq})
 	}
 }
 
-// Push queues an entry under the next number, which its message bears already, and makes room for it.
+// Push queues an entry under the next number, which its message must already contain. It makes room by releasing
+// saved entries and dropping those of no higher priority, and drops e itself if that is not enough.
 func (s *Stream) Push(e *Entry) {
 	e.Seq = s.next
 	s.next++
 	s.Made++
 	e.state = waiting
-	for s.bytes+e.size() > s.c.Memory && e.Worth != logroute.GapRecord {
-		if s.shelve() {
+	for s.bytes+e.size() > s.config.MemoryBytes && e.Worth != logroute.GapRecord {
+		if s.releaseOldestSaved() {
 			continue
 		}
 		v := s.victim(e.Worth)
 		if v == nil {
 			s.drop(Memory, e.Seq, 1)
-			e.state = left
+			e.state = released
 			s.recycle(e)
 			return
 		}
@@ -263,12 +264,12 @@
 	}
 	s.bytes += e.size()
 	s.fresh[e.Worth].push(e)
-	s.unsave(e)
+	s.queueSave(e)
 }
 
-// shelve lets the oldest entry that is on disk go from memory and tells whether there was one. What may have
-// arrived already stays, see victim.
-func (s *Stream) shelve() bool {
+// releaseOldestSaved releases the oldest entry that is also on disk from memory and reports whether there was one.
+// Entries that may have arrived stay, see victim.
+func (s *Stream) releaseOldestSaved() bool {
 	var best *Entry
 	look := func(l *list) {
 		if e := l.first(); e != nil && e.saved && e.Worth != logroute.GapRecord && (best == nil || e.Seq < best.Seq) {
@@ -276,30 +277,30 @@
 		}
 	}
 	look(&s.loaded)
-	for i := range s.old {
-		look(&s.old[i])
+	for i := range s.backlog {
+		look(&s.backlog[i])
 		look(&s.fresh[i])
 	}
 	if best == nil {
 		return false
 	}
 	best.list.pop()
-	best.state = left
-	s.unhold(best)
+	best.state = released
+	s.untrackSaved(best)
 	s.bytes -= best.size()
 	s.onDisk++
 	s.recycle(best)
 	return true
 }
 
-// victim is the oldest of the least worthy that wait, if it is no worthier than w. What may have arrived already
-// is kept: were it dropped, the gap record would tell of records that came. It is half of the memory at most.
+// victim returns the oldest waiting entry of the lowest priority, if that is at most w. Entries that may have arrived
+// are kept: were they dropped, a gap record could report records that did arrive. They use at most half of the memory.
 func (s *Stream) victim(w logroute.Worth) *Entry {
 	for i := range min(int(w)+1, int(logroute.GapRecord)) {
-		if e := s.old[i].first(); e != nil {
+		if e := s.backlog[i].first(); e != nil {
 			return e
 		}
-		if e := s.loaded.first(); e != nil && int(e.Worth) == i { // mixed, and few
+		if e := s.loaded.first(); e != nil && int(e.Worth) == i { // a short list of mixed priorities
 			return e
 		}
 		if e := s.fresh[i].first(); e != nil {
@@ -309,125 +310,127 @@
 	return nil
 }
 
-// remove takes the first of a list out of the memory.
+// remove removes e, which must be the first of its list, from memory.
 func (s *Stream) remove(e *Entry) {
 	e.list.pop()
 	s.bytes -= e.size()
-	s.leave(e)
+	s.release(e)
 }
 
-// leave ends an entry; on disk it need be kept no longer.
-func (s *Stream) leave(e *Entry) {
-	e.state = left
-	s.unwanted(e)
+// release ends an entry; its copy on disk is no longer needed.
+func (s *Stream) release(e *Entry) {
+	e.state = released
+	s.discardSaved(e)
 }
 
-// unwanted notes that a record need be kept on disk no longer.
-func (s *Stream) unwanted(e *Entry) {
+// discardSaved records that an entry's copy on disk is no longer needed.
+func (s *Stream) discardSaved(e *Entry) {
 	if e.saved {
 		e.saved = false
 		s.done = append(s.done, e.Seq)
-		s.held[e.Seq] = nil
+		s.savedBySeq[e.Seq] = nil
 	}
 }
 
-func (s *Stream) hold(e *Entry) {
+func (s *Stream) trackSaved(e *Entry) {
 	e.saved = true
-	s.held[e.Seq] = e
+	s.savedBySeq[e.Seq] = e
 }
 
-func (s *Stream) unhold(e *Entry) {
+func (s *Stream) untrackSaved(e *Entry) {
 	e.saved = false
-	delete(s.held, e.Seq)
+	delete(s.savedBySeq, e.Seq)
 }
 
-// Holds tells whether a record that is on disk is in memory too, or wanted no more.
+// Holds reports whether a record on disk is also in memory, or no longer needed.
 func (s *Stream) Holds(seq uint64) bool {
-	_, held := s.held[seq]
+	_, held := s.savedBySeq[seq]
 	return held
 }
 
-// Gaps returns what is to be told of drops by now, which is then told: the caller pushes a record for each.
+// Gaps returns the drops that are due to be reported, or with all every unreported drop, and counts them as reported:
+// the caller must push a gap record for each.
 func (s *Stream) Gaps(now Time, all bool) (gaps []syslog.Gap) {
 	for c := range s.drops {
 		d := &s.drops[c]
-		if d.Count == 0 || !all && d.told > 0 && now-d.told < s.c.GapTime {
+		if d.Count == 0 || !all && d.reportedAt > 0 && now-d.reportedAt < s.config.GapInterval {
 			continue
 		}
-		g := syslog.Gap{Cause: Names[c], Count: d.Count}
+		g := syslog.Gap{Cause: CauseNames[c], Count: d.Count}
 		if d.First > 0 {
-			g.First, g.Last = Wire(d.First), Wire(d.Last)
+			g.First, g.Last = SequenceID(d.First), SequenceID(d.Last)
 		}
 		gaps = append(gaps, g)
-		*d = Drop{told: now}
+		*d = Drop{reportedAt: now}
 	}
 	return gaps
 }
 
-// Untold tells whether there are drops that no gap record tells of.
-func (s *Stream) Untold() bool {
+// HasUnreportedDrops reports whether there are drops that no gap record covers yet.
+func (s *Stream) HasUnreportedDrops() bool {
 	return slices.ContainsFunc(s.drops[:], func(d Drop) bool { return d.Count > 0 })
 }
 
-// Batch appends what is to be written next, up to so many bytes: what is fresh first and, with backlog, of
-// what is old as much as the rate for catching up allows. The caller owes Wrote or Broken for it.
+// Batch appends to out the entries to be written next, up to about most bytes: fresh entries first and, with backlog,
+// as many older ones as the catch-up rate allows. The caller must then call MarkWritten or ConnectionEnded.
 func (s *Stream) Batch(now Time, most int, backlog bool, out []*Entry) []*Entry {
-	for n := 0; n < most && s.outLen < s.c.Memory/2; {
+	for n := 0; n < most && s.unconfirmedBytes < s.config.MemoryBytes/2; {
 		e := lowest(s.fresh[:], nil)
-		if e == nil && backlog && s.allow(now) {
-			if e = lowest(s.old[:], s.again.first(), s.loaded.first()); e != nil {
+		if e == nil && backlog && s.allowBacklog(now) {
+			if e = lowest(s.backlog[:], s.resend.first(), s.loaded.first()); e != nil {
 				s.tokens--
 			}
 		}
 		if e == nil {
 			break
 		}
-		out = append(out, s.take(e))
+		out = append(out, s.moveToWindow(e))
 		n += len(e.Msg)
 	}
-	if backlog && s.allow(now) { // beside fresh records, however many there are
-		if e := lowest(s.old[:], s.again.first(), s.loaded.first()); e != nil {
+	if backlog && s.allowBacklog(now) { // in addition to fresh records, so that these cannot starve the backlog
+		if e := lowest(s.backlog[:], s.resend.first(), s.loaded.first()); e != nil {
 			s.tokens--
-			out = append(out, s.take(e))
+			out = append(out, s.moveToWindow(e))
 		}
 	}
 	return out
 }
 
-func (s *Stream) take(e *Entry) *Entry {
+func (s *Stream) moveToWindow(e *Entry) *Entry {
 	e.list.pop()
-	e.state = window
+	e.state = inWindow
 	e.end = 1<<64 - 1
 	s.window.push(e)
-	s.outLen += len(e.Msg)
+	s.unconfirmedBytes += len(e.Msg)
 	return e
 }
 
-// allow tells whether the rate for catching up leaves room for one more.
-func (s *Stream) allow(now Time) bool {
-	if s.c.CatchUp <= 0 {
+// allowBacklog reports whether the catch-up rate allows one more backlog entry now.
+func (s *Stream) allowBacklog(now Time) bool {
+	if s.config.CatchUpRate <= 0 {
 		s.tokens = 1
 		return true
 	}
-	if s.at >= 0 && now > s.at {
-		s.tokens = min(max(1, s.c.CatchUp/10), s.tokens+s.c.CatchUp*(now-s.at).Seconds())
+	if s.tokensAt >= 0 && now > s.tokensAt {
+		s.tokens = min(max(1, s.config.CatchUpRate/10), s.tokens+s.config.CatchUpRate*(now-s.tokensAt).Seconds())
 	}
-	s.at = max(s.at, now)
+	s.tokensAt = max(s.tokensAt, now)
 	return s.tokens >= 1
 }
 
-// Wait is how long nothing more can go than what is fresh, 0 if there is old to be sent now, -1 if there is none.
-func (s *Stream) Wait(now Time) Time {
-	if lowest(s.old[:], s.again.first(), s.loaded.first()) == nil {
+// BacklogDelay returns the time until the next backlog entry may be sent: 0 if one may be sent now, -1 if there is no
+// backlog.
+func (s *Stream) BacklogDelay(now Time) Time {
+	if lowest(s.backlog[:], s.resend.first(), s.loaded.first()) == nil {
 		return -1
 	}
-	if s.allow(now) {
+	if s.allowBacklog(now) {
 		return 0
 	}
-	return Time((1-s.tokens)/s.c.CatchUp*float64(time.Second)) + time.Millisecond
+	return Time((1-s.tokens)/s.config.CatchUpRate*float64(time.Second)) + time.Millisecond
 }
 
-// lowest is the entry of the lowest number at the head of some lists, or among others.
+// lowest returns the entry with the lowest number among the heads of lists and others, or nil.
 func lowest(lists []list, others ...*Entry) (best *Entry) {
 	for i := range lists {
 		if e := lists[i].first(); e != nil && (best == nil || e.Seq < best.Seq) {
@@ -442,82 +445,83 @@
 	return best
 }
 
-// Wrote tells that what Batch gave since is written, with it so many bytes on the connection in all.
-func (s *Stream) Wrote(end uint64) {
-	for i := len(s.window.e) - 1; i >= s.window.from && s.window.e[i].end == 1<<64-1; i-- {
-		s.window.e[i].end = end
+// MarkWritten records that the entries returned by Batch since the last call are written; end is the total number of
+// bytes written on the connection.
+func (s *Stream) MarkWritten(end uint64) {
+	for i := len(s.window.entries) - 1; i >= s.window.head && s.window.entries[i].end == 1<<64-1; i-- {
+		s.window.entries[i].end = end
 	}
 }
 
-// Confirm tells that so many bytes on the connection have reached the collector's kernel.
+// Confirm records that the first end bytes written on the connection have reached the collector's kernel.
 func (s *Stream) Confirm(end uint64) {
-	for s.conf < s.window.len() {
-		e := s.window.e[s.window.from+s.conf]
+	for s.confirmedCount < s.window.len() {
+		e := s.window.entries[s.window.head+s.confirmedCount]
 		if e.end > end {
 			break
 		}
-		s.conf++
-		s.confLen += e.size()
-		s.outLen -= len(e.Msg)
-		e.handed = true
-		s.Handed++
-		if e.again {
-			s.Repeated++
+		s.confirmedCount++
+		s.confirmedBytes += e.size()
+		s.unconfirmedBytes -= len(e.Msg)
+		e.handedOver = true
+		s.HandedOver++
+		if e.mayHaveArrived {
+			s.Resent++
 		}
-		s.unwanted(e)
+		s.discardSaved(e)
 	}
-	for s.conf > 0 && s.confLen > s.c.Resend {
-		s.forget()
+	for s.confirmedCount > 0 && s.confirmedBytes > s.config.ResendBytes {
+		s.releaseConfirmed()
 	}
 }
 
-// forget drops the first confirmed entry.
-func (s *Stream) forget() {
+// releaseConfirmed releases the first confirmed entry.
+func (s *Stream) releaseConfirmed() {
 	e := s.window.pop()
-	s.conf--
-	s.confLen -= e.size()
+	s.confirmedCount--
+	s.confirmedBytes -= e.size()
 	s.bytes -= e.size()
-	e.state = left
+	e.state = released
 	s.recycle(e)
 }
 
-// Unconfirmed counts the bytes written and not confirmed.
-func (s *Stream) Unconfirmed() int { return s.outLen }
+// Unconfirmed returns the message bytes that are in the window and not confirmed.
+func (s *Stream) Unconfirmed() int { return s.unconfirmedBytes }
 
-// Ended tells that the connection ended. Unless all was confirmed and the end was in order, what was not, and
-// the stated window before it, goes again.
-func (s *Stream) Ended(orderly bool) {
-	if orderly && s.conf == s.window.len() {
-		for s.conf > 0 {
-			s.forget()
+// ConnectionEnded records that the connection ended. Unless the end was orderly and everything was confirmed, the
+// unconfirmed entries and the ResendBytes confirmed before them are sent again.
+func (s *Stream) ConnectionEnded(orderly bool) {
+	if orderly && s.confirmedCount == s.window.len() {
+		for s.confirmedCount > 0 {
+			s.releaseConfirmed()
 		}
 	}
 	var back []*Entry
 	for s.window.len() > 0 {
 		e := s.window.pop()
-		e.state, e.again = waiting, true
+		e.state, e.mayHaveArrived = waiting, true
 		back = append(back, e)
-		if e.handed { // it waits anew
-			e.handed = false
-			s.Handed--
-			if _, held := s.held[e.Seq]; held { // it is on disk yet, and to be kept there after all
-				s.hold(e)
+		if e.handedOver { // it waits again
+			e.handedOver = false
+			s.HandedOver--
+			if _, held := s.savedBySeq[e.Seq]; held { // it is still on disk, and is needed there again
+				s.trackSaved(e)
 			} else if !e.saved && !e.saving {
-				s.unsave(e)
+				s.queueSave(e)
 			}
 		}
 	}
-	s.conf, s.confLen, s.outLen = 0, 0, 0
-	for s.again.len() > 0 {
-		back = append(back, s.again.pop())
+	s.confirmedCount, s.confirmedBytes, s.unconfirmedBytes = 0, 0, 0
+	for s.resend.len() > 0 {
+		back = append(back, s.resend.pop())
 	}
 	slices.SortFunc(back, bySeq)
 	for _, e := range back {
-		s.again.push(e)
+		s.resend.push(e)
 	}
-	for i := range s.fresh { // they are no longer fresh when it comes back
+	for i := range s.fresh { // they are backlog when the collector comes back
 		for s.fresh[i].len() > 0 {
-			s.old[i].push(s.fresh[i].pop())
+			s.backlog[i].push(s.fresh[i].pop())
 		}
 	}
 }
@@ -529,11 +533,11 @@
 	return 1
 }
 
-// Renumberer makes the message of an entry anew under another number of the stream it goes to.
+// Renumberer returns a copy of an entry whose message has the number seq of another stream.
 type Renumberer func(e *Entry, seq uint64) *Entry
 
-// MoveTo gives what waits to other streams: to names the one for a record, nil to keep it. What may have
-// arrived already goes there as a copy and stays here too.
+// MoveTo moves waiting entries to other streams: to returns the stream for a record, or nil to keep it here. Entries
+// that may have arrived are copied and also stay here. Entries that were moved movesMost times stay.
 func (s *Stream) MoveTo(to func(route int, key uint64) *Stream, renumber Renumberer, movesMost uint8) {
 	each := func(l *list) {
 		keep := list{}
@@ -550,27 +554,28 @@
 			c := renumber(e, t.next)
 			c.Moves = e.Moves + 1
 			t.Push(c)
-			if e.again {
+			if e.mayHaveArrived {
 				e.copied = true
 				keep.push(e)
 				continue
 			}
 			s.bytes -= e.size()
-			s.leave(e)
+			s.release(e)
 			s.drop(Moved, e.Seq, 1)
 		}
 		for keep.len() > 0 {
 			l.push(keep.pop())
 		}
 	}
-	for i := range s.old {
-		each(&s.old[i])
+	for i := range s.backlog {
+		each(&s.backlog[i])
 		each(&s.fresh[i])
 	}
-	each(&s.again)
+	each(&s.resend)
 }
 
-// Unsaved appends entries that are to be written to disk: those made before so, or any with all.
+// Unsaved appends to out the entries that are to be written to disk and were made up to the time before, up to about
+// most bytes. The caller must pass them to Saved.
 func (s *Stream) Unsaved(before Time, most int, out []*Entry) []*Entry {
 	n := 0
 	for _, p := range s.unsaved {
@@ -579,7 +584,7 @@
 			break
 		}
 		n++
-		if e.Seq != p.seq || e.state == left || e.handed || e.saved || e.saving || e.Worth == logroute.GapRecord {
+		if e.Seq != p.seq || e.state == released || e.handedOver || e.saved || e.saving || e.Worth == logroute.GapRecord {
 			continue
 		}
 		e.saving = true
@@ -591,21 +596,21 @@
 	return out
 }
 
-// Saved tells what became of what Unsaved gave. What could not be saved is given again.
+// Saved reports the result of writing entries returned by Unsaved. Unsaved returns them again if ok is false.
 func (s *Stream) Saved(entries []*Entry, ok bool) {
-	var again []pushed
+	var again []entryRef
 	for _, e := range entries {
 		e.saving = false
 		switch {
-		case e.state == left || e.handed:
+		case e.state == released || e.handedOver:
 			if ok {
 				e.saved = true
-				s.unwanted(e)
+				s.discardSaved(e)
 			}
 		case ok:
-			s.hold(e)
+			s.trackSaved(e)
 		default:
-			again = append(again, pushed{e, e.Seq})
+			again = append(again, entryRef{e, e.Seq})
 		}
 	}
 	if len(again) > 0 {
@@ -613,14 +618,14 @@
 	}
 }
 
-// Unsave tells that records are on disk no longer, for want of room or of the disk. Those that were only there
-// are dropped.
-func (s *Stream) Unsave(cause Cause, seqs []uint64) {
+// RemovedFromDisk records that the spool no longer has some records, because of its limits or a failure. Those that
+// were on disk only are counted as dropped.
+func (s *Stream) RemovedFromDisk(cause Cause, seqs []uint64) {
 	for _, seq := range seqs {
-		e, held := s.held[seq]
+		e, held := s.savedBySeq[seq]
 		if e != nil {
-			s.unhold(e)
-			s.unsave(e)
+			s.untrackSaved(e)
+			s.queueSave(e)
 		}
 		if held {
 			continue
@@ -630,11 +635,11 @@
 	}
 }
 
-// Done returns the numbers that need be kept on disk no longer, and forgets them.
+// Done appends to out the numbers of records that are no longer needed on disk, and clears that list.
 func (s *Stream) Done(out []uint64) []uint64 {
 	for _, seq := range s.done {
-		if e, held := s.held[seq]; held && e == nil { // else it waits again, see Ended
-			delete(s.held, seq)
+		if e, held := s.savedBySeq[seq]; held && e == nil { // otherwise it waits again, see ConnectionEnded
+			delete(s.savedBySeq, seq)
 			out = append(out, seq)
 		}
 	}
@@ -642,48 +647,48 @@
 	return out
 }
 
-// Found tells of records that a restart found on disk, made under numbers below the first.
-func (s *Stream) Found(n int) {
+// AddFound adds n records found on disk after a restart, with numbers below the stream's first.
+func (s *Stream) AddFound(n int) {
 	s.onDisk += n
 	s.Made += uint64(n)
 }
 
-// WriteOff drops all that should wait on disk only, where it can't be found there.
-func (s *Stream) WriteOff(cause Cause) (n int) {
+// DropOnDisk drops all records that should wait on disk only and cannot be found there, and returns how many.
+func (s *Stream) DropOnDisk(cause Cause) (n int) {
 	n, s.onDisk = s.onDisk, 0
 	s.Dropped[cause] += uint64(n)
 	s.drops[cause].Count += uint64(n)
 	return n
 }
 
-// OnDisk counts what waits on disk only.
+// OnDisk counts the records that wait on disk only.
 func (s *Stream) OnDisk() int { return s.onDisk }
 
-// WantsLoad tells how many bytes may be read back from disk now.
+// WantsLoad returns how many bytes, at most most, may be read back from disk now.
 func (s *Stream) WantsLoad(most int) int {
 	if s.onDisk == 0 || s.loaded.len() > 0 {
 		return 0
 	}
-	return max(0, min(most, s.c.Memory/2-(s.bytes-s.confLen))) // what is kept to go again must not keep it out
+	return max(0, min(most, s.config.MemoryBytes/2-(s.bytes-s.confirmedBytes))) // confirmed entries kept for resending must not prevent loading
 }
 
-// Load takes entries read back from disk, those of the lowest numbers that there is room for. The others wait on.
+// Load queues entries read back from disk, lowest numbers first, as far as memory allows. The others stay on disk.
 func (s *Stream) Load(entries []*Entry) {
 	slices.SortFunc(entries, bySeq)
 	for _, e := range entries {
-		if s.bytes+e.size() > s.c.Memory {
+		if s.bytes+e.size() > s.config.MemoryBytes {
 			return
 		}
 		e.state = waiting
-		s.hold(e)
+		s.trackSaved(e)
 		s.bytes += e.size()
 		s.loaded.push(e)
 		s.onDisk--
 	}
 }
 
-// Shelve lets all that is on disk go from memory, for the end of the process.
-func (s *Stream) Shelve() {
+// ReleaseSaved releases from memory all entries that are also on disk, for the end of the process.
+func (s *Stream) ReleaseSaved() {
 	each := func(l *list) {
 		keep := list{}
 		for l.len() > 0 {
@@ -692,28 +697,29 @@
 				keep.push(e)
 				continue
 			}
-			s.unhold(e)
+			s.untrackSaved(e)
 			s.bytes -= e.size()
-			e.state = left
+			e.state = released
 			s.onDisk++
 		}
 		for keep.len() > 0 {
 			l.push(keep.pop())
 		}
 	}
-	for i := range s.old {
-		each(&s.old[i])
+	for i := range s.backlog {
+		each(&s.backlog[i])
 		each(&s.fresh[i])
 	}
-	each(&s.again)
+	each(&s.resend)
 	each(&s.loaded)
 }
 
-// Abandon drops all that waits in memory, for a collector that is no more.
-func (s *Stream) Abandon(cause Cause, keepSaved bool) (dropped int) {
-	s.Ended(false)
+// DropAll drops everything that waits in memory, for a removed collector, and returns the number of dropped records.
+// With keepSaved, entries that are also on disk are kept there.
+func (s *Stream) DropAll(cause Cause, keepSaved bool) (dropped int) {
+	s.ConnectionEnded(false)
 	if keepSaved {
-		s.Shelve()
+		s.ReleaseSaved()
 	}
 	each := func(l *list) {
 		for l.len() > 0 {
@@ -723,29 +729,29 @@
 			dropped++
 		}
 	}
-	for i := range s.old {
-		each(&s.old[i])
+	for i := range s.backlog {
+		each(&s.backlog[i])
 		each(&s.fresh[i])
 	}
-	each(&s.again)
+	each(&s.resend)
 	each(&s.loaded)
 	return dropped
 }
 
-// Reroute tells that the routes have new places: to[i] is that of the i-th, -1 if it is no more.
-func (s *Stream) Reroute(to []int) {
+// RemapRoutes updates the route indexes of all entries: route i becomes to[i], -1 if it no longer exists.
+func (s *Stream) RemapRoutes(to []int) {
 	each := func(l *list) {
-		for _, e := range l.e[l.from:] {
+		for _, e := range l.entries[l.head:] {
 			if e.Route >= 0 && e.Route < len(to) {
 				e.Route = to[e.Route]
 			}
 		}
 	}
-	for i := range s.old {
-		each(&s.old[i])
+	for i := range s.backlog {
+		each(&s.backlog[i])
 		each(&s.fresh[i])
 	}
-	each(&s.again)
+	each(&s.resend)
 	each(&s.loaded)
 	each(&s.window)
 }
--- a/internal/logqueue/stream_test.go
+++ b/internal/logqueue/stream_test.go
@@ -10,45 +10,45 @@
 	"reachwind/internal/logroute"
 )
 
-// world is a stream with a collector and a disk that fail at will, and what is known of each record.
-type world struct {
+// simulation drives a stream with a simulated collector and disk that fail at random, and tracks each record.
+type simulation struct {
 	t       *rapid.T
 	s       *Stream
 	now     Time
 	up      bool
 	sent    uint64            // bytes on this connection
-	pipe    []uint64          // written and not confirmed
-	unread  []uint64          // confirmed and not read
-	ends    map[uint64]uint64 // where the records of the pipe end
+	pipe    []uint64          // written, not confirmed
+	unread  []uint64          // confirmed by the kernel, not read by the collector
+	ends    map[uint64]uint64 // end offsets on the connection of the records in pipe
 	have    map[uint64]bool   // what the collector has read
-	told    uint64            // dropped, by gap records that it has read
-	gaps    map[uint64]uint64 // the counts that gap records stand for
+	told    uint64            // drops reported by the gap records that the collector has read
+	gaps    map[uint64]uint64 // drops reported by each gap record
 	disk    map[uint64]*Entry
 	sizes   map[uint64]int
 	records int
 }
 
-func (w *world) push(worth logroute.Worth, n int) {
+func (w *simulation) push(worth logroute.Worth, n int) {
 	before, disk := w.s.Dropped[Memory], w.s.OnDisk()
 	kept := map[logroute.Worth]int{}
-	for i := range w.s.old {
-		kept[logroute.Worth(i)] = w.s.old[i].len() + w.s.fresh[i].len()
+	for i := range w.s.backlog {
+		kept[logroute.Worth(i)] = w.s.backlog[i].len() + w.s.fresh[i].len()
 	}
 	e := w.s.Get()
 	e.Worth, e.At, e.Msg, e.Route = worth, w.now, append(e.Msg, make([]byte, n)...), w.records%3
 	w.records++
 	w.s.Push(e)
-	if w.s.Dropped[Memory] > before && w.s.OnDisk() == disk { // then the least worthy went first
-		for i := range w.s.old {
-			if wh := logroute.Worth(i); wh > worth && w.s.old[i].len()+w.s.fresh[i].len() < kept[wh] {
-				w.t.Fatalf("worth %d was dropped for one of %d", wh, worth)
+	if w.s.Dropped[Memory] > before && w.s.OnDisk() == disk { // then the lowest priority must have been dropped first
+		for i := range w.s.backlog {
+			if wh := logroute.Worth(i); wh > worth && w.s.backlog[i].len()+w.s.fresh[i].len() < kept[wh] {
+				w.t.Fatalf("a record of priority %d was dropped for one of priority %d", wh, worth)
 			}
 		}
 	}
 }
 
-// write sends what the stream gives.
-func (w *world) write(most int, backlog bool) {
+// write sends the stream's next batch.
+func (w *simulation) write(most int, backlog bool) {
 	batch := w.s.Batch(w.now, most, backlog, nil)
 	for _, e := range batch {
 		w.sent += uint64(len(e.Msg))
@@ -56,23 +56,23 @@
 		w.sizes[e.Seq] = e.size()
 	}
 	if len(batch) > 0 {
-		w.s.Wrote(w.sent)
+		w.s.MarkWritten(w.sent)
 		for _, e := range batch {
 			w.ends[e.Seq] = w.sent
 		}
 	}
 }
 
-func (w *world) read(seq uint64) {
+func (w *simulation) read(seq uint64) {
 	if !w.have[seq] {
 		w.told += w.gaps[seq]
 	}
 	w.have[seq] = true
 }
 
-// confirm has the collector's kernel take so many bytes, and the collector read all but a few of the last, of Resend
-// bytes at most.
-func (w *world) confirm(to uint64, unread int) {
+// confirm makes the collector's kernel confirm the first to bytes, and the collector read all of them except the last
+// unread records, which take at most ResendBytes.
+func (w *simulation) confirm(to uint64, unread int) {
 	n := 0
 	for n < len(w.pipe) && w.ends[w.pipe[n]] <= to {
 		n++
@@ -84,27 +84,27 @@
 	for _, seq := range w.unread {
 		size += w.sizes[seq]
 	}
-	for len(w.unread) > unread || size > w.s.c.Resend {
+	for len(w.unread) > unread || size > w.s.config.ResendBytes {
 		size -= w.sizes[w.unread[0]]
 		w.read(w.unread[0])
 		w.unread = w.unread[1:]
 	}
 }
 
-// breaks ends the connection; what the collector had not read is lost to it.
-func (w *world) breaks(orderly bool) {
+// breaks ends the connection; the collector loses what it had not read.
+func (w *simulation) breaks(orderly bool) {
 	if orderly {
 		w.confirm(w.sent, 0)
 	}
-	w.s.Ended(orderly)
+	w.s.ConnectionEnded(orderly)
 	w.up, w.sent, w.pipe, w.unread, w.ends = false, 0, nil, nil, map[uint64]uint64{}
 }
 
-// save writes to the disk, or fails to.
-func (w *world) save(ok bool) {
+// save writes unsaved entries to the disk, or fails if ok is false.
+func (w *simulation) save(ok bool) {
 	for _, seq := range w.s.Done(nil) {
 		if w.disk[seq] == nil {
-			w.t.Fatalf("%d is done with, and was not on disk", seq)
+			w.t.Fatalf("record %d is done, but was not on disk", seq)
 		}
 		delete(w.disk, seq)
 	}
@@ -117,7 +117,7 @@
 	w.s.Saved(entries, ok)
 }
 
-func (w *world) load() {
+func (w *simulation) load() {
 	var entries []*Entry
 	most := w.s.WantsLoad(2000)
 	for seq, e := range w.disk {
@@ -130,17 +130,17 @@
 	w.s.Load(entries)
 }
 
-func (w *world) check() {
+func (w *simulation) check() {
 	memory, disk := w.s.Waiting()
 	dropped := uint64(0)
 	for _, n := range w.s.Dropped {
 		dropped += n
 	}
-	if w.s.Made != w.s.Handed+dropped+uint64(memory+disk) {
-		w.t.Fatalf("made %d, handed over %d, dropped %d, in memory %d, on disk %d", w.s.Made, w.s.Handed, dropped, memory, disk)
+	if w.s.Made != w.s.HandedOver+dropped+uint64(memory+disk) {
+		w.t.Fatalf("made %d, handed over %d, dropped %d, in memory %d, on disk %d", w.s.Made, w.s.HandedOver, dropped, memory, disk)
 	}
-	if gaps := len(w.gaps) * 300; w.s.Bytes() > w.s.c.Memory+gaps {
-		w.t.Fatalf("%d bytes held, %d allowed", w.s.Bytes(), w.s.c.Memory)
+	if gaps := len(w.gaps) * 300; w.s.Bytes() > w.s.config.MemoryBytes+gaps {
+		w.t.Fatalf("%d bytes held, %d allowed", w.s.Bytes(), w.s.config.MemoryBytes)
 	}
 	found := 0
 	for seq := range w.disk {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (w *world) tell(all bool) {
+func (w *simulation) tell(all bool) {
 	for _, g := range w.s.Gaps(w.now, all) {
 		e := w.s.Get()
 		e.Worth, e.Msg, e.At, e.Route = logroute.GapRecord, append(e.Msg, make([]byte, 100)...), w.now, -1
@@ -162,14 +162,15 @@
 	}
 }
 
-// TestStream: under random steps of records, a collector and a disk, the account adds up after each, memory stays
-// within its bound, and in the end each number was read by the collector or told of as dropped, never both.
+// TestStream runs random operations on a stream with a simulated collector and disk. After each operation the record
+// counts must add up and memory must be within its limit. At the end the collector must have read each number or a
+// gap record must have reported it as dropped, never both.
 func TestStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, sizes: map[uint64]int{}, ends: map[uint64]uint64{}, have: map[uint64]bool{}, gaps: map[uint64]uint64{}, disk: map[uint64]*Entry{}}
+		w := &simulation{t: t, sizes: map[uint64]int{}, ends: map[uint64]uint64{}, have: map[uint64]bool{}, gaps: map[uint64]uint64{}, disk: map[uint64]*Entry{}}
 		spooled := rapid.Bool().Draw(t, "spooled")
-		w.s = New(Config{Memory: rapid.IntRange(2000, 20000).Draw(t, "memory"), Resend: rapid.IntRange(0, 2000).Draw(t, "resend"),
-			CatchUp: rapid.SampledFrom([]float64{0, 100, 10000}).Draw(t, "catchup"), GapTime: time.Second, Disk: spooled}, 1)
+		w.s = New(Config{MemoryBytes: rapid.IntRange(2000, 20000).Draw(t, "memory"), ResendBytes: rapid.IntRange(0, 2000).Draw(t, "resend"),
+			CatchUpRate: rapid.SampledFrom([]float64{0, 100, 10000}).Draw(t, "catchup"), GapInterval: time.Second, Spooled: spooled}, 1)
 		steps := rapid.IntRange(10, 120).Draw(t, "steps")
 		for range steps {
 			w.now += Time(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
@@ -192,7 +193,7 @@
 				w.save(rapid.IntRange(0, 3).Draw(t, "ok") > 0)
 			case op == 10 && spooled:
 				w.load()
-			case op == 11 && spooled && rapid.IntRange(0, 5).Draw(t, "trim") == 0: // a segment goes, in part of what was sent
+			case op == 11 && spooled && rapid.IntRange(0, 5).Draw(t, "trim") == 0: // a segment is removed, with some records that were sent
 				var seqs []uint64
 				for seq := range w.disk {
 					if seq%2 == 0 {
@@ -204,11 +205,11 @@
 				for _, seq := range seqs {
 					held[seq] = w.s.Holds(seq)
 				}
-				w.s.Unsave(Disk, seqs)
-				w.s.done = nil // the spool forgets them too
-				for seq, e := range w.s.held {
+				w.s.RemovedFromDisk(Disk, seqs)
+				w.s.done = nil // the spool no longer has them either
+				for seq, e := range w.s.savedBySeq {
 					if e == nil {
-						delete(w.s.held, seq)
+						delete(w.s.savedBySeq, seq)
 						delete(w.disk, seq)
 					}
 				}
@@ -216,7 +217,7 @@
 			w.check()
 		}
 		w.breaks(false)
-		for i := 0; ; i++ { // a collector that works, and all the time it needs
+		for i := 0; ; i++ { // the collector works until everything is delivered
 			w.now += time.Second
 			w.tell(true)
 			w.write(1<<20, true)
@@ -225,11 +226,11 @@
 				w.save(true)
 				w.load()
 			}
-			if memory, disk := w.s.Waiting(); memory+disk == 0 && !w.s.Untold() {
+			if memory, disk := w.s.Waiting(); memory+disk == 0 && !w.s.HasUnreportedDrops() {
 				break
 			}
 			if i > 5000 {
-				t.Fatal("it never ends")
+				t.Fatal("records still wait after 5000 rounds with a working collector")
 			}
 		}
 		w.check()
@@ -240,21 +241,22 @@
 			}
 		}
 		if missing != w.told {
-			t.Fatalf("%d numbers never came, %d were told of", missing, w.told)
+			t.Fatalf("%d numbers never arrived, %d were reported as dropped", missing, w.told)
 		}
 	})
 }
 
-// TestOrder: fresh records pass the backlog, which comes at its rate beside them; numbers wrap as the RFC says.
+// TestOrder checks that fresh records are sent before the backlog, that the backlog follows at its rate, and that the
+// sequenceId wraps as RFC 5424 requires.
 func TestOrder(t *testing.T) {
-	s := New(Config{Memory: 1 << 20, CatchUp: 10}, 1)
+	s := New(Config{MemoryBytes: 1 << 20, CatchUpRate: 10}, 1)
 	push := func(n int) {
 		for range n {
 			s.Push(&Entry{Msg: make([]byte, 10), Worth: logroute.ServedRequest})
 		}
 	}
 	push(100)
-	s.Ended(false)
+	s.ConnectionEnded(false)
 	push(3)
 	var got []uint64
 	for now := Time(0); now <= time.Second; now += 100 * time.Millisecond {
@@ -265,18 +267,18 @@
 	if want := "[101 102 103 1 2 3 4 5 6 7 8]"; len(got) < 11 || len(got) > 14 || fmt.Sprint(got[:11]) != want {
 		t.Errorf("sent %v, want %s and few more", got, want)
 	}
-	if Wire(1) != 1 || Wire(1<<31-1) != 1<<31-1 || Wire(1<<31) != 1 {
+	if SequenceID(1) != 1 || SequenceID(1<<31-1) != 1<<31-1 || SequenceID(1<<31) != 1 {
 		t.Error("sequenceId does not go from 2^31-1 to 1")
 	}
 }
 
-// TestHour: after an hour without a collector all of it comes back from the disk, at its rate and no faster, while
-// each fresh record goes in the tick that made it.
+// TestHour checks that after an hour without a collector the whole backlog is sent from disk, no faster than the
+// catch-up rate, while each fresh record is sent in the tick in which it was made.
 func TestHour(t *testing.T) {
 	const second, hour, rate = 10, 3600 * 10, 500
-	s := New(Config{Memory: 64 << 10, CatchUp: rate, Disk: true}, 1)
+	s := New(Config{MemoryBytes: 64 << 10, CatchUpRate: rate, Spooled: true}, 1)
 	disk := map[uint64]bool{}
-	next := uint64(1) // of the lowest that may be on disk
+	next := uint64(1) // lowest number that may be on disk
 	save := func(now Time) {
 		for _, seq := range s.Done(nil) {
 			delete(disk, seq)
@@ -300,7 +302,7 @@
 	if memory, onDisk := s.Waiting(); memory+onDisk != hour || s.Bytes() > 64<<10 {
 		t.Fatalf("%d wait in memory, %d on disk, want %d; %d bytes held", memory, onDisk, hour, s.Bytes())
 	}
-	s.Ended(false)
+	s.ConnectionEnded(false)
 	begin, sent, have := now, uint64(0), map[uint64]bool{}
 	for len(have) < hour {
 		now += 10 * time.Millisecond
@@ -312,7 +314,7 @@
 		if !have[fresh] {
 			t.Fatalf("a fresh record waited behind the backlog, %v after the collector came back", now-begin)
 		}
-		s.Wrote(sent)
+		s.MarkWritten(sent)
 		s.Confirm(sent)
 		save(now)
 		var entries []*Entry
--- a/internal/logship/collector.go
+++ b/internal/logship/collector.go
@@ -15,28 +15,28 @@
 // collector is one collector: what waits for it, and the goroutine that runs its
 // connection. Under the shipper's lock stand conf, keys, at, change and stream.
 type collector struct {
-	s      *Shipper
-	name   string
-	conf   Collector
-	keys   *tlskeys.Store
-	at     int // its place, -1 once it is taken out of the configuration
-	change int // counts new settings: the connection is made anew
-	stream *logqueue.Stream
-	disk   *disk // nil: no spool
+	s               *Shipper
+	name            string
+	conf            Collector
+	keys            *tlskeys.Store
+	index           int // its place, -1 once it is taken out of the configuration
+	settingsVersion int // counts new settings: the connection is made anew
+	stream          *logqueue.Stream
+	disk            *disk // nil: no spool
 
 	wake    chan struct{}
-	leaving chan struct{} // closed when it is taken out
+	removed chan struct{} // closed when it is taken out
 	ended   chan struct{} // closed when its connection's goroutine has ended
 
-	warned time.Time // of the certificate's end
-	fails  logthrottle.Line
+	warned     time.Time // of the certificate's end
+	failureLog logthrottle.Line
 }
 
 func (s *Shipper) newCollector(k *Collector, keys *tlskeys.Store, conf *Config) *collector {
-	c := &collector{s: s, name: k.Name, conf: *k, keys: keys, wake: make(chan struct{}, 1), leaving: make(chan struct{}), ended: make(chan struct{})}
+	c := &collector{s: s, name: k.Name, conf: *k, keys: keys, wake: make(chan struct{}, 1), removed: make(chan struct{}), ended: make(chan struct{})}
 	first := uint64(1)
 	if conf.Spool != "" {
-		c.disk = &disk{c: c, fs: conf.open(SpoolDir(conf.Spool, k.Name)), wake: make(chan struct{}, 1), o: spool.Options{
+		c.disk = &disk{c: c, fs: conf.open(SpoolDir(conf.Spool, k.Name)), wake: make(chan struct{}, 1), options: spool.Options{
 			Owner: conf.Syslog.Hostname + "/" + k.Name, Most: conf.Disk / int64(len(conf.Collectors)), Age: conf.MaxAge}}
 		first = c.disk.first()
 	}
@@ -80,11 +80,11 @@
 		c.warned = time.Time{}
 		c.signal()
 	}
-	c.expiry()
+	c.warnExpiry()
 }
 
-// expiry warns once a day of a certificate that ends soon.
-func (c *collector) expiry() {
+// warnExpiry warns once a day of a certificate that ends soon.
+func (c *collector) warnExpiry() {
 	c.s.mu.Lock()
 	keys, ahead := c.keys, c.s.conf.WarnExpiry
 	c.s.mu.Unlock()
@@ -97,11 +97,11 @@
 	}
 }
 
-// leave has a collector end that was taken out: what waits goes to others where its routes say so, the rest has
+// remove has a collector end that was taken out: what waits goes to others where its routes say so, the rest has
 // leaveTime. The caller holds the lock.
-func (c *collector) leave(s *Shipper) {
-	c.at = -1
-	close(c.leaving)
+func (c *collector) remove(s *Shipper) {
+	c.index = -1
+	close(c.removed)
 	c.signal()
 }
 
@@ -128,18 +128,18 @@
 	}
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
-	c.stream.Ended(false)
-	if c.at >= 0 {
+	c.stream.ConnectionEnded(false)
+	if c.index >= 0 {
 		return
 	}
-	c.s.down(c)
-	if n := c.stream.Abandon(logqueue.Removed, c.disk != nil); n > 0 || c.stream.OnDisk() > 0 {
+	c.s.moveToOthers(c)
+	if n := c.stream.DropAll(logqueue.Removed, c.disk != nil); n > 0 || c.stream.OnDisk() > 0 {
 		c.s.log.Warn("a collector was taken out with records waiting", "collector", c.name, "dropped", n, "kept_on_disk", c.stream.OnDisk())
 	}
 }
 
-// over tells whether nothing more is to be sent. The caller holds the lock.
-func (c *collector) over() bool {
+// finished tells whether nothing more is to be sent. The caller holds the lock.
+func (c *collector) finished() bool {
 	select {
 	case <-c.s.ctx.Done():
 		return true
@@ -150,11 +150,11 @@
 	case <-c.s.ending:
 		select {
 		case <-c.s.routed:
-			return memory == 0 && !c.stream.Untold()
+			return memory == 0 && !c.stream.HasUnreportedDrops()
 		default:
 			return false
 		}
-	case <-c.leaving:
+	case <-c.removed:
 		return memory == 0
 	default:
 		return false
@@ -166,26 +166,26 @@
 	s := c.s
 	for {
 		s.mu.Lock()
-		if c.over() || c.at < 0 {
+		if c.finished() || c.index < 0 {
 			s.mu.Unlock()
 			return nil, 0
 		}
-		wait := s.circuits.Try(s.now(), c.at)
-		conf, keys, change := c.conf, c.keys, c.change
+		wait := s.circuits.Try(s.now(), c.index)
+		conf, keys, change := c.conf, c.keys, c.settingsVersion
 		s.mu.Unlock()
 		if wait > 0 {
 			t := time.NewTimer(wait)
 			select {
 			case <-t.C:
 			case <-s.ctx.Done():
-			case <-c.leaving:
+			case <-c.removed:
 			}
 			t.Stop()
 			continue
 		}
 		l, err := dial(s.ctx, &conf, keys)
 		s.mu.Lock()
-		if c.at < 0 {
+		if c.index < 0 {
 			s.mu.Unlock()
 			if err == nil {
 				l.close()
@@ -193,65 +193,65 @@
 			return nil, 0
 		}
 		if err == nil {
-			s.circuits.Connected(s.now(), c.at)
-			for _, o := range s.all { // what waits for others that are down may be this one's to take
-				if o != c && !s.circuits.Up(o.at) {
-					s.down(o)
+			s.circuits.Connected(s.now(), c.index)
+			for _, o := range s.collectors { // what waits for others that are down may be this one's to take
+				if o != c && !s.circuits.Up(o.index) {
+					s.moveToOthers(o)
 				}
 			}
 			s.mu.Unlock()
 			s.log.Info("collector connected", "collector", conf.Name, "address", conf.Address)
 			return l, change
 		}
-		c.broken(nil)
+		c.connectionFailed(nil)
 		s.mu.Unlock()
-		c.fails.Warn(s.log, "collector connect failed", "collector", conf.Name, "address", conf.Address, "err", err)
+		c.failureLog.Warn(s.log, "collector connect failed", "collector", conf.Name, "address", conf.Address, "err", err)
 	}
 }
 
-// broken books that a connection failed. The caller holds the lock.
-func (c *collector) broken(l *link) {
+// connectionFailed books that a connection failed. The caller holds the lock.
+func (c *collector) connectionFailed(l *link) {
 	if l != nil {
 		c.stream.Confirm(l.confirmed())
 		l.close()
 	}
-	if c.at >= 0 {
-		c.s.circuits.Failed(c.s.now(), c.at)
+	if c.index >= 0 {
+		c.s.circuits.Failed(c.s.now(), c.index)
 	}
-	c.stream.Ended(false)
-	if c.at >= 0 {
-		c.s.down(c)
+	c.stream.ConnectionEnded(false)
+	if c.index >= 0 {
+		c.s.moveToOthers(c)
 	}
 }
 
 const (
-	pollTime = 5 * time.Millisecond // the kernel does not tell when it is confirmed
-	pollMost = 200 * time.Millisecond
+	minPollInterval = 5 * time.Millisecond // the kernel does not tell when it is confirmed
+	maxPollInterval = 200 * time.Millisecond
 )
 
 // serve sends what waits until the connection ends, and tells whether another is wanted.
 func (c *collector) serve(l *link, change int) bool {
 	s := c.s
 	var batch []*logqueue.Entry
-	poll := pollTime
+	poll := minPollInterval
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	leaveBy := time.Time{}
 	for {
 		s.mu.Lock()
 		c.stream.Confirm(l.confirmed())
-		left := c.at < 0
+		left := c.index < 0
 		if left && leaveBy.IsZero() {
-			leaveBy = time.Now().Add(leaveTime)
+			leaveBy = time.Now().Add(removalGrace)
 		}
-		over := c.over() || !leaveBy.IsZero() && time.Now().After(leaveBy)
-		if over || c.change != change || c.keys != nil && c.keys.Now().Next != l.keys {
+		over := c.finished() || !leaveBy.IsZero() && time.Now().After(leaveBy)
+		if over || c.settingsVersion != change || c.keys != nil && c.keys.Now().Next != l.keys {
 			s.mu.Unlock()
 			return c.end(l) && !over
 		}
 		phase := logroute.Working
-		if c.at >= 0 {
-			phase = s.circuits.Phase(s.now(), c.at)
+		if c.index >= 0 {
+			phase = s.circuits.Phase(s.now(), c.index)
 		}
 		ending := false
 		select {
@@ -259,7 +259,7 @@
 			ending = true
 		default:
 		}
-		s.gaps(c, ending)
+		s.pushGaps(c, ending)
 		now := s.now()
 		batch = c.stream.Batch(now, batchBytes, phase == logroute.Working, batch[:0])
 		if len(batch) > 0 {
@@ -267,37 +267,37 @@
 			err := l.write(batch)
 			s.mu.Lock()
 			if err != nil {
-				c.broken(l)
+				c.connectionFailed(l)
 				s.mu.Unlock()
-				c.fails.Warn(s.log, "collector connection broke", "collector", c.name, "err", err)
+				c.failureLog.Warn(s.log, "collector connection broke", "collector", c.name, "err", err)
 				return true
 			}
-			c.stream.Wrote(l.sent.Load())
+			c.stream.MarkWritten(l.sent.Load())
 			c.stream.Confirm(l.confirmed())
 			s.mu.Unlock()
 			clear(batch)
-			poll = pollTime
+			poll = minPollInterval
 			continue
 		}
-		wait := c.stream.Wait(now)
+		wait := c.stream.BacklogDelay(now)
 		switch {
 		case phase == logroute.Trial && wait >= 0:
 			wait = 100 * time.Millisecond
 		case wait == 0: // the window is full
-			wait = pollTime
+			wait = minPollInterval
 		}
 		if c.stream.Unconfirmed() > 0 && (wait < 0 || wait > poll) {
-			wait, poll = poll, min(2*poll, pollMost)
+			wait, poll = poll, min(2*poll, maxPollInterval)
 		}
-		if c.stream.Untold() && (wait < 0 || wait > gapTime) {
-			wait = gapTime
+		if c.stream.HasUnreportedDrops() && (wait < 0 || wait > gapInterval) {
+			wait = gapInterval
 		}
 		if c.disk != nil && c.stream.WantsLoad(loadBytes) > 0 {
 			c.disk.signal()
 		}
 		s.mu.Unlock()
-		if left && (wait < 0 || wait > pollMost) {
-			wait = pollMost
+		if left && (wait < 0 || wait > maxPollInterval) {
+			wait = maxPollInterval
 		}
 		if wait >= 0 {
 			timer.Reset(wait)
@@ -306,11 +306,11 @@
 		case <-c.wake:
 		case <-timer.C:
 		case <-s.ctx.Done():
-		case <-l.gone:
+		case <-l.peerClosed:
 			s.mu.Lock()
-			c.broken(l)
+			c.connectionFailed(l)
 			s.mu.Unlock()
-			c.fails.Warn(s.log, "collector connection broke", "collector", c.name, "err", "closed by the collector")
+			c.failureLog.Warn(s.log, "collector connection broke", "collector", c.name, "err", "closed by the collector")
 			return true
 		}
 	}
@@ -319,7 +319,7 @@
 // end ends a connection as planned. What its peer's kernel does not confirm goes again.
 func (c *collector) end(l *link) bool {
 	s := c.s
-	wait := closeTime
+	wait := closeTimeout
 	if s.ctx.Err() != nil { // there is no time left
 		wait = 20 * time.Millisecond
 	}
@@ -330,9 +330,9 @@
 	if all {
 		c.stream.Confirm(l.sent.Load())
 	}
-	c.stream.Ended(all)
-	if c.at >= 0 {
-		s.circuits.Closed(s.now(), c.at)
+	c.stream.ConnectionEnded(all)
+	if c.index >= 0 {
+		s.circuits.Closed(s.now(), c.index)
 	}
 	return true
 }
--- a/internal/logship/config.go
+++ b/internal/logship/config.go
@@ -83,49 +83,49 @@
 
 // The defaults, and what bounds them.
 const (
-	memoryUsual  = 4 << 20
-	memoryLeast  = 64 << 10 // for each collector
-	diskUsual    = 256 << 20
-	diskLeast    = 1 << 20
-	ageUsual     = 24 * time.Hour
-	syncUsual    = 200 * time.Millisecond
-	resendUsual  = 256 << 10
-	catchUsual   = 1000
-	lingerUsual  = 10 * time.Millisecond
-	expiryUsual  = 14 * 24 * time.Hour
-	connectUsual = 3 * time.Second
-	writeUsual   = 5 * time.Second
-	inboxMost    = 2048 // records
-	batchBytes   = 32 << 10
-	gapTime      = time.Second
-	movesMost    = 4
-	leaveTime    = 5 * time.Second // a collector that was taken out gets its backlog for so long
-	closeTime    = 2 * time.Second // a planned end waits so long for the peer's kernel
-	refreshTime  = time.Second     // certificates are looked at so often
-	diskBackoff  = time.Second
-	diskMost     = 30 * time.Second
-	diskSlow     = time.Second
-	loadBytes    = 64 << 10
+	defaultMemory         = 4 << 20
+	minCollectorMemory    = 64 << 10 // for each collector
+	defaultDisk           = 256 << 20
+	minCollectorDisk      = 1 << 20
+	defaultMaxAge         = 24 * time.Hour
+	defaultSync           = 200 * time.Millisecond
+	defaultResend         = 256 << 10
+	defaultCatchUp        = 1000
+	defaultLinger         = 10 * time.Millisecond
+	defaultWarnExpiry     = 14 * 24 * time.Hour
+	defaultConnectTimeout = 3 * time.Second
+	defaultWriteTimeout   = 5 * time.Second
+	maxInboxRecords       = 2048 // records
+	batchBytes            = 32 << 10
+	gapInterval           = time.Second
+	maxMoves              = 4
+	removalGrace          = 5 * time.Second // a collector that was taken out gets its backlog for so long
+	closeTimeout          = 2 * time.Second // a planned end waits so long for the peer's kernel
+	refreshInterval       = time.Second     // certificates are looked at so often
+	minDiskBackoff        = time.Second
+	maxDiskBackoff        = 30 * time.Second
+	slowDiskThreshold     = time.Second
+	loadBytes             = 64 << 10
 )
 
 // Defaults fills in what is left out, and returns the first fault of the rest.
 func (c *Config) Defaults() error {
-	usual(&c.Memory, memoryUsual)
-	usual(&c.Disk, diskUsual)
-	usual(&c.MaxAge, ageUsual)
-	usual(&c.Sync, syncUsual)
-	usual(&c.Resend, resendUsual)
-	usual(&c.CatchUp, catchUsual)
-	usual(&c.Linger, lingerUsual)
-	usual(&c.WarnExpiry, expiryUsual)
+	setDefault(&c.Memory, defaultMemory)
+	setDefault(&c.Disk, defaultDisk)
+	setDefault(&c.MaxAge, defaultMaxAge)
+	setDefault(&c.Sync, defaultSync)
+	setDefault(&c.Resend, defaultResend)
+	setDefault(&c.CatchUp, defaultCatchUp)
+	setDefault(&c.Linger, defaultLinger)
+	setDefault(&c.WarnExpiry, defaultWarnExpiry)
 	if len(c.Collectors) == 0 || len(c.Routes) == 0 {
 		return fmt.Errorf("%d collectors and %d routes, want at least one of each", len(c.Collectors), len(c.Routes))
 	}
-	if least := memoryLeast * len(c.Collectors); c.Memory < least {
+	if least := minCollectorMemory * len(c.Collectors); c.Memory < least {
 		return fmt.Errorf("memory is %d bytes, want at least %d for %d collectors", c.Memory, least, len(c.Collectors))
 	}
-	if c.Spool != "" && c.Disk < diskLeast*int64(len(c.Collectors)) {
-		return fmt.Errorf("disk is %d bytes, want at least %d for each of %d collectors", c.Disk, diskLeast, len(c.Collectors))
+	if c.Spool != "" && c.Disk < minCollectorDisk*int64(len(c.Collectors)) {
+		return fmt.Errorf("disk is %d bytes, want at least %d for each of %d collectors", c.Disk, minCollectorDisk, len(c.Collectors))
 	}
 	names := map[string]int{}
 	for i := range c.Collectors {
@@ -156,15 +156,15 @@
 	return err
 }
 
-func usual[T int | int64 | float64 | time.Duration](v *T, to T) {
+func setDefault[T int | int64 | float64 | time.Duration](v *T, to T) {
 	if *v == 0 {
 		*v = to
 	}
 }
 
 func (k *Collector) defaults() error {
-	usual(&k.Connect, connectUsual)
-	usual(&k.Write, writeUsual)
+	setDefault(&k.Connect, defaultConnectTimeout)
+	setDefault(&k.Write, defaultWriteTimeout)
 	host, _, err := net.SplitHostPort(k.Address)
 	if err != nil {
 		return fmt.Errorf("address: %w", err)
@@ -201,12 +201,12 @@
 	return nil
 }
 
-// share is a collector's part of the bounds.
+// stream returns one collector's share of the limits.
 func (c *Config) stream(k *Collector) logqueue.Config {
 	memory := c.Memory / len(c.Collectors)
-	q := logqueue.Config{Memory: memory, Resend: min(c.Resend, memory/4), CatchUp: c.CatchUp, GapTime: gapTime, Disk: c.Spool != ""}
+	q := logqueue.Config{MemoryBytes: memory, ResendBytes: min(c.Resend, memory/4), CatchUpRate: c.CatchUp, GapInterval: gapInterval, Spooled: c.Spool != ""}
 	if k.Transport == UDP {
-		q.Resend = 0
+		q.ResendBytes = 0
 	}
 	return q
 }
@@ -225,7 +225,7 @@
 
 // Footprint is what a shipper holds at most: bytes of memory, and descriptors.
 func (c *Config) Footprint() (memory int64, files int) {
-	memory = int64(c.Memory) + inboxMost*512
+	memory = int64(c.Memory) + maxInboxRecords*512
 	files = 2 * len(c.Collectors) // a connection, and one that is being made
 	if c.Spool != "" {
 		files += len(c.Collectors) * spoolFiles
--- a/internal/logship/disk.go
+++ b/internal/logship/disk.go
@@ -13,19 +13,19 @@
 // disk keeps one collector's spool. Its goroutine alone uses the spool; it takes
 // the shipper's lock for moments only, never while the disk works.
 type disk struct {
-	c    *collector
-	fs   spool.FS
-	o    spool.Options
-	sp   *spool.Spool // nil: not open
-	wake chan struct{}
+	c       *collector
+	fs      spool.FS
+	options spool.Options
+	sp      *spool.Spool // nil: not open
+	wake    chan struct{}
 
-	retry   time.Time     // not opened before
-	backoff time.Duration // grows while it fails
-	empty   int           // reads in a row that found nothing of what should be there
-	last    error
-	slow    logthrottle.Line
-	records []spool.Record
-	never   bool // it can't be used as long as this process lives
+	retry    time.Time     // not opened before
+	backoff  time.Duration // grows while it fails
+	empty    int           // reads in a row that found nothing of what should be there
+	last     error
+	slow     logthrottle.Line
+	records  []spool.Record
+	unusable bool // it can't be used as long as this process lives
 }
 
 // first is the number that a stream begins with: one that was surely never used.
@@ -34,7 +34,7 @@
 	if ok {
 		return next
 	}
-	o := d.o
+	o := d.options
 	o.ReadOnly = true
 	if sp, found, err := spool.Open(d.fs, o); err == nil {
 		sp.Close()
@@ -60,7 +60,7 @@
 	for {
 		begun := time.Now()
 		d.step(every/2, false)
-		if took := time.Since(begun); took > diskSlow {
+		if took := time.Since(begun); took > slowDiskThreshold {
 			d.slow.Warn(d.c.s.log, "spool is slow", "collector", d.c.name, "took", took)
 		}
 		select {
@@ -71,7 +71,7 @@
 			if d.sp != nil {
 				d.sp.Close()
 				d.c.s.mu.Lock()
-				d.c.stream.Shelve()
+				d.c.stream.ReleaseSaved()
 				d.c.s.mu.Unlock()
 			}
 			return
@@ -81,16 +81,16 @@
 
 // open opens the spool, where that may be tried.
 func (d *disk) open() bool {
-	if d.sp != nil || d.never || time.Now().Before(d.retry) {
+	if d.sp != nil || d.unusable || time.Now().Before(d.retry) {
 		return d.sp != nil
 	}
-	sp, found, err := spool.Open(d.fs, d.o)
+	sp, found, err := spool.Open(d.fs, d.options)
 	s := d.c.s
 	if err != nil {
 		var newer *spool.VersionError
 		var foreign *spool.OwnerError
 		if errors.Is(err, spool.ErrLocked) || errors.As(err, &newer) || errors.As(err, &foreign) {
-			d.never = true
+			d.unusable = true
 			s.log.Error("spool refused, records wait in memory only", "collector", d.c.name, "err", err)
 			return false
 		}
@@ -107,16 +107,16 @@
 			n++
 		}
 	})
-	d.c.stream.Found(n)
+	d.c.stream.AddFound(n)
 	if found.Rotten > 0 {
-		d.c.stream.Uncounted(logqueue.Rotten, uint64(found.Rotten))
+		d.c.stream.DropUnnumbered(logqueue.Rotten, uint64(found.Rotten))
 	}
 	return true
 }
 
 // fail says once that the disk can't be used, and has it tried again later. Records wait in memory meanwhile.
 func (d *disk) fail(err error) {
-	d.backoff = min(max(2*d.backoff, diskBackoff), diskMost)
+	d.backoff = min(max(2*d.backoff, minDiskBackoff), maxDiskBackoff)
 	d.retry = time.Now().Add(d.backoff)
 	if d.last == nil || d.last.Error() != err.Error() {
 		d.c.s.log.Error("spool failed, records wait in memory only", "collector", d.c.name, "err", err, "again_in", d.backoff)
@@ -124,8 +124,8 @@
 	d.last = err
 }
 
-// lose closes a spool whose folder is gone. What was only there is dropped.
-func (d *disk) lose(err error) {
+// folderLost closes a spool whose folder is gone. What was only there is dropped.
+func (d *disk) folderLost(err error) {
 	s := d.c.s
 	s.mu.Lock()
 	done := d.c.stream.Done(nil)
@@ -136,12 +136,12 @@
 	d.sp.Close()
 	d.sp = nil
 	s.mu.Lock()
-	d.c.stream.Unsave(logqueue.Disk, seqs)
+	d.c.stream.RemovedFromDisk(logqueue.Disk, seqs)
 	s.mu.Unlock()
 	d.fail(err)
 }
 
-var errGone = errors.New("the folder is gone")
+var errFolderGone = errors.New("the folder is gone")
 
 // step brings the disk up to date: with what was handed over, with what has waited for so long, and with what
 // there is room for again in memory.
@@ -151,7 +151,7 @@
 		return
 	}
 	if d.sp.Gone() {
-		d.lose(errGone)
+		d.folderLost(errFolderGone)
 		return
 	}
 	q := d.c.stream
@@ -179,7 +179,7 @@
 		var turned []*logqueue.Entry
 		d.records = d.records[:0]
 		for _, e := range entries {
-			if !logroute.Admit(e.Worth, float64(d.sp.Bytes())/float64(d.o.Most)) {
+			if !logroute.Admit(e.Worth, float64(d.sp.Bytes())/float64(d.options.Most)) {
 				turned = append(turned, e)
 				continue
 			}
@@ -218,7 +218,7 @@
 			cause = logqueue.Age
 		}
 		s.mu.Lock()
-		q.Unsave(cause, seqs)
+		q.RemovedFromDisk(cause, seqs)
 		s.mu.Unlock()
 	})
 	if !all {
@@ -231,7 +231,7 @@
 	s, q := d.c.s, d.c.stream
 	s.mu.Lock()
 	most := 0
-	if d.c.at >= 0 && s.circuits.Up(d.c.at) {
+	if d.c.index >= 0 && s.circuits.Up(d.c.index) {
 		most = q.WantsLoad(loadBytes)
 	}
 	s.mu.Unlock()
@@ -250,12 +250,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(rotten) > 0 {
-		q.Unsave(logqueue.Rotten, rotten)
+		q.RemovedFromDisk(logqueue.Rotten, rotten)
 		s.log.Warn("spool records are rotten", "collector", d.c.name, "records", len(rotten))
 	}
 	if len(records) == 0 {
 		if d.empty++; d.empty > 2 { // the whole of it was read twice
-			s.log.Error("spool lacks records", "collector", d.c.name, "records", q.WriteOff(logqueue.Rotten))
+			s.log.Error("spool lacks records", "collector", d.c.name, "records", q.DropOnDisk(logqueue.Rotten))
 			d.empty = 0
 		}
 		return
--- a/internal/logship/edge.go
+++ b/internal/logship/edge.go
@@ -15,9 +15,9 @@
 type Names struct{ Classes, Tenants []string }
 
 const (
-	sizeMost  = 1 << 40
-	spanMost  = 366 * 24 * time.Hour
-	routeMost = 64
+	maxSize   = 1 << 40
+	maxSpan   = 366 * 24 * time.Hour
+	maxRoutes = 64
 )
 
 // Read reads the syslog block. Faults go to the block; the configuration is of use only if there were none.
@@ -34,15 +34,15 @@
 			Tenants:    names.Tenants,
 		},
 		Linger:     b.Duration("linger", 0, time.Millisecond, time.Second),
-		WarnExpiry: b.Duration("warn_expiry", 0, time.Hour, spanMost),
+		WarnExpiry: b.Duration("warn_expiry", 0, time.Hour, maxSpan),
 		Resend:     int(b.Size("resend", 0, 0, 1<<30)),
 		CatchUp:    b.Number("catch_up", 0, 1, 1e9),
 	}
 	b.Blocks("queue", false, func(q *edgeconf.Block) {
-		c.Memory = int(q.Size("memory", 0, memoryLeast, 1<<32))
+		c.Memory = int(q.Size("memory", 0, minCollectorMemory, 1<<32))
 		c.Spool = q.FilePath("spool")
-		c.Disk = q.Size("disk", 0, diskLeast, sizeMost)
-		c.MaxAge = q.Duration("max_age", 0, time.Second, spanMost)
+		c.Disk = q.Size("disk", 0, minCollectorDisk, maxSize)
+		c.MaxAge = q.Duration("max_age", 0, time.Second, maxSpan)
 		c.Sync = q.Duration("sync", 0, 10*time.Millisecond, time.Minute)
 		if c.Spool == "" {
 			for _, n := range []string{"disk", "max_age", "sync"} {
@@ -116,8 +116,8 @@
 		if len(route.Collectors) == 0 {
 			r.AddFaultAt("to", "route %q names no collector, want at least one in to", r.Label)
 		}
-		if c.Routes = append(c.Routes, route); len(c.Routes) > routeMost {
-			r.AddFault("%d routes, want %d at most", len(c.Routes), routeMost)
+		if c.Routes = append(c.Routes, route); len(c.Routes) > maxRoutes {
+			r.AddFault("%d routes, want %d at most", len(c.Routes), maxRoutes)
 		}
 	})
 	if len(c.Collectors) == 0 || len(c.Routes) == 0 {
@@ -127,11 +127,11 @@
 	probe := c
 	probe.Collectors = append([]Collector(nil), c.Collectors...)
 	probe.Routes = append([]Route(nil), c.Routes...)
-	usual(&probe.Memory, memoryUsual)
+	setDefault(&probe.Memory, defaultMemory)
 	if _, err := syslog.New(probe.Syslog); err != nil {
 		b.AddFault("syslog: %v", err)
 	}
-	if least := memoryLeast * len(c.Collectors); probe.Memory < least {
+	if least := minCollectorMemory * len(c.Collectors); probe.Memory < least {
 		b.AddFault("memory is %s, want at least %s for %d collectors", edgeconf.FormatSize(int64(probe.Memory)), edgeconf.FormatSize(int64(least)), len(c.Collectors))
 	}
 	return c
--- a/internal/logship/link.go
+++ b/internal/logship/link.go
@@ -18,22 +18,22 @@
 
 // link is one connection to a collector.
 type link struct {
-	conf *Collector
-	conn net.Conn
-	raw  syscall.RawConn // of the TCP connection
-	sent atomic.Uint64   // bytes that the kernel took
-	buf  []byte
-	keys uint64        // generation of its certificates
-	gone chan struct{} // closed when the peer ends the connection
+	conf       *Collector
+	conn       net.Conn
+	raw        syscall.RawConn // of the TCP connection
+	sent       atomic.Uint64   // bytes that the kernel took
+	buf        []byte
+	keys       uint64        // generation of its certificates
+	peerClosed chan struct{} // closed when the peer ends the connection
 }
 
-// counted counts what is written below TLS.
-type counted struct {
+// countingConn counts what is written below TLS.
+type countingConn struct {
 	net.Conn
 	n *atomic.Uint64
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.n.Add(uint64(n))
 	return n, err
@@ -43,7 +43,7 @@
 func dial(ctx context.Context, k *Collector, keys *tlskeys.Store) (*link, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.Connect)
 	defer cancel()
-	l := &link{conf: k, gone: make(chan struct{})}
+	l := &link{conf: k, peerClosed: make(chan struct{})}
 	network := "tcp"
 	if k.Transport == UDP {
 		network = "udp"
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 	}
-	l.conn = counted{nc, &l.sent}
+	l.conn = countingConn{nc, &l.sent}
 	if k.Transport == TLS {
 		l.keys = keys.Now().Next
 		t := tls.Client(l.conn, keys.Client(k.ServerName, k.Fingerprints))
@@ -68,13 +68,13 @@
 		}
 		l.conn = t
 	}
-	go l.listen()
+	go l.watchPeer()
 	return l, nil
 }
 
-// listen notices the peer's end. What a collector sends has no meaning.
-func (l *link) listen() {
-	defer close(l.gone)
+// watchPeer notices the peer's end. What a collector sends has no meaning.
+func (l *link) watchPeer() {
+	defer close(l.peerClosed)
 	var b [512]byte
 	for {
 		if _, err := l.conn.Read(b[:]); err != nil {
@@ -147,7 +147,7 @@
 			return false
 		}
 		select {
-		case <-l.gone:
+		case <-l.peerClosed:
 			return l.confirmed() >= all
 		default:
 		}
--- a/internal/logship/ship.go
+++ b/internal/logship/ship.go
@@ -27,18 +27,18 @@
 		dropped uint64
 		closed  bool
 	}
-	wake chan struct{}
-	look chan struct{} // certificates are to be looked at
+	wake       chan struct{}
+	refreshNow chan struct{} // certificates are to be looked at
 
-	mu       sync.Mutex // all below, and all streams
-	conf     Config
-	enc      *syslog.Encoder
-	table    *logroute.Table
-	circuits *logroute.Circuits
-	all      []*collector
-	targets  []logroute.Target
-	buf      []byte
-	lost     uint64 // dropped from the inbox, ever
+	mu           sync.Mutex // all below, and all streams
+	conf         Config
+	enc          *syslog.Encoder
+	table        *logroute.Table
+	circuits     *logroute.Circuits
+	collectors   []*collector
+	targets      []logroute.Target
+	buf          []byte
+	inboxDropped uint64 // dropped from the inbox, ever
 
 	stop   context.CancelFunc // ends the collectors' goroutines
 	ctx    context.Context
@@ -49,12 +49,12 @@
 
 type numbered struct {
 	record.Record
-	n uint64
+	number uint64
 }
 
 // New returns a shipper for conf, whose defaults were filled in. now is the gateway's clock.
 func New(conf Config, now func() time.Duration, log *slog.Logger) (*Shipper, error) {
-	s := &Shipper{now: now, log: log, wake: make(chan struct{}, 1), look: make(chan struct{}, 1), routed: make(chan struct{}), ending: make(chan struct{})}
+	s := &Shipper{now: now, log: log, wake: make(chan struct{}, 1), refreshNow: make(chan struct{}, 1), routed: make(chan struct{}), ending: make(chan struct{})}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.circuits = logroute.NewCircuits(0, conf.Seed)
 	apply, err := s.Prepare(conf)
@@ -74,7 +74,7 @@
 	in := &s.inbox
 	in.Lock()
 	in.next++
-	if full := float64(len(in.records)) / inboxMost; in.closed || !logroute.Admit(logroute.WorthOf(r, 1), full) {
+	if full := float64(len(in.records)) / maxInboxRecords; in.closed || !logroute.Admit(logroute.WorthOf(r, 1), full) {
 		in.dropped++
 		in.Unlock()
 		return
@@ -113,7 +113,7 @@
 		in.records, in.dropped = in.spare[:0], 0
 		closed = in.closed
 		in.Unlock()
-		s.take(batch, dropped)
+		s.routeBatch(batch, dropped)
 		clear(batch)
 		in.Lock()
 		in.spare = batch
@@ -121,21 +121,21 @@
 	}
 }
 
-const lockedMost = 64 // records routed without letting others have the lock
+const maxRecordsPerLock = 64 // records routed without letting others have the lock
 
-func (s *Shipper) take(batch []numbered, dropped uint64) {
+func (s *Shipper) routeBatch(batch []numbered, dropped uint64) {
 	for len(batch) > 0 || dropped > 0 {
-		n := min(len(batch), lockedMost)
+		n := min(len(batch), maxRecordsPerLock)
 		s.mu.Lock()
 		if dropped > 0 {
-			s.lost += dropped
-			s.all[0].stream.Uncounted(logqueue.Inbox, dropped)
+			s.inboxDropped += dropped
+			s.collectors[0].stream.DropUnnumbered(logqueue.Inbox, dropped)
 			dropped = 0
 		}
 		for i := range batch[:n] {
-			s.place(&batch[i])
+			s.routeRecord(&batch[i])
 		}
-		for _, c := range s.all {
+		for _, c := range s.collectors {
 			c.signal()
 		}
 		s.mu.Unlock()
@@ -143,17 +143,17 @@
 	}
 }
 
-// place routes one record and queues it. The caller holds the lock.
-func (s *Shipper) place(r *numbered) {
+// routeRecord routes one record and queues it. The caller holds the lock.
+func (s *Shipper) routeRecord(r *numbered) {
 	now := s.now()
 	s.targets = s.table.Route(now, &r.Record, s.circuits, s.targets[:0])
 	for _, t := range s.targets {
-		q := s.all[t.Collector].stream
+		q := s.collectors[t.Collector].stream
 		if t.Over {
 			q.Skip(logqueue.Rate)
 			continue
 		}
-		e, ok := s.entry(q, &r.Record, syslog.Meta{Seq: logqueue.Wire(q.Next()), Number: r.n, Weight: t.Weight})
+		e, ok := s.entry(q, &r.Record, syslog.Meta{Seq: logqueue.SequenceID(q.Next()), Number: r.number, Weight: t.Weight})
 		if !ok {
 			q.Skip(logqueue.Size)
 			continue
@@ -175,8 +175,8 @@
 	return e, true
 }
 
-// gaps queues gap records for what was dropped. The caller holds the lock.
-func (s *Shipper) gaps(c *collector, all bool) {
+// pushGaps queues gap records for what was dropped. The caller holds the lock.
+func (s *Shipper) pushGaps(c *collector, all bool) {
 	now := s.now()
 	for _, g := range c.stream.Gaps(now, all) {
 		r := record.Record{Kind: record.Gap, Severity: record.Warning, At: now, Class: -1, Tenant: -1}
@@ -184,7 +184,7 @@
 		s.inbox.next++
 		n := s.inbox.next
 		s.inbox.Unlock()
-		if e, ok := s.entry(c.stream, &r, syslog.Meta{Seq: logqueue.Wire(c.stream.Next()), Number: n, Weight: 1, Gap: &g}); ok {
+		if e, ok := s.entry(c.stream, &r, syslog.Meta{Seq: logqueue.SequenceID(c.stream.Next()), Number: n, Weight: 1, Gap: &g}); ok {
 			e.Route = -1
 			c.stream.Push(e)
 		}
@@ -194,24 +194,24 @@
 // renumber makes an entry anew for another stream.
 func renumber(e *logqueue.Entry, seq uint64) *logqueue.Entry {
 	return &logqueue.Entry{Worth: e.Worth, Route: e.Route, Key: e.Key, At: e.At, SeqAt: e.SeqAt,
-		Msg: syslog.Renumber(nil, e.Msg, e.SeqAt, logqueue.Wire(seq))}
+		Msg: syslog.Renumber(nil, e.Msg, e.SeqAt, logqueue.SequenceID(seq))}
 }
 
-// down moves what waits for a collector that is down to others that are up, where its routes say so. The caller
+// moveToOthers moves what waits for a collector that is down to others that are up, where its routes say so. The caller
 // holds the lock.
-func (s *Shipper) down(c *collector) {
-	moved := make([]bool, len(s.all))
+func (s *Shipper) moveToOthers(c *collector) {
+	moved := make([]bool, len(s.collectors))
 	c.stream.MoveTo(func(route int, key uint64) *logqueue.Stream {
-		to := s.table.Move(route, key, c.at, s.circuits)
-		if to < 0 || s.all[to] == c {
+		to := s.table.Move(route, key, c.index, s.circuits)
+		if to < 0 || s.collectors[to] == c {
 			return nil
 		}
 		moved[to] = true
-		return s.all[to].stream
-	}, renumber, movesMost)
+		return s.collectors[to].stream
+	}, renumber, maxMoves)
 	for i, m := range moved {
 		if m {
-			s.all[i].signal()
+			s.collectors[i].signal()
 		}
 	}
 }
@@ -267,13 +267,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.table == nil
-	old := s.all
+	old := s.collectors
 	for _, o := range old { // what the routes of before give to others goes while they hold
 		if !slices.ContainsFunc(conf.Collectors, func(k Collector) bool { return k.Name == o.name }) {
-			s.down(o)
+			s.moveToOthers(o)
 		}
 	}
-	s.all = nil
+	s.collectors = nil
 	var from []int
 	for i := range conf.Collectors {
 		k := &conf.Collectors[i]
@@ -286,26 +286,26 @@
 		from = append(from, place)
 		if place < 0 {
 			c := s.newCollector(k, keys[i], &conf)
-			c.at = i
-			s.all = append(s.all, c)
+			c.index = i
+			s.collectors = append(s.collectors, c)
 			continue
 		}
 		c := old[place]
 		old[place] = nil
-		c.at = i
+		c.index = i
 		c.stream.SetConfig(conf.stream(k))
-		if same(&c.conf, k) {
+		if sameSettings(&c.conf, k) {
 			select { // its files are looked at now
-			case s.look <- struct{}{}:
+			case s.refreshNow <- struct{}{}:
 			default:
 			}
 		} else {
 			c.conf, c.keys = *k, keys[i]
-			c.change++
+			c.settingsVersion++
 			s.circuits.Reset(place)
 		}
 		c.signal()
-		s.all = append(s.all, c)
+		s.collectors = append(s.collectors, c)
 	}
 	routes := make([]int, len(s.conf.Routes)) // where each route of before is now
 	for i := range s.conf.Routes {
@@ -316,9 +316,9 @@
 	}
 	s.conf, s.enc, s.table = conf, enc, table
 	s.circuits.Arrange(from)
-	for i, c := range s.all {
+	for i, c := range s.collectors {
 		if from[i] >= 0 {
-			c.stream.Reroute(routes)
+			c.stream.RemapRoutes(routes)
 			continue
 		}
 		s.done.Add(1)
@@ -328,12 +328,12 @@
 		if o == nil {
 			continue
 		}
-		o.stream.Reroute(routes)
-		o.leave(s)
+		o.stream.RemapRoutes(routes)
+		o.remove(s)
 	}
 }
 
-func same(a, b *Collector) bool {
+func sameSettings(a, b *Collector) bool {
 	if a.Address != b.Address || a.Transport != b.Transport || a.Framing != b.Framing || a.Files != b.Files ||
 		a.ServerName != b.ServerName || a.Connect != b.Connect || a.Write != b.Write || len(a.Fingerprints) != len(b.Fingerprints) {
 		return false
@@ -348,11 +348,11 @@
 
 // refresh looks at certificates again and again: files that change are taken without a signal.
 func (s *Shipper) refresh() {
-	t := time.NewTicker(refreshTime)
+	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
 	for ; s.ctx.Err() == nil; s.wait(t) {
 		s.mu.Lock()
-		all := append([]*collector(nil), s.all...)
+		all := append([]*collector(nil), s.collectors...)
 		s.mu.Unlock()
 		for _, c := range all {
 			c.refresh()
@@ -363,7 +363,7 @@
 func (s *Shipper) wait(t *time.Ticker) {
 	select {
 	case <-s.ctx.Done():
-	case <-s.look:
+	case <-s.refreshNow:
 	case <-t.C:
 	}
 }
@@ -377,7 +377,7 @@
 	close(s.ending)
 	<-s.routed
 	s.mu.Lock()
-	for _, c := range s.all {
+	for _, c := range s.collectors {
 		c.signal()
 	}
 	s.mu.Unlock()
@@ -393,11 +393,11 @@
 	s.stop()
 	select {
 	case <-ended:
-	case <-time.After(closeTime): // a disk or a peer that does not answer must not keep the process
+	case <-time.After(closeTimeout): // a disk or a peer that does not answer must not keep the process
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.all {
+	for _, c := range s.collectors {
 		memory, _ := c.stream.Waiting()
 		dropped += memory
 	}
@@ -408,7 +408,7 @@
 type Count struct {
 	Name                   string
 	Made, Handed, Repeated uint64
-	Dropped                [logqueue.Causes]uint64
+	Dropped                [logqueue.NumCauses]uint64
 	Memory, Disk, Bytes    int
 	Phase                  logroute.Phase
 }
@@ -417,11 +417,11 @@
 func (s *Shipper) Counts() (counts []Count, lost uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range s.all {
+	for i, c := range s.collectors {
 		q := c.stream
 		memory, disk := q.Waiting()
-		counts = append(counts, Count{c.conf.Name, q.Made, q.Handed, q.Repeated, q.Dropped, memory, disk, q.Bytes(),
+		counts = append(counts, Count{c.conf.Name, q.Made, q.HandedOver, q.Resent, q.Dropped, memory, disk, q.Bytes(),
 			s.circuits.Phase(s.now(), i)})
 	}
-	return counts, s.lost
+	return counts, s.inboxDropped
 }
