--- a/internal/logship/collector.go
+++ b/internal/logship/collector.go
@@ -12,23 +12,23 @@
 	"reachwind/internal/tlskeys"
 )
 
-// collector is one collector: what waits for it, and the goroutine that runs its
-// connection. Under the shipper's lock stand conf, keys, at, change and stream.
+// collector holds one collector's queue and the goroutine that runs its connection.
+// The shipper's lock guards conf, keys, index, settingsVersion and stream.
 type collector struct {
 	s               *Shipper
 	name            string
 	conf            Collector
 	keys            *tlskeys.Store
-	index           int // its place, -1 once it is taken out of the configuration
-	settingsVersion int // counts new settings: the connection is made anew
+	index           int // index in the configuration, -1 once it is removed from it
+	settingsVersion int // incremented when its settings change: the connection is then replaced
 	stream          *logqueue.Stream
 	disk            *disk // nil: no spool
 
 	wake    chan struct{}
-	removed chan struct{} // closed when it is taken out
-	ended   chan struct{} // closed when its connection's goroutine has ended
+	removed chan struct{} // closed when it is removed from the configuration
+	ended   chan struct{} // closed when the connection goroutine has ended
 
-	warned     time.Time // of the certificate's end
+	warned     time.Time // last warning that the certificate expires
 	failureLog logthrottle.Line
 }
 
@@ -51,7 +51,7 @@
 	return spool.Dir(dir)
 }
 
-// SpoolDir is the folder of one collector's spool.
+// SpoolDir returns the path of one collector's spool folder below dir.
 func SpoolDir(dir, collector string) string {
 	return filepath.Join(dir, "c-"+url.PathEscape(collector))
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-// refresh looks whether the certificates have changed; if so the connection is made anew.
+// refresh rereads the certificate files; if they have changed, the connection is replaced.
 func (c *collector) refresh() {
 	c.s.mu.Lock()
 	keys, name := c.keys, c.name
@@ -83,7 +83,7 @@
 	c.warnExpiry()
 }
 
-// warnExpiry warns once a day of a certificate that ends soon.
+// warnExpiry warns at most once a day of a certificate that expires soon.
 func (c *collector) warnExpiry() {
 	c.s.mu.Lock()
 	keys, ahead := c.keys, c.s.conf.WarnExpiry
@@ -97,15 +97,15 @@
 	}
 }
 
-// remove has a collector end that was taken out: what waits goes to others where its routes say so, the rest has
-// leaveTime. The caller holds the lock.
+// remove ends a collector that was removed from the configuration: what waits moves to other collectors
+// where its routes allow that, and the rest is sent for at most removalGrace. The caller holds the lock.
 func (c *collector) remove(s *Shipper) {
 	c.index = -1
 	close(c.removed)
 	c.signal()
 }
 
-// run is the goroutine of the connection.
+// run connects and sends until the collector is finished. It is the connection goroutine.
 func (c *collector) run() {
 	defer c.s.done.Done()
 	if c.disk != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// finished tells whether nothing more is to be sent. The caller holds the lock.
+// finished reports whether nothing more is to be sent. The caller holds the lock.
 func (c *collector) finished() bool {
 	select {
 	case <-c.s.ctx.Done():
@@ -161,7 +161,8 @@
 	}
 }
 
-// connect returns a connection, nil when none is wanted any more.
+// connect returns a connection and the settings version it was made with, or nil when none is needed any more. It
+// retries as the circuit allows.
 func (c *collector) connect() (*link, int) {
 	s := c.s
 	for {
@@ -194,7 +195,7 @@
 		}
 		if err == nil {
 			s.circuits.Connected(s.now(), c.index)
-			for _, o := range s.collectors { // what waits for others that are down may be this one's to take
+			for _, o := range s.collectors { // this collector may take over what waits for others that are down
 				if o != c && !s.circuits.Up(o.index) {
 					s.moveToOthers(o)
 				}
@@ -209,7 +210,7 @@
 	}
 }
 
-// connectionFailed books that a connection failed. The caller holds the lock.
+// connectionFailed records that a connection failed; l is nil if it was never established. The caller holds the lock.
 func (c *collector) connectionFailed(l *link) {
 	if l != nil {
 		c.stream.Confirm(l.confirmed())
@@ -225,11 +226,11 @@
 }
 
 const (
-	minPollInterval = 5 * time.Millisecond // the kernel does not tell when it is confirmed
+	minPollInterval = 5 * time.Millisecond // polled, as the kernel sends no notice when bytes are confirmed
 	maxPollInterval = 200 * time.Millisecond
 )
 
-// serve sends what waits until the connection ends, and tells whether another is wanted.
+// serve sends waiting records until the connection ends, and reports whether a new connection is needed.
 func (c *collector) serve(l *link, change int) bool {
 	s := c.s
 	var batch []*logqueue.Entry
@@ -316,11 +317,11 @@
 	}
 }
 
-// end ends a connection as planned. What its peer's kernel does not confirm goes again.
+// end closes a connection in an orderly way. What the collector's kernel does not confirm is sent again.
 func (c *collector) end(l *link) bool {
 	s := c.s
 	wait := closeTimeout
-	if s.ctx.Err() != nil { // there is no time left
+	if s.ctx.Err() != nil { // the process must end now
 		wait = 20 * time.Millisecond
 	}
 	all := l.finish(wait)
--- a/internal/logship/config.go
+++ b/internal/logship/config.go
@@ -1,15 +1,15 @@
-// Package logship carries records to syslog collectors. Records come in by
+// Package logship sends log records to syslog collectors. Records are passed to
 // [Shipper.Put], which never blocks; one goroutine routes and encodes them, and
 // each collector has a goroutine for its connection and, with a spool, one for its
-// disk. What is decided is decided in logroute and logqueue.
+// disk. Routing decisions are made in logroute, queueing decisions in logqueue.
 //
-// The promise. To a collector by TCP or TLS a record that was queued goes at
-// least once, or it is counted as dropped and told of in a gap record, as long as
-// the process lives. A record counts as handed over when the collector's kernel
-// has confirmed it; after a broken connection the last Resend bytes confirmed go
-// again, for what the collector had not read. With a spool, what was made more
-// than Sync before the process was killed is found by the next one. By UDP a
-// record goes once at most, and nothing tells whether it came.
+// Delivery guarantees: over TCP or TLS, while the process lives, each queued record
+// is sent at least once, or it is counted as dropped and reported in a gap record. A
+// record counts as handed over when the collector's kernel has confirmed it; after
+// a broken connection the last Resend bytes confirmed are sent again, because the
+// collector may not have read them. With a spool, the next process finds what was
+// made more than Sync before the process was killed. Over UDP a record is sent at
+// most once, and its arrival is not confirmed.
 package logship
 
 import (
@@ -24,7 +24,7 @@
 	"reachwind/internal/tlskeys"
 )
 
-// Transport is how a collector is reached.
+// Transport is the transport protocol to a collector.
 type Transport string
 
 // The transports.
@@ -34,57 +34,57 @@
 	TLS Transport = "tls" // RFC 5425
 )
 
-// Framing tells messages on a TCP connection apart, RFC 6587 section 3.4.
+// Framing is how messages are delimited on a TCP connection, RFC 6587 section 3.4.
 type Framing string
 
 // The framings.
 const (
 	Octets Framing = "octets" // octet counting
-	LF     Framing = "lf"     // a line feed after each
+	LF     Framing = "lf"     // a line feed after each message
 )
 
-// Collector is one collector.
+// Collector holds the settings of one collector.
 type Collector struct {
 	Name         string
 	Address      string
 	Transport    Transport
 	Framing      Framing
 	Files        tlskeys.Files
-	ServerName   string // empty: the address's host
+	ServerName   string // expected in its certificate; empty: the host of Address
 	Fingerprints []string
-	Connect      time.Duration // a connection, handshake included, must be up by then
-	Write        time.Duration // a write must be taken by then
+	Connect      time.Duration // time limit for a connection, including the handshake
+	Write        time.Duration // time limit for a write
 }
 
-// Route is a route whose collectors are named.
+// Route is a route with its collectors given by name.
 type Route struct {
 	logroute.Route
 	Collectors []string
 }
 
-// Config is the whole configuration. Defaults fills in what is left out.
+// Config is the configuration of a Shipper. Defaults fills in omitted values.
 type Config struct {
 	Syslog     syslog.Config
 	Memory     int           // bytes for all collectors together
-	Spool      string        // folder, empty = none
-	Disk       int64         // bytes of it, for all collectors together
-	MaxAge     time.Duration // of what waits on disk
-	Sync       time.Duration // what is not handed over is on disk by then
-	Resend     int           // bytes confirmed that go again after a broken connection
-	CatchUp    float64       // records a second of the backlog, by collector
-	Linger     time.Duration // records are taken together for so long
-	WarnExpiry time.Duration // a certificate's end is warned of so long before
+	Spool      string        // spool folder; empty = no spool
+	Disk       int64         // bytes of the spool, for all collectors together
+	MaxAge     time.Duration // of records that wait on disk
+	Sync       time.Duration // a record not handed over is on disk after this time
+	Resend     int           // confirmed bytes that are sent again after a broken connection
+	CatchUp    float64       // records per second of the backlog, for each collector
+	Linger     time.Duration // records are collected into one batch for this long
+	WarnExpiry time.Duration // warn this long before a certificate expires
 	Collectors []Collector
 	Routes     []Route
 	Seed       uint64
 
-	folder func(dir string) spool.FS // a collector's folder; nil: the operating system's
+	folder func(dir string) spool.FS // opens a collector's folder; nil: spool.Dir
 }
 
-// The defaults, and what bounds them.
+// Defaults and limits. Memory and disk sizes are in bytes, rates in records per second.
 const (
 	defaultMemory         = 4 << 20
-	minCollectorMemory    = 64 << 10 // for each collector
+	minCollectorMemory    = 64 << 10 // per collector
 	defaultDisk           = 256 << 20
 	minCollectorDisk      = 1 << 20
 	defaultMaxAge         = 24 * time.Hour
@@ -99,16 +99,16 @@
 	batchBytes            = 32 << 10
 	gapInterval           = time.Second
 	maxMoves              = 4
-	removalGrace          = 5 * time.Second // a collector that was taken out gets its backlog for so long
-	closeTimeout          = 2 * time.Second // a planned end waits so long for the peer's kernel
-	refreshInterval       = time.Second     // certificates are looked at so often
+	removalGrace          = 5 * time.Second // how long a removed collector is still sent its backlog
+	closeTimeout          = 2 * time.Second // how long an orderly end waits for the peer's kernel
+	refreshInterval       = time.Second     // between two checks of the certificate files
 	minDiskBackoff        = time.Second
 	maxDiskBackoff        = 30 * time.Second
 	slowDiskThreshold     = time.Second
 	loadBytes             = 64 << 10
 )
 
-// Defaults fills in what is left out, and returns the first fault of the rest.
+// Defaults fills in omitted values, and returns an error for the first invalid value.
 func (c *Config) Defaults() error {
 	setDefault(&c.Memory, defaultMemory)
 	setDefault(&c.Disk, defaultDisk)
@@ -223,14 +223,14 @@
 	return logroute.NewTable(routes, names, c.Seed)
 }
 
-// Footprint is what a shipper holds at most: bytes of memory, and descriptors.
+// Footprint returns the most that a shipper uses: bytes of memory, and file descriptors.
 func (c *Config) Footprint() (memory int64, files int) {
 	memory = int64(c.Memory) + maxInboxRecords*512
-	files = 2 * len(c.Collectors) // a connection, and one that is being made
+	files = 2 * len(c.Collectors) // the connection, and one being established
 	if c.Spool != "" {
 		files += len(c.Collectors) * spoolFiles
 	}
 	return memory, files
 }
 
-const spoolFiles = 24 // segments, their done files, and the lock
+const spoolFiles = 24 // per collector: segments, their done files, and the lock
--- a/internal/logship/disk.go
+++ b/internal/logship/disk.go
@@ -10,8 +10,8 @@
 	"reachwind/internal/spool"
 )
 
-// disk keeps one collector's spool. Its goroutine alone uses the spool; it takes
-// the shipper's lock for moments only, never while the disk works.
+// disk manages one collector's spool. Only its goroutine uses the spool; it never
+// holds the shipper's lock during disk operations.
 type disk struct {
 	c       *collector
 	fs      spool.FS
@@ -19,16 +19,16 @@
 	sp      *spool.Spool // nil: not open
 	wake    chan struct{}
 
-	retry    time.Time     // not opened before
-	backoff  time.Duration // grows while it fails
-	empty    int           // reads in a row that found nothing of what should be there
+	retry    time.Time     // no attempt before this time
+	backoff  time.Duration // delay after a failure; doubles while failures go on
+	empty    int           // consecutive reads that found no record although some should be there
 	last     error
 	slow     logthrottle.Line
 	records  []spool.Record
-	unusable bool // it can't be used as long as this process lives
+	unusable bool // the spool cannot be used by this process
 }
 
-// first is the number that a stream begins with: one that was surely never used.
+// first returns the first record number of the stream, one that is certain to be unused.
 func (d *disk) first() uint64 {
 	next, ok := spool.NextNumber(d.fs)
 	if ok {
@@ -50,7 +50,7 @@
 	}
 }
 
-// run works until the connection's goroutine has ended, and then saves what is left.
+// run updates the spool until the connection goroutine has ended, and then saves what is left.
 func (d *disk) run() {
 	d.c.s.mu.Lock()
 	every := d.c.s.conf.Sync
@@ -79,7 +79,7 @@
 	}
 }
 
-// open opens the spool, where that may be tried.
+// open opens the spool unless a retry is not due yet, and reports whether it is open.
 func (d *disk) open() bool {
 	if d.sp != nil || d.unusable || time.Now().Before(d.retry) {
 		return d.sp != nil
@@ -114,7 +114,7 @@
 	return true
 }
 
-// fail says once that the disk can't be used, and has it tried again later. Records wait in memory meanwhile.
+// fail logs a disk error, unless the last one was the same, and schedules a retry. Records wait in memory meanwhile.
 func (d *disk) fail(err error) {
 	d.backoff = min(max(2*d.backoff, minDiskBackoff), maxDiskBackoff)
 	d.retry = time.Now().Add(d.backoff)
@@ -124,7 +124,7 @@
 	d.last = err
 }
 
-// folderLost closes a spool whose folder is gone. What was only there is dropped.
+// folderLost closes a spool whose folder was removed. Records that were only there are counted as dropped.
 func (d *disk) folderLost(err error) {
 	s := d.c.s
 	s.mu.Lock()
@@ -143,8 +143,8 @@
 
 var errFolderGone = errors.New("the folder is gone")
 
-// step brings the disk up to date: with what was handed over, with what has waited for so long, and with what
-// there is room for again in memory.
+// step updates the spool: it marks records that were handed over as done, saves those that have waited for the time
+// waited, or all of them with all, and loads records back when there is memory for them.
 func (d *disk) step(waited time.Duration, all bool) {
 	s := d.c.s
 	if !d.open() {
@@ -226,7 +226,7 @@
 	}
 }
 
-// load reads back what there is room for.
+// load reads records back from the spool as far as memory allows.
 func (d *disk) load() {
 	s, q := d.c.s, d.c.stream
 	s.mu.Lock()
@@ -254,7 +254,7 @@
 		s.log.Warn("spool records are rotten", "collector", d.c.name, "records", len(rotten))
 	}
 	if len(records) == 0 {
-		if d.empty++; d.empty > 2 { // the whole of it was read twice
+		if d.empty++; d.empty > 2 { // the whole spool was read at least twice
 			s.log.Error("spool lacks records", "collector", d.c.name, "records", q.DropOnDisk(logqueue.Rotten))
 			d.empty = 0
 		}
--- a/internal/logship/edge.go
+++ b/internal/logship/edge.go
@@ -11,7 +11,7 @@
 	"reachwind/internal/tlskeys"
 )
 
-// Names are what routes may name, by their places in records.
+// Names are the classes and tenants that routes may name, in the order of their indexes in records.
 type Names struct{ Classes, Tenants []string }
 
 const (
@@ -20,7 +20,8 @@
 	maxRoutes = 64
 )
 
-// Read reads the syslog block. Faults go to the block; the configuration is of use only if there were none.
+// Read reads the syslog block of the edge configuration. Faults are added to the block; the returned configuration is
+// valid only if there are none.
 func Read(b *edgeconf.Block, names Names) Config {
 	c := Config{
 		Syslog: syslog.Config{
@@ -73,7 +74,7 @@
 			}
 		}
 	})
-	customers := append([]string{""}, names.Tenants...)
+	tenants := append([]string{""}, names.Tenants...)
 	b.Blocks("route", true, func(r *edgeconf.Block) {
 		route := Route{Collectors: r.Strings("to")}
 		route.Name = r.Label
@@ -87,7 +88,7 @@
 			}
 		}
 		route.Classes = r.EnumIndexes("class", names.Classes)
-		for _, i := range r.EnumIndexes("customer", customers) {
+		for _, i := range r.EnumIndexes("customer", tenants) {
 			route.Customers = append(route.Customers, i-1)
 		}
 		for _, i := range r.EnumIndexes("outcome", record.Outcomes[:]) {
--- a/internal/logship/link.go
+++ b/internal/logship/link.go
@@ -20,14 +20,14 @@
 type link struct {
 	conf       *Collector
 	conn       net.Conn
-	raw        syscall.RawConn // of the TCP connection
-	sent       atomic.Uint64   // bytes that the kernel took
+	raw        syscall.RawConn // the TCP connection; nil for UDP
+	sent       atomic.Uint64   // bytes accepted by the local kernel
 	buf        []byte
-	keys       uint64        // generation of its certificates
+	keys       uint64        // generation of the certificates it was made with
 	peerClosed chan struct{} // closed when the peer ends the connection
 }
 
-// countingConn counts what is written below TLS.
+// countingConn counts the bytes written to the socket, below TLS.
 type countingConn struct {
 	net.Conn
 	n *atomic.Uint64
@@ -39,7 +39,7 @@
 	return n, err
 }
 
-// dial connects, handshake included, within the collector's time.
+// dial connects to a collector, including the handshake, within its Connect time.
 func dial(ctx context.Context, k *Collector, keys *tlskeys.Store) (*link, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.Connect)
 	defer cancel()
@@ -72,14 +72,14 @@
 	return l, nil
 }
 
-// watchPeer notices the peer's end. What a collector sends has no meaning.
+// watchPeer detects that the peer closed the connection. Data that a collector sends is ignored.
 func (l *link) watchPeer() {
 	defer close(l.peerClosed)
 	var b [512]byte
 	for {
 		if _, err := l.conn.Read(b[:]); err != nil {
 			if l.conf.Transport == UDP && !errors.Is(err, net.ErrClosed) {
-				time.Sleep(10 * time.Millisecond) // an earlier datagram was refused: the next write says so too
+				time.Sleep(10 * time.Millisecond) // an earlier datagram was refused: the next write fails too
 				continue
 			}
 			return
@@ -87,7 +87,7 @@
 	}
 }
 
-// write writes entries in the collector's framing.
+// write writes entries with the collector's framing.
 func (l *link) write(entries []*logqueue.Entry) error {
 	_ = l.conn.SetWriteDeadline(time.Now().Add(l.conf.Write))
 	if l.conf.Transport == UDP {
@@ -111,7 +111,7 @@
 	return err
 }
 
-// confirmed is how many of the bytes sent the peer's kernel has. By UDP it is all.
+// confirmed returns how many of the bytes sent the peer's kernel has acknowledged. For UDP it returns all.
 func (l *link) confirmed() uint64 {
 	sent := l.sent.Load()
 	if l.raw == nil {
@@ -131,7 +131,7 @@
 	return sent - min(left, sent)
 }
 
-// finish ends the connection in order and tells whether the peer's kernel has all of it.
+// finish closes the connection in an orderly way and reports whether the peer's kernel acknowledged everything in time.
 func (l *link) finish(wait time.Duration) bool {
 	defer l.close()
 	if l.raw == nil {
--- a/internal/logship/ship.go
+++ b/internal/logship/ship.go
@@ -14,10 +14,10 @@
 	"reachwind/internal/tlskeys"
 )
 
-// Shipper carries records to collectors. See the package's comment.
+// Shipper sends records to collectors. The package comment states its guarantees.
 type Shipper struct {
 	now func() time.Duration
-	log *slog.Logger // must not lead back to Put
+	log *slog.Logger // must not pass its records to Put
 
 	inbox struct {
 		sync.Mutex
@@ -28,9 +28,9 @@
 		closed  bool
 	}
 	wake       chan struct{}
-	refreshNow chan struct{} // certificates are to be looked at
+	refreshNow chan struct{} // requests a check of the certificate files
 
-	mu           sync.Mutex // all below, and all streams
+	mu           sync.Mutex // guards all fields below, and all streams
 	conf         Config
 	enc          *syslog.Encoder
 	table        *logroute.Table
@@ -38,13 +38,13 @@
 	collectors   []*collector
 	targets      []logroute.Target
 	buf          []byte
-	inboxDropped uint64 // dropped from the inbox, ever
+	inboxDropped uint64 // records dropped at the inbox since the start
 
 	stop   context.CancelFunc // ends the collectors' goroutines
 	ctx    context.Context
 	done   sync.WaitGroup
-	routed chan struct{} // closed when all that was put is routed, after Close
-	ending chan struct{} // closed by Close: what is left is sent, then collectors end
+	routed chan struct{} // closed when, after Close, all records in the inbox are routed
+	ending chan struct{} // closed by Close: remaining records are sent, then the collectors end
 }
 
 type numbered struct {
@@ -52,7 +52,7 @@
 	number uint64
 }
 
-// New returns a shipper for conf, whose defaults were filled in. now is the gateway's clock.
+// New starts a shipper for conf. now is the gateway's clock. log must not pass its records to Put.
 func New(conf Config, now func() time.Duration, log *slog.Logger) (*Shipper, error) {
 	s := &Shipper{now: now, log: log, wake: make(chan struct{}, 1), refreshNow: make(chan struct{}, 1), routed: make(chan struct{}), ending: make(chan struct{})}
 	s.ctx, s.stop = context.WithCancel(context.Background())
@@ -68,8 +68,8 @@
 	return s, nil
 }
 
-// Put takes a record. It never blocks; when records come faster than they can be routed, the least worthy are
-// dropped and counted.
+// Put queues a copy of a record for routing. It never blocks; when records come faster than they can be routed, those
+// of the lowest priority are dropped and counted.
 func (s *Shipper) Put(r *record.Record) {
 	in := &s.inbox
 	in.Lock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// route takes what was put, again and again, until Close.
+// route routes the records in the inbox in batches, until Close.
 func (s *Shipper) route() {
 	defer close(s.routed)
 	for closed := false; !closed; {
@@ -99,7 +99,7 @@
 			s.mu.Lock()
 			linger := s.conf.Linger
 			s.mu.Unlock()
-			t := time.NewTimer(linger) // so that one write carries many
+			t := time.NewTimer(linger) // so that one write carries many records
 			select {
 			case <-t.C:
 			case <-s.ending:
@@ -121,7 +121,7 @@
 	}
 }
 
-const maxRecordsPerLock = 64 // records routed without letting others have the lock
+const maxRecordsPerLock = 64 // records routed before the lock is released for others
 
 func (s *Shipper) routeBatch(batch []numbered, dropped uint64) {
 	for len(batch) > 0 || dropped > 0 {
@@ -143,7 +143,7 @@
 	}
 }
 
-// routeRecord routes one record and queues it. The caller holds the lock.
+// routeRecord routes one record and queues it for its collectors. The caller holds the lock.
 func (s *Shipper) routeRecord(r *numbered) {
 	now := s.now()
 	s.targets = s.table.Route(now, &r.Record, s.circuits, s.targets[:0])
@@ -163,7 +163,7 @@
 	}
 }
 
-// entry encodes a record for a stream.
+// entry encodes a record for a stream. It returns false if the record does not fit a message.
 func (s *Shipper) entry(q *logqueue.Stream, r *record.Record, m syslog.Meta) (*logqueue.Entry, bool) {
 	var at int
 	var err error
@@ -175,7 +175,7 @@
 	return e, true
 }
 
-// pushGaps queues gap records for what was dropped. The caller holds the lock.
+// pushGaps queues gap records for a collector's drops that are due, or with all every one. The caller holds the lock.
 func (s *Shipper) pushGaps(c *collector, all bool) {
 	now := s.now()
 	for _, g := range c.stream.Gaps(now, all) {
@@ -191,14 +191,14 @@
 	}
 }
 
-// renumber makes an entry anew for another stream.
+// renumber returns a copy of an entry with a number of another stream.
 func renumber(e *logqueue.Entry, seq uint64) *logqueue.Entry {
 	return &logqueue.Entry{Worth: e.Worth, Route: e.Route, Key: e.Key, At: e.At, SeqAt: e.SeqAt,
 		Msg: syslog.Renumber(nil, e.Msg, e.SeqAt, logqueue.SequenceID(seq))}
 }
 
-// moveToOthers moves what waits for a collector that is down to others that are up, where its routes say so. The caller
-// holds the lock.
+// moveToOthers moves what waits for a collector that is down to others that are up, where its routes allow it. The
+// caller holds the lock.
 func (s *Shipper) moveToOthers(c *collector) {
 	moved := make([]bool, len(s.collectors))
 	c.stream.MoveTo(func(route int, key uint64) *logqueue.Stream {
@@ -216,7 +216,8 @@
 	}
 }
 
-// Prepare checks a new configuration against what runs. apply takes it over; until then nothing changes.
+// Prepare checks a new configuration against the running one. apply puts it in force; until then nothing changes. The
+// error is a *CollectorError, a *FixedError or a fault of the configuration.
 func (s *Shipper) Prepare(conf Config) (apply func(), err error) {
 	if err := conf.Defaults(); err != nil {
 		return nil, err
@@ -247,7 +248,7 @@
 	return func() { s.apply(conf, enc, table, keys) }, nil
 }
 
-// CollectorError is a fault of one collector's settings.
+// CollectorError is an error in one collector's settings.
 type CollectorError struct {
 	Name string
 	Err  error
@@ -268,7 +269,7 @@
 	defer s.mu.Unlock()
 	first := s.table == nil
 	old := s.collectors
-	for _, o := range old { // what the routes of before give to others goes while they hold
+	for _, o := range old { // records move to other collectors by the old routes, before these are replaced
 		if !slices.ContainsFunc(conf.Collectors, func(k Collector) bool { return k.Name == o.name }) {
 			s.moveToOthers(o)
 		}
@@ -295,7 +296,7 @@
 		c.index = i
 		c.stream.SetConfig(conf.stream(k))
 		if sameSettings(&c.conf, k) {
-			select { // its files are looked at now
+			select { // its certificate files are checked now
 			case s.refreshNow <- struct{}{}:
 			default:
 			}
@@ -307,7 +308,7 @@
 		c.signal()
 		s.collectors = append(s.collectors, c)
 	}
-	routes := make([]int, len(s.conf.Routes)) // where each route of before is now
+	routes := make([]int, len(s.conf.Routes)) // the new index of each old route
 	for i := range s.conf.Routes {
 		routes[i] = table.Named(s.conf.Routes[i].Name)
 	}
@@ -346,7 +347,7 @@
 	return true
 }
 
-// refresh looks at certificates again and again: files that change are taken without a signal.
+// refresh checks the certificate files periodically, so that changed files are used without a reload signal.
 func (s *Shipper) refresh() {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
@@ -368,8 +369,8 @@
 	}
 }
 
-// Close sends what is left for as long as ctx lasts, puts the rest in the spool and ends. Nothing may be put
-// afterwards. It returns how many records were neither handed over nor kept on disk.
+// Close sends the remaining records until ctx ends, writes the rest to the spool and stops the shipper. Put must not
+// be called afterwards. It returns how many records were neither handed over nor kept on disk.
 func (s *Shipper) Close(ctx context.Context) (dropped int) {
 	s.inbox.Lock()
 	s.inbox.closed = true
@@ -393,7 +394,7 @@
 	s.stop()
 	select {
 	case <-ended:
-	case <-time.After(closeTimeout): // a disk or a peer that does not answer must not keep the process
+	case <-time.After(closeTimeout): // a disk or a peer that does not answer must not keep the process from ending
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -404,7 +405,7 @@
 	return dropped
 }
 
-// Count is what became of the records of one collector.
+// Count holds the record counts of one collector: Made = Handed + Dropped + Memory + Disk. Bytes is its memory use.
 type Count struct {
 	Name                   string
 	Made, Handed, Repeated uint64
@@ -413,7 +414,7 @@
 	Phase                  logroute.Phase
 }
 
-// Counts tells what became of all records, and how many were lost before they were routed.
+// Counts returns the record counts of each collector, and how many records were dropped before they were routed.
 func (s *Shipper) Counts() (counts []Count, lost uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/logship/ship_test.go
+++ b/internal/logship/ship_test.go
@@ -29,7 +29,7 @@
 
 var names = Names{Classes: []string{"map-tiles", "my-notes"}, Tenants: []string{"kea-basin", "tussock-peak", "red-saddle"}}
 
-// request is one of a few kinds of records.
+// request returns a random record of one of a few kinds.
 func request(r *rand.Rand, now time.Duration) *record.Record {
 	rec := &record.Record{Kind: record.Request, At: now, Class: r.IntN(2), Tenant: r.IntN(4) - 1, Front: "pg", Attempts: 1,
 		Outcome: record.Outcome(r.IntN(3)), Member: "db-1", Session: "s", Total: time.Millisecond, Group: 1}
@@ -44,7 +44,7 @@
 	return rec
 }
 
-func start(t testing.TB, conf standin.Config) *standin.Collector {
+func startCollector(t testing.TB, conf standin.Config) *standin.Collector {
 	c, err := standin.Start(conf)
 	if err != nil {
 		t.Fatal(err)
@@ -53,8 +53,8 @@
 	return c
 }
 
-// await waits for what must come about.
-func await(t testing.TB, ok func() bool) {
+// waitFor waits up to 20 s for a condition and fails the test if it does not become true.
+func waitFor(t testing.TB, ok func() bool) {
 	t.Helper()
 	for range 2000 {
 		if ok() {
@@ -62,27 +62,27 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("waited in vain")
+	t.Error("condition not met within 20 s")
 }
 
 var seeds = flag.Uint64("seeds", 6, "seeds of TestAccounts")
 
-// TestAccounts: whatever collectors do, each number of a stream comes or is told of in a gap record, and no
-// message breaks the grammar. Faults come by seed.
+// TestAccounts runs two collectors with random faults, chosen by seed. Each number of a stream must arrive or be
+// reported as dropped in a gap record, and no message may break the syslog grammar.
 func TestAccounts(t *testing.T) {
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			accounts(t, seed)
+			checkAccounts(t, seed)
 		})
 	}
 }
 
-func accounts(t *testing.T, seed uint64) {
+func checkAccounts(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	modes := []logroute.Mode{logroute.All, logroute.Failover, logroute.Spread}
-	a := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0", Buffer: 8 << 10, Check: seed%4 == 0})
-	b := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0", Buffer: 8 << 10, LF: true})
+	a := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0", Buffer: 8 << 10, Check: seed%4 == 0})
+	b := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0", Buffer: 8 << 10, LF: true})
 	both := []*standin.Collector{a, b}
 	clock := core.NewClock()
 	conf := Config{
@@ -145,7 +145,7 @@
 	}
 	counts, lost := s.Counts()
 	for i, c := range both {
-		await(t, func() bool { // it reads what has come
+		waitFor(t, func() bool { // the collector reads what has arrived
 			sum := c.Book.Summary()
 			return sum.Messages-sum.Repeats >= int(counts[i].Handed)
 		})
@@ -158,39 +158,39 @@
 			t.Errorf("%s: %+v does not add up", k.Name, k)
 		}
 		if sum.Invalid > 0 || len(c.Book.Faults()) > 0 {
-			t.Errorf("%s: %d messages broke a rule: %q", k.Name, sum.Invalid, c.Book.Faults())
+			t.Errorf("%s: %d messages broke the grammar: %q", k.Name, sum.Invalid, c.Book.Faults())
 		}
 		if sum.Longest > conf.Syslog.MaxBytes {
 			t.Errorf("%s: a message of %d bytes, at most %d allowed", k.Name, sum.Longest, conf.Syslog.MaxBytes)
 		}
-		// what is kept on disk for the next process may have come already
+		// records kept on disk for the next process may have arrived already
 		if sum.Missing < sum.Told || sum.Missing > sum.Told+uint64(k.Disk) || sum.Told != dropped {
-			t.Errorf("%s: %d numbers missing, %d told of, %d on disk, %d dropped (%v); lost %d", k.Name, sum.Missing, sum.Told, k.Disk, dropped, k.Dropped, lost)
+			t.Errorf("%s: %d numbers missing, %d reported in gap records, %d on disk, %d dropped (%v); lost %d", k.Name, sum.Missing, sum.Told, k.Disk, dropped, k.Dropped, lost)
 		}
 		t.Logf("%s: made %d handed %d repeated %d dropped %v disk %d; %d messages", k.Name, k.Made, k.Handed, k.Repeated, k.Dropped, k.Disk, sum.Messages)
 	}
 }
 
-// lines is a log that a test looks into.
-type lines struct {
+// logBuffer is a log that a test searches.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) has(s string) bool {
+func (l *logBuffer) has(s string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.b.String(), s)
 }
 
-// ship starts a shipper that sends everything to some collectors by one route.
-func ship(t testing.TB, conf Config, mode logroute.Mode, collectors ...Collector) (*Shipper, *lines, Config) {
+// startShipper starts a shipper that sends all records to the given collectors by one route.
+func startShipper(t testing.TB, conf Config, mode logroute.Mode, collectors ...Collector) (*Shipper, *logBuffer, Config) {
 	t.Helper()
 	clock := core.NewClock()
 	conf.Syslog = syslog.Config{Hostname: "gw", AppName: "reachwind", ProcID: "1", Classes: names.Classes, Tenants: names.Tenants, Start: clock.Now()}
@@ -203,7 +203,7 @@
 	if err := conf.Defaults(); err != nil {
 		t.Fatal(err)
 	}
-	log := new(lines)
+	log := new(logBuffer)
 	s, err := New(conf, clock.Now, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -211,8 +211,8 @@
 	return s, log, conf
 }
 
-// put makes n records.
-func put(s *Shipper, n int) {
+// putRecords puts n records; more than 500 are paced so that the inbox does not overflow.
+func putRecords(s *Shipper, n int) {
 	for range n {
 		r := &record.Record{Kind: record.Request, At: s.now(), Class: 0, Tenant: 0, Front: "pg", Member: "db-1"}
 		r.OfRequest()
@@ -232,58 +232,59 @@
 
 func distinct(c *standin.Collector) int { return int(c.Book.Summary().Distinct) }
 
-// TestUDP: each message is one datagram; a collector that is not there is seen, and costs only what was sent
-// meanwhile.
+// TestUDP checks that each message is one datagram, that an absent collector is detected, and that only records sent
+// during its absence are lost.
 func TestUDP(t *testing.T) {
-	c := start(t, standin.Config{Network: "udp", Address: "127.0.0.1:0", Check: true})
-	s, _, _ := ship(t, Config{}, logroute.All, Collector{Name: "a", Address: c.Addr, Transport: UDP})
-	put(s, 50)
-	await(t, func() bool { return distinct(c) == 50 })
+	c := startCollector(t, standin.Config{Network: "udp", Address: "127.0.0.1:0", Check: true})
+	s, _, _ := startShipper(t, Config{}, logroute.All, Collector{Name: "a", Address: c.Addr, Transport: UDP})
+	putRecords(s, 50)
+	waitFor(t, func() bool { return distinct(c) == 50 })
 	c.Stop(false)
-	put(s, 10)
-	await(t, func() bool {
+	putRecords(s, 10)
+	waitFor(t, func() bool {
 		counts, _ := s.Counts()
 		return counts[0].Phase == logroute.Closed || counts[0].Handed == 60
 	})
 	if err := c.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool { put(s, 1); time.Sleep(5 * time.Millisecond); return distinct(c) > 55 })
+	waitFor(t, func() bool { putRecords(s, 1); time.Sleep(5 * time.Millisecond); return distinct(c) > 55 })
 	closeShip(t, s, 10*time.Second)
 }
 
-// TestDownFromStart: what is made while a collector was never there comes when it is, with nothing missing.
+// TestDownFromStart checks that records made before a collector is first reachable are all sent once it is.
 func TestDownFromStart(t *testing.T) {
-	c := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	c := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	c.Stop(false)
-	s, log, _ := ship(t, Config{CatchUp: 1e6}, logroute.All, Collector{Name: "a", Address: c.Addr})
-	put(s, 400)
-	await(t, func() bool { return log.has("collector connect failed") })
+	s, log, _ := startShipper(t, Config{CatchUp: 1e6}, logroute.All, Collector{Name: "a", Address: c.Addr})
+	putRecords(s, 400)
+	waitFor(t, func() bool { return log.has("collector connect failed") })
 	if err := c.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool { return distinct(c) == 400 })
+	waitFor(t, func() bool { return distinct(c) == 400 })
 	if left := closeShip(t, s, 10*time.Second); left > 0 {
 		t.Errorf("%d left", left)
 	}
 }
 
-// TestAcceptsNeverReads: a collector whose window is full holds up nobody: the other goes on, Put returns, memory
-// stays bounded, and when its connection is given up what it never read goes again.
+// TestAcceptsNeverReads checks that a collector that accepts data but never reads does not block others: the other
+// collector receives all records, Put returns, memory stays bounded, and after the write times out the unread records
+// are sent again.
 func TestAcceptsNeverReads(t *testing.T) {
-	a := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0", Buffer: 32 << 10})
-	b := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	a := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0", Buffer: 32 << 10})
+	b := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	a.Stall(true)
-	s, _, conf := ship(t, Config{Memory: 1 << 20, CatchUp: 1e6}, logroute.All, Collector{Name: "a", Address: a.Addr, Write: 200 * time.Millisecond}, Collector{Name: "b", Address: b.Addr})
+	s, _, conf := startShipper(t, Config{Memory: 1 << 20, CatchUp: 1e6}, logroute.All, Collector{Name: "a", Address: a.Addr, Write: 200 * time.Millisecond}, Collector{Name: "b", Address: b.Addr})
 	const n = 5000
-	put(s, n)
-	await(t, func() bool { return distinct(b) == n })
+	putRecords(s, n)
+	waitFor(t, func() bool { return distinct(b) == n })
 	counts, lost := s.Counts()
 	if counts[0].Bytes > conf.Memory/2 || counts[0].Dropped[1] == 0 || lost > 0 {
-		t.Errorf("the stalled one: %+v, lost %d", counts[0], lost)
+		t.Errorf("stalled collector: %+v, lost %d", counts[0], lost)
 	}
 	a.Stall(false)
-	await(t, func() bool { s := a.Book.Summary(); return s.Distinct+s.Told >= n && s.Missing == s.Told })
+	waitFor(t, func() bool { s := a.Book.Summary(); return s.Distinct+s.Told >= n && s.Missing == s.Told })
 	if t.Failed() {
 		cc, _ := s.Counts()
 		t.Fatalf("%+v %+v", cc, a.Book.Summary())
@@ -291,37 +292,38 @@
 	closeShip(t, s, 10*time.Second)
 }
 
-// TestBacklogBesideFresh: after an outage fresh records come at once, and the backlog at its rate beside them.
+// TestBacklogBesideFresh checks that after an outage fresh records are sent at once, and the backlog at its rate beside
+// them.
 func TestBacklogBesideFresh(t *testing.T) {
-	c := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	c := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	c.Stop(false)
-	s, _, _ := ship(t, Config{CatchUp: 50}, logroute.All, Collector{Name: "a", Address: c.Addr})
-	put(s, 1000)
-	await(t, func() bool { counts, _ := s.Counts(); return counts[0].Made == 1000 })
-	await(t, func() bool { counts, _ := s.Counts(); return counts[0].Phase == logroute.Closed })
+	s, _, _ := startShipper(t, Config{CatchUp: 50}, logroute.All, Collector{Name: "a", Address: c.Addr})
+	putRecords(s, 1000)
+	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[0].Made == 1000 })
+	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[0].Phase == logroute.Closed })
 	if err := c.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool { counts, _ := s.Counts(); return counts[0].Phase == logroute.Working })
-	put(s, 10)
-	await(t, func() bool { // the ten newest are there while most of the backlog is not
+	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[0].Phase == logroute.Working })
+	putRecords(s, 10)
+	waitFor(t, func() bool { // the ten newest have arrived while most of the backlog has not
 		n := c.Book.Numbers()
 		return len(n) > 10 && n[len(n)-10] == 1001
 	})
 	if n := distinct(c); n > 700 {
-		t.Errorf("%d came with the first fresh ones", n)
+		t.Errorf("%d records had arrived with the first fresh ones, want at most 700", n)
 	}
 	closeShip(t, s, 100*time.Millisecond)
 }
 
-// TestFlapping: two collectors up and down in opposite phase: between them each record comes at least once.
+// TestFlapping runs two collectors that go up and down alternately: each record must reach at least one of them.
 func TestFlapping(t *testing.T) {
-	a, b := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"}), start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
-	s, _, _ := ship(t, Config{CatchUp: 1e6}, logroute.Failover, Collector{Name: "a", Address: a.Addr}, Collector{Name: "b", Address: b.Addr})
+	a, b := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"}), startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	s, _, _ := startShipper(t, Config{CatchUp: 1e6}, logroute.Failover, Collector{Name: "a", Address: a.Addr}, Collector{Name: "b", Address: b.Addr})
 	both := []*standin.Collector{a, b}
 	b.Stop(true)
 	for i := range 8 {
-		put(s, 100)
+		putRecords(s, 100)
 		time.Sleep(60 * time.Millisecond)
 		both[i%2].Stop(i%4 < 2)
 		if err := both[(i+1)%2].Resume(); err != nil {
@@ -332,7 +334,7 @@
 		t.Log(err) // it is up
 	}
 	_ = both[0].Resume()
-	await(t, func() bool {
+	waitFor(t, func() bool {
 		have := map[uint64]bool{}
 		for _, c := range both {
 			for _, n := range c.Book.Numbers() {
@@ -350,26 +352,26 @@
 	closeShip(t, s, 10*time.Second)
 }
 
-// TestTakenOut: a collector that a reload takes out with a backlog: what its routes allow moves to another, and
-// with a spool the rest is kept; a reload with a fault changes nothing.
+// TestTakenOut removes a collector with a backlog by a reload: records that its routes allow to move must reach the
+// other collector. A reload that changes the spool folder must be refused.
 func TestTakenOut(t *testing.T) {
-	a := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
-	b := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	a := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	b := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	a.Stop(false)
 	b.Stop(false)
-	s, log, conf := ship(t, Config{CatchUp: 1e6}, logroute.Failover, Collector{Name: "a", Address: a.Addr}, Collector{Name: "b", Address: b.Addr})
-	put(s, 300)
-	await(t, func() bool { counts, _ := s.Counts(); return counts[0].Made+counts[1].Made == 300 })
+	s, log, conf := startShipper(t, Config{CatchUp: 1e6}, logroute.Failover, Collector{Name: "a", Address: a.Addr}, Collector{Name: "b", Address: b.Addr})
+	putRecords(s, 300)
+	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[0].Made+counts[1].Made == 300 })
 	bad := conf
 	bad.Spool = t.TempDir()
 	var fixed *FixedError
 	if _, err := s.Prepare(bad); !errors.As(err, &fixed) {
-		t.Errorf("another spool: %v", err)
+		t.Errorf("reload with another spool folder: %v", err)
 	}
 	if err := b.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool { counts, _ := s.Counts(); return counts[1].Phase >= logroute.Trial })
+	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[1].Phase >= logroute.Trial })
 	next := conf
 	next.Collectors = []Collector{conf.Collectors[1]}
 	next.Routes = []Route{{Route: logroute.Route{Name: "all"}, Collectors: []string{"b"}}}
@@ -378,25 +380,25 @@
 		t.Fatal(err)
 	}
 	apply()
-	put(s, 100)
-	await(t, func() bool { return len(b.Book.Numbers()) >= 400 })
+	putRecords(s, 100)
+	waitFor(t, func() bool { return len(b.Book.Numbers()) >= 400 })
 	if closeShip(t, s, 10*time.Second) > 0 || log.has("taken out with records waiting") {
 		t.Error("records were lost that another collector could take")
 	}
 }
 
-// TestStopsInTime: told to end with a full queue and no collector, it ends in its time; with a spool the next
-// process sends all of it, and numbers go on.
+// TestStopsInTime closes a shipper with a full queue and no collector: it must end in time. With a spool the next
+// process must send all records and must not reuse numbers.
 func TestStopsInTime(t *testing.T) {
-	c := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	c := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	c.Stop(false)
 	for _, spooled := range []bool{false, true} {
 		conf := Config{CatchUp: 1e6}
 		if spooled {
 			conf.Spool = t.TempDir()
 		}
-		s, log, _ := ship(t, conf, logroute.All, Collector{Name: "a", Address: c.Addr})
-		put(s, 3000)
+		s, log, _ := startShipper(t, conf, logroute.All, Collector{Name: "a", Address: c.Addr})
+		putRecords(s, 3000)
 		left := closeShip(t, s, 300*time.Millisecond)
 		counts, _ := s.Counts()
 		if !spooled {
@@ -411,9 +413,9 @@
 		if err := c.Resume(); err != nil {
 			t.Fatal(err)
 		}
-		s, log, _ = ship(t, conf, logroute.All, Collector{Name: "a", Address: c.Addr})
-		put(s, 100)
-		await(t, func() bool { return distinct(c) == 3100 })
+		s, log, _ = startShipper(t, conf, logroute.All, Collector{Name: "a", Address: c.Addr})
+		putRecords(s, 100)
+		waitFor(t, func() bool { return distinct(c) == 3100 })
 		if left := closeShip(t, s, 10*time.Second); left > 0 || !log.has("records=3000") {
 			t.Errorf("%d left after the restart", left)
 		}
@@ -423,14 +425,14 @@
 	}
 }
 
-// TestBadFolders: a spool that can't be used is said so, and records go by memory.
+// TestBadFolders checks that an unusable spool folder is logged, and that records are then queued in memory.
 func TestBadFolders(t *testing.T) {
-	c := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	c := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	for name, spoil := range map[string]func(dir string) (want string){
 		"taken": func(dir string) string {
-			first, _, _ := ship(t, Config{Spool: dir}, logroute.All, Collector{Name: "a", Address: c.Addr})
+			first, _, _ := startShipper(t, Config{Spool: dir}, logroute.All, Collector{Name: "a", Address: c.Addr})
 			t.Cleanup(func() { closeShip(t, first, time.Second) })
-			await(t, func() bool { _, err := os.Stat(filepath.Join(SpoolDir(dir, "a"), "lock")); return err == nil })
+			waitFor(t, func() bool { _, err := os.Stat(filepath.Join(SpoolDir(dir, "a"), "lock")); return err == nil })
 			return "another process uses this folder"
 		},
 		"a file": func(dir string) string {
@@ -443,49 +445,49 @@
 		dir := t.TempDir()
 		want := spoil(dir)
 		before := distinct(c)
-		s, log, _ := ship(t, Config{Spool: dir}, logroute.All, Collector{Name: "a", Address: c.Addr})
-		await(t, func() bool { return log.has(want) && log.has("records wait in memory only") })
+		s, log, _ := startShipper(t, Config{Spool: dir}, logroute.All, Collector{Name: "a", Address: c.Addr})
+		waitFor(t, func() bool { return log.has(want) && log.has("records wait in memory only") })
 		s.mu.Lock()
 		s.conf.Syslog.ProcID = name
 		s.mu.Unlock()
-		put(s, 20)
-		await(t, func() bool { counts, _ := s.Counts(); return counts[0].Handed == 20 })
+		putRecords(s, 20)
+		waitFor(t, func() bool { counts, _ := s.Counts(); return counts[0].Handed == 20 })
 		if closeShip(t, s, 5*time.Second) > 0 || distinct(c) < before {
 			t.Errorf("%s: records were lost", name)
 		}
 	}
 }
 
-// TestFolderGoes: a folder taken away while records wait there: they are told of as dropped, new ones go by
-// memory, and the folder is made again when it can be.
+// TestFolderGoes removes the spool folder while records wait there: they must be reported as dropped, new records must
+// be sent from memory, and the folder must be created again.
 func TestFolderGoes(t *testing.T) {
-	c := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	c := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	c.Stop(false)
 	dir := t.TempDir()
-	s, log, _ := ship(t, Config{Spool: dir, Memory: 64 << 10, Disk: 4 << 20, Sync: 20 * time.Millisecond, CatchUp: 1e6}, logroute.All, Collector{Name: "a", Address: c.Addr})
+	s, log, _ := startShipper(t, Config{Spool: dir, Memory: 64 << 10, Disk: 4 << 20, Sync: 20 * time.Millisecond, CatchUp: 1e6}, logroute.All, Collector{Name: "a", Address: c.Addr})
 	for range 20 {
-		put(s, 50)
+		putRecords(s, 50)
 		time.Sleep(20 * time.Millisecond)
 	}
-	await(t, func() bool { counts, _ := s.Counts(); return counts[0].Disk > 100 })
+	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[0].Disk > 100 })
 	if err := os.RemoveAll(SpoolDir(dir, "a")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool { return log.has("the folder is gone") })
+	waitFor(t, func() bool { return log.has("the folder is gone") })
 	if err := c.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	put(s, 10)
-	await(t, func() bool {
+	putRecords(s, 10)
+	waitFor(t, func() bool {
 		counts, _ := s.Counts()
 		sum := c.Book.Summary()
 		return counts[0].Disk == 0 && sum.Distinct+sum.Told >= 1010 && sum.Missing == sum.Told
 	})
-	await(t, func() bool { _, err := os.Stat(SpoolDir(dir, "a")); return err == nil })
+	waitFor(t, func() bool { _, err := os.Stat(SpoolDir(dir, "a")); return err == nil })
 	closeShip(t, s, 5*time.Second)
 }
 
-// badDisk is a folder whose writes fail or take their time.
+// badDisk is a folder whose writes fail or are slow on demand.
 type badDisk struct {
 	spool.Dir
 	full atomic.Bool
@@ -514,38 +516,38 @@
 	return f.File.Write(p)
 }
 
-// TestBadDisk: while the disk is full, records wait in memory and it is said; when there is room again they are
-// saved. While it is slow, it is said, and what a collector takes does not wait for it.
+// TestBadDisk checks that a full disk is logged and records wait in memory until there is space again, and that a slow
+// disk is logged and does not delay sending to the collector.
 func TestBadDisk(t *testing.T) {
-	c := start(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
+	c := startCollector(t, standin.Config{Network: "tcp", Address: "127.0.0.1:0"})
 	c.Stop(false)
 	d := &badDisk{}
 	conf := Config{Spool: t.TempDir(), Sync: 20 * time.Millisecond, CatchUp: 1e6, folder: func(dir string) spool.FS {
 		d.Dir = spool.Dir(dir)
 		return d
 	}}
-	s, log, _ := ship(t, conf, logroute.All, Collector{Name: "a", Address: c.Addr})
-	await(t, func() bool { return log.has("spool open") })
+	s, log, _ := startShipper(t, conf, logroute.All, Collector{Name: "a", Address: c.Addr})
+	waitFor(t, func() bool { return log.has("spool open") })
 	d.full.Store(true)
-	put(s, 100)
-	await(t, func() bool { return log.has("no space left on device") && log.has("records wait in memory only") })
+	putRecords(s, 100)
+	waitFor(t, func() bool { return log.has("no space left on device") && log.has("records wait in memory only") })
 	d.full.Store(false)
-	await(t, func() bool { return log.has("spool works again") })
+	waitFor(t, func() bool { return log.has("spool works again") })
 	d.slow.Store(int64(1500 * time.Millisecond))
-	put(s, 50)
-	await(t, func() bool { return log.has("spool is slow") })
+	putRecords(s, 50)
+	waitFor(t, func() bool { return log.has("spool is slow") })
 	if err := c.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool { return distinct(c) == 150 })
+	waitFor(t, func() bool { return distinct(c) == 150 })
 	d.slow.Store(0)
 	if left := closeShip(t, s, 10*time.Second); left > 0 {
 		t.Errorf("%d left", left)
 	}
 }
 
-// TestKeys: by TLS with certificates of both sides: wrong names, authorities and fingerprints are refused; a
-// half-written pair is refused and the old one holds; a new set is taken under load without losing a record.
+// TestKeys runs mutual TLS. Wrong server names, authorities and fingerprints must be refused; a half-written
+// certificate must be refused and the old one stay in use; a new pair must be taken over under load without loss.
 func TestKeys(t *testing.T) {
 	dir := t.TempDir()
 	file := func(n string) string { return filepath.Join(dir, n) }
@@ -566,25 +568,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := start(t, standin.Config{Network: "tls", Address: "127.0.0.1:0", TLS: keys.Server(true)})
+	c := startCollector(t, standin.Config{Network: "tls", Address: "127.0.0.1:0", TLS: keys.Server(true)})
 	files := tlskeys.Files{Cert: file("gw.pem"), Key: file("gw.key"), CA: file("ca.pem")}
 	good := Collector{Name: "a", Address: c.Addr, Transport: TLS, Files: files, ServerName: "office"}
 	for want, change := range map[string]func(*Collector){
 		"not elsewhere":                 func(k *Collector) { k.ServerName = "elsewhere" },
 		"certificate signed by unknown": func(k *Collector) { k.Files.CA = file("other.pem") },
 		"has fingerprint":               func(k *Collector) { k.Fingerprints = []string{tlskeys.Fingerprint(client.DER)} },
-		"collector connection broke":    func(k *Collector) { k.Files.Cert, k.Files.Key = "", "" }, // TLS 1.3 tells after the handshake
+		"collector connection broke":    func(k *Collector) { k.Files.Cert, k.Files.Key = "", "" }, // TLS 1.3 reports this after the handshake
 	} {
 		k := good
 		change(&k)
-		s, log, _ := ship(t, Config{}, logroute.All, k)
-		await(t, func() bool { return log.has(want) })
+		s, log, _ := startShipper(t, Config{}, logroute.All, k)
+		waitFor(t, func() bool { return log.has(want) })
 		closeShip(t, s, 10*time.Millisecond)
 	}
 	refused := c.Book.Summary().Refused
 	good.Fingerprints = nil
-	s, log, _ := ship(t, Config{WarnExpiry: 2 * time.Hour, CatchUp: 1e6}, logroute.All, good)
-	await(t, func() bool { return log.has("a certificate ends soon") })
+	s, log, _ := startShipper(t, Config{WarnExpiry: 2 * time.Hour, CatchUp: 1e6}, logroute.All, good)
+	waitFor(t, func() bool { return log.has("a certificate ends soon") })
 	stop := make(chan int)
 	go func() {
 		n := 0
@@ -594,25 +596,25 @@
 				return
 			default:
 			}
-			put(s, 1)
+			putRecords(s, 1)
 			n++
 			time.Sleep(time.Millisecond)
 		}
 	}()
 	next := ca.Issue("gw", 100*time.Hour)
-	if err := os.WriteFile(file("gw.pem"), next.Cert[:len(next.Cert)/2], 0o600); err != nil { // half of it
+	if err := os.WriteFile(file("gw.pem"), next.Cert[:len(next.Cert)/2], 0o600); err != nil { // a half-written file
 		t.Fatal(err)
 	}
-	await(t, func() bool { return log.has("certificates refused, the old ones hold") })
+	waitFor(t, func() bool { return log.has("certificates refused, the old ones hold") })
 	put1("gw.pem", next.Cert)
 	put1("gw.key", next.Key)
-	await(t, func() bool { return log.has("certificates changed") })
+	waitFor(t, func() bool { return log.has("certificates changed") })
 	time.Sleep(50 * time.Millisecond)
 	n := <-stop
 	if left := closeShip(t, s, 10*time.Second); left > 0 {
 		t.Errorf("%d left: %s", left, log.b.String())
 	}
-	await(t, func() bool { return distinct(c) >= n })
+	waitFor(t, func() bool { return distinct(c) >= n })
 	if sum := c.Book.Summary(); sum.Missing > 0 || sum.Invalid > 0 || sum.Refused != refused {
 		t.Errorf("of %d records: %+v", n, sum)
 	}
