--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -11,7 +11,7 @@
 // goroutine. A nil watch does nothing: with nobody listening there is no cost.
 type watch struct {
 	sink   record.Sink
-	roster *record.Roster
+	roster *record.MemberTracker
 	told   map[string]Time // members' newest log positions
 	rec    record.Record
 }
@@ -29,7 +29,7 @@
 			c.watch = nil
 			return
 		}
-		c.watch = &watch{sink: s, roster: record.NewRoster(cold), told: map[string]Time{}}
+		c.watch = &watch{sink: s, roster: record.NewMemberTracker(cold), told: map[string]Time{}}
 	})
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	r := record.Record{Kind: record.Request, At: c.Now(), Class: -1, Tenant: -1, Front: front, Outcome: o, Cause: why}
-	r.OfRequest()
+	r.SetRequestSeverity()
 	(*s).Put(&r)
 }
 
@@ -70,7 +70,7 @@
 	if w == nil {
 		return
 	}
-	w.roster.Take(now, kind != decide.ListChange, list, func(m decide.Member, c record.Change) {
+	w.roster.Apply(now, kind != decide.ListChange, list, func(m decide.Member, c record.Change) {
 		if c == record.Gone {
 			delete(w.told, m.ID)
 		}
@@ -82,7 +82,7 @@
 	r := &w.rec
 	*r = record.Record{Kind: record.Member, At: now, Class: -1, Tenant: -1, Group: group, Member: member, Change: c,
 		Position: w.told[member]}
-	r.OfMember()
+	r.SetMemberSeverity()
 	w.sink.Put(r)
 }
 
@@ -107,7 +107,7 @@
 func (w *watch) answered(now Time, q *Request, a *Answer, why record.Cause) {
 	r := &w.rec
 	*r = record.Record{Kind: record.Request, At: now, Class: q.ClassIndex, Tenant: q.Tenant, Front: q.Front, Outcome: record.Served,
-		Cause: why, After: a.RetryAfter, Attempts: len(q.attempts), Waiting: now - q.arrived, Total: now - q.arrived,
+		Cause: why, RetryAfter: a.RetryAfter, Attempts: len(q.attempts), WaitTime: now - q.arrived, Total: now - q.arrived,
 		Session: q.Session, Group: q.Group}
 	switch a.Verdict {
 	case Refused:
@@ -117,7 +117,7 @@
 	}
 	if n := len(q.attempts); n > 0 {
 		t := q.attempts[n-1]
-		r.Waiting, r.Taken = q.attempts[0].sent-q.arrived, now-t.sent
+		r.WaitTime, r.AttemptTime = q.attempts[0].sent-q.arrived, now-t.sent
 		r.Member, r.Role, r.Position, r.Lag, r.HasLag = t.Member, t.role, t.position, t.lag, t.hasLag
 		if r.Cause == record.NoCause && r.Outcome != record.Served {
 			r.Cause = record.Waiting
@@ -128,6 +128,6 @@
 	} else if r.Cause == record.NoCause && r.Outcome != record.Served {
 		r.Cause = record.Unplaced
 	}
-	r.OfRequest()
+	r.SetRequestSeverity()
 	w.sink.Put(r)
 }
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -32,18 +32,18 @@
 			time.Sleep(20 * time.Millisecond)
 			c.Done(s.sent[0], Outcome{Result: decide.Served, Role: decide.Replica, HasPosition: true, Position: 5 * time.Second})
 		}, record.Record{Outcome: record.Served, Severity: record.Info, Attempts: 1, Member: "m", Role: decide.Replica, Position: 5 * time.Second,
-			Taken: 20 * time.Millisecond, Total: 20 * time.Millisecond}},
+			AttemptTime: 20 * time.Millisecond, Total: 20 * time.Millisecond}},
 		{"refused", func(c *Core, s *script) {
 			s.on[decide.Outcome] = []decide.Action{{Kind: decide.Refuse, Request: 1, RetryAfter: time.Second}}
 			c.Done(s.sent[0], Outcome{Result: decide.Full})
-		}, record.Record{Outcome: record.Refused, Severity: record.Notice, Cause: record.Full, After: time.Second, Attempts: 1, Member: "m"}},
+		}, record.Record{Outcome: record.Refused, Severity: record.Notice, Cause: record.Full, RetryAfter: time.Second, Attempts: 1, Member: "m"}},
 		{"failed", func(c *Core, s *script) {
 			s.on[decide.Timer] = []decide.Action{{Kind: decide.Fail, Request: 1}}
 			c.Post(func() { c.events = append(c.events, decide.Event{Kind: decide.Timer}) })
 		}, record.Record{Outcome: record.Failed, Severity: record.Warning, Cause: record.Waiting, Attempts: 1, Member: "m"}},
 		{"deadline", func(*Core, *script) { time.Sleep(time.Second) },
 			record.Record{Outcome: record.Failed, Severity: record.Warning, Cause: record.Deadline, Attempts: 1, Member: "m",
-				Taken: 305 * time.Millisecond, Total: 305 * time.Millisecond}},
+				AttemptTime: 305 * time.Millisecond, Total: 305 * time.Millisecond}},
 	} {
 		run(t, func(c *Core, s *script, _ *client, _ *payload, q *Request) {
 			k := new(sink)
@@ -56,7 +56,7 @@
 			}
 			got := k.records[0]
 			got.At = 0
-			tc.want.Waiting = got.Waiting
+			tc.want.WaitTime = got.WaitTime
 			if got != tc.want {
 				t.Errorf("%s:\n got %+v\nwant %+v", tc.name, got, tc.want)
 			}
--- a/internal/logqueue/stream.go
+++ b/internal/logqueue/stream.go
@@ -59,13 +59,13 @@
 
 // Entry is a waiting record. After Push only the stream changes its fields.
 type Entry struct {
-	Seq   uint64         // number in the stream, from 1
-	Worth logroute.Worth // priority: lower ones are dropped first
-	Moves uint8          // how often it was moved between collectors
-	Route int            // index of its route, -1 for none
-	Key   uint64         // by which a route spreads records over collectors
-	At    Time           // when its record was made
-	SeqAt int            // offset of the sequenceId in Msg
+	Seq   uint64            // number in the stream, from 1
+	Worth logroute.Priority // priority: lower ones are dropped first
+	Moves uint8             // how often it was moved between collectors
+	Route int               // index of its route, -1 for none
+	Key   uint64            // by which a route spreads records over collectors
+	At    Time              // when its record was made
+	SeqAt int               // offset of the sequenceId in Msg
 	Msg   []byte
 
 	list           *list
@@ -89,7 +89,7 @@
 func (e *Entry) size() int { return len(e.Msg) + EntryOverhead }
 
 // SequenceID returns the RFC 5424 sequenceId of a record number: it counts from 1 to 2^31-1 and then from 1 again.
-func SequenceID(seq uint64) uint32 { return uint32((seq-1)%syslog.SeqMost) + 1 }
+func SequenceID(seq uint64) uint32 { return uint32((seq-1)%syslog.MaxSeq) + 1 }
 
 // list is a FIFO queue of entries in the order of their numbers.
 type list struct {
@@ -143,19 +143,19 @@
 	config           Config
 	next             uint64 // next record number
 	bytes            int
-	fresh            [logroute.Worths]list // queued since the connection is up
-	backlog          [logroute.Worths]list // queued before
-	resend           list                  // of a connection that broke
-	loaded           list                  // read back from disk
-	window           list                  // written; the first may be confirmed
-	confirmedCount   int                   // confirmed entries at the start of the window
-	confirmedBytes   int                   // their size in bytes, with overhead
-	unconfirmedBytes int                   // message bytes of the rest of the window
-	unsaved          []entryRef            // to be saved, in the order pushed
-	free             []*Entry              // for Get
-	done             []uint64              // saved records that are no longer needed
-	onDisk           int                   // waiting on disk only
-	savedBySeq       map[uint64]*Entry     // entries both in memory and on disk; nil if listed in done
+	fresh            [logroute.NumPriorities]list // queued since the connection is up
+	backlog          [logroute.NumPriorities]list // queued before
+	resend           list                         // of a connection that broke
+	loaded           list                         // read back from disk
+	window           list                         // written; the first may be confirmed
+	confirmedCount   int                          // confirmed entries at the start of the window
+	confirmedBytes   int                          // their size in bytes, with overhead
+	unconfirmedBytes int                          // message bytes of the rest of the window
+	unsaved          []entryRef                   // to be saved, in the order pushed
+	free             []*Entry                     // for Get
+	done             []uint64                     // saved records that are no longer needed
+	onDisk           int                          // waiting on disk only
+	savedBySeq       map[uint64]*Entry            // entries both in memory and on disk; nil if listed in done
 	drops            [NumCauses]Drop
 	tokens           float64
 	tokensAt         Time
@@ -295,7 +295,7 @@
 
 // victim returns the oldest waiting entry of the lowest priority, if that is at most w. Entries that may have arrived
 // are kept: were they dropped, a gap record could report records that did arrive. They use at most half of the memory.
-func (s *Stream) victim(w logroute.Worth) *Entry {
+func (s *Stream) victim(w logroute.Priority) *Entry {
 	for i := range min(int(w)+1, int(logroute.GapRecord)) {
 		if e := s.backlog[i].first(); e != nil {
 			return e
--- a/internal/logqueue/stream_test.go
+++ b/internal/logqueue/stream_test.go
@@ -28,11 +28,11 @@
 	records int
 }
 
-func (w *simulation) push(worth logroute.Worth, n int) {
+func (w *simulation) push(worth logroute.Priority, n int) {
 	before, disk := w.s.Dropped[Memory], w.s.OnDisk()
-	kept := map[logroute.Worth]int{}
+	kept := map[logroute.Priority]int{}
 	for i := range w.s.backlog {
-		kept[logroute.Worth(i)] = w.s.backlog[i].len() + w.s.fresh[i].len()
+		kept[logroute.Priority(i)] = w.s.backlog[i].len() + w.s.fresh[i].len()
 	}
 	e := w.s.Get()
 	e.Worth, e.At, e.Msg, e.Route = worth, w.now, append(e.Msg, make([]byte, n)...), w.records%3
@@ -40,7 +40,7 @@
 	w.s.Push(e)
 	if w.s.Dropped[Memory] > before && w.s.OnDisk() == disk { // then the lowest priority must have been dropped first
 		for i := range w.s.backlog {
-			if wh := logroute.Worth(i); wh > worth && w.s.backlog[i].len()+w.s.fresh[i].len() < kept[wh] {
+			if wh := logroute.Priority(i); wh > worth && w.s.backlog[i].len()+w.s.fresh[i].len() < kept[wh] {
 				w.t.Fatalf("a record of priority %d was dropped for one of priority %d", wh, worth)
 			}
 		}
@@ -177,7 +177,7 @@
 			switch op := rapid.IntRange(0, 11).Draw(t, "op"); {
 			case op < 4:
 				for range rapid.IntRange(1, 8).Draw(t, "n") {
-					w.push(logroute.Worth(rapid.IntRange(0, int(logroute.MemberChange)).Draw(t, "worth")), rapid.IntRange(20, 600).Draw(t, "len"))
+					w.push(logroute.Priority(rapid.IntRange(0, int(logroute.MemberChange)).Draw(t, "worth")), rapid.IntRange(20, 600).Draw(t, "len"))
 				}
 			case op == 4:
 				w.s.Skip(Rate)
--- a/internal/logroute/circuit.go
+++ b/internal/logroute/circuit.go
@@ -21,10 +21,10 @@
 
 // The phases.
 const (
-	Closed  Phase = iota // no connection, none tried before At
-	Trying               // one connection is being made
-	Trial                // connected, but not for long: what was queued before waits
-	Working              // connected
+	Closed     Phase = iota // no connection, none tried before At
+	Connecting              // one connection is being made
+	Probation               // connected, but not for long: what was queued before waits
+	Working                 // connected
 )
 
 // Circuits keeps the health of all collectors, from connects and writes alone.
@@ -60,8 +60,8 @@
 	c.all = c.all[:n]
 }
 
-// Arrange puts the collectors in a new order: each entry is the place it had before, -1 for a new one.
-func (c *Circuits) Arrange(from []int) {
+// Reorder puts the collectors in a new order: each entry is the place it had before, -1 for a new one.
+func (c *Circuits) Reorder(from []int) {
 	old := c.all
 	c.all = nil
 	for _, f := range from {
@@ -82,9 +82,9 @@
 	c.at = c.now
 }
 
-// Try asks to connect to a collector. It returns 0 if that may begin now, else when to ask again. One that may
+// TryConnect asks to connect to a collector. It returns 0 if that may begin now, else when to ask again. One that may
 // owes Connected or Failed.
-func (c *Circuits) Try(now Time, i int) (wait Time) {
+func (c *Circuits) TryConnect(now Time, i int) (wait Time) {
 	c.step(now)
 	t := &c.all[i]
 	if t.phase != Closed {
@@ -99,14 +99,14 @@
 		}
 		c.tokens--
 	}
-	t.phase, t.since, t.exempt = Trying, c.now, false
+	t.phase, t.since, t.exempt = Connecting, c.now, false
 	return 0
 }
 
 // Connected tells that a connection is up.
 func (c *Circuits) Connected(now Time, i int) {
 	c.step(now)
-	c.all[i].phase, c.all[i].since = Trial, c.now
+	c.all[i].phase, c.all[i].since = Probation, c.now
 	if c.all[i].fails == 0 { // the first, or one after a planned close
 		c.all[i].phase = Working
 	}
@@ -139,7 +139,7 @@
 func (c *Circuits) Phase(now Time, i int) Phase {
 	c.step(now)
 	t := &c.all[i]
-	if t.phase == Trial && c.now-t.since >= trialTime {
+	if t.phase == Probation && c.now-t.since >= trialTime {
 		t.phase, t.fails = Working, 0
 	}
 	if t.phase == Working && c.now-t.since >= steadyTime {
@@ -149,7 +149,7 @@
 }
 
 // Up implements Upness.
-func (c *Circuits) Up(i int) bool { return c.all[i].phase >= Trial }
+func (c *Circuits) Up(i int) bool { return c.all[i].phase >= Probation }
 
-// Steady implements Upness. One that was never tried counts, as nothing speaks against it.
-func (c *Circuits) Steady(i int) bool { return !c.all[i].shaky }
+// Stable implements Upness. One that was never tried counts, as nothing speaks against it.
+func (c *Circuits) Stable(i int) bool { return !c.all[i].shaky }
--- a/internal/logroute/logroute_test.go
+++ b/internal/logroute/logroute_test.go
@@ -14,11 +14,11 @@
 type ups []int // 0 down, 1 up, 2 steady
 
 func (u ups) Up(i int) bool     { return u[i] > 0 }
-func (u ups) Steady(i int) bool { return u[i] == 2 }
+func (u ups) Stable(i int) bool { return u[i] == 2 }
 
 func request(tenant int, o record.Outcome) *record.Record {
 	r := &record.Record{Kind: record.Request, Tenant: tenant, Outcome: o}
-	r.OfRequest()
+	r.SetRequestSeverity()
 	return r
 }
 
@@ -42,7 +42,7 @@
 		{Route{}, []*record.Record{failed, member, line}, nil},
 		{Route{Kinds: []record.Kind{record.Member}}, []*record.Record{member}, []*record.Record{failed, line}},
 		{Route{Severity: record.Warning}, []*record.Record{failed, member}, []*record.Record{line, request(0, record.Served)}},
-		{Route{Customers: []int{1}}, []*record.Record{failed}, []*record.Record{request(0, record.Failed), member, line}},
+		{Route{Tenants: []int{1}}, []*record.Record{failed}, []*record.Record{request(0, record.Failed), member, line}},
 		{Route{Outcomes: []record.Outcome{record.Failed, record.Refused}}, []*record.Record{failed}, []*record.Record{request(1, record.Served), line}},
 		{Route{Classes: []int{0}}, []*record.Record{failed}, []*record.Record{member}},
 		{Route{Members: []string{"db-1"}}, []*record.Record{member}, []*record.Record{failed, line}},
@@ -99,7 +99,7 @@
 			now += Time(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond
 			if got := tb.Route(now, request(0, record.Failed), ups{2}, nil); len(got) != 1 {
 				t.Fatal("a record over the rate is to be counted")
-			} else if !got[0].Over {
+			} else if !got[0].OverRate {
 				passed++
 			}
 		}
@@ -149,10 +149,10 @@
 			t.Errorf("%v: collector %d, want %d", tc.u, got, tc.want)
 		}
 	}
-	if to := tb.Move(0, 0, 1, ups{0, 0, 0}); to != -1 {
+	if to := tb.Reassign(0, 0, 1, ups{0, 0, 0}); to != -1 {
 		t.Errorf("moved to %d with none up", to)
 	}
-	if to := tb.Move(0, 0, 1, ups{2, 2, 2}); to != 0 {
+	if to := tb.Reassign(0, 0, 1, ups{2, 2, 2}); to != 0 {
 		t.Errorf("moved to %d, want 0", to)
 	}
 }
@@ -170,7 +170,7 @@
 			i := rapid.IntRange(0, n-1).Draw(t, "collector")
 			switch open[i] {
 			case 0:
-				wait := c.Try(now, i)
+				wait := c.TryConnect(now, i)
 				if wait < 0 || wait > backoffMost+time.Second {
 					t.Fatalf("told to wait %v", wait)
 				}
@@ -182,7 +182,7 @@
 					first[i] = true
 				}
 			case 1:
-				if c.Try(now, i) == 0 {
+				if c.TryConnect(now, i) == 0 {
 					t.Fatal("a second connection was tried at once")
 				}
 				if rapid.Bool().Draw(t, "connects") {
@@ -196,7 +196,7 @@
 				if rapid.Bool().Draw(t, "breaks") {
 					c.Failed(now, i)
 					open[i] = 0
-				} else if p := c.Phase(now, i); p < Trial {
+				} else if p := c.Phase(now, i); p < Probation {
 					t.Fatalf("connected, and in phase %d", p)
 				}
 			}
@@ -211,7 +211,7 @@
 	c := NewCircuits(1, 1)
 	last := Time(0)
 	for i, now := 0, Time(0); i < 12; i++ {
-		for wait := c.Try(now, 0); wait > 0; wait = c.Try(now, 0) {
+		for wait := c.TryConnect(now, 0); wait > 0; wait = c.TryConnect(now, 0) {
 			now += wait
 			last = wait
 		}
@@ -221,18 +221,18 @@
 		t.Errorf("after 12 failures it waits %v", last)
 	}
 	c = NewCircuits(1, 1)
-	_ = c.Try(0, 0)
+	_ = c.TryConnect(0, 0)
 	c.Connected(0, 0)
-	if c.Phase(0, 0) != Working || !c.Steady(0) {
+	if c.Phase(0, 0) != Working || !c.Stable(0) {
 		t.Error("the first connection is no trial")
 	}
 	c.Failed(time.Minute, 0)
-	_ = c.Try(2*time.Minute, 0)
+	_ = c.TryConnect(2*time.Minute, 0)
 	c.Connected(2*time.Minute, 0)
-	if c.Phase(2*time.Minute+trialTime/2, 0) != Trial || c.Steady(0) {
+	if c.Phase(2*time.Minute+trialTime/2, 0) != Probation || c.Stable(0) {
 		t.Error("after a failure it is on trial")
 	}
-	if c.Phase(2*time.Minute+steadyTime, 0) != Working || !c.Steady(0) {
+	if c.Phase(2*time.Minute+steadyTime, 0) != Working || !c.Stable(0) {
 		t.Error("after a while it is trusted again")
 	}
 }
--- a/internal/logroute/route.go
+++ b/internal/logroute/route.go
@@ -36,18 +36,18 @@
 // not look at: the zero Route selects everything. A record goes to the first
 // route that selects it and, where that has Continue, on to the next.
 type Route struct {
-	Name      string
-	Kinds     []record.Kind
-	Severity  record.Severity // the least severe it takes
-	Classes   []int
-	Customers []int // -1 = none
-	Outcomes  []record.Outcome
-	Members   []string
-	Rate      float64 // records a second; 0 = no limit. Up to a second's worth may come at once
-	Sample    float64 // part of the requests kept; 0 = all. Other kinds are never sampled
-	Mode      Mode
-	To        []int // places of collectors, in the order of preference
-	Continue  bool
+	Name     string
+	Kinds    []record.Kind
+	Severity record.Severity // the least severe it takes
+	Classes  []int
+	Tenants  []int // -1 = none
+	Outcomes []record.Outcome
+	Members  []string
+	Rate     float64 // records a second; 0 = no limit. Up to a second's worth may come at once
+	Sample   float64 // part of the requests kept; 0 = all. Other kinds are never sampled
+	Mode     Mode
+	To       []int // places of collectors, in the order of preference
+	Continue bool
 }
 
 // Validate reports the first fault of a route among so many collectors.
@@ -79,30 +79,30 @@
 	if len(r.Members) > 0 && !slices.Contains(r.Members, rec.Member) {
 		return false
 	}
-	if len(r.Classes)+len(r.Customers)+len(r.Outcomes) == 0 {
+	if len(r.Classes)+len(r.Tenants)+len(r.Outcomes) == 0 {
 		return true
 	}
 	return rec.Kind == record.Request && (len(r.Classes) == 0 || slices.Contains(r.Classes, rec.Class)) &&
-		(len(r.Customers) == 0 || slices.Contains(r.Customers, rec.Tenant)) &&
+		(len(r.Tenants) == 0 || slices.Contains(r.Tenants, rec.Tenant)) &&
 		(len(r.Outcomes) == 0 || slices.Contains(r.Outcomes, rec.Outcome))
 }
 
-// Worth orders records by what is dropped first.
-type Worth uint8
+// Priority orders records by what is dropped first.
+type Priority uint8
 
 // The worths. Log lines stand with the requests of like severity.
 const (
-	Sampled Worth = iota // a served request that stands for others too
+	Sampled Priority = iota // a served request that stands for others too
 	ServedRequest
 	RefusedRequest
 	FailedRequest
 	MemberChange
 	GapRecord // never dropped: there is one for each cause at a time
-	Worths
+	NumPriorities
 )
 
-// WorthOf is a record's worth where it stands for weight records.
-func WorthOf(r *record.Record, weight uint64) Worth {
+// PriorityOf is a record's worth where it stands for weight records.
+func PriorityOf(r *record.Record, weight uint64) Priority {
 	switch r.Kind {
 	case record.Member:
 		return MemberChange
@@ -130,24 +130,24 @@
 
 // admitted is how full a store of limited room may be for it still to take a record of each worth. Beyond, room
 // is kept for the worthier.
-var admitted = [Worths]float64{Sampled: 0.5, ServedRequest: 0.7, RefusedRequest: 0.85, FailedRequest: 0.95, MemberChange: 1, GapRecord: 1}
+var admitted = [NumPriorities]float64{Sampled: 0.5, ServedRequest: 0.7, RefusedRequest: 0.85, FailedRequest: 0.95, MemberChange: 1, GapRecord: 1}
 
 // Admit tells whether a store that can't drop what it holds should take a record, when it is full to that part.
-func Admit(w Worth, full float64) bool { return full < admitted[w] }
+func Admit(w Priority, full float64) bool { return full < admitted[w] }
 
 // Target is one collector that a record goes to.
 type Target struct {
 	Collector int
 	Route     int
 	Weight    uint64
-	Over      bool // beyond the route's rate: to be counted there as dropped
+	OverRate  bool // beyond the route's rate: to be counted there as dropped
 }
 
-// Upness tells which collectors can be given records now.
-type Upness interface {
+// Availability tells which collectors can be given records now.
+type Availability interface {
 	// Up tells whether a collector takes records, Steady whether it has for a while.
 	Up(collector int) bool
-	Steady(collector int) bool
+	Stable(collector int) bool
 }
 
 // Table is the routes of one configuration with their state.
@@ -196,7 +196,7 @@
 
 // Route appends where a record goes. The weights of what a route keeps add up to the requests that it
 // selected, but for those since the last that it kept.
-func (t *Table) Route(now Time, rec *record.Record, up Upness, out []Target) []Target {
+func (t *Table) Route(now Time, rec *record.Record, up Availability, out []Target) []Target {
 	t.now = max(now, t.now)
 	for i := range t.routes {
 		r := &t.routes[i]
@@ -211,7 +211,7 @@
 	return out
 }
 
-func (t *Table) take(i int, r *Route, rec *record.Record, up Upness, out []Target) []Target {
+func (t *Table) take(i int, r *Route, rec *record.Record, up Availability, out []Target) []Target {
 	s := &t.state[i]
 	target := Target{Route: i, Weight: 1}
 	if rec.Kind == record.Request && r.Sample > 0 && r.Sample < 1 {
@@ -221,7 +221,7 @@
 		}
 		target.Weight, s.skipped = s.skipped+1, 0
 	}
-	target.Over = !t.allow(s, r.Rate)
+	target.OverRate = !t.allow(s, r.Rate)
 	if r.Mode == All {
 		for _, c := range r.To {
 			target.Collector = c
@@ -262,7 +262,7 @@
 
 // pick chooses among a route's collectors, without the one to be left out. Where none is up it is the one that
 // would be chosen if all were.
-func (t *Table) pick(r *Route, key uint64, up Upness, without int) int {
+func (t *Table) pick(r *Route, key uint64, up Availability, without int) int {
 	best, bestRank := -1, 0
 	var bestScore uint64
 	for _, c := range r.To {
@@ -273,7 +273,7 @@
 		if up.Up(c) {
 			rank = 1
 		}
-		if r.Mode == Failover && up.Steady(c) { // one that has only just come back waits for its turn
+		if r.Mode == Failover && up.Stable(c) { // one that has only just come back waits for its turn
 			rank = 2
 		}
 		score := uint64(0)
@@ -295,9 +295,9 @@
 	return h ^ h>>31
 }
 
-// Move names the collector that takes over what a route gave to one that has gone down: one that is up, -1 if
+// Reassign names the collector that takes over what a route gave to one that has gone down: one that is up, -1 if
 // there is none or the route does not move records.
-func (t *Table) Move(route int, key uint64, from int, up Upness) int {
+func (t *Table) Reassign(route int, key uint64, from int, up Availability) int {
 	if route < 0 || route >= len(t.routes) || t.routes[route].Mode == All {
 		return -1
 	}
@@ -308,7 +308,7 @@
 	return to
 }
 
-// Named is the place of a route, -1 if there is none of that name.
-func (t *Table) Named(name string) int {
+// RouteIndex is the place of a route, -1 if there is none of that name.
+func (t *Table) RouteIndex(name string) int {
 	return slices.IndexFunc(t.routes, func(r Route) bool { return r.Name == name })
 }
--- a/internal/logship/collector.go
+++ b/internal/logship/collector.go
@@ -76,7 +76,7 @@
 		c.s.log.Error("certificates refused, the old ones hold", "collector", name, "err", err)
 	}
 	if changed {
-		c.s.log.Info("certificates changed", "collector", name, "until", keys.Now().Expiry)
+		c.s.log.Info("certificates changed", "collector", name, "until", keys.Current().Expiry)
 		c.warned = time.Time{}
 		c.signal()
 	}
@@ -91,7 +91,7 @@
 	if keys == nil || time.Since(c.warned) < 24*time.Hour {
 		return
 	}
-	if end := keys.Now().Expiry; !end.IsZero() && time.Until(end) < ahead {
+	if end := keys.Current().Expiry; !end.IsZero() && time.Until(end) < ahead {
 		c.warned = time.Now()
 		c.s.log.Warn("a certificate ends soon", "collector", c.name, "at", end)
 	}
@@ -171,7 +171,7 @@
 			s.mu.Unlock()
 			return nil, 0
 		}
-		wait := s.circuits.Try(s.now(), c.index)
+		wait := s.circuits.TryConnect(s.now(), c.index)
 		conf, keys, change := c.conf, c.keys, c.settingsVersion
 		s.mu.Unlock()
 		if wait > 0 {
@@ -246,7 +246,7 @@
 			leaveBy = time.Now().Add(removalGrace)
 		}
 		over := c.finished() || !leaveBy.IsZero() && time.Now().After(leaveBy)
-		if over || c.settingsVersion != change || c.keys != nil && c.keys.Now().Next != l.keys {
+		if over || c.settingsVersion != change || c.keys != nil && c.keys.Current().Generation != l.keys {
 			s.mu.Unlock()
 			return c.end(l) && !over
 		}
@@ -282,7 +282,7 @@
 		}
 		wait := c.stream.BacklogDelay(now)
 		switch {
-		case phase == logroute.Trial && wait >= 0:
+		case phase == logroute.Probation && wait >= 0:
 			wait = 100 * time.Millisecond
 		case wait == 0: // the window is full
 			wait = minPollInterval
--- a/internal/logship/disk.go
+++ b/internal/logship/disk.go
@@ -264,8 +264,8 @@
 	var entries []*logqueue.Entry
 	for i := range records {
 		r := &records[i]
-		entries = append(entries, &logqueue.Entry{Seq: r.Seq, Worth: logroute.Worth(min(r.Worth, uint8(logroute.MemberChange))), Moves: r.Moves,
-			Route: s.table.Named(r.Route), Key: r.Key, At: r.At, SeqAt: r.SeqAt, Msg: append([]byte(nil), r.Msg...)})
+		entries = append(entries, &logqueue.Entry{Seq: r.Seq, Worth: logroute.Priority(min(r.Worth, uint8(logroute.MemberChange))), Moves: r.Moves,
+			Route: s.table.RouteIndex(r.Route), Key: r.Key, At: r.At, SeqAt: r.SeqAt, Msg: append([]byte(nil), r.Msg...)})
 	}
 	q.Load(entries)
 	d.c.signal()
--- a/internal/logship/edge.go
+++ b/internal/logship/edge.go
@@ -28,7 +28,7 @@
 			Hostname:   b.String("hostname", ""),
 			AppName:    b.String("app_name", "reachwind"),
 			Enterprise: int(b.Int("enterprise", 32473, 1, math.MaxUint32)),
-			MaxBytes:   int(b.Int("max_bytes", syslog.UsualMax, syslog.LeastMax, 32<<10)),
+			MaxBytes:   int(b.Int("max_bytes", syslog.DefaultMaxBytes, syslog.MinMaxBytes, 32<<10)),
 			Facility:   16 + int(b.Int("facility_local", 0, 0, 7)),
 			Synced:     b.Bool("clock_synced", false),
 			Classes:    names.Classes,
@@ -89,7 +89,7 @@
 		}
 		route.Classes = r.EnumIndexes("class", names.Classes)
 		for _, i := range r.EnumIndexes("customer", tenants) {
-			route.Customers = append(route.Customers, i-1)
+			route.Tenants = append(route.Tenants, i-1)
 		}
 		for _, i := range r.EnumIndexes("outcome", record.Outcomes[:]) {
 			route.Outcomes = append(route.Outcomes, record.Outcome(i))
--- a/internal/logship/link.go
+++ b/internal/logship/link.go
@@ -60,7 +60,7 @@
 	}
 	l.conn = countingConn{nc, &l.sent}
 	if k.Transport == TLS {
-		l.keys = keys.Now().Next
+		l.keys = keys.Current().Generation
 		t := tls.Client(l.conn, keys.Client(k.ServerName, k.Fingerprints))
 		if err := t.HandshakeContext(ctx); err != nil {
 			_ = nc.Close()
--- a/internal/logship/ship.go
+++ b/internal/logship/ship.go
@@ -74,7 +74,7 @@
 	in := &s.inbox
 	in.Lock()
 	in.next++
-	if full := float64(len(in.records)) / maxInboxRecords; in.closed || !logroute.Admit(logroute.WorthOf(r, 1), full) {
+	if full := float64(len(in.records)) / maxInboxRecords; in.closed || !logroute.Admit(logroute.PriorityOf(r, 1), full) {
 		in.dropped++
 		in.Unlock()
 		return
@@ -149,7 +149,7 @@
 	s.targets = s.table.Route(now, &r.Record, s.circuits, s.targets[:0])
 	for _, t := range s.targets {
 		q := s.collectors[t.Collector].stream
-		if t.Over {
+		if t.OverRate {
 			q.Skip(logqueue.Rate)
 			continue
 		}
@@ -171,7 +171,7 @@
 		return nil, false
 	}
 	e := q.Get()
-	e.Worth, e.At, e.SeqAt, e.Msg = logroute.WorthOf(r, m.Weight), r.At, at, append(e.Msg, s.buf...)
+	e.Worth, e.At, e.SeqAt, e.Msg = logroute.PriorityOf(r, m.Weight), r.At, at, append(e.Msg, s.buf...)
 	return e, true
 }
 
@@ -202,7 +202,7 @@
 func (s *Shipper) moveToOthers(c *collector) {
 	moved := make([]bool, len(s.collectors))
 	c.stream.MoveTo(func(route int, key uint64) *logqueue.Stream {
-		to := s.table.Move(route, key, c.index, s.circuits)
+		to := s.table.Reassign(route, key, c.index, s.circuits)
 		if to < 0 || s.collectors[to] == c {
 			return nil
 		}
@@ -310,13 +310,13 @@
 	}
 	routes := make([]int, len(s.conf.Routes)) // the new index of each old route
 	for i := range s.conf.Routes {
-		routes[i] = table.Named(s.conf.Routes[i].Name)
+		routes[i] = table.RouteIndex(s.conf.Routes[i].Name)
 	}
 	if !first {
 		table.Inherit(s.table)
 	}
 	s.conf, s.enc, s.table = conf, enc, table
-	s.circuits.Arrange(from)
+	s.circuits.Reorder(from)
 	for i, c := range s.collectors {
 		if from[i] >= 0 {
 			c.stream.RemapRoutes(routes)
--- a/internal/logship/ship_test.go
+++ b/internal/logship/ship_test.go
@@ -33,11 +33,11 @@
 func request(r *rand.Rand, now time.Duration) *record.Record {
 	rec := &record.Record{Kind: record.Request, At: now, Class: r.IntN(2), Tenant: r.IntN(4) - 1, Front: "pg", Attempts: 1,
 		Outcome: record.Outcome(r.IntN(3)), Member: "db-1", Session: "s", Total: time.Millisecond, Group: 1}
-	rec.OfRequest()
+	rec.SetRequestSeverity()
 	switch r.IntN(8) {
 	case 0:
 		rec.Kind, rec.Change = record.Member, record.Suspect
-		rec.OfMember()
+		rec.SetMemberSeverity()
 	case 1:
 		rec.Kind, rec.Text = record.Program, fmt.Sprintf("a line of %q and more\n%s", "text", string(make([]byte, r.IntN(400))))
 	}
@@ -215,7 +215,7 @@
 func putRecords(s *Shipper, n int) {
 	for range n {
 		r := &record.Record{Kind: record.Request, At: s.now(), Class: 0, Tenant: 0, Front: "pg", Member: "db-1"}
-		r.OfRequest()
+		r.SetRequestSeverity()
 		s.Put(r)
 		if n > 500 {
 			time.Sleep(20 * time.Microsecond)
@@ -371,7 +371,7 @@
 	if err := b.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[1].Phase >= logroute.Trial })
+	waitFor(t, func() bool { counts, _ := s.Counts(); return counts[1].Phase >= logroute.Probation })
 	next := conf
 	next.Collectors = []Collector{conf.Collectors[1]}
 	next.Routes = []Route{{Route: logroute.Route{Name: "all"}, Collectors: []string{"b"}}}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -149,10 +149,10 @@
 	Front         string
 	Outcome       Outcome
 	Cause         Cause
-	After         time.Duration // Refused: when to come back, 0 = not told
+	RetryAfter    time.Duration // Refused: when to come back, 0 = not told
 	Attempts      int
-	Waiting       time.Duration // till the first send, or the end
-	Taken         time.Duration // of the last attempt, 0 = none was made
+	WaitTime      time.Duration // till the first send, or the end
+	AttemptTime   time.Duration // of the last attempt, 0 = none was made
 	Total         time.Duration
 	Session       string // never leaves the process but as a keyed hash
 
@@ -172,8 +172,8 @@
 // from any goroutine.
 type Sink interface{ Put(*Record) }
 
-// OfRequest sets the severity of a final answer.
-func (r *Record) OfRequest() {
+// SetRequestSeverity sets the severity of a final answer.
+func (r *Record) SetRequestSeverity() {
 	switch r.Outcome {
 	case Served:
 		r.Severity = Info
@@ -184,8 +184,8 @@
 	}
 }
 
-// OfMember sets the severity of a change.
-func (r *Record) OfMember() {
+// SetMemberSeverity sets the severity of a change.
+func (r *Record) SetMemberSeverity() {
 	switch r.Change {
 	case PrimaryLost:
 		r.Severity = Err
@@ -198,8 +198,8 @@
 	}
 }
 
-// OfLevel is the severity of a log level.
-func OfLevel(l slog.Level) Severity {
+// SeverityOfLevel is the severity of a log level.
+func SeverityOfLevel(l slog.Level) Severity {
 	switch {
 	case l >= slog.LevelError:
 		return Err
--- a/internal/record/roster.go
+++ b/internal/record/roster.go
@@ -9,25 +9,25 @@
 // rosterMost bounds the members that are followed, as many as the module keeps; changes of others are not told.
 const rosterMost = decide.MaxMembers
 
-// Roster follows what lists say of members and tells what changed: draining,
+// MemberTracker follows what lists say of members and tells what changed: draining,
 // gone, cold, ready. Its zero value is not ready; use NewRoster. It reads no
 // clock and is not safe for concurrent use.
-type Roster struct {
+type MemberTracker struct {
 	cold  time.Duration
 	known map[string]decide.Member
 }
 
-// NewRoster returns a roster for members that are warm so long after their start.
-func NewRoster(cold time.Duration) *Roster {
-	return &Roster{cold: cold, known: map[string]decide.Member{}}
+// NewMemberTracker returns a roster for members that are warm so long after their start.
+func NewMemberTracker(cold time.Duration) *MemberTracker {
+	return &MemberTracker{cold: cold, known: map[string]decide.Member{}}
 }
 
 // Len is how many members are followed.
-func (r *Roster) Len() int { return len(r.known) }
+func (r *MemberTracker) Len() int { return len(r.known) }
 
-// Take takes a list, whole or of changes only, and calls tell for each change in the list's order; members
+// Apply takes a list, whole or of changes only, and calls tell for each change in the list's order; members
 // that a whole list no longer names come last, in no order.
-func (r *Roster) Take(now time.Duration, whole bool, list []decide.Member, tell func(m decide.Member, c Change)) {
+func (r *MemberTracker) Apply(now time.Duration, whole bool, list []decide.Member, tell func(m decide.Member, c Change)) {
 	named := make(map[string]bool, len(list))
 	for _, m := range list {
 		named[m.ID] = true
--- a/internal/record/slog.go
+++ b/internal/record/slog.go
@@ -62,7 +62,7 @@
 	if len(text) > textMost {
 		text = text[:textMost] // the encoder ends it at a character
 	}
-	s.sink.Put(&Record{Kind: Program, Severity: OfLevel(line.Level), At: time.Duration(line.Time.UnixNano()),
+	s.sink.Put(&Record{Kind: Program, Severity: SeverityOfLevel(line.Level), At: time.Duration(line.Time.UnixNano()),
 		Tenant: -1, Class: -1, Text: string(text)})
 }
 
--- a/internal/syslog/encode.go
+++ b/internal/syslog/encode.go
@@ -30,16 +30,16 @@
 
 // What RFC 5424 says.
 const (
-	LeastMax    = 480 // a receiver must take messages of this length
-	UsualMax    = 2048
-	hostMost    = 255
-	appMost     = 48
-	procMost    = 128
-	exampleNo   = 32473
-	daemon      = 3
-	seqDigits   = 10 // room kept for any sequenceId, so that a message can be numbered anew
-	SeqMost     = 1<<31 - 1
-	upTimeRound = 1 << 32
+	MinMaxBytes     = 480 // a receiver must take messages of this length
+	DefaultMaxBytes = 2048
+	hostMost        = 255
+	appMost         = 48
+	procMost        = 128
+	exampleNo       = 32473
+	daemon          = 3
+	seqDigits       = 10 // room kept for any sequenceId, so that a message can be numbered anew
+	MaxSeq          = 1<<31 - 1
+	upTimeRound     = 1 << 32
 )
 
 // Gap tells of records that were dropped before they were handed to a collector.
@@ -78,10 +78,10 @@
 		c.Enterprise = exampleNo
 	}
 	if c.MaxBytes == 0 {
-		c.MaxBytes = UsualMax
+		c.MaxBytes = DefaultMaxBytes
 	}
-	if c.MaxBytes < LeastMax {
-		return nil, fmt.Errorf("max_bytes is %d, want at least %d, which RFC 5424 has every receiver take", c.MaxBytes, LeastMax)
+	if c.MaxBytes < MinMaxBytes {
+		return nil, fmt.Errorf("max_bytes is %d, want at least %d, which RFC 5424 has every receiver take", c.MaxBytes, MinMaxBytes)
 	}
 	if c.Facility < 0 || c.Facility > 23 {
 		return nil, fmt.Errorf("facility is %d, want 0 to 23", c.Facility)
@@ -120,11 +120,11 @@
 // least is the length of the longest message with all that may be dropped left out.
 func (e *Encoder) least() int {
 	r := record.Record{Kind: record.Request, Class: -1, Tenant: -1, At: 1 << 60, Severity: record.Info, Outcome: record.Refused}
-	m := Meta{Seq: SeqMost, Number: 1<<64 - 1, Weight: 1<<64 - 1}
+	m := Meta{Seq: MaxSeq, Number: 1<<64 - 1, Weight: 1<<64 - 1}
 	long := 0
 	for k := range record.Kinds {
 		r.Kind = record.Kind(k)
-		m.Gap = &Gap{Cause: "0123456789abcdef", Count: 1<<64 - 1, First: SeqMost, Last: SeqMost}
+		m.Gap = &Gap{Cause: "0123456789abcdef", Count: 1<<64 - 1, First: MaxSeq, Last: MaxSeq}
 		b, _ := e.write(nil, &r, m, ranks, cutAll)
 		long = max(long, len(b)+len(`-4294967295`))
 	}
@@ -275,8 +275,8 @@
 	if r.Cause != record.NoCause && drop < rankCause {
 		b = e.param(b, "cause", r.Cause.String())
 	}
-	if r.Outcome == record.Refused && r.After > 0 && drop < rankAfter {
-		b = span(b, "after_ms", r.After)
+	if r.Outcome == record.Refused && r.RetryAfter > 0 && drop < rankAfter {
+		b = span(b, "after_ms", r.RetryAfter)
 	}
 	if drop < rankAttempts {
 		b = number(b, "attempts", uint64(r.Attempts))
@@ -285,7 +285,7 @@
 		b = span(b, "total_ms", r.Total)
 	}
 	if drop < rankWait {
-		b = span(b, "wait_ms", r.Waiting)
+		b = span(b, "wait_ms", r.WaitTime)
 	}
 	if drop < rankCluster {
 		b = e.signed(b, "cluster", r.Group)
@@ -311,8 +311,8 @@
 	b = append(append(b, ']'), e.member...)
 	b = e.param(b, "id", r.Member)
 	b = e.of(b, r, drop)
-	if r.Taken > 0 && drop < rankTaken {
-		b = span(b, "took_ms", r.Taken)
+	if r.AttemptTime > 0 && drop < rankTaken {
+		b = span(b, "took_ms", r.AttemptTime)
 	}
 	if r.HasLag && drop < rankLag {
 		b = span(b, "lag_ms", r.Lag)
--- a/internal/syslog/syslog_test.go
+++ b/internal/syslog/syslog_test.go
@@ -28,10 +28,10 @@
 }
 
 func served() *record.Record {
-	r := &record.Record{Kind: record.Request, At: at, Front: "pg", Attempts: 1, Waiting: 250 * time.Microsecond, Taken: 9 * time.Millisecond,
+	r := &record.Record{Kind: record.Request, At: at, Front: "pg", Attempts: 1, WaitTime: 250 * time.Microsecond, AttemptTime: 9 * time.Millisecond,
 		Total: 9250 * time.Microsecond, Session: "skier-7", Group: 2, Member: "db-3", Role: decide.Replica, Position: at - 40*time.Millisecond,
 		Lag: 31 * time.Millisecond, HasLag: true}
-	r.OfRequest()
+	r.SetRequestSeverity()
 	return r
 }
 
@@ -50,7 +50,7 @@
 	if err != nil || mask(string(got)) != mask(want) {
 		t.Errorf("%v\n got %s\nwant %s", err, got, want)
 	}
-	if again := Renumber(nil, got, seqAt, SeqMost); !bytes.Contains(again, []byte(`sequenceId="2147483647" sys`)) || len(again) != len(got)+8 {
+	if again := Renumber(nil, got, seqAt, MaxSeq); !bytes.Contains(again, []byte(`sequenceId="2147483647" sys`)) || len(again) != len(got)+8 {
 		t.Errorf("renumbered %s", again)
 	}
 	if bytes.Contains(got, []byte("skier")) {
@@ -91,15 +91,15 @@
 		}
 		r := served()
 		r.Kind, r.Member, r.Text = record.Kind(rapid.IntRange(0, 3).Draw(t, "kind")), member, line
-		r.Outcome, r.Cause, r.After = record.Refused, record.Full, time.Second
-		m := Meta{Seq: rapid.Uint32Range(1, SeqMost).Draw(t, "seq"), Number: 7, Weight: 1, Gap: &Gap{Cause: "rate", Count: 3, First: 1, Last: 9}}
+		r.Outcome, r.Cause, r.RetryAfter = record.Refused, record.Full, time.Second
+		m := Meta{Seq: rapid.Uint32Range(1, MaxSeq).Draw(t, "seq"), Number: 7, Weight: 1, Gap: &Gap{Cause: "rate", Count: 3, First: 1, Last: 9}}
 		b, seqAt, err := e.Append([]byte("before"), r, m)
 		if err != nil || string(b[:6]) != "before" {
 			t.Fatalf("%v %q", err, b)
 		}
 		b, seqAt = b[6:], seqAt-6
 		g := checked(t, b, most)
-		checked(t, Renumber(nil, b, seqAt, SeqMost), most)
+		checked(t, Renumber(nil, b, seqAt, MaxSeq), most)
 		cut := g.Find(record.Kinds[r.Kind], "cut")
 		full := encoderFor(t, class, customer)
 		long, _, _ := full.Append(nil, r, m)
@@ -143,7 +143,7 @@
 // leave no room are refused when the encoder is made.
 func TestLimits(t *testing.T) {
 	r := &record.Record{Kind: record.Program, Severity: record.Info, At: at, Class: -1, Tenant: -1}
-	m := Meta{Seq: SeqMost, Number: 1, Weight: 1}
+	m := Meta{Seq: MaxSeq, Number: 1, Weight: 1}
 	for _, most := range []int{480, 2048, 8192} {
 		e := encoder(t, most)
 		empty, _, _ := e.Append(nil, r, m)
@@ -218,7 +218,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			log.Info("served", "n", 1, "outcome", r.Outcome.String(), "class", "map-tiles", "customer", "kea-basin", "attempts", r.Attempts, "total", r.Total,
-				"wait", r.Waiting, "cluster", r.Group, "front", r.Front, "session", r.Session, "member", r.Member, "role", "replica", "position", r.Position, "took", r.Taken, "lag", r.Lag)
+				"wait", r.WaitTime, "cluster", r.Group, "front", r.Front, "session", r.Session, "member", r.Member, "role", "replica", "position", r.Position, "took", r.AttemptTime, "lag", r.Lag)
 		}
 	})
 	b.Run("parse", func(b *testing.B) {
--- a/internal/tlskeys/keys.go
+++ b/internal/tlskeys/keys.go
@@ -22,11 +22,11 @@
 
 // Material is what was read at one time.
 type Material struct {
-	Pair   *tls.Certificate // nil: none
-	Roots  *x509.CertPool   // nil: the system's
-	Expiry time.Time        // the first end of a certificate of the pair or the bundle; zero without any
-	Next   uint64           // counts the times that something new was taken
-	sum    [sha256.Size]byte
+	Pair       *tls.Certificate // nil: none
+	Roots      *x509.CertPool   // nil: the system's
+	Expiry     time.Time        // the first end of a certificate of the pair or the bundle; zero without any
+	Generation uint64           // counts the times that something new was taken
+	sum        [sha256.Size]byte
 }
 
 // Store keeps the newest material that is whole.
@@ -52,8 +52,8 @@
 // Files tells which files a store reads.
 func (s *Store) Files() Files { return s.files }
 
-// Now is the newest material.
-func (s *Store) Now() *Material {
+// Current is the newest material.
+func (s *Store) Current() *Material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cur
@@ -74,7 +74,7 @@
 	case m.sum == s.cur.sum:
 		return false, nil
 	}
-	m.Next = s.cur.Next + 1
+	m.Generation = s.cur.Generation + 1
 	s.cur, s.bad = m, [sha256.Size]byte{}
 	return true, nil
 }
@@ -151,7 +151,7 @@
 // Client is the configuration for one connection to a server: its certificate must be for name by the roots
 // and, where fingerprints are given, have one of them. With fingerprints and no CA file they alone decide.
 func (s *Store) Client(name string, fingerprints []string) *tls.Config {
-	m := s.Now()
+	m := s.Current()
 	c := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: m.Roots, ServerName: name}
 	if m.Pair != nil {
 		c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return m.Pair, nil }
@@ -178,7 +178,7 @@
 // certificates by the roots.
 func (s *Store) Server(clients bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		m := s.Now()
+		m := s.Current()
 		if m.Pair == nil {
 			return nil, errors.New("no certificate")
 		}
