--- a/internal/logship/ship.go
+++ b/internal/logship/ship.go
@@ -14,10 +14,10 @@
 	"reachwind/internal/tlskeys"
 )
 
-// Shipper carries records to collectors. See the package's comment.
+// Shipper sends records to collectors. The package comment states its guarantees.
 type Shipper struct {
 	now func() time.Duration
-	log *slog.Logger // must not lead back to Put
+	log *slog.Logger // must not pass its records to Put
 
 	inbox struct {
 		sync.Mutex
@@ -27,34 +27,34 @@
 		dropped uint64
 		closed  bool
 	}
-	wake chan struct{}
-	look chan struct{} // certificates are to be looked at
+	wake       chan struct{}
+	refreshNow chan struct{} // requests a check of the certificate files
 
-	mu       sync.Mutex // all below, and all streams
-	conf     Config
-	enc      *syslog.Encoder
-	table    *logroute.Table
-	circuits *logroute.Circuits
-	all      []*collector
-	targets  []logroute.Target
-	buf      []byte
-	lost     uint64 // dropped from the inbox, ever
+	mu           sync.Mutex // guards all fields below, and all streams
+	conf         Config
+	enc          *syslog.Encoder
+	table        *logroute.Table
+	circuits     *logroute.Circuits
+	collectors   []*collector
+	targets      []logroute.Target
+	buf          []byte
+	inboxDropped uint64 // records dropped at the inbox since the start
 
 	stop   context.CancelFunc // ends the collectors' goroutines
 	ctx    context.Context
 	done   sync.WaitGroup
-	routed chan struct{} // closed when all that was put is routed, after Close
-	ending chan struct{} // closed by Close: what is left is sent, then collectors end
+	routed chan struct{} // closed when, after Close, all records in the inbox are routed
+	ending chan struct{} // closed by Close: remaining records are sent, then the collectors end
 }
 
 type numbered struct {
 	record.Record
-	n uint64
+	number uint64
 }
 
-// New returns a shipper for conf, whose defaults were filled in. now is the gateway's clock.
+// New starts a shipper for conf. now is the gateway's clock. log must not pass its records to Put.
 func New(conf Config, now func() time.Duration, log *slog.Logger) (*Shipper, error) {
-	s := &Shipper{now: now, log: log, wake: make(chan struct{}, 1), look: make(chan struct{}, 1), routed: make(chan struct{}), ending: make(chan struct{})}
+	s := &Shipper{now: now, log: log, wake: make(chan struct{}, 1), refreshNow: make(chan struct{}, 1), routed: make(chan struct{}), ending: make(chan struct{})}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.circuits = logroute.NewCircuits(0, conf.Seed)
 	apply, err := s.Prepare(conf)
@@ -68,13 +68,13 @@
 	return s, nil
 }
 
-// Put takes a record. It never blocks; when records come faster than they can be routed, the least worthy are
-// dropped and counted.
+// Put queues a copy of a record for routing. It never blocks; when records come faster than they can be routed, those
+// of the lowest priority are dropped and counted.
 func (s *Shipper) Put(r *record.Record) {
 	in := &s.inbox
 	in.Lock()
 	in.next++
-	if full := float64(len(in.records)) / inboxMost; in.closed || !logroute.Admit(logroute.PriorityOf(r, 1), full) {
+	if full := float64(len(in.records)) / maxInboxRecords; in.closed || !logroute.Admit(logroute.PriorityOf(r, 1), full) {
 		in.dropped++
 		in.Unlock()
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// route takes what was put, again and again, until Close.
+// route routes the records in the inbox in batches, until Close.
 func (s *Shipper) route() {
 	defer close(s.routed)
 	for closed := false; !closed; {
@@ -99,7 +99,7 @@
 			s.mu.Lock()
 			linger := s.conf.Linger
 			s.mu.Unlock()
-			t := time.NewTimer(linger) // so that one write carries many
+			t := time.NewTimer(linger) // so that one write carries many records
 			select {
 			case <-t.C:
 			case <-s.ending:
@@ -113,7 +113,7 @@
 		in.records, in.dropped = in.spare[:0], 0
 		closed = in.closed
 		in.Unlock()
-		s.take(batch, dropped)
+		s.routeBatch(batch, dropped)
 		clear(batch)
 		in.Lock()
 		in.spare = batch
@@ -121,21 +121,21 @@
 	}
 }
 
-const lockedMost = 64 // records routed without letting others have the lock
+const maxRecordsPerLock = 64 // records routed before the lock is released for others
 
-func (s *Shipper) take(batch []numbered, dropped uint64) {
+func (s *Shipper) routeBatch(batch []numbered, dropped uint64) {
 	for len(batch) > 0 || dropped > 0 {
-		n := min(len(batch), lockedMost)
+		n := min(len(batch), maxRecordsPerLock)
 		s.mu.Lock()
 		if dropped > 0 {
-			s.lost += dropped
-			s.all[0].stream.Uncounted(logqueue.Inbox, dropped)
+			s.inboxDropped += dropped
+			s.collectors[0].stream.DropUnnumbered(logqueue.Inbox, dropped)
 			dropped = 0
 		}
 		for i := range batch[:n] {
-			s.place(&batch[i])
+			s.routeRecord(&batch[i])
 		}
-		for _, c := range s.all {
+		for _, c := range s.collectors {
 			c.signal()
 		}
 		s.mu.Unlock()
@@ -143,17 +143,17 @@
 	}
 }
 
-// place routes one record and queues it. The caller holds the lock.
-func (s *Shipper) place(r *numbered) {
+// routeRecord routes one record and queues it for its collectors. The caller holds the lock.
+func (s *Shipper) routeRecord(r *numbered) {
 	now := s.now()
 	s.targets = s.table.Route(now, &r.Record, s.circuits, s.targets[:0])
 	for _, t := range s.targets {
-		q := s.all[t.Collector].stream
+		q := s.collectors[t.Collector].stream
 		if t.OverRate {
 			q.Skip(logqueue.Rate)
 			continue
 		}
-		e, ok := s.entry(q, &r.Record, syslog.Meta{Seq: logqueue.Wire(q.Next()), Number: r.n, Weight: t.Weight})
+		e, ok := s.entry(q, &r.Record, syslog.Meta{Seq: logqueue.SequenceID(q.Next()), Number: r.number, Weight: t.Weight})
 		if !ok {
 			q.Skip(logqueue.Size)
 			continue
@@ -163,7 +163,7 @@
 	}
 }
 
-// entry encodes a record for a stream.
+// entry encodes a record for a stream. It returns false if the record does not fit a message.
 func (s *Shipper) entry(q *logqueue.Stream, r *record.Record, m syslog.Meta) (*logqueue.Entry, bool) {
 	var at int
 	var err error
@@ -175,8 +175,8 @@
 	return e, true
 }
 
-// gaps queues gap records for what was dropped. The caller holds the lock.
-func (s *Shipper) gaps(c *collector, all bool) {
+// pushGaps queues gap records for a collector's drops that are due, or with all every one. The caller holds the lock.
+func (s *Shipper) pushGaps(c *collector, all bool) {
 	now := s.now()
 	for _, g := range c.stream.Gaps(now, all) {
 		r := record.Record{Kind: record.Gap, Severity: record.Warning, At: now, Class: -1, Tenant: -1}
@@ -184,39 +184,40 @@
 		s.inbox.next++
 		n := s.inbox.next
 		s.inbox.Unlock()
-		if e, ok := s.entry(c.stream, &r, syslog.Meta{Seq: logqueue.Wire(c.stream.Next()), Number: n, Weight: 1, Gap: &g}); ok {
+		if e, ok := s.entry(c.stream, &r, syslog.Meta{Seq: logqueue.SequenceID(c.stream.Next()), Number: n, Weight: 1, Gap: &g}); ok {
 			e.Route = -1
 			c.stream.Push(e)
 		}
 	}
 }
 
-// renumber makes an entry anew for another stream.
+// renumber returns a copy of an entry with a number of another stream.
 func renumber(e *logqueue.Entry, seq uint64) *logqueue.Entry {
 	return &logqueue.Entry{Worth: e.Worth, Route: e.Route, Key: e.Key, At: e.At, SeqAt: e.SeqAt,
-		Msg: syslog.Renumber(nil, e.Msg, e.SeqAt, logqueue.Wire(seq))}
+		Msg: syslog.Renumber(nil, e.Msg, e.SeqAt, logqueue.SequenceID(seq))}
 }
 
-// down moves what waits for a collector that is down to others that are up, where its routes say so. The caller
-// holds the lock.
-func (s *Shipper) down(c *collector) {
-	moved := make([]bool, len(s.all))
+// moveToOthers moves what waits for a collector that is down to others that are up, where its routes allow it. The
+// caller holds the lock.
+func (s *Shipper) moveToOthers(c *collector) {
+	moved := make([]bool, len(s.collectors))
 	c.stream.MoveTo(func(route int, key uint64) *logqueue.Stream {
-		to := s.table.Reassign(route, key, c.at, s.circuits)
-		if to < 0 || s.all[to] == c {
+		to := s.table.Reassign(route, key, c.index, s.circuits)
+		if to < 0 || s.collectors[to] == c {
 			return nil
 		}
 		moved[to] = true
-		return s.all[to].stream
-	}, renumber, movesMost)
+		return s.collectors[to].stream
+	}, renumber, maxMoves)
 	for i, m := range moved {
 		if m {
-			s.all[i].signal()
+			s.collectors[i].signal()
 		}
 	}
 }
 
-// Prepare checks a new configuration against what runs. apply takes it over; until then nothing changes.
+// Prepare checks a new configuration against the running one. apply puts it in force; until then nothing changes. The
+// error is a *CollectorError, a *FixedError or a fault of the configuration.
 func (s *Shipper) Prepare(conf Config) (apply func(), err error) {
 	if err := conf.Defaults(); err != nil {
 		return nil, err
@@ -247,7 +248,7 @@
 	return func() { s.apply(conf, enc, table, keys) }, nil
 }
 
-// CollectorError is a fault of one collector's settings.
+// CollectorError is an error in one collector's settings.
 type CollectorError struct {
 	Name string
 	Err  error
@@ -267,13 +268,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.table == nil
-	old := s.all
-	for _, o := range old { // what the routes of before give to others goes while they hold
+	old := s.collectors
+	for _, o := range old { // records move to other collectors by the old routes, before these are replaced
 		if !slices.ContainsFunc(conf.Collectors, func(k Collector) bool { return k.Name == o.name }) {
-			s.down(o)
+			s.moveToOthers(o)
 		}
 	}
-	s.all = nil
+	s.collectors = nil
 	var from []int
 	for i := range conf.Collectors {
 		k := &conf.Collectors[i]
@@ -286,28 +287,28 @@
 		from = append(from, place)
 		if place < 0 {
 			c := s.newCollector(k, keys[i], &conf)
-			c.at = i
-			s.all = append(s.all, c)
+			c.index = i
+			s.collectors = append(s.collectors, c)
 			continue
 		}
 		c := old[place]
 		old[place] = nil
-		c.at = i
+		c.index = i
 		c.stream.SetConfig(conf.stream(k))
-		if same(&c.conf, k) {
-			select { // its files are looked at now
-			case s.look <- struct{}{}:
+		if sameSettings(&c.conf, k) {
+			select { // its certificate files are checked now
+			case s.refreshNow <- struct{}{}:
 			default:
 			}
 		} else {
 			c.conf, c.keys = *k, keys[i]
-			c.change++
+			c.settingsVersion++
 			s.circuits.Reset(place)
 		}
 		c.signal()
-		s.all = append(s.all, c)
+		s.collectors = append(s.collectors, c)
 	}
-	routes := make([]int, len(s.conf.Routes)) // where each route of before is now
+	routes := make([]int, len(s.conf.Routes)) // the new index of each old route
 	for i := range s.conf.Routes {
 		routes[i] = table.RouteIndex(s.conf.Routes[i].Name)
 	}
@@ -316,9 +317,9 @@
 	}
 	s.conf, s.enc, s.table = conf, enc, table
 	s.circuits.Reorder(from)
-	for i, c := range s.all {
+	for i, c := range s.collectors {
 		if from[i] >= 0 {
-			c.stream.Reroute(routes)
+			c.stream.RemapRoutes(routes)
 			continue
 		}
 		s.done.Add(1)
@@ -328,12 +329,12 @@
 		if o == nil {
 			continue
 		}
-		o.stream.Reroute(routes)
-		o.leave(s)
+		o.stream.RemapRoutes(routes)
+		o.remove(s)
 	}
 }
 
-func same(a, b *Collector) bool {
+func sameSettings(a, b *Collector) bool {
 	if a.Address != b.Address || a.Transport != b.Transport || a.Framing != b.Framing || a.Files != b.Files ||
 		a.ServerName != b.ServerName || a.Connect != b.Connect || a.Write != b.Write || len(a.Fingerprints) != len(b.Fingerprints) {
 		return false
@@ -346,13 +347,13 @@
 	return true
 }
 
-// refresh looks at certificates again and again: files that change are taken without a signal.
+// refresh checks the certificate files periodically, so that changed files are used without a reload signal.
 func (s *Shipper) refresh() {
-	t := time.NewTicker(refreshTime)
+	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
 	for ; s.ctx.Err() == nil; s.wait(t) {
 		s.mu.Lock()
-		all := append([]*collector(nil), s.all...)
+		all := append([]*collector(nil), s.collectors...)
 		s.mu.Unlock()
 		for _, c := range all {
 			c.refresh()
@@ -363,13 +364,13 @@
 func (s *Shipper) wait(t *time.Ticker) {
 	select {
 	case <-s.ctx.Done():
-	case <-s.look:
+	case <-s.refreshNow:
 	case <-t.C:
 	}
 }
 
-// Close sends what is left for as long as ctx lasts, puts the rest in the spool and ends. Nothing may be put
-// afterwards. It returns how many records were neither handed over nor kept on disk.
+// Close sends the remaining records until ctx ends, writes the rest to the spool and stops the shipper. Put must not
+// be called afterwards. It returns how many records were neither handed over nor kept on disk.
 func (s *Shipper) Close(ctx context.Context) (dropped int) {
 	s.inbox.Lock()
 	s.inbox.closed = true
@@ -377,7 +378,7 @@
 	close(s.ending)
 	<-s.routed
 	s.mu.Lock()
-	for _, c := range s.all {
+	for _, c := range s.collectors {
 		c.signal()
 	}
 	s.mu.Unlock()
@@ -393,35 +394,35 @@
 	s.stop()
 	select {
 	case <-ended:
-	case <-time.After(closeTime): // a disk or a peer that does not answer must not keep the process
+	case <-time.After(closeTimeout): // a disk or a peer that does not answer must not keep the process from ending
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.all {
+	for _, c := range s.collectors {
 		memory, _ := c.stream.Waiting()
 		dropped += memory
 	}
 	return dropped
 }
 
-// Count is what became of the records of one collector.
+// Count holds the record counts of one collector: Made = Handed + Dropped + Memory + Disk. Bytes is its memory use.
 type Count struct {
 	Name                   string
 	Made, Handed, Repeated uint64
-	Dropped                [logqueue.Causes]uint64
+	Dropped                [logqueue.NumCauses]uint64
 	Memory, Disk, Bytes    int
 	Phase                  logroute.Phase
 }
 
-// Counts tells what became of all records, and how many were lost before they were routed.
+// Counts returns the record counts of each collector, and how many records were dropped before they were routed.
 func (s *Shipper) Counts() (counts []Count, lost uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range s.all {
+	for i, c := range s.collectors {
 		q := c.stream
 		memory, disk := q.Waiting()
-		counts = append(counts, Count{c.conf.Name, q.Made, q.Handed, q.Repeated, q.Dropped, memory, disk, q.Bytes(),
+		counts = append(counts, Count{c.conf.Name, q.Made, q.HandedOver, q.Resent, q.Dropped, memory, disk, q.Bytes(),
 			s.circuits.Phase(s.now(), i)})
 	}
-	return counts, s.lost
+	return counts, s.inboxDropped
 }
