--- a/internal/branch/causes/causes.go
+++ b/internal/branch/causes/causes.go
@@ -45,10 +45,10 @@
 
 // Config bounds a tracker. Zero values stand for the defaults.
 type Config struct {
-	Queue    Queue // this gateway's own, in its present life
-	Dots     int   // exact dots in one context (16)
-	Queues   int   // queues that contexts may name (64)
-	Sessions int   // sessions held (4096)
+	Queue       Queue // this gateway's own, in its present life
+	MaxDots     int   // exact dots in one context (16)
+	MaxQueues   int   // queues that contexts may name (64)
+	MaxSessions int   // sessions held (4096)
 }
 
 // TooManyQueuesError says that a context names more queues than the bound: gateways that start anew all the time.
@@ -117,9 +117,9 @@
 
 // New returns the tracker of a queue that is empty. Guards are switched off for checks only.
 func New(cfg Config, off Guard) *Tracker {
-	cfg.Dots = cmp.Or(cfg.Dots, 16)
-	cfg.Queues = cmp.Or(cfg.Queues, 64)
-	cfg.Sessions = cmp.Or(cfg.Sessions, 4096)
+	cfg.MaxDots = cmp.Or(cfg.MaxDots, 16)
+	cfg.MaxQueues = cmp.Or(cfg.MaxQueues, 64)
+	cfg.MaxSessions = cmp.Or(cfg.MaxSessions, 4096)
 	return &Tracker{cfg: cfg, off: off, next: 1, sessions: map[string]*session{},
 		ground: map[Queue]uint64{}, queues: map[Queue]bool{cfg.Queue: true}}
 }
@@ -154,8 +154,8 @@
 
 // admit takes a queue among those that may be named.
 func (t *Tracker) admit(q Queue) error {
-	if !t.queues[q] && len(t.queues) >= t.cfg.Queues {
-		return &TooManyQueuesError{q, t.cfg.Queues}
+	if !t.queues[q] && len(t.queues) >= t.cfg.MaxQueues {
+		return &TooManyQueuesError{q, t.cfg.MaxQueues}
 	}
 	t.queues[q] = true
 	return nil
@@ -175,7 +175,7 @@
 	t.turn++
 	s := t.sessions[name]
 	if s == nil {
-		if len(t.sessions) >= t.cfg.Sessions {
+		if len(t.sessions) >= t.cfg.MaxSessions {
 			t.evict()
 		}
 		s = &session{}
@@ -218,7 +218,7 @@
 	} else {
 		t.prefix(c, d)
 	}
-	if len(c.Dots) <= t.cfg.Dots {
+	if len(c.Dots) <= t.cfg.MaxDots {
 		return
 	}
 	if !t.on(GuardFold) {
@@ -252,8 +252,8 @@
 	slices.SortFunc(c.Upto, Dot.Compare)
 }
 
-// Bring takes what a session knows from elsewhere: receipts that its client brought, or what another gateway told.
-func (t *Tracker) Bring(name string, c Context) error {
+// MergeContext takes what a session knows from elsewhere: receipts that its client brought, or what another gateway told.
+func (t *Tracker) MergeContext(name string, c Context) error {
 	for _, d := range slices.Concat(c.Dots, c.Upto) {
 		if err := t.admit(d.Queue); err != nil {
 			return err
@@ -272,8 +272,8 @@
 	return nil
 }
 
-// Saw notes that a session was told of a queued write at this office.
-func (t *Tracker) Saw(name string, r Dot) error {
+// RecordSeen notes that a session was told of a queued write at this office.
+func (t *Tracker) RecordSeen(name string, r Dot) error {
 	if err := t.admit(r.Queue); err != nil {
 		return err
 	}
--- a/internal/branch/causes/causes_test.go
+++ b/internal/branch/causes/causes_test.go
@@ -10,7 +10,7 @@
 // It keeps the exact past of each write, by its own reckoning, and wants each write's causes to reach it.
 func play(seed uint64, off Guard) error {
 	rng := rand.New(rand.NewPCG(seed, 0xca05e5))
-	cfg := Config{Dots: 2 + rng.IntN(6), Sessions: 2 + rng.IntN(8)}
+	cfg := Config{MaxDots: 2 + rng.IntN(6), MaxSessions: 2 + rng.IntN(8)}
 	roomy := rng.IntN(3) == 0
 	if roomy {
 		cfg = Config{}
@@ -52,12 +52,12 @@
 			writes[r.Dot], all, logs[at[s]] = w, append(all, r.Dot), append(logs[at[s]], r)
 			past[s] = map[Dot]bool{}
 			see(s, r.Dot)
-			if len(r.Causes.Dots) > g.cfg.Dots || len(r.Causes.Upto) > n {
+			if len(r.Causes.Dots) > g.cfg.MaxDots || len(r.Causes.Upto) > n {
 				return fmt.Errorf("%v: causes over their bound: %v", r.Dot, r.Causes)
 			}
 		case k < 14 && len(all) > 0: // is told of a write at this gateway, which has it or a copy of it
 			d := all[rng.IntN(len(all))]
-			if err := g.Saw(s, d); err != nil {
+			if err := g.RecordSeen(s, d); err != nil {
 				return err
 			}
 			logs[at[s]] = append(logs[at[s]], writes[d].Record)
@@ -65,7 +65,7 @@
 		case k < 18: // moves, with its context
 			c := g.Context(s)
 			at[s] = rng.IntN(n)
-			if err := gates[at[s]].Bring(s, c); err != nil {
+			if err := gates[at[s]].MergeContext(s, c); err != nil {
 				return err
 			}
 			for _, d := range c.Dots { // what a gateway names, it has kept the name of
@@ -143,15 +143,15 @@
 
 // TestBounds: more queues than may be named are refused, settled ones make room; kept records with a hole are no life.
 func TestBounds(t *testing.T) {
-	tr := New(Config{Queue: "a", Queues: 2}, 0)
-	if err := tr.Saw("s", Dot{"b", 1}); err != nil {
+	tr := New(Config{Queue: "a", MaxQueues: 2}, 0)
+	if err := tr.RecordSeen("s", Dot{"b", 1}); err != nil {
 		t.Fatal(err)
 	}
-	if err := tr.Saw("s", Dot{"c", 1}); err == nil {
+	if err := tr.RecordSeen("s", Dot{"c", 1}); err == nil {
 		t.Fatal("a third queue was named")
 	}
 	tr.Settled("b", 1)
-	if err := tr.Saw("s", Dot{"c", 1}); err != nil {
+	if err := tr.RecordSeen("s", Dot{"c", 1}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Restore(Config{Queue: "a"}, []Record{{Dot: Dot{"a", 2}}}, 0); err == nil {
--- a/internal/branch/replay/replay.go
+++ b/internal/branch/replay/replay.go
@@ -34,11 +34,11 @@
 	held, released bool
 
 	phase   phase
-	pend    Kept // while keeping
-	again   Time // when to try to keep it again, 0 while it is out
-	doubted bool // it was in doubt when pend was made
-	start   Time // the window counts from here
-	over    Time // no attempt made so far runs after this
+	pend    LogRecord // while keeping
+	again   Time      // when to try to keep it again, 0 while it is out
+	doubted bool      // it was in doubt when pend was made
+	start   Time      // the window counts from here
+	over    Time      // no attempt made so far runs after this
 	attempt int
 	maybe   bool // an attempt of this round may have run
 	next    Time
@@ -84,10 +84,10 @@
 	clear   map[causes.Queue]uint64 // all up to here is applied
 	flight  int
 	nextOut Time
-	retired Accounts
+	retired Counts
 	acts    []Action
-	base    Kept
-	adopted []Kept
+	base    LogRecord
+	adopted []LogRecord
 	based   bool // the base is kept
 	rebase  Time // when to try to keep it again
 }
@@ -95,14 +95,14 @@
 // New returns the replayer of a holder that has the office's permit under fence until a time on its clock, with all
 // writes that are known, what was kept by those before it (whole: see docs/design/branch.md), and where each queue was
 // forgotten up to. The permit's holder before it has no attempt that can run after now.
-func New(cfg Config, now Time, fence uint64, until Time, floor map[causes.Queue]uint64, writes []Write, kept []Heard, off Guard) (*Replayer, error) {
-	cfg.Window = cmp.Or(cfg.Window, 2*time.Second)
-	cfg.Margin = cmp.Or(cfg.Margin, 100*time.Millisecond)
-	cfg.Runs = cmp.Or(cfg.Runs, 600*time.Millisecond)
-	cfg.Rate = cmp.Or(cfg.Rate, 20)
-	cfg.Out = cmp.Or(cfg.Out, 8)
-	cfg.Pause = cmp.Or(cfg.Pause, 200*time.Millisecond)
-	cfg.PauseMax = cmp.Or(cfg.PauseMax, 10*time.Second)
+func New(cfg Config, now Time, fence uint64, until Time, floor map[causes.Queue]uint64, writes []Write, kept []RecoveredRecord, off Guard) (*Replayer, error) {
+	cfg.DedupWindow = cmp.Or(cfg.DedupWindow, 2*time.Second)
+	cfg.ClockMargin = cmp.Or(cfg.ClockMargin, 100*time.Millisecond)
+	cfg.AttemptTimeout = cmp.Or(cfg.AttemptTimeout, 600*time.Millisecond)
+	cfg.SendsPerSecond = cmp.Or(cfg.SendsPerSecond, 20)
+	cfg.MaxInFlight = cmp.Or(cfg.MaxInFlight, 8)
+	cfg.RetryPause = cmp.Or(cfg.RetryPause, 200*time.Millisecond)
+	cfg.MaxRetryPause = cmp.Or(cfg.MaxRetryPause, 10*time.Second)
 	r := &Replayer{cfg: cfg, off: off, fence: fence, until: until, all: map[Dot]*entry{}, missing: map[Dot][]*entry{}, claims: map[string]*entry{},
 		floor: map[causes.Queue]uint64{}, clear: map[causes.Queue]uint64{}, nextOut: now}
 	for q, n := range floor {
@@ -116,10 +116,10 @@
 	kept = slices.Clone(kept)
 	for i := range kept {
 		if !kept[i].Known {
-			kept[i].At = now - cfg.Window
+			kept[i].At = now - cfg.DedupWindow
 		}
 	}
-	slices.SortFunc(kept, func(a, b Heard) int {
+	slices.SortFunc(kept, func(a, b RecoveredRecord) int {
 		return cmp.Or(cmp.Compare(a.Fence, b.Fence), cmp.Compare(a.N, b.N), cmp.Compare(a.At, b.At))
 	})
 	kept = r.adopt(kept)
@@ -134,7 +134,7 @@
 			}
 			return nil, &UnknownReceiptError{k.Dot} // records of a write that was lost: the copies are not whole
 		}
-		r.apply(e, k.Kept)
+		r.apply(e, k.LogRecord)
 		if k.Kind == KindIntent {
 			e.start = k.At
 		}
@@ -154,20 +154,20 @@
 
 // adopt leaves what counts of the records that were read, each once: what stands on the newest base. A copy that missed
 // that base may have what no later holder found, and what was not found then is void.
-func (r *Replayer) adopt(kept []Heard) []Heard {
+func (r *Replayer) adopt(kept []RecoveredRecord) []RecoveredRecord {
 	newest := uint64(0)
 	for _, k := range kept {
 		newest = max(newest, k.Base)
 	}
-	kept = slices.DeleteFunc(kept, func(k Heard) bool { return k.Base < newest && r.on(GuardBase) })
-	kept = slices.CompactFunc(kept, func(a, b Heard) bool { // sorted, the earliest first
+	kept = slices.DeleteFunc(kept, func(k RecoveredRecord) bool { return k.Base < newest && r.on(GuardBase) })
+	kept = slices.CompactFunc(kept, func(a, b RecoveredRecord) bool { // sorted, the earliest first
 		return a.Fence == b.Fence && a.N == b.N
 	})
 	r.n++
-	r.base, r.based = Kept{Fence: r.fence, N: r.n, Kind: KindBase}, !r.on(GuardBase)
+	r.base, r.based = LogRecord{Fence: r.fence, N: r.n, Kind: KindBase}, !r.on(GuardBase)
 	for _, k := range kept {
 		if k.Kind != KindBase {
-			r.adopted = append(r.adopted, k.Kept)
+			r.adopted = append(r.adopted, k.LogRecord)
 		}
 	}
 	return kept
@@ -175,10 +175,10 @@
 
 // Adopted is what a base puts in the place of all that a copy has: with the base itself, and before any record that
 // stands on it. A copy that has the base already is left as it is. The records are not to be changed.
-func (r *Replayer) Adopted() []Kept { return r.adopted }
+func (r *Replayer) Adopted() []LogRecord { return r.adopted }
 
-// Begun reports whether this holder's base is kept: before that it does nothing.
-func (r *Replayer) Begun() bool { return r.based }
+// BaseStored reports whether this holder's base is kept: before that it does nothing.
+func (r *Replayer) BaseStored() bool { return r.based }
 
 func (r *Replayer) on(g Guard) bool { return r.off&g == 0 }
 
@@ -217,33 +217,33 @@
 	}
 }
 
-// Permit notes that the permit was renewed, until a time on this clock.
-func (r *Replayer) Permit(until Time) { r.until = until }
+// RenewPermit notes that the permit was renewed, until a time on this clock.
+func (r *Replayer) RenewPermit(until Time) { r.until = until }
 
-// Link notes whether the office counts as linked. While it does not, nothing new is sent.
-func (r *Replayer) Link(linked bool) { r.linked = linked }
+// SetLinked notes whether the office counts as linked. While it does not, nothing new is sent.
+func (r *Replayer) SetLinked(linked bool) { r.linked = linked }
 
 // may reports whether an attempt may go out now.
 func (r *Replayer) may(now Time) bool {
-	if !r.linked || now+r.cfg.Runs > r.until && r.on(GuardTerm) {
+	if !r.linked || now+r.cfg.AttemptTimeout > r.until && r.on(GuardTerm) {
 		return false
 	}
 	return now >= r.nextOut || !r.on(GuardRate)
 }
 
 func (r *Replayer) spend(now Time) {
-	r.nextOut = max(now, r.nextOut) + time.Second/time.Duration(r.cfg.Rate)
+	r.nextOut = max(now, r.nextOut) + time.Second/time.Duration(r.cfg.SendsPerSecond)
 }
 
 // apply is the only way kept state changes.
-func (r *Replayer) apply(e *entry, k Kept) {
+func (r *Replayer) apply(e *entry, k LogRecord) {
 	switch k.Kind {
 	case KindIntent:
 		e.round, e.open = k.Round, true
 		if r.claims[e.w.Key] == nil {
 			r.claims[e.w.Key] = e
 		}
-	case KindBack:
+	case KindNotRun:
 		e.open = false
 	case KindRetry:
 		e.open, e.cleared = false, true
@@ -265,7 +265,7 @@
 }
 
 // keep asks for a record; what it says holds once it is kept.
-func (r *Replayer) keep(e *entry, k Kept) {
+func (r *Replayer) keep(e *entry, k LogRecord) {
 	r.n++
 	k.Fence, k.N, k.Dot = r.fence, r.n, e.w.Dot
 	e.doubted = e.phase == doubt || e.phase == checking
@@ -274,7 +274,7 @@
 	}
 	e.phase, e.pend, e.again = keeping, k, 0
 	r.mind(e)
-	r.acts = append(r.acts, Action{Kind: ActKeep, Dot: e.w.Dot, Record: k})
+	r.acts = append(r.acts, Action{Kind: ActStore, Dot: e.w.Dot, Record: k})
 }
 
 // land ends a flight: the write is idle or in doubt again, or over.
@@ -287,7 +287,7 @@
 
 // back puts off the next try of a write.
 func (r *Replayer) back(e *entry, now Time) {
-	e.next = now + min(r.cfg.Pause<<min(e.fails, 16), r.cfg.PauseMax)
+	e.next = now + min(r.cfg.RetryPause<<min(e.fails, 16), r.cfg.MaxRetryPause)
 	e.fails++
 }
 
@@ -304,12 +304,12 @@
 	return a
 }
 
-// Kept tells that the record of an ActKeep is on its copies, or could not be brought there. One that may be there and
+// RecordStored tells that the record of an ActKeep is on its copies, or could not be brought there. One that may be there and
 // may not is not kept.
-func (r *Replayer) Kept(now Time, k Kept, ok bool) []Action {
+func (r *Replayer) RecordStored(now Time, k LogRecord, ok bool) []Action {
 	if k.Kind == KindBase && k.Fence == r.fence {
 		if r.based = r.based || ok; !r.based {
-			r.rebase = now + r.cfg.Pause
+			r.rebase = now + r.cfg.RetryPause
 		}
 		return r.tick(now)
 	}
@@ -355,20 +355,20 @@
 		case e.outcome != Open || e.round != round:
 			r.tell(e, fmt.Sprintf("conflict: round %d has run after all, its outcome is %v in round %d", round, e.outcome, e.round))
 		case e.phase == doubt || e.phase == checking || e.phase == between:
-			r.keep(e, Kept{Kind: KindOutcome, Round: round, Outcome: Applied})
+			r.keep(e, LogRecord{Kind: KindOutcome, Round: round, Outcome: Applied})
 		}
 		return r.tick(now)
 	}
 	switch {
 	case a == Ran:
-		r.keep(e, Kept{Kind: KindOutcome, Round: round, Outcome: Applied})
-	case a == Refuses:
-		r.keep(e, Kept{Kind: KindOutcome, Round: round, Outcome: Refused, Reason: reason})
+		r.keep(e, LogRecord{Kind: KindOutcome, Round: round, Outcome: Applied})
+	case a == Rejected:
+		r.keep(e, LogRecord{Kind: KindOutcome, Round: round, Outcome: Refused, Reason: reason})
 	case a == NotRun && !e.maybe:
 		r.back(e, now)
-		r.keep(e, Kept{Kind: KindBack, Round: round})
+		r.keep(e, LogRecord{Kind: KindNotRun, Round: round})
 	default:
-		e.maybe = e.maybe || a == Maybe
+		e.maybe = e.maybe || a == MaybeRan
 		e.phase = between
 	}
 	return r.tick(now)
@@ -382,10 +382,10 @@
 	}
 	switch f {
 	case HasRun:
-		r.keep(e, Kept{Kind: KindOutcome, Round: e.round, Outcome: Applied, Reason: "found by its check"})
+		r.keep(e, LogRecord{Kind: KindOutcome, Round: e.round, Outcome: Applied, Reason: "found by its check"})
 	case HasNotRun:
 		r.back(e, now)
-		r.keep(e, Kept{Kind: KindRetry, Round: e.round})
+		r.keep(e, LogRecord{Kind: KindRetry, Round: e.round})
 	default:
 		e.phase = doubt
 		r.back(e, now)
@@ -394,7 +394,7 @@
 }
 
 // Resolve takes an operator's word. Words on a doubt name its round, as Fate told it.
-func (r *Replayer) Resolve(now Time, d Dot, round int, w Word) ([]Action, error) {
+func (r *Replayer) Resolve(now Time, d Dot, round int, w Resolution) ([]Action, error) {
 	e := r.all[d]
 	if e == nil {
 		return nil, &UnknownReceiptError{d}
@@ -405,22 +405,22 @@
 	state := r.fate(e).State
 	unsure := e.phase == doubt || e.phase == checking
 	switch {
-	case w <= WordRetry && !unsure:
+	case w <= ResolveRetry && !unsure:
 		return nil, &WrongStateError{d, state, "in doubt"}
-	case w <= WordRetry && e.round != round && r.on(GuardRound):
+	case w <= ResolveRetry && e.round != round && r.on(GuardRound):
 		return nil, &OldRoundError{d, round, e.round}
-	case w == WordApplied:
-		r.keep(e, Kept{Kind: KindOutcome, Round: e.round, Outcome: Applied, Reason: "an operator's word"})
-	case w == WordNotApplied:
-		r.keep(e, Kept{Kind: KindOutcome, Round: e.round, Outcome: Refused, Reason: "not applied, by an operator's word"})
-	case w == WordRetry:
-		r.keep(e, Kept{Kind: KindRetry, Round: e.round})
+	case w == ResolveApplied:
+		r.keep(e, LogRecord{Kind: KindOutcome, Round: e.round, Outcome: Applied, Reason: "an operator's word"})
+	case w == ResolveNotApplied:
+		r.keep(e, LogRecord{Kind: KindOutcome, Round: e.round, Outcome: Refused, Reason: "not applied, by an operator's word"})
+	case w == ResolveRetry:
+		r.keep(e, LogRecord{Kind: KindRetry, Round: e.round})
 	case e.outcome != Open || e.phase != idle:
 		return nil, &WrongStateError{d, state, "waiting or held"}
-	case w == WordHold:
-		r.keep(e, Kept{Kind: KindHold, Round: e.round})
+	case w == ResolveHold:
+		r.keep(e, LogRecord{Kind: KindHold, Round: e.round})
 	default:
-		r.keep(e, Kept{Kind: KindRelease, Round: e.round})
+		r.keep(e, LogRecord{Kind: KindRelease, Round: e.round})
 	}
 	return r.tick(now), nil
 }
@@ -432,7 +432,7 @@
 	if !r.based {
 		if now >= r.rebase {
 			r.rebase = 1 << 62 // until its event comes
-			r.acts = append(r.acts, Action{Kind: ActKeep, Record: r.base})
+			r.acts = append(r.acts, Action{Kind: ActStore, Record: r.base})
 		}
 		return r.take()
 	}
@@ -470,22 +470,22 @@
 	case keeping:
 		if e.again > 0 && now >= e.again {
 			e.again = 0
-			r.acts = append(r.acts, Action{Kind: ActKeep, Dot: e.w.Dot, Record: e.pend})
+			r.acts = append(r.acts, Action{Kind: ActStore, Dot: e.w.Dot, Record: e.pend})
 		}
 	case armed:
-		if !r.linked || now+r.cfg.Runs > r.until && r.on(GuardTerm) {
-			r.keep(e, Kept{Kind: KindBack, Round: e.round}) // nothing was sent
+		if !r.linked || now+r.cfg.AttemptTimeout > r.until && r.on(GuardTerm) {
+			r.keep(e, LogRecord{Kind: KindNotRun, Round: e.round}) // nothing was sent
 		} else if r.may(now) {
 			e.start = now
 			r.send(e, now)
 		}
 	case out:
-		if now >= e.over+r.cfg.Runs { // its answer can't come any more
+		if now >= e.over+r.cfg.AttemptTimeout { // its answer can't come any more
 			e.phase, e.maybe = between, true
 		}
 	case between:
 		switch {
-		case now+r.cfg.Runs > e.start+r.cfg.Window-r.cfg.Margin && r.on(GuardWindow):
+		case now+r.cfg.AttemptTimeout > e.start+r.cfg.DedupWindow-r.cfg.ClockMargin && r.on(GuardWindow):
 			if now >= e.over || !r.on(GuardOver) {
 				r.land(e, doubt)
 				e.next = now
@@ -500,9 +500,9 @@
 			r.back(e, now)
 		}
 	case doubt:
-		if now >= e.next && r.cfg.Classes[e.w.Class].Checks && r.may(now) {
+		if now >= e.next && r.cfg.Classes[e.w.Class].HasCheck && r.may(now) {
 			r.spend(now)
-			e.phase, e.next = checking, now+10*r.cfg.Runs
+			e.phase, e.next = checking, now+10*r.cfg.AttemptTimeout
 			r.acts = append(r.acts, Action{Kind: ActCheck, Dot: e.w.Dot, Key: e.w.Key, Round: e.round})
 		}
 	}
@@ -511,7 +511,7 @@
 func (r *Replayer) send(e *entry, now Time) {
 	r.spend(now)
 	e.attempt++
-	e.phase, e.over = out, now+r.cfg.Runs
+	e.phase, e.over = out, now+r.cfg.AttemptTimeout
 	r.acts = append(r.acts, Action{Kind: ActSend, Dot: e.w.Dot, Key: e.w.Key, Round: e.round, Attempt: e.attempt, Until: e.over})
 }
 
@@ -530,7 +530,7 @@
 		if c.outcome == Open {
 			c.waiters = append(c.waiters, e)
 		} else {
-			r.keep(e, Kept{Kind: KindOutcome, Round: e.round, Outcome: c.outcome, Reason: c.reason, Ground: c.w.Dot})
+			r.keep(e, LogRecord{Kind: KindOutcome, Round: e.round, Outcome: c.outcome, Reason: c.reason, Ground: c.w.Dot})
 		}
 		return true
 	}
@@ -547,14 +547,14 @@
 		return true
 	case stDrop:
 		r.claims[e.w.Key] = e
-		r.keep(e, Kept{Kind: KindOutcome, Round: e.round, Outcome: Dropped, Reason: "its cause was refused", Ground: d})
+		r.keep(e, LogRecord{Kind: KindOutcome, Round: e.round, Outcome: Dropped, Reason: "its cause was refused", Ground: d})
 		return true
 	}
-	if !r.may(now) || r.flight >= r.cfg.Out {
+	if !r.may(now) || r.flight >= r.cfg.MaxInFlight {
 		return false
 	}
 	r.claims[e.w.Key] = e // from here on: two intents for one key must not be on their way at once
-	if e.w.Unvouched && e.round == 0 && !e.cleared && r.on(GuardVouch) {
+	if e.w.MaybeSent && e.round == 0 && !e.cleared && r.on(GuardVouch) {
 		e.phase, e.next = doubt, now
 		r.mind(e)
 		r.tell(e, "in doubt: a gateway of the office may have sent it before the cut")
@@ -567,7 +567,7 @@
 		r.send(e, now)
 		return true
 	}
-	r.keep(e, Kept{Kind: KindIntent, Round: e.round + 1})
+	r.keep(e, LogRecord{Kind: KindIntent, Round: e.round + 1})
 	return true
 }
 
@@ -599,7 +599,7 @@
 				worst, who = stWait, d
 				return false
 			}
-		case e.released || rule == GoOn || !r.on(GuardRule):
+		case e.released || rule == SendAnyway || !r.on(GuardRule):
 		case rule == Drop && (exact || !r.on(GuardPrefix)):
 			worst, who = stDrop, d
 		case worst == stGo:
@@ -633,8 +633,8 @@
 	}
 }
 
-// Accounts counts all receipts that were ever known here.
-func (r *Replayer) Accounts() Accounts {
+// Counts counts all receipts that were ever known here.
+func (r *Replayer) Counts() Counts {
 	a := r.retired
 	for _, e := range r.all {
 		a.Receipts++
@@ -652,17 +652,17 @@
 	return a
 }
 
-// Show tells one receipt's fate.
-func (r *Replayer) Show(d Dot) (Fate, error) {
+// Receipt tells one receipt's fate.
+func (r *Replayer) Receipt(d Dot) (ReceiptStatus, error) {
 	e := r.all[d]
 	if e == nil {
-		return Fate{}, &UnknownReceiptError{d}
+		return ReceiptStatus{}, &UnknownReceiptError{d}
 	}
 	return r.fate(e), nil
 }
 
-func (r *Replayer) fate(e *entry) Fate {
-	f := Fate{Dot: e.w.Dot, State: "waiting", Reason: e.reason, Ground: e.ground, Round: e.round, Attempt: e.attempt}
+func (r *Replayer) fate(e *entry) ReceiptStatus {
+	f := ReceiptStatus{Dot: e.w.Dot, State: "waiting", Reason: e.reason, Ground: e.ground, Round: e.round, Attempt: e.attempt}
 	switch {
 	case e.outcome != Open:
 		f.State = e.outcome.String()
--- a/internal/branch/replay/replay_test.go
+++ b/internal/branch/replay/replay_test.go
@@ -16,7 +16,7 @@
 func TestThin(t *testing.T) {
 	a, b := causes.New(causes.Config{Queue: "kea/g1#1"}, 0), causes.New(causes.Config{Queue: "kea/g2#1"}, 0)
 	first := a.Write("s")
-	if err := b.Bring("s", causes.Context{Dots: []Dot{first.Dot}}); err != nil { // with its receipt
+	if err := b.MergeContext("s", causes.Context{Dots: []Dot{first.Dot}}); err != nil { // with its receipt
 		t.Fatal(err)
 	}
 	second, stranger := b.Write("s"), b.Write("other")
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Link(true)
+	r.SetLinked(true)
 	var sent []Dot
 	for now := Time(0); now < 2*time.Second; now += 10 * ms {
 		acts := r.Tick(now)
@@ -36,8 +36,8 @@
 			x := acts[0]
 			acts = acts[1:]
 			switch x.Kind {
-			case ActKeep:
-				acts = append(acts, r.Kept(now, x.Record, true)...)
+			case ActStore:
+				acts = append(acts, r.RecordStored(now, x.Record, true)...)
 			case ActSend:
 				sent = append(sent, x.Dot)
 				acts = append(acts, r.Answered(now, x.Dot, x.Round, x.Attempt, Ran, "")...)
@@ -53,10 +53,10 @@
 	if err := r.Forget("kea/g2#1", 2); err != nil {
 		t.Fatal(err)
 	}
-	if a := r.Accounts(); a != (Accounts{Receipts: 3, Applied: 3}) {
+	if a := r.Counts(); a != (Counts{Receipts: 3, Applied: 3}) {
 		t.Fatalf("%+v", a)
 	}
-	if _, err := r.Show(second.Dot); err == nil {
+	if _, err := r.Receipt(second.Dot); err == nil {
 		t.Fatal("a forgotten receipt is told of")
 	}
 }
@@ -75,11 +75,11 @@
 	for i := range b.N {
 		writes = append(writes, Write{Record: causes.Record{Dot: Dot{Queue: "q", N: uint64(i + 1)}}, Key: fmt.Sprint("q", i)})
 	}
-	r, err := New(Config{Rate: 1_000_000}, 0, 1, 1<<60, nil, writes, nil, 0)
+	r, err := New(Config{SendsPerSecond: 1_000_000}, 0, 1, 1<<60, nil, writes, nil, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Link(true)
+	r.SetLinked(true)
 	done := 0
 	b.ResetTimer()
 	for now := Time(0); done < b.N; now += ms {
@@ -88,8 +88,8 @@
 			x := acts[0]
 			acts = acts[1:]
 			switch x.Kind {
-			case ActKeep:
-				acts = append(acts, r.Kept(now, x.Record, true)...)
+			case ActStore:
+				acts = append(acts, r.RecordStored(now, x.Record, true)...)
 			case ActSend:
 				how := Ran
 				if x.Dot.Queue == "p" {
--- a/internal/branch/replay/types.go
+++ b/internal/branch/replay/types.go
@@ -20,7 +20,7 @@
 	causes.Record
 	Key       string // idempotency key, with whose it is
 	Class     string
-	Unvouched bool // some gateway of the office may have sent the key before the cut: it begins in doubt
+	MaybeSent bool // some gateway of the office may have sent the key before the cut: it begins in doubt
 	Queued    Time // when it was queued, as well as the queue can tell on this clock: for who goes first, nothing else
 }
 
@@ -29,27 +29,27 @@
 
 // The rules.
 const (
-	Hold Rule = iota // waits for an operator's release
-	Drop             // is refused too, with a notice
-	GoOn             // is sent all the same
+	Hold       Rule = iota // waits for an operator's release
+	Drop                   // is refused too, with a notice
+	SendAnyway             // is sent all the same
 )
 
 // Class is what the configuration says of a class.
 type Class struct {
-	Rule   Rule
-	Checks bool // it gave a statement whose answer tells whether a write has run
+	Rule     Rule
+	HasCheck bool // it gave a statement whose answer tells whether a write has run
 }
 
 // Config bounds a replayer. Zero values stand for the defaults.
 type Config struct {
-	Classes  map[string]Class
-	Window   Time // the cluster drops a repeat of a key for so long after it ran (2 s)
-	Margin   Time // clocks and timers may be off by so much within the window (100 ms)
-	Runs     Time // an attempt is told it has so long, and can't run later (600 ms)
-	Rate     int  // sends and checks a second (20)
-	Out      int  // writes between intent and outcome at once (8)
-	Pause    Time // after a try that did not run, doubling (200 ms)
-	PauseMax Time // up to this (10 s)
+	Classes        map[string]Class
+	DedupWindow    Time // the cluster drops a repeat of a key for so long after it ran (2 s)
+	ClockMargin    Time // clocks and timers may be off by so much within the window (100 ms)
+	AttemptTimeout Time // an attempt is told it has so long, and can't run later (600 ms)
+	SendsPerSecond int  // sends and checks a second (20)
+	MaxInFlight    int  // writes between intent and outcome at once (8)
+	RetryPause     Time // after a try that did not run, doubling (200 ms)
+	MaxRetryPause  Time // up to this (10 s)
 }
 
 // Outcome is what became of a write.
@@ -74,7 +74,7 @@
 // The kinds of kept records, on disk too.
 const (
 	KindIntent  Kind = 1 // round Round may be sent from now on
-	KindBack    Kind = 2 // no attempt of it has run
+	KindNotRun  Kind = 2 // no attempt of it has run
 	KindOutcome Kind = 3
 	KindRetry   Kind = 4 // a check or an operator found that it has not run
 	KindHold    Kind = 5 // an operator holds it
@@ -82,8 +82,8 @@
 	KindBase    Kind = 7 // what a holder adopted of those before it; it does nothing before this is kept
 )
 
-// Kept is one record of the replay. State is what the records in their order say, and nothing else.
-type Kept struct {
+// LogRecord is one record of the replay. State is what the records in their order say, and nothing else.
+type LogRecord struct {
 	Fence   uint64  `cbor:"1,keyasint"`
 	N       uint64  `cbor:"2,keyasint"` // grows within a fence
 	Dot     Dot     `cbor:"3,keyasint"`
@@ -94,9 +94,9 @@
 	Ground  Dot     `cbor:"8,keyasint,omitzero"` // the cause that was refused, or whose outcome with the same key this is
 }
 
-// Heard is a kept record as one copy told it to the holder that takes over: one for each copy that was read and has it.
-type Heard struct {
-	Kept
+// RecoveredRecord is a kept record as one copy told it to the holder that takes over: one for each copy that was read and has it.
+type RecoveredRecord struct {
+	LogRecord
 	// At is no later than when that copy took the record from its holder, on the reader's clock: when it was asked, less
 	// the age that the copy told. The earliest counts. Known tells that the copy had its age: it took the record in this
 	// life, and not with a later base.
@@ -111,22 +111,22 @@
 
 // The answers. What is not surely one of the others is Maybe.
 const (
-	Ran     Answer = iota // the primary took it
-	Refuses               // the store refused it for good: it has not run and will not
-	NotRun                // turned away, no primary, never connected: no effect
-	Maybe                 // lost, broken, late: it may have run
+	Ran      Answer = iota // the primary took it
+	Rejected               // the store refused it for good: it has not run and will not
+	NotRun                 // turned away, no primary, never connected: no effect
+	MaybeRan               // lost, broken, late: it may have run
 )
 
-// Word is an operator's.
-type Word uint8
+// Resolution is an operator's.
+type Resolution uint8
 
 // The words.
 const (
-	WordApplied Word = iota
-	WordNotApplied
-	WordRetry
-	WordHold
-	WordRelease
+	ResolveApplied Resolution = iota
+	ResolveNotApplied
+	ResolveRetry
+	ResolveHold
+	ResolveRelease
 )
 
 // Finding is what a check told.
@@ -144,9 +144,9 @@
 
 // The actions.
 const (
-	// ActKeep: keep Record on the stated number of copies, then call Kept. A base is kept on a copy by
+	// ActStore: keep Record on the stated number of copies, then call Kept. A base is kept on a copy by
 	// putting what Adopted tells in the place of all that the copy has.
-	ActKeep   ActionKind = iota
+	ActStore  ActionKind = iota
 	ActSend              // send Dot with its key, to run by Until or not at all, then call Answered
 	ActCheck             // ask the primary whether Dot has run, then call Checked
 	ActNotice            // tell the operator and whoever asks for the receipt: Note
@@ -160,17 +160,17 @@
 	Round   int
 	Attempt int
 	Until   Time
-	Record  Kept
+	Record  LogRecord
 	Note    string
 }
 
-// Accounts is what became of all receipts: Receipts = Applied + Refused + InDoubt + Waiting.
-type Accounts struct {
+// Counts is what became of all receipts: Receipts = Applied + Refused + InDoubt + Waiting.
+type Counts struct {
 	Receipts, Applied, Refused, InDoubt, Waiting int
 }
 
-// Fate is one receipt's.
-type Fate struct {
+// ReceiptStatus is one receipt's.
+type ReceiptStatus struct {
 	Dot     Dot
 	State   string // waiting, held, out, in doubt, applied, refused, dropped
 	Reason  string
@@ -290,26 +290,26 @@
 	return fmt.Sprintf("a record under fence %d came to a copy with the base of %d: send it the base first", e.Wants, e.Found)
 }
 
-// Keeper is the rule by which a copy takes records: none under a fence older than the newest it knows, and none without
+// FenceGate is the rule by which a copy takes records: none under a fence older than the newest it knows, and none without
 // the base that it stands on. Both numbers last.
-type Keeper struct {
+type FenceGate struct {
 	fence, base uint64
 	off         Guard
 }
 
-// NewKeeper returns the keeper of a copy that knows fence and has the base of another. One that lost its folder knows
+// NewFenceGate returns the keeper of a copy that knows fence and has the base of another. One that lost its folder knows
 // neither what it promised nor what it had: it begins at one more than the newest fence that the council gave, and is not
 // read before it has a base again. Guards are switched off for checks only.
-func NewKeeper(fence, base uint64, off Guard) *Keeper { return &Keeper{fence, base, off} }
+func NewFenceGate(fence, base uint64, off Guard) *FenceGate { return &FenceGate{fence, base, off} }
 
-// Follow notes that a holder with this fence reads what is kept here: older ones are refused from here on.
-func (k *Keeper) Follow(fence uint64) { k.fence = max(k.fence, fence) }
+// RaiseFence notes that a holder with this fence reads what is kept here: older ones are refused from here on.
+func (k *FenceGate) RaiseFence(fence uint64) { k.fence = max(k.fence, fence) }
 
 // Base is the fence of the newest base here.
-func (k *Keeper) Base() uint64 { return k.base }
+func (k *FenceGate) Base() uint64 { return k.base }
 
 // Admit reports whether the record may be kept.
-func (k *Keeper) Admit(r Kept) error {
+func (k *FenceGate) Admit(r LogRecord) error {
 	if r.Fence < k.fence && k.off&GuardFence == 0 {
 		return &StaleFenceError{r.Fence, k.fence}
 	}
@@ -318,6 +318,6 @@
 	} else if r.Fence != k.base && k.off&GuardBase == 0 {
 		return &NoBaseError{k.base, r.Fence}
 	}
-	k.Follow(r.Fence)
+	k.RaiseFence(r.Fence)
 	return nil
 }
--- a/internal/fanout/rules/list.go
+++ b/internal/fanout/rules/list.go
@@ -150,7 +150,7 @@
 		}
 	}
 	if p, ok := l.devices[d]; ok && len(l.byDevice[d]) == 0 {
-		l.parted[d] = parted{p, l.held[d], l.ran + l.cfg.Late}
+		l.parted[d] = parted{p, l.held[d], l.ran + l.cfg.MaxRequestDelay}
 		delete(l.devices, d)
 		delete(l.held, d)
 		delete(l.ended, d)
@@ -329,12 +329,12 @@
 // out tells whether a region is counted out: gone past the term, while this one is in
 // contact with more than half.
 func (l *List) out(r Region, now Time) bool {
-	if r == l.cfg.Region || now-l.last[r] <= l.cfg.Term {
+	if r == l.cfg.Region || now-l.last[r] <= l.cfg.ExcludeAfter {
 		return false
 	}
 	near := 0
 	for _, o := range l.cfg.Regions {
-		if o == l.cfg.Region || now-l.last[o] <= l.cfg.Cut {
+		if o == l.cfg.Region || now-l.last[o] <= l.cfg.CutOffAfter {
 			near++
 		}
 	}
@@ -377,7 +377,7 @@
 // runs guards against taking others for gone after the process itself was stopped: the
 // time in which it did not run counts for nobody's absence. Leases run on.
 func (l *List) runs(now Time) {
-	if gap := now - l.ran; gap > l.cfg.Cut {
+	if gap := now - l.ran; gap > l.cfg.CutOffAfter {
 		for r := range l.last {
 			l.last[r] += gap
 		}
@@ -390,9 +390,9 @@
 // leases were ended.
 func (l *List) Tick(now Time) (ended []string) {
 	l.runs(now)
-	calm := now >= l.healed+l.cfg.Grace
+	calm := now >= l.healed+l.cfg.HealGrace
 	for _, r := range l.cfg.Regions {
-		if r != l.cfg.Region && now-l.last[r] > l.cfg.Cut && !l.out(r, now) {
+		if r != l.cfg.Region && now-l.last[r] > l.cfg.CutOffAfter && !l.out(r, now) {
 			calm = false
 		}
 	}
@@ -465,35 +465,35 @@
 	}
 }
 
-// Why tells what holds for a key here.
-func (l *List) Why(now Time, k Key) Why {
+// Status tells what holds for a key here.
+func (l *List) Status(now Time, k Key) Status {
 	p, ok := l.devices[k.Device]
 	if !l.entries[k].Granted || !ok {
-		return Why{Reason: Unknown}
+		return Status{Reason: Unknown}
 	}
 	if p.End != (Dot{}) {
-		return Why{Reason: Ended}
+		return Status{Reason: Ended}
 	}
 	if t, is := l.isBlocked(k); is {
-		return Why{Blocked, t}
+		return Status{Blocked, t}
 	}
 	if l.waiting == nil {
 		l.admit()
 	}
 	if t, is := l.waiting[k]; is {
-		return Why{Waiting, t}
+		return Status{Waiting, t}
 	}
 	if p.Home != l.cfg.Region {
-		return Why{Elsewhere, Target{InRegion, string(p.Home)}}
+		return Status{Elsewhere, Target{InRegion, string(p.Home)}}
 	}
 	if h, is := l.held[k.Device]; (!is || now >= h.until) && !l.guards.Lease {
-		return Why{Reason: Lapsed}
+		return Status{Reason: Expired}
 	}
-	return Why{}
+	return Status{}
 }
 
 func (l *List) isBlocked(k Key) (Target, bool) {
-	for _, t := range []Target{{Topic, k.Topic}, {Customer, k.Customer}, {Device, k.Device}} {
+	for _, t := range []Target{{Topic, k.Topic}, {Tenant, k.Tenant}, {Device, k.Device}} {
 		if l.blocked(t) {
 			return t, true
 		}
@@ -525,7 +525,7 @@
 	used := map[Target]int{}
 next:
 	for _, k := range keys {
-		of := []Target{{Topic, k.Topic}, {Customer, k.Customer}, {InRegion, string(l.devices[k.Device].Home)}}
+		of := []Target{{Topic, k.Topic}, {Tenant, k.Tenant}, {InRegion, string(l.devices[k.Device].Home)}}
 		for _, t := range of {
 			if most, is := l.cfg.Limits[t]; is && used[t] >= most {
 				l.waiting[k] = t
@@ -567,7 +567,7 @@
 	dot := func(d Dot) { num(d.By, d.N); b = append(b, d.Anew) }
 	for k, e := range l.entries {
 		b = append(b[:0], 'e')
-		text(k.Topic, k.Customer, k.Device)
+		text(k.Topic, k.Tenant, k.Device)
 		if e.Granted {
 			num(e.Rank.By, e.Rank.Turn)
 		}
--- a/internal/fanout/rules/message.go
+++ b/internal/fanout/rules/message.go
@@ -17,28 +17,28 @@
 	Entries            map[Key]Entry
 	Devices            map[string]Presence
 	Blocks             map[Target]Marks
-	Parted             map[string]Parted
+	Departed           map[string]Departed
 	Whole              bool
 }
 
-// Parted tells of a device whose last entry is gone, for the time that is left in which
+// Departed tells of a device whose last entry is gone, for the time that is left in which
 // late copies of its requests may come.
-type Parted struct {
+type Departed struct {
 	P    Presence
 	Left Time
 }
 
-// Offer returns the whole list as a message. Anything that it tells must be durable
+// Snapshot returns the whole list as a message. Anything that it tells must be durable
 // before it is sent.
-func (l *List) Offer(now Time) Message {
+func (l *List) Snapshot(now Time) Message {
 	l.beats[l.me]++
 	m := Message{
 		From: l.me, Seen: maps.Clone(l.seen), Floor: maps.Clone(l.floor), Beats: maps.Clone(l.beats), Acked: map[Region]Vector{},
 		Turn: l.turn, Entries: map[Key]Entry{}, Devices: maps.Clone(l.devices), Blocks: map[Target]Marks{}, Whole: true,
 	}
-	m.Parted = make(map[string]Parted, len(l.parted))
+	m.Departed = make(map[string]Departed, len(l.parted))
 	for d, q := range l.parted {
-		m.Parted[d] = Parted{q.p, q.until - now}
+		m.Departed[d] = Departed{q.p, q.until - now}
 	}
 	for r, v := range l.acked {
 		m.Acked[r] = maps.Clone(v)
@@ -53,17 +53,17 @@
 	return m
 }
 
-// Took tells what came of a message.
-type Took struct {
-	Joined  bool  // this region's list was out of date past mending: it joined anew by the sender's
-	Dropped []Key // and these grants, which the sender lacks, are gone from here: their devices must ask again
-	Later   bool  // it must join anew and waits for a whole message to do it by; nothing was merged
+// MergeResult tells what came of a message.
+type MergeResult struct {
+	Joined    bool  // this region's list was out of date past mending: it joined anew by the sender's
+	Dropped   []Key // and these grants, which the sender lacks, are gone from here: their devices must ask again
+	NeedWhole bool  // it must join anew and waits for a whole message to do it by; nothing was merged
 }
 
-// Take merges a message. The error is an *OldError or *DivergedError; then
+// Merge merges a message. The error is an *OldError or *DivergedError; then
 // nothing was merged.
-func (l *List) Take(now Time, m Message) (Took, error) {
-	var took Took
+func (l *List) Merge(now Time, m Message) (MergeResult, error) {
+	var took MergeResult
 	l.runs(now)
 	for r, n := range m.Beats { // who told whom is known also from a message that is refused
 		if n <= l.beats[r] || r.Region == l.cfg.Region {
@@ -74,7 +74,7 @@
 			continue
 		}
 		l.life[r.Region] = r.Life
-		if now-l.last[r.Region] > l.cfg.Cut {
+		if now-l.last[r.Region] > l.cfg.CutOffAfter {
 			l.healed = now
 		}
 		l.last[r.Region] = now
@@ -91,7 +91,7 @@
 		}
 		if !l.seen.Covers(m.Floor) {
 			if !m.Whole {
-				return Took{Later: true}, nil
+				return MergeResult{NeedWhole: true}, nil
 			}
 			took = l.join(m)
 		}
@@ -114,7 +114,7 @@
 		}
 		touched[d] = struct{}{}
 	}
-	for d, q := range m.Parted {
+	for d, q := range m.Departed {
 		l.heardOf(now, d, q)
 	}
 	if took.Joined {
@@ -147,7 +147,7 @@
 }
 
 // heardOf takes in where a device was last heard that has no entry at the sender.
-func (l *List) heardOf(now Time, d string, q Parted) {
+func (l *List) heardOf(now Time, d string, q Departed) {
 	if len(l.byDevice[d]) > 0 {
 		if k, ok := l.devices[d]; !ok || l.greater(q.P, k) {
 			l.setDevice(d, q.P)
@@ -168,8 +168,8 @@
 // join clears the list for the sender's. Removals that the sender has not seen stay: it
 // can't know their fate, while of those that it has seen its list tells. Grants go: a
 // withdrawal of them may be forgotten by all that count.
-func (l *List) join(m Message) Took {
-	took := Took{Joined: true}
+func (l *List) join(m Message) MergeResult {
+	took := MergeResult{Joined: true}
 	l.floor.join(m.Floor)
 	unseen := func(by Replica, n uint64) bool { return n > m.Seen[by] }
 	for k, e := range l.entries {
--- a/internal/fanout/rules/rules_test.go
+++ b/internal/fanout/rules/rules_test.go
@@ -12,7 +12,7 @@
 // that nothing is forgotten.
 func drawn(seed uint64) []*List {
 	r := rand.New(rand.NewPCG(seed, 1))
-	cfg := Config{Regions: []Region{"a", "b", "c", "d"}, Cut: time.Hour, Grace: time.Hour, Term: time.Hour, Late: time.Hour}
+	cfg := Config{Regions: []Region{"a", "b", "c", "d"}, CutOffAfter: time.Hour, HealGrace: time.Hour, ExcludeAfter: time.Hour, MaxRequestDelay: time.Hour}
 	var ls []*List
 	for i := range 3 {
 		cfg.Region = cfg.Regions[i]
@@ -34,9 +34,9 @@
 		case x < 10:
 			l.Unblock(Target{Topic, k.Topic})
 		default:
-			m := ls[r.IntN(3)].Offer(0)
+			m := ls[r.IntN(3)].Snapshot(0)
 			m.Whole = r.IntN(2) == 0
-			_, _ = l.Take(0, m)
+			_, _ = l.Merge(0, m)
 		}
 	}
 	return ls
@@ -47,7 +47,7 @@
 	t.Helper()
 	c := l.Reopen(99, 0)
 	for _, m := range ms {
-		if _, err := c.Take(0, m); err != nil {
+		if _, err := c.Merge(0, m); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -58,19 +58,19 @@
 func TestMerge(t *testing.T) {
 	for seed := range uint64(500) {
 		ls := drawn(seed)
-		a, b, c := ls[0], ls[1].Offer(0), ls[2].Offer(0)
+		a, b, c := ls[0], ls[1].Snapshot(0), ls[2].Snapshot(0)
 		ab, abc := merged(t, a, b, c)
 		if _, acb := merged(t, a, c, b); abc != acb {
 			t.Fatalf("seed %d: the order of messages matters", seed)
 		}
 		bc, _ := merged(t, ls[1], c)
-		if _, got := merged(t, a, bc.Offer(0)); got != abc {
+		if _, got := merged(t, a, bc.Snapshot(0)); got != abc {
 			t.Fatalf("seed %d: a(bc) is not (ab)c", seed)
 		}
-		if _, got := merged(t, bc, a.Offer(0)); got != abc {
+		if _, got := merged(t, bc, a.Snapshot(0)); got != abc {
 			t.Fatalf("seed %d: (bc)a is not a(bc)", seed)
 		}
-		if _, got := merged(t, ab, b, c, ab.Offer(0)); got != abc {
+		if _, got := merged(t, ab, b, c, ab.Snapshot(0)); got != abc {
 			t.Fatalf("seed %d: a repeat changes the list", seed)
 		}
 	}
@@ -78,7 +78,7 @@
 
 // TestRefusals: what is refused says by what, and leaves the list alone.
 func TestRefusals(t *testing.T) {
-	cfg := Config{Region: "a", Regions: []Region{"a"}, Late: time.Minute}
+	cfg := Config{Region: "a", Regions: []Region{"a"}, MaxRequestDelay: time.Minute}
 	l := New(cfg, Guards{}, 1, 0)
 	k := Key{"t", "c", "d"}
 	if err := l.Subscribe(0, k, Presence{Epoch: 1, Count: 5, Span: time.Minute}, nil); err != nil {
@@ -86,15 +86,15 @@
 	}
 	l.Withdraw(0, k, Presence{Epoch: 1, Count: 6, Span: time.Minute})
 	l.Tick(0) // the only region has acknowledged: nothing is kept
-	if l.Kept() != 0 || l.Why(0, k).Reason != Unknown {
-		t.Errorf("kept %d, %+v", l.Kept(), l.Why(0, k))
+	if l.Kept() != 0 || l.Status(0, k).Reason != Unknown {
+		t.Errorf("kept %d, %+v", l.Kept(), l.Status(0, k))
 	}
 	var stale *StaleError
 	if err := l.Subscribe(0, k, Presence{Epoch: 1, Count: 5, Span: time.Minute}, nil); !errors.As(err, &stale) {
 		t.Errorf("a late copy of a subscription: %v", err)
 	}
 	var old *OldError
-	if _, err := l.Take(0, New(Config{Region: "b", Regions: cfg.Regions}, Guards{}, 2, 0).Offer(0)); !errors.As(err, &old) {
+	if _, err := l.Merge(0, New(Config{Region: "b", Regions: cfg.Regions}, Guards{}, 2, 0).Snapshot(0)); !errors.As(err, &old) {
 		t.Errorf("an empty list: %v", err)
 	}
 }
--- a/internal/fanout/rules/types.go
+++ b/internal/fanout/rules/types.go
@@ -88,10 +88,10 @@
 }
 
 // Key names an entry: one device of a customer on one topic.
-type Key struct{ Topic, Customer, Device string }
+type Key struct{ Topic, Tenant, Device string }
 
 func compareKeys(a, b Key) int {
-	return cmp.Or(cmp.Compare(a.Topic, b.Topic), cmp.Compare(a.Customer, b.Customer), cmp.Compare(a.Device, b.Device))
+	return cmp.Or(cmp.Compare(a.Topic, b.Topic), cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Device, b.Device))
 }
 
 // Rank orders who goes first: lower first. A subscription made where another was known
@@ -141,7 +141,7 @@
 // customer or region (that of the device's home).
 const (
 	Topic    Kind = "topic"
-	Customer Kind = "customer"
+	Tenant   Kind = "customer"
 	Device   Kind = "device"
 	InRegion Kind = "region"
 )
@@ -163,24 +163,24 @@
 	Blocked   Reason = "blocked"   // by an operator, Why.At names what
 	Waiting   Reason = "waiting"   // for a place within the limit Why.At
 	Elsewhere Reason = "elsewhere" // Why.At names the region that delivers
-	Lapsed    Reason = "lapsed"    // the lease is over by this region's clock, the end is not said yet
+	Expired   Reason = "lapsed"    // the lease is over by this region's clock, the end is not said yet
 )
 
-// Why is a reason with what it is about.
-type Why struct {
+// Status is a reason with what it is about.
+type Status struct {
 	Reason Reason
-	At     Target
+	Target Target
 }
 
 // Config of a region.
 type Config struct {
-	Region  Region
-	Regions []Region // all, this one among them; the same everywhere
-	Limits  map[Target]int
-	Cut     Time // a region not heard of for so long is cut off
-	Grace   Time // after a heal, before leases that ran out are ended
-	Term    Time // a region not heard of for so long may be counted out
-	Late    Time // a copy of a device's request comes at most so late; what it last sent is remembered so long
+	Region          Region
+	Regions         []Region // all, this one among them; the same everywhere
+	Limits          map[Target]int
+	CutOffAfter     Time // a region not heard of for so long is cut off
+	HealGrace       Time // after a heal, before leases that ran out are ended
+	ExcludeAfter    Time // a region not heard of for so long may be counted out
+	MaxRequestDelay Time // a copy of a device's request comes at most so late; what it last sent is remembered so long
 }
 
 // Guards switches single rules off, for checks that must then miss them.
--- a/internal/lab/simbranch/simbranch.go
+++ b/internal/lab/simbranch/simbranch.go
@@ -49,8 +49,8 @@
 	waits   []func()
 	clock   replay.Time        // its own, beside the world's
 	heard   map[id]replay.Time // when it took a record in this life
-	keeper  *replay.Keeper     // this and its copy last
-	copy    []replay.Kept
+	keeper  *replay.FenceGate  // this and its copy last
+	copy    []replay.LogRecord
 	has     map[id]bool
 	blank   bool     // it lost its folder, and no base came since
 	mail    []func() // what came to the copy while it was stopped
@@ -58,8 +58,8 @@
 	read    int      // how much of the log it took over
 	acked   map[replay.Dot]replay.Outcome
 	sent    []replay.Time
-	adopts  []replay.Kept
-	base    replay.Kept
+	adopts  []replay.LogRecord
+	base    replay.LogRecord
 }
 
 // world is an office, its keepers and a cluster, by seed. Its rules are written from the promises, not from the package.
@@ -78,9 +78,9 @@
 	calm   bool        // nothing fails any more
 	linked bool
 	noPrim bool
-	copies map[id]int    // how many have a record
-	kept   map[id]bool   // once enough had it
-	log    []replay.Kept // what enough copies have, as it came to be so
+	copies map[id]int         // how many have a record
+	kept   map[id]bool        // once enough had it
+	log    []replay.LogRecord // what enough copies have, as it came to be so
 	final  map[replay.Dot]replay.Outcome
 	logged []replay.Time
 	came   map[replay.Dot]replay.Time // when a write came to those who replay
@@ -126,7 +126,7 @@
 func (w *world) carry(p *proc, acts []replay.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case replay.ActKeep:
+		case replay.ActStore:
 			w.keep(p, a)
 		case replay.ActSend:
 			w.rated(p)
@@ -172,7 +172,7 @@
 				if ok && a.Record.Kind == replay.KindOutcome {
 					p.acked[a.Dot] = a.Record.Outcome
 				}
-				return p.r.Kept(now, a.Record, ok)
+				return p.r.RecordStored(now, a.Record, ok)
 			})
 		})
 	}
@@ -232,7 +232,7 @@
 }
 
 // rebase puts what a holder adopted in the place of all that a copy has.
-func (w *world) rebase(o *proc, adopts []replay.Kept, base replay.Kept) {
+func (w *world) rebase(o *proc, adopts []replay.LogRecord, base replay.LogRecord) {
 	if o.has[id{base.Fence, base.N}] {
 		return
 	}
@@ -245,7 +245,7 @@
 }
 
 // store puts a record on one copy.
-func (w *world) store(o *proc, k replay.Kept) {
+func (w *world) store(o *proc, k replay.LogRecord) {
 	i := id{k.Fence, k.N}
 	if o.has[i] {
 		return
@@ -267,8 +267,8 @@
 // rated wants sends and checks of one holder within its rate.
 func (w *world) rated(p *proc) {
 	p.sent = append(p.sent, w.now)
-	if n := len(p.sent) - 1 - w.cfg.Rate; n >= 0 && w.now-p.sent[n] < time.Second-ms {
-		w.fail("%d sends within %v", w.cfg.Rate+1, w.now-p.sent[n])
+	if n := len(p.sent) - 1 - w.cfg.SendsPerSecond; n >= 0 && w.now-p.sent[n] < time.Second-ms {
+		w.fail("%d sends within %v", w.cfg.SendsPerSecond+1, w.now-p.sent[n])
 	}
 }
 
@@ -290,7 +290,7 @@
 	lost := w.poison[a.Key] == 2 || !w.calm && w.odds(25)
 	if lost {
 		if runs = w.some(left); w.odds(50) {
-			answer(w.some(100*ms), replay.Maybe) // the connection breaks; the attempt may run yet
+			answer(w.some(100*ms), replay.MaybeRan) // the connection breaks; the attempt may run yet
 		}
 	}
 	never := lost && w.odds(50)
@@ -307,7 +307,7 @@
 		switch {
 		case len(last) > 0 && w.now-last[len(last)-1] < 2*time.Second: // dropped, answered as the first
 		case refused:
-			x = replay.Refuses
+			x = replay.Rejected
 		default:
 			w.ran[a.Key] = append(last, w.now)
 			w.judge(a.Dot)
@@ -346,7 +346,7 @@
 				w.fail("%v was applied before %v was settled", d, c.Dot)
 			}
 		default:
-			if w.cfg.Classes[x.Class].Rule != replay.GoOn && !freed {
+			if w.cfg.Classes[x.Class].Rule != replay.SendAnyway && !freed {
 				w.fail("%v was applied though %v was refused", d, c.Dot)
 			}
 		}
@@ -372,12 +372,12 @@
 		}
 		w.fence++
 		w.holder, w.term = i, w.now+w.span
-		var kept []replay.Heard
+		var kept []replay.RecoveredRecord
 		for _, o := range read {
-			o.keeper.Follow(w.fence)
+			o.keeper.RaiseFence(w.fence)
 			for _, k := range o.copy {
 				at, ok := o.heard[id{k.Fence, k.N}]
-				kept = append(kept, replay.Heard{Kept: k, At: at - o.clock + p.clock, Known: ok, Base: o.keeper.Base()})
+				kept = append(kept, replay.RecoveredRecord{LogRecord: k, At: at - o.clock + p.clock, Known: ok, Base: o.keeper.Base()})
 			}
 		}
 		w.rng.Shuffle(len(kept), func(a, b int) { kept[a], kept[b] = kept[b], kept[a] })
@@ -390,7 +390,7 @@
 		p.fence, p.adopts = w.fence, r.Adopted()
 		p.r, p.waits, p.given, p.read, p.acked, p.sent = r, nil, len(w.known), len(w.log), map[replay.Dot]replay.Outcome{}, nil
 		for _, x := range w.known {
-			switch f, _ := r.Show(x.Dot); f.State { // what it adopts of too few copies counts too, once its base is kept
+			switch f, _ := r.Receipt(x.Dot); f.State { // what it adopts of too few copies counts too, once its base is kept
 			case "applied":
 				p.acked[x.Dot] = replay.Applied
 			case "refused", "dropped":
@@ -400,18 +400,18 @@
 				w.fail("%v was kept as %v, the next holder has it as %v", x.Dot, f, p.acked[x.Dot])
 			}
 		}
-		r.Link(w.linked)
+		r.SetLinked(w.linked)
 		return
 	}
 	if p := w.procs[w.holder]; w.fence > 0 && w.linked && w.now <= w.term && !p.stopped && p.r != nil && p.fence == w.fence {
 		w.term = w.now + w.span
-		p.r.Permit(w.now + p.clock + w.span)
+		p.r.RenewPermit(w.now + p.clock + w.span)
 	}
 }
 
 // account wants the sums to hold, by what this holder was told is kept.
 func (w *world) account(p *proc) {
-	a := p.r.Accounts()
+	a := p.r.Counts()
 	var applied, refused int
 	for _, o := range p.acked {
 		if o == replay.Applied {
@@ -437,7 +437,7 @@
 		}
 	}
 	for d := range open {
-		if f, err := p.r.Show(d); err != nil || f.State == "waiting" || f.State == "held" {
+		if f, err := p.r.Receipt(d); err != nil || f.State == "waiting" || f.State == "held" {
 			w.fail("%v may have been sent and is told as %s (%v)", d, f.State, err)
 		}
 	}
@@ -450,25 +450,25 @@
 		return
 	}
 	x := w.known[w.rng.IntN(len(w.known))]
-	f, err := p.r.Show(x.Dot)
+	f, err := p.r.Receipt(x.Dot)
 	if err != nil {
 		w.fail("%v", err)
 		return
 	}
-	word := replay.WordRetry
+	word := replay.ResolveRetry
 	switch {
 	case f.State == "in doubt" && len(w.ran[x.Key]) > 0:
-		word = replay.WordApplied
+		word = replay.ResolveApplied
 	case f.State == "in doubt":
 		if w.odds(30) {
-			word = replay.WordNotApplied
+			word = replay.ResolveNotApplied
 		}
 	case f.State == "held" || f.State == "waiting" && w.calm && f.Ground != (replay.Dot{}):
-		if word = replay.WordRelease; !w.calm && w.odds(50) {
+		if word = replay.ResolveRelease; !w.calm && w.odds(50) {
 			return
 		}
 	case f.State == "waiting" && !w.calm && w.odds(10):
-		word = replay.WordHold
+		word = replay.ResolveHold
 	default:
 		return
 	}
@@ -484,15 +484,15 @@
 func newWorld(seed uint64, off replay.Guard) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 0x5e9)), off: off, copies: map[id]int{}, kept: map[id]bool{}, final: map[replay.Dot]replay.Outcome{}, byDot: map[replay.Dot]*replay.Write{},
 		poison: map[string]int{}, came: map[replay.Dot]replay.Time{}, ran: map[string][]replay.Time{}, linked: true, term: -1, span: time.Second}
-	w.cfg = replay.Config{Classes: map[string]replay.Class{}, Rate: 4 + w.rng.IntN(30), Out: 1 + w.rng.IntN(6)}
+	w.cfg = replay.Config{Classes: map[string]replay.Class{}, SendsPerSecond: 4 + w.rng.IntN(30), MaxInFlight: 1 + w.rng.IntN(6)}
 	for i := range 6 {
-		w.cfg.Classes[fmt.Sprint("c", i)] = replay.Class{Rule: replay.Rule(i % 3), Checks: i < 3}
+		w.cfg.Classes[fmt.Sprint("c", i)] = replay.Class{Rule: replay.Rule(i % 3), HasCheck: i < 3}
 	}
 	if w.odds(50) {
 		w.span = 3 * time.Second
 	}
 	for range 3 {
-		w.procs = append(w.procs, &proc{clock: w.some(time.Hour), heard: map[id]replay.Time{}, has: map[id]bool{}, keeper: replay.NewKeeper(0, 0, off)})
+		w.procs = append(w.procs, &proc{clock: w.some(time.Hour), heard: map[id]replay.Time{}, has: map[id]bool{}, keeper: replay.NewFenceGate(0, 0, off)})
 	}
 	next := map[causes.Queue]uint64{}
 	for i := range 5 + w.rng.IntN(10) {
@@ -515,7 +515,7 @@
 			w.poison[x.Key] = 1 + w.rng.IntN(2)
 		}
 		if w.odds(8) {
-			x.Unvouched = true
+			x.MaybeSent = true
 			if w.odds(50) && w.ran[x.Key] == nil && !slices.ContainsFunc(w.writes, func(y replay.Write) bool { return y.Key == x.Key }) {
 				w.ran[x.Key] = []replay.Time{-time.Minute}
 			}
@@ -525,7 +525,7 @@
 	for i := range w.writes {
 		x := &w.writes[i]
 		for j := range w.writes { // who shares a key with one that may have been sent may have been sent too
-			x.Unvouched = x.Unvouched || w.writes[j].Key == x.Key && w.writes[j].Unvouched
+			x.MaybeSent = x.MaybeSent || w.writes[j].Key == x.Key && w.writes[j].MaybeSent
 		}
 		w.byDot[x.Dot] = x
 		arrive := replay.Time(0)
@@ -598,7 +598,7 @@
 			w.after(w.some(2*time.Second), func() { p.down = false })
 			if w.odds(20) && !slices.ContainsFunc(w.procs, func(o *proc) bool { return o.blank }) { // and its folder with it
 				w.wipe(p)
-				p.blank, p.keeper = true, replay.NewKeeper(w.fence+1, 0, w.off)
+				p.blank, p.keeper = true, replay.NewFenceGate(w.fence+1, 0, w.off)
 			}
 		case 2:
 			if p.r == nil || p.stopped {
@@ -648,7 +648,7 @@
 func (w *world) link(up bool) {
 	w.linked = up
 	for _, p := range w.procs {
-		w.to(p, func(replay.Time) []replay.Action { p.r.Link(w.linked); return nil })
+		w.to(p, func(replay.Time) []replay.Action { p.r.SetLinked(w.linked); return nil })
 	}
 }
 
@@ -691,9 +691,9 @@
 // last wants every receipt settled, and each outcome true.
 func (w *world) last() {
 	stuck := w.stuck()
-	var kept []replay.Heard
+	var kept []replay.RecoveredRecord
 	for _, k := range w.log {
-		kept = append(kept, replay.Heard{Kept: k})
+		kept = append(kept, replay.RecoveredRecord{LogRecord: k})
 	}
 	r, err := replay.New(w.cfg, w.now, w.fence+1, w.now, nil, w.known, kept, w.off)
 	if err != nil {
@@ -701,12 +701,12 @@
 		return
 	}
 	for _, x := range w.writes {
-		f, err := r.Show(x.Dot)
+		f, err := r.Receipt(x.Dot)
 		ran := len(w.ran[x.Key]) > 0
 		switch {
 		case err != nil:
 			w.fail("%v", err)
-		case f.State == "applied" && !ran, f.State == "refused" && ran, f.State == "dropped" && ran && !x.Unvouched:
+		case f.State == "applied" && !ran, f.State == "refused" && ran, f.State == "dropped" && ran && !x.MaybeSent:
 			w.fail("%v counts as %s (%s) and has run: %v", x.Dot, f.State, f.Reason, ran)
 		case f.State == "dropped":
 			if !slices.ContainsFunc(w.writes, func(y replay.Write) bool { // it, or the other receipt of its key
--- a/internal/lab/simfanout/checker.go
+++ b/internal/lab/simfanout/checker.go
@@ -115,7 +115,7 @@
 
 // runs takes in that r runs at now: while it was stopped it missed nobody.
 func (c *checker) runs(r int, now rules.Time) {
-	if gap := now - c.ran[r]; gap > c.cfg.Cut {
+	if gap := now - c.ran[r]; gap > c.cfg.CutOffAfter {
 		for x := range c.arrival {
 			c.arrival[x][r] += gap
 		}
@@ -133,7 +133,7 @@
 			continue
 		}
 		c.news[r][x] = n
-		if now-c.arrival[x][r] > c.cfg.Cut {
+		if now-c.arrival[x][r] > c.cfg.CutOffAfter {
 			c.healed[r] = now
 		}
 		c.arrival[x][r] = now
@@ -145,11 +145,11 @@
 func (c *checker) countedOut(q, x int, now rules.Time) bool {
 	near := 1
 	for o := range c.cfg.Regions {
-		if o != q && now-c.arrival[o][q] <= c.cfg.Cut {
+		if o != q && now-c.arrival[o][q] <= c.cfg.CutOffAfter {
 			near++
 		}
 	}
-	return q != x && now-c.arrival[x][q] > c.cfg.Term && 2*near > len(c.cfg.Regions)
+	return q != x && now-c.arrival[x][q] > c.cfg.ExcludeAfter && 2*near > len(c.cfg.Regions)
 }
 
 func (c *checker) passes(now rules.Time) {
@@ -161,7 +161,7 @@
 }
 
 // told takes in that r took what from knew.
-func (c *checker) told(r int, m known, whole bool, took rules.Took) error {
+func (c *checker) told(r int, m known, whole bool, took rules.MergeResult) error {
 	k := &c.knows[r]
 	if took.Joined {
 		if !c.reopened[r] && !c.gone[r] {
@@ -230,7 +230,7 @@
 }
 
 func about(t rules.Target, k rules.Key) bool {
-	return t == rules.Target{Kind: rules.Topic, Name: k.Topic} || t == rules.Target{Kind: rules.Customer, Name: k.Customer} ||
+	return t == rules.Target{Kind: rules.Topic, Name: k.Topic} || t == rules.Target{Kind: rules.Tenant, Name: k.Tenant} ||
 		t == rules.Target{Kind: rules.Device, Name: k.Device}
 }
 
@@ -323,11 +323,11 @@
 		!c.countedOut(r, last.region, now) {
 		return fmt.Errorf("rule 5: region %d ends the lease of %s, held by %d", r, device, last.region)
 	}
-	if now < c.healed[r]+c.cfg.Grace {
+	if now < c.healed[r]+c.cfg.HealGrace {
 		return fmt.Errorf("rule 5: region %d ends the lease of %s within the grace after a heal", r, device)
 	}
 	for x := range c.cfg.Regions {
-		if x != r && now-c.arrival[x][r] > c.cfg.Cut && !c.countedOut(r, x, now) {
+		if x != r && now-c.arrival[x][r] > c.cfg.CutOffAfter && !c.countedOut(r, x, now) {
 			return fmt.Errorf("rule 5: region %d ends the lease of %s while cut off from %d", r, device, x)
 		}
 	}
@@ -340,7 +340,7 @@
 
 // agreed judges what all regions hold after heal and exchange. why tells what a region
 // holds of a key, clock its time.
-func (c *checker) agreed(keys []rules.Key, why func(int, rules.Key) rules.Why, clock func(int) rules.Time) error {
+func (c *checker) agreed(keys []rules.Key, why func(int, rules.Key) rules.Status, clock func(int) rules.Time) error {
 	all, both := known{}, c.knows[0].surely
 	for _, k := range c.knows {
 		all.surely.add(k.surely)
@@ -359,7 +359,7 @@
 			case rules.Delivered:
 				by = append(by, r)
 			case rules.Waiting:
-				wait[k] = w.At
+				wait[k] = w.Target
 			}
 		}
 		if len(by) > 1 {
@@ -367,7 +367,7 @@
 		}
 		if len(by) == 1 {
 			at[k] = by[0]
-			for _, t := range []rules.Target{{Kind: rules.Topic, Name: k.Topic}, {Kind: rules.Customer, Name: k.Customer},
+			for _, t := range []rules.Target{{Kind: rules.Topic, Name: k.Topic}, {Kind: rules.Tenant, Name: k.Tenant},
 				{Kind: rules.InRegion, Name: string(c.cfg.Regions[by[0]])}} {
 				used[t]++
 			}
@@ -383,7 +383,7 @@
 	}
 	for x, t := range wait {
 		for y, r := range at {
-			in := t.Kind == rules.Topic && y.Topic == t.Name || t.Kind == rules.Customer && y.Customer == t.Name ||
+			in := t.Kind == rules.Topic && y.Topic == t.Name || t.Kind == rules.Tenant && y.Tenant == t.Name ||
 				t.Kind == rules.InRegion && string(c.cfg.Regions[r]) == t.Name
 			if in && c.before(x, y) {
 				return fmt.Errorf("rule 3: %v waits for %v and was passed by %v", x, t, y)
@@ -426,7 +426,7 @@
 }
 
 // owed judges that k is delivered to, where it is clear that it must be.
-func (c *checker) owed(k rules.Key, by []int, both, most *set, why func(int, rules.Key) rules.Why, clock func(int) rules.Time) error {
+func (c *checker) owed(k rules.Key, by []int, both, most *set, why func(int, rules.Key) rules.Status, clock func(int) rules.Time) error {
 	if c.evs[k.Device] || c.twice(k) {
 		return nil
 	}
@@ -450,7 +450,7 @@
 		return nil
 	case rules.Blocked:
 		if !c.barred(k, most, both, true) {
-			return fmt.Errorf("rule 4: %v is held by %v, which was lifted", k, w.At)
+			return fmt.Errorf("rule 4: %v is held by %v, which was lifted", k, w.Target)
 		}
 		return nil
 	default:
--- a/internal/lab/simfanout/simfanout.go
+++ b/internal/lab/simfanout/simfanout.go
@@ -57,15 +57,15 @@
 func Play(seed uint64, g rules.Guards, s *Stats) error {
 	p := &play{Rand: rand.New(rand.NewPCG(seed, 28)), guards: g}
 	n := 2 + p.IntN(3)
-	p.cfg = rules.Config{Limits: map[rules.Target]int{}, Cut: 3 * time.Second, Grace: 4 * time.Second, Term: 15 * time.Second,
-		Late: time.Hour}
+	p.cfg = rules.Config{Limits: map[rules.Target]int{}, CutOffAfter: 3 * time.Second, HealGrace: 4 * time.Second, ExcludeAfter: 15 * time.Second,
+		MaxRequestDelay: time.Hour}
 	for i := range n {
 		p.cfg.Regions = append(p.cfg.Regions, rules.Region(string(rune('a'+i))))
 		p.offset = append(p.offset, time.Duration(p.IntN(100))*time.Hour)
 		p.cut = append(p.cut, make([]bool, n))
 	}
 	p.stopped, p.copies, p.copied = make([]rules.Time, n), make([]*rules.List, n), make([]known, n)
-	for _, t := range []rules.Target{{Kind: rules.Topic, Name: "t0"}, {Kind: rules.Customer, Name: "c0"}, {Kind: rules.InRegion, Name: "a"}} {
+	for _, t := range []rules.Target{{Kind: rules.Topic, Name: "t0"}, {Kind: rules.Tenant, Name: "c0"}, {Kind: rules.InRegion, Name: "a"}} {
 		if p.IntN(2) == 0 {
 			p.cfg.Limits[t] = 1 + p.IntN(3)
 		}
@@ -77,7 +77,7 @@
 	for d := range 2 + p.IntN(4) {
 		p.devices = append(p.devices, device{epoch: 1, tokens: map[rules.Key]rules.Vector{}, told: map[rules.Key]int{}})
 		for t := range 2 {
-			p.keys = append(p.keys, rules.Key{Topic: fmt.Sprintf("t%d", t), Customer: fmt.Sprintf("c%d", d%2), Device: fmt.Sprintf("d%d", d)})
+			p.keys = append(p.keys, rules.Key{Topic: fmt.Sprintf("t%d", t), Tenant: fmt.Sprintf("c%d", d%2), Device: fmt.Sprintf("d%d", d)})
 		}
 	}
 	s.Plays++
@@ -185,7 +185,7 @@
 
 func (p *play) target() rules.Target {
 	k := p.keys[p.IntN(4)]
-	return []rules.Target{{Kind: rules.Topic, Name: k.Topic}, {Kind: rules.Customer, Name: k.Customer}, {Kind: rules.Device, Name: k.Device}}[p.IntN(3)]
+	return []rules.Target{{Kind: rules.Topic, Name: k.Topic}, {Kind: rules.Tenant, Name: k.Tenant}, {Kind: rules.Device, Name: k.Device}}[p.IntN(3)]
 }
 
 // request draws the device's next request; at times it repeats its last.
@@ -291,7 +291,7 @@
 func (p *play) offer(from, to int) sent {
 	p.msgs++
 	p.c.news[from][from] = p.msgs
-	return sent{p.lists[from].Offer(p.clock(from)), p.c.knows[from], append([]int(nil), p.c.news[from]...), from, to}
+	return sent{p.lists[from].Snapshot(p.clock(from)), p.c.knows[from], append([]int(nil), p.c.news[from]...), from, to}
 }
 
 // exchange sends a message, whole, in part, or to come late.
@@ -336,11 +336,11 @@
 }
 
 func (p *play) take(m sent, s *Stats) error {
-	took, err := p.lists[m.to].Take(p.clock(m.to), m.m)
+	took, err := p.lists[m.to].Merge(p.clock(m.to), m.m)
 	p.c.hears(m.to, m.news, p.now)
 	var d *rules.DivergedError
 	p.diverged = p.diverged || errors.As(err, &d)
-	if err != nil || took.Later {
+	if err != nil || took.NeedWhole {
 		s.Refused++
 		return nil
 	}
@@ -357,7 +357,7 @@
 // judge looks at what a region would deliver now.
 func (p *play) judge(r int) error {
 	for _, k := range p.keys {
-		if p.lists[r].Why(p.clock(r), k).Reason == rules.Delivered {
+		if p.lists[r].Status(p.clock(r), k).Reason == rules.Delivered {
 			if err := p.c.delivers(r, k, p.clock(r)); err != nil {
 				return err
 			}
@@ -408,7 +408,7 @@
 	if err != nil {
 		return err
 	}
-	why := func(r int, k rules.Key) rules.Why { return p.lists[r].Why(p.clock(r), k) }
+	why := func(r int, k rules.Key) rules.Status { return p.lists[r].Status(p.clock(r), k) }
 	for _, k := range p.keys {
 		if why(0, k).Reason == rules.Waiting {
 			s.Waits++
