--- a/internal/branch/causes/causes.go
+++ b/internal/branch/causes/causes.go
@@ -54,11 +54,11 @@
 // TooManyQueuesError says that a context names more queues than the bound: gateways that start anew all the time.
 type TooManyQueuesError struct {
 	Queue Queue
-	Most  int
+	Max   int
 }
 
 func (e *TooManyQueuesError) Error() string {
-	return fmt.Sprintf("queue %s would be one more than the %d that causes may name: replay and forget older queues first", e.Queue, e.Most)
+	return fmt.Sprintf("queue %s would be one more than the %d that causes may name: replay and forget older queues first", e.Queue, e.Max)
 }
 
 // NotNextError says that kept records do not follow each other: the folder lost one, or is another life's.
@@ -77,10 +77,10 @@
 // The guards.
 const (
 	GuardOwn     Guard = 1 << iota // a session's write depends on its last one
-	GuardSaw                       // and on what it was told of
+	GuardSeen                      // and on what it was told of
 	GuardFold                      // too many dots become a prefix, none is left out
 	GuardRestart                   // after a restart each session starts on all that was kept
-	GuardBrought                   // what a session brings from another gateway counts
+	GuardMoved                     // what a session brings from another gateway counts
 	GuardEvict                     // a session that leaves the table is folded into the ground of all
 )
 
@@ -90,16 +90,16 @@
 	Keeps string
 }{
 	{GuardOwn, "a session's writes follow each other"},
-	{GuardSaw, "a write follows what its author saw"},
+	{GuardSeen, "a write follows what its author saw"},
 	{GuardFold, "a full context waits more, never less"},
 	{GuardRestart, "a restart forgets no order"},
-	{GuardBrought, "a session that moves keeps its order"},
+	{GuardMoved, "a session that moves keeps its order"},
 	{GuardEvict, "a full table forgets no order"},
 }
 
 type session struct {
-	ctx  Context
-	used uint64 // turn of its last use, for who leaves first
+	ctx     Context
+	lastUse uint64 // turn of its last use, for who leaves first
 }
 
 // Tracker is one gateway's knowledge. It is its owner's alone.
@@ -107,9 +107,9 @@
 	cfg      Config
 	off      Guard
 	next     uint64
-	turn     uint64
+	useCount uint64
 	sessions map[string]*session
-	ground   map[Queue]uint64 // prefixes on which a session that is not held starts
+	baseline map[Queue]uint64 // prefixes on which a session that is not held starts
 	queues   map[Queue]bool
 	// Folded and Evicted count contexts that became wider than exact.
 	Folded, Evicted uint64
@@ -121,7 +121,7 @@
 	cfg.MaxQueues = cmp.Or(cfg.MaxQueues, 64)
 	cfg.MaxSessions = cmp.Or(cfg.MaxSessions, 4096)
 	return &Tracker{cfg: cfg, off: off, next: 1, sessions: map[string]*session{},
-		ground: map[Queue]uint64{}, queues: map[Queue]bool{cfg.Queue: true}}
+		baseline: map[Queue]uint64{}, queues: map[Queue]bool{cfg.Queue: true}}
 }
 
 // Restore is New for a gateway that starts again in the same life with what it had kept: its own records in order, and
@@ -136,12 +136,12 @@
 			}
 			t.next++
 		}
-		if t.on(GuardRestart) {
-			if err := t.widen(r.Dot); err != nil {
+		if t.enabled(GuardRestart) {
+			if err := t.extendBaseline(r.Dot); err != nil {
 				return nil, err
 			}
 			for _, d := range slices.Concat(r.Causes.Dots, r.Causes.Upto) { // known here by name, though not copied
-				if err := t.widen(d); err != nil {
+				if err := t.extendBaseline(d); err != nil {
 					return nil, err
 				}
 			}
@@ -150,10 +150,10 @@
 	return t, nil
 }
 
-func (t *Tracker) on(g Guard) bool { return t.off&g == 0 }
+func (t *Tracker) enabled(g Guard) bool { return t.off&g == 0 }
 
-// admit takes a queue among those that may be named.
-func (t *Tracker) admit(q Queue) error {
+// admitQueue takes a queue among those that may be named.
+func (t *Tracker) admitQueue(q Queue) error {
 	if !t.queues[q] && len(t.queues) >= t.cfg.MaxQueues {
 		return &TooManyQueuesError{q, t.cfg.MaxQueues}
 	}
@@ -161,31 +161,31 @@
 	return nil
 }
 
-// widen takes d and all before it in its queue into the ground.
-func (t *Tracker) widen(d Dot) error {
-	if err := t.admit(d.Queue); err != nil {
+// extendBaseline takes d and all before it in its queue into the ground.
+func (t *Tracker) extendBaseline(d Dot) error {
+	if err := t.admitQueue(d.Queue); err != nil {
 		return err
 	}
-	t.ground[d.Queue] = max(t.ground[d.Queue], d.N)
+	t.baseline[d.Queue] = max(t.baseline[d.Queue], d.N)
 	return nil
 }
 
-// of is a session's entry, made on the ground if it is not held.
-func (t *Tracker) of(name string) *session {
-	t.turn++
+// sessionFor is a session's entry, made on the ground if it is not held.
+func (t *Tracker) sessionFor(name string) *session {
+	t.useCount++
 	s := t.sessions[name]
 	if s == nil {
 		if len(t.sessions) >= t.cfg.MaxSessions {
 			t.evict()
 		}
 		s = &session{}
-		for q, n := range t.ground {
+		for q, n := range t.baseline {
 			s.ctx.Upto = append(s.ctx.Upto, Dot{q, n})
 		}
 		slices.SortFunc(s.ctx.Upto, Dot.Compare)
 		t.sessions[name] = s
 	}
-	s.used = t.turn
+	s.lastUse = t.useCount
 	return s
 }
 
@@ -194,16 +194,16 @@
 func (t *Tracker) evict() {
 	var oldest string
 	for name, s := range t.sessions {
-		if o := t.sessions[oldest]; o == nil || s.used < o.used {
+		if o := t.sessions[oldest]; o == nil || s.lastUse < o.lastUse {
 			oldest = name
 		}
 	}
 	s := t.sessions[oldest]
 	delete(t.sessions, oldest)
 	t.Evicted++
-	if t.on(GuardEvict) {
+	if t.enabled(GuardEvict) {
 		for _, d := range slices.Concat(s.ctx.Dots, s.ctx.Upto) {
-			t.ground[d.Queue] = max(t.ground[d.Queue], d.N) // its queue was admitted with it
+			t.baseline[d.Queue] = max(t.baseline[d.Queue], d.N) // its queue was admitted with it
 		}
 	}
 }
@@ -221,7 +221,7 @@
 	if len(c.Dots) <= t.cfg.MaxDots {
 		return
 	}
-	if !t.on(GuardFold) {
+	if !t.enabled(GuardFold) {
 		c.Dots = c.Dots[1:]
 		return
 	}
@@ -255,12 +255,12 @@
 // MergeContext takes what a session knows from elsewhere: receipts that its client brought, or what another gateway told.
 func (t *Tracker) MergeContext(name string, c Context) error {
 	for _, d := range slices.Concat(c.Dots, c.Upto) {
-		if err := t.admit(d.Queue); err != nil {
+		if err := t.admitQueue(d.Queue); err != nil {
 			return err
 		}
 	}
-	s := t.of(name)
-	if !t.on(GuardBrought) {
+	s := t.sessionFor(name)
+	if !t.enabled(GuardMoved) {
 		return nil
 	}
 	for _, d := range c.Upto {
@@ -274,11 +274,11 @@
 
 // RecordSeen notes that a session was told of a queued write at this office.
 func (t *Tracker) RecordSeen(name string, r Dot) error {
-	if err := t.admit(r.Queue); err != nil {
+	if err := t.admitQueue(r.Queue); err != nil {
 		return err
 	}
-	s := t.of(name)
-	if t.on(GuardSaw) {
+	s := t.sessionFor(name)
+	if t.enabled(GuardSeen) {
 		t.add(&s.ctx, r, false)
 	}
 	return nil
@@ -288,11 +288,11 @@
 // stands for all before it. The record has to be kept, and copied, before the receipt is told. Where keeping fails, the
 // life of the folder ends: a number is never given again.
 func (t *Tracker) Write(name string) Record {
-	s := t.of(name)
+	s := t.sessionFor(name)
 	r := Record{Dot: Dot{t.cfg.Queue, t.next}, Session: name, Causes: s.ctx}
 	t.next++
 	s.ctx = Context{Dots: []Dot{r.Dot}}
-	if !t.on(GuardOwn) {
+	if !t.enabled(GuardOwn) {
 		s.ctx = Context{}
 	}
 	return r
@@ -300,7 +300,7 @@
 
 // Context is what travels with a session that moves. It is the caller's.
 func (t *Tracker) Context(name string) Context {
-	s := t.of(name)
+	s := t.sessionFor(name)
 	return Context{Dots: slices.Clone(s.ctx.Dots), Upto: slices.Clone(s.ctx.Upto)}
 }
 
@@ -308,10 +308,10 @@
 // outcome that was told or is past the age until which it can be asked for.
 func (t *Tracker) Settled(q Queue, n uint64) {
 	past := func(d Dot) bool { return d.Queue == q && d.N <= n }
-	if t.ground[q] <= n {
-		delete(t.ground, q)
+	if t.baseline[q] <= n {
+		delete(t.baseline, q)
 	}
-	named := q == t.cfg.Queue || t.ground[q] > 0
+	named := q == t.cfg.Queue || t.baseline[q] > 0
 	for _, s := range t.sessions {
 		s.ctx.Dots = slices.DeleteFunc(slices.Clone(s.ctx.Dots), past)
 		s.ctx.Upto = slices.DeleteFunc(slices.Clone(s.ctx.Upto), past)
--- a/internal/branch/causes/causes_test.go
+++ b/internal/branch/causes/causes_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// play is an office by seed: gateways, sessions that move with their receipts or by what gateways tell, restarts, full tables.
+// scenario is an office by seed: gateways, sessions that move with their receipts or by what gateways tell, restarts, full tables.
 // It keeps the exact past of each write, by its own reckoning, and wants each write's causes to reach it.
-func play(seed uint64, off Guard) error {
+func scenario(seed uint64, off Guard) error {
 	rng := rand.New(rand.NewPCG(seed, 0xca05e5))
 	cfg := Config{MaxDots: 2 + rng.IntN(6), MaxSessions: 2 + rng.IntN(8)}
 	roomy := rng.IntN(3) == 0
@@ -119,10 +119,10 @@
 	return nil
 }
 
-// TestPlays: no write's causes leave out anything behind it, and in contexts with room none waits for a stranger.
-func TestPlays(t *testing.T) {
+// TestCausesCoverPast: no write's causes leave out anything behind it, and in contexts with room none waits for a stranger.
+func TestCausesCoverPast(t *testing.T) {
 	for seed := range uint64(1000) {
-		if err := play(seed, 0); err != nil {
+		if err := scenario(seed, 0); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -132,12 +132,12 @@
 func TestGuards(t *testing.T) {
 	for _, g := range Guards {
 		seed := uint64(0)
-		for ; seed < 1000 && play(seed, g.Guard) == nil; seed++ {
+		for ; seed < 1000 && scenario(seed, g.Guard) == nil; seed++ {
 		}
 		if seed == 1000 {
 			t.Errorf("no play misses the guard of %q", g.Keeps)
 		}
-		t.Logf("%s: seed %d: %v", g.Keeps, seed, play(seed, g.Guard))
+		t.Logf("%s: seed %d: %v", g.Keeps, seed, scenario(seed, g.Guard))
 	}
 }
 
--- a/internal/branch/replay/replay_test.go
+++ b/internal/branch/replay/replay_test.go
@@ -11,9 +11,9 @@
 
 const ms = time.Millisecond
 
-// TestThin is the whole way once: two gateways of an office, a session that moves between them, a stranger, and a replay in
+// TestReplayInCausalOrder is the whole way once: two gateways of an office, a session that moves between them, a stranger, and a replay in
 // order, then receipts that are forgotten once they are over.
-func TestThin(t *testing.T) {
+func TestReplayInCausalOrder(t *testing.T) {
 	a, b := causes.New(causes.Config{Queue: "kea/g1#1"}, 0), causes.New(causes.Config{Queue: "kea/g2#1"}, 0)
 	first := a.Write("s")
 	if err := b.MergeContext("s", causes.Context{Dots: []Dot{first.Dot}}); err != nil { // with its receipt
--- a/internal/branch/replay/types.go
+++ b/internal/branch/replay/types.go
@@ -294,7 +294,7 @@
 // the base that it stands on. Both numbers last.
 type FenceGate struct {
 	fence, base uint64
-	off         Guard
+	disabled    Guard
 }
 
 // NewFenceGate returns the keeper of a copy that knows fence and has the base of another. One that lost its folder knows
@@ -310,12 +310,12 @@
 
 // Admit reports whether the record may be kept.
 func (k *FenceGate) Admit(r LogRecord) error {
-	if r.Fence < k.fence && k.off&GuardFence == 0 {
+	if r.Fence < k.fence && k.disabled&GuardFence == 0 {
 		return &StaleFenceError{r.Fence, k.fence}
 	}
 	if r.Kind == KindBase {
 		k.base = r.Fence
-	} else if r.Fence != k.base && k.off&GuardBase == 0 {
+	} else if r.Fence != k.base && k.disabled&GuardBase == 0 {
 		return &NoBaseError{k.base, r.Fence}
 	}
 	k.RaiseFence(r.Fence)
--- a/internal/branch/when/when.go
+++ b/internal/branch/when/when.go
@@ -15,26 +15,26 @@
 
 // Config bounds the judgement. Zero values stand for the defaults.
 type Config struct {
-	Groups     []string // the clusters that the office's writes go to
-	CutAfter   Time     // silence of all beyond the office (3 s)
-	AloneAfter Time     // the same where no other gateway of the office is reached either (10 s)
-	Fresh      Time     // an answer counts for so long towards being back, a peer's word against a cut (2 s)
-	BackMin    Time     // the link has to hold so long before it counts (2 s), doubling with each change in quick succession
-	BackMax    Time     // up to this (60 s), halving for each minute without
-	Late       Time     // a call of Judge later than this after the one before shows an own pause (1 s)
+	Groups         []string // the clusters that the office's writes go to
+	CutOffAfter    Time     // silence of all beyond the office (3 s)
+	AloneAfter     Time     // the same where no other gateway of the office is reached either (10 s)
+	Fresh          Time     // an answer counts for so long towards being back, a peer's word against a cut (2 s)
+	MinRecovery    Time     // the link has to hold so long before it counts (2 s), doubling with each change in quick succession
+	MaxRecovery    Time     // up to this (60 s), halving for each minute without
+	PauseThreshold Time     // a call of Judge later than this after the one before shows an own pause (1 s)
 }
 
-// Peers is what the view tells of other gateways now.
-type Peers struct {
-	Verdict view.Verdict
-	Office  int  // gateways of this office that are reached, without this one
-	Far     int  // gateways beyond it
-	SeesFar bool // some gateway of the office told, within Fresh, that it is answered from beyond
+// PeerView is what the view tells of other gateways now.
+type PeerView struct {
+	Verdict    view.Verdict
+	InOffice   int  // gateways of this office that are reached, without this one
+	Beyond     int  // gateways beyond it
+	SeesBeyond bool // some gateway of the office told, within Fresh, that it is answered from beyond
 }
 
 // Status is the verdict with its reason.
 type Status struct {
-	Cut    bool
+	CutOff bool
 	Number uint64 // grows with each change
 	Since  Time
 	Reason string
@@ -50,7 +50,7 @@
 	GuardGateways                   // a gateway beyond that is reached is no cut
 	GuardPeers                      // nor is what only this gateway does not reach
 	GuardPause                      // nothing is learned across an own pause
-	GuardLooks                      // silence counts only where somebody was asked
+	GuardProbes                     // silence counts only where somebody was asked
 	GuardAlone                      // a gateway that reaches nobody at all waits longer
 	GuardSteady                     // being back has to last, the longer the more it flaps
 	GuardSent                       // a key that was sent is not queued
@@ -69,7 +69,7 @@
 	{GuardGateways, "stores that are down are no cut"},
 	{GuardPeers, "a gateway's own trouble is no cut"},
 	{GuardPause, "a slow gateway sees no cut"},
-	{GuardLooks, "quiet is no cut"},
+	{GuardProbes, "quiet is no cut"},
 	{GuardAlone, "a gateway that was unplugged for some seconds sees no cut"},
 	{GuardSteady, "a flapping link does not change the way each time"},
 	{GuardSent, "what was sent is not queued as new"},
@@ -79,147 +79,147 @@
 }
 
 const (
-	calm  = time.Minute
-	looks = 3 // silent looks at each group that make silence
+	flapWindow   = time.Minute
+	silentProbes = 3 // silent looks at each group that make silence
 )
 
 type group struct {
-	answered Time
-	silent   int  // looks without an answer since
-	looked   Time // the last of them
+	lastAnswer Time
+	unanswered int  // looks without an answer since
+	lastSilent Time // the last of them
 }
 
-// Judge is one gateway's. It is its owner's alone.
-type Judge struct {
-	cfg     Config
-	off     Guard
-	status  Status
-	groups  map[string]*group
-	far     Time // the last answer from beyond, of whomever
-	base    Time // silence counts from here
-	judged  Time
-	okSince Time // most groups have answered ever since; never = they do not
-	back    Time
-	changed Time
+// Detector is one gateway's. It is its owner's alone.
+type Detector struct {
+	cfg           Config
+	off           Guard
+	status        Status
+	groups        map[string]*group
+	lastBeyond    Time // the last answer from beyond, of whomever
+	silenceFrom   Time // silence counts from here
+	lastEvaluated Time
+	okSince       Time // most groups have answered ever since; never = they do not
+	recoveryTime  Time
+	lastChange    Time
 }
 
-const never Time = -1 << 60
+const distantPast Time = -1 << 60
 
 // New returns the judgement of a gateway that starts: linked until it has seen silence itself.
-func New(cfg Config, now Time, off Guard) *Judge {
-	cfg.CutAfter = cmp.Or(cfg.CutAfter, 3*time.Second)
+func New(cfg Config, now Time, off Guard) *Detector {
+	cfg.CutOffAfter = cmp.Or(cfg.CutOffAfter, 3*time.Second)
 	cfg.AloneAfter = cmp.Or(cfg.AloneAfter, 10*time.Second)
 	cfg.Fresh = cmp.Or(cfg.Fresh, 2*time.Second)
-	cfg.BackMin = cmp.Or(cfg.BackMin, 2*time.Second)
-	cfg.BackMax = cmp.Or(cfg.BackMax, time.Minute)
-	cfg.Late = cmp.Or(cfg.Late, time.Second)
-	j := &Judge{cfg: cfg, off: off, groups: map[string]*group{}, far: never, base: now, judged: now, okSince: never,
-		back: cfg.BackMin, changed: never, status: Status{Number: 1, Since: now, Reason: "started"}}
+	cfg.MinRecovery = cmp.Or(cfg.MinRecovery, 2*time.Second)
+	cfg.MaxRecovery = cmp.Or(cfg.MaxRecovery, time.Minute)
+	cfg.PauseThreshold = cmp.Or(cfg.PauseThreshold, time.Second)
+	j := &Detector{cfg: cfg, off: off, groups: map[string]*group{}, lastBeyond: distantPast, silenceFrom: now, lastEvaluated: now, okSince: distantPast,
+		recoveryTime: cfg.MinRecovery, lastChange: distantPast, status: Status{Number: 1, Since: now, Reason: "started"}}
 	for _, g := range cfg.Groups {
-		j.groups[g] = &group{answered: never}
+		j.groups[g] = &group{lastAnswer: distantPast}
 	}
 	return j
 }
 
-func (j *Judge) on(g Guard) bool { return j.off&g == 0 }
+func (j *Detector) enabled(g Guard) bool { return j.off&g == 0 }
 
 // Status is the verdict now.
-func (j *Judge) Status() Status { return j.status }
+func (j *Detector) Status() Status { return j.status }
 
-// Answered tells that a member of a group beyond the office answered anything at all: a row, a refusal, an error.
+// RecordAnswer tells that a member of a group beyond the office answered anything at all: a row, a refusal, an error.
 // Refusal tells that it was none that serves.
-func (j *Judge) Answered(now Time, name string, refusal bool) {
+func (j *Detector) RecordAnswer(now Time, name string, refusal bool) {
 	g := j.groups[name]
-	if g == nil || refusal && !j.on(GuardAnswers) {
+	if g == nil || refusal && !j.enabled(GuardAnswers) {
 		return
 	}
-	g.answered, g.silent, j.far = now, 0, now
+	g.lastAnswer, g.unanswered, j.lastBeyond = now, 0, now
 }
 
-// Silent tells that a look at, or a try with, a member of a group ended without an answer.
-func (j *Judge) Silent(now Time, name string) {
+// RecordSilence tells that a look at, or a try with, a member of a group ended without an answer.
+func (j *Detector) RecordSilence(now Time, name string) {
 	if g := j.groups[name]; g != nil {
-		g.silent++
-		g.looked = now
+		g.unanswered++
+		g.lastSilent = now
 	}
 }
 
-// Judge looks anew, with what the view tells, and reports whether the verdict changed. It is to be called each 250 ms.
-func (j *Judge) Judge(now Time, p Peers) bool {
-	if now-j.judged > j.cfg.Late && j.on(GuardPause) { // this process stood still: what it missed says nothing
-		j.base, j.okSince = now, never
+// Evaluate looks anew, with what the view tells, and reports whether the verdict changed. It is to be called each 250 ms.
+func (j *Detector) Evaluate(now Time, p PeerView) bool {
+	if now-j.lastEvaluated > j.cfg.PauseThreshold && j.enabled(GuardPause) { // this process stood still: what it missed says nothing
+		j.silenceFrom, j.okSince = now, distantPast
 		for _, g := range j.groups {
-			g.silent = 0
+			g.unanswered = 0
 		}
 	}
-	j.judged = now
-	if now-j.changed > calm && j.back > j.cfg.BackMin {
-		j.back, j.changed = max(j.cfg.BackMin, j.back/2), now
+	j.lastEvaluated = now
+	if now-j.lastChange > flapWindow && j.recoveryTime > j.cfg.MinRecovery {
+		j.recoveryTime, j.lastChange = max(j.cfg.MinRecovery, j.recoveryTime/2), now
 	}
-	if p.Far > 0 && j.on(GuardGateways) {
-		j.far = now
+	if p.Beyond > 0 && j.enabled(GuardGateways) {
+		j.lastBeyond = now
 	}
-	if j.status.Cut {
-		return j.mend(now, p)
+	if j.status.CutOff {
+		return j.checkRecovery(now, p)
 	}
-	quiet := now - max(j.base, j.far)
-	if !j.on(GuardGroups) { // as if each group were the only one
+	quiet := now - max(j.silenceFrom, j.lastBeyond)
+	if !j.enabled(GuardGroups) { // as if each group were the only one
 		for _, g := range j.groups {
-			quiet = max(quiet, now-max(j.base, g.answered))
+			quiet = max(quiet, now-max(j.silenceFrom, g.lastAnswer))
 		}
 	}
 	silent := 0
 	for _, g := range j.groups {
-		if g.silent >= looks && now-g.looked < j.cfg.Fresh {
+		if g.unanswered >= silentProbes && now-g.lastSilent < j.cfg.Fresh {
 			silent++
 		}
 	}
-	wait := j.cfg.CutAfter
-	if (p.Office == 0 || p.Verdict == view.Alone) && j.on(GuardAlone) {
+	wait := j.cfg.CutOffAfter
+	if (p.InOffice == 0 || p.Verdict == view.Alone) && j.enabled(GuardAlone) {
 		wait = j.cfg.AloneAfter
 	}
 	switch {
 	case quiet < wait:
-	case p.SeesFar && j.on(GuardPeers):
-	case silent < len(j.groups) && j.on(GuardLooks) && j.on(GuardGroups):
+	case p.SeesBeyond && j.enabled(GuardPeers):
+	case silent < len(j.groups) && j.enabled(GuardProbes) && j.enabled(GuardGroups):
 	default:
-		j.turn(now, true, fmt.Sprintf("nobody beyond the office has answered for %v: %d groups were looked at in vain, no other gateway of the office (%d reached) sees any",
-			quiet.Round(10*time.Millisecond), silent, p.Office))
+		j.setCutOff(now, true, fmt.Sprintf("nobody beyond the office has answered for %v: %d groups were looked at in vain, no other gateway of the office (%d reached) sees any",
+			quiet.Round(10*time.Millisecond), silent, p.InOffice))
 		return true
 	}
 	return false
 }
 
-// mend looks whether the link is back and stays.
-func (j *Judge) mend(now Time, p Peers) bool {
+// checkRecovery looks whether the link is back and stays.
+func (j *Detector) checkRecovery(now Time, p PeerView) bool {
 	ok := 0
 	for _, g := range j.groups {
-		if now-g.answered < j.cfg.Fresh {
+		if now-g.lastAnswer < j.cfg.Fresh {
 			ok++
 		}
 	}
 	if 2*ok <= len(j.groups) {
-		j.okSince = never
+		j.okSince = distantPast
 		return false
 	}
-	if j.okSince == never {
+	if j.okSince == distantPast {
 		j.okSince = now
 	}
-	if now-j.okSince < j.back && j.on(GuardSteady) {
+	if now-j.okSince < j.recoveryTime && j.enabled(GuardSteady) {
 		return false
 	}
-	j.turn(now, false, fmt.Sprintf("%d of %d groups have answered for %v, %d gateways beyond are reached",
-		ok, len(j.groups), now-j.okSince, p.Far))
+	j.setCutOff(now, false, fmt.Sprintf("%d of %d groups have answered for %v, %d gateways beyond are reached",
+		ok, len(j.groups), now-j.okSince, p.Beyond))
 	return true
 }
 
-func (j *Judge) turn(now Time, cut bool, why string) {
-	if now-j.changed < calm {
-		j.back = min(2*j.back, j.cfg.BackMax)
+func (j *Detector) setCutOff(now Time, cut bool, why string) {
+	if now-j.lastChange < flapWindow {
+		j.recoveryTime = min(2*j.recoveryTime, j.cfg.MaxRecovery)
 	}
-	j.changed, j.base, j.okSince = now, now, never
+	j.lastChange, j.silenceFrom, j.okSince = now, now, distantPast
 	for _, g := range j.groups {
-		g.silent = 0
+		g.unanswered = 0
 	}
-	j.status = Status{Cut: cut, Number: j.status.Number + 1, Since: now, Reason: why}
+	j.status = Status{CutOff: cut, Number: j.status.Number + 1, Since: now, Reason: why}
 }
--- a/internal/branch/when/when_test.go
+++ b/internal/branch/when/when_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	ms    = time.Millisecond
-	plays = uint64(800)
+	ms        = time.Millisecond
+	scenarios = uint64(800)
 )
 
 // trouble is what befalls an office in a play.
@@ -23,21 +23,21 @@
 	hung              // one member of a group is silent
 	oneGroup          // all of a group is
 	stores            // all members are down, gateways beyond are there
-	own               // this gateway's own way out is broken, the office's others' is not
+	ownLink           // this gateway's own way out is broken, the office's others' is not
 	slow              // this process stands still again and again
 	unplugged         // it reaches nobody at all for some seconds
 	quiet             // nothing is asked and nobody answers
 	cut               // the office is cut off
 	cutAlone          // and this gateway is cut off from the others too
 	flap              // the link changes each 2 to 6 s for a minute
-	troubles
+	troubleCount
 )
 
-// judgePlay is one gateway that looks at its groups each half second, for two minutes; trouble lasts from 20 s to 80 s.
-func judgePlay(seed uint64, off Guard) error {
+// detectorScenario is one gateway that looks at its groups each half second, for two minutes; trouble lasts from 20 s to 80 s.
+func detectorScenario(seed uint64, off Guard) error {
 	rng := rand.New(rand.NewPCG(seed, 0x3e4))
 	odds := func(p float64) bool { return rng.Float64() < p }
-	what := trouble(seed % uint64(troubles))
+	what := trouble(seed % uint64(troubleCount))
 	names := []string{"g1", "g2", "g3"}[:1+rng.IntN(3)]
 	if what == oneGroup && len(names) == 1 {
 		names = []string{"g1", "g2"}
@@ -52,7 +52,7 @@
 	var stands time.Duration // until then the process stands still
 	for now := time.Duration(0); now < 200*time.Second; now += 250 * ms {
 		in := now >= from && now < to
-		down := in && (what == cut || what == cutAlone || what == own || what == unplugged && now < unplug ||
+		down := in && (what == cut || what == cutAlone || what == ownLink || what == unplugged && now < unplug ||
 			what == flap && (now-from)/period%2 == 0)
 		if in && what == slow && stands <= now && odds(0.1) {
 			stands = now + time.Duration(3000+rng.IntN(5000))*ms
@@ -63,9 +63,9 @@
 		}
 		if woke { // looks that were out when it stood still all ran out
 			for _, g := range names {
-				j.Silent(now, g)
-				j.Silent(now, g)
-				j.Silent(now, g)
+				j.RecordSilence(now, g)
+				j.RecordSilence(now, g)
+				j.RecordSilence(now, g)
 			}
 			woke = false
 		}
@@ -74,40 +74,40 @@
 				for m := range 3 {
 					silent := down || odds(loss) || in && (what == hung && m == 0 || what == oneGroup && i == 0 || what == stores)
 					if silent {
-						j.Silent(now, g)
+						j.RecordSilence(now, g)
 					} else {
-						j.Answered(now, g, in && what == election)
+						j.RecordAnswer(now, g, in && what == election)
 					}
 				}
 			}
 		}
-		p := Peers{Verdict: view.Majority, Office: 2, Far: far, SeesFar: !down}
+		p := PeerView{Verdict: view.Majority, InOffice: 2, Beyond: far, SeesBeyond: !down}
 		if in && what == election && odds(0.5) {
-			p.Far = 0 // the data centre's gateways are being rolled meanwhile
+			p.Beyond = 0 // the data centre's gateways are being rolled meanwhile
 		}
 		if in && what == election {
-			p.Far, p.SeesFar = 0, false
+			p.Beyond, p.SeesBeyond = 0, false
 		}
 		if in && (what == hung || what == oneGroup || what == quiet || what == slow) {
-			p.Far, p.SeesFar = 0, false // nothing but looks to go by
+			p.Beyond, p.SeesBeyond = 0, false // nothing but looks to go by
 		}
 		if in && what == stores {
-			p.SeesFar = false
+			p.SeesBeyond = false
 		}
 		if down {
-			p.Far, p.Verdict = 0, view.Minority
-			p.SeesFar = what == own
+			p.Beyond, p.Verdict = 0, view.Minority
+			p.SeesBeyond = what == ownLink
 			if what == cutAlone || what == unplugged {
-				p.Office, p.Verdict = 0, view.Alone
+				p.InOffice, p.Verdict = 0, view.Alone
 			}
 		}
-		if j.Judge(now, p) {
+		if j.Evaluate(now, p) {
 			changes++
-			if j.Status().Cut == was {
+			if j.Status().CutOff == was {
 				return fmt.Errorf("a change to the same")
 			}
 		}
-		was = j.Status().Cut
+		was = j.Status().CutOff
 		isCut := what == cut || what == cutAlone || what == flap
 		late := 5 * time.Second
 		if what == cutAlone {
@@ -127,23 +127,23 @@
 	return nil
 }
 
-// wayPlay is three gateways, clients that repeat their keys at any of them, cuts between all, kills. No key may have
+// routeScenario is three gateways, clients that repeat their keys at any of them, cuts between all, kills. No key may have
 // gone and be queued too, but where its replay begins in doubt; no gateway gives a key two receipts.
-func wayPlay(seed uint64, off Guard) error {
+func routeScenario(seed uint64, off Guard) error {
 	rng := rand.New(rand.NewPCG(seed, 0x3a75))
 	marks, most := rng.IntN(2) == 0, 0
 	if rng.IntN(3) == 0 {
 		most = 4 + rng.IntN(8)
 	}
 	type gate struct {
-		w       *Ways
+		w       *RouteTable
 		cut, up bool
 		life    int
 		queue   map[string]string
 	}
 	gates, apart := make([]*gate, 3), [3][3]bool{}
 	for i := range gates {
-		gates[i] = &gate{w: NewWays(0, most, 0, true, off), up: true, queue: map[string]string{}}
+		gates[i] = &gate{w: NewRouteTable(0, most, 0, true, off), up: true, queue: map[string]string{}}
 	}
 	went, plain := map[string]bool{}, map[string]bool{}
 	type later struct {
@@ -162,15 +162,15 @@
 		if !g.up {
 			return nil
 		}
-		way, _ := g.w.Ask(now, name, g.cut, retry && marks, marks)
+		way, _ := g.w.Decide(now, name, g.cut, retry && marks, marks)
 		switch way {
 		case Send:
 			if rng.IntN(3) == 0 {
-				g.w.NeverRan(name)
+				g.w.RecordNoEffect(name)
 			} else {
 				went[name] = true
 			}
-		case Same:
+		case AlreadyQueued:
 			if _, ok := g.w.Receipt(name); !ok {
 				return fmt.Errorf("%s is queued under no receipt", name)
 			}
@@ -182,7 +182,7 @@
 				}
 				if !o.up || apart[i][k] {
 					missing++
-				} else if v, ok := o.w.Vouch(now, name); !ok {
+				} else if v, ok := o.w.PromiseNotSent(now, name); !ok {
 					missing++
 				} else if !v {
 					denied = true
@@ -192,12 +192,12 @@
 				if g.life != life || !g.up {
 					return nil
 				}
-				way, _ := g.w.Vouched(now, name, denied, missing)
+				way, _ := g.w.PeersAnswered(now, name, denied, missing)
 				if way == Refuse {
 					return nil
 				}
 				if rng.IntN(10) == 0 {
-					g.w.GaveUp(now, name)
+					g.w.AbandonQueuing(now, name)
 					return nil
 				}
 				receipts++
@@ -205,7 +205,7 @@
 					return fmt.Errorf("%s has two receipts at one gateway", name)
 				}
 				g.queue[name] = fmt.Sprint(receipts)
-				g.w.Queued(now, name, g.queue[name])
+				g.w.RecordQueued(now, name, g.queue[name])
 				plain[name] = plain[name] || way == Queue
 				return nil
 			}})
@@ -229,9 +229,9 @@
 		case 3:
 			if g.up = !g.up; g.up {
 				g.life++
-				g.w = NewWays(now, most, 0, false, off)
+				g.w = NewRouteTable(now, most, 0, false, off)
 				for name, r := range g.queue {
-					g.w.Restored(now, name, r)
+					g.w.RestoreQueued(now, name, r)
 				}
 			}
 		}
@@ -253,13 +253,13 @@
 	return nil
 }
 
-// TestPlays: no play takes for a cut what is none, overlooks one, or lets a key go both ways.
-func TestPlays(t *testing.T) {
-	for seed := range plays {
-		if err := judgePlay(seed, 0); err != nil {
+// TestScenarios: no play takes for a cut what is none, overlooks one, or lets a key go both ways.
+func TestScenarios(t *testing.T) {
+	for seed := range scenarios {
+		if err := detectorScenario(seed, 0); err != nil {
 			t.Errorf("judge, seed %d: %v", seed, err)
 		}
-		if err := wayPlay(seed, 0); err != nil {
+		if err := routeScenario(seed, 0); err != nil {
 			t.Errorf("ways, seed %d: %v", seed, err)
 		}
 		if t.Failed() {
@@ -267,7 +267,7 @@
 		}
 	}
 	// looks that were lost just before nobody asked any more counted as silence
-	if err := judgePlay(1964, 0); err != nil {
+	if err := detectorScenario(1964, 0); err != nil {
 		t.Error(err)
 	}
 }
@@ -276,9 +276,9 @@
 func TestGuards(t *testing.T) {
 	for _, g := range Guards {
 		seed, err := uint64(0), error(nil)
-		for ; seed < plays && err == nil; seed++ {
-			if err = judgePlay(seed, g.Guard); err == nil {
-				err = wayPlay(seed, g.Guard)
+		for ; seed < scenarios && err == nil; seed++ {
+			if err = detectorScenario(seed, g.Guard); err == nil {
+				err = routeScenario(seed, g.Guard)
 			}
 		}
 		if err == nil {
--- a/internal/fanout/reconcile/reconcile.go
+++ b/internal/fanout/reconcile/reconcile.go
@@ -26,8 +26,8 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Hash, b.Hash))
 }
 
-// print is what an item adds to its range's fingerprint.
-func (a Item) print() uint64 { // splitmix64's last steps over both
+// fingerprint is what an item adds to its range's fingerprint.
+func (a Item) fingerprint() uint64 { // splitmix64's last steps over both
 	x := a.ID*0x9e3779b97f4a7c15 ^ a.Hash
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -38,35 +38,35 @@
 type Set interface {
 	Len() int
 	At(i int) Item
-	Rank(id uint64) int        // how many items have a lower ID
-	Print(from, to int) uint64 // the sum of the fingerprints of items from..to-1
+	Rank(id uint64) int              // how many items have a lower ID
+	Fingerprint(from, to int) uint64 // the sum of the fingerprints of items from..to-1
 }
 
 // Range is the IDs from Lo to Hi, both within it.
 type Range struct{ Lo, Hi uint64 }
 
-// Part is a piece of a range that is split: from after the part before up to Hi.
-type Part struct{ Hi, Print uint64 }
+// SubRange is a piece of a range that is split: from after the part before up to Hi.
+type SubRange struct{ Hi, Fingerprint uint64 }
 
-// Found is what the answerer has in a range: its items if they are few, else its parts.
-type Found struct {
+// RangeAnswer is what the answerer has in a range: its items if they are few, else its parts.
+type RangeAnswer struct {
 	Items []Item
-	Parts []Part
+	Parts []SubRange
 }
 
-// Sizes bound messages; the same at both sides. Wire sizes are 16 bytes a range, a part
+// Limits bound messages; the same at both sides. Wire sizes are 16 bytes a range, a part
 // and an item, and one a Found.
-type Sizes struct {
-	Ranges int // in a question, at least 1
-	Split  int // parts of a range, at least 2
-	Leaf   int // a range with no more items is told whole
-	Dense  int // items that one ID may have, at least Leaf
-	Stack  int // ranges still to be asked
+type Limits struct {
+	MaxRanges     int // in a question, at least 1
+	Split         int // parts of a range, at least 2
+	MaxLeafItems  int // a range with no more items is told whole
+	MaxItemsPerID int // items that one ID may have, at least Leaf
+	MaxPending    int // ranges still to be asked
 }
 
-// Default sizes: an answer is at most 62 KB (twice that if IDs collide). Measured in
+// DefaultLimits sizes: an answer is at most 62 KB (twice that if IDs collide). Measured in
 // docs/design/fanout.md.
-var Default = Sizes{Ranges: 480, Split: 8, Leaf: 8, Dense: 16, Stack: 480 * 8 * 24}
+var DefaultLimits = Limits{MaxRanges: 480, Split: 8, MaxLeafItems: 8, MaxItemsPerID: 16, MaxPending: 480 * 8 * 24}
 
 // AnswerError tells that an answer does not fit its question.
 type AnswerError struct{ Found, Wanted string }
@@ -75,30 +75,30 @@
 	return fmt.Sprintf("the answer has %s, wanted %s: the other side runs another form or is at fault; the run ends and a new one may be begun", e.Found, e.Wanted)
 }
 
-// DenseError tells that too many items share an ID, which no fair hash does.
-type DenseError struct {
-	ID          uint64
-	Found, Most int
+// TooManyItemsPerIDError tells that too many items share an ID, which no fair hash does.
+type TooManyItemsPerIDError struct {
+	ID         uint64
+	Found, Max int
 }
 
-func (e *DenseError) Error() string {
-	return fmt.Sprintf("%d items share the ID %016x, at most %d may: keys were chosen to collide; look for a flood of made-up keys", e.Found, e.ID, e.Most)
+func (e *TooManyItemsPerIDError) Error() string {
+	return fmt.Sprintf("%d items share the ID %016x, at most %d may: keys were chosen to collide; look for a flood of made-up keys", e.Found, e.ID, e.Max)
 }
 
 // Answer tells of each range what s has there. The error is a *DenseError or, if a
 // question is over its bounds, an *AnswerError.
-func Answer(s Set, z Sizes, ask []Range) ([]Found, error) {
-	if len(ask) > z.Ranges {
-		return nil, &AnswerError{fmt.Sprintf("%d ranges asked", len(ask)), fmt.Sprintf("at most %d", z.Ranges)}
+func Answer(s Set, z Limits, ask []Range) ([]RangeAnswer, error) {
+	if len(ask) > z.MaxRanges {
+		return nil, &AnswerError{fmt.Sprintf("%d ranges asked", len(ask)), fmt.Sprintf("at most %d", z.MaxRanges)}
 	}
-	out := make([]Found, 0, len(ask))
+	out := make([]RangeAnswer, 0, len(ask))
 	for _, r := range ask {
 		from, to := bounds(s, r)
-		var f Found
+		var f RangeAnswer
 		switch n := to - from; {
-		case n <= z.Leaf || n > 0 && s.At(from).ID == s.At(to-1).ID:
-			if n > z.Dense {
-				return nil, &DenseError{s.At(from).ID, n, z.Dense}
+		case n <= z.MaxLeafItems || n > 0 && s.At(from).ID == s.At(to-1).ID:
+			if n > z.MaxItemsPerID {
+				return nil, &TooManyItemsPerIDError{s.At(from).ID, n, z.MaxItemsPerID}
 			}
 			for i := from; i < to; i++ {
 				f.Items = append(f.Items, s.At(i))
@@ -112,11 +112,11 @@
 				}
 				hi := min(s.At(from+k-1).ID, last-1) // the last part is never empty, so that there are two
 				if _, end := bounds(s, Range{r.Lo, hi}); end > at {
-					f.Parts = append(f.Parts, Part{hi, s.Print(at, end)})
+					f.Parts = append(f.Parts, SubRange{hi, s.Fingerprint(at, end)})
 					at = end
 				}
 			}
-			f.Parts = append(f.Parts, Part{r.Hi, s.Print(at, to)})
+			f.Parts = append(f.Parts, SubRange{r.Hi, s.Fingerprint(at, to)})
 		}
 		out = append(out, f)
 	}
@@ -132,28 +132,28 @@
 
 // Run is the asker's side.
 type Run struct {
-	z     Sizes
-	stack []Range
-	asked int // of them, from the top
+	limits Limits
+	stack  []Range
+	asked  int // of them, from the top
 	// Steps counts questions that were answered; Bytes what they and their answers took.
 	Steps, Bytes int
 }
 
 // Begin returns a run over all IDs.
-func Begin(z Sizes) *Run { return &Run{z: z, stack: []Range{{0, math.MaxUint64}}} }
+func Begin(z Limits) *Run { return &Run{limits: z, stack: []Range{{0, math.MaxUint64}}} }
 
 // Next returns the question that is to be asked, nil when all is found. Until it is
 // answered it stays the same.
 func (r *Run) Next() []Range {
-	r.asked = min(len(r.stack), r.z.Ranges)
+	r.asked = min(len(r.stack), r.limits.MaxRanges)
 	return r.stack[len(r.stack)-r.asked:]
 }
 
-// Take takes the answer to the last question. It returns the items that only the
+// HandleAnswer takes the answer to the last question. It returns the items that only the
 // answerer has, to be fetched, and those that only s has, to be sent; a record that both
 // have in different states is among both. After an error, an *AnswerError, nothing of the
 // answer is taken.
-func (r *Run) Take(s Set, answer []Found) (need, have []Item, err error) {
+func (r *Run) HandleAnswer(s Set, answer []RangeAnswer) (need, have []Item, err error) {
 	ask := r.stack[len(r.stack)-r.asked:]
 	if len(answer) != len(ask) {
 		return nil, nil, &AnswerError{fmt.Sprintf("%d ranges", len(answer)), fmt.Sprint(len(ask))}
@@ -162,26 +162,26 @@
 	bytes := 16 * len(ask)
 	for i, f := range answer {
 		bytes += 1 + 16*(len(f.Items)+len(f.Parts))
-		if err := r.fits(ask[i], f); err != nil {
+		if err := r.validate(ask[i], f); err != nil {
 			return nil, nil, err
 		}
 		if len(f.Parts) == 0 {
-			n, h := differ(s, ask[i], f.Items)
+			n, h := diffItems(s, ask[i], f.Items)
 			need, have = append(need, n...), append(have, h...)
 			continue
 		}
 		lo := ask[i].Lo
 		for _, p := range f.Parts {
 			part := Range{lo, p.Hi}
-			if from, to := bounds(s, part); s.Print(from, to) != p.Print {
+			if from, to := bounds(s, part); s.Fingerprint(from, to) != p.Fingerprint {
 				deeper = append(deeper, part)
 			}
 			lo = p.Hi + 1
 		}
 	}
 	rest := r.stack[:len(r.stack)-r.asked]
-	if len(rest)+len(deeper) > r.z.Stack {
-		return nil, nil, &AnswerError{fmt.Sprintf("%d ranges that differ", len(rest)+len(deeper)), fmt.Sprintf("at most %d at once", r.z.Stack)}
+	if len(rest)+len(deeper) > r.limits.MaxPending {
+		return nil, nil, &AnswerError{fmt.Sprintf("%d ranges that differ", len(rest)+len(deeper)), fmt.Sprintf("at most %d at once", r.limits.MaxPending)}
 	}
 	r.stack, r.asked = append(rest, deeper...), 0
 	r.Steps++
@@ -189,12 +189,12 @@
 	return need, have, nil
 }
 
-// fits guards against an answer that would not end: parts must cover the range in order
+// validate guards against an answer that would not end: parts must cover the range in order
 // and be smaller than it, items lie within it.
-func (r *Run) fits(ask Range, f Found) error {
-	if len(f.Items) > r.z.Dense || len(f.Parts) > r.z.Split || len(f.Parts) == 1 || len(f.Items) > 0 && len(f.Parts) > 0 {
+func (r *Run) validate(ask Range, f RangeAnswer) error {
+	if len(f.Items) > r.limits.MaxItemsPerID || len(f.Parts) > r.limits.Split || len(f.Parts) == 1 || len(f.Items) > 0 && len(f.Parts) > 0 {
 		return &AnswerError{fmt.Sprintf("%d items and %d parts", len(f.Items), len(f.Parts)),
-			fmt.Sprintf("up to %d items or 2 to %d parts", r.z.Dense, r.z.Split)}
+			fmt.Sprintf("up to %d items or 2 to %d parts", r.limits.MaxItemsPerID, r.limits.Split)}
 	}
 	for i, it := range f.Items {
 		if it.ID < ask.Lo || it.ID > ask.Hi || i > 0 && f.Items[i-1].Compare(it) >= 0 {
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// differ compares the items of a range.
-func differ(s Set, r Range, theirs []Item) (need, have []Item) {
+// diffItems compares the items of a range.
+func diffItems(s Set, r Range, theirs []Item) (need, have []Item) {
 	from, to := bounds(s, r)
 	for from < to || len(theirs) > 0 {
 		c := 0
@@ -249,7 +249,7 @@
 	items = slices.Compact(items)
 	s := &Sorted{items, make([]uint64, len(items)+1)}
 	for i, it := range items {
-		s.sums[i+1] = s.sums[i] + it.print()
+		s.sums[i+1] = s.sums[i] + it.fingerprint()
 	}
 	return s
 }
@@ -266,5 +266,5 @@
 	return i
 }
 
-// Print sums the fingerprints of items from..to-1.
-func (s *Sorted) Print(from, to int) uint64 { return s.sums[to] - s.sums[from] }
+// Fingerprint sums the fingerprints of items from..to-1.
+func (s *Sorted) Fingerprint(from, to int) uint64 { return s.sums[to] - s.sums[from] }
--- a/internal/fanout/rules/list.go
+++ b/internal/fanout/rules/list.go
@@ -15,38 +15,38 @@
 	until        Time
 }
 
-// parted is where a device was last heard, remembered until no late copy can come.
-type parted struct {
-	p     Presence
-	lease lease // of it, if it was held here: it goes on should the device's entries come back
-	until Time
+// departed is where a device was last heard, remembered until no late copy can come.
+type departed struct {
+	presence Presence
+	lease    lease // of it, if it was held here: it goes on should the device's entries come back
+	until    Time
 }
 
 // List is what one region knows. Not safe for concurrent use.
 type List struct {
-	cfg    Config
-	guards Guards
-	me     Replica
-	next   uint64 // the last number given
-	turn   uint64 // of the highest rank known
-
-	entries  map[Key]Entry
-	devices  map[string]Presence // of those with an entry
-	byDevice map[string]map[Key]struct{}
-	blocks   map[Target]Marks
-	kept     map[Key]struct{}    // entries that hold withdrawals
-	ended    map[string]struct{} // devices whose lease has ended
-	held     map[string]lease
-	parted   map[string]parted // devices whose last entry is gone: this region's own memory, not merged
-
-	seen   Vector            // removals that are in the list, or under the floor
-	floor  Vector            // removals that every region that counts has seen
-	acked  map[Region]Vector // what each is known to have seen
-	beats  Vector            // messages of each
-	life   map[Region]uint64 // that each is in
-	last   map[Region]Time   // when its beats grew
-	healed Time              // the last cut's end
-	ran    Time              // when it was last called with a time
+	cfg         Config
+	guards      Guards
+	me          Replica
+	lastNumber  uint64 // the last number given
+	highestTurn uint64 // of the highest rank known
+
+	entries      map[Key]Entry
+	devices      map[string]Presence // of those with an entry
+	byDevice     map[string]map[Key]struct{}
+	blocks       map[Target]Marks
+	withRemovals map[Key]struct{}    // entries that hold withdrawals
+	ended        map[string]struct{} // devices whose lease has ended
+	leases       map[string]lease
+	departed     map[string]departed // devices whose last entry is gone: this region's own memory, not merged
+
+	seen       Vector            // removals that are in the list, or under the floor
+	floor      Vector            // removals that every region that counts has seen
+	acked      map[Region]Vector // what each is known to have seen
+	heartbeats Vector            // messages of each
+	life       map[Region]uint64 // that each is in
+	lastHeard  map[Region]Time   // when its beats grew
+	healedAt   Time              // the last cut's end
+	lastRun    Time              // when it was last called with a time
 
 	waiting map[Key]Target // nil: to be worked out
 }
@@ -56,11 +56,11 @@
 	l := &List{
 		cfg: cfg, guards: g, me: Replica{cfg.Region, life},
 		entries: map[Key]Entry{}, devices: map[string]Presence{}, byDevice: map[string]map[Key]struct{}{},
-		blocks: map[Target]Marks{}, kept: map[Key]struct{}{}, ended: map[string]struct{}{}, held: map[string]lease{}, parted: map[string]parted{},
-		seen: Vector{}, floor: Vector{}, acked: map[Region]Vector{}, beats: Vector{}, life: map[Region]uint64{}, last: map[Region]Time{}, healed: now, ran: now,
+		blocks: map[Target]Marks{}, withRemovals: map[Key]struct{}{}, ended: map[string]struct{}{}, leases: map[string]lease{}, departed: map[string]departed{},
+		seen: Vector{}, floor: Vector{}, acked: map[Region]Vector{}, heartbeats: Vector{}, life: map[Region]uint64{}, lastHeard: map[Region]Time{}, healedAt: now, lastRun: now,
 	}
 	for _, r := range cfg.Regions {
-		l.last[r] = now
+		l.lastHeard[r] = now
 	}
 	return l
 }
@@ -69,12 +69,12 @@
 // old copy. The life must never have been used in the region.
 func (l *List) Reopen(life uint64, now Time) *List {
 	c := New(l.cfg, l.guards, life, now)
-	c.turn, c.seen, c.floor, c.beats = l.turn, maps.Clone(l.seen), maps.Clone(l.floor), maps.Clone(l.beats)
+	c.highestTurn, c.seen, c.floor, c.heartbeats = l.highestTurn, maps.Clone(l.seen), maps.Clone(l.floor), maps.Clone(l.heartbeats)
 	for r, v := range l.acked {
 		c.acked[r] = maps.Clone(v)
 	}
 	for k, e := range l.entries {
-		c.put(k, e.clone())
+		c.setEntry(k, e.clone())
 	}
 	for d, p := range l.devices {
 		c.setDevice(d, p)
@@ -83,24 +83,24 @@
 		c.blocks[t] = maps.Clone(b)
 	}
 	c.life = maps.Clone(l.life)
-	c.held, c.parted = maps.Clone(l.held), maps.Clone(l.parted)
+	c.leases, c.departed = maps.Clone(l.leases), maps.Clone(l.departed)
 	return c
 }
 
-// dot numbers a removal.
-func (l *List) dot() Dot {
-	l.next++
-	l.seen[l.me] = l.next
+// nextDot numbers a removal.
+func (l *List) nextDot() Dot {
+	l.lastNumber++
+	l.seen[l.me] = l.lastNumber
 	l.waiting = nil
-	return Dot{By: l.me, N: l.next}
+	return Dot{By: l.me, N: l.lastNumber}
 }
 
-// put sets an entry, or takes it out if nothing of it is left.
-func (l *List) put(k Key, e Entry) {
+// setEntry sets an entry, or takes it out if nothing of it is left.
+func (l *List) setEntry(k Key, e Entry) {
 	l.waiting = nil
-	delete(l.kept, k)
+	delete(l.withRemovals, k)
 	if len(e.Gone) > 0 {
-		l.kept[k] = struct{}{}
+		l.withRemovals[k] = struct{}{}
 	} else if !e.Granted {
 		delete(l.entries, k)
 		delete(l.byDevice[k.Device], k)
@@ -114,9 +114,9 @@
 		l.byDevice[k.Device] = map[Key]struct{}{}
 	}
 	l.byDevice[k.Device][k] = struct{}{}
-	if was, ok := l.parted[k.Device]; ok {
+	if was, ok := l.departed[k.Device]; ok {
 		if _, is := l.devices[k.Device]; !is {
-			l.setDevice(k.Device, was.p)
+			l.setDevice(k.Device, was.presence)
 		}
 	}
 }
@@ -128,31 +128,31 @@
 	}
 	l.waiting = nil
 	l.devices[d] = p
-	delete(l.held, d)
+	delete(l.leases, d)
 	delete(l.ended, d)
-	if was := l.parted[d].lease; was.until > 0 && was.epoch == p.Epoch && was.count == p.Count && p.Home == l.cfg.Region {
-		l.held[d] = was
+	if was := l.departed[d].lease; was.until > 0 && was.epoch == p.Epoch && was.count == p.Count && p.Home == l.cfg.Region {
+		l.leases[d] = was
 	}
-	delete(l.parted, d)
+	delete(l.departed, d)
 	if p.End != (Dot{}) {
 		l.ended[d] = struct{}{}
 	}
 }
 
-// settle forgets what a device's record needs no more: the grants of one whose end all
+// forgetSettled forgets what a device's record needs no more: the grants of one whose end all
 // have seen, and the record of one without entries.
-func (l *List) settle(d string) {
-	if l.past(l.devices[d].End) {
+func (l *List) forgetSettled(d string) {
+	if l.seenByAll(l.devices[d].End) {
 		for k := range l.byDevice[d] {
 			e := l.entries[k]
 			e.Granted, e.Rank = false, Rank{}
-			l.put(k, e)
+			l.setEntry(k, e)
 		}
 	}
 	if p, ok := l.devices[d]; ok && len(l.byDevice[d]) == 0 {
-		l.parted[d] = parted{p, l.held[d], l.ran + l.cfg.MaxRequestDelay}
+		l.departed[d] = departed{p, l.leases[d], l.lastRun + l.cfg.MaxRequestDelay}
 		delete(l.devices, d)
-		delete(l.held, d)
+		delete(l.leases, d)
 		delete(l.ended, d)
 	}
 }
@@ -165,13 +165,13 @@
 	return a.Compare(b) > 0
 }
 
-// stale refuses what is older than the last that is known of a device, and what must be
+// checkFresh refuses what is older than the last that is known of a device, and what must be
 // newer (a subscription to what it has not) also if it is as old: it may be a late copy
 // of a request that a withdrawal came after.
-func (l *List) stale(d string, p Presence, newer bool) error {
+func (l *List) checkFresh(d string, p Presence, newer bool) error {
 	k, ok := l.devices[d]
 	if !ok {
-		k.Epoch, k.Count = l.parted[d].p.Epoch, l.parted[d].p.Count
+		k.Epoch, k.Count = l.departed[d].presence.Epoch, l.departed[d].presence.Count
 		newer = true
 	}
 	if c := cmp.Or(cmp.Compare(p.Epoch, k.Epoch), cmp.Compare(p.Count, k.Count)); c < 0 || newer && c == 0 {
@@ -180,9 +180,9 @@
 	return nil
 }
 
-// hear takes in that a device was heard here. A repeat of the same count moves nothing
+// recordHeard takes in that a device was heard here. A repeat of the same count moves nothing
 // and lengthens no lease.
-func (l *List) hear(now Time, d string, p Presence) {
+func (l *List) recordHeard(now Time, d string, p Presence) {
 	p.Home, p.End = l.cfg.Region, Dot{}
 	k, ok := l.devices[d]
 	if ok && p.Epoch == k.Epoch && p.Count == k.Count && k.Home == p.Home {
@@ -190,7 +190,7 @@
 	}
 	if !ok || l.greater(p, k) {
 		l.setDevice(d, p)
-		l.held[d] = lease{p.Epoch, p.Count, now + p.Span}
+		l.leases[d] = lease{p.Epoch, p.Count, now + p.Span}
 	}
 }
 
@@ -201,7 +201,7 @@
 // error is a *StaleError; then nothing was taken.
 func (l *List) Subscribe(now Time, k Key, p Presence, token Vector) error {
 	e := l.entries[k].clone()
-	if err := l.stale(k.Device, p, !e.Granted); err != nil {
+	if err := l.checkFresh(k.Device, p, !e.Granted); err != nil {
 		return err
 	}
 	told := Marks{}
@@ -214,11 +214,11 @@
 		e.Granted, e.Gone = false, joined(e.Gone, told)
 	}
 	if !e.Granted {
-		l.turn++
-		e.Granted, e.Rank = true, Rank{l.turn, l.me}
+		l.highestTurn++
+		e.Granted, e.Rank = true, Rank{l.highestTurn, l.me}
 	}
-	l.put(k, e)
-	l.hear(now, k.Device, p)
+	l.setEntry(k, e)
+	l.recordHeard(now, k.Device, p)
 	return nil
 }
 
@@ -226,12 +226,12 @@
 // that has not must subscribe, and its hearing would be lost with the removals that are
 // kept of it. The error is a *StaleError.
 func (l *List) Renew(now Time, device string, p Presence) (bool, error) {
-	if err := l.stale(device, p, false); err != nil {
+	if err := l.checkFresh(device, p, false); err != nil {
 		return false, err
 	}
 	for k := range l.byDevice[device] {
 		if l.entries[k].Granted {
-			l.hear(now, device, p)
+			l.recordHeard(now, device, p)
 			return true, nil
 		}
 	}
@@ -243,11 +243,11 @@
 // if the device itself was heard, else zero; heard tells whether that was news of it.
 func (l *List) Withdraw(now Time, k Key, p Presence) (token Vector, heard bool) {
 	e := l.entries[k].clone()
-	e.Gone = joined(e.Gone, Marks{l.me: {N: l.dot().N}})
+	e.Gone = joined(e.Gone, Marks{l.me: {N: l.nextDot().N}})
 	e.Granted, e.Rank = false, Rank{}
-	l.put(k, e)
-	if heard = p.Count > 0 && l.stale(k.Device, p, false) == nil; heard {
-		l.hear(now, k.Device, p)
+	l.setEntry(k, e)
+	if heard = p.Count > 0 && l.checkFresh(k.Device, p, false) == nil; heard {
+		l.recordHeard(now, k.Device, p)
 	}
 	token = Vector{}
 	for r, m := range e.Gone {
@@ -258,7 +258,7 @@
 
 // Block bars deliveries to all that t names. The dot is its fence.
 func (l *List) Block(t Target) Dot {
-	d := l.dot()
+	d := l.nextDot()
 	if l.blocks[t] == nil {
 		l.blocks[t] = Marks{}
 	}
@@ -271,7 +271,7 @@
 	if !l.blocked(t) {
 		return false
 	}
-	d := l.dot()
+	d := l.nextDot()
 	for r, m := range l.blocks[t] {
 		if m.Past == (Dot{}) {
 			m.Past = d
@@ -297,12 +297,12 @@
 	return out
 }
 
-// past tells whether all have seen what a dot numbers.
-func (l *List) past(d Dot) bool { return d.N > 0 && d.N <= l.floor[d.By] }
+// seenByAll tells whether all have seen what a dot numbers.
+func (l *List) seenByAll(d Dot) bool { return d.N > 0 && d.N <= l.floor[d.By] }
 
-// above leaves out withdrawals that all have seen.
-func (l *List) above(m Marks) Marks {
-	maps.DeleteFunc(m, func(r Replica, k Mark) bool { return k.N <= l.floor[r] || l.past(k.Past) })
+// dropSeenByAll leaves out withdrawals that all have seen.
+func (l *List) dropSeenByAll(m Marks) Marks {
+	maps.DeleteFunc(m, func(r Replica, k Mark) bool { return k.N <= l.floor[r] || l.seenByAll(k.Past) })
 	return m
 }
 
@@ -320,34 +320,34 @@
 
 // settleBlock forgets lifted blocks that all have seen lifted.
 func (l *List) settleBlock(t Target) {
-	maps.DeleteFunc(l.blocks[t], func(_ Replica, m Mark) bool { return l.past(m.Past) })
+	maps.DeleteFunc(l.blocks[t], func(_ Replica, m Mark) bool { return l.seenByAll(m.Past) })
 	if len(l.blocks[t]) == 0 {
 		delete(l.blocks, t)
 	}
 }
 
-// out tells whether a region is counted out: gone past the term, while this one is in
+// excluded tells whether a region is counted out: gone past the term, while this one is in
 // contact with more than half.
-func (l *List) out(r Region, now Time) bool {
-	if r == l.cfg.Region || now-l.last[r] <= l.cfg.ExcludeAfter {
+func (l *List) excluded(r Region, now Time) bool {
+	if r == l.cfg.Region || now-l.lastHeard[r] <= l.cfg.ExcludeAfter {
 		return false
 	}
 	near := 0
 	for _, o := range l.cfg.Regions {
-		if o == l.cfg.Region || now-l.last[o] <= l.cfg.CutOffAfter {
+		if o == l.cfg.Region || now-l.lastHeard[o] <= l.cfg.CutOffAfter {
 			near++
 		}
 	}
 	return l.guards.Majority || 2*near > len(l.cfg.Regions)
 }
 
-// raise moves the floor to what all that count have seen, or to at least v, and forgets.
-func (l *List) raise(now Time, v Vector) {
+// raiseFloor moves the floor to what all that count have seen, or to at least v, and forgets.
+func (l *List) raiseFloor(now Time, v Vector) {
 	l.acked[l.cfg.Region] = l.seen
 	rose := false
 	for by, n := range l.seen {
 		for _, r := range l.cfg.Regions {
-			if !l.guards.Keep && !l.out(r, now) {
+			if !l.guards.Keep && !l.excluded(r, now) {
 				n = min(n, l.acked[r][by])
 			}
 		}
@@ -360,49 +360,49 @@
 	}
 	l.floor.join(v)
 	// By copies of the keys: what is taken out and put back meanwhile might be passed over.
-	for _, k := range slices.Collect(maps.Keys(l.kept)) {
+	for _, k := range slices.Collect(maps.Keys(l.withRemovals)) {
 		e := l.entries[k]
-		e.Gone = l.above(e.Gone)
-		l.put(k, e)
-		l.settle(k.Device)
+		e.Gone = l.dropSeenByAll(e.Gone)
+		l.setEntry(k, e)
+		l.forgetSettled(k.Device)
 	}
 	for _, d := range slices.Collect(maps.Keys(l.ended)) {
-		l.settle(d)
+		l.forgetSettled(d)
 	}
 	for t := range l.blocks {
 		l.settleBlock(t)
 	}
 }
 
-// runs guards against taking others for gone after the process itself was stopped: the
+// noteRun guards against taking others for gone after the process itself was stopped: the
 // time in which it did not run counts for nobody's absence. Leases run on.
-func (l *List) runs(now Time) {
-	if gap := now - l.ran; gap > l.cfg.CutOffAfter {
-		for r := range l.last {
-			l.last[r] += gap
+func (l *List) noteRun(now Time) {
+	if gap := now - l.lastRun; gap > l.cfg.CutOffAfter {
+		for r := range l.lastHeard {
+			l.lastHeard[r] += gap
 		}
-		l.healed = now
+		l.healedAt = now
 	}
-	l.ran = now
+	l.lastRun = now
 }
 
 // Tick ends leases and forgets; to be called several times within the span of Cut. It returns the devices whose
 // leases were ended.
 func (l *List) Tick(now Time) (ended []string) {
-	l.runs(now)
-	calm := now >= l.healed+l.cfg.HealGrace
+	l.noteRun(now)
+	calm := now >= l.healedAt+l.cfg.HealGrace
 	for _, r := range l.cfg.Regions {
-		if r != l.cfg.Region && now-l.last[r] > l.cfg.CutOffAfter && !l.out(r, now) {
+		if r != l.cfg.Region && now-l.lastHeard[r] > l.cfg.CutOffAfter && !l.excluded(r, now) {
 			calm = false
 		}
 	}
 	for d, p := range l.devices {
-		if p.End != (Dot{}) || p.Home != l.cfg.Region && !l.out(p.Home, now) {
+		if p.End != (Dot{}) || p.Home != l.cfg.Region && !l.excluded(p.Home, now) {
 			continue
 		}
-		h, ok := l.held[d]
+		h, ok := l.leases[d]
 		if !ok { // its home is this region, which has forgotten when it heard it, or one that is counted out
-			l.held[d] = lease{p.Epoch, p.Count, now + p.Span}
+			l.leases[d] = lease{p.Epoch, p.Count, now + p.Span}
 		} else if now >= h.until && (calm || l.guards.Grace) {
 			ended = append(ended, d)
 		}
@@ -410,33 +410,33 @@
 	slices.Sort(ended)
 	for _, d := range ended {
 		p := l.devices[d]
-		p.End = l.dot()
+		p.End = l.nextDot()
 		l.setDevice(d, p)
 	}
-	maps.DeleteFunc(l.parted, func(_ string, p parted) bool { return now >= p.until })
-	l.tellAnew()
-	l.raise(now, nil)
+	maps.DeleteFunc(l.departed, func(_ string, p departed) bool { return now >= p.until })
+	l.renumberOrphans()
+	l.raiseFloor(now, nil)
 	return ended
 }
 
-// orphan tells whether a number can't become known to all by itself: it is of a former
+// orphaned tells whether a number can't become known to all by itself: it is of a former
 // life of this region, which has lost it; it came back by a part of a message or a token.
-func (l *List) orphan(by Replica, n uint64) bool {
+func (l *List) orphaned(by Replica, n uint64) bool {
 	return n > l.seen[by] && by != l.me && by.Region == l.me.Region
 }
 
-// tellAnew numbers removals again whose own number nobody will ever have seen in full,
+// renumberOrphans numbers removals again whose own number nobody will ever have seen in full,
 // else they would be kept for ever.
-func (l *List) tellAnew() {
+func (l *List) renumberOrphans() {
 	again := func(by Replica, n uint64, d Dot) (Dot, bool) {
-		if !l.orphan(by, n) || d.N > 0 && !l.orphan(d.By, d.N) {
+		if !l.orphaned(by, n) || d.N > 0 && !l.orphaned(d.By, d.N) {
 			return d, false
 		}
-		a := l.dot()
+		a := l.nextDot()
 		a.Anew = d.Anew + 1
 		return a, true
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(l.kept), compareKeys) {
+	for _, k := range slices.SortedFunc(maps.Keys(l.withRemovals), compareKeys) {
 		e := l.entries[k]
 		for _, r := range slices.SortedFunc(maps.Keys(e.Gone), compareReplicas) {
 			m := e.Gone[r]
@@ -478,7 +478,7 @@
 		return Status{Blocked, t}
 	}
 	if l.waiting == nil {
-		l.admit()
+		l.applyLimits()
 	}
 	if t, is := l.waiting[k]; is {
 		return Status{Waiting, t}
@@ -486,7 +486,7 @@
 	if p.Home != l.cfg.Region {
 		return Status{Elsewhere, Target{InRegion, string(p.Home)}}
 	}
-	if h, is := l.held[k.Device]; (!is || now >= h.until) && !l.guards.Lease {
+	if h, is := l.leases[k.Device]; (!is || now >= h.until) && !l.guards.Lease {
 		return Status{Reason: Expired}
 	}
 	return Status{}
@@ -501,9 +501,9 @@
 	return Target{}, false
 }
 
-// admit gives places within the limits by rank. One that waits for a limit is passed by
+// applyLimits gives places within the limits by rank. One that waits for a limit is passed by
 // none within it, since those with a place there are all before it.
-func (l *List) admit() {
+func (l *List) applyLimits() {
 	l.waiting = map[Key]Target{}
 	if len(l.cfg.Limits) == 0 || l.guards.Limit {
 		return
@@ -540,7 +540,7 @@
 
 // Kept counts removals that are kept: withdrawn keys, ended devices, lifted blocks.
 func (l *List) Kept() int {
-	n := len(l.kept) + len(l.ended)
+	n := len(l.withRemovals) + len(l.ended)
 	for _, b := range l.blocks {
 		for _, m := range b {
 			if m.Past.N > 0 {
--- a/internal/fanout/rules/message.go
+++ b/internal/fanout/rules/message.go
@@ -31,14 +31,14 @@
 // Snapshot returns the whole list as a message. Anything that it tells must be durable
 // before it is sent.
 func (l *List) Snapshot(now Time) Message {
-	l.beats[l.me]++
+	l.heartbeats[l.me]++
 	m := Message{
-		From: l.me, Seen: maps.Clone(l.seen), Floor: maps.Clone(l.floor), Beats: maps.Clone(l.beats), Acked: map[Region]Vector{},
-		Turn: l.turn, Entries: map[Key]Entry{}, Devices: maps.Clone(l.devices), Blocks: map[Target]Marks{}, Whole: true,
+		From: l.me, Seen: maps.Clone(l.seen), Floor: maps.Clone(l.floor), Beats: maps.Clone(l.heartbeats), Acked: map[Region]Vector{},
+		Turn: l.highestTurn, Entries: map[Key]Entry{}, Devices: maps.Clone(l.devices), Blocks: map[Target]Marks{}, Whole: true,
 	}
-	m.Departed = make(map[string]Departed, len(l.parted))
-	for d, q := range l.parted {
-		m.Departed[d] = Departed{q.p, q.until - now}
+	m.Departed = make(map[string]Departed, len(l.departed))
+	for d, q := range l.departed {
+		m.Departed[d] = Departed{q.presence, q.until - now}
 	}
 	for r, v := range l.acked {
 		m.Acked[r] = maps.Clone(v)
@@ -64,22 +64,22 @@
 // nothing was merged.
 func (l *List) Merge(now Time, m Message) (MergeResult, error) {
 	var took MergeResult
-	l.runs(now)
+	l.noteRun(now)
 	for r, n := range m.Beats { // who told whom is known also from a message that is refused
-		if n <= l.beats[r] || r.Region == l.cfg.Region {
+		if n <= l.heartbeats[r] || r.Region == l.cfg.Region {
 			continue
 		}
-		l.beats[r] = n
+		l.heartbeats[r] = n
 		if r != m.From && r.Life < l.life[r.Region] { // late news of a former life
 			continue
 		}
 		l.life[r.Region] = r.Life
-		if now-l.last[r.Region] > l.cfg.CutOffAfter {
-			l.healed = now
+		if now-l.lastHeard[r.Region] > l.cfg.CutOffAfter {
+			l.healedAt = now
 		}
-		l.last[r.Region] = now
+		l.lastHeard[r.Region] = now
 	}
-	l.raise(now, nil) // before the message is judged by the floor: it must not rise between that and the merge
+	l.raiseFloor(now, nil) // before the message is judged by the floor: it must not rise between that and the merge
 	if !l.guards.Old {
 		for r, n := range l.floor {
 			if m.Seen[r] < n && !l.seen.Covers(m.Floor) {
@@ -93,16 +93,16 @@
 			if !m.Whole {
 				return MergeResult{NeedWhole: true}, nil
 			}
-			took = l.join(m)
+			took = l.adoptSender(m)
 		}
 	}
-	l.turn = max(l.turn, m.Turn)
-	l.raise(now, m.Floor)
+	l.highestTurn = max(l.highestTurn, m.Turn)
+	l.raiseFloor(now, m.Floor)
 	touched := map[string]struct{}{}
 	for k, e := range m.Entries {
 		e = e.clone()
-		e.Gone = l.above(e.Gone)
-		l.put(k, l.mergeEntry(l.entries[k], e))
+		e.Gone = l.dropSeenByAll(e.Gone)
+		l.setEntry(k, l.mergeEntry(l.entries[k], e))
 		touched[k.Device] = struct{}{}
 	}
 	for d, p := range m.Devices {
@@ -115,7 +115,7 @@
 		touched[d] = struct{}{}
 	}
 	for d, q := range m.Departed {
-		l.heardOf(now, d, q)
+		l.mergeDeparted(now, d, q)
 	}
 	if took.Joined {
 		for d := range l.devices {
@@ -123,7 +123,7 @@
 		}
 	}
 	for d := range touched {
-		l.settle(d)
+		l.forgetSettled(d)
 	}
 	for t, b := range m.Blocks {
 		l.blocks[t] = joined(l.blocks[t], b)
@@ -142,33 +142,33 @@
 			l.acked[r].join(v)
 		}
 	}
-	l.raise(now, nil)
+	l.raiseFloor(now, nil)
 	return took, nil
 }
 
-// heardOf takes in where a device was last heard that has no entry at the sender.
-func (l *List) heardOf(now Time, d string, q Departed) {
+// mergeDeparted takes in where a device was last heard that has no entry at the sender.
+func (l *List) mergeDeparted(now Time, d string, q Departed) {
 	if len(l.byDevice[d]) > 0 {
 		if k, ok := l.devices[d]; !ok || l.greater(q.P, k) {
 			l.setDevice(d, q.P)
 		}
 		return
 	}
-	was, ok := l.parted[d]
-	if q.Left <= 0 || ok && l.greater(was.p, q.P) {
+	was, ok := l.departed[d]
+	if q.Left <= 0 || ok && l.greater(was.presence, q.P) {
 		return
 	}
-	if !ok || l.greater(q.P, was.p) {
-		was = parted{p: q.P}
+	if !ok || l.greater(q.P, was.presence) {
+		was = departed{presence: q.P}
 	}
 	was.until = max(was.until, now+q.Left)
-	l.parted[d] = was
+	l.departed[d] = was
 }
 
-// join clears the list for the sender's. Removals that the sender has not seen stay: it
+// adoptSender clears the list for the sender's. Removals that the sender has not seen stay: it
 // can't know their fate, while of those that it has seen its list tells. Grants go: a
 // withdrawal of them may be forgotten by all that count.
-func (l *List) join(m Message) MergeResult {
+func (l *List) adoptSender(m Message) MergeResult {
 	took := MergeResult{Joined: true}
 	l.floor.join(m.Floor)
 	unseen := func(by Replica, n uint64) bool { return n > m.Seen[by] }
@@ -178,7 +178,7 @@
 		}
 		e.Granted, e.Rank = false, Rank{}
 		maps.DeleteFunc(e.Gone, func(r Replica, k Mark) bool { return !unseen(r, k.N) && !unseen(k.Past.By, k.Past.N) })
-		l.put(k, e)
+		l.setEntry(k, e)
 	}
 	for t, b := range l.blocks {
 		maps.DeleteFunc(b, func(r Replica, k Mark) bool { return !unseen(r, k.N) && !unseen(k.Past.By, k.Past.N) })
@@ -187,8 +187,8 @@
 		}
 	}
 	l.seen = maps.Clone(m.Seen)
-	if l.next > 0 {
-		l.seen[l.me] = l.next
+	if l.lastNumber > 0 {
+		l.seen[l.me] = l.lastNumber
 	}
 	slices.SortFunc(took.Dropped, compareKeys)
 	return took
--- a/internal/fanout/rules/rules_test.go
+++ b/internal/fanout/rules/rules_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// drawn returns lists of three regions after drawn steps; a fourth is never heard of, so
+// randomLists returns lists of three regions after drawn steps; a fourth is never heard of, so
 // that nothing is forgotten.
-func drawn(seed uint64) []*List {
+func randomLists(seed uint64) []*List {
 	r := rand.New(rand.NewPCG(seed, 1))
 	cfg := Config{Regions: []Region{"a", "b", "c", "d"}, CutOffAfter: time.Hour, HealGrace: time.Hour, ExcludeAfter: time.Hour, MaxRequestDelay: time.Hour}
 	var ls []*List
@@ -54,10 +54,10 @@
 	return c, c.Digest()
 }
 
-// TestMerge: merging is commutative, associative and idempotent.
-func TestMerge(t *testing.T) {
+// TestMergeLaws: merging is commutative, associative and idempotent.
+func TestMergeLaws(t *testing.T) {
 	for seed := range uint64(500) {
-		ls := drawn(seed)
+		ls := randomLists(seed)
 		a, b, c := ls[0], ls[1].Snapshot(0), ls[2].Snapshot(0)
 		ab, abc := merged(t, a, b, c)
 		if _, acb := merged(t, a, c, b); abc != acb {
