--- a/internal/branch/causes/causes.go
+++ b/internal/branch/causes/causes.go
@@ -1,5 +1,5 @@
-// Package causes tells what each queued write of a cut-off office depends on, as one gateway of the office knows it:
-// what its session wrote or saw before, at whichever gateway. It does no I/O, starts no goroutine and reads no clock.
+// Package causes tracks the causal dependencies of each queued write of a cut-off office, as known to one gateway: what
+// its session wrote or saw before, at any gateway of the office. It does no I/O, starts no goroutine and reads no clock.
 package causes
 
 import (
@@ -8,83 +8,83 @@
 	"slices"
 )
 
-// Queue names one life of one gateway's folder: "kea-basin/g1#3". A life that may not be the newest is never gone on
-// with, so that no number is given twice.
+// Queue names one incarnation of one gateway's folder, e.g. "kea-basin/g1#3". An incarnation that may not be the newest
+// is never continued, so that no number is assigned twice.
 type Queue string
 
-// Dot is one queued write, and its receipt. Numbers start at 1 and have no gaps.
+// Dot identifies one queued write and is its receipt. Numbers start at 1 and have no gaps.
 type Dot struct {
 	Queue Queue  `cbor:"1,keyasint" json:"queue"`
 	N     uint64 `cbor:"2,keyasint" json:"n"`
 }
 
-// String is the receipt as clients and operators say it.
+// String returns the receipt in the form that clients and operators use.
 func (d Dot) String() string { return fmt.Sprintf("%s:%d", d.Queue, d.N) }
 
-// Compare orders dots for output alone; it says nothing of what came first.
+// Compare orders dots for output; the order is not causal.
 func (d Dot) Compare(e Dot) int { return cmp.Or(cmp.Compare(d.Queue, e.Queue), cmp.Compare(d.N, e.N)) }
 
-// Context is what a session has behind it: dots that are known exactly, and prefixes, "all of this queue up to n",
-// where exact dots were too many. A write that stands for others by its own context leaves those out.
+// Context is the causal past of a session: exact dots, and prefixes ("all of this queue up to n") where there were too
+// many exact dots. Writes that are in the context of a listed write are left out.
 type Context struct {
 	Dots []Dot `cbor:"1,keyasint,omitempty" json:"dots,omitempty"`
 	Upto []Dot `cbor:"2,keyasint,omitempty" json:"upto,omitempty"`
 }
 
-// Has reports whether d is named, exactly or by a prefix.
+// Has reports whether c contains d, as an exact dot or by a prefix.
 func (c Context) Has(d Dot) bool {
 	return slices.Contains(c.Dots, d) || slices.ContainsFunc(c.Upto, func(u Dot) bool { return u.Queue == d.Queue && d.N <= u.N })
 }
 
-// Record is a queued write's place in the order: kept with it, copied with it.
+// Record is a queued write's place in the causal order; it is stored and copied with the write.
 type Record struct {
 	Dot     Dot     `cbor:"1,keyasint" json:"receipt"`
 	Session string  `cbor:"2,keyasint" json:"session"`
 	Causes  Context `cbor:"3,keyasint" json:"causes"`
 }
 
-// Config bounds a tracker. Zero values stand for the defaults.
+// Config sets the limits of a tracker. Zero values select the defaults, which stand in brackets.
 type Config struct {
-	Queue       Queue // this gateway's own, in its present life
+	Queue       Queue // this gateway's own, in its current incarnation
 	MaxDots     int   // exact dots in one context (16)
-	MaxQueues   int   // queues that contexts may name (64)
-	MaxSessions int   // sessions held (4096)
+	MaxQueues   int   // queues that all contexts together may name (64)
+	MaxSessions int   // sessions held in memory (4096)
 }
 
-// TooManyQueuesError says that a context names more queues than the bound: gateways that start anew all the time.
+// TooManyQueuesError reports that contexts would name more than Max queues, e.g. since gateways restart all the time.
 type TooManyQueuesError struct {
 	Queue Queue
 	Max   int
 }
 
 func (e *TooManyQueuesError) Error() string {
-	return fmt.Sprintf("queue %s would be one more than the %d that causes may name: replay and forget older queues first", e.Queue, e.Max)
+	return fmt.Sprintf("queue %s exceeds the limit of %d queues that causes may name: replay and forget older queues first", e.Queue, e.Max)
 }
 
-// NotNextError says that kept records do not follow each other: the folder lost one, or is another life's.
+// NotNextError reports a gap in the stored records: the folder lost one, or belongs to another incarnation.
 type NotNextError struct {
 	Found Dot
 	Want  uint64
 }
 
 func (e *NotNextError) Error() string {
-	return fmt.Sprintf("record %v stands where number %d of its queue was wanted: start a new life of the folder", e.Found, e.Want)
+	return fmt.Sprintf("found record %v, wanted number %d of its queue: start a new incarnation of the folder", e.Found, e.Want)
 }
 
-// Guard is one thing that keeps the order; checks switch them off one by one.
+// Guard is a bit for one rule that preserves the causal order; tests disable them one at a time.
 type Guard uint16
 
 // The guards.
 const (
-	GuardOwn     Guard = 1 << iota // a session's write depends on its last one
-	GuardSeen                      // and on what it was told of
-	GuardFold                      // too many dots become a prefix, none is left out
-	GuardRestart                   // after a restart each session starts on all that was kept
-	GuardMoved                     // what a session brings from another gateway counts
-	GuardEvict                     // a session that leaves the table is folded into the ground of all
+	GuardOwn     Guard = 1 << iota // a session's write depends on its previous one
+	GuardSeen                      // and on writes that the session has seen
+	GuardFold                      // excess dots become a prefix; none is dropped
+	GuardRestart                   // after a restart each session depends on all that was stored
+	GuardMoved                     // the context that a session brings from another gateway counts
+	GuardEvict                     // an evicted session's context is merged into the baseline
 )
 
-// Guards are all of them, with what each keeps.
+// Guards lists all guards with the property that each protects.
 var Guards = []struct {
 	Guard Guard
 	Keeps string
@@ -99,23 +99,23 @@
 
 type session struct {
 	ctx     Context
-	lastUse uint64 // turn of its last use, for who leaves first
+	lastUse uint64 // useCount at its last use, for least-recently-used eviction
 }
 
-// Tracker is one gateway's knowledge. It is its owner's alone.
+// Tracker holds one gateway's causal knowledge. Not safe for concurrent use.
 type Tracker struct {
 	cfg      Config
 	off      Guard
 	next     uint64
 	useCount uint64
 	sessions map[string]*session
-	baseline map[Queue]uint64 // prefixes on which a session that is not held starts
+	baseline map[Queue]uint64 // prefixes that a session not in the table starts with
 	queues   map[Queue]bool
-	// Folded and Evicted count contexts that became wider than exact.
+	// Folded and Evicted count contexts that were widened beyond their exact dots.
 	Folded, Evicted uint64
 }
 
-// New returns the tracker of a queue that is empty. Guards are switched off for checks only.
+// New returns the tracker of an empty queue. Guards in off are disabled; for tests only.
 func New(cfg Config, off Guard) *Tracker {
 	cfg.MaxDots = cmp.Or(cfg.MaxDots, 16)
 	cfg.MaxQueues = cmp.Or(cfg.MaxQueues, 64)
@@ -124,9 +124,10 @@
 		baseline: map[Queue]uint64{}, queues: map[Queue]bool{cfg.Queue: true}}
 }
 
-// Restore is New for a gateway that starts again in the same life with what it had kept: its own records in order, and
-// copies of others' in any. What sessions had seen is not kept, so each starts on all that this gateway can have told:
-// the owner keeps the record, or a record that names the dot, of all that it gives to Saw and Bring.
+// Restore is New for a gateway that restarts in the same incarnation from its stored records: its own in order, copies
+// of others' in any order. What sessions had seen is not stored, so each starts with all that this gateway can have
+// shown: the caller stores the record, or one that names the dot, of all that it passes to RecordSeen and MergeContext.
+// The error is a *NotNextError or *TooManyQueuesError.
 func Restore(cfg Config, kept []Record, off Guard) (*Tracker, error) {
 	t := New(cfg, off)
 	for _, r := range kept {
@@ -140,7 +141,7 @@
 			if err := t.extendBaseline(r.Dot); err != nil {
 				return nil, err
 			}
-			for _, d := range slices.Concat(r.Causes.Dots, r.Causes.Upto) { // known here by name, though not copied
+			for _, d := range slices.Concat(r.Causes.Dots, r.Causes.Upto) { // known by name only; its record was not copied here
 				if err := t.extendBaseline(d); err != nil {
 					return nil, err
 				}
@@ -152,7 +153,7 @@
 
 func (t *Tracker) enabled(g Guard) bool { return t.off&g == 0 }
 
-// admitQueue takes a queue among those that may be named.
+// admitQueue registers a queue, or returns a *TooManyQueuesError.
 func (t *Tracker) admitQueue(q Queue) error {
 	if !t.queues[q] && len(t.queues) >= t.cfg.MaxQueues {
 		return &TooManyQueuesError{q, t.cfg.MaxQueues}
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// extendBaseline takes d and all before it in its queue into the ground.
+// extendBaseline adds d and all before it in its queue to the baseline.
 func (t *Tracker) extendBaseline(d Dot) error {
 	if err := t.admitQueue(d.Queue); err != nil {
 		return err
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// sessionFor is a session's entry, made on the ground if it is not held.
+// sessionFor returns a session's entry; a new one starts with the baseline.
 func (t *Tracker) sessionFor(name string) *session {
 	t.useCount++
 	s := t.sessions[name]
@@ -189,8 +190,8 @@
 	return s
 }
 
-// evict lets the session go that was used longest ago. Its context becomes everyone's ground: should it come back, it
-// depends on at least what it did.
+// evict removes the least recently used session. Its context is merged into the baseline, so that the session depends on
+// at least as much as before if it returns.
 func (t *Tracker) evict() {
 	var oldest string
 	for name, s := range t.sessions {
@@ -208,7 +209,7 @@
 	}
 }
 
-// add takes a dot, or a prefix, into a context and keeps it within its bound.
+// add adds a dot, or a prefix, to a context and keeps the context within MaxDots.
 func (t *Tracker) add(c *Context, d Dot, upto bool) {
 	if c.Has(d) && (!upto || slices.ContainsFunc(c.Upto, func(u Dot) bool { return u.Queue == d.Queue && d.N <= u.N })) {
 		return
@@ -241,7 +242,7 @@
 	t.prefix(c, last)
 }
 
-// prefix makes c hold all of d's queue up to d.
+// prefix makes c contain all of d's queue up to d.
 func (t *Tracker) prefix(c *Context, d Dot) {
 	c.Dots = slices.DeleteFunc(c.Dots, func(e Dot) bool { return e.Queue == d.Queue && e.N <= d.N })
 	if i := slices.IndexFunc(c.Upto, func(u Dot) bool { return u.Queue == d.Queue }); i >= 0 {
@@ -252,7 +253,8 @@
 	slices.SortFunc(c.Upto, Dot.Compare)
 }
 
-// MergeContext takes what a session knows from elsewhere: receipts that its client brought, or what another gateway told.
+// MergeContext adds what a session knows from elsewhere: receipts from its client, or its context at another gateway.
+// The error is a *TooManyQueuesError; then nothing was added.
 func (t *Tracker) MergeContext(name string, c Context) error {
 	for _, d := range slices.Concat(c.Dots, c.Upto) {
 		if err := t.admitQueue(d.Queue); err != nil {
@@ -272,7 +274,7 @@
 	return nil
 }
 
-// RecordSeen notes that a session was told of a queued write at this office.
+// RecordSeen records that a session has seen a queued write of this office. The error is a *TooManyQueuesError.
 func (t *Tracker) RecordSeen(name string, r Dot) error {
 	if err := t.admitQueue(r.Queue); err != nil {
 		return err
@@ -284,9 +286,9 @@
 	return nil
 }
 
-// Write gives a session's write its number and its causes. The session's context is that write alone from here on: it
-// stands for all before it. The record has to be kept, and copied, before the receipt is told. Where keeping fails, the
-// life of the folder ends: a number is never given again.
+// Write assigns a session's write its number and causes. From then on the session's context is that write alone, which
+// covers all before it. The caller must store and copy the record before it hands out the receipt. If storing fails, the
+// folder's incarnation ends, since a number is never assigned again.
 func (t *Tracker) Write(name string) Record {
 	s := t.sessionFor(name)
 	r := Record{Dot: Dot{t.cfg.Queue, t.next}, Session: name, Causes: s.ctx}
@@ -298,14 +300,14 @@
 	return r
 }
 
-// Context is what travels with a session that moves. It is the caller's.
+// Context returns a copy of a session's context, to be passed on when the session moves to another gateway.
 func (t *Tracker) Context(name string) Context {
 	s := t.sessionFor(name)
 	return Context{Dots: slices.Clone(s.ctx.Dots), Upto: slices.Clone(s.ctx.Upto)}
 }
 
-// Settled forgets a queue up to n in all contexts and the ground: every write up to there is applied, or has another
-// outcome that was told or is past the age until which it can be asked for.
+// Settled drops a queue up to n from all contexts and the baseline. Every write up to there must be applied, or have
+// another outcome that was reported or whose retention time is over.
 func (t *Tracker) Settled(q Queue, n uint64) {
 	past := func(d Dot) bool { return d.Queue == q && d.N <= n }
 	if t.baseline[q] <= n {
--- a/internal/branch/when/ways.go
+++ b/internal/branch/when/ways.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Route is what is done with a write.
+// Route is how a write is handled.
 type Route uint8
 
-// The ways.
+// The routes.
 const (
-	Send          Route = iota // as any write; the key counts as sent from now on
-	Queue                      // after the office's other gateways were asked: Vouched
-	InDoubt                    // queue it, to begin its replay in doubt: somebody who could not be asked may have sent it
-	AlreadyQueued              // it is queued already: give the same receipt
-	Refuse                     // with the error that comes beside it
+	Send          Route = iota // send it like any write; the key counts as sent from now on
+	Queue                      // ask the office's other gateways first, then call PeersAnswered
+	InDoubt                    // queue it and start its replay in doubt: a gateway that could not be asked may have sent it
+	AlreadyQueued              // return the receipt it already has
+	Refuse                     // with the accompanying error
 )
 
-// RefusedError says why a write that might be queued is not.
+// RefusedError reports why a write was neither sent nor queued: what was found and what would be needed.
 type RefusedError struct {
 	Key, Found, Wants string
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("write %s is refused: %s, wanted %s: ask for its receipt, or for its fate at the office's other gateways", e.Key, e.Found, e.Wants)
+	return fmt.Sprintf("write %s is refused: %s, wanted %s: query its receipt, or its outcome at the office's other gateways", e.Key, e.Found, e.Wants)
 }
 
 type state uint8
 
 const (
 	sent       state = iota + 1 // may have run; not queued here
-	confirming                  // others are being asked, the copies are being made
+	confirming                  // other gateways are being asked, or copies are being stored
 	queued
-	barred // another gateway of the office was told that this one has not sent it, and will not
+	barred // this gateway promised another of the office that it has not sent the key and will not
 )
 
 type key struct {
@@ -41,22 +41,22 @@
 	at              Time
 	receipt         string
 	retry           bool
-	unresolvedSends int // sends of which nobody said that they had no effect
+	unresolvedSends int // sends not known to have had no effect
 }
 
-// RouteTable is one gateway's memory of which way each key went. It is its owner's alone.
+// RouteTable is one gateway's record of the route of each key. Not safe for concurrent use.
 type RouteTable struct {
 	off             Guard
 	maxKeys         int
 	maxAge          Time
 	keys            map[string]*key
-	incompleteUntil Time // until then, some key may have been forgotten
-	// Forgotten counts keys that had to go before their age.
+	incompleteUntil Time // until then, some key may be missing
+	// Forgotten counts keys dropped before maxAge because the table was full.
 	Forgotten uint64
 }
 
-// NewRouteTable returns the memory of a gateway that starts, of at most so many keys (65536). A client repeats a key no later
-// than age after its first try (15 s). Where the gateway has run before, it has forgotten what it sent: fresh is false.
+// NewRouteTable returns the table of a starting gateway with room for most keys (65536). Clients repeat a key no later than
+// age after its first attempt (15 s). Fresh is false if the gateway has run before, since it has lost what it sent.
 func NewRouteTable(now Time, most int, age Time, fresh bool, off Guard) *RouteTable {
 	w := &RouteTable{off: off, maxKeys: cmp.Or(most, 65536), maxAge: cmp.Or(age, 15*time.Second), keys: map[string]*key{}, incompleteUntil: now}
 	if !fresh {
@@ -67,7 +67,7 @@
 
 func (w *RouteTable) enabled(g Guard) bool { return w.off&g == 0 }
 
-// get is a key that still counts.
+// get returns the entry of a key, or nil if there is none or it has expired.
 func (w *RouteTable) get(now Time, name string) *key {
 	k := w.keys[name]
 	if k != nil && k.state != queued && k.state != confirming && now-k.at > w.maxAge {
@@ -77,7 +77,8 @@
 	return k
 }
 
-// put notes a key. A full table loses those that are past their age, else the oldest that is not queued, and is blind.
+// put stores a key. A full table drops expired keys, else the oldest that is not queued, and is then incomplete for
+// maxAge. It reports false if all keys are queued.
 func (w *RouteTable) put(now Time, name string, k key) bool {
 	if w.keys[name] == nil && len(w.keys) >= w.maxKeys {
 		var oldest string
@@ -105,27 +106,28 @@
 	return true
 }
 
-// Decide tells which way a write goes that came now. Retry tells that its client marked it as one; marks, that clients do.
+// Decide returns the route of a write that arrived now. Retry: its client marked it as a retry; marks: clients mark retries.
+// The error is a *RefusedError.
 func (w *RouteTable) Decide(now Time, name string, cut, retry, marks bool) (Route, error) {
 	if k := w.get(now, name); k != nil {
 		switch {
 		case k.state == queued && w.enabled(GuardQueued):
 			return AlreadyQueued, nil
 		case k.state == sent && cut && w.enabled(GuardSent):
-			return Refuse, &RefusedError{name, "it was sent before the cut and may have run", "a write that is new"}
+			return Refuse, &RefusedError{name, "it was sent before the cut and may have run", "a new write"}
 		case k.state == sent && !cut:
 			k.at = now
 			k.unresolvedSends++
 			return Send, nil
 		case k.state == confirming && w.enabled(GuardQueued):
-			return Refuse, &RefusedError{name, "it is being queued", "its receipt, in a moment"}
+			return Refuse, &RefusedError{name, "it is being queued", "a retry in a moment, for its receipt"}
 		case k.state == barred && w.enabled(GuardVouch):
 			return Refuse, &RefusedError{name, "another gateway of the office has it", "the gateway that it was first sent to"}
 		}
 	}
 	blind := now < w.incompleteUntil && w.enabled(GuardForget) && (retry || !marks)
 	if blind {
-		return Refuse, &RefusedError{name, "this gateway may have forgotten the key", fmt.Sprintf("%v more to pass", w.incompleteUntil-now)}
+		return Refuse, &RefusedError{name, "this gateway may have forgotten the key", fmt.Sprintf("a retry after %v", w.incompleteUntil-now)}
 	}
 	if !cut {
 		if !w.put(now, name, key{state: sent, unresolvedSends: 1}) {
@@ -139,8 +141,8 @@
 	return Queue, nil
 }
 
-// PromiseNotSent answers another gateway of the office that is about to queue a key: true if this one has not taken it, and from
-// now on will not. It is blind to keys it may have forgotten, and says so by no answer (ok false).
+// PromiseNotSent answers another gateway of the office that is about to queue a key: vouched is true if this one has not taken
+// the key, and from now on it will not. Ok is false if this gateway may have forgotten the key and cannot tell.
 func (w *RouteTable) PromiseNotSent(now Time, name string) (vouched, ok bool) {
 	if k := w.get(now, name); k != nil && k.state != barred && w.enabled(GuardVouch) {
 		return false, true
@@ -154,36 +156,36 @@
 	return true, true
 }
 
-// PeersAnswered tells what the others said to a key that is to be queued: denied by some, and missing, how many could not be
-// asked or do not know. What it returns is final: Queue, InDoubt or Refuse.
+// PeersAnswered records the peers' answers on a key that is to be queued: denied if some peer has taken it, missing is the
+// number of peers that could not be asked or do not know. The returned route is final: Queue, InDoubt or Refuse.
 func (w *RouteTable) PeersAnswered(now Time, name string, denied bool, missing int) (Route, error) {
 	k := w.keys[name]
 	switch {
 	case k == nil || k.state != confirming:
-		return Refuse, &RefusedError{name, "it is not being queued", "a question before its answer"}
+		return Refuse, &RefusedError{name, "it is not being queued", "a call of Decide first"}
 	case denied && w.enabled(GuardVouch):
 		w.put(now, name, key{state: barred})
-		return Refuse, &RefusedError{name, "another gateway of the office has taken it", "that gateway's word"}
+		return Refuse, &RefusedError{name, "another gateway of the office has taken it", "the receipt from that gateway"}
 	case missing > 0 && k.retry && w.enabled(GuardVouch):
 		w.put(now, name, key{state: barred})
-		return Refuse, &RefusedError{name, fmt.Sprintf("it is a retry, and %d gateways of the office could not be asked", missing), "a write that is new"}
+		return Refuse, &RefusedError{name, fmt.Sprintf("it is a retry, and %d gateways of the office could not be asked", missing), "a new write"}
 	case missing > 0 && w.enabled(GuardVouch):
 		return InDoubt, nil
 	}
 	return Queue, nil
 }
 
-// RecordQueued tells that a key's write is kept and copied under a receipt.
+// RecordQueued records that a key's write is stored and copied under a receipt.
 func (w *RouteTable) RecordQueued(now Time, name, receipt string) {
 	w.put(now, name, key{state: queued, receipt: receipt})
 }
 
-// RestoreQueued tells, after a restart, of a key that is in the queue or in a copy.
+// RestoreQueued records, after a restart, a key found in the queue or in a copy.
 func (w *RouteTable) RestoreQueued(now Time, name, receipt string) {
 	w.RecordQueued(now, name, receipt)
 }
 
-// Receipt is the receipt of a key that is queued.
+// Receipt returns the receipt of a queued key; false if it is not queued.
 func (w *RouteTable) Receipt(name string) (string, bool) {
 	k := w.keys[name]
 	if k == nil || k.state != queued {
@@ -192,7 +194,7 @@
 	return k.receipt, true
 }
 
-// RecordNoEffect tells that one send under a key surely had no effect. A key of which that holds for all is as new.
+// RecordNoEffect records that one send of a key certainly had no effect. Once that holds for all its sends, the key is as new.
 func (w *RouteTable) RecordNoEffect(name string) {
 	if k := w.keys[name]; k != nil && k.state == sent {
 		if k.unresolvedSends--; k.unresolvedSends == 0 {
@@ -201,14 +203,14 @@
 	}
 }
 
-// AbandonQueuing tells that a key that was to be queued could not be kept: no receipt was given, and none will be.
+// AbandonQueuing records that a key that was to be queued could not be stored: it has no receipt and will get none.
 func (w *RouteTable) AbandonQueuing(now Time, name string) {
 	if k := w.keys[name]; k != nil && k.state == confirming {
 		w.put(now, name, key{state: barred})
 	}
 }
 
-// ForgetQueued forgets a queued key whose write is past the age until which its receipt can be asked for.
+// ForgetQueued drops a queued key after the retention time of its receipt.
 func (w *RouteTable) ForgetQueued(name string) {
 	if k := w.keys[name]; k != nil && k.state == queued {
 		delete(w.keys, name)
--- a/internal/branch/when/when.go
+++ b/internal/branch/when/when.go
@@ -1,5 +1,5 @@
-// Package when tells whether a field office counts as cut off, as one of its gateways sees it, and which one way a
-// write goes: sent, or queued. It does no I/O, starts no goroutine and reads no clock: events and a time in.
+// Package when decides whether one gateway of a field office considers the office cut off, and whether a write is sent
+// or queued (never both). It does no I/O, starts no goroutine and reads no clock: callers pass events and the time.
 package when
 
 import (
@@ -10,56 +10,56 @@
 	"reachwind/internal/fleet/view"
 )
 
-// Time is a point on the owner's monotonic clock, or a span on it.
+// Time is a point on the caller's monotonic clock, or a duration on it.
 type Time = time.Duration
 
-// Config bounds the judgement. Zero values stand for the defaults.
+// Config holds the time limits of a Detector. Zero values select the defaults, which stand in brackets.
 type Config struct {
 	Groups         []string // the clusters that the office's writes go to
-	CutOffAfter    Time     // silence of all beyond the office (3 s)
-	AloneAfter     Time     // the same where no other gateway of the office is reached either (10 s)
-	Fresh          Time     // an answer counts for so long towards being back, a peer's word against a cut (2 s)
-	MinRecovery    Time     // the link has to hold so long before it counts (2 s), doubling with each change in quick succession
-	MaxRecovery    Time     // up to this (60 s), halving for each minute without
-	PauseThreshold Time     // a call of Judge later than this after the one before shows an own pause (1 s)
+	CutOffAfter    Time     // cut off once nothing beyond the office has answered for this long (3 s)
+	AloneAfter     Time     // as CutOffAfter, while no other gateway of the office is reachable either (10 s)
+	Fresh          Time     // how long an answer counts towards recovery, and a peer's report against a cut (2 s)
+	MinRecovery    Time     // the link must work this long before the office counts as linked (2 s); doubles with each change within a minute
+	MaxRecovery    Time     // upper limit of that time (60 s); it halves for each minute without a change
+	PauseThreshold Time     // a longer gap between two calls of Evaluate means that this process was paused (1 s)
 }
 
-// PeerView is what the view tells of other gateways now.
+// PeerView is what the fleet view currently reports about other gateways.
 type PeerView struct {
 	Verdict    view.Verdict
-	InOffice   int  // gateways of this office that are reached, without this one
-	Beyond     int  // gateways beyond it
-	SeesBeyond bool // some gateway of the office told, within Fresh, that it is answered from beyond
+	InOffice   int  // reachable gateways of this office, without this one
+	Beyond     int  // reachable gateways beyond the office
+	SeesBeyond bool // a gateway of the office reported within Fresh that it gets answers from beyond
 }
 
-// Status is the verdict with its reason.
+// Status is the current verdict with its reason.
 type Status struct {
 	CutOff bool
-	Number uint64 // grows with each change
+	Number uint64 // increases with each change
 	Since  Time
 	Reason string
 }
 
-// Guard is one thing that keeps a verdict right, or a key to its one way; checks switch them off one by one.
+// Guard is a bit for one rule that keeps a verdict right or a key on one route; tests disable them one at a time.
 type Guard uint16
 
 // The guards.
 const (
-	GuardGroups   Guard = 1 << iota // silence of one group is no cut
-	GuardAnswers                    // an answer that refuses is an answer
-	GuardGateways                   // a gateway beyond that is reached is no cut
-	GuardPeers                      // nor is what only this gateway does not reach
-	GuardPause                      // nothing is learned across an own pause
-	GuardProbes                     // silence counts only where somebody was asked
-	GuardAlone                      // a gateway that reaches nobody at all waits longer
-	GuardSteady                     // being back has to last, the longer the more it flaps
+	GuardGroups   Guard = 1 << iota // silence of one group is not a cut
+	GuardAnswers                    // a refusal counts as an answer
+	GuardGateways                   // while a gateway beyond the office is reachable, there is no cut
+	GuardPeers                      // what only this gateway cannot reach is not a cut
+	GuardPause                      // silence during a pause of this process does not count
+	GuardProbes                     // silence counts only if somebody was probed
+	GuardAlone                      // a gateway that reaches no other gateway waits longer
+	GuardSteady                     // recovery must last, for longer the more the link flaps
 	GuardSent                       // a key that was sent is not queued
 	GuardQueued                     // a key that is queued is not sent
-	GuardVouch                      // others are asked, and hold to what they said
-	GuardForget                     // who may have forgotten keys says so
+	GuardVouch                      // the office's other gateways are asked, and keep their promise
+	GuardForget                     // a gateway that may have forgotten keys does not vouch
 )
 
-// Guards are all of them, with what each keeps.
+// Guards lists all guards with the property that each protects.
 var Guards = []struct {
 	Guard Guard
 	Keeps string
@@ -80,32 +80,32 @@
 
 const (
 	flapWindow   = time.Minute
-	silentProbes = 3 // silent looks at each group that make silence
+	silentProbes = 3 // unanswered probes in a row after which a group counts as silent
 )
 
 type group struct {
 	lastAnswer Time
-	unanswered int  // looks without an answer since
-	lastSilent Time // the last of them
+	unanswered int  // probes without an answer since then
+	lastSilent Time // time of the last of them
 }
 
-// Detector is one gateway's. It is its owner's alone.
+// Detector decides for one gateway whether its office is cut off. Not safe for concurrent use.
 type Detector struct {
 	cfg           Config
 	off           Guard
 	status        Status
 	groups        map[string]*group
-	lastBeyond    Time // the last answer from beyond, of whomever
-	silenceFrom   Time // silence counts from here
+	lastBeyond    Time // last answer of anybody beyond the office
+	silenceFrom   Time // silence before this time does not count
 	lastEvaluated Time
-	okSince       Time // most groups have answered ever since; never = they do not
+	okSince       Time // since when most groups have answered; distantPast = they do not
 	recoveryTime  Time
 	lastChange    Time
 }
 
 const distantPast Time = -1 << 60
 
-// New returns the judgement of a gateway that starts: linked until it has seen silence itself.
+// New returns the detector of a starting gateway: linked until it has observed silence itself. Guards in off are disabled.
 func New(cfg Config, now Time, off Guard) *Detector {
 	cfg.CutOffAfter = cmp.Or(cfg.CutOffAfter, 3*time.Second)
 	cfg.AloneAfter = cmp.Or(cfg.AloneAfter, 10*time.Second)
@@ -123,11 +123,11 @@
 
 func (j *Detector) enabled(g Guard) bool { return j.off&g == 0 }
 
-// Status is the verdict now.
+// Status returns the current verdict.
 func (j *Detector) Status() Status { return j.status }
 
-// RecordAnswer tells that a member of a group beyond the office answered anything at all: a row, a refusal, an error.
-// Refusal tells that it was none that serves.
+// RecordAnswer records that a member of a group beyond the office answered anything at all: a row, a refusal or an
+// error. Refusal is true if the answer was a refusal.
 func (j *Detector) RecordAnswer(now Time, name string, refusal bool) {
 	g := j.groups[name]
 	if g == nil || refusal && !j.enabled(GuardAnswers) {
@@ -136,7 +136,7 @@
 	g.lastAnswer, g.unanswered, j.lastBeyond = now, 0, now
 }
 
-// RecordSilence tells that a look at, or a try with, a member of a group ended without an answer.
+// RecordSilence records that a probe of, or an attempt at, a member of a group ended without an answer.
 func (j *Detector) RecordSilence(now Time, name string) {
 	if g := j.groups[name]; g != nil {
 		g.unanswered++
@@ -144,9 +144,9 @@
 	}
 }
 
-// Evaluate looks anew, with what the view tells, and reports whether the verdict changed. It is to be called each 250 ms.
+// Evaluate updates the verdict from the fleet view and reports whether it changed. Call it every 250 ms.
 func (j *Detector) Evaluate(now Time, p PeerView) bool {
-	if now-j.lastEvaluated > j.cfg.PauseThreshold && j.enabled(GuardPause) { // this process stood still: what it missed says nothing
+	if now-j.lastEvaluated > j.cfg.PauseThreshold && j.enabled(GuardPause) { // this process was paused: answers that it missed prove nothing
 		j.silenceFrom, j.okSince = now, distantPast
 		for _, g := range j.groups {
 			g.unanswered = 0
@@ -163,7 +163,7 @@
 		return j.checkRecovery(now, p)
 	}
 	quiet := now - max(j.silenceFrom, j.lastBeyond)
-	if !j.enabled(GuardGroups) { // as if each group were the only one
+	if !j.enabled(GuardGroups) { // treat each group as if it were the only one
 		for _, g := range j.groups {
 			quiet = max(quiet, now-max(j.silenceFrom, g.lastAnswer))
 		}
@@ -183,14 +183,14 @@
 	case p.SeesBeyond && j.enabled(GuardPeers):
 	case silent < len(j.groups) && j.enabled(GuardProbes) && j.enabled(GuardGroups):
 	default:
-		j.setCutOff(now, true, fmt.Sprintf("nobody beyond the office has answered for %v: %d groups were looked at in vain, no other gateway of the office (%d reached) sees any",
+		j.setCutOff(now, true, fmt.Sprintf("no answer from beyond the office for %v: %d groups did not answer probes, no other gateway of the office (%d reachable) gets answers",
 			quiet.Round(10*time.Millisecond), silent, p.InOffice))
 		return true
 	}
 	return false
 }
 
-// checkRecovery looks whether the link is back and stays.
+// checkRecovery ends the cut once most groups have answered for the recovery time.
 func (j *Detector) checkRecovery(now Time, p PeerView) bool {
 	ok := 0
 	for _, g := range j.groups {
@@ -208,7 +208,7 @@
 	if now-j.okSince < j.recoveryTime && j.enabled(GuardSteady) {
 		return false
 	}
-	j.setCutOff(now, false, fmt.Sprintf("%d of %d groups have answered for %v, %d gateways beyond are reached",
+	j.setCutOff(now, false, fmt.Sprintf("%d of %d groups have answered for %v, %d gateways beyond the office are reachable",
 		ok, len(j.groups), now-j.okSince, p.Beyond))
 	return true
 }
