--- a/internal/fanout/reconcile/reconcile.go
+++ b/internal/fanout/reconcile/reconcile.go
@@ -1,11 +1,12 @@
-// Package reconcile finds where two regions' lists differ, with bytes and work near the
-// number of differences: the asker compares fingerprints of ranges with the answerer's
-// and goes down only where they differ. It is pure: no I/O, goroutine or clock.
+// Package reconcile finds the differences of two regions' lists, with bytes and work in
+// proportion to the number of differences: the asker compares fingerprints of ranges with
+// the answerer's and descends only where they differ. It does no I/O, starts no goroutine
+// and reads no clock.
 //
 // The asker holds all state, which is a bounded stack of ranges that are still to be
-// asked; the answerer holds none. After a link that dropped the asker asks again what was
-// not answered, of any process of the other region. Lists may change meanwhile: what is
-// found held at the time of its answer, and what changed after is found by a later run.
+// asked; the answerer holds none. After a broken connection the asker repeats unanswered
+// questions at any process of the other region. Lists may change meanwhile: a result was
+// true at the time of its answer, and later changes are found by a later run.
 package reconcile
 
 import (
@@ -15,9 +16,9 @@
 	"slices"
 )
 
-// Item is a record of a list: a hash of its key, by which ranges go, and one of all that
-// it holds. Both are 64 bits of a hash with no secret: who can choose keys freely can
-// make two lists look alike, so keys come from sealed peers and checked requests only.
+// Item is a record of a list: a hash of its key, which ranges refer to, and one of its
+// content. Both are 64 bits of an unkeyed hash: whoever can choose keys freely can make
+// two lists look alike, so keys come only from authenticated peers and checked requests.
 // Two keys with one ID do no harm, since items are compared whole.
 type Item struct{ ID, Hash uint64 }
 
@@ -26,8 +27,8 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Hash, b.Hash))
 }
 
-// fingerprint is what an item adds to its range's fingerprint.
-func (a Item) fingerprint() uint64 { // splitmix64's last steps over both
+// fingerprint returns the item's summand in its range's fingerprint.
+func (a Item) fingerprint() uint64 { // the finalizer of splitmix64 over both
 	x := a.ID*0x9e3779b97f4a7c15 ^ a.Hash
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -42,51 +43,51 @@
 	Fingerprint(from, to int) uint64 // the sum of the fingerprints of items from..to-1
 }
 
-// Range is the IDs from Lo to Hi, both within it.
+// Range is the IDs from Lo to Hi, both inclusive.
 type Range struct{ Lo, Hi uint64 }
 
-// SubRange is a piece of a range that is split: from after the part before up to Hi.
+// SubRange is a piece of a split range: from the end of the previous piece (exclusive) to Hi.
 type SubRange struct{ Hi, Fingerprint uint64 }
 
-// RangeAnswer is what the answerer has in a range: its items if they are few, else its parts.
+// RangeAnswer is the answerer's content of a range: its items if they are few, else sub-ranges.
 type RangeAnswer struct {
 	Items []Item
 	Parts []SubRange
 }
 
-// Limits bound messages; the same at both sides. Wire sizes are 16 bytes a range, a part
-// and an item, and one a Found.
+// Limits bounds messages and must be the same on both sides. On the wire a range, a
+// sub-range and an item take 16 bytes each, a RangeAnswer one more.
 type Limits struct {
-	MaxRanges     int // in a question, at least 1
-	Split         int // parts of a range, at least 2
-	MaxLeafItems  int // a range with no more items is told whole
-	MaxItemsPerID int // items that one ID may have, at least Leaf
-	MaxPending    int // ranges still to be asked
+	MaxRanges     int // ranges per question, at least 1
+	Split         int // sub-ranges of a range, at least 2
+	MaxLeafItems  int // a range with no more items is answered with its items
+	MaxItemsPerID int // items that may share one ID, at least MaxLeafItems
+	MaxPending    int // ranges still to be asked, in Run
 }
 
-// DefaultLimits sizes: an answer is at most 62 KB (twice that if IDs collide). Measured in
+// DefaultLimits keep an answer within 62 KB (twice that if IDs collide); see
 // docs/design/fanout.md.
 var DefaultLimits = Limits{MaxRanges: 480, Split: 8, MaxLeafItems: 8, MaxItemsPerID: 16, MaxPending: 480 * 8 * 24}
 
-// AnswerError tells that an answer does not fit its question.
+// AnswerError reports an answer that does not fit its question, or a question over its limits.
 type AnswerError struct{ Found, Wanted string }
 
 func (e *AnswerError) Error() string {
-	return fmt.Sprintf("the answer has %s, wanted %s: the other side runs another form or is at fault; the run ends and a new one may be begun", e.Found, e.Wanted)
+	return fmt.Sprintf("the answer has %s, wanted %s: the other side runs another format version or is faulty; the run ends, start a new one", e.Found, e.Wanted)
 }
 
-// TooManyItemsPerIDError tells that too many items share an ID, which no fair hash does.
+// TooManyItemsPerIDError reports that too many items share an ID, which does not happen by chance.
 type TooManyItemsPerIDError struct {
 	ID         uint64
 	Found, Max int
 }
 
 func (e *TooManyItemsPerIDError) Error() string {
-	return fmt.Sprintf("%d items share the ID %016x, at most %d may: keys were chosen to collide; look for a flood of made-up keys", e.Found, e.ID, e.Max)
+	return fmt.Sprintf("%d items share the ID %016x, wanted at most %d: keys were chosen to collide; look for a flood of invented keys", e.Found, e.ID, e.Max)
 }
 
-// Answer tells of each range what s has there. The error is a *DenseError or, if a
-// question is over its bounds, an *AnswerError.
+// Answer returns what s has in each range. The error is a *TooManyItemsPerIDError or, if
+// the question has more than MaxRanges ranges, an *AnswerError.
 func Answer(s Set, z Limits, ask []Range) ([]RangeAnswer, error) {
 	if len(ask) > z.MaxRanges {
 		return nil, &AnswerError{fmt.Sprintf("%d ranges asked", len(ask)), fmt.Sprintf("at most %d", z.MaxRanges)}
@@ -134,25 +135,25 @@
 type Run struct {
 	limits Limits
 	stack  []Range
-	asked  int // of them, from the top
-	// Steps counts questions that were answered; Bytes what they and their answers took.
+	asked  int // how many of them are in the current question, from the top
+	// Steps counts answered questions; Bytes is the wire size of them and their answers.
 	Steps, Bytes int
 }
 
-// Begin returns a run over all IDs.
+// Begin returns a new run over all IDs.
 func Begin(z Limits) *Run { return &Run{limits: z, stack: []Range{{0, math.MaxUint64}}} }
 
-// Next returns the question that is to be asked, nil when all is found. Until it is
-// answered it stays the same.
+// Next returns the next question, empty when the run is complete. It stays the same until
+// it is answered.
 func (r *Run) Next() []Range {
 	r.asked = min(len(r.stack), r.limits.MaxRanges)
 	return r.stack[len(r.stack)-r.asked:]
 }
 
-// HandleAnswer takes the answer to the last question. It returns the items that only the
-// answerer has, to be fetched, and those that only s has, to be sent; a record that both
-// have in different states is among both. After an error, an *AnswerError, nothing of the
-// answer is taken.
+// HandleAnswer applies the answer to the last question. It returns the items that only
+// the answerer has, to be fetched, and those that only s has, to be sent; a record that
+// both have in different states is in both. After an error, an *AnswerError, nothing of
+// the answer is applied.
 func (r *Run) HandleAnswer(s Set, answer []RangeAnswer) (need, have []Item, err error) {
 	ask := r.stack[len(r.stack)-r.asked:]
 	if len(answer) != len(ask) {
@@ -189,8 +190,8 @@
 	return need, have, nil
 }
 
-// validate guards against an answer that would not end: parts must cover the range in order
-// and be smaller than it, items lie within it.
+// validate rejects answers with which a run might not end: sub-ranges must cover the range
+// in order and be smaller than it, items must lie within it.
 func (r *Run) validate(ask Range, f RangeAnswer) error {
 	if len(f.Items) > r.limits.MaxItemsPerID || len(f.Parts) > r.limits.Split || len(f.Parts) == 1 || len(f.Items) > 0 && len(f.Parts) > 0 {
 		return &AnswerError{fmt.Sprintf("%d items and %d parts", len(f.Items), len(f.Parts)),
@@ -209,7 +210,7 @@
 	return nil
 }
 
-// diffItems compares the items of a range.
+// diffItems returns the items of a range that only the other side has, and those that only s has.
 func diffItems(s Set, r Range, theirs []Item) (need, have []Item) {
 	from, to := bounds(s, r)
 	for from < to || len(theirs) > 0 {
@@ -237,13 +238,13 @@
 	return need, have
 }
 
-// Sorted is a Set that does not change, with sums from its start.
+// Sorted is an immutable Set with prefix sums of fingerprints.
 type Sorted struct {
 	items []Item
-	sums  []uint64 // of the items before
+	sums  []uint64 // sums[i] is over the first i items
 }
 
-// NewSorted returns the set of the items, which it orders in place.
+// NewSorted returns the set of the items; it sorts the slice in place.
 func NewSorted(items []Item) *Sorted {
 	slices.SortFunc(items, Item.Compare)
 	items = slices.Compact(items)
@@ -254,17 +255,17 @@
 	return s
 }
 
-// Len, At, Rank and Print are those of Set.
+// Len returns the number of items.
 func (s *Sorted) Len() int { return len(s.items) }
 
 // At returns item i in order.
 func (s *Sorted) At(i int) Item { return s.items[i] }
 
-// Rank counts the items with a lower ID.
+// Rank returns the number of items with a lower ID.
 func (s *Sorted) Rank(id uint64) int {
 	i, _ := slices.BinarySearchFunc(s.items, id, func(it Item, id uint64) int { return cmp.Compare(it.ID, id) })
 	return i
 }
 
-// Fingerprint sums the fingerprints of items from..to-1.
+// Fingerprint returns the sum of the fingerprints of items from..to-1.
 func (s *Sorted) Fingerprint(from, to int) uint64 { return s.sums[to] - s.sums[from] }
--- a/internal/fanout/rules/types.go
+++ b/internal/fanout/rules/types.go
@@ -1,7 +1,7 @@
-// Package rules decides how regions' knowledge of subscribers merges and who is
-// delivered to: withdrawals, homes of devices, limits, blocks, leases, and when what
-// was removed may be forgotten. It is pure: no I/O, goroutine or clock; one owner calls
-// it with its region's own time. docs/design/fanout.md has the claims.
+// Package rules decides how regions' subscriber lists merge and which subscribers get
+// deliveries: withdrawals, home regions of devices, limits, blocks, leases, and when
+// removals may be forgotten. It does no I/O, starts no goroutine and reads no clock; the
+// single caller passes its region's own time. docs/design/fanout.md states the guarantees.
 package rules
 
 import (
@@ -12,15 +12,15 @@
 )
 
 // Time is a point on the region's own clock, which never steps and runs on while the
-// process is stopped, or a span on it.
+// process is stopped, or a duration on it.
 type Time = time.Duration
 
-// Region names one.
+// Region is the name of a region.
 type Region string
 
-// Replica is a region in one life: a start of its process, never used twice, also
-// after a folder was lost or put back. Lives should grow: where one does not, only what
-// others tell of the region passes for old.
+// Replica is a region in one life: a start of its process, whose number is never used
+// twice, not even after a folder was lost or restored. Lives should increase: where one
+// does not, only others' reports about the region are taken as outdated.
 type Replica struct {
 	Region Region
 	Life   uint64
@@ -30,7 +30,7 @@
 type Dot struct {
 	By   Replica
 	N    uint64
-	Anew uint8 // how often it was told anew, since the number before was lost with its life
+	Anew uint8 // how often it was renumbered, since the previous number was lost with its life
 }
 
 func (a Dot) compare(b Dot) int {
@@ -40,15 +40,16 @@
 // Mark is a replica's last withdrawal of a key, or block of a target.
 type Mark struct {
 	N uint64
-	// Past is over when all have seen it: the lift of a block (zero: it holds), or the
-	// number by which a withdrawal was told anew (zero: its own N is waited for).
+	// Past is the removal after which the mark may be forgotten, once all regions have
+	// seen it: the lift of a block (zero: the block holds), or the new number of a
+	// renumbered withdrawal (zero: its own N has to be seen).
 	Past Dot
 }
 
 // Marks holds the marks of each replica.
 type Marks map[Replica]Mark
 
-// covers tells whether the numbers of m reach those of o.
+// covers reports whether the numbers of m reach those of o.
 func (m Marks) covers(o Marks) bool {
 	for r, k := range o {
 		if m[r].N < k.N {
@@ -58,7 +59,7 @@
 	return true
 }
 
-// join merges o into m: of each replica the greater number, of one number the later fate.
+// join merges o into m: the greater number of each replica, for equal numbers the later Past.
 func (m Marks) join(o Marks) {
 	for r, b := range o {
 		if a := m[r]; cmp.Or(cmp.Compare(a.N, b.N), a.Past.compare(b.Past)) < 0 {
@@ -67,10 +68,10 @@
 	}
 }
 
-// Vector holds for each replica the number up to which its removals are meant.
+// Vector holds for each replica the number up to which its removals are included.
 type Vector map[Replica]uint64
 
-// Covers tells whether v reaches each number of o.
+// Covers reports whether v reaches each number of o.
 func (v Vector) Covers(o Vector) bool {
 	for r, n := range o {
 		if v[r] < n {
@@ -87,15 +88,15 @@
 	}
 }
 
-// Key names an entry: one device of a customer on one topic.
+// Key names an entry: one device of a tenant on one topic.
 type Key struct{ Topic, Tenant, Device string }
 
 func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Topic, b.Topic), cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Device, b.Device))
 }
 
-// Rank orders who goes first: lower first. A subscription made where another was known
-// has the higher one.
+// Rank is the priority within limits: lower first. A subscription made where another was
+// already known has the higher rank.
 type Rank struct {
 	Turn uint64
 	By   Replica
@@ -109,26 +110,26 @@
 	return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Life, b.Life))
 }
 
-// Entry is what is known of a key. Without a grant it is a removal that is kept.
+// Entry is the state of a key. Without a grant it is a retained removal.
 type Entry struct {
-	Gone    Marks // withdrawals, of which a grant has seen all; nothing at or under the floor
+	Gone    Marks // withdrawals, all seen by the grant if there is one; none at or below the floor
 	Granted bool
 	Rank    Rank // of the grant
 }
 
 func (e Entry) clone() Entry { e.Gone = maps.Clone(e.Gone); return e }
 
-// Presence tells where a device was last heard, by its own epoch (a start of the
-// device) and count within it.
+// Presence is where a device was last heard, with the device's own epoch (a start of the
+// device) and its count within it.
 type Presence struct {
 	Epoch, Count uint64
 	Home         Region
-	Span         Time // of the lease, from when Home heard it, on Home's clock
-	End          Dot  // the lease has ended; zero: not
+	Span         Time // length of the lease, from when Home heard the device, on Home's clock
+	End          Dot  // the removal that ended the lease; zero: not ended
 }
 
-// Compare orders presences of a device: the greater is the one that holds. Of the same
-// epoch and count the region whose name sorts first holds.
+// Compare orders presences of a device: the greater one is in force. For equal epoch and
+// count that is the one whose region name sorts first.
 func (p Presence) Compare(o Presence) int {
 	return cmp.Or(cmp.Compare(p.Epoch, o.Epoch), cmp.Compare(p.Count, o.Count), cmp.Compare(o.Home, p.Home),
 		p.End.compare(o.End), cmp.Compare(p.Span, o.Span))
@@ -137,8 +138,8 @@
 // Kind is what a limit or block is about.
 type Kind string
 
-// The kinds. A block may be about a topic, customer or device; a limit about a topic,
-// customer or region (that of the device's home).
+// The kinds. A block applies to a topic, tenant or device; a limit to a topic, tenant or
+// region (the device's home).
 const (
 	Topic    Kind = "topic"
 	Tenant   Kind = "customer"
@@ -152,43 +153,43 @@
 	Name string
 }
 
-// Reason tells why a subscriber is not delivered to.
+// Reason is why a subscriber gets no deliveries here.
 type Reason string
 
 // The reasons.
 const (
-	Delivered Reason = ""          // it is delivered to here
-	Unknown   Reason = "unknown"   // no grant that saw all withdrawals
+	Delivered Reason = ""          // deliveries are made here
+	Unknown   Reason = "unknown"   // no grant that has seen all withdrawals
 	Ended     Reason = "ended"     // the lease has ended
-	Blocked   Reason = "blocked"   // by an operator, Why.At names what
-	Waiting   Reason = "waiting"   // for a place within the limit Why.At
-	Elsewhere Reason = "elsewhere" // Why.At names the region that delivers
-	Expired   Reason = "lapsed"    // the lease is over by this region's clock, the end is not said yet
+	Blocked   Reason = "blocked"   // by an operator, Status.Target names what
+	Waiting   Reason = "waiting"   // for capacity within the limit Status.Target
+	Elsewhere Reason = "elsewhere" // Status.Target names the region that delivers
+	Expired   Reason = "lapsed"    // the lease is over by this region's clock, but its end is not yet recorded
 )
 
-// Status is a reason with what it is about.
+// Status is a reason with its target.
 type Status struct {
 	Reason Reason
 	Target Target
 }
 
-// Config of a region.
+// Config is the configuration of a region.
 type Config struct {
 	Region          Region
 	Regions         []Region // all, this one among them; the same everywhere
 	Limits          map[Target]int
-	CutOffAfter     Time // a region not heard of for so long is cut off
-	HealGrace       Time // after a heal, before leases that ran out are ended
-	ExcludeAfter    Time // a region not heard of for so long may be counted out
-	MaxRequestDelay Time // a copy of a device's request comes at most so late; what it last sent is remembered so long
+	CutOffAfter     Time // a region not heard from for this long is cut off
+	HealGrace       Time // time after a cut ends before expired leases are ended
+	ExcludeAfter    Time // a region not heard from for this long may be excluded
+	MaxRequestDelay Time // longest delay of a copy of a device's request; its last presence is remembered this long
 }
 
-// Guards switches single rules off, for checks that must then miss them.
+// Guards disables single rules, for tests that must then detect the fault.
 type Guards struct {
 	Withdraw, Home, Order, Limit, Block, Lease, Grace, Keep, Old, Majority bool
 }
 
-// StaleError refuses a request that is older than what the region knows of the device.
+// StaleError reports a request older than the region's knowledge of the device.
 type StaleError struct {
 	Device       string
 	Epoch, Count uint64
@@ -196,11 +197,11 @@
 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("device %s sent epoch %d count %d, known is epoch %d count %d in %s: a late copy of an older request; the device asks again with its next count",
+	return fmt.Sprintf("device %s sent epoch %d count %d, already known is epoch %d count %d in %s: a late copy of an older request; the device retries with its next count",
 		e.Device, e.Epoch, e.Count, e.Known.Epoch, e.Known.Count, e.Known.Home)
 }
 
-// OldError refuses a message whose sender has not seen what all acknowledged.
+// OldError reports a message whose sender has not seen what all regions acknowledged.
 type OldError struct {
 	From     Replica
 	Of       Replica
@@ -208,13 +209,13 @@
 }
 
 func (e *OldError) Error() string {
-	return fmt.Sprintf("region %s life %d has seen removals of %s life %d up to %d, all had acknowledged %d: an old or empty copy, or it was counted out; it joins anew by itself at its next exchange the other way",
+	return fmt.Sprintf("region %s life %d has seen removals of %s life %d up to %d, all had acknowledged %d: an old or empty copy, or it was excluded; it rejoins by itself at its next exchange in the other direction",
 		e.From.Region, e.From.Life, e.Of.Region, e.Of.Life, e.Has, e.Min)
 }
 
-// DivergedError refuses a message between two regions each of which has forgotten
-// removals that the other never saw: each was counted out by the other, which takes a
-// third that lost its folder meanwhile. Neither list can be mended by rule.
+// DivergedError reports a message between two regions each of which has forgotten
+// removals that the other never saw: each was excluded by the other, which is possible
+// only if a third lost its folder meanwhile. Neither list can be repaired automatically.
 type DivergedError struct{ From Replica }
 
 func (e *DivergedError) Error() string {
