--- a/internal/fanout/rules/message.go
+++ b/internal/fanout/rules/message.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Message is what a region tells another. Records may come in parts, in any order and
-// repeatedly, but an entry with its device's record if there is one: a withdrawal
-// without it would let a late copy of an older subscription pass; only the last part of a whole one (Whole) lets the receiver claim what
-// the sender has seen. Receivers don't change it.
+// Message carries a region's list to another region. Records may arrive in parts, in any
+// order and repeatedly, but an entry must come with its device's record if there is one:
+// a withdrawal without it would let a late copy of an older subscription pass. Only the
+// last part of a whole list (Whole) lets the receiver claim what the sender has seen.
+// Receivers must not modify it.
 type Message struct {
 	From               Replica
 	Seen, Floor, Beats Vector
@@ -21,15 +22,15 @@
 	Whole              bool
 }
 
-// Departed tells of a device whose last entry is gone, for the time that is left in which
-// late copies of its requests may come.
+// Departed is a device whose last entry is gone, with the time left in which late copies of
+// its requests may arrive.
 type Departed struct {
 	P    Presence
 	Left Time
 }
 
-// Snapshot returns the whole list as a message. Anything that it tells must be durable
-// before it is sent.
+// Snapshot returns the whole list as a message. The list must be durable before the
+// message is sent.
 func (l *List) Snapshot(now Time) Message {
 	l.heartbeats[l.me]++
 	m := Message{
@@ -53,11 +54,11 @@
 	return m
 }
 
-// MergeResult tells what came of a message.
+// MergeResult is the result of merging a message.
 type MergeResult struct {
-	Joined    bool  // this region's list was out of date past mending: it joined anew by the sender's
-	Dropped   []Key // and these grants, which the sender lacks, are gone from here: their devices must ask again
-	NeedWhole bool  // it must join anew and waits for a whole message to do it by; nothing was merged
+	Joined    bool  // this list was too outdated to merge and was replaced by the sender's
+	Dropped   []Key // grants lost by that, which the sender lacks: their devices must subscribe again
+	NeedWhole bool  // the list must be replaced, which needs a whole message; nothing was merged
 }
 
 // Merge merges a message. The error is an *OldError or *DivergedError; then
@@ -65,12 +66,12 @@
 func (l *List) Merge(now Time, m Message) (MergeResult, error) {
 	var took MergeResult
 	l.noteRun(now)
-	for r, n := range m.Beats { // who told whom is known also from a message that is refused
+	for r, n := range m.Beats { // heartbeats count even if the message is refused
 		if n <= l.heartbeats[r] || r.Region == l.cfg.Region {
 			continue
 		}
 		l.heartbeats[r] = n
-		if r != m.From && r.Life < l.life[r.Region] { // late news of a former life
+		if r != m.From && r.Life < l.life[r.Region] { // late update of a former life
 			continue
 		}
 		l.life[r.Region] = r.Life
@@ -79,7 +80,7 @@
 		}
 		l.lastHeard[r.Region] = now
 	}
-	l.raiseFloor(now, nil) // before the message is judged by the floor: it must not rise between that and the merge
+	l.raiseFloor(now, nil) // before the message is checked against the floor, which must not rise between check and merge
 	if !l.guards.Old {
 		for r, n := range l.floor {
 			if m.Seen[r] < n && !l.seen.Covers(m.Floor) {
@@ -133,7 +134,7 @@
 	if m.Whole {
 		l.seen.join(m.Seen)
 		for r, v := range m.Acked {
-			if r == l.cfg.Region { // may be of a former life, and more than an old copy holds
+			if r == l.cfg.Region { // may come from a former life and exceed what an old copy holds
 				continue
 			}
 			if l.acked[r] == nil {
@@ -146,7 +147,7 @@
 	return took, nil
 }
 
-// mergeDeparted takes in where a device was last heard that has no entry at the sender.
+// mergeDeparted merges where a device was last heard that has no entry at the sender.
 func (l *List) mergeDeparted(now Time, d string, q Departed) {
 	if len(l.byDevice[d]) > 0 {
 		if k, ok := l.devices[d]; !ok || l.greater(q.P, k) {
@@ -165,15 +166,15 @@
 	l.departed[d] = was
 }
 
-// adoptSender clears the list for the sender's. Removals that the sender has not seen stay: it
-// can't know their fate, while of those that it has seen its list tells. Grants go: a
-// withdrawal of them may be forgotten by all that count.
+// adoptSender clears the list to make way for the sender's. Removals that the sender has not
+// seen stay, since its list cannot include them; those that it has seen are in its list.
+// Grants are dropped: their withdrawal may already be forgotten by all regions that count.
 func (l *List) adoptSender(m Message) MergeResult {
 	took := MergeResult{Joined: true}
 	l.floor.join(m.Floor)
 	unseen := func(by Replica, n uint64) bool { return n > m.Seen[by] }
 	for k, e := range l.entries {
-		if o := m.Entries[k]; e.Granted && !o.Granted && len(o.Gone) == 0 { // else the sender knows it withdrawn
+		if o := m.Entries[k]; e.Granted && !o.Granted && len(o.Gone) == 0 { // else the sender knows that it was withdrawn
 			took.Dropped = append(took.Dropped, k)
 		}
 		e.Granted, e.Rank = false, Rank{}
