--- a/internal/branch/replay/replay.go
+++ b/internal/branch/replay/replay.go
@@ -304,7 +304,7 @@
 	return a
 }
 
-// RecordStored tells that the record of an ActKeep is on its copies, or could not be brought there. One that may be there and
+// RecordStored tells that the record of an ActStore is on its copies, or could not be brought there. One that may be there and
 // may not is not kept.
 func (r *Replayer) RecordStored(now Time, k LogRecord, ok bool) []Action {
 	if k.Kind == KindBase && k.Fence == r.fence {
@@ -393,7 +393,7 @@
 	return r.tick(now)
 }
 
-// Resolve takes an operator's word. Words on a doubt name its round, as Fate told it.
+// Resolve takes an operator's word. Words on a doubt name its round, as Receipt returned it.
 func (r *Replayer) Resolve(now Time, d Dot, round int, w Resolution) ([]Action, error) {
 	e := r.all[d]
 	if e == nil {
--- a/internal/fanout/rules/list.go
+++ b/internal/fanout/rules/list.go
@@ -386,7 +386,7 @@
 	l.lastRun = now
 }
 
-// Tick ends leases and forgets; to be called several times within the span of Cut. It returns the devices whose
+// Tick ends leases and forgets; to be called several times within CutOffAfter. It returns the devices whose
 // leases were ended.
 func (l *List) Tick(now Time) (ended []string) {
 	l.noteRun(now)
