--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -157,7 +157,7 @@
 	f.subscription = subscribe.New()
 	f.drain = drain.New(drain.Config{LongestRequest: d.Longest, SignalWait: c.SignalWait})
 	f.connectionFraction = 1
-	f.log.Info("fleet started", "name", c.Name, "epoch", f.epoch, "listen", c.Listen, "advertise", f.sockets.AdvertisedAddr(), "seeds", len(f.seeds))
+	f.log.Info("fleet begins", "name", c.Name, "epoch", f.epoch, "listen", c.Listen, "advertise", f.sockets.AdvertisedAddr(), "seeds", len(f.seeds))
 	go f.run()
 	return f, nil
 }
--- a/internal/gateway/retune.go
+++ b/internal/gateway/retune.go
@@ -68,7 +68,7 @@
 	before := g.config.active.Current()
 	g.core.Post(func() {
 		if err := g.router.Reconfigure(*r.config.Decide); err != nil { // readReload has validated it
-			g.options.Log.Error("reloaded settings refused by the decision module", "err", err)
+			g.options.Log.Error("retuning refused", "err", err)
 			return
 		}
 		g.pool.Reconfigure(memberPoolConfig(r.config.settings, 0, 0))
--- a/internal/pgmember/conn.go
+++ b/internal/pgmember/conn.go
@@ -351,7 +351,7 @@
 	case errors.Is(err, pgwire.ErrTooLong), errors.Is(err, pgwire.ErrMalformed), errors.Is(err, errInvalidAnswer), errors.Is(err, errStalled),
 		errors.Is(err, errNoBuffer):
 		// The member is up and has run the statement; only the answer is invalid, so nothing that it reported is used.
-		c.pool.invalidAnswerLog.Warn(c.pool.log, "invalid answer from member", "member", c.member.id, "err", err)
+		c.pool.invalidAnswerLog.Warn(c.pool.log, "answer spoilt", "member", c.member.id, "err", err)
 		return core.Outcome{Result: decide.Errored}
 	case a.endStream != nil && a.code != "": // whatever the code says, the statement has run
 		o.Result = decide.Errored
