--- a/cmd/reachwind/main_test.go
+++ b/cmd/reachwind/main_test.go
@@ -40,7 +40,7 @@
 		"lifecycle": {`"ready"`, `"odd"`, `unknown lifecycle "odd"`},
 		"class":     {`"repeatable"`, `"odd"`, `unknown Effect "odd"`},
 		"grades":    {`"any"`, ``, "settings: "},
-		"aim":       {`"AimUs":100000,`, ``, "aim and deadline"},
+		"aim":       {`"AimUs":100000,`, ``, "latency target and deadline must be above 0"},
 	} {
 		t.Setenv("NODE_DISCOVERY", "")
 		path := filepath.Join(t.TempDir(), "c.json")
